--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/store"
@@ -298,7 +299,7 @@
 }
 
 // rightOf is when a node's right to act ends, as far as it knows now.
-func rightOf(term interface{ Valid(micro.Time) bool }, p *controllerProc) micro.Time {
+func rightOf(term *election.Term, p *controllerProc) micro.Time {
 	now := p.current().Now()
 	var d micro.Time
 	for d < 10*micro.Second && term.Valid(now+d) {
