--- a/internal/controller/leader_faults_test.go
+++ b/internal/controller/leader_faults_test.go
@@ -15,49 +15,49 @@
 // come late. Each scenario makes sure that its meeting came about; the checker of
 // the rules judges all that happens.
 
-// seeds plays a scenario on several days.
-func seeds(t *testing.T, n, nodes int, scenario func(w *simCluster)) {
+// runSeeds plays a scenario on several days.
+func runSeeds(t *testing.T, n, nodes int, scenario func(sim *simCluster)) {
 	t.Helper()
 	for seed := range n {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(seed+1), nodes, nil, scenario)
+			runScenario(t, uint64(seed+1), nodes, nil, scenario)
 		})
 	}
 }
 
-// fills submits a service, a machine a task in one zone, and waits until it runs.
+// fillZone submits a service, a machine a task in one zone, and waits until it runs.
 // Of three nodes, zone a has two, which keep its leases in a cut, and b has one,
 // which does not.
-func (w *simCluster) fills(zone string, tasks int) *job {
+func (w *simCluster) fillZone(zone string, tasks int) *userJob {
 	w.t.Helper()
-	j := w.wants(order{kind: wire.Service, tasks: tasks, cpus: 4, zone: zone}).submit()
-	w.runs(j, tasks)
-	return j
+	job := w.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4, zone: zone}).submit()
+	w.waitRunning(job, tasks)
+	return job
 }
 
-func (w *simCluster) runs(j *job, tasks int) {
+func (w *simCluster) waitRunning(job *userJob, tasks int) {
 	w.t.Helper()
-	w.until(j.id+" runs", 90*micro.Second, func() bool { return j.running() == tasks })
+	w.waitUntil(job.id+" runs", 90*micro.Second, func() bool { return job.runningTasks() == tasks })
 }
 
-// idle makes a machine in each of these zones that is up and empty.
-func (w *simCluster) idle(zones ...string) []*host {
+// idleMachines makes a machine in each of these zones that is up and empty.
+func (w *simCluster) idleMachines(zones ...string) []*fakeMachine {
 	w.t.Helper()
-	var out []*host
-	var jobs []*job
+	var out []*fakeMachine
+	var jobs []*userJob
 	for _, zone := range zones {
-		jobs = append(jobs, w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: zone, team: "other"}).submit())
+		jobs = append(jobs, w.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: zone, team: "other"}).submit())
 	}
-	for _, j := range jobs {
-		w.runs(j, 1)
+	for _, job := range jobs {
+		w.waitRunning(job, 1)
 	}
-	for _, j := range jobs {
-		out = append(out, j.on()...)
-		j.cancel()
+	for _, job := range jobs {
+		out = append(out, job.machines()...)
+		job.cancel()
 	}
-	for _, h := range out {
-		w.until("empty", 30*micro.Second, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.w.Tasks) == 0 })
+	for _, machine := range out {
+		w.waitUntil("empty", 30*micro.Second, func() bool { machine.mu.Lock(); defer machine.mu.Unlock(); return len(machine.agent.Tasks) == 0 })
 	}
 	return out
 }
@@ -65,47 +65,47 @@
 // A direct start was held up, its job was cancelled, and the machine's reports,
 // which showed nothing of it, were taken for proof that it would never run: its
 // team's room went to another job, and the start arrived.
-func TestStartHeldUpBeyondACancellationKeepsItsTeamsRoom(t *testing.T) {
-	seeds(t, 4, 3, func(w *simCluster) {
-		w.fills("a", 3)
-		h := w.idle("a", "b")[0]
-		h.holdUp()
-		h.deafen(10 * micro.Second)
-		held := w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: "a"}).submit()
-		w.until("start held up", 5*micro.Second, func() bool { return h.heldUp() == 1 })
-		go held.cancel()
-		next := w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: "b"}).submit()
-		for end := w.now() + 7*micro.Second; w.now() < end && next.running() == 0; {
-			w.sleep(50 * micro.Millisecond)
+func TestStartDelayedBeyondACancellationKeepsItsTeamsQuota(t *testing.T) {
+	runSeeds(t, 4, 3, func(sim *simCluster) {
+		sim.fillZone("a", 3)
+		machine := sim.idleMachines("a", "b")[0]
+		machine.holdDispatch()
+		machine.loseResponses(10 * micro.Second)
+		delayed := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "a"}).submit()
+		sim.waitUntil("start held up", 5*micro.Second, func() bool { return machine.heldDispatchCount() == 1 })
+		go delayed.cancel()
+		next := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b"}).submit()
+		for end := sim.now() + 7*micro.Second; sim.now() < end && next.runningTasks() == 0; {
+			sim.sleep(50 * micro.Millisecond)
 		}
-		if !h.release() {
-			w.t.Fatal("the machine refused the start: it did not come late")
+		if !machine.releaseDispatches() {
+			sim.t.Fatal("the machine refused the start: it did not come late")
 		}
-		w.until("the late start runs", 3*micro.Second, func() bool { return held.running() == 1 })
-		w.runs(next, 1)
-		if held.running() != 0 {
-			w.t.Error("cancelled, and runs on")
+		sim.waitUntil("the late start runs", 3*micro.Second, func() bool { return delayed.runningTasks() == 1 })
+		sim.waitRunning(next, 1)
+		if delayed.runningTasks() != 0 {
+			sim.t.Error("cancelled, and runs on")
 		}
 	})
 }
 
 // A machine hung with the order to stop on its way, and went on seconds later.
-func TestStopOnItsWayToAHangingMachineFreesNothing(t *testing.T) {
-	for _, d := range []micro.Time{3 * micro.Second, 6 * micro.Second, 14 * micro.Second} {
-		t.Run(d.Std().String(), func(t *testing.T) {
+func TestStopInFlightToAHungMachineReleasesNothing(t *testing.T) {
+	for _, duration := range []micro.Time{3 * micro.Second, 6 * micro.Second, 14 * micro.Second} {
+		t.Run(duration.Std().String(), func(t *testing.T) {
 			t.Parallel()
-			play(t, 1, 3, nil, func(w *simCluster) {
-				full := w.fills("a", 4)
-				h := full.on()[0]
-				h.hang(d)
+			runScenario(t, 1, 3, nil, func(sim *simCluster) {
+				full := sim.fillZone("a", 4)
+				machine := full.machines()[0]
+				machine.hang(duration)
 				go full.cancel()
-				next := w.wants(order{kind: wire.Service, tasks: 4, cpus: 4, zone: "b"}).submit()
-				w.sleep(d - micro.Second)
-				if full.running() != 1 && h.alive() {
-					w.t.Fatalf("%d tasks run, want that on the hanging machine", full.running())
+				next := sim.newJob(jobRequest{kind: wire.Service, tasks: 4, cpus: 4, zone: "b"}).submit()
+				sim.sleep(duration - micro.Second)
+				if full.runningTasks() != 1 && machine.isUp() {
+					sim.t.Fatalf("%d tasks run, want that on the hanging machine", full.runningTasks())
 				}
-				w.runs(next, 4)
-				w.until("told", 60*micro.Second, func() bool { return full.is().aborted })
+				sim.waitRunning(next, 4)
+				sim.waitUntil("told", 60*micro.Second, func() bool { return full.knowledge().aborted })
 			})
 		})
 	}
@@ -114,27 +114,27 @@
 // Half of a zone's workers reached no controller, while orders reached them: they
 // went on with their tasks, which must not begin elsewhere before their leases ran
 // out, whoever leads.
-func TestWorkersThatReachNobodyKeepTheirTasks(t *testing.T) {
+func TestAgentsThatReachNoControllerKeepTheirTasks(t *testing.T) {
 	for _, changes := range []bool{false, true} {
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
-			seeds(t, 3, 3, func(w *simCluster) {
-				long, short := w.fills("b", 3), w.fills("b", 1)
-				mute := append(long.on()[:2], short.on()...)
-				for _, h := range mute {
-					h.silence(20 * micro.Second)
+			runSeeds(t, 3, 3, func(sim *simCluster) {
+				long, short := sim.fillZone("b", 3), sim.fillZone("b", 1)
+				partitioned := append(long.machines()[:2], short.machines()...)
+				for _, machine := range partitioned {
+					machine.loseHeartbeats(20 * micro.Second)
 				}
 				go short.cancel()
-				w.until("stopped by a direct order", 4*micro.Second, func() bool { return short.running() == 0 })
-				if !mute[2].mute() {
-					w.t.Fatal("it reaches the controllers again")
+				sim.waitUntil("stopped by a direct order", 4*micro.Second, func() bool { return short.runningTasks() == 0 })
+				if !partitioned[2].heartbeatsLost() {
+					sim.t.Fatal("it reaches the controllers again")
 				}
 				if changes {
-					w.depose(5 * micro.Second)
+					sim.replaceLeader(5 * micro.Second)
 				}
-				w.until("heard again", 30*micro.Second, func() bool { return !mute[0].mute() })
-				w.sleep(10 * micro.Second)
-				if long.running() != 3 || long.starts() != 3 {
-					w.t.Errorf("%d of its tasks run, %d starts", long.running(), long.starts())
+				sim.waitUntil("heard again", 30*micro.Second, func() bool { return !partitioned[0].heartbeatsLost() })
+				sim.sleep(10 * micro.Second)
+				if long.runningTasks() != 3 || long.startCount() != 3 {
+					sim.t.Errorf("%d of its tasks run, %d starts", long.runningTasks(), long.startCount())
 				}
 			})
 		})
@@ -144,27 +144,27 @@
 // Workers that reach no controller for long end their tasks with their leases,
 // though direct orders still arrive, which renew nothing: the tasks begin elsewhere
 // as soon as that is sure, and not only once their machines are given up.
-func TestTasksOfWorkersThatReachNobodyForLongBeginElsewhere(t *testing.T) {
+func TestTasksOfAgentsPartitionedBeyondALeaseRestartElsewhere(t *testing.T) {
 	for _, changes := range []bool{false, true} {
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
-			seeds(t, 3, 3, func(w *simCluster) {
-				j := w.fills("b", 4)
-				mute := j.on()[:2]
-				for _, h := range mute {
-					h.silence(2 * micro.Minute)
+			runSeeds(t, 3, 3, func(sim *simCluster) {
+				job := sim.fillZone("b", 4)
+				partitioned := job.machines()[:2]
+				for _, machine := range partitioned {
+					machine.loseHeartbeats(2 * micro.Minute)
 				}
-				from := w.now()
+				from := sim.now()
 				if changes {
-					w.depose(5 * micro.Second)
+					sim.replaceLeader(5 * micro.Second)
 				}
-				w.until("killed", 32*micro.Second, func() bool { return j.running() == 2 })
-				w.until("begun elsewhere", 50*micro.Second-(w.now()-from), func() bool { return j.running() == 4 })
-				if !mute[0].mute() || !mute[1].mute() {
-					w.t.Fatal("they reach the controllers again")
+				sim.waitUntil("killed", 32*micro.Second, func() bool { return job.runningTasks() == 2 })
+				sim.waitUntil("begun elsewhere", 50*micro.Second-(sim.now()-from), func() bool { return job.runningTasks() == 4 })
+				if !partitioned[0].heartbeatsLost() || !partitioned[1].heartbeatsLost() {
+					sim.t.Fatal("they reach the controllers again")
 				}
-				w.sleep(80 * micro.Second) // they are back meanwhile
-				if j.running() != 4 || j.starts() != 6 {
-					w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+				sim.sleep(80 * micro.Second) // they are back meanwhile
+				if job.runningTasks() != 4 || job.startCount() != 6 {
+					sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 				}
 			})
 		})
@@ -173,37 +173,37 @@
 
 // All controllers ended, and one was back within a second: whoever had led, its
 // tasks are known, and those of the leader before are taken over at once.
-func TestOneControllerIsBackWithinASecondOfTheEndOfAll(t *testing.T) {
+func TestOneControllerRestartsWithinASecondOfTheEndOfAll(t *testing.T) {
 	for _, after := range []micro.Time{100, 300, 500, 700, 900} {
 		for _, led := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d ms, led %v", after, led), func(t *testing.T) {
 				t.Parallel()
-				play(t, 1, 3, nil, func(w *simCluster) {
-					j := w.fills("b", 4)
-					l, was := w.leader(), w.term()
-					back := l
-					for _, p := range w.controllers {
-						w.kill(p)
-						if !led && p != l {
-							back = p
+				runScenario(t, 1, 3, nil, func(sim *simCluster) {
+					job := sim.fillZone("b", 4)
+					leader, was := sim.leader(), sim.currentTerm()
+					back := leader
+					for _, controller := range sim.controllers {
+						sim.killController(controller)
+						if !led && controller != leader {
+							back = controller
 						}
 					}
-					w.restart(back, after*micro.Millisecond)
+					sim.restartController(back, after*micro.Millisecond)
 					most := 10 * micro.Second
 					if led {
 						most = after*micro.Millisecond + 500*micro.Millisecond // no need to wait for its own old lease
 					}
-					w.until("leads", most, func() bool { x := w.term(); return x > was })
-					w.sleep(20 * micro.Second)
-					for _, p := range w.controllers {
-						if p != back {
-							w.begin(p)
+					sim.waitUntil("leads", most, func() bool { x := sim.currentTerm(); return x > was })
+					sim.sleep(20 * micro.Second)
+					for _, controller := range sim.controllers {
+						if controller != back {
+							sim.startController(controller)
 						}
 					}
-					w.depose(micro.Second)
-					w.sleep(20 * micro.Second)
-					if j.running() != 4 || j.starts() != 4 {
-						w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+					sim.replaceLeader(micro.Second)
+					sim.sleep(20 * micro.Second)
+					if job.runningTasks() != 4 || job.startCount() != 4 {
+						sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 					}
 				})
 			})
@@ -213,34 +213,34 @@
 
 // All ended, one came back and ended again in mid-election: it had won, and never
 // knew. Back once more, it does not wait for the lease that it then took.
-func TestNodeThatEndedInMidElectionLeadsAtOnceWhenItIsBack(t *testing.T) {
+func TestNodeThatEndedInMidElectionLeadsAtOnceAfterItsRestart(t *testing.T) {
 	for _, after := range []micro.Time{100, 500, 900} {
 		t.Run(fmt.Sprintf("%d ms", after), func(t *testing.T) {
 			t.Parallel()
-			play(t, 1, 3, nil, func(w *simCluster) {
-				j := w.fills("b", 4)
-				p, was := w.leader(), w.term()
-				for _, p := range w.controllers {
-					w.kill(p)
+			runScenario(t, 1, 3, nil, func(sim *simCluster) {
+				job := sim.fillZone("b", 4)
+				controller, was := sim.leader(), sim.currentTerm()
+				for _, controller := range sim.controllers {
+					sim.killController(controller)
 				}
-				w.sleep(300 * micro.Millisecond)
-				w.begin(p)
-				w.slow(600*micro.Millisecond, 5*micro.Second)
+				sim.sleep(300 * micro.Millisecond)
+				sim.startController(controller)
+				sim.slowStore(600*micro.Millisecond, 5*micro.Second)
 				won := func() bool {
-					it, err := w.store.Get(context.Background(), store.Leadership, election.Key)
-					return err == nil && uint64(it.Version) > was
+					item, err := sim.store.Get(context.Background(), store.Leadership, election.Key)
+					return err == nil && uint64(item.Version) > was
 				}
-				for end := w.now() + 20*micro.Second; !won() && w.now() < end; {
-					w.sleep(5 * micro.Millisecond)
+				for end := sim.now() + 20*micro.Second; !won() && sim.now() < end; {
+					sim.sleep(5 * micro.Millisecond)
 				}
-				if !won() || w.leader() != nil {
-					w.t.Fatal("it was to have won without knowing")
+				if !won() || sim.leader() != nil {
+					sim.t.Fatal("it was to have won without knowing")
 				}
-				w.restart(p, after*micro.Millisecond)
-				w.until("leads", (after+500)*micro.Millisecond, func() bool { return w.leader() == p })
-				w.sleep(20 * micro.Second)
-				if j.running() != 4 || j.starts() != 4 {
-					w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+				sim.restartController(controller, after*micro.Millisecond)
+				sim.waitUntil("leads", (after+500)*micro.Millisecond, func() bool { return sim.leader() == controller })
+				sim.sleep(20 * micro.Second)
+				if job.runningTasks() != 4 || job.startCount() != 4 {
+					sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 				}
 			})
 		})
@@ -250,24 +250,24 @@
 // The store refused the leader alone just as tasks ended and others got their
 // places: a start whose record cannot be written must not go out, since the next
 // leader could not know of it.
-func TestStartWhoseRecordIsNotWrittenDoesNotGoOut(t *testing.T) {
+func TestStartIsNotDispatchedBeforeItsRecordIsStored(t *testing.T) {
 	for _, before := range []micro.Time{100, 500, 1500} {
 		t.Run(fmt.Sprintf("%d ms", before), func(t *testing.T) {
 			t.Parallel()
-			play(t, 1, 3, nil, func(w *simCluster) {
-				j := w.wants(order{kind: wire.Array, tasks: 6, run: 20 * micro.Second, cpus: 4}).submit()
-				w.runs(j, 4)
-				w.until("soon over", 30*micro.Second, func() bool { return len(w.ripe(j, 20*micro.Second-before*micro.Millisecond)) > 0 })
-				l, was := w.leader(), w.term()
-				w.refuse(l, 8*micro.Second)
-				w.until("one ended", 5*micro.Second, func() bool { return j.running() < 4 })
-				if w.term() != was {
-					w.t.Fatal("it leads no more: it would have started nothing anyway")
+			runScenario(t, 1, 3, nil, func(sim *simCluster) {
+				job := sim.newJob(jobRequest{kind: wire.Array, tasks: 6, runTime: 20 * micro.Second, cpus: 4}).submit()
+				sim.waitRunning(job, 4)
+				sim.waitUntil("soon over", 30*micro.Second, func() bool { return len(sim.tasksRunningFor(job, 20*micro.Second-before*micro.Millisecond)) > 0 })
+				leader, was := sim.leader(), sim.currentTerm()
+				sim.refuseNode(leader, 8*micro.Second)
+				sim.waitUntil("one ended", 5*micro.Second, func() bool { return job.runningTasks() < 4 })
+				if sim.currentTerm() != was {
+					sim.t.Fatal("it leads no more: it would have started nothing anyway")
 				}
-				w.until("another leader", 20*micro.Second, func() bool { x := w.leader(); return x != nil && x != l })
-				w.until("done", 90*micro.Second, func() bool { j.poll(w.any()); return j.is().done })
-				if j.starts() != 6 {
-					w.t.Errorf("%d starts of 6 tasks", j.starts())
+				sim.waitUntil("another leader", 20*micro.Second, func() bool { x := sim.leader(); return x != nil && x != leader })
+				sim.waitUntil("done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done })
+				if job.startCount() != 6 {
+					sim.t.Errorf("%d starts of 6 tasks", job.startCount())
 				}
 			})
 		})
@@ -277,60 +277,60 @@
 // Leaders changed ten times in two minutes, each as a start went out, and one of
 // them inside an outage: a start goes out only once the next leader can read of it.
 func TestTenLeadersInTwoMinutesStartNothingTwice(t *testing.T) {
-	seeds(t, 3, 3, func(w *simCluster) {
-		long := w.fills("b", 2)
-		w.sleep(90 * micro.Second) // the first leader has counted its token up
-		from := w.now()
-		var jobs []*job
+	runSeeds(t, 3, 3, func(sim *simCluster) {
+		long := sim.fillZone("b", 2)
+		sim.sleep(90 * micro.Second) // the first leader has counted its token up
+		from := sim.now()
+		var jobs []*userJob
 		terms := map[uint64]bool{}
-		w.slow(300*micro.Millisecond, 2*micro.Minute)
+		sim.slowStore(300*micro.Millisecond, 2*micro.Minute)
 		for i := range 10 {
-			j := w.wants(order{kind: wire.Array, tasks: 2, run: 15 * micro.Second, cpus: 1}).submit()
-			jobs = append(jobs, j)
-			w.until("a start", 20*micro.Second, func() bool { return j.starts() > 0 })
+			job := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: 15 * micro.Second, cpus: 1}).submit()
+			jobs = append(jobs, job)
+			sim.waitUntil("a start", 20*micro.Second, func() bool { return job.startCount() > 0 })
 			if i == 5 {
-				w.outage(4 * micro.Second)
+				sim.storeOutage(4 * micro.Second)
 			}
-			w.depose(500 * micro.Millisecond)
-			terms[w.term()] = true
+			sim.replaceLeader(500 * micro.Millisecond)
+			terms[sim.currentTerm()] = true
 		}
-		if len(terms) < 10 || w.now()-from > 2*micro.Minute {
-			w.t.Fatalf("%d terms in %v s", len(terms), (w.now() - from).Seconds())
+		if len(terms) < 10 || sim.now()-from > 2*micro.Minute {
+			sim.t.Fatalf("%d terms in %v s", len(terms), (sim.now() - from).Seconds())
 		}
-		for _, j := range jobs {
-			w.until(j.id+" is done", 90*micro.Second, func() bool { j.poll(w.any()); return j.is().done })
-			if j.starts() != 2 {
-				w.t.Errorf("%s: %d starts of 2 tasks", j.id, j.starts())
+		for _, job := range jobs {
+			sim.waitUntil(job.id+" is done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done })
+			if job.startCount() != 2 {
+				sim.t.Errorf("%s: %d starts of 2 tasks", job.id, job.startCount())
 			}
 		}
-		if long.running() != 2 || long.starts() != 2 {
-			w.t.Errorf("%d of the long tasks run, %d starts", long.running(), long.starts())
+		if long.runningTasks() != 2 || long.startCount() != 2 {
+			sim.t.Errorf("%d of the long tasks run, %d starts", long.runningTasks(), long.startCount())
 		}
 	})
 }
 
 // A zone with two or three of five controllers was cut off for longer than the
 // workers' leases, which its controllers kept: what runs there runs on, once.
-func TestZoneCutOffForLongerThanALeaseKeepsItsTasks(t *testing.T) {
+func TestZonePartitionedForLongerThanALeaseKeepsItsTasks(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
 		t.Run(zone, func(t *testing.T) {
-			seeds(t, 2, 5, func(w *simCluster) {
-				j := w.wants(order{kind: wire.Service, tasks: 4, cpus: 2, zone: zone}).submit()
-				w.runs(j, 4)
-				was := w.leader()
-				w.cutZone(zone, 55*micro.Second)
-				w.sleep(50 * micro.Second)
-				l := w.leader()
-				if l == nil || l.zone == zone || was.zone == zone && l == was {
-					w.t.Fatal("the other zone should lead")
+			runSeeds(t, 2, 5, func(sim *simCluster) {
+				job := sim.newJob(jobRequest{kind: wire.Service, tasks: 4, cpus: 2, zone: zone}).submit()
+				sim.waitRunning(job, 4)
+				was := sim.leader()
+				sim.partitionZone(zone, 55*micro.Second)
+				sim.sleep(50 * micro.Second)
+				leader := sim.leader()
+				if leader == nil || leader.zone == zone || was.zone == zone && leader == was {
+					sim.t.Fatal("the other zone should lead")
 				}
-				if j.running() != 4 {
-					w.t.Errorf("%d tasks run: leases were not kept", j.running())
+				if job.runningTasks() != 4 {
+					sim.t.Errorf("%d tasks run: leases were not kept", job.runningTasks())
 				}
-				w.until("over", 30*micro.Second, w.calm)
-				w.sleep(20 * micro.Second)
-				if j.running() != 4 || j.starts() != 4 {
-					w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+				sim.waitUntil("over", 30*micro.Second, sim.noActiveFaults)
+				sim.sleep(20 * micro.Second)
+				if job.runningTasks() != 4 || job.startCount() != 4 {
+					sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 				}
 			})
 		})
@@ -344,17 +344,17 @@
 		for _, after := range []micro.Time{700, 900, 1100, 1300, 8000} {
 			t.Run(fmt.Sprintf("%d tasks, %d ms", tasks, after), func(t *testing.T) {
 				t.Parallel()
-				play(t, 1, 3, nil, func(w *simCluster) {
-					j := w.wants(order{kind: wire.Array, tasks: tasks, run: 5 * micro.Second, apart: 25 * micro.Second, cpus: 1}).submit()
-					w.until("one ended", 60*micro.Second, func() bool { return j.starts() == tasks && j.running() == tasks-1 })
-					w.sleep(after * micro.Millisecond)
-					w.depose(micro.Second)
-					if j.running() != tasks-1 {
-						w.t.Fatal("the others were to run on")
+				runScenario(t, 1, 3, nil, func(sim *simCluster) {
+					job := sim.newJob(jobRequest{kind: wire.Array, tasks: tasks, runTime: 5 * micro.Second, runTimeStep: 25 * micro.Second, cpus: 1}).submit()
+					sim.waitUntil("one ended", 60*micro.Second, func() bool { return job.startCount() == tasks && job.runningTasks() == tasks-1 })
+					sim.sleep(after * micro.Millisecond)
+					sim.replaceLeader(micro.Second)
+					if job.runningTasks() != tasks-1 {
+						sim.t.Fatal("the others were to run on")
 					}
-					w.until("done", 90*micro.Second, func() bool { j.poll(w.any()); return j.is().done })
-					if j.starts() != tasks {
-						w.t.Errorf("%d starts of %d tasks", j.starts(), tasks)
+					sim.waitUntil("done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done })
+					if job.startCount() != tasks {
+						sim.t.Errorf("%d starts of %d tasks", job.startCount(), tasks)
 					}
 				})
 			})
@@ -364,22 +364,22 @@
 
 // A report from before a task began arrives after newer ones, also under another
 // leader that has acted: that the task is missing in it proves nothing.
-func TestReportFromBeforeATaskBeganFreesNothing(t *testing.T) {
+func TestHeartbeatFromBeforeATaskStartedReleasesNothing(t *testing.T) {
 	for _, changes := range []bool{false, true} {
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
-			seeds(t, 2, 3, func(w *simCluster) {
-				w.tape()
-				w.idle("a") // it reports a while before it has a task
-				j := w.fills("a", 1)
-				h := j.on()[0]
+			runSeeds(t, 2, 3, func(sim *simCluster) {
+				sim.startRecording()
+				sim.idleMachines("a") // it reports a while before it has a task
+				job := sim.fillZone("a", 1)
+				machine := job.machines()[0]
 				if changes {
-					w.depose(5 * micro.Second)
+					sim.replaceLeader(5 * micro.Second)
 				}
-				w.sleep(8 * micro.Second) // the machine was heard since
-				h.late(j)
-				w.sleep(30 * micro.Second)
-				if j.running() != 1 || j.starts() != 1 {
-					w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+				sim.sleep(8 * micro.Second) // the machine was heard since
+				machine.replayHeartbeatWithout(job)
+				sim.sleep(30 * micro.Second)
+				if job.runningTasks() != 1 || job.startCount() != 1 {
+					sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 				}
 			})
 		})
@@ -388,43 +388,43 @@
 
 // An old report reaches every controller just as a new leader begins, which has
 // heard nothing newer: a cancelled job's task is missing in it, and yet runs.
-func TestOldReportToANewLeaderFreesNoCancelledTask(t *testing.T) {
-	seeds(t, 4, 3, func(w *simCluster) {
-		w.tape()
-		w.idle("b") // it reports a while before it has a task
-		j := w.fills("b", 1)
-		h := j.on()[0]
-		w.fills("a", 3)
-		w.idle("a") // ready for what is next
-		h.isolate(20 * micro.Second)
-		j.cancel()
-		next := w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: "a"}).submit()
-		w.depose(5 * micro.Second)
-		h.late(j)
-		w.sleep(4 * micro.Second)
-		if j.running() != 1 {
-			w.t.Fatal("its task was to run on, out of reach")
+func TestStaleHeartbeatToANewLeaderReleasesNoCancelledTask(t *testing.T) {
+	runSeeds(t, 4, 3, func(sim *simCluster) {
+		sim.startRecording()
+		sim.idleMachines("b") // it reports a while before it has a task
+		job := sim.fillZone("b", 1)
+		machine := job.machines()[0]
+		sim.fillZone("a", 3)
+		sim.idleMachines("a") // ready for what is next
+		machine.isolate(20 * micro.Second)
+		job.cancel()
+		next := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "a"}).submit()
+		sim.replaceLeader(5 * micro.Second)
+		machine.replayHeartbeatWithout(job)
+		sim.sleep(4 * micro.Second)
+		if job.runningTasks() != 1 {
+			sim.t.Fatal("its task was to run on, out of reach")
 		}
-		w.runs(next, 1)
+		sim.waitRunning(next, 1)
 	})
 }
 
 // A machine died with a report on its way, which arrives once a new leader has
 // begun: it is no sign of life, and work that waits is not sent there.
-func TestReportHeldBackUntilAnotherLeaderActsIsNoSignOfLife(t *testing.T) {
-	seeds(t, 3, 3, func(w *simCluster) {
-		w.tape()
-		h := w.idle("b")[0]
-		j := w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: "b"})
-		h.die()
-		w.depose(5 * micro.Second)
-		w.sleep(micro.Second)
-		h.late(j)
-		from := w.now()
-		j.submit()
-		w.runs(j, 1)
-		if took := w.now() - from; took > 12*micro.Second {
-			w.t.Errorf("it ran after %v s: another machine is up within 8", took.Seconds())
+func TestHeartbeatDelayedUntilAnotherLeaderActsIsNoSignOfLife(t *testing.T) {
+	runSeeds(t, 3, 3, func(sim *simCluster) {
+		sim.startRecording()
+		machine := sim.idleMachines("b")[0]
+		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b"})
+		machine.terminate()
+		sim.replaceLeader(5 * micro.Second)
+		sim.sleep(micro.Second)
+		machine.replayHeartbeatWithout(job)
+		from := sim.now()
+		job.submit()
+		sim.waitRunning(job, 1)
+		if took := sim.now() - from; took > 12*micro.Second {
+			sim.t.Errorf("it ran after %v s: another machine is up within 8", took.Seconds())
 		}
 	})
 }
@@ -433,28 +433,28 @@
 // the leader that knows its lease ran out it means nothing, not even room that is
 // taken; the next leader counts what it shows until it is proven gone. Neither
 // starts anything for it.
-func TestReportOfAnEarlierAttemptStartsNothing(t *testing.T) {
+func TestHeartbeatOfAnEarlierAttemptStartsNothing(t *testing.T) {
 	for _, changes := range []bool{false, true} {
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
-			seeds(t, 3, 3, func(w *simCluster) {
-				w.tape()
-				j := w.fills("b", 1)
-				h := j.on()[0]
-				w.sleep(5 * micro.Second)
-				h.isolate(60 * micro.Second)
-				w.until("another attempt", 60*micro.Second, func() bool { return j.starts() == 2 && j.running() == 1 && j.on()[0] != h })
+			runSeeds(t, 3, 3, func(sim *simCluster) {
+				sim.startRecording()
+				job := sim.fillZone("b", 1)
+				machine := job.machines()[0]
+				sim.sleep(5 * micro.Second)
+				machine.isolate(60 * micro.Second)
+				sim.waitUntil("another attempt", 60*micro.Second, func() bool { return job.startCount() == 2 && job.runningTasks() == 1 && job.machines()[0] != machine })
 				if changes {
-					w.depose(5 * micro.Second)
+					sim.replaceLeader(5 * micro.Second)
 				}
-				h.lateWith(j)
-				from := w.now()
-				w.fills("a", 3)
-				if took := w.now() - from; !changes && took > 12*micro.Second {
-					w.t.Errorf("the team's room was held for %v s by a task that is gone", took.Seconds())
+				machine.replayHeartbeatWith(job)
+				from := sim.now()
+				sim.fillZone("a", 3)
+				if took := sim.now() - from; !changes && took > 12*micro.Second {
+					sim.t.Errorf("the team's room was held for %v s by a task that is gone", took.Seconds())
 				}
-				w.sleep(50 * micro.Second)
-				if j.running() != 1 || j.starts() != 2 {
-					w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+				sim.sleep(50 * micro.Second)
+				if job.runningTasks() != 1 || job.startCount() != 2 {
+					sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 				}
 			})
 		})
@@ -463,82 +463,82 @@
 
 // A report of a session that is over arrives under a new leader, which has heard
 // of the next session, and of a task that runs in it.
-func TestReportOfAnEarlierSessionChangesNothing(t *testing.T) {
-	seeds(t, 2, 3, func(w *simCluster) {
-		w.tape()
-		w.idle("b", "b")
-		j := w.fills("b", 2)
-		old := j.on()
-		for _, h := range old {
-			h.isolate(36 * micro.Second)
+func TestHeartbeatOfAnEarlierEpochChangesNothing(t *testing.T) {
+	runSeeds(t, 2, 3, func(sim *simCluster) {
+		sim.startRecording()
+		sim.idleMachines("b", "b")
+		job := sim.fillZone("b", 2)
+		old := job.machines()
+		for _, machine := range old {
+			machine.isolate(36 * micro.Second)
 		}
 		sessions := func() bool {
-			for _, h := range old {
-				h.mu.Lock()
-				over := h.w.Session > 1
-				h.mu.Unlock()
+			for _, machine := range old {
+				machine.mu.Lock()
+				over := machine.agent.Session > 1
+				machine.mu.Unlock()
 				if !over {
 					return false
 				}
 			}
 			return true
 		}
-		w.until("another session", 50*micro.Second, sessions)
-		w.sleep(10 * micro.Second)
-		var again []*job
+		sim.waitUntil("another session", 50*micro.Second, sessions)
+		sim.sleep(10 * micro.Second)
+		var again []*userJob
 		for range 4 { // so many that the machines of before are used again
-			again = append(again, w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: "b", team: "other"}).submit())
+			again = append(again, sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b", team: "other"}).submit())
 		}
 		for _, x := range again {
-			w.runs(x, 1)
+			sim.waitRunning(x, 1)
 		}
-		w.runs(j, 2)
+		sim.waitRunning(job, 2)
 		used := 0
 		for _, x := range again {
-			if h := x.on()[0]; h == old[0] || h == old[1] {
+			if machine := x.machines()[0]; machine == old[0] || machine == old[1] {
 				used++
 			}
 		}
-		if used == 0 && j.on()[0] != old[0] {
-			w.t.Fatal("none of the machines is used again")
+		if used == 0 && job.machines()[0] != old[0] {
+			sim.t.Fatal("none of the machines is used again")
 		}
-		n := j.starts()
+		n := job.startCount()
 		for range 2 {
-			w.depose(micro.Second)
-			w.sleep(8 * micro.Second)
-			for _, h := range old {
-				h.late(j)
+			sim.replaceLeader(micro.Second)
+			sim.sleep(8 * micro.Second)
+			for _, machine := range old {
+				machine.replayHeartbeatWithout(job)
 			}
-			w.sleep(8 * micro.Second)
+			sim.sleep(8 * micro.Second)
 		}
 		for _, x := range again {
-			if x.running() != 1 || x.starts() != 1 {
-				w.t.Errorf("%s: %d of its tasks run, %d starts", x.id, x.running(), x.starts())
+			if x.runningTasks() != 1 || x.startCount() != 1 {
+				sim.t.Errorf("%s: %d of its tasks run, %d starts", x.id, x.runningTasks(), x.startCount())
 			}
 		}
-		if j.running() != 2 || j.starts() != n {
-			w.t.Errorf("%d of its tasks run, %d starts, %d before", j.running(), j.starts(), n)
+		if job.runningTasks() != 2 || job.startCount() != n {
+			sim.t.Errorf("%d of its tasks run, %d starts, %d before", job.runningTasks(), job.startCount(), n)
 		}
 	})
 }
 
 // All controllers were away for longer than the workers' leases, which killed
 // their tasks: each begins again, once.
-func TestAllControllersAwayForLongerThanALease(t *testing.T) {
+func TestAllControllersDownForLongerThanALease(t *testing.T) {
 	for _, away := range []micro.Time{32, 45, 70} {
 		t.Run(fmt.Sprintf("%d s", away), func(t *testing.T) {
 			t.Parallel()
-			play(t, 1, 3, nil, func(w *simCluster) {
-				j := w.fills("a", 4)
-				for _, p := range w.controllers {
-					w.restart(p, away*micro.Second+micro.Time(w.drawn(900))*micro.Millisecond)
+			runScenario(t, 1, 3, nil, func(sim *simCluster) {
+				job := sim.fillZone("a", 4)
+				for _, controller := range sim.controllers {
+					sim.restartController(controller, away*micro.Second+micro.Time(sim.randomInt(900))*micro.Millisecond)
 				}
-				w.until("killed", 40*micro.Second, func() bool { return j.running() == 0 })
-				w.until("back", 90*micro.Second, func() bool { return w.leader() != nil })
-				w.runs(j, 4)
-				w.sleep(20 * micro.Second)
-				if j.running() != 4 || j.starts() != 8 {
-					w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+				sim.waitUntil("killed", 40*micro.Second, func() bool { return job.runningTasks() == 0 })
+				sim.waitUntil("back", 90*micro.Second, func() bool { return sim.leader() != nil })
+				sim.waitRunning(job, 4)
+				sim.sleep(20 * micro.Second)
+				if job.runningTasks() != 4 || job.startCount() != 8 {
+					sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 				}
 			})
 		})
@@ -548,22 +548,22 @@
 // The leader ended while machines with long tasks could not be reached, or heard
 // no answer. The next one has heard nothing of them, and counts their leases from
 // its takeover, since the last leader may have renewed them until then.
-func TestLeaderEndsWhileMachinesWithLongTasksAreOutOfReach(t *testing.T) {
-	for what, cut := range map[string]func(*host, micro.Time){"unreachable": (*host).isolate, "deaf": (*host).deafen} {
+func TestLeaderEndsWhileMachinesWithLongTasksAreUnreachable(t *testing.T) {
+	for what, cut := range map[string]func(*fakeMachine, micro.Time){"unreachable": (*fakeMachine).isolate, "deaf": (*fakeMachine).loseResponses} {
 		for _, zone := range []string{"a", "b"} {
 			t.Run(what+" in "+zone, func(t *testing.T) {
-				seeds(t, 3, 3, func(w *simCluster) {
-					j := w.fills(zone, 4)
-					for _, h := range j.on()[:2] {
-						cut(h, 20*micro.Second)
+				runSeeds(t, 3, 3, func(sim *simCluster) {
+					job := sim.fillZone(zone, 4)
+					for _, machine := range job.machines()[:2] {
+						cut(machine, 20*micro.Second)
 					}
-					w.depose(5 * micro.Second)
-					if !j.on()[0].deaf() {
-						w.t.Fatal("it hears again")
+					sim.replaceLeader(5 * micro.Second)
+					if !job.machines()[0].responsesLost() {
+						sim.t.Fatal("it hears again")
 					}
-					w.sleep(40 * micro.Second)
-					if j.running() != 4 || j.starts() != 4 {
-						w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+					sim.sleep(40 * micro.Second)
+					if job.runningTasks() != 4 || job.startCount() != 4 {
+						sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 					}
 				})
 			})
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -27,9 +27,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Sharer is a store client whose share of the limits, for requests and for
+// BudgetFractionSetter is a store client whose share of the limits, for requests and for
 // writes, can be set.
-type Sharer interface{ SetShare(reads, writes float64) }
+type BudgetFractionSetter interface{ SetBudgetFraction(reads, writes float64) }
 
 // Node is one controller.
 type Node struct {
@@ -43,32 +43,32 @@
 	Now     func() micro.Time
 	Wall    func() micro.Time
 
-	election *election.Election
-	lead     atomic.Pointer[Lead]
-	catalog  atomic.Pointer[wire.Catalog]
-	finals   finals
-	badPeer  sync.Map // node: time until which it is not asked
-	health   health
-	keeper   keep.Keeper
-	gate     atomic.Int32 // a GateState
-	handover atomic.Pointer[handover]
-	seen     sync.Map // ids of jobs known to have been accepted
-	seenN    atomic.Int64
-
-	pollBudget pollBudget
-	lookUps    lookUps
-
-	leaderPolls leaderPolls
-	shares      *shares // nil: the feature is off
+	election         *election.Election
+	leader           atomic.Pointer[Leader]
+	catalog          atomic.Pointer[wire.Catalog]
+	finalStatuses    finalStatusCache
+	peerBackoffUntil sync.Map // node: time until which it is not asked
+	health           healthMonitor
+	leaseProxy       keep.Keeper
+	formatGate       atomic.Int32 // a GateState
+	lastHandover     atomic.Pointer[leadershipHandover]
+	acceptedIDs      sync.Map // ids of jobs known to have been accepted
+	acceptedIDCount  atomic.Int64
+
+	lookupBudget  lookupBudget
+	statusLookups statusLookups
+
+	statusBatcher statusBatcher
+	shards        *nodeShards // nil: the feature is off
 }
 
 // New makes a node that speaks to the real services.
 func New(cfg *config.Config, log *slog.Logger) *Node {
 	addrs := map[string]string{}
-	for _, p := range cfg.Peers {
-		addrs[p.Node] = p.Addr
+	for _, other := range cfg.Peers {
+		addrs[other.Node] = other.Addr
 	}
-	n := &Node{
+	node := &Node{
 		Cfg:     cfg,
 		Store:   store.NewClient(cfg.External.State, cfg.Facts.State.RPS, cfg.Facts.State.WriteRPS),
 		Cloud:   cloud.NewClient(cfg.External.Cloud, cfg.Facts.Cloud.RPS),
@@ -79,18 +79,18 @@
 		Now:     micro.Now,
 		Wall:    micro.Wall,
 	}
-	n.Init()
-	return n
+	node.Init()
+	return node
 }
 
 // Init completes a node whose parts were given.
 func (n *Node) Init() {
-	n.finals.m = map[string]wire.JobStatus{}
-	n.lookUps = lookUps{reading: map[string]bool{}, waiting: map[string]*lookUp{}, answered: map[string]micro.Time{}, gathered: map[string]*lookUp{}}
-	n.share(n.Cfg.EqualShare()) // until it is known who leads
-	n.initShares()
+	n.finalStatuses.byID = map[string]wire.JobStatus{}
+	n.statusLookups = statusLookups{readsInFlight: map[string]bool{}, nextReads: map[string]*statusLookup{}, lastAnswered: map[string]micro.Time{}, nextBatch: map[string]*statusLookup{}}
+	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
+	n.initShards()
 	n.health.log = n.Log.Info
-	n.keeper.Node, n.keeper.Span, n.keeper.Log = n.Cfg.Node, n.Cfg.KeepSpan(), n.Log.Info
+	n.leaseProxy.Node, n.leaseProxy.Span, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.KeepSpan(), n.Log.Info
 	n.election = &election.Election{
 		Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
 		TTL: n.Cfg.LeaderLease, Renew: n.Cfg.LeaderRenew, Log: n.Log, Now: n.Now,
@@ -107,32 +107,34 @@
 	if err != nil {
 		return err
 	}
-	g, ctx := errgroup.WithContext(ctx)
-	n.election.OnLead = func(t *election.Term) { n.startLead(ctx, t) }
-	n.election.OnLose = n.stopLead
-	srv := &front.Server{Service: n, Metrics: n.Metrics, Sockets: n.Cfg.Facts.Quota.MaxSockets, Report: micro.Of(n.Cfg.Facts.Workers.ReportS)}
-	g.Go(func() error { return srv.Serve(ctx, public) })
-	g.Go(func() error { return peer.Serve(ctx, peers, n.peerCall, func(w io.Writer) { n.Metrics.Write(w) }) })
-	g.Go(func() error { return n.election.Run(ctx) })
-	g.Go(func() error { return n.fetchCatalog(ctx) })
-	g.Go(func() error { return n.watchHealth(ctx) })
-	g.Go(func() error { return n.keepTouch(ctx) })
-	g.Go(func() error { return n.watchGate(ctx) })
-	g.Go(func() error { return n.runShares(ctx) })
+	group, ctx := errgroup.WithContext(ctx)
+	n.election.OnLead = func(t *election.Term) { n.startLeader(ctx, t) }
+	n.election.OnLose = n.stopLeader
+	server := &front.Server{Service: n, Metrics: n.Metrics, Sockets: n.Cfg.Facts.Quota.MaxSockets, Report: micro.Of(n.Cfg.Facts.Workers.ReportS)}
+	group.Go(func() error { return server.Serve(ctx, public) })
+	group.Go(func() error {
+		return peer.Serve(ctx, peers, n.handlePeerCall, func(w io.Writer) { n.Metrics.Write(w) })
+	})
+	group.Go(func() error { return n.election.Run(ctx) })
+	group.Go(func() error { return n.fetchCatalog(ctx) })
+	group.Go(func() error { return n.watchHealth(ctx) })
+	group.Go(func() error { return n.runLeaseProxy(ctx) })
+	group.Go(func() error { return n.watchGate(ctx) })
+	group.Go(func() error { return n.runShards(ctx) })
 	n.Log.Info("serving", "node", n.Cfg.Node, "zone", n.Cfg.Zone, "public", n.Cfg.PublicAddr, "peers", n.Cfg.PeerListen)
-	return g.Wait()
+	return group.Wait()
 }
 
 // fetchCatalog reads the machine types; the leader reads prices again.
 func (n *Node) fetchCatalog(ctx context.Context) error {
 	wait := 300 * time.Millisecond
 	for ctx.Err() == nil {
-		if n.catalog.Load() == nil || n.leading() != nil {
-			cat, err := n.Cloud.Catalog(ctx)
-			if err == nil && len(cat.Types) > 0 {
-				n.catalog.Store(cat)
-				if l := n.leading(); l != nil {
-					l.post(func() { l.c.SetCatalog(cat) })
+		if n.catalog.Load() == nil || n.activeLeader() != nil {
+			catalog, err := n.Cloud.Catalog(ctx)
+			if err == nil && len(catalog.Types) > 0 {
+				n.catalog.Store(catalog)
+				if l := n.activeLeader(); l != nil {
+					l.post(func() { l.cluster.SetCatalog(catalog) })
 				}
 				wait = 20 * time.Second
 			} else {
@@ -148,63 +150,63 @@
 	return nil
 }
 
-func (n *Node) leading() *Lead {
-	l := n.lead.Load()
+func (n *Node) activeLeader() *Leader {
+	l := n.leader.Load()
 	if l == nil || !l.term.Valid(n.Now()) {
 		return nil
 	}
 	return l
 }
 
-// share sets which part of the store's limits this node may use.
-func (n *Node) share(reads, writes float64) {
-	if s, ok := n.Store.(Sharer); ok {
-		s.SetShare(reads, writes)
+// setBudgetFractions sets which part of the store's limits this node may use.
+func (n *Node) setBudgetFractions(reads, writes float64) {
+	if s, ok := n.Store.(BudgetFractionSetter); ok {
+		s.SetBudgetFraction(reads, writes)
 	}
-	n.pollBudget.set(n.Cfg.Facts.State.RPS, reads)
+	n.lookupBudget.setRate(n.Cfg.Facts.State.RPS, reads)
 }
 
-func (n *Node) startLead(ctx context.Context, t *election.Term) {
-	n.share(n.Cfg.LeaderShare())
-	l := newLead(n, t)
-	n.lead.Store(l)
+func (n *Node) startLeader(ctx context.Context, t *election.Term) {
+	n.setBudgetFractions(n.Cfg.LeaderShare())
+	l := newLeader(n, t)
+	n.leader.Store(l)
 	go l.run(ctx)
 }
 
-func (n *Node) stopLead(t *election.Term) {
-	n.share(n.Cfg.FollowerShare())
-	if l := n.lead.Load(); l != nil && l.term == t {
-		n.lead.Store(nil)
+func (n *Node) stopLeader(t *election.Term) {
+	n.setBudgetFractions(n.Cfg.FollowerShare())
+	if l := n.leader.Load(); l != nil && l.term == t {
+		n.leader.Store(nil)
 		l.stop()
 	}
 }
 
-// finals remembers final states, which alone may be cached.
-type finals struct {
-	mu sync.Mutex
-	m  map[string]wire.JobStatus
+// finalStatusCache remembers final states, which alone may be cached.
+type finalStatusCache struct {
+	mu   sync.Mutex
+	byID map[string]wire.JobStatus
 }
 
-const maxFinals = 50_000
+const maxFinalStatuses = 50_000
 
-func (f *finals) get(id string) (wire.JobStatus, bool) {
+func (f *finalStatusCache) get(id string) (wire.JobStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s, ok := f.m[id]
+	s, ok := f.byID[id]
 	return s, ok
 }
 
-func (f *finals) put(s wire.JobStatus) {
-	if !s.State.Final() {
+func (f *finalStatusCache) put(status wire.JobStatus) {
+	if !status.State.Final() {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.m) >= maxFinals {
-		for id := range f.m { // any one goes: it can be read again
-			delete(f.m, id)
+	if len(f.byID) >= maxFinalStatuses {
+		for id := range f.byID { // any one goes: it can be read again
+			delete(f.byID, id)
 			break
 		}
 	}
-	f.m[s.ID] = s
+	f.byID[status.ID] = status
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -15,43 +15,43 @@
 	// easedLag that below which it no longer does.
 	overloadLag = 150 * micro.Millisecond
 	easedLag    = 50 * micro.Millisecond
-	// leastOverload is for how long it then counts as overloaded at the least: what was
+	// minOverloadDuration is for how long it then counts as overloaded at the least: what was
 	// left out comes back at once.
-	leastOverload = 5 * micro.Second
+	minOverloadDuration = 5 * micro.Second
 )
 
-// overload watches how long reports wait for the loop.
-type overload struct {
-	lag   float64 // the mean wait, in microseconds
-	on    bool
-	until micro.Time // it does not count as eased before
+// overloadDetector watches how long reports wait for the loop.
+type overloadDetector struct {
+	lag       float64 // the mean wait, in microseconds
+	active    bool
+	holdUntil micro.Time // it does not count as eased before
 }
 
-// note takes in how long a report has waited, and tells whether the state changed.
-func (o *overload) note(waited, now micro.Time) bool {
+// observe takes in how long a report has waited, and tells whether the state changed.
+func (o *overloadDetector) observe(waited, now micro.Time) bool {
 	o.lag += lagWeight * (float64(waited) - o.lag)
-	was := o.on
+	was := o.active
 	switch {
 	case o.lag > float64(overloadLag):
-		o.on, o.until = true, now+leastOverload
-	case o.lag < float64(easedLag) && now > o.until:
-		o.on = false
+		o.active, o.holdUntil = true, now+minOverloadDuration
+	case o.lag < float64(easedLag) && now > o.holdUntil:
+		o.active = false
 	}
-	return o.on != was
+	return o.active != was
 }
 
-// noteWait takes in how long a report has waited for the loop.
-func (l *Lead) noteWait(waited, now micro.Time) {
-	if l.overload.note(waited, now) {
-		l.log.Info("overload", "on", l.overload.on, "lag_ms", int64(l.overload.lag)/int64(micro.Millisecond))
+// observeQueueDelay takes in how long a report has waited for the loop.
+func (l *Leader) observeQueueDelay(waited, now micro.Time) {
+	if l.overload.observe(waited, now) {
+		l.log.Info("overload", "on", l.overload.active, "lag_ms", int64(l.overload.lag)/int64(micro.Millisecond))
 	}
 }
 
-// worthDirect reports whether a machine's orders go out at once: always while there is
+// shouldDispatch reports whether a machine's orders go out at once: always while there is
 // processor time, else those that start work of the first priority or prove that the
 // machine lives.
-func (l *Lead) worthDirect(m *model.Machine) bool {
-	if !l.overload.on || m.Unproven(l.token) {
+func (l *Leader) shouldDispatch(m *model.Machine) bool {
+	if !l.overload.active || m.Unproven(l.fencingToken) {
 		return true
 	}
 	for _, p := range m.Places {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -10,14 +10,14 @@
 
 // With each tick, the look for what waits for a newer token took a quarter of the
 // leader's processor at 4,000 machines.
-func TestLooksForWaitingTokensKeepToAPartOfTheTime(t *testing.T) {
-	h := newHerd(t, 4)
+func TestTokenChecksUseABoundedShareOfTheTime(t *testing.T) {
+	fleet := newFleet(t, 4)
 	looks, look := 0, 4*micro.Millisecond
-	h.l.n.Now = func() micro.Time { h.now += look; return h.now } // each reading of the clock: a look's worth
-	for end := h.now + 60*micro.Second; h.now < end; h.now += 100 * micro.Millisecond {
-		was := h.l.tokenAt
-		h.l.tick(h.now)
-		if h.l.tokenAt != was {
+	fleet.leader.node.Now = func() micro.Time { fleet.now += look; return fleet.now } // each reading of the clock: a look's worth
+	for end := fleet.now + 60*micro.Second; fleet.now < end; fleet.now += 100 * micro.Millisecond {
+		was := fleet.leader.nextTokenCheck
+		fleet.leader.tick(fleet.now)
+		if fleet.leader.nextTokenCheck != was {
 			looks++
 		}
 	}
@@ -27,66 +27,66 @@
 }
 
 // An overloaded leader sends directly what cannot wait for the machine's next report.
-func TestOverloadedLeaderSendsOnlyUrgentOrdersDirectly(t *testing.T) {
-	h := newHerd(t, 8)
-	lead := h.l
-	machines := lead.c.List()
+func TestOverloadedLeaderDispatchesOnlyUrgentCommands(t *testing.T) {
+	fleet := newFleet(t, 8)
+	currentLeader := fleet.leader
+	machines := currentLeader.cluster.List()
 	normal, service := machines[0], machines[1]
-	lead.addJob(wire.Job{ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
-	starts := func(m *model.Machine, j *model.Job) {
-		p := lead.c.NewPlace(j, j.Next(h.now, 1)[0], m, 1, 1, h.now)
-		lead.c.Persisted(j.Chunk(p.Index), 1<<40)
+	currentLeader.addJob(wire.Job{ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
+	starts := func(machine *model.Machine, job *model.Job) {
+		allocation := currentLeader.cluster.NewPlace(job, job.Next(fleet.now, 1)[0], machine, 1, 1, fleet.now)
+		currentLeader.cluster.Persisted(job.Chunk(allocation.Index), 1<<40)
 	}
-	starts(service, lead.c.Jobs["j-7777"])
-	if !lead.worthDirect(normal) || !lead.worthDirect(service) {
+	starts(service, currentLeader.cluster.Jobs["j-7777"])
+	if !currentLeader.shouldDispatch(normal) || !currentLeader.shouldDispatch(service) {
 		t.Fatal("orders are left out without overload")
 	}
 	for range 1000 {
-		lead.noteWait(300*micro.Millisecond, h.now)
+		currentLeader.observeQueueDelay(300*micro.Millisecond, fleet.now)
 	}
-	if lead.worthDirect(normal) || !lead.worthDirect(service) {
-		t.Errorf("direct in overload: other work %v, first priority %v", lead.worthDirect(normal), lead.worthDirect(service))
+	if currentLeader.shouldDispatch(normal) || !currentLeader.shouldDispatch(service) {
+		t.Errorf("direct in overload: other work %v, first priority %v", currentLeader.shouldDispatch(normal), currentLeader.shouldDispatch(service))
 	}
 	for range 1000 {
-		lead.noteWait(0, h.now+micro.Second)
+		currentLeader.observeQueueDelay(0, fleet.now+micro.Second)
 	}
-	if lead.worthDirect(normal) {
+	if currentLeader.shouldDispatch(normal) {
 		t.Error("eased at once: what was left out comes back in a second")
 	}
-	lead.noteWait(0, h.now+micro.Second+leastOverload+1)
-	if !lead.worthDirect(normal) {
+	currentLeader.observeQueueDelay(0, fleet.now+micro.Second+minOverloadDuration+1)
+	if !currentLeader.shouldDispatch(normal) {
 		t.Error("still overloaded though no report waits")
 	}
 }
 
 // An overloaded leader answered each call too late, and was left alone after each: for
 // 90 s users learnt nothing of hundreds of jobs.
-func TestSlowLeaderIsGivenTimeForFewerCalls(t *testing.T) {
-	play(t, 6, 3, nil, func(w *simCluster) {
-		l, others := w.led()
-		j := w.wants(order{kind: wire.Service, tasks: 1}).submit()
-		w.runs(j, 1)
-		slow := 700 * micro.Millisecond // more than a node waits for an answer, less than patientWait
-		w.slowPeers(l, slow)
-		node := others[0].current()
-		node.leaderPolls.late(node.Now())
+func TestSlowLeaderGetsFewerCallsWithLongerTimeouts(t *testing.T) {
+	runScenario(t, 6, 3, nil, func(sim *simCluster) {
+		leader, others := sim.waitForRestoredLeader()
+		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 1}).submit()
+		sim.waitRunning(job, 1)
+		slow := 700 * micro.Millisecond // more than a node waits for an answer, less than backoffCallTimeout
+		sim.delayPeerAnswers(leader, slow)
+		node := others[0].runningNode()
+		node.statusBatcher.backOff(node.Now())
 		answered, polls := 0, 0
 		for range 20 {
 			for range 10 {
 				polls++
 				go func() {
-					if r, ok := node.showByLeader(l.name, j.id); ok && r.Status == 200 {
-						w.mu.Lock()
+					if reply, ok := node.queryLeader(leader.name, job.id); ok && reply.Status == 200 {
+						sim.mu.Lock()
 						answered++
-						w.mu.Unlock()
+						sim.mu.Unlock()
 					}
 				}()
 			}
-			w.sleep(micro.Second)
+			sim.sleep(micro.Second)
 		}
-		w.sleep(micro.Second)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.sleep(micro.Second)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		if answered < polls/2 {
 			t.Errorf("%d of %d polls were answered by a leader that takes %v", answered, polls, slow)
 		}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -10,20 +10,20 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ask calls a peer, and leaves one alone for a while that did not answer.
-func (n *Node) ask(node, call string, body []byte, wait micro.Time) (int, []byte, error) {
-	if until, ok := n.badPeer.Load(node); ok && n.Now() < until.(micro.Time) {
+// callPeer calls a peer, and leaves one alone for a while that did not answer.
+func (n *Node) callPeer(node, call string, body []byte, wait micro.Time) (int, []byte, error) {
+	if until, ok := n.peerBackoffUntil.Load(node); ok && n.Now() < until.(micro.Time) {
 		return 0, nil, peer.ErrUnreachable
 	}
 	status, out, err := n.Peers.Call(context.Background(), node, call, body, wait)
 	if err != nil {
-		n.badPeer.Store(node, n.Now()+badPeer)
+		n.peerBackoffUntil.Store(node, n.Now()+peerBackoff)
 	}
 	return status, out, err
 }
 
-// leaderFirst lists the other nodes.
-func (n *Node) leaderFirst() []string {
+// peersLeaderFirst lists the other nodes.
+func (n *Node) peersLeaderFirst() []string {
 	leader := n.election.Leader()
 	nodes := []string{}
 	if leader != "" && leader != n.Cfg.Node {
@@ -39,8 +39,8 @@
 
 // relay hands a request to another node, the leader first.
 func (n *Node) relay(call string, body []byte) (front.Reply, bool) {
-	for _, node := range n.leaderFirst() {
-		status, out, err := n.ask(node, call, body, askWait)
+	for _, node := range n.peersLeaderFirst() {
+		status, out, err := n.callPeer(node, call, body, peerCallTimeout)
 		if err != nil || status >= 500 || status == 429 || status == 421 {
 			continue
 		}
@@ -55,57 +55,57 @@
 	if status != 200 && status != 201 {
 		return front.Fail(status, "refused"), status == 400 || status == 404 || status == 422
 	}
-	var s wire.JobStatus
-	if wire.Unmarshal(out, &s) != nil {
+	var jobStatus wire.JobStatus
+	if wire.Unmarshal(out, &jobStatus) != nil {
 		return front.Reply{}, false
 	}
-	return front.Reply{Status: status, Body: s}, true
+	return front.Reply{Status: status, Body: jobStatus}, true
 }
 
-// peerCall answers another node.
-func (n *Node) peerCall(ctx context.Context, call string, body []byte) (int, []byte) {
+// handlePeerCall answers another node.
+func (n *Node) handlePeerCall(ctx context.Context, call string, body []byte) (int, []byte) {
 	switch call {
 	case peer.Ping:
 		return 200, nil
 	case peer.Announce:
-		return n.answerAnnounce(ctx, body), nil
+		return n.handleAnnounce(ctx, body), nil
 	case peer.Keep:
-		return n.answerKeeper(body)
+		return n.handleLeaseProxy(body)
 	case peer.Submit:
 		return encodeReply(n.submit(body, false))
 	case peer.Exist:
-		return n.answerExist(body)
+		return n.handleExist(body)
 	case peer.Accepted:
-		return n.answerAccepted(body)
+		return n.handleAccepted(body)
 	case peer.Read:
-		return n.answerRead(string(body))
+		return n.handleRead(string(body))
 	case peer.Admin:
-		return n.answerAdmin(body)
+		return n.handleAdmin(body)
 	case peer.Show, peer.Shows, peer.Withdraw, peer.Notify, peer.Share:
-		if l := n.leading(); l != nil {
-			return n.leaderCall(l, call, body)
+		if l := n.activeLeader(); l != nil {
+			return n.handleLeaderCall(l, call, body)
 		}
 		return 421, nil
 	}
 	return 404, nil
 }
 
-// leaderCall answers a call that only the leader can.
-func (n *Node) leaderCall(l *Lead, call string, body []byte) (int, []byte) {
+// handleLeaderCall answers a call that only the leader can.
+func (n *Node) handleLeaderCall(leader *Leader, call string, body []byte) (int, []byte) {
 	switch call {
 	case peer.Show:
-		return n.answerShow(l, string(body))
+		return n.handleStatus(leader, string(body))
 	case peer.Shows:
-		return n.answerShows(l, body)
+		return n.handleStatuses(leader, body)
 	case peer.Share:
-		return n.answerTouch(l, body)
+		return n.handleStatusUpdate(leader, body)
 	case peer.Withdraw:
 		if !wire.ValidJobID(string(body)) {
 			return 400, nil
 		}
-		return encodeReply(n.withdrawHere(l, string(body)))
+		return encodeReply(n.cancelAsLeader(leader, string(body)))
 	default:
-		return answerNotify(l, body), nil
+		return handleNotify(leader, body), nil
 	}
 }
 
@@ -117,45 +117,45 @@
 	return r.Status, out
 }
 
-// answerExist says which of some jobs were accepted.
-func (n *Node) answerExist(body []byte) (int, []byte) {
+// handleExist says which of some jobs were accepted.
+func (n *Node) handleExist(body []byte) (int, []byte) {
 	var ids []string
 	if wire.Unmarshal(body, &ids) != nil {
 		return 400, nil
 	}
-	there, err := n.exist(ids, false)
+	accepted, err := n.acceptedJobs(ids, false)
 	if err != nil {
 		return 503, nil
 	}
-	got := []string{}
-	for id := range there {
-		if there[id] {
-			got = append(got, id)
+	found := []string{}
+	for id := range accepted {
+		if accepted[id] {
+			found = append(found, id)
 		}
 	}
-	return 200, wire.MustMarshal(got)
+	return 200, wire.MustMarshal(found)
 }
 
-// answerRead reads a job from the store for a node that cannot.
-func (n *Node) answerRead(id string) (int, []byte) {
+// handleRead reads a job from the store for a node that cannot.
+func (n *Node) handleRead(id string) (int, []byte) {
 	if !wire.ValidJobID(id) {
 		return 404, nil
 	}
-	if !n.pollBudget.admit(readRequests, 0) {
+	if !n.lookupBudget.admit(requestsPerRead, 0) {
 		return 503, nil
 	}
-	got, err := n.read(id, store.Poll)
+	reply, err := n.readStatus(id, store.Poll)
 	if err != nil {
 		return 503, nil
 	}
-	return encodeReply(got)
+	return encodeReply(reply)
 }
 
-// answerShow answers from the leader's memory.
-func (n *Node) answerShow(l *Lead, id string) (int, []byte) {
-	s, ok := n.finals.get(id)
+// handleStatus answers from the leader's memory.
+func (n *Node) handleStatus(l *Leader, id string) (int, []byte) {
+	s, ok := n.finalStatuses.get(id)
 	if !ok {
-		s, ok = l.show(id)
+		s, ok = l.status(id)
 	}
 	if !ok {
 		return 503, nil // the asker reads the store
@@ -163,8 +163,8 @@
 	return encodeReply(front.Reply{Status: 200, Body: s})
 }
 
-// answerNotify takes in a job that another node accepted.
-func answerNotify(l *Lead, body []byte) int {
+// handleNotify takes in a job that another node accepted.
+func handleNotify(l *Leader, body []byte) int {
 	var job wire.Job
 	if wire.Unmarshal(body, &job) != nil || !wire.ValidJobID(job.ID) || job.Tasks < 1 {
 		return 400
--- /dev/null
+++ b/internal/controller/pending_jobs.go
@@ -0,0 +1,37 @@
+package controller
+
+import (
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+)
+
+// Operators are told why a job waits once it has for explainAfter, of at most
+// maxExplanations jobs at a time: finding out costs about as much as a try to
+// place a task.
+const (
+	explainAfter    = 30 * micro.Second
+	maxExplanations = 4
+)
+
+// reviewPendingJobs counts what waits, and tells why of some that have waited long.
+func (l *Leader) reviewPendingJobs(now micro.Time) {
+	waiting, explanationsLeft := 0, maxExplanations
+	for job := range l.cluster.Pending {
+		waiting += job.Waiting()
+		if explanationsLeft > 0 && needsExplanation(job, now) {
+			explanationsLeft--
+			l.logWaitReason(job, now)
+		}
+	}
+	l.pendingTasks.Store(int64(waiting))
+}
+
+// needsExplanation reports whether a job waits long and nobody was told of this wait.
+func needsExplanation(j *model.Job, now micro.Time) bool {
+	return now-j.WaitsFrom >= explainAfter && j.Explained <= j.WaitsFrom
+}
+
+func (l *Leader) logWaitReason(j *model.Job, now micro.Time) {
+	j.Explained = now
+	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitsFrom)/micro.Second), "why", l.scheduler.Why(j, now).String())
+}
--- /dev/null
+++ b/internal/controller/pending_jobs_test.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/wire"
+)
+
+// Why a job waits is told once, after a while, of a few jobs at a time.
+func TestWaitReasonIsLoggedOnce(t *testing.T) {
+	fleet := newFleet(t, 4)
+	for job := range fleet.leader.cluster.Pending {
+		fleet.leader.cluster.End(job, true, fleet.now) // what the herd could not place
+	}
+	var out bytes.Buffer
+	fleet.leader.log = slog.New(slog.NewTextHandler(&out, nil))
+	for i := range 10 {
+		fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-77", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 8, MemoryGB: 1, EstimateS: 50})
+	}
+	review := func() int {
+		was := strings.Count(out.String(), "msg=\"job waits\"")
+		fleet.leader.reviewPendingJobs(fleet.now)
+		return strings.Count(out.String(), "msg=\"job waits\"") - was
+	}
+	fleet.now += 29 * micro.Second
+	if n := review(); n != 0 {
+		t.Fatalf("%d told too soon", n)
+	}
+	logged := 0
+	for i := range 5 {
+		fleet.now += micro.Second
+		n := review()
+		if n > maxExplanations {
+			t.Fatalf("%d at once", n)
+		}
+		if logged += n; i == 0 && n != maxExplanations {
+			t.Fatalf("%d told", n)
+		}
+	}
+	if logged != 10 || fleet.leader.pendingTasks.Load() != 20 {
+		t.Fatalf("%d of 10 told, %d tasks counted", logged, fleet.leader.pendingTasks.Load())
+	}
+	if !strings.Contains(out.String(), "job=j-770 since_s=3") || !strings.Contains(out.String(), "why=\"no room\"") {
+		t.Fatal(out.String())
+	}
+	fleet.now += 5 * micro.Minute
+	if n := review(); n != 0 {
+		t.Fatalf("%d told again", n)
+	}
+}
--- /dev/null
+++ b/internal/controller/recovery_snapshot.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"strconv"
+	"strings"
+
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/wire"
+)
+
+// jobSnapshot is what the store holds of jobs.
+type jobSnapshot struct {
+	specs         map[string]wire.Job
+	ends          map[string]model.EndRecord
+	dependencies  map[string]map[int][]string
+	legacyChunks  map[string][]storedChunk // in the first form
+	compactChunks map[string][]storedChunk
+
+	assignments map[string]*storedAssignment // to shares
+}
+
+func newJobSnapshot() jobSnapshot {
+	return jobSnapshot{specs: map[string]wire.Job{}, ends: map[string]model.EndRecord{}, dependencies: map[string]map[int][]string{},
+		legacyChunks: map[string][]storedChunk{}, compactChunks: map[string][]storedChunk{}}
+}
+
+type storedChunk struct {
+	index int
+	item  wire.Item
+}
+
+// addJobKey reads one of a job's own keys.
+func (k *jobSnapshot) addJobKey(item wire.Item) {
+	id, rest, _ := strings.Cut(item.Key[len("job/"):], "/")
+	switch {
+	case rest == "spec":
+		var job wire.Job
+		if wire.Unmarshal(item.Value, &job) == nil && job.Tasks >= 1 {
+			k.specs[id] = job
+		}
+	case rest == "end":
+		var end model.EndRecord
+		if wire.Unmarshal(item.Value, &end) == nil {
+			k.ends[id] = end
+		}
+	case strings.HasPrefix(rest, dependencyKeyPart):
+		var part dependencyRecord
+		if index, err := strconv.Atoi(rest[len(dependencyKeyPart):]); err == nil && wire.Unmarshal(item.Value, &part) == nil {
+			if k.dependencies[id] == nil {
+				k.dependencies[id] = map[int][]string{}
+			}
+			k.dependencies[id][index] = part.Dependencies
+		}
+	}
+}
+
+// addChunkRecord reads a record of a job's tasks.
+func (k *jobSnapshot) addChunkRecord(item wire.Item) {
+	id, rest, _ := strings.Cut(item.Key[len("run/"):], "/")
+	into := k.legacyChunks
+	if index, compact := strings.CutPrefix(rest, compactMark); compact {
+		rest, into = index, k.compactChunks
+	}
+	if index, err := strconv.Atoi(rest); err == nil {
+		into[id] = append(into[id], storedChunk{index, item})
+	}
+}
+
+// completeDependencies completes a description whose list of awaited jobs is kept apart; false
+// if some of it is missing: the job must not be taken for one that awaits less.
+func (k *jobSnapshot) completeDependencies(job *wire.Job) bool {
+	for n := range job.NeedsIn {
+		part, ok := k.dependencies[job.ID][n]
+		if !ok {
+			return false
+		}
+		job.Needs = append(job.Needs, part...)
+	}
+	job.NeedsIn = 0
+	return true
+}
+
+// readJob reads a job's own keys from the store.
+func (n *Node) readJob(class store.Class, id string, snapshot *jobSnapshot) error {
+	prefix := "job/" + id + "/"
+	return n.readPrefix(class, prefix, func(rest string, value []byte) error {
+		snapshot.addJobKey(wire.Item{Key: prefix + rest, Value: value})
+		return nil
+	})
+}
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -11,46 +11,46 @@
 
 // A job is done, and the leader forgets it: polls, a repeated submission and a late
 // word of its acceptance must not find it any other way than done.
-func TestForgottenJobStaysDone(t *testing.T) {
-	play(t, 4, 3, nil, func(w *simCluster) {
-		j := w.wants(order{kind: wire.Array, tasks: 2, run: 3 * micro.Second}).submit()
-		other := w.wants(order{kind: wire.Service, tasks: 1}).submit()
-		w.until("done", 2*micro.Minute, func() bool { return stateOf(j.poll(w.any())) == wire.JobDone })
-		w.runs(other, 1)
+func TestPrunedJobStaysDone(t *testing.T) {
+	runScenario(t, 4, 3, nil, func(sim *simCluster) {
+		job := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: 3 * micro.Second}).submit()
+		other := sim.newJob(jobRequest{kind: wire.Service, tasks: 1}).submit()
+		sim.waitUntil("done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+		sim.waitRunning(other, 1)
 		knows := func() (known bool) {
-			lead := w.leads().current().leading()
+			currentLeader := sim.waitForLeader().runningNode().activeLeader()
 			read := make(chan struct{})
-			lead.post(func() { _, known = lead.c.Jobs[j.id]; close(read) })
+			currentLeader.post(func() { _, known = currentLeader.cluster.Jobs[job.id]; close(read) })
 			<-read
 			return known
 		}
 		if !knows() {
 			t.Fatal("forgotten at once")
 		}
-		w.until("forgotten", 15*micro.Minute, func() bool { return !knows() })
-		for _, p := range w.controllers {
-			if r := j.poll(p); stateOf(r) != wire.JobDone {
-				t.Errorf("%s says %+v of a job that is done", p.name, r)
+		sim.waitUntil("forgotten", 15*micro.Minute, func() bool { return !knows() })
+		for _, controller := range sim.controllers {
+			if reply := job.queryStatus(controller); replyState(reply) != wire.JobDone {
+				t.Errorf("%s says %+v of a job that is done", controller.name, reply)
 			}
-			if r := j.send(p); stateOf(r) != wire.JobDone {
-				t.Errorf("%s answers %+v to the repeat of a job that is done", p.name, r)
+			if reply := job.submitOnce(controller); replyState(reply) != wire.JobDone {
+				t.Errorf("%s answers %+v to the repeat of a job that is done", controller.name, reply)
 			}
 		}
-		spec, _ := w.check.spec(j.id)
-		lead := w.leads().current().leading()
-		lead.post(func() { lead.addJob(spec) })
-		w.sleep(10 * micro.Second)
+		spec, _ := sim.checker.spec(job.id)
+		currentLeader := sim.waitForLeader().runningNode().activeLeader()
+		currentLeader.post(func() { currentLeader.addJob(spec) })
+		sim.sleep(10 * micro.Second)
 		if knows() {
 			t.Error("a late copy of its acceptance brought it back")
 		}
-		if w.recordsOf(j.id) != 0 {
+		if sim.runRecordCount(job.id) != 0 {
 			t.Error("it was forgotten before its records were deleted")
 		}
 	})
 }
 
-// recordsOf is how many records of a job's tasks the store holds.
-func (w *simCluster) recordsOf(id string) int {
+// runRecordCount is how many records of a job's tasks the store holds.
+func (w *simCluster) runRecordCount(id string) int {
 	p, err := w.store.Range(w.ctx, 0, "run/"+id+"/", "", 1000)
 	if err != nil {
 		w.t.Error(err)
@@ -59,62 +59,62 @@
 }
 
 // A record that is yet to be deleted is the next leader's only word of a place.
-func TestJobWithAnOpenRecordIsNotForgotten(t *testing.T) {
-	h := newHerd(t, 4)
-	j := h.l.c.List()[0].Sorted()[0].Job
-	h.l.c.End(j, true, h.now)
-	for _, p := range j.AllPlaces() {
-		h.l.c.Lose(p.Machine, h.now)
+func TestJobWithAnOpenRecordIsNotPruned(t *testing.T) {
+	fleet := newFleet(t, 4)
+	job := fleet.leader.cluster.List()[0].Sorted()[0].Job
+	fleet.leader.cluster.End(job, true, fleet.now)
+	for _, allocation := range job.AllPlaces() {
+		fleet.leader.cluster.Lose(allocation.Machine, fleet.now)
 	}
-	h.now += micro.Minute * 60
-	entry := h.l.records.chunk(j.Chunks[0])
+	fleet.now += micro.Minute * 60
+	entry := fleet.leader.records.chunkRecord(job.Chunks[0])
 	entry.Clean()
 	entry.SetVersion(17)
-	h.l.prune(h.now)
-	if h.l.c.Jobs[j.Spec.ID] == nil {
+	fleet.leader.prune(fleet.now)
+	if fleet.leader.cluster.Jobs[job.Spec.ID] == nil {
 		t.Fatal("forgotten though its record is in the store")
 	}
 	entry.SetVersion(0)
-	h.l.prune(h.now)
-	if h.l.c.Jobs[j.Spec.ID] != nil || h.l.records.chunks[j.Chunks[0]] != nil {
+	fleet.leader.prune(fleet.now)
+	if fleet.leader.cluster.Jobs[job.Spec.ID] != nil || fleet.leader.records.chunks[job.Chunks[0]] != nil {
 		t.Fatal("kept though nothing of it is left")
 	}
-	if s, ok := h.l.n.finals.get(j.Spec.ID); !ok || s.State != wire.JobAborted {
-		t.Errorf("polls for it are not answered from memory: %+v", s)
+	if status, ok := fleet.leader.node.finalStatuses.get(job.Spec.ID); !ok || status.State != wire.JobAborted {
+		t.Errorf("polls for it are not answered from memory: %+v", status)
 	}
 }
 
 // Each round writes two records at the most, reaches all in turn, and deletes those
 // that a smaller fleet needs no more.
 func TestImageRecordsOfALargeFleetAreWrittenInTurn(t *testing.T) {
-	h := newHerd(t, 4)
-	h.l.c.UseCompact(64)
+	fleet := newFleet(t, 4)
+	fleet.leader.cluster.UseCompact(64)
 	has := model.ImageRecord{Names: []string{"x"}, GB: []float64{9}, Machines: map[string][]int{}}
 	for i := range 4000 {
-		has.Machines[h.l.c.Machine(wire.TaskName("i", i), h.now).Name] = []int{0}
+		has.Machines[fleet.leader.cluster.Machine(wire.TaskName("i", i), fleet.now).Name] = []int{0}
 	}
-	h.l.c.RestoreImages(has, h.now)
-	all := len(h.l.c.ImagePages(h.l.records.images.size()))
-	written := h.imageRounds(3 * all)
+	fleet.leader.cluster.RestoreImages(has, fleet.now)
+	all := len(fleet.leader.cluster.ImagePages(fleet.leader.records.images.maxRecordSize()))
+	written := fleet.writeImageRounds(3 * all)
 	if len(written) != all {
 		t.Errorf("%d of %d records were written", len(written), all)
 	}
-	for _, m := range h.l.c.List()[100:] {
-		h.l.c.Depart(m, h.now)
+	for _, machine := range fleet.leader.cluster.List()[100:] {
+		fleet.leader.cluster.Depart(machine, fleet.now)
 	}
-	h.imageRounds(3 * all)
-	if n := len(h.l.records.images.pages); n != 0 {
+	fleet.writeImageRounds(3 * all)
+	if n := len(fleet.leader.records.images.pages); n != 0 {
 		t.Errorf("%d records are left of a fleet that needs none", n)
 	}
 }
 
-// imageRounds plays rounds of writing image records, and lists what was put.
-func (h *herd) imageRounds(n int) map[string]bool {
+// writeImageRounds plays rounds of writing image records, and lists what was put.
+func (h *fleet) writeImageRounds(n int) map[string]bool {
 	put := map[string]bool{}
 	for range n {
-		h.l.records.images.next(h.now)
+		h.leader.records.images.writeNext(h.now)
 		changes := 0
-		h.l.records.Each(func(e *writer.Entry) {
+		h.leader.records.Each(func(e *writer.Entry) {
 			if !e.Dirty() || !isImageKey(e.Key) {
 				return
 			}
@@ -123,7 +123,7 @@
 			e.Clean()
 			e.SetVersion(1)
 			if value == nil {
-				h.l.records.Drop(e)
+				h.leader.records.Drop(e)
 				return
 			}
 			put[e.Key] = true
@@ -136,11 +136,11 @@
 }
 
 // Lists of 4,000 machines once took a third of the cloud's rate.
-func TestListOfALargeFleetLeavesTheCloudsRateToRentals(t *testing.T) {
+func TestListOfALargeFleetLeavesTheCloudsRateToInstanceRequests(t *testing.T) {
 	for _, machines := range []int{40, 2000, 4000, 6000, 20000} {
 		pages := (machines + 499) / 500
-		pause := listPause(pages, 4)
-		if pause < listEvery || pause > maxListPause || pause+micro.Time(pages)*300*micro.Millisecond > freshList+maxListPause {
+		pause := inventoryPause(pages, 4)
+		if pause < inventoryInterval || pause > maxInventoryPause || pause+micro.Time(pages)*300*micro.Millisecond > maxInventoryAge+maxInventoryPause {
 			t.Errorf("%d machines: a pause of %v", machines, pause)
 		}
 		if rate := float64(pages) / pause.Seconds(); machines <= 4000 && rate > 1 {
--- /dev/null
+++ b/internal/controller/shard_admin.go
@@ -0,0 +1,140 @@
+package controller
+
+import (
+	"fmt"
+
+	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/wire"
+)
+
+// adminTimeout is how long an operator's command may take.
+const adminTimeout = 2 * micro.Second
+
+// handleAdmin answers an operator's command at any node: the leader carries it out.
+func (n *Node) handleAdmin(body []byte) (int, []byte) {
+	var command share.Command
+	if wire.Unmarshal(body, &command) != nil {
+		return 400, nil
+	}
+	if n.shards == nil {
+		return 200, wire.MustMarshal(share.CommandReply{Refused: "this controller runs without shares (serve --feature)"})
+	}
+	if l := n.activeLeader(); l != nil {
+		return 200, wire.MustMarshal(l.runAdminCommand(&command))
+	}
+	leader := n.election.Leader()
+	if leader == "" || leader == n.Cfg.Node {
+		return 503, nil
+	}
+	status, reply, err := n.callPeer(leader, peer.Admin, body, adminTimeout)
+	if err != nil {
+		return 503, nil
+	}
+	return status, reply
+}
+
+// runAdminCommand carries out an operator's command.
+func (l *Leader) runAdminCommand(command *share.Command) share.CommandReply {
+	r, ok := l.callLoop(l.events, adminTimeout, func(reply func(front.Reply)) {
+		l.executeAdminCommand(command, func(r share.CommandReply) { reply(front.Reply{Body: r}) })
+	})
+	if !ok {
+		return share.CommandReply{Refused: "the leader does not act now: try again"}
+	}
+	return r.Body.(share.CommandReply)
+}
+
+func (l *Leader) executeAdminCommand(command *share.Command, reply func(share.CommandReply)) {
+	if command.Operation == share.List {
+		reply(share.CommandReply{Shares: l.shardStatuses("")})
+		return
+	}
+	respond := func(refused string) {
+		reply(share.CommandReply{Refused: refused, Shares: l.shardStatuses(command.Share)})
+	}
+	entry, ok := l.shardTable().Get(command.Share)
+	if !ok {
+		respond(fmt.Sprintf("there is no share %q", command.Share))
+		return
+	}
+	switch command.Operation {
+	case share.Show:
+		respond("")
+	case share.Move:
+		target, ok := l.coordinator.sessions.Controller(command.Target)
+		if !ok {
+			respond(fmt.Sprintf("%q: %v", command.Target, share.ErrNoTarget))
+			return
+		}
+		l.changeShardByAdmin(entry, func(wall int64) (share.Record, error) { return entry.Record.Move(target, wall) }, respond)
+	case share.Cancel:
+		l.changeShardByAdmin(entry, entry.Record.Cancel, respond)
+	default:
+		respond(fmt.Sprintf("there is no operation %q", command.Operation))
+	}
+}
+
+// changeShardByAdmin changes a share's record for an operator, who is told once it is stored.
+func (l *Leader) changeShardByAdmin(entry share.Entry, change func(wall int64) (share.Record, error), respond func(refused string)) {
+	if l.coordinator.commitsInFlight[entry.Name] {
+		respond("another change of the share is under way: try again")
+		return
+	}
+	err := l.changeShardThen(entry, "an operator's command", change, func(err error) {
+		if err != nil {
+			respond(fmt.Sprintf("not stored (%v): try again", err))
+			return
+		}
+		respond("")
+	})
+	if err != nil {
+		respond(err.Error())
+	}
+}
+
+// shardStatuses tells of one share, or of all.
+func (l *Leader) shardStatuses(only string) []share.Status {
+	jobs := map[string]int{}
+	for _, assigned := range l.coordinator.assignedJobs {
+		jobs[assigned.shardName]++
+	}
+	var statuses []share.Status
+	l.shardTable().Each(func(entry share.Entry) bool {
+		if only == "" || entry.Name == only {
+			statuses = append(statuses, l.shardStatus(entry, jobs[entry.Name]))
+		}
+		return true
+	})
+	return statuses
+}
+
+func (l *Leader) shardStatus(entry share.Entry, jobs int) share.Status {
+	view := l.viewOf(entry.Name)
+	status := share.Status{Name: entry.Name, Record: entry.Record, Version: entry.Version, Machines: view.machineCount, Empty: view.idleMachines, Waiting: view.pendingTasks, Jobs: jobs,
+		OwnerGone: entry.OwnerGone(l.coordinator.sessions), HeardAgoS: -1}
+	if view.capacityAt > 0 {
+		status.HeardAgoS = int((l.node.Now() - view.capacityAt) / micro.Second)
+	}
+	status.Note = l.shardNote(entry, &status)
+	return status
+}
+
+// shardNote says what holds a share's next change up.
+func (l *Leader) shardNote(entry share.Entry, status *share.Status) string {
+	switch {
+	case entry.Record.State == share.Forming && !l.allRegistered():
+		return "waits for all controllers to run with the feature"
+	case entry.Record.State == share.Forming:
+		return fmt.Sprintf("waits for %d tasks on its machines to end", l.allocationsIn(entry))
+	case status.OwnerGone:
+		return "its owner has lost its session: another gets it"
+	case entry.Record.State == share.Moving:
+		return "waits for its owner to settle what it wrote, and to hand over"
+	case entry.Record.State == share.Released:
+		return "the leader takes its work back"
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/controller/shard_form.go
@@ -0,0 +1,137 @@
+package controller
+
+import (
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/wire"
+)
+
+// How shares come and go.
+
+// allRegistered reports whether every controller of the settings has a session: one that
+// runs without shares would take all machines for its own.
+func (l *Leader) allRegistered() bool {
+	for _, p := range l.node.Cfg.Peers {
+		if _, ok := l.coordinator.sessions.Controller(p.Node); !ok {
+			return false
+		}
+	}
+	_, ok := l.coordinator.sessions.Controller(l.node.Cfg.Node)
+	return ok
+}
+
+// formDeclaredShards forms the shares of the settings that do not exist.
+func (l *Leader) formDeclaredShards() {
+	if l.node.Cfg.Shares.Dissolve || !l.cluster.Compact || !l.allRegistered() {
+		return
+	}
+	for _, declared := range l.node.Cfg.Shares.Declared {
+		if _, ok := l.shardTable().Get(declared.Name); ok || l.coordinator.commitsInFlight[declared.Name] {
+			continue
+		}
+		if other, ok := l.shardTable().Overlapping(declared.Selector); ok {
+			l.log.Debug("share not formed", "share", declared.Name, "why", share.ErrOverlap, "other", other.Name)
+			continue
+		}
+		if l.coordinator.marker.Version() == 0 {
+			l.coordinator.marker.Touch(l.node.Now(), writer.Soon) // before the first share
+			return
+		}
+		l.log.Info("share formed", "share", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams)
+		entry := share.Entry{Name: declared.Name}
+		l.commitShard(declared.Name, entry.Put(share.Form(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Guard()))
+	}
+}
+
+// reconcileForming clears the machines of a share that is being formed, and gives it to its
+// first owner once none of them holds a task.
+func (l *Leader) reconcileForming(entry share.Entry, wall int64) {
+	if l.node.Cfg.Shares.Dissolve {
+		l.deleteShard(entry)
+		return
+	}
+	if l.drainReplicas(entry); l.allocationsIn(entry) > 0 || !l.allRegistered() {
+		return
+	}
+	owner, ok := l.initialOwner(entry.Name)
+	if !ok {
+		return
+	}
+	if granted, err := entry.Record.Grant(owner, wall); err == nil {
+		l.log.Info("share granted", "share", entry.Name, "owner", owner.Node)
+		l.commitShard(entry.Name, entry.Put(granted, l.term.Guard(), owner.Guard()))
+	}
+}
+
+func (l *Leader) initialOwner(name string) (share.Controller, bool) {
+	for _, d := range l.node.Cfg.Shares.Declared {
+		if d.Name == name && d.Owner != "" {
+			return l.coordinator.sessions.Controller(d.Owner)
+		}
+	}
+	return l.coordinator.sessions.FewestShares(l.shardTable())
+}
+
+// maxReplicasStopping is how many replicas are moved from the machines of a share that is
+// being formed at a time: a service keeps the others.
+const maxReplicasStopping = 4
+
+// allocationsIn counts the places on the machines of a share that is being formed, and on those
+// of which it is not known yet whether they are in it: read from the records, a machine
+// has no type until it reports. Given away with such a place on it, a machine was never
+// proven free of it.
+func (l *Leader) allocationsIn(e share.Entry) int {
+	held := 0
+	for _, m := range l.cluster.List() {
+		if m.Type == nil || m.Clearing && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
+			held += len(m.Places)
+		}
+	}
+	return held
+}
+
+// formingMachines lists the machines of a share that is being formed.
+func (l *Leader) formingMachines(e share.Entry) []*model.Machine {
+	var out []*model.Machine
+	for _, m := range l.cluster.List() {
+		if m.Clearing && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
+
+// drainReplicas has the replicas on a share's machines stopped, a few at a time: other
+// tasks end by themselves.
+func (l *Leader) drainReplicas(entry share.Entry) {
+	now := l.node.Now()
+	stopping := 0
+	var replicas []*model.Place
+	for _, machine := range l.formingMachines(entry) {
+		for _, allocation := range machine.Sorted() {
+			switch {
+			case allocation.Job == nil || allocation.Job.Spec.Kind != wire.Service:
+			case allocation.Stopping:
+				stopping++
+			default:
+				replicas = append(replicas, allocation)
+			}
+		}
+	}
+	for _, allocation := range replicas[:max(min(len(replicas), maxReplicasStopping-stopping), 0)] {
+		l.cluster.Stop(allocation, "the machine goes to a share", allocation.Job.Spec.SaveS, now)
+	}
+}
+
+// deleteShard deletes the record of a share that has nothing left. The last one takes
+// the marker along.
+func (l *Leader) deleteShard(e share.Entry) {
+	transaction := wire.Txn{If: []wire.Guard{l.term.Guard(), e.Guard()}, Then: []wire.Change{{Delete: e.Key()}}}
+	if l.shardTable().Len() == 1 {
+		transaction.Then = append(transaction.Then, wire.Change{Delete: share.MarkerKey})
+		l.coordinator.marker.SetVersion(0)
+	}
+	l.log.Info("share deleted", "share", e.Name)
+	l.commitShard(e.Name, transaction)
+}
--- /dev/null
+++ b/internal/controller/shard_node.go
@@ -0,0 +1,278 @@
+package controller
+
+import (
+	"context"
+	"crypto/rand"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/wire"
+)
+
+// nodeShards is a node's part in the shares of the machines: its session as an owner, the
+// table, and the loops of the shares that it owns.
+type nodeShards struct {
+	table     share.Table
+	tableRead atomic.Bool // the table was read since the start
+	session   *election.Election
+	term      atomic.Pointer[election.Term] // of the session; nil: none
+
+	mu     sync.Mutex
+	ctx    context.Context    // of the node; nil until it runs
+	owners map[string]*Leader // by share
+}
+
+// Table watches are opened anew after such pauses: each costs the store a request.
+const (
+	tableWatchPause   = 300 * micro.Millisecond
+	tableWatchTimeout = 10 * micro.Second
+	tableReadRetry    = 300 * micro.Millisecond
+
+	ownerReconcileInterval = micro.Second
+)
+
+// initShards prepares the node's part, if the feature is on.
+func (n *Node) initShards() {
+	if n.Cfg.Shares == nil {
+		return
+	}
+	n.shards = &nodeShards{owners: map[string]*Leader{}}
+	n.shards.session = &election.Election{
+		Key: share.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
+		TTL: n.Cfg.LeaderLease, Renew: n.Cfg.LeaderRenew, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
+		OnLead: n.sessionStarted, OnLose: n.sessionEnded,
+	}
+}
+
+// runShards holds the session and follows the table until the context ends.
+func (n *Node) runShards(ctx context.Context) error {
+	if n.shards == nil {
+		return nil
+	}
+	n.shards.start(ctx)
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { return n.holdSession(ctx) })
+	g.Go(func() error { return n.followShardTable(ctx) })
+	g.Go(func() error { return n.runOwnerReconciler(ctx) })
+	return g.Wait()
+}
+
+func (s *nodeShards) start(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ctx = ctx
+}
+
+// holdSession holds the session once the machine types are known: without them a share
+// could be given to this node, and nobody would answer its machines.
+func (n *Node) holdSession(ctx context.Context) error {
+	for n.catalog.Load() == nil && ctx.Err() == nil {
+		pause(ctx, tableReadRetry)
+	}
+	return n.shards.session.Run(ctx)
+}
+
+// runOwnerReconciler looks after the loops of the shares also when the table does not change:
+// one may have ended by itself.
+func (n *Node) runOwnerReconciler(ctx context.Context) error {
+	for ctx.Err() == nil {
+		pause(ctx, ownerReconcileInterval)
+		n.reconcileOwners()
+	}
+	return nil
+}
+
+func (n *Node) sessionStarted(t *election.Term) {
+	n.shards.term.Store(t)
+	n.reconcileOwners()
+}
+
+func (n *Node) sessionEnded(t *election.Term) {
+	n.shards.term.CompareAndSwap(t, nil)
+	n.reconcileOwners()
+}
+
+// followShardTable keeps the table as the store has it.
+func (n *Node) followShardTable(ctx context.Context) error {
+	for ctx.Err() == nil {
+		revision, err := n.readShardTable(ctx)
+		if err == nil {
+			err = n.watchShardTable(ctx, revision)
+		}
+		if err != nil {
+			n.Log.Debug("table of shares not read", "err", err)
+		}
+		pause(ctx, tableReadRetry)
+	}
+	return nil
+}
+
+func pause(ctx context.Context, d micro.Time) {
+	t := time.NewTimer(d.Std())
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
+
+// readShardTable reads all records.
+func (n *Node) readShardTable(ctx context.Context) (revision uint64, err error) {
+	var entries []share.Entry
+	after := ""
+	for {
+		page, err := n.Store.Range(ctx, store.Leadership, share.RecordPrefix, after, 1000)
+		if err != nil {
+			return 0, err
+		}
+		if revision == 0 || uint64(page.Revision) < revision {
+			revision = uint64(page.Revision)
+		}
+		for _, item := range page.Items {
+			after = item.Key
+			if entry, ok := parseShardRecord(item.Key, item.Value, uint64(item.Version)); ok {
+				entries = append(entries, entry)
+			}
+		}
+		if !page.More || len(page.Items) == 0 {
+			break
+		}
+	}
+	n.shards.table.Replace(entries)
+	n.shards.tableRead.Store(true)
+	n.shardTableChanged()
+	return revision, nil
+}
+
+func parseShardRecord(key string, value []byte, version uint64) (share.Entry, bool) {
+	e := share.Entry{Name: key[len(share.RecordPrefix):], Version: version}
+	return e, wire.Unmarshal(value, &e.Record) == nil
+}
+
+// watchShardTable takes in changes, until they cannot be followed.
+func (n *Node) watchShardTable(ctx context.Context, revision uint64) error {
+	for ctx.Err() == nil {
+		events, err := n.Store.Watch(ctx, share.RecordPrefix, revision, tableWatchTimeout)
+		if errors.Is(err, store.ErrCompacted) {
+			return err
+		}
+		if err == nil {
+			revision = max(revision, uint64(events.Revision))
+			for _, event := range events.Events {
+				n.applyTableEvent(event)
+			}
+			if len(events.Events) > 0 {
+				n.shardTableChanged()
+			}
+		}
+		pause(ctx, tableWatchPause)
+	}
+	return nil
+}
+
+func (n *Node) applyTableEvent(event wire.Event) {
+	if event.Delete != "" {
+		n.shards.table.Delete(event.Delete[len(share.RecordPrefix):], uint64(event.Version))
+		return
+	}
+	if entry, ok := parseShardRecord(event.Put, event.Value, uint64(event.Version)); ok {
+		n.shards.table.Put(entry)
+	}
+}
+
+// shardTableChanged tells all that go by the table.
+func (n *Node) shardTableChanged() {
+	n.reconcileOwners()
+	if l := n.activeLeader(); l != nil {
+		l.post(l.shardTableChanged)
+	}
+}
+
+// reconcileOwners starts the loops of shares whose record names this incarnation, and tells
+// those that run of what the records say now.
+func (n *Node) reconcileOwners() {
+	shards := n.shards
+	shards.mu.Lock()
+	defer shards.mu.Unlock()
+	term, table := shards.term.Load(), shards.table.Snapshot()
+	for name, owner := range shards.owners {
+		entry, ok := table.Get(name)
+		if owner.stopped() || owner.term != term {
+			owner.stop()
+			delete(shards.owners, name)
+			continue
+		}
+		owner.post(func() { owner.observeShardRecord(entry, ok) })
+	}
+	if term == nil || shards.ctx == nil || n.catalog.Load() == nil {
+		return
+	}
+	self := share.Controller{Node: n.Cfg.Node, Session: wire.Count(term.Stamp)}
+	table.Each(func(entry share.Entry) bool {
+		if shards.owners[entry.Name] == nil && entry.Away() && entry.Record.Owner == self {
+			shards.owners[entry.Name] = n.startShardOwner(shards.ctx, entry, term, self)
+		}
+		return true
+	})
+}
+
+// ownerOf is the loop of a share that this node owns; nil: it does not.
+func (s *nodeShards) ownerOf(name string) *Leader {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.owners[name]
+}
+
+// heartbeatWithShards answers a report, whoever's machine it comes from.
+func (n *Node) heartbeatWithShards(body []byte) front.Reply {
+	if len(body) > wire.MaxBody {
+		return front.Fail(400, "too large")
+	}
+	heartbeat, err := wire.DecodeReport(body)
+	if err != nil {
+		return front.Fail(400, err.Error())
+	}
+	if reply, ok := n.routeShardHeartbeat(heartbeat); ok {
+		return reply
+	}
+	if l := n.activeLeader(); l != nil {
+		return l.handleHeartbeat(heartbeat)
+	}
+	return n.heartbeatAsFollower(body)
+}
+
+// routeShardHeartbeat answers a report of a machine that is in a share; false if it is in none,
+// and so the leader's to answer.
+func (n *Node) routeShardHeartbeat(heartbeat *wire.Report) (front.Reply, bool) {
+	if !n.shards.tableRead.Load() {
+		return front.Later(503, 1), true // whose it is is not known yet
+	}
+	entry, ok := n.shards.table.Snapshot().Of(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
+	if !ok || !entry.Away() {
+		return front.Reply{}, false
+	}
+	node := entry.Record.Owner.Node
+	if node != n.Cfg.Node {
+		if n.activeLeader() == nil && n.proxiesLease(heartbeat) {
+			return leaseProxyReply(heartbeat), true
+		}
+		return front.Reply{Status: 421, Body: wire.Redirect{Leader: node}}, true
+	}
+	if owner := n.shards.ownerOf(entry.Name); owner != nil && owner.serving.Load() && owner.holdsLease() {
+		return owner.handleHeartbeat(heartbeat), true
+	}
+	return front.Later(503, 1), true
+}
+
+func machineAttributes(typ, zone string, spot bool) share.Attributes {
+	return share.Attributes{Type: typ, Zone: zone, Spot: spot}
+}
--- /dev/null
+++ b/internal/controller/shard_reclaim.go
@@ -0,0 +1,162 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/wire"
+)
+
+// shardReclaim is how far the leader is with taking back a share that its owner released.
+type shardReclaim struct {
+	readInFlight   bool
+	reclaimed      bool                     // its machines and jobs are the leader's
+	pendingDeletes map[string]*writer.Entry // allocations that are still to be deleted
+}
+
+// reclaimShard takes back a released share: first what the store holds of it is read, then
+// its jobs and machines join the leader's, then its records are deleted.
+func (l *Leader) reclaimShard(entry share.Entry, now micro.Time) {
+	reclaim := l.coordinator.reclaims[entry.Name]
+	if reclaim == nil {
+		reclaim = &shardReclaim{pendingDeletes: map[string]*writer.Entry{}}
+		l.coordinator.reclaims[entry.Name] = reclaim
+	}
+	switch {
+	case reclaim.readInFlight:
+	case !reclaim.reclaimed:
+		reclaim.readInFlight = true
+		go l.readReleasedShard(entry, reclaim)
+	case len(reclaim.pendingDeletes) == 0 && !l.hasAssignments(entry.Name):
+		delete(l.coordinator.reclaims, entry.Name)
+		l.deleteShard(entry)
+	default:
+		l.deleteShardRecords(entry.Name, reclaim, now)
+	}
+}
+
+// readReleasedShard reads the allocations of a released share.
+func (l *Leader) readReleasedShard(entry share.Entry, reclaim *shardReclaim) {
+	var items []wire.Item
+	after, ok := "", true
+	for more := true; more && ok; {
+		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		page, err := l.node.Store.Range(ctx, store.Routine, share.AllocationsOf(entry.Name), after, 1000)
+		cancel()
+		if ok = err == nil; ok {
+			for _, item := range page.Items {
+				items = append(items, item)
+				after = item.Key
+			}
+			more = page.More && len(page.Items) > 0
+		}
+	}
+	l.post(func() {
+		reclaim.readInFlight = false
+		if ok && !reclaim.reclaimed {
+			l.restoreReleasedShard(entry, reclaim, items)
+		}
+	})
+}
+
+// restoreReleasedShard joins a released share's machines and jobs to the leader's. Its last
+// owner gave out tokens above those of this term, perhaps: the leader's go above them.
+func (l *Leader) restoreReleasedShard(entry share.Entry, reclaim *shardReclaim, items []wire.Item) {
+	now := l.node.Now()
+	firstToken := entry.Version << tokenBits
+	l.fencingToken = max(l.fencingToken, firstToken)
+	l.cluster.RaiseBase(firstToken)
+	reclaim.reclaimed = true
+	for _, machine := range l.cluster.List() {
+		if machine.Foreign && entry.Record.Selector.Matches(machineAttributes(machine.TypeName, machine.Zone, machine.Spot)) {
+			l.cluster.Receive(machine, now)
+		}
+	}
+	l.cluster.Repartition()
+	for _, assigned := range l.coordinator.assignedJobs {
+		if assigned.shardName == entry.Name {
+			l.cluster.Unassign(assigned.job, now)
+		}
+	}
+	for _, item := range items {
+		l.reclaimAllocation(item, reclaim, now)
+	}
+	for _, assigned := range l.coordinator.assignedJobs {
+		if assigned.shardName == entry.Name {
+			l.resumeReclaimedJob(assigned, now)
+		}
+	}
+	l.log.Info("share taken back", "share", entry.Name, "records", len(items))
+}
+
+// resumeReclaimedJob goes on with a job of a share that was taken back, as with any other.
+func (l *Leader) resumeReclaimedJob(assigned *assignedJob, now micro.Time) {
+	job := assigned.job
+	l.cluster.RestoredJob(job, now)
+	if assigned.fencedZones = nil; job.Over() && job.HeldN > 0 {
+		l.unconfirmedCancellations[job] = true
+	}
+	if assigned.cancelling && !assigned.endRequested && job.State == model.Aborting {
+		assigned.endRequested = true // the usual way, from here on
+		l.stopAllocations(job, now)
+		l.pendingCancellations[job] = true
+	}
+}
+
+// reclaimAllocation takes the places of a record into the leader's own, which is
+// written before that is deleted.
+func (l *Leader) reclaimAllocation(item wire.Item, reclaim *shardReclaim, now micro.Time) {
+	id, allocation, ok := parseAllocation(item)
+	record := l.records.Entry(item.Key)
+	record.SetVersion(uint64(item.Version))
+	reclaim.pendingDeletes[item.Key] = record
+	job := l.cluster.Jobs[id]
+	var chunk *model.Chunk
+	if ok && job != nil && allocation.chunkIndex < len(job.Chunks) {
+		chunk = job.Chunks[allocation.chunkIndex]
+		if !chunk.Stored { // else an earlier leader has moved it
+			l.cluster.TakeBack(job, allocation.chunkIndex, &allocation.record, now)
+			l.records.chunkRecord(chunk).Touch(now, writer.Soon)
+		}
+	}
+	record.Build = func() (any, uint64) {
+		if chunk != nil && !chunk.Stored && !(job.Over() && job.HeldN == 0) {
+			return writer.NotYet, 0
+		}
+		return nil, 0
+	}
+	record.Saved = func(uint64) { delete(reclaim.pendingDeletes, item.Key) }
+}
+
+// deleteShardRecords deletes what is left of a share that was taken back.
+func (l *Leader) deleteShardRecords(shardName string, reclaim *shardReclaim, now micro.Time) {
+	for _, record := range reclaim.pendingDeletes {
+		record.Touch(now, writer.Soon)
+	}
+	if len(reclaim.pendingDeletes) > 0 {
+		return // a next leader needs them to know where the allocations belong
+	}
+	for _, assigned := range l.coordinator.assignedJobs {
+		if assigned.shardName != shardName {
+			continue
+		}
+		assigned.storeRecord.Build = func() (any, uint64) { return nil, 0 }
+		assigned.storeRecord.Saved = func(uint64) { l.dropAssignment(assigned) }
+		assigned.storeRecord.Touch(now, writer.Soon)
+	}
+}
+
+// hasAssignments reports whether the record of an assignment to a share is left.
+func (l *Leader) hasAssignments(shardName string) bool {
+	for _, assigned := range l.coordinator.assignedJobs {
+		if assigned.shardName == shardName {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/controller/shard_simulation_test.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"testing"
+
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/wire"
+)
+
+// Shares on the simulated cluster: what moves while jobs run, and what meets it.
+
+// withShard declares a share of zone b, owned by n-2 at first.
+func withShard(sim *simCluster) {
+	sim.config.Shares = &config.Shares{LeastTime: micro.Minute, MostMoved: 10_000,
+		Declared: []config.DeclaredShare{{Name: "east", Selector: share.Selector{Zone: "b"}, Owner: "n-2"}}}
+}
+
+// runShardScenario plays a scenario on a cluster with a share.
+func runShardScenario(t *testing.T, seed uint64, nodes int, scenario func(sim *simCluster)) {
+	t.Helper()
+	runScenario(t, seed, nodes, withShard, scenario)
+}
+
+// shardRecord reads the record of the share from the store.
+func (w *simCluster) shardRecord() (share.Entry, bool) {
+	it, err := w.store.Get(w.ctx, store.Routine, share.RecordKey("east"))
+	if err != nil {
+		return share.Entry{}, false
+	}
+	return parseShardRecord(it.Key, it.Value, uint64(it.Version))
+}
+
+// waitShardOwned waits until a controller owns the share, and its loop serves.
+func (w *simCluster) waitShardOwned(by string, most micro.Time) {
+	w.t.Helper()
+	w.waitUntil("the share is "+by+"'s", most, func() bool {
+		e, ok := w.shardRecord()
+		if !ok || e.Record.State != share.Owned || e.Record.Owner.Node != by {
+			return false
+		}
+		n := w.controllerNamed(by).runningNode()
+		if n == nil {
+			return false
+		}
+		l := n.shards.ownerOf("east")
+		return l != nil && l.serving.Load()
+	})
+}
+
+func (w *simCluster) controllerNamed(name string) *controllerProcess {
+	for _, controller := range w.controllers {
+		if controller.name == name {
+			return controller
+		}
+	}
+	w.t.Fatalf("no controller %s", name)
+	return nil
+}
+
+// shardCommand gives an operator's command to some node until it is carried out or refused.
+func (w *simCluster) shardCommand(c share.Command) (reply share.CommandReply) {
+	w.t.Helper()
+	w.waitUntil("the command is answered", micro.Minute, func() bool {
+		controller := w.randomUserNode()
+		if controller == nil {
+			return false
+		}
+		status, out := controller.runningNode().handleAdmin(wire.MustMarshal(c))
+		return status == 200 && wire.Unmarshal(out, &reply) == nil
+	})
+	return reply
+}
+
+// moveShard has the share moved.
+func (w *simCluster) moveShard(to string) {
+	w.t.Helper()
+	w.requestMove(to)
+	w.waitShardOwned(to, micro.Minute)
+}
+
+// A share is formed, its jobs run on its machines, and it moves to and fro while they do.
+func TestShardMovesWhileItsJobsRun(t *testing.T) {
+	for seed := range uint64(3) {
+		runShardScenario(t, seed, 3, func(sim *simCluster) {
+			sim.waitShardOwned("n-2", 2*micro.Minute)
+			service := sim.newJob(jobRequest{kind: wire.Service, tasks: 3, cpus: 2, zone: "b"}).submit()
+			other := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 2, zone: "a"}).submit()
+			sim.waitRunning(service, 3)
+			sim.waitRunning(other, 2)
+			sim.waitUntil("the owner tells of its machines and its job", micro.Minute, func() bool {
+				reply := sim.shardCommand(share.Command{Operation: share.Show, Share: "east"})
+				return len(reply.Shares) == 1 && reply.Shares[0].Jobs == 1 && reply.Shares[0].Machines > 0
+			})
+			array := sim.newJob(jobRequest{kind: wire.Array, tasks: 4, runTime: 20 * micro.Second, runTimeStep: 5 * micro.Second, zone: "b"}).submit()
+			for _, to := range []string{"n-0", "n-1", "n-2", "n-0"} {
+				sim.moveShard(to)
+				sim.sleep(4 * micro.Second)
+			}
+			sim.waitUntil("done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			if service.startCount() != 3 || service.runningTasks() != 3 || array.startCount() != 4 {
+				sim.t.Errorf("%d starts of 3 replicas, %d run; %d starts of 4 tasks", service.startCount(), service.runningTasks(), array.startCount())
+			}
+			service.cancel()
+			sim.waitUntil("the replicas are gone", micro.Minute, func() bool { return service.runningTasks() == 0 })
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/simulation_machines_test.go
@@ -0,0 +1,361 @@
+package controller
+
+import (
+	"sync"
+	"time"
+
+	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/wire"
+)
+
+// fakeMachine is a machine with its worker.
+type fakeMachine struct {
+	sim *simCluster
+
+	mu                  sync.Mutex
+	agent               *fake.Worker
+	booted              bool
+	terminated          bool
+	hungUntil           micro.Time    // it stands still until then
+	responsesLostUntil  micro.Time    // nothing that is sent to it arrives until then
+	heartbeatsLostUntil micro.Time    // it reaches no controller until then
+	holdNextDispatch    bool          // the network holds up the next direct order
+	heldDispatches      []wire.Orders // those that it holds up
+	sentHeartbeats      [][]byte      // in the order in which they were sent
+	stateSince          map[fake.Key]micro.Time
+	controllerIndex     int // the node it reports to
+	sending             bool
+	nextHeartbeat       micro.Time
+	lastHeartbeat       micro.Time
+	changed             bool
+}
+
+// imageFetchTime is how long an image takes.
+const imageFetchTime = micro.Second
+
+func (h *fakeMachine) boot() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.terminated {
+		return
+	}
+	h.booted = true
+	h.agent.Sent = h.sim.now()
+	h.agent.Refuse = h.refusalCause
+}
+
+// terminate takes the machine away with all that is on it.
+func (h *fakeMachine) terminate() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.terminated = true
+	clear(h.agent.Tasks)
+	h.updateChecker()
+}
+
+func (h *fakeMachine) isUp() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.booted && !h.terminated }
+
+func (h *fakeMachine) responsesLost() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.sim.now() < h.responsesLostUntil
+}
+
+func (h *fakeMachine) heartbeatsLost() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.sim.now() < h.heartbeatsLostUntil
+}
+
+// hang lets the machine stand still; deafen and silence cut one way of its talk.
+func (h *fakeMachine) hang(d micro.Time) {
+	h.mu.Lock()
+	h.hungUntil = h.sim.now() + d
+	h.mu.Unlock()
+}
+
+func (h *fakeMachine) loseResponses(d micro.Time) {
+	h.mu.Lock()
+	h.responsesLostUntil = h.sim.now() + d
+	h.mu.Unlock()
+}
+
+func (h *fakeMachine) loseHeartbeats(d micro.Time) {
+	h.mu.Lock()
+	h.heartbeatsLostUntil = h.sim.now() + d
+	h.mu.Unlock()
+}
+
+// waitWhileHung waits while the machine stands still.
+func (h *fakeMachine) waitWhileHung() {
+	for {
+		h.mu.Lock()
+		d := h.hungUntil - h.sim.now()
+		h.mu.Unlock()
+		if d <= 0 {
+			return
+		}
+		time.Sleep(d.Std())
+	}
+}
+
+// refusalCause is why a start is refused.
+func (h *fakeMachine) refusalCause(task string) wire.Cause {
+	id, _, _ := wire.SplitTask(task)
+	spec, ok := h.sim.checker.spec(id)
+	if !ok {
+		return wire.CauseUnknown
+	}
+	room := h.sim.checker.machineTypes[h.agent.Type].CPUs
+	for key, t := range h.agent.Tasks {
+		if t.State == wire.TaskExited {
+			continue
+		}
+		if key.Task == task {
+			return wire.CauseBusy
+		}
+		other, _, _ := wire.SplitTask(key.Task)
+		o, _ := h.sim.checker.spec(other)
+		room -= o.CPUs
+	}
+	if room < spec.CPUs-1e-9 {
+		return wire.CauseNoRoom
+	}
+	return ""
+}
+
+// handleDispatch takes orders that came by themselves.
+func (h *fakeMachine) handleDispatch(o wire.Orders) (*wire.Report, bool, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.booted || h.terminated {
+		return nil, false, false
+	}
+	h.expireLease()
+	was := h.agent.Token
+	r, ok := h.agent.Direct(o)
+	h.changed = h.changed || h.agent.Token > was
+	h.updateChecker()
+	return r, ok, true
+}
+
+// expireLease ends the session if the lease ran out.
+func (h *fakeMachine) expireLease() {
+	if h.agent.Expire(h.sim.now()) {
+		h.changed = true
+		h.updateChecker()
+	}
+}
+
+// updateChecker shows the checker what is on the machine; the caller holds the lock.
+func (h *fakeMachine) updateChecker() {
+	now := h.sim.now()
+	for key, task := range h.agent.Tasks {
+		if _, ok := h.stateSince[key]; !ok && task.State != wire.TaskExited {
+			h.stateSince[key] = now
+			h.changed = true
+			if h.sim.onTaskStart != nil {
+				h.sim.onTaskStart(h, key)
+			}
+		}
+	}
+	for key := range h.stateSince {
+		if h.agent.Tasks[key] == nil {
+			delete(h.stateSince, key)
+		}
+	}
+	h.sim.checker.observeMachine(h)
+}
+
+// step is a tenth of a second of the machine.
+func (h *fakeMachine) step() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.sim.now()
+	if !h.booted || h.terminated {
+		return
+	}
+	h.expireLease()
+	if now < h.hungUntil {
+		return
+	}
+	for key, task := range h.agent.Tasks {
+		id, index, _ := wire.SplitTask(key.Task)
+		record := h.sim.checker.jobNamed(id)
+		if record == nil {
+			continue
+		}
+		switch {
+		case task.State == wire.TaskFetching && now-h.stateSince[key] >= imageFetchTime:
+			task.State = wire.TaskRunning
+			if record.spec.Kind == wire.Gang {
+				task.State = wire.TaskWaiting
+			}
+			h.stateSince[key], h.changed = now, true
+		case task.State == wire.TaskRunning && record.alwaysFails && now-h.stateSince[key] >= micro.Second:
+			h.exitTask(key, task, wire.CauseError)
+		case task.State == wire.TaskRunning && record.spec.Kind == wire.Array && now-h.stateSince[key] >= record.runTime+micro.Time(index)*record.runTimeStep:
+			h.exitTask(key, task, wire.CauseDone)
+			h.sim.checker.taskCompleted(id, index)
+		}
+	}
+	h.updateChecker()
+	if !h.sending && (now >= h.nextHeartbeat || h.changed && now-h.lastHeartbeat >= 500*micro.Millisecond) {
+		h.sending, h.changed, h.lastHeartbeat = true, false, now
+		heartbeat := h.agent.Report()
+		if h.sim.isRecording() {
+			h.sentHeartbeats = append(h.sentHeartbeats, wire.MustMarshal(heartbeat))
+		}
+		go h.sendHeartbeat(heartbeat, wire.MustMarshal(heartbeat), now)
+	}
+}
+
+func (h *fakeMachine) exitTask(key fake.Key, t *wire.TaskReport, cause wire.Cause) {
+	t.State, t.Cause = wire.TaskExited, cause
+	h.changed = true
+}
+
+// sendHeartbeat sends one report and takes its answer.
+func (h *fakeMachine) sendHeartbeat(heartbeat *wire.Report, body []byte, sent micro.Time) {
+	sim := h.sim
+	h.mu.Lock()
+	to := sim.controllers[h.controllerIndex]
+	h.mu.Unlock()
+	var got front.Reply
+	ok := false
+	if h.heartbeatsLost() || sim.isPartitioned(h.agent.Zone, to.zone) {
+		time.Sleep(4 * time.Second)
+	} else {
+		got, ok = sim.callNode(to, "workers", 4*time.Second, func(node *Node) front.Reply {
+			sim.waitAgentLatency()
+			defer sim.waitAgentLatency()
+			return node.Beat(body)
+		})
+		if sim.randomChance(sim.replayRatio) {
+			sim.replayHeartbeat(body)
+		}
+		if h.responsesLost() || sim.isPartitioned(h.agent.Zone, to.zone) {
+			time.Sleep(max(0, 4*time.Second-(sim.now()-sent).Std()))
+			ok = false
+		}
+	}
+	h.waitWhileHung()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := sim.now()
+	h.sending = false
+	wait := micro.Of(heartbeatS*0.75) + micro.Time(sim.randomDuration(0, micro.Of(heartbeatS/2.))/time.Microsecond)
+	h.nextHeartbeat = now + wait
+	if h.terminated {
+		return
+	}
+	h.expireLease()
+	late := now-sent > 4*micro.Second
+	switch o := got.Body.(type) {
+	case wire.Orders:
+		if ok && !late && got.Status == 200 {
+			if h.agent.Session == uint64(heartbeat.Session) {
+				was := h.agent.Token
+				h.agent.Answer(o, sent)
+				h.changed = h.changed || h.agent.Token > was
+				h.updateChecker()
+			}
+			return
+		}
+	case wire.Redirect:
+		if ok && !late && got.Status == 421 {
+			for i, controller := range sim.controllers {
+				if controller.name == o.Leader && i != h.controllerIndex {
+					h.controllerIndex, h.nextHeartbeat = i, now+200*micro.Millisecond
+					return
+				}
+			}
+		}
+	}
+	sim.unansweredHeartbeats.Add(1)
+	h.controllerIndex, h.nextHeartbeat = (h.controllerIndex+1)%len(sim.controllers), now+micro.Second
+}
+
+// replayHeartbeat delivers a copy of a report once more, much later, to any node, or to
+// all just as another leader has begun.
+func (w *simCluster) replayHeartbeat(body []byte) {
+	w.mu.Lock()
+	most := w.maxReplayDelay
+	w.mu.Unlock()
+	if most == 0 {
+		return
+	}
+	if w.randomChance(0.5) {
+		was := w.leader()
+		go func() {
+			for range 600 {
+				time.Sleep(100 * time.Millisecond)
+				if leader := w.leader(); w.ctx.Err() != nil || leader != nil && leader != was {
+					break
+				}
+			}
+			for _, controller := range w.controllers {
+				if node := controller.runningNode(); node != nil && w.ctx.Err() == nil {
+					node.Beat(body)
+				}
+			}
+		}()
+		return
+	}
+	time.AfterFunc(w.randomDuration(2*micro.Second, most), func() {
+		if node := w.controllers[w.randomInt(len(w.controllers))].runningNode(); node != nil && w.ctx.Err() == nil {
+			node.Beat(body)
+		}
+	})
+}
+
+// runGangs lets the tasks of gangs find each other.
+func (w *simCluster) runGangs() {
+	type member struct {
+		h     *fakeMachine
+		k     fake.Key
+		index int
+	}
+	type attempt struct {
+		id  string
+		try uint64
+	}
+	now := w.now()
+	all := map[attempt][]member{}
+	for _, machine := range w.liveMachines() {
+		machine.mu.Lock()
+		for key, task := range machine.agent.Tasks {
+			id, index, _ := wire.SplitTask(key.Task)
+			if record := w.checker.jobNamed(id); record != nil && record.spec.Kind == wire.Gang && (task.State == wire.TaskWaiting || task.State == wire.TaskRunning) && now >= machine.hungUntil {
+				all[attempt{id, key.Attempt}] = append(all[attempt{id, key.Attempt}], member{machine, key, index})
+			}
+		}
+		machine.mu.Unlock()
+	}
+	for a, ms := range all {
+		record := w.checker.jobNamed(a.id)
+		whole := len(ms) == record.spec.Tasks
+		for _, m := range ms {
+			m.h.mu.Lock()
+			task := m.h.agent.Tasks[m.k]
+			switch {
+			case task == nil || task.State == wire.TaskExited:
+			case task.State == wire.TaskWaiting && whole:
+				task.State, m.h.stateSince[m.k], m.h.changed = wire.TaskRunning, now, true
+			case task.State == wire.TaskWaiting && now-m.h.stateSince[m.k] > 40*micro.Second:
+				m.h.exitTask(m.k, task, wire.CauseAlone)
+			case task.State == wire.TaskRunning && !whole && now-m.h.stateSince[m.k] > 5*micro.Second:
+				m.h.exitTask(m.k, task, wire.CausePeers)
+			case task.State == wire.TaskRunning && whole && now-m.h.stateSince[m.k] >= record.runTime:
+				m.h.exitTask(m.k, task, wire.CauseDone)
+				for i := range record.spec.Tasks {
+					w.checker.taskCompleted(a.id, i)
+				}
+			}
+			m.h.updateChecker()
+			m.h.mu.Unlock()
+		}
+	}
+}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -40,162 +40,162 @@
 // and answer. Scenarios bring one meeting of troubles about; the random test draws
 // them.
 type simCluster struct {
-	t           testing.TB
-	mu          sync.Mutex // of rand, workers and troubles
-	rand        *rand.Rand
-	from        time.Time
-	store       *fake.Store
-	cloud       *skies
-	controllers []*controllerProc
-	workers     map[string]*host
-	check       *checker
-	ctx         context.Context
-	base        config.Config
-	queue       int // jobs named so far
-	types       []wire.MachineType
-	quick       bool                           // machines are up within two seconds
-	writes      float64                        // changes a second that the store takes; 0: any number
-	starts      func(h *host, k fake.Key)      // told of every start that takes effect
-	wrap        func(l *fake.Link) store.Store // what the nodes have of the store; nil: the link itself
-	vain        atomic.Int64                   // reports that got neither orders nor a leader's name
-	copies      micro.Time                     // how late copies of reports come at the most; 0: none come
-	share       float64                        // of the reports that are copied
-	away        map[string]bool                // zones that are cut off from the others
-	way         micro.Time                     // how long what workers send or are sent is on its way; 0: no time
-	active      int                            // troubles that are not over
-	taping      bool                           // reports are kept, so that copies can come late
-	log         func(node string) *slog.Logger
-	logs        *logs
+	t                    testing.TB
+	mu                   sync.Mutex // of rand, workers and troubles
+	rand                 *rand.Rand
+	startedAt            time.Time
+	store                *fake.Store
+	cloud                *fakeCloud
+	controllers          []*controllerProcess
+	machines             map[string]*fakeMachine
+	checker              *checker
+	ctx                  context.Context
+	config               config.Config
+	jobsNamed            int // jobs named so far
+	machineTypes         []wire.MachineType
+	fastBoot             bool                                     // machines are up within two seconds
+	writeRPS             float64                                  // changes a second that the store takes; 0: any number
+	onTaskStart          func(machine *fakeMachine, key fake.Key) // told of every start that takes effect
+	wrapStore            func(l *fake.Link) store.Store           // what the nodes have of the store; nil: the link itself
+	unansweredHeartbeats atomic.Int64                             // reports that got neither orders nor a leader's name
+	maxReplayDelay       micro.Time                               // how late copies of reports come at the most; 0: none come
+	replayRatio          float64                                  // of the reports that are copied
+	partitionedZones     map[string]bool                          // zones that are cut off from the others
+	agentLatency         micro.Time                               // how long what workers send or are sent is on its way; 0: no time
+	activeFaults         int                                      // troubles that are not over
+	recording            bool                                     // reports are kept, so that copies can come late
+	newLogger            func(node string) *slog.Logger
+	logs                 *logBuffer
 }
 
 const (
-	leaseS  = 30
-	reportS = 3
-	cancelS = 50
-	teamMax = 16
+	leaseS      = 30
+	heartbeatS  = 3
+	cancelS     = 50
+	teamMaxCPUs = 16
 )
 
-// play runs a scenario in fake time.
-func play(t *testing.T, seed uint64, nodes int, set func(*simCluster), scenario func(*simCluster)) {
+// runScenario runs a scenario in fake time.
+func runScenario(t *testing.T, seed uint64, nodes int, set func(*simCluster), scenario func(*simCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		w := newSimCluster(t, ctx, seed)
+		sim := newSimCluster(t, ctx, seed)
 		if set != nil {
-			set(w)
+			set(sim)
 		}
 		for i := range nodes {
-			w.addController(fmt.Sprintf("n-%d", i), []string{"a", "b"}[i%2], nodes)
+			sim.addController(fmt.Sprintf("n-%d", i), []string{"a", "b"}[i%2], nodes)
 		}
-		for _, p := range w.controllers {
-			w.begin(p)
+		for _, controller := range sim.controllers {
+			sim.startController(controller)
 		}
 		// Also after a scenario that gave up: a simulation that goes on would hide why.
-		defer w.close(stop)
-		go w.steps(ctx)
-		scenario(w)
+		defer sim.close(stop)
+		go sim.runMachines(ctx)
+		scenario(sim)
 	})
 }
 
 // close ends a simulation and reports what broke in it.
 func (w *simCluster) close(stop func()) {
 	stop()
-	for _, p := range w.controllers {
-		w.kill(p)
+	for _, controller := range w.controllers {
+		w.killController(controller)
 	}
 	synctest.Wait()
 	time.Sleep(2 * time.Minute) // what is under way comes to its end
-	for _, v := range w.check.broken {
+	for _, v := range w.checker.violations {
 		w.t.Error(v)
 	}
 	if w.t.Failed() {
-		w.save()
+		w.saveLogs()
 	}
 }
 
-// save keeps the nodes' logs, if anybody wants to read them.
-func (w *simCluster) save() {
+// saveLogs keeps the nodes' logs, if anybody wants to read them.
+func (w *simCluster) saveLogs() {
 	if w.logs == nil {
 		return
 	}
 	w.logs.mu.Lock()
 	defer w.logs.mu.Unlock()
 	name := filepath.Join(*simulationLog, strings.NewReplacer("/", "-", " ", "-").Replace(w.t.Name())+".log")
-	if err := os.WriteFile(name, w.logs.b.Bytes(), 0o644); err != nil {
+	if err := os.WriteFile(name, w.logs.buffer.Bytes(), 0o644); err != nil {
 		w.t.Error(err)
 	}
 }
 
 func newSimCluster(t testing.TB, ctx context.Context, seed uint64) *simCluster {
-	w := &simCluster{t: t, rand: rand.New(rand.NewPCG(seed, 17)), from: time.Now(), store: fake.NewStore(), workers: map[string]*host{}, away: map[string]bool{}, ctx: ctx}
-	w.store.Now = w.now
-	w.types = []wire.MachineType{
+	sim := &simCluster{t: t, rand: rand.New(rand.NewPCG(seed, 17)), startedAt: time.Now(), store: fake.NewStore(), machines: map[string]*fakeMachine{}, partitionedZones: map[string]bool{}, ctx: ctx}
+	sim.store.Now = sim.now
+	sim.machineTypes = []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 5, FetchGBPerS: 1, Zones: []string{"a", "b"}},
 		{Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64, Price: 3, SpotPrice: 1, BootS: 8, FetchGBPerS: 1, Zones: []string{"a", "b"}},
 	}
-	w.cloud = &skies{w: w, Cloud: fake.NewCloud(16, w.types...), asked: map[string]micro.Time{}, from: map[string]micro.Time{}, until: map[string]micro.Time{}}
-	w.check = newChecker(w.now, cancelS*micro.Second)
-	w.base = config.Config{Properties: config.Defaults()}
-	f := &w.base.Facts
+	sim.cloud = &fakeCloud{sim: sim, Cloud: fake.NewCloud(16, sim.machineTypes...), terminationRequested: map[string]micro.Time{}, startedAt: map[string]micro.Time{}, terminatedAt: map[string]micro.Time{}}
+	sim.checker = newChecker(sim.now, cancelS*micro.Second)
+	sim.config = config.Config{Properties: config.Defaults()}
+	f := &sim.config.Facts
 	f.Zones = []string{"a", "b"}
-	f.Workers.LeaseS, f.Workers.ReportS, f.Workers.CancelS, f.Workers.GangWaitS, f.Workers.GangPeerS = leaseS, reportS, cancelS, 40, 8
+	f.Workers.LeaseS, f.Workers.ReportS, f.Workers.CancelS, f.Workers.GangWaitS, f.Workers.GangPeerS = leaseS, heartbeatS, cancelS, 40, 8
 	f.State.ValueKB, f.State.TxnOps = 16, 24
 	f.Cloud.ListLagS = 2
 	f.Quota.MaxSockets = 3000
-	f.Teams = []config.Team{{Name: "team", CPUsMax: teamMax}, {Name: "other", CPUsMax: teamMax, CPUs: 4}}
+	f.Teams = []config.Team{{Name: "team", CPUsMax: teamMaxCPUs}, {Name: "other", CPUsMax: teamMaxCPUs, CPUs: 4}}
 	f.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
 	for _, t := range f.Teams {
-		w.check.limits[t.Name] = t.CPUsMax
+		sim.checker.cpuLimits[t.Name] = t.CPUsMax
 	}
-	for _, t := range w.types {
-		w.check.types[t.Name] = t
+	for _, t := range sim.machineTypes {
+		sim.checker.machineTypes[t.Name] = t
 	}
-	w.log = func(string) *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+	sim.newLogger = func(string) *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 	if *simulationLog != "" {
-		w.logs = &logs{}
-		w.log = func(node string) *slog.Logger {
-			return slog.New(slog.NewTextHandler(w.logs, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
+		sim.logs = &logBuffer{}
+		sim.newLogger = func(node string) *slog.Logger {
+			return slog.New(slog.NewTextHandler(sim.logs, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 				if a.Key == slog.TimeKey {
-					return slog.Float64("at", w.now().Seconds())
+					return slog.Float64("at", sim.now().Seconds())
 				}
 				return a
 			}})).With("node", node)
 		}
 	}
-	return w
+	return sim
 }
 
-// logs keeps what the nodes log until it is known whether anybody wants to read it.
-type logs struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// logBuffer keeps what the nodes log until it is known whether anybody wants to read it.
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *logs) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(p)
 }
 
 // now is true time since the simulation began.
-func (w *simCluster) now() micro.Time { return micro.Time(time.Since(w.from).Microseconds()) }
+func (w *simCluster) now() micro.Time { return micro.Time(time.Since(w.startedAt).Microseconds()) }
 
-func (w *simCluster) tapes() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.taping }
+func (w *simCluster) isRecording() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.recording }
 
-func (w *simCluster) drawn(below int) int {
+func (w *simCluster) randomInt(below int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rand.IntN(below)
 }
 
-func (w *simCluster) chance(share float64) bool {
+func (w *simCluster) randomChance(share float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return share > 0 && w.rand.Float64() < share
 }
 
-// between draws a span.
-func (w *simCluster) between(least, most micro.Time) time.Duration {
+// randomDuration draws a span.
+func (w *simCluster) randomDuration(least, most micro.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return (least + micro.Time(w.rand.Int64N(int64(most-least)+1))).Std()
@@ -203,177 +203,179 @@
 
 func (w *simCluster) sleep(d micro.Time) { time.Sleep(d.Std()) }
 
-// until waits for something that must come about, for so long at the most.
-func (w *simCluster) until(what string, most micro.Time, ok func() bool) {
+// waitUntil waits for something that must come about, for so long at the most.
+func (w *simCluster) waitUntil(what string, most micro.Time, ok func() bool) {
 	w.t.Helper()
 	for end := w.now() + most; !ok(); w.sleep(50 * micro.Millisecond) {
 		if w.now() > end {
-			w.save() // the scenario ends here
+			w.saveLogs() // the scenario ends here
 			w.t.Fatalf("%v: never: %s", w.now(), what)
 		}
 	}
 }
 
 // proc is a node over its incarnations.
-type controllerProc struct {
-	w          *simCluster
+type controllerProcess struct {
+	sim        *simCluster
 	name, zone string
 	drift      float64
 	offset     micro.Time
 
-	mu     sync.Mutex
-	node   *Node
-	link   *fake.Link
-	cancel context.CancelFunc
-	alive  bool
-	thaw   time.Time       // it stands still until then
-	cuts   map[string]bool // what the network keeps from it: state, peers, workers, users
-	reach  fake.Reach
+	mu                sync.Mutex
+	node              *Node
+	link              *fake.Link
+	cancel            context.CancelFunc
+	alive             bool
+	frozenUntil       time.Time       // it stands still until then
+	partitions        map[string]bool // what the network keeps from it: state, peers, workers, users
+	storeReachability fake.Reach
 
 	peerDelay micro.Time // how long it takes over each answer to another node
 }
 
-func (w *simCluster) addController(name, zone string, all int) *controllerProc {
-	p := &controllerProc{w: w, name: name, zone: zone, drift: 1 + float64(w.drawn(50))/1e5, offset: micro.Time(w.drawn(3_600_000_000)), cuts: map[string]bool{}}
-	w.controllers = append(w.controllers, p)
-	return p
+func (w *simCluster) addController(name, zone string, all int) *controllerProcess {
+	controller := &controllerProcess{sim: w, name: name, zone: zone, drift: 1 + float64(w.randomInt(50))/1e5, offset: micro.Time(w.randomInt(3_600_000_000)), partitions: map[string]bool{}}
+	w.controllers = append(w.controllers, controller)
+	return controller
 }
 
-// begin starts a process of the node.
-func (w *simCluster) begin(p *controllerProc) {
-	cfg := w.base
-	cfg.Node, cfg.Zone = p.name, p.zone
+// startController starts a process of the node.
+func (w *simCluster) startController(controller *controllerProcess) {
+	cfg := w.config
+	cfg.Node, cfg.Zone = controller.name, controller.zone
 	cfg.Peers = nil
-	for _, o := range w.controllers {
-		if o != p {
-			cfg.Peers = append(cfg.Peers, config.Peer{Node: o.name, Zone: o.zone})
+	for _, other := range w.controllers {
+		if other != controller {
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: other.name, Zone: other.zone})
 		}
 	}
 	cfg.Derive()
 	w.mu.Lock()
 	link := fake.NewLink(w.store, rand.New(rand.NewPCG(w.rand.Uint64(), 1)))
 	w.mu.Unlock()
-	if w.writes > 0 {
-		link.Budget(w.writes, 1/float64(len(w.controllers)))
+	if w.writeRPS > 0 {
+		link.Budget(w.writeRPS, 1/float64(len(w.controllers)))
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	began := w.now()
-	n := &Node{Cfg: &cfg, Store: link, Cloud: &sky{w.cloud, p, link}, Agent: &wires{p, link}, Peers: &peerLines{p, link}, Log: w.log(p.name), Metrics: metrics.New(),
-		Now:  func() micro.Time { return p.offset + micro.Time(float64(w.now()-began)*p.drift) + micro.Second },
+	node := &Node{Cfg: &cfg, Store: link, Cloud: &cloudClient{w.cloud, controller, link}, Agent: &dispatchSender{controller, link}, Peers: &peerCaller{controller, link}, Log: w.newLogger(controller.name), Metrics: metrics.New(),
+		Now: func() micro.Time {
+			return controller.offset + micro.Time(float64(w.now()-began)*controller.drift) + micro.Second
+		},
 		Wall: micro.Wall}
-	if w.wrap != nil {
-		n.Store = w.wrap(link)
-	}
-	n.Init()
-	n.election.OnLead = func(t *election.Term) { n.startLead(ctx, t) }
-	n.election.OnLose = n.stopLead
-	p.mu.Lock()
-	p.node, p.link, p.cancel, p.alive = n, link, cancel, true
-	link.Set(p.reach)
-	if p.cuts["state"] {
+	if w.wrapStore != nil {
+		node.Store = w.wrapStore(link)
+	}
+	node.Init()
+	node.election.OnLead = func(t *election.Term) { node.startLeader(ctx, t) }
+	node.election.OnLose = node.stopLeader
+	controller.mu.Lock()
+	controller.node, controller.link, controller.cancel, controller.alive = node, link, cancel, true
+	link.Set(controller.storeReachability)
+	if controller.partitions["state"] {
 		link.Set(fake.Silent)
 	}
-	p.mu.Unlock()
-	go func() { _ = n.election.Run(ctx) }()
-	go func() { _ = n.fetchCatalog(ctx) }()
-	go func() { _ = n.watchHealth(ctx) }()
-	go func() { _ = n.keepTouch(ctx) }()
-	go func() { _ = n.watchGate(ctx) }()
-	go func() { _ = n.runShares(ctx) }()
+	controller.mu.Unlock()
+	go func() { _ = node.election.Run(ctx) }()
+	go func() { _ = node.fetchCatalog(ctx) }()
+	go func() { _ = node.watchHealth(ctx) }()
+	go func() { _ = node.runLeaseProxy(ctx) }()
+	go func() { _ = node.watchGate(ctx) }()
+	go func() { _ = node.runShards(ctx) }()
 }
 
-// kill ends the process with no signal.
-func (w *simCluster) kill(p *controllerProc) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.alive {
+// killController ends the process with no signal.
+func (w *simCluster) killController(controller *controllerProcess) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	if !controller.alive {
 		return
 	}
-	p.alive = false
-	p.link.Die()
-	p.cancel()
+	controller.alive = false
+	controller.link.Die()
+	controller.cancel()
 }
 
-// restart kills the process, and starts another after a while.
-func (w *simCluster) restart(p *controllerProc, after micro.Time) {
-	w.kill(p)
+// restartController kills the process, and starts another after a while.
+func (w *simCluster) restartController(controller *controllerProcess, after micro.Time) {
+	w.killController(controller)
 	time.AfterFunc(after.Std(), func() {
-		if w.ctx.Err() == nil && !p.up() {
-			w.begin(p)
+		if w.ctx.Err() == nil && !controller.isAlive() {
+			w.startController(controller)
 		}
 	})
 }
 
-func (p *controllerProc) up() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.alive }
+func (p *controllerProcess) isAlive() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.alive }
 
 // freeze lets the process stand still: what it sends, and what it is sent, waits.
-func (p *controllerProc) freeze(d micro.Time) {
+func (p *controllerProcess) freeze(d micro.Time) {
 	p.mu.Lock()
-	p.thaw = time.Now().Add(d.Std())
-	p.link.Hold(p.thaw)
+	p.frozenUntil = time.Now().Add(d.Std())
+	p.link.Hold(p.frozenUntil)
 	p.mu.Unlock()
 }
 
-// stand waits while the process stands still.
-func (p *controllerProc) stand() {
+// waitWhileFrozen waits while the process stands still.
+func (p *controllerProcess) waitWhileFrozen() {
 	p.mu.Lock()
-	d := time.Until(p.thaw)
+	d := time.Until(p.frozenUntil)
 	p.mu.Unlock()
 	if d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// hesitate waits as long as the node takes over an answer to another.
-func (p *controllerProc) hesitate() {
+// waitPeerDelay waits as long as the node takes over an answer to another.
+func (p *controllerProcess) waitPeerDelay() {
 	p.mu.Lock()
 	d := p.peerDelay
 	p.mu.Unlock()
 	time.Sleep(d.Std())
 }
 
-// slowPeers has a node take its time over answers to the other nodes.
-func (w *simCluster) slowPeers(p *controllerProc, d micro.Time) {
-	p.mu.Lock()
-	p.peerDelay = d
-	p.mu.Unlock()
+// delayPeerAnswers has a node take its time over answers to the other nodes.
+func (w *simCluster) delayPeerAnswers(controller *controllerProcess, d micro.Time) {
+	controller.mu.Lock()
+	controller.peerDelay = d
+	controller.mu.Unlock()
 }
 
-// cut sets what the network keeps from the node.
-func (p *controllerProc) cut(on bool, what ...string) {
+// setPartitioned sets what the network keeps from the node.
+func (p *controllerProcess) setPartitioned(on bool, what ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range what {
-		p.cuts[x] = on
+		p.partitions[x] = on
 		if x == "state" {
-			if p.link.Set(p.reach); on {
+			if p.link.Set(p.storeReachability); on {
 				p.link.Set(fake.Silent)
 			}
 		}
 	}
 }
 
-// refuse has the store refuse the node, and it alone.
-func (p *controllerProc) refuse(on bool) {
+// setRefused has the store refuse the node, and it alone.
+func (p *controllerProcess) setRefused(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reach = fake.Served
+	p.storeReachability = fake.Served
 	if on {
-		p.reach = fake.Refused
+		p.storeReachability = fake.Refused
 	}
-	if !p.cuts["state"] {
-		p.link.Set(p.reach)
+	if !p.partitions["state"] {
+		p.link.Set(p.storeReachability)
 	}
 }
 
-func (p *controllerProc) cutFrom(what string) bool {
+func (p *controllerProcess) partitionedFrom(what string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cuts[what]
+	return p.partitions[what]
 }
 
-// current is the process that answers now; nil: none.
-func (p *controllerProc) current() *Node {
+// runningNode is the process that answers now; nil: none.
+func (p *controllerProcess) runningNode() *Node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.alive {
@@ -383,88 +385,88 @@
 }
 
 // leader is the node with the right to act, nil if there is none.
-func (w *simCluster) leader() *controllerProc {
-	for _, p := range w.controllers {
-		if n := p.current(); n != nil && n.leading() != nil {
-			return p
+func (w *simCluster) leader() *controllerProcess {
+	for _, controller := range w.controllers {
+		if n := controller.runningNode(); n != nil && n.activeLeader() != nil {
+			return controller
 		}
 	}
 	return nil
 }
 
-// parted reports whether the network keeps two zones apart.
-func (w *simCluster) parted(a, b string) bool {
+// isPartitioned reports whether the network keeps two zones apart.
+func (w *simCluster) isPartitioned(a, b string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return a != b && (w.away[a] || w.away[b])
+	return a != b && (w.partitionedZones[a] || w.partitionedZones[b])
 }
 
-// call asks a process, as one that waits for so long.
-func (w *simCluster) call(p *controllerProc, from string, wait time.Duration, ask func(*Node) front.Reply) (front.Reply, bool) {
-	n := p.current()
-	if n == nil {
+// callNode asks a process, as one that waits for so long.
+func (w *simCluster) callNode(controller *controllerProcess, from string, wait time.Duration, ask func(*Node) front.Reply) (front.Reply, bool) {
+	node := controller.runningNode()
+	if node == nil {
 		return front.Reply{}, false
 	}
-	if p.cutFrom(from) {
+	if controller.partitionedFrom(from) {
 		time.Sleep(wait)
 		return front.Reply{}, false
 	}
 	ch := make(chan front.Reply, 1)
 	go func() {
-		p.stand()
-		if p.current() == n {
-			r := ask(n)
-			p.stand()
-			ch <- r
+		controller.waitWhileFrozen()
+		if controller.runningNode() == node {
+			reply := ask(node)
+			controller.waitWhileFrozen()
+			ch <- reply
 		}
 	}()
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case r := <-ch:
-		if p.current() != n || p.cutFrom(from) {
+	case reply := <-ch:
+		if controller.runningNode() != node || controller.partitionedFrom(from) {
 			<-t.C
 			return front.Reply{}, false
 		}
-		return r, true
+		return reply, true
 	case <-t.C:
 		return front.Reply{}, false
 	}
 }
 
-// peerLines are the calls of one process to the other nodes.
-type peerLines struct {
-	p    *controllerProc
-	link *fake.Link
+// peerCaller are the calls of one process to the other nodes.
+type peerCaller struct {
+	process *controllerProcess
+	link    *fake.Link
 }
 
 // Call asks a node.
-func (c *peerLines) Call(ctx context.Context, node, call string, body []byte, wait micro.Time) (int, []byte, error) {
+func (c *peerCaller) Call(ctx context.Context, node, call string, body []byte, wait micro.Time) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait.Std())
 	defer cancel()
-	c.p.stand()
+	c.process.waitWhileFrozen()
 	type answer struct {
 		status int
 		out    []byte
 	}
 	ch := make(chan answer, 1)
-	for _, o := range c.p.w.controllers {
-		if o.name != node {
+	for _, other := range c.process.sim.controllers {
+		if other.name != node {
 			continue
 		}
-		n := o.current()
+		n := other.runningNode()
 		if n == nil {
 			return 0, nil, peer.ErrUnreachable
 		}
-		if o.cutFrom("peers") || c.p.cutFrom("peers") || c.p.current() == nil || c.p.w.parted(o.zone, c.p.zone) {
+		if other.partitionedFrom("peers") || c.process.partitionedFrom("peers") || c.process.runningNode() == nil || c.process.sim.isPartitioned(other.zone, c.process.zone) {
 			break
 		}
 		go func() {
-			o.stand()
-			if o.current() == n {
-				status, out := n.peerCall(context.Background(), call, body)
-				o.hesitate()
-				o.stand()
+			other.waitWhileFrozen()
+			if other.runningNode() == n {
+				status, out := n.handlePeerCall(context.Background(), call, body)
+				other.waitPeerDelay()
+				other.waitWhileFrozen()
 				ch <- answer{status, out}
 			}
 		}()
@@ -477,37 +479,37 @@
 	}
 }
 
-// wires carry the direct orders of one process.
-type wires struct {
-	p    *controllerProc
-	link *fake.Link
+// dispatchSender carry the direct orders of one process.
+type dispatchSender struct {
+	process *controllerProcess
+	link    *fake.Link
 }
 
 // Send delivers orders to a worker. A machine that hangs keeps them until it
 // goes on, long after the sender has given up.
-func (s *wires) Send(addr string, o wire.Orders) (*wire.Report, bool, error) {
-	s.p.stand()
-	if s.p.current() == nil {
+func (s *dispatchSender) Send(addr string, commands wire.Orders) (*wire.Report, bool, error) {
+	s.process.waitWhileFrozen()
+	if s.process.runningNode() == nil {
 		return nil, false, agent.ErrUncertain
 	}
-	w := s.p.w
-	h := w.host(addr[:len(addr)-len(":9000")])
+	sim := s.process.sim
+	machine := sim.machineNamed(addr[:len(addr)-len(":9000")])
 	type answer struct {
 		r  *wire.Report
 		ok bool
 	}
 	ch := make(chan answer, 1)
-	if h != nil && h.holdsUp(o) {
-		h = nil
+	if machine != nil && machine.interceptDispatch(commands) {
+		machine = nil
 	}
-	if h != nil && !s.p.cutFrom("workers") && !w.parted(h.w.Zone, s.p.zone) && !h.deaf() {
+	if machine != nil && !s.process.partitionedFrom("workers") && !sim.isPartitioned(machine.agent.Zone, s.process.zone) && !machine.responsesLost() {
 		go func() {
-			w.travel()
-			h.wake()
-			r, ok, there := h.direct(o)
-			w.travel()
+			sim.waitAgentLatency()
+			machine.waitWhileHung()
+			heartbeat, ok, there := machine.handleDispatch(commands)
+			sim.waitAgentLatency()
 			if there {
-				ch <- answer{r, ok}
+				ch <- answer{heartbeat, ok}
 			}
 		}()
 	}
@@ -521,82 +523,82 @@
 	}
 }
 
-// skies are the cloud, which boots workers.
-type skies struct {
+// fakeCloud are the cloud, which boots workers.
+type fakeCloud struct {
 	*fake.Cloud
-	w     *simCluster
-	down  bool
-	never float64  // share of machines that never come up
-	lost  float64  // share of rentals whose answer is lost
-	back  []string // machines that were returned
+	sim              *simCluster
+	unavailable      bool
+	bootFailureRatio float64  // share of machines that never come up
+	lostAnswerRatio  float64  // share of rentals whose answer is lost
+	terminated       []string // machines that were returned
 	// whose boot fails; nil: none beside the share above
-	fails func(r wire.Rental) bool
+	failsBoot func(r wire.Rental) bool
 	// machines that are not listed; nil: none
-	hides func(name string) bool
+	unlisted func(name string) bool
 	// how late a return is carried out, and not answered; 0: at once
-	late  micro.Time
-	asked map[string]micro.Time // machines whose return was asked for, and when first
-	from  map[string]micro.Time // when each machine was rented
-	until map[string]micro.Time // when it was returned
+	terminationDelay     micro.Time
+	terminationRequested map[string]micro.Time // machines whose return was asked for, and when first
+	startedAt            map[string]micro.Time // when each machine was rented
+	terminatedAt         map[string]micro.Time // when it was returned
 }
 
-// charged is for how long all machines together were rented.
-func (s *skies) charged() micro.Time {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
+// billedTime is for how long all machines together were rented.
+func (s *fakeCloud) billedTime() micro.Time {
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
 	var sum micro.Time
-	for name, from := range s.from {
-		end, back := s.until[name]
+	for name, from := range s.startedAt {
+		end, back := s.terminatedAt[name]
 		if !back {
-			end = s.w.now()
+			end = s.sim.now()
 		}
 		sum += end - from
 	}
 	return sum
 }
 
-// sky is the cloud as one process reaches it.
-type sky struct {
-	*skies
-	p    *controllerProc
-	link *fake.Link
+// cloudClient is the cloud as one process reaches it.
+type cloudClient struct {
+	*fakeCloud
+	process *controllerProcess
+	link    *fake.Link
 }
 
-func (s *sky) away(ctx context.Context) error {
-	s.p.stand()
-	time.Sleep(s.w.between(20*micro.Millisecond, 200*micro.Millisecond))
-	if s.p.current() == nil || s.p.cutFrom("cloud") {
+func (s *cloudClient) waitReachable(ctx context.Context) error {
+	s.process.waitWhileFrozen()
+	time.Sleep(s.sim.randomDuration(20*micro.Millisecond, 200*micro.Millisecond))
+	if s.process.runningNode() == nil || s.process.partitionedFrom("cloud") {
 		<-ctx.Done()
 		return cloud.ErrUncertain
 	}
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	if s.down {
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
+	if s.unavailable {
 		return cloud.ErrTrouble
 	}
 	return nil
 }
 
 // Catalog lists the types.
-func (s *sky) Catalog(ctx context.Context) (*wire.Catalog, error) {
+func (s *cloudClient) Catalog(ctx context.Context) (*wire.Catalog, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	if err := s.away(ctx); err != nil {
+	if err := s.waitReachable(ctx); err != nil {
 		return nil, err
 	}
 	return s.Cloud.Catalog(ctx)
 }
 
 // Rent rents machines, which boot by and by or at once.
-func (s *sky) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
-	if err := s.away(ctx); err != nil {
+func (s *cloudClient) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
+	if err := s.waitReachable(ctx); err != nil {
 		return nil, err
 	}
 	names, err := s.Cloud.Rent(ctx, r)
 	for _, name := range names {
-		s.w.boot(name, r)
+		s.sim.bootMachine(name, r)
 	}
-	if s.w.chance(s.lost) {
+	if s.sim.randomChance(s.lostAnswerRatio) {
 		<-ctx.Done()
 		return nil, cloud.ErrUncertain
 	}
@@ -604,113 +606,113 @@
 }
 
 // Return deletes machines.
-func (s *sky) Return(ctx context.Context, names []string) error {
-	if err := s.away(ctx); err != nil {
+func (s *cloudClient) Return(ctx context.Context, names []string) error {
+	if err := s.waitReachable(ctx); err != nil {
 		return err
 	}
-	s.w.mu.Lock()
-	late := s.late
+	s.sim.mu.Lock()
+	late := s.terminationDelay
 	for _, name := range names {
-		if s.asked[name] == 0 {
-			s.asked[name] = s.w.now()
+		if s.terminationRequested[name] == 0 {
+			s.terminationRequested[name] = s.sim.now()
 		}
 	}
-	s.w.mu.Unlock()
+	s.sim.mu.Unlock()
 	if late > 0 {
-		time.AfterFunc(late.Std(), func() { _ = s.carryOut(context.Background(), names) })
+		time.AfterFunc(late.Std(), func() { _ = s.terminate(context.Background(), names) })
 		<-ctx.Done()
 		return cloud.ErrUncertain
 	}
-	return s.carryOut(ctx, names)
+	return s.terminate(ctx, names)
 }
 
-func (s *sky) carryOut(ctx context.Context, names []string) error {
-	s.w.mu.Lock()
-	s.back = append(s.back, names...)
+func (s *cloudClient) terminate(ctx context.Context, names []string) error {
+	s.sim.mu.Lock()
+	s.terminated = append(s.terminated, names...)
 	for _, name := range names {
-		if s.until[name] == 0 {
-			s.until[name] = s.w.now()
+		if s.terminatedAt[name] == 0 {
+			s.terminatedAt[name] = s.sim.now()
 		}
 	}
-	s.w.mu.Unlock()
+	s.sim.mu.Unlock()
 	for _, name := range names {
-		if h := s.w.host(name); h != nil {
-			h.die()
+		if machine := s.sim.machineNamed(name); machine != nil {
+			machine.terminate()
 		}
 	}
 	return s.Cloud.Return(ctx, names)
 }
 
 // List lists all machines.
-func (s *sky) List(ctx context.Context, after string) (*wire.MachineList, error) {
-	if err := s.away(ctx); err != nil {
+func (s *cloudClient) List(ctx context.Context, after string) (*wire.MachineList, error) {
+	if err := s.waitReachable(ctx); err != nil {
 		return nil, err
 	}
 	l, err := s.Cloud.List(ctx, after)
-	if err != nil || s.hides == nil {
+	if err != nil || s.unlisted == nil {
 		return l, err
 	}
-	l.Machines = slices.DeleteFunc(l.Machines, func(m wire.ListedMachine) bool { return s.hides(m.Name) })
+	l.Machines = slices.DeleteFunc(l.Machines, func(m wire.ListedMachine) bool { return s.unlisted(m.Name) })
 	return l, nil
 }
 
-func (w *simCluster) host(name string) *host {
+func (w *simCluster) machineNamed(name string) *fakeMachine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.workers[name]
+	return w.machines[name]
 }
 
-// hosts lists the machines that are there, in the order of their names. No lock
+// liveMachines lists the machines that are there, in the order of their names. No lock
 // of a machine is taken under that of the cluster: a machine takes them the other
 // way round.
-func (w *simCluster) hosts() []*host {
+func (w *simCluster) liveMachines() []*fakeMachine {
 	w.mu.Lock()
-	all := make([]*host, 0, len(w.workers))
-	for _, h := range w.workers {
-		all = append(all, h)
+	all := make([]*fakeMachine, 0, len(w.machines))
+	for _, machine := range w.machines {
+		all = append(all, machine)
 	}
 	w.mu.Unlock()
-	var out []*host
-	for _, h := range all {
-		if h.alive() {
-			out = append(out, h)
+	var out []*fakeMachine
+	for _, machine := range all {
+		if machine.isUp() {
+			out = append(out, machine)
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].w.Name < out[b].w.Name })
+	sort.Slice(out, func(a, b int) bool { return out[a].agent.Name < out[b].agent.Name })
 	return out
 }
 
-// boot brings a rented machine up, once.
-func (w *simCluster) boot(name string, r wire.Rental) {
+// bootMachine brings a rented machine up, once.
+func (w *simCluster) bootMachine(name string, request wire.Rental) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.workers[name] != nil {
+	if w.machines[name] != nil {
 		return
 	}
-	fw := fake.NewWorker(name, r.Type, r.Zone, leaseS*micro.Second)
-	fw.Spot = r.Spot
+	fw := fake.NewWorker(name, request.Type, request.Zone, leaseS*micro.Second)
+	fw.Spot = request.Spot
 	fw.First = wire.TaskFetching
-	h := &host{cluster: w, w: fw, since: map[fake.Key]micro.Time{}, at: w.rand.IntN(len(w.controllers))}
-	w.workers[name] = h
-	w.cloud.from[name] = w.now()
-	if w.rand.Float64() < w.cloud.never || w.cloud.fails != nil && w.cloud.fails(r) {
+	machine := &fakeMachine{sim: w, agent: fw, stateSince: map[fake.Key]micro.Time{}, controllerIndex: w.rand.IntN(len(w.controllers))}
+	w.machines[name] = machine
+	w.cloud.startedAt[name] = w.now()
+	if w.rand.Float64() < w.cloud.bootFailureRatio || w.cloud.failsBoot != nil && w.cloud.failsBoot(request) {
 		return
 	}
-	d := 3*time.Second + time.Duration(w.rand.Int64N(int64(4*time.Second)))
-	if w.quick {
-		d = time.Duration(w.rand.Int64N(int64(2 * time.Second)))
+	duration := 3*time.Second + time.Duration(w.rand.Int64N(int64(4*time.Second)))
+	if w.fastBoot {
+		duration = time.Duration(w.rand.Int64N(int64(2 * time.Second)))
 	}
-	time.AfterFunc(d, h.boot)
+	time.AfterFunc(duration, machine.boot)
 }
 
-// steps lets the machines go on, every tenth of a second.
-func (w *simCluster) steps(ctx context.Context) {
+// runMachines lets the machines go on, every tenth of a second.
+func (w *simCluster) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, h := range w.hosts() {
-			h.step()
+		for _, machine := range w.liveMachines() {
+			machine.step()
 		}
-		w.gangs()
-		w.check.look()
+		w.runGangs()
+		w.checker.checkCancelled()
 		time.Sleep(100 * time.Millisecond)
 	}
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -9,110 +9,110 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// order is a job as a user wants it.
-type order struct {
-	kind    wire.Kind
-	tasks   int
-	run     micro.Time
-	apart   micro.Time // each task of an array runs so much longer than the one before
-	cpus    float64
-	team    string
-	rank    wire.Priority
-	spread  bool
-	oneZone bool
-	spot    bool
-	zone    string
-	broken  bool
-	awaits  []string // ids of jobs that must be done before
+// jobRequest is a job as a user wants it.
+type jobRequest struct {
+	kind         wire.Kind
+	tasks        int
+	runTime      micro.Time
+	runTimeStep  micro.Time // each task of an array runs so much longer than the one before
+	cpus         float64
+	team         string
+	priority     wire.Priority
+	spread       bool
+	oneZone      bool
+	spot         bool
+	zone         string
+	alwaysFails  bool
+	dependencies []string // ids of jobs that must be done before
 }
 
-func (o order) body(id string) []byte {
-	m := map[string]any{"nameId": id, "jobclass": "c", "outfit": o.team, "shape": string(o.kind), "rank": string(o.rank),
+func (o jobRequest) body(id string) []byte {
+	m := map[string]any{"nameId": id, "jobclass": "c", "outfit": o.team, "shape": string(o.kind), "rank": string(o.priority),
 		"pieces": o.tasks, "vcpus": o.cpus, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": o.oneZone, "scatter": o.spread, "loaners": o.spot,
-		"guessS": (o.run + micro.Time(o.tasks-1)*o.apart).Seconds(), "bookmarkS": 0, "stashS": 0}
+		"guessS": (o.runTime + micro.Time(o.tasks-1)*o.runTimeStep).Seconds(), "bookmarkS": 0, "stashS": 0}
 	if o.kind == wire.Service {
 		m["guessS"] = 0
 	}
 	if o.zone != "" {
 		m["yard"] = o.zone
 	}
-	if o.awaits != nil {
-		m["awaits"] = o.awaits
+	if o.dependencies != nil {
+		m["awaits"] = o.dependencies
 	}
 	return wire.MustMarshal(m)
 }
 
-// job is a submission by its user, who keeps to the protocol.
-type job struct {
-	w    *simCluster
+// userJob is a submission by its user, who keeps to the protocol.
+type userJob struct {
+	sim  *simCluster
 	id   string
 	body []byte
 }
 
-// wants makes a job that nobody has submitted yet.
-func (w *simCluster) wants(o order) *job {
-	if o.cpus == 0 {
-		o.cpus = 1
+// newJob makes a job that nobody has submitted yet.
+func (w *simCluster) newJob(request jobRequest) *userJob {
+	if request.cpus == 0 {
+		request.cpus = 1
 	}
-	if o.team == "" {
-		o.team = "team"
+	if request.team == "" {
+		request.team = "team"
 	}
-	if o.rank == "" {
-		o.rank = wire.Normal
+	if request.priority == "" {
+		request.priority = wire.Normal
 	}
 	w.mu.Lock()
-	w.queue++
-	id := fmt.Sprintf("j-%04d", w.queue)
+	w.jobsNamed++
+	id := fmt.Sprintf("j-%04d", w.jobsNamed)
 	w.mu.Unlock()
-	body := o.body(id)
+	body := request.body(id)
 	spec, err := wire.DecodeJob(body)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.check.sent(*spec, o.run, o.broken)
-	w.check.job(id).apart = o.apart
-	return &job{w, id, body}
+	w.checker.submitted(*spec, request.runTime, request.alwaysFails)
+	w.checker.jobNamed(id).runTimeStep = request.runTimeStep
+	return &userJob{w, id, body}
 }
 
-// any draws a node that takes users, nil if there is none.
-func (w *simCluster) any() *controllerProc {
+// randomUserNode draws a node that takes users, nil if there is none.
+func (w *simCluster) randomUserNode() *controllerProcess {
 	for range 8 {
-		if p := w.controllers[w.drawn(len(w.controllers))]; p.up() && !p.cutFrom("users") {
-			return p
+		if controller := w.controllers[w.randomInt(len(w.controllers))]; controller.isAlive() && !controller.partitionedFrom("users") {
+			return controller
 		}
 	}
 	return nil
 }
 
-// try sends one request to one node.
-func (j *job) try(p *controllerProc, wait time.Duration, ask func(*Node) front.Reply) front.Reply {
-	if p == nil {
+// request sends one request to one node.
+func (j *userJob) request(controller *controllerProcess, wait time.Duration, ask func(*Node) front.Reply) front.Reply {
+	if controller == nil {
 		return front.Reply{}
 	}
-	knew := j.w.check.asks(j.id)
-	r, ok := j.w.call(p, "users", wait, ask)
+	knowledge := j.sim.checker.knowledgeOf(j.id)
+	r, ok := j.sim.callNode(controller, "users", wait, ask)
 	if !ok {
 		return front.Reply{}
 	}
-	j.w.check.told(j.id, p.name, knew, r)
+	j.sim.checker.checkAnswer(j.id, controller.name, knowledge, r)
 	return r
 }
 
-func (j *job) send(p *controllerProc) front.Reply {
-	return j.try(p, 5*time.Second, func(n *Node) front.Reply { return n.Submit(j.body) })
+func (j *userJob) submitOnce(controller *controllerProcess) front.Reply {
+	return j.request(controller, 5*time.Second, func(n *Node) front.Reply { return n.Submit(j.body) })
 }
 
-func (j *job) poll(p *controllerProc) front.Reply {
-	return j.try(p, 2*time.Second, func(n *Node) front.Reply { return n.Show(j.id) })
+func (j *userJob) queryStatus(controller *controllerProcess) front.Reply {
+	return j.request(controller, 2*time.Second, func(n *Node) front.Reply { return n.Show(j.id) })
 }
 
-func (j *job) withdraw(p *controllerProc) front.Reply {
-	j.w.check.withdraws(j.id)
-	return j.try(p, 5*time.Second, func(n *Node) front.Reply { return n.Withdraw(j.id) })
+func (j *userJob) cancelOnce(controller *controllerProcess) front.Reply {
+	j.sim.checker.requestCancel(j.id)
+	return j.request(controller, 5*time.Second, func(n *Node) front.Reply { return n.Withdraw(j.id) })
 }
 
 // state is what the answer says, "" if it says nothing.
-func stateOf(r front.Reply) wire.JobState {
+func replyState(r front.Reply) wire.JobState {
 	if s, ok := r.Body.(wire.JobStatus); ok && (r.Status == 200 || r.Status == 201) {
 		return s.State
 	}
@@ -120,9 +120,9 @@
 }
 
 // submit goes on until the job is accepted.
-func (j *job) submit() *job {
-	for j.w.ctx.Err() == nil {
-		if r := j.send(j.w.any()); r.Status == 200 || r.Status == 201 {
+func (j *userJob) submit() *userJob {
+	for j.sim.ctx.Err() == nil {
+		if r := j.submitOnce(j.sim.randomUserNode()); r.Status == 200 || r.Status == 201 {
 			break
 		}
 		time.Sleep(time.Second)
@@ -131,9 +131,9 @@
 }
 
 // cancel goes on until the user is told.
-func (j *job) cancel() wire.JobState {
-	for j.w.ctx.Err() == nil {
-		if s := stateOf(j.withdraw(j.w.any())); s.Final() {
+func (j *userJob) cancel() wire.JobState {
+	for j.sim.ctx.Err() == nil {
+		if s := replyState(j.cancelOnce(j.sim.randomUserNode())); s.Final() {
 			return s
 		}
 		time.Sleep(time.Second)
@@ -141,35 +141,35 @@
 	return ""
 }
 
-// watch polls until the job is over.
-func (j *job) watch() {
-	for j.w.ctx.Err() == nil {
-		if stateOf(j.poll(j.w.any())).Final() {
+// watchUntilFinal polls until the job is over.
+func (j *userJob) watchUntilFinal() {
+	for j.sim.ctx.Err() == nil {
+		if replyState(j.queryStatus(j.sim.randomUserNode())).Final() {
 			return
 		}
-		time.Sleep(j.w.between(3*micro.Second, 6*micro.Second))
+		time.Sleep(j.sim.randomDuration(3*micro.Second, 6*micro.Second))
 	}
 }
 
-// closely asks all nodes, again and again within milliseconds, and repeats the
+// queryRapidly asks all nodes, again and again within milliseconds, and repeats the
 // submission.
-func (j *job) closely() {
+func (j *userJob) queryRapidly() {
 	for range 3 {
-		for _, p := range j.w.controllers {
-			go j.poll(p)
-			go j.send(p)
+		for _, controller := range j.sim.controllers {
+			go j.queryStatus(controller)
+			go j.submitOnce(controller)
 		}
-		time.Sleep(j.w.between(micro.Millisecond, 20*micro.Millisecond))
+		time.Sleep(j.sim.randomDuration(micro.Millisecond, 20*micro.Millisecond))
 	}
 }
 
-// running is how many tasks of the job are on machines.
-func (j *job) running() int {
-	c := j.w.check
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// runningTasks is how many tasks of the job are on machines.
+func (j *userJob) runningTasks() int {
+	checker := j.sim.checker
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	n := 0
-	for task, ms := range c.on {
+	for task, ms := range checker.machinesByTask {
 		if id, _, _ := wire.SplitTask(task); id == j.id {
 			n += len(ms)
 		}
@@ -177,80 +177,80 @@
 	return n
 }
 
-// on lists the machines that tasks of the job are on.
-func (j *job) on() []*host {
-	c := j.w.check
-	c.mu.Lock()
+// machines lists the machines that tasks of the job are on.
+func (j *userJob) machines() []*fakeMachine {
+	checker := j.sim.checker
+	checker.mu.Lock()
 	names := map[string]bool{}
-	for task, ms := range c.on {
+	for task, machines := range checker.machinesByTask {
 		if id, _, _ := wire.SplitTask(task); id == j.id {
-			for m := range ms {
+			for m := range machines {
 				names[m] = true
 			}
 		}
 	}
-	c.mu.Unlock()
-	var out []*host
-	for _, h := range j.w.hosts() {
-		if names[h.w.Name] {
-			out = append(out, h)
+	checker.mu.Unlock()
+	var out []*fakeMachine
+	for _, machine := range j.sim.liveMachines() {
+		if names[machine.agent.Name] {
+			out = append(out, machine)
 		}
 	}
 	return out
 }
 
-// ripe lists the tasks of a job that have run for so long.
-func (w *simCluster) ripe(j *job, d micro.Time) []string {
+// tasksRunningFor lists the tasks of a job that have run for so long.
+func (w *simCluster) tasksRunningFor(job *userJob, d micro.Time) []string {
 	var out []string
-	for _, h := range w.hosts() {
-		h.mu.Lock()
-		for k, t := range h.w.Tasks {
-			if id, _, _ := wire.SplitTask(k.Task); id == j.id && t.State == wire.TaskRunning && w.now()-h.since[k] >= d {
-				out = append(out, k.Task)
+	for _, machine := range w.liveMachines() {
+		machine.mu.Lock()
+		for key, t := range machine.agent.Tasks {
+			if id, _, _ := wire.SplitTask(key.Task); id == job.id && t.State == wire.TaskRunning && w.now()-machine.stateSince[key] >= d {
+				out = append(out, key.Task)
 			}
 		}
-		h.mu.Unlock()
+		machine.mu.Unlock()
 	}
 	return out
 }
 
-// starts is how many starts of its tasks took effect so far.
-func (j *job) starts() int {
-	j.w.mu.Lock()
-	var all []*host
-	for _, h := range j.w.workers {
-		all = append(all, h)
+// startCount is how many starts of its tasks took effect so far.
+func (j *userJob) startCount() int {
+	j.sim.mu.Lock()
+	var all []*fakeMachine
+	for _, machine := range j.sim.machines {
+		all = append(all, machine)
 	}
-	j.w.mu.Unlock()
+	j.sim.mu.Unlock()
 	n := 0
-	for _, h := range all {
-		h.mu.Lock()
-		for _, task := range h.w.Started {
+	for _, machine := range all {
+		machine.mu.Lock()
+		for _, task := range machine.agent.Started {
 			if id, _, _ := wire.SplitTask(task); id == j.id {
 				n++
 			}
 		}
-		h.mu.Unlock()
+		machine.mu.Unlock()
 	}
 	return n
 }
 
-// aborted is when the user was told that the job is cancelled, by which node, and
+// abortReport is when the user was told that the job is cancelled, by which node, and
 // how many of its tasks were on machines then; false: not yet.
-func (j *job) aborted() (at micro.Time, by string, left int, ok bool) {
-	c := j.w.check
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	x := c.jobs[j.id]
-	return x.toldAt, x.toldBy, x.left, x.aborted
+func (j *userJob) abortReport() (at micro.Time, by string, left int, ok bool) {
+	checker := j.sim.checker
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	x := checker.jobs[j.id]
+	return x.abortReportedAt, x.abortReportedBy, x.tasksAtAbort, x.aborted
 }
 
-// is what the user was told so far.
-func (j *job) is() seen { return j.w.check.asks(j.id) }
+// knowledge what the user was told so far.
+func (j *userJob) knowledge() userKnowledge { return j.sim.checker.knowledgeOf(j.id) }
 
-// served reports whether a job has got what it is owed: it is over, or a service
+// satisfied reports whether a job has got what it is owed: it is over, or a service
 // that runs in full, or fails wherever it runs.
-func (j *job) served() bool {
-	s, jd := j.is(), j.w.check.job(j.id)
-	return s.done || s.aborted || jd.broken || jd.spec.Kind == wire.Service && j.running() == jd.spec.Tasks
+func (j *userJob) satisfied() bool {
+	s, jd := j.knowledge(), j.sim.checker.jobNamed(j.id)
+	return s.done || s.aborted || jd.alwaysFails || jd.spec.Kind == wire.Service && j.runningTasks() == jd.spec.Tasks
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -21,19 +21,19 @@
 
 // Records and messages as the code of version 1 wrote them, byte for byte.
 const (
-	v1Spec   = "de0015a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a47465616da57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd0000000000000a467707573cb0000000000000000a572616d4762cb3ff0000000000000a662756e646c65a6696d672d3037a670756c6c4762cb3ff8000000000000a47269677391a5736d616c6ca479617264a465617374a76f6e655a6f6e65c3a773636174746572c2a76c6f616e657273c3a6677565737353cb406e000000000000a9626f6f6b6d61726b53cb403e000000000000a6737461736853cb4010000000000000a464756553cb408c200000000000a26174cf00060a24181e4000"
-	v1Chunk  = "83a1709295cc8202a8692d30303032333103a46561737495cc8301a8692d30303032333201a477657374a1649292cc80cc8192cc8cccc7a1749192cc8704"
-	v1End    = "81a57374617465a761626f72746564"
-	v1Hire   = "84a17285a468697265a5722d372d31a3726967a5736d616c6ca479617264a465617374a76c6f616e657273c3a5636f756e7402a16d92a8692d303030323331a8692d303030323332a161c3a26174cf00060a24181e4000"
-	v1First  = "81a16da8692d303030323331"
-	v1Leader = "83a46e6f6465a36e2d30a56e6f6e6365a3414243a56c6561736507"
-	v1Images = "83a16e91a6696d672d3037a16791cb3ff8000000000000a16d81a8692d3030303233319100"
-	v1Keep   = "83a16ea36e2d31a16582a17407a161cd3039a16bc3"
-	v1Echo   = "82a17407a161cd3039"
-	v1Status = "84a66e616d654964a86a2d303030343132a6737461747573a772756e6e696e67a4646f6e6503a772756e6e696e6702"
+	v1Spec              = "de0015a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a47465616da57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd0000000000000a467707573cb0000000000000000a572616d4762cb3ff0000000000000a662756e646c65a6696d672d3037a670756c6c4762cb3ff8000000000000a47269677391a5736d616c6ca479617264a465617374a76f6e655a6f6e65c3a773636174746572c2a76c6f616e657273c3a6677565737353cb406e000000000000a9626f6f6b6d61726b53cb403e000000000000a6737461736853cb4010000000000000a464756553cb408c200000000000a26174cf00060a24181e4000"
+	v1Chunk             = "83a1709295cc8202a8692d30303032333103a46561737495cc8301a8692d30303032333201a477657374a1649292cc80cc8192cc8cccc7a1749192cc8704"
+	v1End               = "81a57374617465a761626f72746564"
+	v1InstanceRequest   = "84a17285a468697265a5722d372d31a3726967a5736d616c6ca479617264a465617374a76c6f616e657273c3a5636f756e7402a16d92a8692d303030323331a8692d303030323332a161c3a26174cf00060a24181e4000"
+	v1First             = "81a16da8692d303030323331"
+	v1Leader            = "83a46e6f6465a36e2d30a56e6f6e6365a3414243a56c6561736507"
+	v1Images            = "83a16e91a6696d672d3037a16791cb3ff8000000000000a16d81a8692d3030303233319100"
+	v1LeaseProxyRequest = "83a16ea36e2d31a16582a17407a161cd3039a16bc3"
+	v1LeaseProxyEcho    = "82a17407a161cd3039"
+	v1Status            = "84a66e616d654964a86a2d303030343132a6737461747573a772756e6e696e67a4646f6e6503a772756e6e696e6702"
 )
 
-func sent(t *testing.T, v1 string) []byte {
+func decodeVersion1(t *testing.T, v1 string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(v1)
 	if err != nil {
@@ -42,29 +42,29 @@
 	return b
 }
 
-// values are what v1's bytes stand for.
-func values() map[string]any {
+// version1Values are what v1's bytes stand for.
+func version1Values() map[string]any {
 	due, zone := 900.0, "east"
 	return map[string]any{
-		v1Spec:   wire.Job{ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25, MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000},
-		v1Chunk:  model.ChunkRecord{Places: []model.PlaceRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Tries: [][2]int{{135, 4}}},
-		v1End:    model.EndRecord{State: wire.JobAborted},
-		v1Hire:   rentalRecord{Rental: wire.Rental{Request: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2}, Machines: []string{"i-000231", "i-000232"}, Answered: true, At: 1700000000000000},
-		v1First:  firstRecord{"i-000231"},
-		v1Leader: election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
-		v1Images: model.ImageRecord{Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}}},
-		v1Keep:   keep.Request{Node: "n-1", Kept: true, Echo: keep.Echo{Term: 7, At: 12345}},
-		v1Echo:   keep.Echo{Term: 7, At: 12345},
-		v1Status: wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2},
+		v1Spec:              wire.Job{ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25, MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000},
+		v1Chunk:             model.ChunkRecord{Places: []model.PlaceRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Tries: [][2]int{{135, 4}}},
+		v1End:               model.EndRecord{State: wire.JobAborted},
+		v1InstanceRequest:   instanceRequestRecord{Request: wire.Rental{Request: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2}, Machines: []string{"i-000231", "i-000232"}, Answered: true, CreatedAt: 1700000000000000},
+		v1First:             firstProvisionedRecord{"i-000231"},
+		v1Leader:            election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
+		v1Images:            model.ImageRecord{Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}}},
+		v1LeaseProxyRequest: keep.Request{Node: "n-1", Kept: true, Echo: keep.Echo{Term: 7, At: 12345}},
+		v1LeaseProxyEcho:    keep.Echo{Term: 7, At: 12345},
+		v1Status:            wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2},
 	}
 }
 
 // Until the gate is open, either version must find what it expects in what the
 // other writes: the bytes are the same, both ways.
 func TestFormsOfTheEarlierVersionAreReadAndWrittenAsTheyWere(t *testing.T) {
-	for bytes, want := range values() {
+	for bytes, want := range version1Values() {
 		got := reflect.New(reflect.TypeOf(want))
-		if err := wire.Unmarshal(sent(t, bytes), got.Interface()); err != nil || fmt.Sprint(got.Elem().Interface()) == "" || !reflect.DeepEqual(got.Elem().Interface(), want) {
+		if err := wire.Unmarshal(decodeVersion1(t, bytes), got.Interface()); err != nil || fmt.Sprint(got.Elem().Interface()) == "" || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%T read as %+v, %v", want, got.Elem().Interface(), err)
 		}
 		if out := hex.EncodeToString(wire.MustMarshal(want)); out != bytes {
@@ -75,24 +75,24 @@
 
 // A size is measured in the form that the store counts: what it decodes, as JSON.
 func TestSizesAreMeasuredAsTheStoreCountsThem(t *testing.T) {
-	all := values()
+	all := version1Values()
 	all["compact"] = (&model.ChunkRecord{Places: []model.PlaceRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Tries: [][2]int{}}).Compact()
-	all["format"], all["node"], all["needs"] = FormatRecord{2, 64}, nodeRecord{2}, needsRecord{[]string{"j-1", "j-2"}}
-	for _, v := range all {
+	all["format"], all["node"], all["needs"] = FormatRecord{2, 64}, nodeRecord{2}, dependencyRecord{[]string{"j-1", "j-2"}}
+	for _, value := range all {
 		var counted any
-		if err := wire.Unmarshal(wire.MustMarshal(v), &counted); err != nil {
+		if err := wire.Unmarshal(wire.MustMarshal(value), &counted); err != nil {
 			t.Fatal(err)
 		}
-		got, want := wire.JSONSize(v), wire.JSONSize(counted)
-		switch v.(type) {
+		got, want := wire.JSONSize(value), wire.JSONSize(counted)
+		switch value.(type) {
 		case keep.Request, keep.Echo:
 			continue // between nodes only
 		}
-		if _, user := v.(wire.Job); user && got >= want {
+		if _, user := value.(wire.Job); user && got >= want {
 			continue // a null that the record leaves out
 		}
 		if got != want {
-			t.Errorf("%T is measured as %d bytes, the store counts %d", v, got, want)
+			t.Errorf("%T is measured as %d bytes, the store counts %d", value, got, want)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// v1 leaves what a leader of the earlier version wrote of a job that runs.
-func (b *bed) v1(t *testing.T, places ...model.PlaceRecord) {
+// storeVersion1Job leaves what a leader of the earlier version wrote of a job that runs.
+func (b *testCluster) storeVersion1Job(t *testing.T, places ...model.PlaceRecord) {
 	t.Helper()
 	spec := wire.Job{ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: len(places), CPUs: 0.01, MemoryGB: 0.01, SubmittedAt: int64(micro.Wall())}
 	_, err := b.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{
@@ -133,23 +133,23 @@
 }
 
 // A place that one version misses in the other's records runs twice.
-func TestRunningTasksOfTheEarlierVersionAreKnownBeforeAndAfterTheGate(t *testing.T) {
-	b := newBed(t)
+func TestRunningTasksOfTheEarlierVersionAreKnownBeforeAndAfterTheGateOpens(t *testing.T) {
+	env := newTestCluster(t)
 	var places []model.PlaceRecord
 	for i := range 100 {
 		places = append(places, model.PlaceRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
 	}
-	b.v1(t, places...)
+	env.storeVersion1Job(t, places...)
 	for _, open := range []bool{false, true, true} {
-		n, kill := b.node("n-0")
-		wait(t, "leading", func() bool { return n.leading() != nil && state(n, "j-9") != "" })
-		l := n.leading()
+		node, kill := env.startNode("n-0")
+		waitUntil(t, "leading", func() bool { return node.activeLeader() != nil && jobState(node, "j-9") != "" })
+		leader := node.activeLeader()
 		held := func() int {
 			got := make(chan int, 1)
-			l.post(func() {
+			leader.post(func() {
 				k := 0
-				for _, p := range l.c.Jobs["j-9"].AllPlaces() {
-					if p.Index < 100 && p.Machine.Name == fmt.Sprintf("i-9%05d", p.Index) {
+				for _, allocation := range leader.cluster.Jobs["j-9"].AllPlaces() {
+					if allocation.Index < 100 && allocation.Machine.Name == fmt.Sprintf("i-9%05d", allocation.Index) {
 						k++
 					}
 				}
@@ -161,27 +161,27 @@
 			t.Fatalf("%d places are known", got)
 		}
 		if open {
-			wait(t, "open", func() bool { n.lookAtGate(context.Background()); return n.Opened() })
+			waitUntil(t, "open", func() bool { node.checkGate(context.Background()); return node.FormatOpen() })
 			if got := held(); got != 100 {
 				t.Fatalf("%d places are known after the move", got)
 			}
 			// Whatever stirs its cell, such as an earlier write that failed, the old
 			// record stays while it alone says where its tasks are.
-			l.post(func() {
-				for _, ch := range l.c.Jobs["j-9"].Chunks {
-					l.records.outdated(ch.Old)
-					l.records.olds[ch.Old].Touch(n.Now(), writer.Soon)
+			leader.post(func() {
+				for _, ch := range leader.cluster.Jobs["j-9"].Chunks {
+					leader.records.deleteLegacy(ch.Old)
+					leader.records.legacyRecords[ch.Old].Touch(node.Now(), writer.Soon)
 				}
-				l.records.first.Touch(n.Now(), writer.Soon)
+				leader.records.firstProvisioned.Touch(node.Now(), writer.Soon)
 			})
-			wait(t, "later writes done", func() bool {
-				_, err := b.store.Get(context.Background(), store.Routine, firstKey)
+			waitUntil(t, "later writes done", func() bool {
+				_, err := env.store.Get(context.Background(), store.Routine, firstProvisionedKey)
 				return err == nil
 			})
-			if _, err := b.store.Get(context.Background(), store.Routine, runKey("j-9", 0)); err != nil {
+			if _, err := env.store.Get(context.Background(), store.Routine, runKey("j-9", 0)); err != nil {
 				t.Fatal("the only record of running tasks is gone")
 			}
-		} else if _, err := b.store.Get(context.Background(), store.Routine, compactKey("j-9", 0)); err == nil {
+		} else if _, err := env.store.Get(context.Background(), store.Routine, compactKey("j-9", 0)); err == nil {
 			t.Fatal("a form that the earlier version can't read")
 		}
 		kill()
@@ -189,87 +189,87 @@
 }
 
 func TestGateOpensOnceAllNodesOfTheSettingsHaveAnnouncedAndStaysOpen(t *testing.T) {
-	b := newBed(t)
+	env := newTestCluster(t)
 	pair := func(other string) func(*Node) {
-		return func(n *Node) { n.Cfg.Peers = []config.Peer{{Node: other}} }
+		return func(node *Node) { node.Cfg.Peers = []config.Peer{{Node: other}} }
 	}
-	lead, kill := b.nodeWith("n-0", pair("n-1"))
-	wait(t, "leading", func() bool { return lead.leading() != nil })
-	piped := pipe("j-2", "j-1")
-	lead.Submit(submission("j-1", wire.Array))
+	leader, kill := env.startNodeWith("n-0", pair("n-1"))
+	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
+	piped := dependentSubmission("j-2", "j-1")
+	leader.Submit(submission("j-1", wire.Array))
 	for range 40 {
-		lead.lookAtGate(context.Background())
+		leader.checkGate(context.Background())
 		time.Sleep(time.Millisecond)
 	}
-	if lead.Opened() {
+	if leader.FormatOpen() {
 		t.Fatal("the other node may be of the earlier version, and lead next")
 	}
-	if r := lead.Submit(piped); r.Status != 503 || r.RetryAfter == 0 {
-		t.Fatalf("a leader of the earlier version would not wait: %+v", r)
+	if reply := leader.Submit(piped); reply.Status != 503 || reply.RetryAfter == 0 {
+		t.Fatalf("a leader of the earlier version would not wait: %+v", reply)
 	}
-	other, _ := b.nodeWith("n-1", func(n *Node) { pair("n-0")(n); n.election.Pause(10 * micro.Minute) })
-	b.store.Outage(true)
-	other.lookAtGate(context.Background())
-	b.store.Outage(false)
-	if GateState(other.gate.Load()) != Unannounced {
+	other, _ := env.startNodeWith("n-1", func(node *Node) { pair("n-0")(node); node.election.Pause(10 * micro.Minute) })
+	env.store.Outage(true)
+	other.checkGate(context.Background())
+	env.store.Outage(false)
+	if GateState(other.formatGate.Load()) != GateUnannounced {
 		t.Fatal("it was not stored")
 	}
-	wait(t, "open", func() bool {
-		other.lookAtGate(context.Background())
-		lead.lookAtGate(context.Background())
-		return lead.Opened() && other.Opened()
+	waitUntil(t, "open", func() bool {
+		other.checkGate(context.Background())
+		leader.checkGate(context.Background())
+		return leader.FormatOpen() && other.FormatOpen()
 	})
-	if r := other.Submit(piped); r.Status != 201 {
-		t.Fatalf("%+v", r)
+	if reply := other.Submit(piped); reply.Status != 201 {
+		t.Fatalf("%+v", reply)
 	}
 	kill()
-	again, _ := b.nodeWith("n-2", pair("n-3")) // neither has announced
-	wait(t, "leads", func() bool { return again.leading() != nil })
-	wait(t, "reads the new forms", again.Opened)
+	restarted, _ := env.startNodeWith("n-2", pair("n-3")) // neither has announced
+	waitUntil(t, "leads", func() bool { return restarted.activeLeader() != nil })
+	waitUntil(t, "reads the new forms", restarted.FormatOpen)
 }
 
 // A node was upgraded while it alone was cut from the store.
-func TestNodeThatTheStoreRefusesAnnouncesItselfThroughAPeer(t *testing.T) {
-	b := newBed(t)
-	lead, _ := b.nodeWith("n-0", func(n *Node) { n.Cfg.Peers = []config.Peer{{Node: "n-1"}} })
-	wait(t, "leading", func() bool { return lead.leading() != nil })
-	cut, _ := b.nodeWith("n-1", func(n *Node) {
-		n.Cfg.Peers = []config.Peer{{Node: "n-0"}}
-		n.Store = unheard{n.Store}
-		n.Peers = peer.NewClient(map[string]string{"n-0": b.servePeer(lead)})
+func TestNodeThatTheStoreRefusesAnnouncesItsVersionThroughAPeer(t *testing.T) {
+	env := newTestCluster(t)
+	leader, _ := env.startNodeWith("n-0", func(node *Node) { node.Cfg.Peers = []config.Peer{{Node: "n-1"}} })
+	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
+	isolated, _ := env.startNodeWith("n-1", func(node *Node) {
+		node.Cfg.Peers = []config.Peer{{Node: "n-0"}}
+		node.Store = unansweredGetStore{node.Store}
+		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader)})
 	})
-	if cut.answerAnnounce(context.Background(), wire.MustMarshal("n-7")) != 404 {
+	if isolated.handleAnnounce(context.Background(), wire.MustMarshal("n-7")) != 404 {
 		t.Fatal("a node that the settings do not name")
 	}
-	wait(t, "open", func() bool {
-		cut.lookAtGate(context.Background())
-		lead.lookAtGate(context.Background())
-		return lead.Opened()
+	waitUntil(t, "open", func() bool {
+		isolated.checkGate(context.Background())
+		leader.checkGate(context.Background())
+		return leader.FormatOpen()
 	})
 }
 
-// unheard is a store that answers a node nothing.
-type unheard struct{ store.Store }
+// unansweredGetStore is a store that answers a node nothing.
+type unansweredGetStore struct{ store.Store }
 
-func (unheard) Get(context.Context, store.Class, string) (wire.Item, error) {
+func (unansweredGetStore) Get(context.Context, store.Class, string) (wire.Item, error) {
 	return wire.Item{}, store.ErrUncertain
 }
 
 // The other version answers a call that it does not know with 404: the store is
 // asked instead.
 func TestCallThatTheOtherVersionLacksHasAFallback(t *testing.T) {
-	b := newBed(t)
-	lead, _ := b.node("n-1")
-	wait(t, "leading", func() bool { return lead.leading() != nil })
-	n, _ := b.nodeWith("n-0", func(n *Node) { n.gate.Store(int32(Open)) })
-	wait(t, "known", func() bool { return n.election.Leader() == "n-1" })
-	n.Peers = peer.NewClient(map[string]string{"n-1": b.servePeer(lead)})
-	n.Cfg.Peers = []config.Peer{{Node: "n-1"}}
-	if status, _, err := n.Peers.Call(context.Background(), "n-1", "/peer/later", nil, askWait); err != nil || status != 404 {
+	env := newTestCluster(t)
+	leader, _ := env.startNode("n-1")
+	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
+	node, _ := env.startNodeWith("n-0", func(node *Node) { node.formatGate.Store(int32(GateOpen)) })
+	waitUntil(t, "known", func() bool { return node.election.Leader() == "n-1" })
+	node.Peers = peer.NewClient(map[string]string{"n-1": env.servePeer(leader)})
+	node.Cfg.Peers = []config.Peer{{Node: "n-1"}}
+	if status, _, err := node.Peers.Call(context.Background(), "n-1", "/peer/later", nil, peerCallTimeout); err != nil || status != 404 {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	n.Submit(submission("j-1", wire.Array))
-	if r := n.Submit(pipe("j-2", "j-1")); r.Status != 201 {
-		t.Fatalf("%+v", r)
+	node.Submit(submission("j-1", wire.Array))
+	if reply := node.Submit(dependentSubmission("j-2", "j-1")); reply.Status != 201 {
+		t.Fatalf("%+v", reply)
 	}
 }
--- a/internal/controller/zone_cut_test.go
+++ b/internal/controller/zone_cut_test.go
@@ -8,63 +8,63 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// leadOutside brings about a leader outside a zone.
-func (w *simCluster) leadOutside(zone string) *controllerProc {
+// ensureLeaderOutside brings about a leader outside a zone.
+func (w *simCluster) ensureLeaderOutside(zone string) *controllerProcess {
 	w.t.Helper()
-	w.until("a leader outside zone "+zone, 2*micro.Minute, func() bool {
+	w.waitUntil("a leader outside zone "+zone, 2*micro.Minute, func() bool {
 		l := w.leader()
 		if l != nil && l.zone == zone {
-			w.restart(l, 5*micro.Second)
+			w.restartController(l, 5*micro.Second)
 			w.sleep(8 * micro.Second)
 		}
 		return l != nil && l.zone != zone
 	})
-	l, _ := w.led()
+	l, _ := w.waitForRestoredLeader()
 	return l
 }
 
-// outside lists the nodes of other zones.
-func (w *simCluster) outside(zone string) []*controllerProc {
-	var out []*controllerProc
-	for _, p := range w.controllers {
-		if p.zone != zone {
-			out = append(out, p)
+// controllersOutside lists the nodes of other zones.
+func (w *simCluster) controllersOutside(zone string) []*controllerProcess {
+	var out []*controllerProcess
+	for _, controller := range w.controllers {
+		if controller.zone != zone {
+			out = append(out, controller)
 		}
 	}
 	return out
 }
 
-// inOneZone submits a service that may run anywhere, a machine a task, and waits
+// fillOneZone submits a service that may run anywhere, a machine a task, and waits
 // until it runs in one zone, which it names.
-func (w *simCluster) inOneZone(tasks int) (*job, string) {
+func (w *simCluster) fillOneZone(tasks int) (*userJob, string) {
 	w.t.Helper()
-	j := w.wants(order{kind: wire.Service, tasks: tasks, cpus: 4}).submit()
-	w.runs(j, tasks)
-	zone := j.on()[0].w.Zone
-	for _, h := range j.on() {
-		if h.w.Zone != zone {
+	job := w.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4}).submit()
+	w.waitRunning(job, tasks)
+	zone := job.machines()[0].agent.Zone
+	for _, machine := range job.machines() {
+		if machine.agent.Zone != zone {
 			w.t.Fatal("its tasks are in two zones")
 		}
 	}
-	return j, zone
+	return job, zone
 }
 
-// machinesInBoth holds a machine in either zone, so that in a cut the leader outside
+// fillBothZones holds a machine in either zone, so that in a cut the leader outside
 // still hears one.
-func (w *simCluster) machinesInBoth() {
+func (w *simCluster) fillBothZones() {
 	w.t.Helper()
 	for _, z := range []string{"a", "b"} {
-		w.runs(w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: z, team: "other"}).submit(), 1)
+		w.waitRunning(w.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: z, team: "other"}).submit(), 1)
 	}
 }
 
-// runsOutside is how many tasks of the job run outside a zone.
-func (j *job) runsOutside(zone string) int {
-	c := j.w.check
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// runningOutside is how many tasks of the job run outside a zone.
+func (j *userJob) runningOutside(zone string) int {
+	checker := j.sim.checker
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	n := 0
-	for task, machines := range c.on {
+	for task, machines := range checker.machinesByTask {
 		if id, _, _ := wire.SplitTask(task); id == j.id {
 			for _, z := range machines {
 				if z != zone {
@@ -76,63 +76,63 @@
 	return n
 }
 
-// keptAtMost is until when after the beginning of a cut tasks inside may run on: a
+// renewalBound is until when after the beginning of a cut tasks inside may run on: a
 // leader inside loses its right, the keepers' span begins with that, and the lease
 // that they renewed last runs out.
-func (w *simCluster) keptAtMost() micro.Time {
-	cfg := w.controllers[0].current().Cfg
+func (w *simCluster) renewalBound() micro.Time {
+	cfg := w.controllers[0].runningNode().Cfg
 	return cfg.LeaderLease + cfg.KeepSpan() + leaseS*micro.Second
 }
 
-// placedAgainWithin is how long after that the tasks run elsewhere at the latest:
+// rescheduleBound is how long after that the tasks run elsewhere at the latest:
 // the leader adds room for drift, and rents machines, whose workers try all nodes,
 // those out of reach included.
-func (w *simCluster) placedAgainWithin() micro.Time {
+func (w *simCluster) rescheduleBound() micro.Time {
 	const rentAndBoot = 12 * micro.Second
-	return rentAndBoot + w.controllers[0].current().Cfg.Round()
+	return rentAndBoot + w.controllers[0].runningNode().Cfg.Round()
 }
 
 // Fault: a zone with controllers is cut off for longer than its keepers may renew
 // leases. Its tasks, killed there with their leases, run again elsewhere, none
 // twice, and once the cut is over the zone serves again.
-func TestZoneCutOffBeyondTheKeepersSpan(t *testing.T) {
+func TestZonePartitionedBeyondTheRenewalSpan(t *testing.T) {
 	for _, outside := range []bool{true, false} {
 		t.Run(fmt.Sprint("machines outside ", outside), func(t *testing.T) {
-			seeds(t, 4, 5, func(w *simCluster) { beyondTheKeepersSpan(w, outside) })
+			runSeeds(t, 4, 5, func(sim *simCluster) { runZoneCutBeyondRenewalSpan(sim, outside) })
 		})
 	}
 }
 
-func beyondTheKeepersSpan(w *simCluster, outside bool) {
-	j, zone := w.inOneZone(4)
-	most := w.keptAtMost() + w.placedAgainWithin()
+func runZoneCutBeyondRenewalSpan(sim *simCluster, outside bool) {
+	job, zone := sim.fillOneZone(4)
+	most := sim.renewalBound() + sim.rescheduleBound()
 	if outside {
-		w.machinesInBoth()
+		sim.fillBothZones()
 	} else {
 		// No leader outside hears a worker: each hands over in vain before one stays,
 		// and counts what keepers may have renewed from its takeover.
-		most += micro.Time(len(w.outside(zone))*maxHandovers) * w.handoverTerm()
+		most += micro.Time(len(sim.controllersOutside(zone))*maxHandovers) * sim.handoverBound()
 	}
-	w.sleep(5 * micro.Second)
-	from := w.now()
-	w.cutZone(zone, most+90*micro.Second)
-	w.sleep(w.controllers[0].current().Cfg.KeepSpan())
-	if j.running() != 4 || j.starts() != 4 {
-		w.t.Errorf("within the keepers' span %d tasks run, %d starts", j.running(), j.starts())
+	sim.sleep(5 * micro.Second)
+	from := sim.now()
+	sim.partitionZone(zone, most+90*micro.Second)
+	sim.sleep(sim.controllers[0].runningNode().Cfg.KeepSpan())
+	if job.runningTasks() != 4 || job.startCount() != 4 {
+		sim.t.Errorf("within the keepers' span %d tasks run, %d starts", job.runningTasks(), job.startCount())
 	}
-	w.until("killed in the zone", from+w.keptAtMost()+2*micro.Second-w.now(), func() bool { return j.running() == j.runsOutside(zone) })
-	w.until("placed again elsewhere", from+most-w.now(), func() bool { return j.runsOutside(zone) == 4 })
-	w.t.Logf("placed again %.1f s after the cut began", (w.now() - from).Seconds())
-	w.goesOn(w.outside(zone))
-	if w.calm() {
-		w.t.Fatal("the cut was to last on")
+	sim.waitUntil("killed in the zone", from+sim.renewalBound()+2*micro.Second-sim.now(), func() bool { return job.runningTasks() == job.runningOutside(zone) })
+	sim.waitUntil("placed again elsewhere", from+most-sim.now(), func() bool { return job.runningOutside(zone) == 4 })
+	sim.t.Logf("placed again %.1f s after the cut began", (sim.now() - from).Seconds())
+	sim.checkServing(sim.controllersOutside(zone))
+	if sim.noActiveFaults() {
+		sim.t.Fatal("the cut was to last on")
 	}
-	w.until("the cut is over", 5*micro.Minute, w.calm)
-	back := w.wants(order{kind: wire.Service, tasks: 1, cpus: 4, zone: zone, team: "other"}).submit()
-	w.until("the zone serves again", 30*micro.Second, func() bool { return back.running() == 1 })
-	w.goesOn(w.controllers)
-	if j.running() != 4 || j.starts() != 8 {
-		w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+	sim.waitUntil("the cut is over", 5*micro.Minute, sim.noActiveFaults)
+	back := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: zone, team: "other"}).submit()
+	sim.waitUntil("the zone serves again", 30*micro.Second, func() bool { return back.runningTasks() == 1 })
+	sim.checkServing(sim.controllers)
+	if job.runningTasks() != 4 || job.startCount() != 8 {
+		sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 	}
 }
 
@@ -140,46 +140,46 @@
 // one, outside too, does not know when the keepers inside were last answered, and
 // counts what they may have renewed from its takeover: for short cuts the tasks run
 // on, for long ones they run again elsewhere, none twice.
-func TestLeaderEndsWhileKeepersRenewInACutOffZone(t *testing.T) {
-	for _, c := range []struct {
+func TestLeaderEndsWhileProxiesRenewInAPartitionedZone(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		lasts micro.Time
 		again int // how many tasks start once more
 	}{{"cut within the keepers' span", 43 * micro.Second, 0}, {"cut beyond it", 160 * micro.Second, 4}} {
 		for _, after := range []micro.Time{6 * micro.Second, 20 * micro.Second} {
-			t.Run(fmt.Sprintf("%s, leader ends after %v s", c.name, after.Seconds()), func(t *testing.T) {
-				seeds(t, 3, 5, func(w *simCluster) {
-					j, zone := w.inOneZone(4) // all that the team may have
-					w.machinesInBoth()
-					was := w.leadOutside(zone)
-					w.sleep(10 * micro.Second) // keepers are in touch with it
-					from := w.now()
-					w.cutZone(zone, c.lasts)
-					w.sleep(after)
-					w.depose(5 * micro.Second)
-					next := w.leader()
+			t.Run(fmt.Sprintf("%s, leader ends after %v s", test.name, after.Seconds()), func(t *testing.T) {
+				runSeeds(t, 3, 5, func(sim *simCluster) {
+					job, zone := sim.fillOneZone(4) // all that the team may have
+					sim.fillBothZones()
+					was := sim.ensureLeaderOutside(zone)
+					sim.sleep(10 * micro.Second) // keepers are in touch with it
+					from := sim.now()
+					sim.partitionZone(zone, test.lasts)
+					sim.sleep(after)
+					sim.replaceLeader(5 * micro.Second)
+					next := sim.leader()
 					if next.zone == zone || next == was {
-						w.t.Fatal("another node outside should lead")
+						sim.t.Fatal("another node outside should lead")
 					}
-					took := w.now()
+					took := sim.now()
 					// It competes for the team's room, which is not free.
-					waits := w.submitThrough(w.others(), micro.Minute, order{kind: wire.Array, tasks: 1, cpus: 4, run: 2 * micro.Second})
-					if c.again == 0 {
-						w.until("the cut is over", 2*micro.Minute, w.calm)
-						w.sleep(20 * micro.Second)
+					waiting := sim.submitThrough(sim.otherControllers(), micro.Minute, jobRequest{kind: wire.Array, tasks: 1, cpus: 4, runTime: 2 * micro.Second})
+					if test.again == 0 {
+						sim.waitUntil("the cut is over", 2*micro.Minute, sim.noActiveFaults)
+						sim.sleep(20 * micro.Second)
 					} else {
-						most := w.controllers[0].current().Cfg.KeepSpan() + leaseS*micro.Second + w.placedAgainWithin()
-						w.until("placed again elsewhere", took+most-w.now(), func() bool { return j.runsOutside(zone)+waits.running() == 4 })
-						w.t.Logf("placed again %.1f s after the cut began", (w.now() - from).Seconds())
-						w.until("the cut is over", 2*micro.Minute, w.calm)
-						w.sleep(20 * micro.Second)
+						most := sim.controllers[0].runningNode().Cfg.KeepSpan() + leaseS*micro.Second + sim.rescheduleBound()
+						sim.waitUntil("placed again elsewhere", took+most-sim.now(), func() bool { return job.runningOutside(zone)+waiting.runningTasks() == 4 })
+						sim.t.Logf("placed again %.1f s after the cut began", (sim.now() - from).Seconds())
+						sim.waitUntil("the cut is over", 2*micro.Minute, sim.noActiveFaults)
+						sim.sleep(20 * micro.Second)
 					}
-					if j.running() != 4 || j.starts() != 4+c.again {
-						w.t.Errorf("%d of its tasks run, %d starts", j.running(), j.starts())
+					if job.runningTasks() != 4 || job.startCount() != 4+test.again {
+						sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 					}
-					go j.cancel()
-					w.until("the job that waited is done", micro.Minute, func() bool { return stateOf(waits.poll(w.any())) == wire.JobDone })
-					w.goesOn(w.controllers)
+					go job.cancel()
+					sim.waitUntil("the job that waited is done", micro.Minute, func() bool { return replyState(waiting.queryStatus(sim.randomUserNode())) == wire.JobDone })
+					sim.checkServing(sim.controllers)
 				})
 			})
 		}
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -67,11 +67,11 @@
 	l.mu.Lock()
 	l.wps, l.writes = writeRPS, rate.NewLimiter(0, 0)
 	l.mu.Unlock()
-	l.SetShare(share, share)
+	l.SetBudgetFraction(share, share)
 }
 
-// SetShare sets the part of the limits that the process may use.
-func (l *Link) SetShare(_, writes float64) {
+// SetBudgetFraction sets the part of the limits that the process may use.
+func (l *Link) SetBudgetFraction(_, writes float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.writes != nil {
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -94,7 +94,7 @@
 func TestRateIsLoweredByTheFirstRefusedChange(t *testing.T) {
 	var requests atomic.Int32
 	client := refusing(t, &requests)
-	client.SetShare(1, 0.5)
+	client.SetBudgetFraction(1, 0.5)
 	commit := func() {
 		t.Helper()
 		if _, err := client.Commit(t.Context(), Urgent, wire.Txn{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(err, ErrBusy) {
@@ -109,14 +109,14 @@
 	}
 	commit()
 	limit(150) // nobody announced a lower rate
-	client.Lower(100)
+	client.AnnounceWriteLimit(100)
 	if _, err := client.Get(t.Context(), Urgent, "k"); !errors.Is(err, ErrBusy) {
 		t.Fatal(err)
 	}
 	limit(150) // a read says nothing of changes
 	commit()
 	limit(50)
-	client.Lower(200)
+	client.AnnounceWriteLimit(200)
 	commit()
 	limit(50) // never up
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -94,7 +94,7 @@
 }
 
 // NewClient makes a client for the service at addr, allowed the given rates in
-// all; SetShare says how much of them this node may use.
+// all; SetBudgetFraction says how much of them this node may use.
 func NewClient(addr string, rps, writeRPS float64) *Client {
 	return &Client{
 		base: "http://" + addr,
@@ -112,8 +112,8 @@
 	}
 }
 
-// SetShare sets the part of the service's limits that this node may use.
-func (c *Client) SetShare(reads, writes float64) {
+// SetBudgetFraction sets the part of the service's limits that this node may use.
+func (c *Client) SetBudgetFraction(reads, writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.share = [2]float64{reads, writes}
@@ -130,9 +130,9 @@
 	}
 }
 
-// Lower says that the service may lower its rate of changes from now on. The full
+// AnnounceWriteLimit says that the service may lower its rate of changes from now on. The full
 // rate is used until the service first refuses for being over it.
-func (c *Client) Lower(writes float64) {
+func (c *Client) AnnounceWriteLimit(writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if writes < c.wps {
@@ -150,8 +150,8 @@
 	}
 }
 
-// Answered is when the store last answered with anything but a refusal.
-func (c *Client) Answered() micro.Time { return micro.Time(c.answered.Load()) }
+// LastResponse is when the store last answered with anything but a refusal.
+func (c *Client) LastResponse() micro.Time { return micro.Time(c.answered.Load()) }
 
 // WriteRoom is how many puts and deletes the budget allows now.
 func (c *Client) WriteRoom(class Class) int {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -73,8 +73,8 @@
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, not %v", c.name, err, c.want)
 		}
-		if (client.Answered() == 0) != c.silent {
-			t.Errorf("%s: answered at %d", c.name, client.Answered())
+		if (client.LastResponse() == 0) != c.silent {
+			t.Errorf("%s: answered at %d", c.name, client.LastResponse())
 		}
 	}
 }
