--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -81,10 +81,10 @@
 		l.requestQueue = slices.Insert(l.requestQueue, index, request)
 		l.sendQueuedRequests(request.requestedAt)
 	case InstanceRequestFulfilled:
-		delete(l.planner.Asked, request.record.Request.Request)
+		delete(l.planner.PendingRequests, request.record.Request.Request)
 		request.storeRecord.Touch(l.node.Now(), writer.Lazy)
 	case InstanceRequestClosed:
-		delete(l.planner.Asked, request.record.Request.Request)
+		delete(l.planner.PendingRequests, request.record.Request.Request)
 		delete(l.instanceRequests, request.record.Request.Request)
 		request.storeRecord.Touch(l.node.Now(), writer.Lazy)
 	}
@@ -121,7 +121,7 @@
 	l.newRequestRecord(request).SetVersion(uint64(item.Version))
 	if !record.Answered {
 		request.maybeSent = true // perhaps: only the same name again can tell
-		l.planner.Asked[record.Request.Request] = scale.Ask{Offer: scale.Offer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
+		l.planner.PendingRequests[record.Request.Request] = scale.ScaleOut{InstanceOffer: scale.InstanceOffer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
 		l.setRequestState(request, InstanceRequestPending)
 		return
 	}
@@ -152,16 +152,16 @@
 	scaleOuts, idle := l.planner.Plan(now)
 	for _, scaleOut := range scaleOuts { // each at most what one call rents
 		l.instanceRequestCount++
-		request := &instanceRequest{priorityLevel: scaleOut.Level, record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.Rental{
+		request := &instanceRequest{priorityLevel: scaleOut.PriorityLevel, record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.Rental{
 			Request: fmt.Sprintf("r-%d-%d", l.term.Stamp, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
 		l.instanceRequests[request.record.Request.Request] = request
-		l.planner.Asked[request.record.Request.Request] = scaleOut
+		l.planner.PendingRequests[request.record.Request.Request] = scaleOut
 		priority := writer.Soon
-		if scaleOut.Level == 0 {
+		if scaleOut.PriorityLevel == 0 {
 			priority = writer.First
 		}
 		l.newRequestRecord(request).Touch(now, priority)
-		l.log.Info("rent", "request", request.record.Request.Request, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.For)
+		l.log.Info("rent", "request", request.record.Request.Request, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class)
 	}
 	for _, machine := range idle {
 		l.terminate(machine, "idle")
@@ -179,7 +179,7 @@
 		request := l.requestQueue[0]
 		l.requestQueue = l.requestQueue[1:]
 		wireRequest := request.record.Request
-		if !request.maybeSent && l.planner.Refused[scale.Offer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}] > now {
+		if !request.maybeSent && l.planner.RefusedUntil[scale.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}] > now {
 			l.setRequestState(request, InstanceRequestClosed)
 			continue
 		}
@@ -225,7 +225,7 @@
 	l.log.Info("rented", "request", wireRequest.Request, "type", wireRequest.Type, "zone", wireRequest.Zone, "spot", wireRequest.Spot, "asked", wireRequest.Count, "got", len(names))
 	l.requestsInFlight--
 	defer l.sendQueuedRequests(now)
-	l.planner.Answered(scale.Offer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
+	l.planner.RecordAnswer(scale.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
 	if len(names) < wireRequest.Count {
 		for job := range l.cluster.Pending {
 			if job.Level == 0 {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -133,8 +133,8 @@
 	l.objectives = sched.NewGoals(node.Cfg.Facts.Objectives)
 	l.speeds = sched.NewSpeeds()
 	l.scheduler = &sched.Placer{C: l.cluster, Goals: l.objectives, Props: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.Stamp, 1))}
-	l.planner = &scale.Planner{C: l.cluster, Goals: l.objectives, Props: &node.Cfg.Properties, Refused: map[scale.Offer]micro.Time{}, Dry: map[scale.Offer]int{}, Asked: map[string]scale.Ask{}}
-	l.scheduler.Affordable = l.planner.Affordable
+	l.planner = &scale.Planner{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, RefusedUntil: map[scale.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[scale.InstanceOffer]int{}, PendingRequests: map[string]scale.ScaleOut{}}
+	l.scheduler.Affordable = l.planner.WithinPrice
 	l.records = newRecordStore(l)
 	return l
 }
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -82,26 +82,26 @@
 		return true, 0
 	}
 	l.cluster.Partition = l.classifyMachine
-	l.planner.Shares = l.shardDemands
-	l.planner.Own = func(offer scale.Offer) bool {
+	l.planner.ShardDemands = l.shardDemands
+	l.planner.OwnsOffer = func(offer scale.InstanceOffer) bool {
 		_, shared := l.shardTable().Of(machineAttributes(offer.Type, offer.Zone, offer.Spot))
 		return !shared
 	}
 }
 
 // shardDemands lists what waits for room in shares: their owners rent nothing.
-func (l *Leader) shardDemands() []scale.ShareDemand {
-	var demands []scale.ShareDemand
+func (l *Leader) shardDemands() []scale.ShardDemand {
+	var demands []scale.ShardDemand
 	l.shardTable().Each(func(entry share.Entry) bool {
 		if !entry.Away() {
 			return true
 		}
 		for _, demand := range l.viewOf(entry.Name).demand {
-			inShard := func(offer scale.Offer) bool {
+			inShard := func(offer scale.InstanceOffer) bool {
 				return entry.Record.Selector.Matches(machineAttributes(offer.Type, offer.Zone, offer.Spot)) && (len(demand.Zones) == 0 || slices.Contains(demand.Zones, offer.Zone))
 			}
 			if job := l.cluster.Jobs[demand.Job]; job != nil && job.State == model.Assigned && job.Share == entry.Name {
-				demands = append(demands, scale.ShareDemand{Job: job, Tasks: demand.Tasks, Within: inShard})
+				demands = append(demands, scale.ShardDemand{Job: job, Tasks: demand.Tasks, InShard: inShard})
 			}
 		}
 		return true
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -206,7 +206,7 @@
 
 // terminateIdle marks machines that nobody has needed for long to be returned.
 func (l *Leader) terminateIdle(now micro.Time) {
-	for _, m := range l.planner.Idle(now) {
+	for _, m := range l.planner.IdleMachines(now) {
 		l.terminate(m, "idle")
 	}
 }
--- /dev/null
+++ b/internal/scale/capacity.go
@@ -0,0 +1,328 @@
+package scale
+
+import (
+	"maps"
+	"math"
+	"sort"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/wire"
+)
+
+// bin is a machine's free room in a plan.
+type bin struct {
+	typ           *model.Type
+	zone          string
+	spot          bool
+	cpu, gpu, mem float64
+	offer         InstanceOffer
+	releases      []release // room that running tasks are expected to give back
+}
+
+// release is room that comes free at a time.
+type release struct {
+	at            micro.Time
+	cpu, gpu, mem float64
+}
+
+// availableAt is the bin as it will be at a time.
+func (b *bin) availableAt(at micro.Time) bin {
+	later := *b
+	for _, r := range b.releases {
+		if r.at <= at {
+			later.cpu += r.cpu
+			later.gpu += r.gpu
+			later.mem += r.mem
+		}
+	}
+	return later
+}
+
+func (b *bin) countFitting(spec *wire.Job) int {
+	if !sched.Allowed(spec, b.typ, b.zone, b.spot) {
+		return 0
+	}
+	return b.countRoom(spec)
+}
+
+// countRoom is how many tasks the bin has room for, allowed or not.
+func (b *bin) countRoom(spec *wire.Job) int {
+	count := math.MaxInt32
+	limit := func(free, need float64) {
+		if need > 0 {
+			count = min(count, int(free/need+1e-9))
+		}
+	}
+	limit(b.cpu, max(spec.CPUs, sched.Scaled(spec.CPUs, b.typ.K, b.typ.CPUs)))
+	limit(b.gpu, spec.GPUs)
+	limit(b.mem, spec.MemoryGB)
+	return max(count, 0)
+}
+
+func (b *bin) reserve(spec *wire.Job, n int) {
+	b.cpu -= float64(n) * max(spec.CPUs, sched.Scaled(spec.CPUs, b.typ.K, b.typ.CPUs))
+	b.gpu -= float64(n) * spec.GPUs
+	b.mem -= float64(n) * spec.MemoryGB
+}
+
+func newBin(typ *model.Type, zone string, spot bool) *bin {
+	return &bin{typ: typ, zone: zone, spot: spot, cpu: typ.CPUs, gpu: typ.GPUs, mem: typ.MemoryGB}
+}
+
+// bootTimeoutFactor is how many of a type's boot times a machine may take and still
+// count as room to come; beyond it another is rented.
+const bootTimeoutFactor = 1.6
+
+// offerCapacity is the room of machines of one offer that are expected to come up.
+type offerCapacity struct {
+	InstanceOffer
+	typ             *model.Type
+	machines        int        // all its machines
+	emptyMachines   int        // whole machines that the plan has put nothing on
+	partialMachines []*bin     // those that it has put something on
+	committedTime   micro.Time // how long what the plan has put on them takes, over all machines
+}
+
+// capacity is all room that is expected to come up, by offer.
+type capacity struct {
+	groups  []*offerCapacity
+	byOffer map[InstanceOffer]*offerCapacity
+}
+
+func (c *capacity) groupFor(offer InstanceOffer, typ *model.Type) *offerCapacity {
+	group := c.byOffer[offer]
+	if group == nil {
+		group = &offerCapacity{InstanceOffer: offer, typ: typ}
+		c.byOffer[offer] = group
+		c.groups = append(c.groups, group)
+	}
+	return group
+}
+
+// zoneAllowance is how many more of a demand's tasks a zone may take.
+func zoneAllowance(demand *taskDemand, zone string, tasksByZone map[string]int) int {
+	if demand.job == nil || !demand.spec.Spread {
+		return math.MaxInt32
+	}
+	job := demand.job
+	return (len(job.Tasks)+1)/2 - job.ZoneHeld[zone] - job.ZoneHeld[""] - tasksByZone[zone]
+}
+
+// reserve puts up to n of a demand's tasks into the stock of the zones that are cut off,
+// or of the others, and says how many fit.
+func (c *capacity) reserve(demand *taskDemand, tasks int, tasksByZone map[string]int, unreachable map[string]bool, inUnreachable bool) int {
+	occupancy := demand.occupancy()
+	reserved := 0
+	for _, group := range c.groups {
+		if reserved == tasks {
+			break
+		}
+		if unreachable[group.Zone] != inUnreachable || group.emptyMachines == 0 && len(group.partialMachines) == 0 || !demand.allows(group.typ, group.Zone, group.Spot) {
+			continue
+		}
+		fitting := group.reserve(demand.spec, min(tasks-reserved, zoneAllowance(demand, group.Zone, tasksByZone)))
+		if perMachine := newBin(group.typ, group.Zone, group.Spot).countFitting(demand.spec); perMachine > 0 {
+			group.committedTime += occupancy * micro.Time(fitting) / micro.Time(perMachine)
+		}
+		tasksByZone[group.Zone] += fitting
+		reserved += fitting
+	}
+	return reserved
+}
+
+// occupancy is how long a machine is taken by one of a demand's tasks.
+func (d *taskDemand) occupancy() micro.Time {
+	if d.job == nil || d.spec.Kind == wire.Service {
+		return serviceOccupancy
+	}
+	return sched.Estimate(d.job) + micro.Of(d.spec.ImageGB)
+}
+
+// serviceOccupancy stands for the time that a service takes.
+const serviceOccupancy = 10 * micro.Minute
+
+// reserveTurnover is how many of n tasks the machines of the stock could start by a
+// time, after what the plan has put on them, on room that is not dear. It takes
+// what it counts.
+func (c *capacity) reserveTurnover(demand *taskDemand, tasks int, now, deadline micro.Time, expensive func(*offerCapacity) bool) int {
+	occupancy := demand.occupancy()
+	reserved := 0
+	for _, group := range c.groups {
+		perMachine := newBin(group.typ, group.Zone, group.Spot).countFitting(demand.spec)
+		if reserved == tasks || perMachine == 0 || expensive(group) {
+			continue
+		}
+		freeTime := micro.Time(group.machines)*(deadline-now-micro.Of(group.typ.BootS)) - group.committedTime
+		if freeTime <= 0 || occupancy <= 0 {
+			continue
+		}
+		fitting := min(tasks-reserved, int(freeTime*micro.Time(perMachine)/occupancy))
+		group.committedTime += occupancy * micro.Time(fitting) / micro.Time(perMachine)
+		reserved += fitting
+	}
+	return reserved
+}
+
+func (c *offerCapacity) add(n int) {
+	c.machines += n
+	c.emptyMachines += n
+}
+
+func (c *offerCapacity) reserve(spec *wire.Job, tasks int) int {
+	reserved := 0
+	for _, partial := range c.partialMachines {
+		if fitting := min(tasks-reserved, partial.countFitting(spec)); fitting > 0 {
+			partial.reserve(spec, fitting)
+			reserved += fitting
+		}
+	}
+	perMachine := newBin(c.typ, c.Zone, c.Spot).countFitting(spec)
+	for perMachine > 0 && reserved < tasks && c.emptyMachines > 0 {
+		if whole := min(c.emptyMachines, (tasks-reserved)/perMachine); whole > 0 {
+			c.emptyMachines -= whole // what is left beside them is not counted on
+			reserved += whole * perMachine
+			continue
+		}
+		partial := newBin(c.typ, c.Zone, c.Spot)
+		partial.reserve(spec, tasks-reserved)
+		c.emptyMachines--
+		c.partialMachines = append(c.partialMachines, partial)
+		reserved = tasks
+	}
+	return reserved
+}
+
+// reserveReleased is how many of n tasks fit on running machines by a time; it takes
+// what it counts. Room in a zone where the job may have no more is none: a spread
+// service once waited for good for room beside its own tasks, since as much of it
+// was about to come free, and nothing was rented in the other zone.
+func reserveReleased(bins []*bin, demand *taskDemand, tasks int, tasksByZone map[string]int, at micro.Time) int {
+	reserved := 0
+	reservedByZone := map[string]int{}
+	for _, free := range bins {
+		if reserved == tasks {
+			break
+		}
+		if !demand.allows(free.typ, free.zone, free.spot) || demand.boundElsewhere(free.zone) {
+			continue
+		}
+		later := free.availableAt(at)
+		if fitting := min(tasks-reserved, later.countFitting(demand.spec), zoneAllowance(demand, free.zone, tasksByZone)-reservedByZone[free.zone]); fitting > 0 {
+			free.reserve(demand.spec, fitting)
+			reservedByZone[free.zone] += fitting
+			reserved += fitting
+		}
+	}
+	return reserved
+}
+
+// boundElsewhere reports whether the demand's job must be in one zone and holds places in
+// another than the given one.
+func (d *taskDemand) boundElsewhere(zone string) bool {
+	if d.job == nil || !d.spec.OneZone {
+		return false
+	}
+	for z, n := range d.job.ZoneHeld {
+		if n > 0 && z != zone {
+			return true
+		}
+	}
+	return false
+}
+
+// bootOverdue reports whether a machine takes longer to come up than it may to count as
+// room to come.
+func bootOverdue(m *model.Machine, now micro.Time) bool {
+	return now-m.Rented > micro.Time(float64(micro.Of(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
+}
+
+// bootFailureExclusion is for how long an offer is left out whose machines did not come up: once
+// they are returned nothing else tells.
+const bootFailureExclusion = 2 * micro.Minute
+
+// minOverdueBoots is how many machines of an offer must be late for that: one alone
+// may take several times as long as its type.
+const minOverdueBoots = 2
+
+// trackBootFailures notes the offers most of whose machines did not come up in time. While
+// there are other offers these are not asked for: replaced by their like, a class's
+// machines failed to boot one wave after the other, and its work waited for as long
+// as its cheapest offer did not work.
+func (p *Planner) trackBootFailures(now micro.Time) {
+	overdue, upCount := map[InstanceOffer]int{}, map[InstanceOffer]int{}
+	for _, machine := range p.Cluster.List() {
+		offer := InstanceOffer{machine.TypeName, machine.Zone, machine.Spot}
+		switch {
+		case machine.Type == nil:
+		case machine.State == model.Up:
+			upCount[offer]++
+		case machine.State == model.Unheard && len(machine.Places) == 0 && bootOverdue(machine, now):
+			overdue[offer]++
+		}
+	}
+	for offer, count := range overdue {
+		if count >= minOverdueBoots && count > upCount[offer] {
+			p.excludedUntil[offer] = now + bootFailureExclusion
+		}
+	}
+	maps.DeleteFunc(p.excludedUntil, func(_ InstanceOffer, until micro.Time) bool { return until <= now })
+}
+
+// expectedCapacity lists the room of machines that are expected to come up.
+func (p *Planner) expectedCapacity(now micro.Time) *capacity {
+	expected := &capacity{byOffer: map[InstanceOffer]*offerCapacity{}}
+	for _, machine := range p.Cluster.List() {
+		if machine.State != model.Unheard || machine.Type == nil || machine.ListState == wire.MachineFailed || len(machine.Places) > 0 {
+			continue
+		}
+		if bootOverdue(machine, now) {
+			continue
+		}
+		expected.groupFor(InstanceOffer{machine.TypeName, machine.Zone, machine.Spot}, machine.Type).add(1)
+	}
+	requestIDs := make([]string, 0, len(p.PendingRequests))
+	for requestID := range p.PendingRequests {
+		requestIDs = append(requestIDs, requestID)
+	}
+	sort.Strings(requestIDs)
+	for _, requestID := range requestIDs {
+		scaleOut := p.PendingRequests[requestID]
+		if typ := p.Cluster.Types[scaleOut.Type]; typ != nil {
+			expected.groupFor(scaleOut.InstanceOffer, typ).add(scaleOut.Count)
+		}
+	}
+	return expected
+}
+
+// runningBins lists the room of machines that are up, with what is expected to come
+// free.
+func (p *Planner) runningBins(now micro.Time) []*bin {
+	var bins []*bin
+	for _, machine := range p.Cluster.List() {
+		if !machine.Usable(now) {
+			continue
+		}
+		free := newBin(machine.Type, machine.Zone, machine.Spot)
+		free.cpu = machine.Type.CPUs - max(machine.UsedScaled, machine.UsedCPU)
+		free.gpu, free.mem = machine.Type.GPUs-machine.UsedGPU, machine.Type.MemoryGB-machine.UsedMem
+		for _, allocation := range machine.Places {
+			job := allocation.Job
+			if job == nil || job.Spec.Kind == wire.Service && !allocation.Stopping {
+				continue
+			}
+			end := now
+			if !allocation.Stopping {
+				estimate := sched.Estimate(job)
+				end = now + estimate + micro.Of(job.Spec.ImageGB/machine.Type.FetchGBPerS)
+				if allocation.RunFrom > 0 {
+					end = max(allocation.RunFrom+estimate, now+estimate/4)
+				}
+			}
+			free.releases = append(free.releases, release{end, max(job.Spec.CPUs, allocation.Scaled), job.Spec.GPUs, job.Spec.MemoryGB})
+		}
+		bins = append(bins, free)
+	}
+	return bins
+}
--- /dev/null
+++ b/internal/scale/cordon.go
@@ -0,0 +1,98 @@
+package scale
+
+import (
+	"sort"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/wire"
+)
+
+// A large machine with a dozen short tasks is never empty by chance, since the
+// tightest fit fills it again: where money is looked at and nothing waits, the
+// dearest machines that are not needed take nothing more, and go back once they
+// are empty.
+
+const (
+	cordonDelay        = 10 * micro.Second // how long nothing must have waited
+	cordonSlack        = 1.35              // room kept, over what short work uses
+	cordonFleetDivisor = 50                // one machine in so many, at least one, with each plan
+)
+
+// planCordons says which machines are to take nothing more, and which again.
+func (p *Planner) planCordons(demands []taskDemand, now micro.Time) (cordon, uncordon []*model.Machine) {
+	hasShortage := !p.limitsCost()
+	for i := range demands {
+		hasShortage = hasShortage || demands[i].job != nil
+	}
+	if hasShortage {
+		p.noBacklogSince = 0
+		for _, machine := range p.Cluster.List() {
+			if machine.Drained {
+				uncordon = append(uncordon, machine)
+			}
+		}
+		return nil, uncordon
+	}
+	if p.noBacklogSince == 0 {
+		p.noBacklogSince = now
+	}
+	if now-p.noBacklogSince < cordonDelay {
+		return nil, nil
+	}
+	var used, available model.Room
+	var candidates []*model.Machine
+	for _, machine := range p.Cluster.List() {
+		if !machine.Usable(now) {
+			continue
+		}
+		free, usedByArrays, hasOtherWork := model.Room{CPU: machine.Type.CPUs, Mem: machine.Type.MemoryGB}, model.Room{}, false
+		for _, allocation := range machine.Places {
+			if allocation.Job == nil {
+				continue
+			}
+			spec := &allocation.Job.Spec
+			request := model.Room{CPU: spec.CPUs, Mem: spec.MemoryGB}
+			if spec.Kind == wire.Array {
+				usedByArrays.Add(request, 1)
+			} else {
+				hasOtherWork = true
+				free.Add(request, -1)
+			}
+		}
+		used.Add(usedByArrays, 1)
+		available.Add(free, 1)
+		if !hasOtherWork && !machine.Base && !p.usableForGPUWork(machine) && machine.Reserve == nil && now-machine.Wanted > 5*micro.Second {
+			candidates = append(candidates, machine)
+		}
+	}
+	sort.SliceStable(candidates, func(a, b int) bool { return pricePerCPU(candidates[a]) > pricePerCPU(candidates[b]) })
+	for _, machine := range candidates[:min(len(candidates), len(p.Cluster.Machines)/cordonFleetDivisor+1)] {
+		available.CPU -= machine.Type.CPUs
+		available.Mem -= machine.Type.MemoryGB
+		if available.CPU < cordonSlack*used.CPU || available.Mem < cordonSlack*used.Mem {
+			break
+		}
+		cordon = append(cordon, machine)
+	}
+	return cordon, nil
+}
+
+// usableForGPUWork reports whether a class that needs GPUs may use a machine: such
+// machines are few, slow to get ready, and go back when idle.
+func (p *Planner) usableForGPUWork(m *model.Machine) bool {
+	if m.Type.GPUs == 0 {
+		return false
+	}
+	for _, class := range p.Cluster.Classes {
+		if spec := class.Last; spec != nil && spec.GPUs > 0 && sched.Allowed(spec, m.Type, m.Zone, m.Spot) {
+			return true
+		}
+	}
+	return false
+}
+
+func pricePerCPU(m *model.Machine) float64 {
+	return priceOf(InstanceOffer{Spot: m.Spot}, m.Type) / m.Type.CPUs
+}
--- /dev/null
+++ b/internal/scale/planner.go
@@ -0,0 +1,157 @@
+// Package scale decides what to rent and what to return, from the queue, the
+// objectives and the prices. It reads no clock and does no I/O.
+package scale
+
+import (
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/sched"
+)
+
+// InstanceOffer is what the cloud rents: a type in a zone, spot or ordinary.
+type InstanceOffer struct {
+	Type string
+	Zone string
+	Spot bool
+}
+
+// ScaleOut is a number of machines to rent.
+type ScaleOut struct {
+	InstanceOffer
+	Count         int
+	Class         string // the class whose work asked for the first of them
+	PriorityLevel int    // and its rank
+}
+
+// Planner remembers what the cloud refused and what is under way.
+type Planner struct {
+	Cluster             *model.Cluster
+	Objectives          *sched.Goals
+	Properties          *config.Properties
+	RefusedUntil        map[InstanceOffer]micro.Time // until when not to ask again
+	ConsecutiveRefusals map[InstanceOffer]int        // refusals in a row
+	PendingRequests     map[string]ScaleOut          // rentals without an answer yet, by request
+	ShardDemands        func() []ShardDemand         // what waits in shares of other controllers; nil: nothing
+	OwnsOffer           func(InstanceOffer) bool     // the offers whose machines are in no share; nil: all are
+
+	unreachableZones map[string]bool // zones that are out of reach, by the last plan
+	permanentFleet   bool            // operators keep machines of their own, by the last plan
+	noBacklogSince   micro.Time      // since when nothing has waited for room; 0: something does
+
+	excludedUntil map[InstanceOffer]micro.Time // until when offers are left out whose machines did not come up
+
+	backlogs map[*model.Class]*classBacklog // how much waits, and waited
+}
+
+// maxMachinesPerPlan bounds what one plan rents, maxMachinesPerRequest what one request does, and maxMachinesPerOffer
+// what is asked of one offer at a time: how much there is shows only by asking.
+const (
+	maxMachinesPerPlan    = 250
+	maxMachinesPerRequest = 50
+	maxMachinesPerOffer   = 200
+)
+
+// refusalBackoff is how long an offer that was refused is not asked for again;
+// longer each time that it had nothing at all.
+const (
+	refusalBackoff  = 15 * micro.Second
+	maxBackoffShift = 2
+)
+
+// RecordAnswer takes in what came of a rental.
+func (p *Planner) RecordAnswer(offer InstanceOffer, requested, granted int, now micro.Time) {
+	switch {
+	case granted == requested:
+		delete(p.ConsecutiveRefusals, offer)
+	case granted > 0:
+		p.ConsecutiveRefusals[offer] = 1
+		p.RefusedUntil[offer] = now + refusalBackoff
+	default:
+		p.RefusedUntil[offer] = now + refusalBackoff<<min(p.ConsecutiveRefusals[offer], maxBackoffShift)
+		p.ConsecutiveRefusals[offer]++
+	}
+}
+
+// Plan says what to rent and which machines to return for being idle.
+func (p *Planner) Plan(now micro.Time) (scaleOuts []ScaleOut, idle []*model.Machine) {
+	p.permanentFleet = p.hasPermanentMachines()
+	p.unreachableZones = p.listUnreachableZones()
+	p.trackBacklog(now)
+	if p.excludedUntil == nil {
+		p.excludedUntil = map[InstanceOffer]micro.Time{}
+	}
+	p.trackBootFailures(now)
+	demands := p.demands(now)
+	plan := p.newScaleOutPlan(now)
+	for i := range demands {
+		plan.satisfy(&demands[i])
+	}
+	cordon, uncordon := p.planCordons(demands, now)
+	for _, machine := range cordon {
+		p.Cluster.SetDrained(machine, true)
+	}
+	for _, machine := range uncordon {
+		p.Cluster.SetDrained(machine, false)
+	}
+	return plan.requests(), p.IdleMachines(now)
+}
+
+// bestOffer is what to rent for a demand: work of the first rank at any price.
+func (p *Planner) bestOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, now micro.Time) *bin {
+	best := p.chooseOffer(demand, unplaced, tasksByZone, true, now)
+	if best == nil && demand.priorityLevel == 0 {
+		best = p.chooseOffer(demand, unplaced, tasksByZone, false, now)
+	}
+	return best
+}
+
+// listUnreachableZones lists the zones that are out of reach. What is rented there reports to
+// nobody until the cut ends: tasks that were killed in such a zone once waited while
+// machines were rented there again and again.
+func (p *Planner) listUnreachableZones() map[string]bool {
+	unreachable := map[string]bool{}
+	for zone := range p.Cluster.Away {
+		if !p.Cluster.ZoneReachable(zone) {
+			unreachable[zone] = true
+		}
+	}
+	return unreachable
+}
+
+// maxPending is how much of an offer may be asked for at a time.
+func (p *Planner) maxPending(offer InstanceOffer) int {
+	if p.ConsecutiveRefusals[offer] > 0 {
+		return maxMachinesPerRequest
+	}
+	return maxMachinesPerOffer
+}
+
+// permanentFleetIdleFactor is how much longer rented machines are kept where readiness wins.
+const permanentFleetIdleFactor = 6
+
+// IdleMachines lists rented machines that nobody has needed for a while.
+func (p *Planner) IdleMachines(now micro.Time) []*model.Machine {
+	var idle []*model.Machine
+	idleTimeout := p.Properties.IdleReturn
+	if !p.limitsCost() {
+		idleTimeout *= permanentFleetIdleFactor
+	}
+	for _, machine := range p.Cluster.List() {
+		if machine.State != model.Up || machine.Foreign || machine.Base || len(machine.Places) > 0 || machine.Reserve != nil || machine.NoticeAt != 0 {
+			continue
+		}
+		if machine.Drained {
+			idle = append(idle, machine)
+			continue
+		}
+		timeout := idleTimeout
+		if p.limitsCost() && machine.Type != nil && machine.Type.GPUs > 0 {
+			timeout /= 2 // the dearest; those that are expected to be needed are wanted
+		}
+		if now-machine.IdleSince > timeout && now-machine.Wanted > 5*micro.Second {
+			idle = append(idle, machine)
+		}
+	}
+	return idle
+}
--- a/internal/scale/price.go
+++ b/internal/scale/price.go
@@ -9,143 +9,143 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// dearWait is the longest that work waits for room to come free where only dear
+// maxExpensiveDelay is the longest that work waits for room to come free where only dear
 // room can be rented.
-const dearWait = 3 * micro.Minute
+const maxExpensiveDelay = 3 * micro.Minute
 
-// slowBoot is how many times its type's boot time a machine may well take.
-const slowBoot = 1.5
+// slowBootFactor is how many times its type's boot time a machine may well take.
+const slowBootFactor = 1.5
 
-// helps reports whether a machine rented now would let a demand meet an
+// meetsObjective reports whether a machine rented now would let a demand meet an
 // objective. Work that has waited very long gets one in any case.
-func (p *Planner) helps(d *demand, t *model.Type, now micro.Time) bool {
-	if d.job != nil && now-d.job.Since > dearWait {
+func (p *Planner) meetsObjective(demand *taskDemand, typ *model.Type, now micro.Time) bool {
+	if demand.job != nil && now-demand.job.Since > maxExpensiveDelay {
 		return true
 	}
-	ready := now + micro.Of(slowBoot*t.BootS+d.spec.ImageGB/t.FetchGBPerS)
-	return d.late >= ready && d.late < now+sched.Distant/2
+	ready := now + micro.Of(slowBootFactor*typ.BootS+demand.spec.ImageGB/typ.FetchGBPerS)
+	return demand.latestStart >= ready && demand.latestStart < now+sched.Distant/2
 }
 
-// queue is how many of a class's tasks wait, now and a while ago.
-type queue struct {
-	n, was int
-	at     micro.Time // when was was taken
-	dear   micro.Time // when dear room was last rented because it lasts
+// classBacklog is how many of a class's tasks wait, now and a while ago.
+type classBacklog struct {
+	pendingTasks, pendingBefore int
+	measuredAt                  micro.Time // when was was taken
+	lastExpensiveAt             micro.Time // when dear room was last rented because it lasts
 }
 
-// A shortage lasts if, with machines up for lastingFor, no fewer tasks wait than
-// a good while ago. Then dear room is rented for one part in dearPart of the
+// A shortage lasts if, with machines up for persistentAfter, no fewer tasks wait than
+// a good while ago. Then dear room is rented for one part in expensiveFleetDivisor of the
 // fleet at a time.
 const (
-	queueEvery = 20 * micro.Second
-	lastingFor = 20 * micro.Second
-	dearEvery  = 5 * micro.Second
-	dearPart   = 100
+	backlogInterval       = 20 * micro.Second
+	persistentAfter       = 20 * micro.Second
+	expensiveInterval     = 5 * micro.Second
+	expensiveFleetDivisor = 100
 )
 
-// watch keeps count of what waits.
-func (p *Planner) watch(now micro.Time) {
-	if p.queues == nil {
-		p.queues = map[*model.Class]*queue{}
+// trackBacklog keeps count of what waits.
+func (p *Planner) trackBacklog(now micro.Time) {
+	if p.backlogs == nil {
+		p.backlogs = map[*model.Class]*classBacklog{}
 	}
-	for _, q := range p.queues {
-		q.n = 0
+	for _, backlog := range p.backlogs {
+		backlog.pendingTasks = 0
 	}
-	for j := range p.C.Pending {
-		q := p.queues[j.Class]
-		if q == nil {
-			q = &queue{at: now}
-			p.queues[j.Class] = q
+	for job := range p.Cluster.Pending {
+		backlog := p.backlogs[job.Class]
+		if backlog == nil {
+			backlog = &classBacklog{measuredAt: now}
+			p.backlogs[job.Class] = backlog
 		}
-		q.n += j.Waiting()
+		backlog.pendingTasks += job.Waiting()
 	}
-	up := 0
-	for _, pool := range p.C.Pools {
-		up += pool.N
+	upMachines := 0
+	for _, pool := range p.Cluster.Pools {
+		upMachines += pool.N
 	}
-	for _, q := range p.queues {
-		if up == 0 {
-			q.was, q.at = 0, now // nothing could run yet
-		} else if q.n == 0 {
-			q.was, q.at = 0, now
-		} else if q.was == 0 && now-q.at >= lastingFor || q.was > 0 && now-q.at >= queueEvery {
-			q.was, q.at = q.n, now
+	for _, backlog := range p.backlogs {
+		if upMachines == 0 {
+			backlog.pendingBefore, backlog.measuredAt = 0, now // nothing could run yet
+		} else if backlog.pendingTasks == 0 {
+			backlog.pendingBefore, backlog.measuredAt = 0, now
+		} else if backlog.pendingBefore == 0 && now-backlog.measuredAt >= persistentAfter || backlog.pendingBefore > 0 && now-backlog.measuredAt >= backlogInterval {
+			backlog.pendingBefore, backlog.measuredAt = backlog.pendingTasks, now
 		}
 	}
 }
 
-// lasting is how many dear machines may be rented now because a class's shortage
+// persistentShortage is how many dear machines may be rented now because a class's shortage
 // lasts, whatever is expected to come free: other work takes it.
-func (p *Planner) lasting(d *demand, now micro.Time) int {
-	if d.job == nil {
+func (p *Planner) persistentShortage(demand *taskDemand, now micro.Time) int {
+	if demand.job == nil {
 		return 0
 	}
-	q := p.queues[d.job.Class]
-	if q == nil || q.was == 0 || now-q.at < queueEvery/2 || 10*q.n < 9*q.was || now-q.dear < dearEvery {
+	backlog := p.backlogs[demand.job.Class]
+	if backlog == nil || backlog.pendingBefore == 0 || now-backlog.measuredAt < backlogInterval/2 || 10*backlog.pendingTasks < 9*backlog.pendingBefore || now-backlog.lastExpensiveAt < expensiveInterval {
 		return 0
 	}
-	q.dear = now
-	return max(len(p.C.Machines)/dearPart, 1)
+	backlog.lastExpensiveAt = now
+	return max(len(p.Cluster.Machines)/expensiveFleetDivisor, 1)
 }
 
-func priceOf(o Offer, t *model.Type) float64 {
-	if o.Spot {
-		return t.SpotPrice
+func priceOf(offer InstanceOffer, typ *model.Type) float64 {
+	if offer.Spot {
+		return typ.SpotPrice
 	}
-	return t.Price
+	return typ.Price
 }
 
-// bill is what the fleet costs an hour.
-func (p *Planner) bill() float64 {
+// hourlyCost is what the fleet costs an hour.
+func (p *Planner) hourlyCost() float64 {
 	sum := 0.0
-	for _, m := range p.C.Machines {
+	for _, m := range p.Cluster.Machines {
 		if m.Type != nil {
-			sum += priceOf(Offer{Spot: m.Spot}, m.Type)
+			sum += priceOf(InstanceOffer{Spot: m.Spot}, m.Type)
 		}
 	}
 	return sum
 }
 
-// readyIn is how soon a rented machine could run the job's task.
-func (p *Planner) readyIn(s *wire.Job) micro.Time {
+// minReadyTime is how soon a rented machine could run the job's task.
+func (p *Planner) minReadyTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
-	for _, t := range p.C.Order {
-		for _, z := range t.Zones {
-			if sched.Allowed(s, t, z, false) {
-				best = min(best, micro.Of(t.BootS+s.ImageGB/t.FetchGBPerS))
+	for _, typ := range p.Cluster.Order {
+		for _, z := range typ.Zones {
+			if sched.Allowed(spec, typ, z, false) {
+				best = min(best, micro.Of(typ.BootS+spec.ImageGB/typ.FetchGBPerS))
 			}
 		}
 	}
 	return best
 }
 
-// cheapest is what the cheapest ordinary type asks for a task's room, where n
+// cheapestPrice is what the cheapest ordinary type asks for a task's room, where n
 // like it are waiting.
-func (p *Planner) cheapest(s *wire.Job, n int) float64 {
+func (p *Planner) cheapestPrice(spec *wire.Job, n int) float64 {
 	best := math.Inf(1)
-	for _, t := range p.C.Order {
-		for _, z := range t.Zones {
-			b := newBin(t, z, false)
-			if k := b.fits(s); k > 0 {
-				best = min(best, t.Price/float64(min(k, n)))
+	for _, typ := range p.Cluster.Order {
+		for _, z := range typ.Zones {
+			b := newBin(typ, z, false)
+			if k := b.countFitting(spec); k > 0 {
+				best = min(best, typ.Price/float64(min(k, n)))
 			}
 		}
 	}
 	return best
 }
 
-// pressingRatio is how much more room may cost for work that would be late.
-const pressingRatio = 2.2
+// urgentPriceFactor is how much more room may cost for work that would be late.
+const urgentPriceFactor = 2.2
 
-// longWait is how long work waits before it counts as pressing.
-const longWait = micro.Minute
+// urgentAfter is how long work waits before it counts as pressing.
+const urgentAfter = micro.Minute
 
-// thrifty reports whether money is looked at: where operators keep a fleet of
+// limitsCost reports whether money is looked at: where operators keep a fleet of
 // their own, readiness wins.
-func (p *Planner) thrifty() bool { return !p.own }
+func (p *Planner) limitsCost() bool { return !p.permanentFleet }
 
-func (p *Planner) hasOwn() bool {
-	for _, m := range p.C.Machines {
+func (p *Planner) hasPermanentMachines() bool {
+	for _, m := range p.Cluster.Machines {
 		if m.Base {
 			return true
 		}
@@ -153,106 +153,106 @@
 	return false
 }
 
-// Affordable reports whether work that needs no GPU may sit on a machine with
+// WithinPrice reports whether work that needs no GPU may sit on a machine with
 // GPUs. Most are dear, and work that sits on one keeps it from being returned: a
 // service for as long as it lives.
-func (p *Planner) Affordable(j *model.Job, t *model.Type, spot bool, now micro.Time) bool {
-	s := &j.Spec
-	if s.GPUs > 0 || t.GPUs == 0 || !p.thrifty() {
+func (p *Planner) WithinPrice(job *model.Job, typ *model.Type, spot bool, now micro.Time) bool {
+	spec := &job.Spec
+	if spec.GPUs > 0 || typ.GPUs == 0 || !p.limitsCost() {
 		return true
 	}
-	return !p.dear(s, t, spot, p.sittingRatio(j, now))
+	return !p.isExpensive(spec, typ, spot, p.occupancyPriceRatio(job, now))
 }
 
-// sittingRatio is the most that the room of a machine may cost, over the cheapest
+// occupancyPriceRatio is the most that the room of a machine may cost, over the cheapest
 // ordinary room, for a job to sit there without need.
-func (p *Planner) sittingRatio(j *model.Job, now micro.Time) float64 {
-	if p.cheapOnly(j, now) {
-		return p.Props.DearRatio
+func (p *Planner) occupancyPriceRatio(job *model.Job, now micro.Time) float64 {
+	if p.onlyCostMatters(job, now) {
+		return p.Properties.DearRatio
 	}
-	return p.ratio(nil, now)
+	return p.maxPriceRatio(nil, now)
 }
 
-// cheapOnly reports whether a job takes no dear room: it is of the last rank and
+// onlyCostMatters reports whether a job takes no dear room: it is of the last rank and
 // nothing says when it should start or end, so only its cost counts. Arrays of
 // thousands of such tasks had hundreds of ordinary GPU machines rented, and kept
 // those that other work had needed from being returned. A job none of whose tasks
-// found a place for dearWait takes what there is.
-func (p *Planner) cheapOnly(j *model.Job, now micro.Time) bool {
-	return j != nil && j.Level >= lastRank && !p.Goals.Any(j) && now-j.WaitsFrom <= dearWait
+// found a place for maxExpensiveDelay takes what there is.
+func (p *Planner) onlyCostMatters(job *model.Job, now micro.Time) bool {
+	return job != nil && job.Level >= lowestPriorityLevel && !p.Objectives.Any(job) && now-job.WaitsFrom <= maxExpensiveDelay
 }
 
-// lastRank is the rank of idle work.
-var lastRank = wire.Low.Level()
+// lowestPriorityLevel is the rank of idle work.
+var lowestPriorityLevel = wire.Low.Level()
 
-// dear reports whether a machine's room costs more than so many times the
+// isExpensive reports whether a machine's room costs more than so many times the
 // cheapest ordinary room, for tasks like this.
-func (p *Planner) dear(s *wire.Job, t *model.Type, spot bool, ratio float64) bool {
-	k := newBin(t, "", false).room(s)
-	return k == 0 || priceOf(Offer{Spot: spot}, t)/float64(k) > ratio*p.cheapest(s, math.MaxInt32)
+func (p *Planner) isExpensive(spec *wire.Job, typ *model.Type, spot bool, ratio float64) bool {
+	k := newBin(typ, "", false).countRoom(spec)
+	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
 
-// ratio is the most that room for a job's tasks may cost, over the cheapest
+// maxPriceRatio is the most that room for a job's tasks may cost, over the cheapest
 // ordinary room. Work that has waited long and would soon be late may cost more:
 // then the cheap room has run out.
-func (p *Planner) ratio(j *model.Job, now micro.Time) float64 {
-	if p.cheapOnly(j, now) {
-		return p.Props.DearRatio
+func (p *Planner) maxPriceRatio(job *model.Job, now micro.Time) float64 {
+	if p.onlyCostMatters(job, now) {
+		return p.Properties.DearRatio
 	}
-	r := p.Props.PriceRatio * 1.4
-	if j != nil && now-j.Since > longWait {
-		if late := p.Goals.LatestStart(j, now); late-now < p.readyIn(&j.Spec)+longWait {
-			r *= pressingRatio
+	limit := p.Properties.PriceRatio * 1.4
+	if job != nil && now-job.Since > urgentAfter {
+		if latestStart := p.Objectives.LatestStart(job, now); latestStart-now < p.minReadyTime(&job.Spec)+urgentAfter {
+			limit *= urgentPriceFactor
 		}
 	}
-	return r
+	return limit
 }
 
-// choose finds the offer that costs least per task, first among those whose
+// chooseOffer finds the offer that costs least per task, first among those whose
 // machines come up; in a zone that is cut off only if there is no other.
-func (p *Planner) choose(d *demand, left int, zoneN map[string]int, thrift bool, now micro.Time) *bin {
-	if b := p.cheapestOffer(d, left, zoneN, thrift, p.lateUntil, now); b != nil || len(p.lateUntil) == 0 {
-		return b
+func (p *Planner) chooseOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, now micro.Time) *bin {
+	if best := p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, p.excludedUntil, now); best != nil || len(p.excludedUntil) == 0 {
+		return best
 	}
-	return p.cheapestOffer(d, left, zoneN, thrift, nil, now)
+	return p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, nil, now)
 }
 
 // cheapestOffer finds the offer that costs least per task, but for those left out.
-func (p *Planner) cheapestOffer(d *demand, left int, zoneN map[string]int, thrift bool, leftOut map[Offer]micro.Time, now micro.Time) *bin {
+func (p *Planner) cheapestOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, excluded map[InstanceOffer]micro.Time, now micro.Time) *bin {
 	var best *bin
 	bestCost := 0.0
-	limit := math.Inf(1)
-	if thrift && p.thrifty() {
-		limit = p.ratio(d.job, now) * p.cheapest(d.spec, left)
+	priceLimit := math.Inf(1)
+	if limitPrice && p.limitsCost() {
+		priceLimit = p.maxPriceRatio(demand.job, now) * p.cheapestPrice(demand.spec, unplaced)
 	}
-	for _, t := range p.C.Order {
-		for _, z := range t.Zones {
+	for _, typ := range p.Cluster.Order {
+		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
-				o := Offer{t.Name, z, spot}
-				if p.Refused[o] > now || leftOut[o] > now || !d.allows(t, z, spot) {
+				offer := InstanceOffer{typ.Name, zone, spot}
+				if p.RefusedUntil[offer] > now || excluded[offer] > now || !demand.allows(typ, zone, spot) {
 					continue
 				}
-				if d.job != nil && !sched.ZoneOK(d.job, z, zoneN) {
+				if demand.job != nil && !sched.ZoneOK(demand.job, zone, tasksByZone) {
 					continue
 				}
-				b := newBin(t, z, spot)
-				k := b.fits(d.spec)
-				if k == 0 {
+				candidate := newBin(typ, zone, spot)
+				fitting := candidate.countFitting(demand.spec)
+				if fitting == 0 {
 					continue
 				}
-				price := t.Price
+				price := typ.Price
 				if spot {
-					price = t.SpotPrice * 1.2 // it may be taken back
+					price = typ.SpotPrice * 1.2 // it may be taken back
 				}
-				if price/float64(min(k, left)) > limit {
+				if price/float64(min(fitting, unplaced)) > priceLimit {
 					continue
 				}
-				cost := price / float64(min(k, left)) * (1 + t.BootS/300)
-				sooner := best != nil && p.cut[best.zone] && !p.cut[z]
-				later := best != nil && !p.cut[best.zone] && p.cut[z]
-				if best == nil || sooner || cost < bestCost && !later {
-					b.offer = o
-					best, bestCost = b, cost
+				cost := price / float64(min(fitting, unplaced)) * (1 + typ.BootS/300)
+				moreReachable := best != nil && p.unreachableZones[best.zone] && !p.unreachableZones[zone]
+				lessReachable := best != nil && !p.unreachableZones[best.zone] && p.unreachableZones[zone]
+				if best == nil || moreReachable || cost < bestCost && !lessReachable {
+					candidate.offer = offer
+					best, bestCost = candidate, cost
 				}
 			}
 		}
