--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -53,14 +53,14 @@
 // Ran learns from a completed run.
 func (l *Leader) Ran(p *model.Place, took micro.Time) {
 	j := p.Job
-	p.Machine.InTime(took, sched.Estimate(j))
+	p.Machine.InTime(took, sched.EstimatedRuntime(j))
 	if j.Spec.EstimateS > 1 && j.Spec.CheckpointS == 0 || j.Spec.Kind == wire.Array && p.Attempt == 1 {
 		if j.Spec.EstimateS > 1 {
 			j.Class.Learn(took.Seconds() / j.Spec.EstimateS)
 		}
 	}
 	if j.Spec.Kind == wire.Array && p.Machine.Type != nil && len(l.cluster.Order) > 0 && p.Attempt == 1 {
-		l.speeds.Sample(j.Spec.ID, p.Machine.Type.Name, took.Seconds(), j.Spec.CPUs)
+		l.speeds.AddSample(j.Spec.ID, p.Machine.Type.Name, took.Seconds(), j.Spec.CPUs)
 	}
 }
 
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -230,7 +230,7 @@
 		if m := machines[l.overrunCursor]; m.State == model.Up {
 			for _, p := range m.Places {
 				if p.Job != nil {
-					l.cluster.Overran(p, sched.Estimate(p.Job), now)
+					l.cluster.Overran(p, sched.EstimatedRuntime(p.Job), now)
 				}
 			}
 		}
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -58,7 +58,7 @@
 	for i := 0; i < machines*6; i += 60 {
 		fleet.leader.addJob(wire.Job{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i"})
 	}
-	fleet.leader.scheduler.Pass(fleet.now)
+	fleet.leader.scheduler.Schedule(fleet.now)
 	for _, machine := range fleet.leader.cluster.List() {
 		for _, allocation := range machine.Places {
 			fleet.leader.cluster.Persisted(allocation.Job.Chunk(allocation.Index), 1<<40)
@@ -142,7 +142,7 @@
 				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 600, CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i"})
 			}
 			for b.Loop() {
-				fleet.leader.scheduler.Pass(fleet.now)
+				fleet.leader.scheduler.Schedule(fleet.now)
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 			}
 			fleet.now += 2 * micro.Minute
 			for b.Loop() {
-				fleet.leader.scheduler.Pass(fleet.now)
+				fleet.leader.scheduler.Schedule(fleet.now)
 			}
 		})
 	}
@@ -183,7 +183,7 @@
 			fleet := newFleet(b, 290)
 			fleet.addWaitingJobs(n)
 			for b.Loop() {
-				fleet.leader.scheduler.Pass(fleet.now)
+				fleet.leader.scheduler.Schedule(fleet.now)
 			}
 		})
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -77,9 +77,9 @@
 	now := l.node.Now()
 	l.cluster.End(job, state == wire.JobAborted, now)
 	if state == wire.JobDone && len(l.cluster.Order) > 0 {
-		l.speeds.Finish(job.Spec.ID, l.cluster.Order[0].Name)
+		l.speeds.FinishArray(job.Spec.ID, l.cluster.Order[0].Name)
 	} else {
-		l.speeds.Forget(job.Spec.ID)
+		l.speeds.DropSamples(job.Spec.ID)
 	}
 	if job.HeldN > 0 && state == wire.JobAborted {
 		l.unconfirmedCancellations[job] = true
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -50,10 +50,10 @@
 
 	// Owned by the loop.
 	cluster                  *model.Cluster
-	scheduler                *sched.Placer
+	scheduler                *sched.Scheduler
 	planner                  *scale.Planner
-	speeds                   *sched.Speeds
-	objectives               *sched.Goals
+	speeds                   *sched.SpeedEstimator
+	objectives               *sched.Objectives
 	records                  *recordStore
 	fencingToken             uint64
 	nextTokenCheck           micro.Time // no look for what waits for a newer token before
@@ -130,11 +130,11 @@
 	l.cluster.Lease = node.Cfg.LeaseOut()
 	l.cluster.ErrJobs = node.Cfg.ErrorMachines
 	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
-	l.objectives = sched.NewGoals(node.Cfg.Facts.Objectives)
-	l.speeds = sched.NewSpeeds()
-	l.scheduler = &sched.Placer{C: l.cluster, Goals: l.objectives, Props: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.Stamp, 1))}
+	l.objectives = sched.NewObjectives(node.Cfg.Facts.Objectives)
+	l.speeds = sched.NewSpeedEstimator()
+	l.scheduler = &sched.Scheduler{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.Stamp, 1))}
 	l.planner = &scale.Planner{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, RefusedUntil: map[scale.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[scale.InstanceOffer]int{}, PendingRequests: map[string]scale.ScaleOut{}}
-	l.scheduler.Affordable = l.planner.WithinPrice
+	l.scheduler.WithinPrice = l.planner.WithinPrice
 	l.records = newRecordStore(l)
 	return l
 }
@@ -249,10 +249,10 @@
 	if l.schedulePending && now-l.lastSchedule > l.scheduleInterval && l.mayPlace() {
 		l.schedulePending = false
 		l.lastSchedule = now
-		l.scheduler.Pass(now)
+		l.scheduler.Schedule(now)
 		took := l.node.Now() - now
 		l.scheduleInterval = min(max(scheduleTimeDivisor*took, minScheduleInterval), maxScheduleInterval)
-		l.scheduler.Busy = took > l.node.Cfg.SampleBusy
+		l.scheduler.Overloaded = took > l.node.Cfg.SampleBusy
 		l.node.Metrics.Observe("pass", took)
 	}
 	for job := range l.pendingCancellations {
@@ -307,10 +307,10 @@
 	}
 	if now-l.lastSpeedWrite >= l.node.Cfg.SpeedWrite {
 		l.lastSpeedWrite = now
-		if l.speeds.Dirty() {
+		if l.speeds.TakeDirty() {
 			l.speeds.Apply(l.cluster)
 			for _, machineType := range l.cluster.Order {
-				l.log.Debug("speed", "type", machineType.Name, "k", machineType.K, "learnt", l.speeds.Record().K[machineType.Name])
+				l.log.Debug("speed", "type", machineType.Name, "k", machineType.K, "learnt", l.speeds.Record().Speeds[machineType.Name])
 			}
 			l.records.speeds.Touch(now, writer.Lazy)
 		}
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -143,7 +143,7 @@
 		}
 		leader.addJob(wire.Job{ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
 		fleet.now += micro.Second
-		leader.scheduler.Pass(fleet.now)
+		leader.scheduler.Schedule(fleet.now)
 		job := leader.cluster.Jobs["j-9"]
 		leader.cluster.Persisted(job.Chunk(0), 1<<40)
 		allocation := job.AllPlaces()[0]
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -33,5 +33,5 @@
 
 func (l *Leader) logWaitReason(j *model.Job, now micro.Time) {
 	j.Explained = now
-	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitsFrom)/micro.Second), "why", l.scheduler.Why(j, now).String())
+	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitsFrom)/micro.Second), "why", l.scheduler.ExplainPending(j, now).String())
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -92,7 +92,7 @@
 func (l *Leader) restoreFleet(item wire.Item) {
 	switch item.Key {
 	case speedKey:
-		var record sched.Record
+		var record sched.SpeedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.speeds.Restore(record)
 			l.records.speeds.SetVersion(uint64(item.Version))
@@ -197,7 +197,7 @@
 	l.knownJobs.Store(spec.ID, true)
 	age := max(wall-micro.Time(spec.SubmittedAt), 0)
 	job := l.cluster.AddJob(spec, now-age, now)
-	job.Class.Quick = l.objectives.Quick(spec.Class)
+	job.Class.Quick = l.objectives.StartObjective(spec.Class)
 	return job
 }
 
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -127,7 +127,7 @@
 		return 0
 	}
 	count := math.MaxInt32
-	for _, x := range []struct{ free, need float64 }{{capacity.CPU, max(spec.CPUs, sched.Scaled(spec.CPUs, machineType.K, machineType.CPUs))}, {capacity.GPU, spec.GPUs}, {capacity.Mem, spec.MemoryGB}} {
+	for _, x := range []struct{ free, need float64 }{{capacity.CPU, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, machineType.K, machineType.CPUs))}, {capacity.GPU, spec.GPUs}, {capacity.Mem, spec.MemoryGB}} {
 		if x.need > 0 {
 			count = min(count, int(x.free/x.need+1e-9))
 		}
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -206,5 +206,5 @@
 		}
 	}
 	l.records.dropJob(job)
-	l.speeds.Forget(id)
+	l.speeds.DropSamples(id)
 }
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -170,7 +170,7 @@
 	}
 	var open []string
 	for _, zone := range l.node.Cfg.Facts.Zones {
-		if sched.ZoneOK(j, zone, nil) {
+		if sched.ZoneAllowed(j, zone, nil) {
 			open = append(open, zone)
 		}
 	}
--- a/internal/controller/shard_policy.go
+++ b/internal/controller/shard_policy.go
@@ -42,7 +42,7 @@
 // policyFacts are what the policies may ask about, as it is now.
 func (l *Leader) policyFacts() policy.Facts {
 	facts := policy.Facts{Waiting: map[string]int{}, Guaranteed: map[string]int{}, Free: map[string]int{}, Machines: map[string]int{}}
-	facts.At(time.UnixMicro(int64(l.node.Wall())))
+	facts.SetTime(time.UnixMicro(int64(l.node.Wall())))
 	l.cluster.MarkGuarantees()
 	for job := range l.cluster.Pending {
 		facts.Waiting[job.Spec.Team] += job.Waiting()
--- a/internal/model/scenario_test.go
+++ b/internal/model/scenario_test.go
@@ -20,7 +20,7 @@
 type site struct {
 	t       *testing.T
 	c       *model.Cluster
-	placer  *sched.Placer
+	placer  *sched.Scheduler
 	now     micro.Time
 	token   uint64
 	dirty   map[*model.Chunk]bool
@@ -59,7 +59,7 @@
 	s.c.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}}})
 	s.c.Teams["team"] = &model.Team{Name: "team", CPUsMax: 8}
 	props := config.Defaults()
-	s.placer = &sched.Placer{C: s.c, Goals: sched.NewGoals(nil), Props: &props, Rand: rand.New(rand.NewPCG(1, 1))}
+	s.placer = &sched.Scheduler{Cluster: s.c, Objectives: sched.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1))}
 }
 
 // takeOver is lead after a crash: the records are read.
@@ -119,7 +119,7 @@
 
 func (s *site) place(want int) {
 	s.t.Helper()
-	if got := s.placer.Pass(s.now); got != want {
+	if got := s.placer.Schedule(s.now); got != want {
 		s.t.Fatalf("placed %d tasks, want %d", got, want)
 	}
 }
--- a/internal/model/wait_test.go
+++ b/internal/model/wait_test.go
@@ -20,7 +20,7 @@
 	j := s.job("j-1", wire.Array, 1, 1)
 	failed, longest := s.now, micro.Time(0)
 	for tries := 0; tries < 40; s.now += micro.Second {
-		if s.placer.Pass(s.now) == 0 {
+		if s.placer.Schedule(s.now) == 0 {
 			if s.now-failed > 10*micro.Minute {
 				t.Fatalf("given up after %d tries", tries)
 			}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -31,8 +31,8 @@
 	Machines   map[string]int `expr:"machines"`   // machines that are up, by share
 }
 
-// At fills in the time of day.
-func (f *Facts) At(t time.Time) {
+// SetTime fills in the time of day.
+func (f *Facts) SetTime(t time.Time) {
 	t = t.UTC()
 	f.Hour, f.Minute = t.Hour(), t.Minute()
 	f.Weekday = strings.ToLower(t.Weekday().String())
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -8,7 +8,7 @@
 
 func TestConditions(t *testing.T) {
 	facts := Facts{Waiting: map[string]int{"a": 3}, Free: map[string]int{"gpu": 2}}
-	facts.At(time.Date(2026, 12, 2, 5, 30, 0, 0, time.UTC))
+	facts.SetTime(time.Date(2026, 12, 2, 5, 30, 0, 0, time.UTC))
 	for text, want := range map[string]bool{
 		`hour == 5 and minute >= 30`:                     true,
 		`weekday == "wednesday"`:                         true,
--- a/internal/scale/boot_test.go
+++ b/internal/scale/boot_test.go
@@ -45,18 +45,18 @@
 func TestReplacementIsRequestedBeforeTheWorkMissesItsObjective(t *testing.T) {
 	const boot, objective = 30 * micro.Second, 110 * micro.Second
 	sim := &bootSimulation{Planner: newTestPlanner(), upAt: map[*model.Machine]micro.Time{}}
-	sim.Objectives = sched.NewGoals([]config.Objective{{Kind: "wait", Class: "c", WithinS: objective.Seconds()}})
+	sim.Objectives = sched.NewObjectives([]config.Objective{{Kind: "wait", Class: "c", WithinS: objective.Seconds()}})
 	sim.bootTime = func(n int) (micro.Time, bool) { return boot * 3 / 2, n > 0 }
 	job := sim.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 100}, now, now)
 	properties := config.Defaults()
-	sched := &sched.Placer{C: sim.Cluster, Goals: sim.Objectives, Props: &properties}
+	sched := &sched.Scheduler{Cluster: sim.Cluster, Objectives: sim.Objectives, Properties: &properties}
 	var secondRequestedAt micro.Time
 	for at := now; job.HeldN == 0; at += micro.Second {
 		if at > now+objective {
 			t.Fatalf("the work waits after %v s", (at - now).Seconds())
 		}
 		sim.step(at)
-		sched.Pass(at)
+		sched.Schedule(at)
 		if sim.requested > 1 && secondRequestedAt == 0 {
 			secondRequestedAt = at
 		}
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -55,14 +55,14 @@
 			count = min(count, int(free/need+1e-9))
 		}
 	}
-	limit(b.cpu, max(spec.CPUs, sched.Scaled(spec.CPUs, b.typ.K, b.typ.CPUs)))
+	limit(b.cpu, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.K, b.typ.CPUs)))
 	limit(b.gpu, spec.GPUs)
 	limit(b.mem, spec.MemoryGB)
 	return max(count, 0)
 }
 
 func (b *bin) reserve(spec *wire.Job, n int) {
-	b.cpu -= float64(n) * max(spec.CPUs, sched.Scaled(spec.CPUs, b.typ.K, b.typ.CPUs))
+	b.cpu -= float64(n) * max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.K, b.typ.CPUs))
 	b.gpu -= float64(n) * spec.GPUs
 	b.mem -= float64(n) * spec.MemoryGB
 }
@@ -137,7 +137,7 @@
 	if d.job == nil || d.spec.Kind == wire.Service {
 		return serviceOccupancy
 	}
-	return sched.Estimate(d.job) + micro.Of(d.spec.ImageGB)
+	return sched.EstimatedRuntime(d.job) + micro.Of(d.spec.ImageGB)
 }
 
 // serviceOccupancy stands for the time that a service takes.
@@ -314,7 +314,7 @@
 			}
 			end := now
 			if !allocation.Stopping {
-				estimate := sched.Estimate(job)
+				estimate := sched.EstimatedRuntime(job)
 				end = now + estimate + micro.Of(job.Spec.ImageGB/machine.Type.FetchGBPerS)
 				if allocation.RunFrom > 0 {
 					end = max(allocation.RunFrom+estimate, now+estimate/4)
--- a/internal/scale/demand.go
+++ b/internal/scale/demand.go
@@ -110,7 +110,7 @@
 func (p *Planner) bootSpares(topPriorityTasks map[*model.Class]int, now micro.Time) []taskDemand {
 	var demands []taskDemand
 	for class, tasks := range topPriorityTasks {
-		startObjective, boot := p.Objectives.Quick(class.Name), p.minBootTime(class.Last)
+		startObjective, boot := p.Objectives.StartObjective(class.Name), p.minBootTime(class.Last)
 		if startObjective > 0 && startObjective < boot {
 			spec := *class.Last
 			demands = append(demands, taskDemand{spec: &spec, tasks: int(math.Ceil(bootSpareFactor * float64(tasks))), latestStart: now + boot, eligible: p.OwnsOffer})
@@ -186,11 +186,11 @@
 	sort.Strings(names)
 	for _, name := range names {
 		class := p.Cluster.Classes[name]
-		startObjective := p.Objectives.Quick(name)
+		startObjective := p.Objectives.StartObjective(name)
 		if class.Last == nil || startObjective == 0 {
 			continue
 		}
-		if guaranteed := p.Objectives.Guarantee(); guaranteed > 0 && class.Last.GPUs > 0 && p.guaranteesGPUs() {
+		if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.Last.GPUs > 0 && p.guaranteesGPUs() {
 			startObjective = min(startObjective, guaranteed)
 		}
 		boot := p.minBootTime(class.Last)
--- a/internal/scale/planner.go
+++ b/internal/scale/planner.go
@@ -27,7 +27,7 @@
 // Planner remembers what the cloud refused and what is under way.
 type Planner struct {
 	Cluster             *model.Cluster
-	Objectives          *sched.Goals
+	Objectives          *sched.Objectives
 	Properties          *config.Properties
 	RefusedUntil        map[InstanceOffer]micro.Time // until when not to ask again
 	ConsecutiveRefusals map[InstanceOffer]int        // refusals in a row
--- a/internal/scale/planner_test.go
+++ b/internal/scale/planner_test.go
@@ -26,7 +26,7 @@
 		{Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 96, Price: 60, SpotPrice: 50, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
 	}})
 	properties := config.Defaults()
-	return &Planner{Cluster: state, Objectives: sched.NewGoals(nil), Properties: &properties, RefusedUntil: map[InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[InstanceOffer]int{}, PendingRequests: map[string]ScaleOut{}}
+	return &Planner{Cluster: state, Objectives: sched.NewObjectives(nil), Properties: &properties, RefusedUntil: map[InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[InstanceOffer]int{}, PendingRequests: map[string]ScaleOut{}}
 }
 
 func (p *Planner) submit(id string, tasks int, cpus float64, spot bool) *model.Job {
--- a/internal/scale/price.go
+++ b/internal/scale/price.go
@@ -23,7 +23,7 @@
 		return true
 	}
 	ready := now + micro.Of(slowBootFactor*typ.BootS+demand.spec.ImageGB/typ.FetchGBPerS)
-	return demand.latestStart >= ready && demand.latestStart < now+sched.Distant/2
+	return demand.latestStart >= ready && demand.latestStart < now+sched.PlanningHorizon/2
 }
 
 // classBacklog is how many of a class's tasks wait, now and a while ago.
@@ -179,7 +179,7 @@
 // those that other work had needed from being returned. A job none of whose tasks
 // found a place for maxExpensiveDelay takes what there is.
 func (p *Planner) onlyCostMatters(job *model.Job, now micro.Time) bool {
-	return job != nil && job.Level >= lowestPriorityLevel && !p.Objectives.Any(job) && now-job.WaitsFrom <= maxExpensiveDelay
+	return job != nil && job.Level >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) && now-job.WaitsFrom <= maxExpensiveDelay
 }
 
 // lowestPriorityLevel is the rank of idle work.
@@ -232,7 +232,7 @@
 				if p.RefusedUntil[offer] > now || excluded[offer] > now || !demand.allows(typ, zone, spot) {
 					continue
 				}
-				if demand.job != nil && !sched.ZoneOK(demand.job, zone, tasksByZone) {
+				if demand.job != nil && !sched.ZoneAllowed(demand.job, zone, tasksByZone) {
 					continue
 				}
 				candidate := newBin(typ, zone, spot)
--- a/internal/scale/price_test.go
+++ b/internal/scale/price_test.go
@@ -20,7 +20,7 @@
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.9, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
 		{Name: "gpu", CPUs: 8, GPUs: 1, MemoryGB: 32, Price: 6, SpotPrice: 6, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
 	}})
-	planner.Objectives = sched.NewGoals([]config.Objective{{Kind: "finished", Class: "promised", WithinS: 1000, Share: 0.9}})
+	planner.Objectives = sched.NewObjectives([]config.Objective{{Kind: "finished", Class: "promised", WithinS: 1000, Share: 0.9}})
 	for _, spot := range []bool{false, true} {
 		planner.RefusedUntil[InstanceOffer{"small", "a", spot}] = now + 60*micro.Minute
 	}
--- /dev/null
+++ b/internal/sched/best_effort_test.go
@@ -0,0 +1,142 @@
+package sched
+
+import (
+	"fmt"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/wire"
+)
+
+// bestEffortScenario is a fleet that the work of other teams keeps full, and a guest team
+// without a guarantee beside it: a huge array, some arrays and a swarm of single
+// tasks, and ten of each of some other classes, all of the last rank.
+type bestEffortScenario struct {
+	*simulation
+	hugeArray   *model.Job
+	smallArrays []*model.Job
+	singleTasks []*model.Job
+
+	otherTeamDone int // tasks of the other teams
+	maxReserved   int // machines that were gathered at a time
+}
+
+const (
+	bestEffortMachines = 32
+	bestEffortDuration = 10 * micro.Minute
+)
+
+func runBestEffortScenario(t *testing.T, span micro.Time, otherClasses int, configure func(*Scheduler)) *bestEffortScenario {
+	scenario := &bestEffortScenario{simulation: newSimulation(t, bestEffortMachines, 0)}
+	if configure != nil {
+		configure(scenario.scheduler)
+	}
+	totalCPUs := float64(8 * bestEffortMachines)
+	scenario.cluster.Teams["host"] = &model.Team{Name: "host", CPUs: totalCPUs}
+	scenario.cluster.Teams["guest"] = &model.Team{Name: "guest", CPUsMax: totalCPUs / 2}
+	submitted := 0
+	submit := func(team, class string, priority wire.Priority, tasks int) *model.Job {
+		submitted++
+		return scenario.cluster.AddJob(wire.Job{ID: fmt.Sprint(healthyJobs, 10000+submitted), Team: team, Class: class, Kind: wire.Array, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1,
+			EstimateS: simulatedRun.Seconds()}, scenario.now, scenario.now)
+	}
+	keepBusy := func() { // there is always more of the others' work than room
+		waiting := 0
+		for job := range scenario.cluster.Pending {
+			if job.Team.Name == "host" {
+				waiting += job.Waiting()
+			}
+		}
+		for ; waiting < 8*bestEffortMachines; waiting += 16 {
+			submit("host", "report", wire.Normal, 16)
+		}
+	}
+	keepBusy()
+	scenario.runFor(10 * micro.Second)
+	scenario.afterStep = func() {
+		keepBusy()
+		reserved := 0
+		for _, machine := range scenario.cluster.List() {
+			if machine.Gathered && machine.Reserve != nil {
+				reserved++
+			}
+		}
+		scenario.maxReserved = max(scenario.maxReserved, reserved)
+	}
+	scenario.hugeArray = submit("guest", "tagging", wire.Low, 2000)
+	for range 6 {
+		scenario.smallArrays = append(scenario.smallArrays, submit("guest", "crawl", wire.Low, 8))
+	}
+	for i := range otherClasses {
+		for range 10 {
+			submit("guest", fmt.Sprint("other", i), wire.Low, 1)
+		}
+	}
+	for end := scenario.now + span; scenario.now < end; {
+		if len(scenario.singleTasks) < 60 {
+			scenario.singleTasks = append(scenario.singleTasks, submit("guest", "spellcheck", wire.Low, 1))
+		}
+		scenario.runFor(4 * micro.Second)
+	}
+	for _, job := range scenario.cluster.Jobs {
+		if job.Team.Name == "host" {
+			scenario.otherTeamDone += job.DoneN
+		}
+	}
+	return scenario
+}
+
+// countStartedWithin counts the jobs whose first task began to run within a time of their
+// submission.
+func (b *bestEffortScenario) countStartedWithin(jobs []*model.Job, limit micro.Time) int {
+	count := 0
+	for _, job := range jobs {
+		for i := range job.Tasks {
+			if at, ok := b.lastStartedAt[wire.TaskName(job.Spec.ID, i)]; ok && at-job.Submitted <= limit {
+				count++
+				break
+			}
+		}
+	}
+	return count
+}
+
+// A guest team without a guarantee asks for room while the others, of a higher rank,
+// have more work than there is room for. Ageing alone gives it any: room is gathered
+// for its starved classes. Half of each class begins within four minutes, the
+// largest jobs among them, and the others lose little. Without ageing nothing does.
+func TestTeamWithoutGuaranteeIsServedByStarvationReservations(t *testing.T) {
+	const limit = 4 * micro.Minute
+	scenario := runBestEffortScenario(t, bestEffortDuration, 0, nil)
+	for class, jobs := range map[string][]*model.Job{"tagging": {scenario.hugeArray}, "crawl": scenario.smallArrays, "spellcheck": scenario.singleTasks} {
+		started := scenario.countStartedWithin(jobs, limit)
+		t.Logf("%s: %d of %d began within four minutes", class, started, len(jobs))
+		if 2*started < len(jobs) {
+			t.Errorf("%s: %d of %d began within four minutes", class, started, len(jobs))
+		}
+	}
+	t.Logf("%d tasks of the huge array are done, %d of the others", scenario.hugeArray.DoneN, scenario.otherTeamDone)
+	if scenario.hugeArray.DoneN < 8 {
+		t.Errorf("%d tasks of the huge array are done", scenario.hugeArray.DoneN)
+	}
+	// The room of all machines for all the time, less a tenth and the fetches.
+	if all := 8 * bestEffortMachines * int(bestEffortDuration/(simulatedRun+simulatedFetch+2*micro.Second)); scenario.otherTeamDone < all*9/10 {
+		t.Errorf("the others got %d tasks done, of %d at the most", scenario.otherTeamDone, all)
+	}
+}
+
+// However many classes starve, one machine in sixteen is held for them at most beside
+// those, as many again, that are being gathered.
+func TestReservedMachinesAreBoundedForManyStarvedClasses(t *testing.T) {
+	if scenario := runBestEffortScenario(t, 5*micro.Minute, 4, nil); scenario.maxReserved == 0 || scenario.maxReserved > 2*bestEffortMachines/reservedFleetDivisor {
+		t.Errorf("%d machines were held at a time", scenario.maxReserved)
+	}
+}
+
+func TestTeamWithoutGuaranteeGetsNothingWithoutStarvationReservations(t *testing.T) {
+	scenario := runBestEffortScenario(t, 5*micro.Minute, 0, func(scheduler *Scheduler) { scheduler.Properties.AgeAfter = PlanningHorizon })
+	if n := scenario.hugeArray.HeldN + scenario.countStartedWithin(append(append(scenario.smallArrays, scenario.singleTasks...), scenario.hugeArray), PlanningHorizon); n > 0 {
+		t.Errorf("%d of the guest's jobs began: other room than what is gathered is left, and the test before shows nothing", n)
+	}
+}
--- a/internal/sched/headroom.go
+++ b/internal/sched/headroom.go
@@ -8,47 +8,47 @@
 // Work that can save may use machines with GPUs while these are idle. Stopping it
 // again takes a save and two messages: seconds that a GPU job has not got whose
 // image takes half of the time in which it should start. So some machines are kept
-// clear of such work, as many as GPU tasks arrive in clearFor. What ends meanwhile
+// clear of such work, as many as GPU tasks arrive in headroomWindow. What ends meanwhile
 // clears others.
 
-// clearFor is for how long arriving GPU tasks find machines clear.
-const clearFor = 10 * micro.Second
+// headroomWindow is for how long arriving GPU tasks find machines clear.
+const headroomWindow = 10 * micro.Second
 
 // gpuHeadroom counts the machines that can take a task of a class of GPU jobs as they
 // are.
 type gpuHeadroom struct {
-	class    *model.Class
-	machines int
-	wanted   int
+	class     *model.Class
+	available int
+	target    int
 }
 
 // countHeadroom counts, for a pass, the machines that are clear for the classes of GPU
 // jobs that cannot wait for others' work to be saved.
-func (p *Placer) countHeadroom(now micro.Time) {
-	p.headroom = p.headroom[:0]
-	for _, class := range p.C.Classes {
-		if class.Last == nil || class.Last.GPUs <= 0 || p.timeToStart(class) == 0 {
+func (s *Scheduler) countHeadroom(now micro.Time) {
+	s.headroom = s.headroom[:0]
+	for _, class := range s.Cluster.Classes {
+		if class.Last == nil || class.Last.GPUs <= 0 || s.effectiveStartObjective(class) == 0 {
 			continue
 		}
-		wanted := int(class.ArrivalRate(now) * clearFor.Seconds())
+		wanted := int(class.ArrivalRate(now) * headroomWindow.Seconds())
 		if wanted > 0 {
-			p.headroom = append(p.headroom, gpuHeadroom{class, p.clearMachines(class), wanted})
+			s.headroom = append(s.headroom, gpuHeadroom{class, s.countFittingMachines(class), wanted})
 		}
 	}
 }
 
-// timeToStart is within how long jobs of a class should start, by its own objective
+// effectiveStartObjective is within how long jobs of a class should start, by its own objective
 // or by the teams' guarantees; 0 if nothing is said.
-func (p *Placer) timeToStart(class *model.Class) micro.Time {
-	quick := p.Goals.Quick(class.Name)
-	if g := p.Goals.Guarantee(); g > 0 && p.guaranteesGPUs() && (quick == 0 || g < quick) {
-		quick = g
+func (s *Scheduler) effectiveStartObjective(class *model.Class) micro.Time {
+	startObjective := s.Objectives.StartObjective(class.Name)
+	if guaranteed := s.Objectives.GuaranteedStart(); guaranteed > 0 && s.guaranteesGPUs() && (startObjective == 0 || guaranteed < startObjective) {
+		startObjective = guaranteed
 	}
-	return quick
+	return startObjective
 }
 
-func (p *Placer) guaranteesGPUs() bool {
-	for _, team := range p.C.Teams {
+func (s *Scheduler) guaranteesGPUs() bool {
+	for _, team := range s.Cluster.Teams {
 		if team.GPUs > 0 {
 			return true
 		}
@@ -56,52 +56,52 @@
 	return false
 }
 
-func (p *Placer) clearMachines(class *model.Class) int {
-	n := 0
-	for _, pool := range p.C.Pools {
+func (s *Scheduler) countFittingMachines(class *model.Class) int {
+	count := 0
+	for _, pool := range s.Cluster.Pools {
 		if pool.N == 0 || !Allowed(class.Last, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
-		wants := need(class.Last, pool.Type)
-		for row := int(wants.Scaled - eps); row < pool.Rows(); row++ {
-			for _, m := range pool.Row(row) {
-				if fits(wants, m, nil, room{}) {
-					n++
+		request := requestOn(class.Last, pool.Type)
+		for row := int(request.Scaled - eps); row < pool.Rows(); row++ {
+			for _, machine := range pool.Row(row) {
+				if fits(request, machine, nil, resources{}) {
+					count++
 				}
 			}
 		}
 	}
-	return n
+	return count
 }
 
 // isHeadroom reports whether a machine is kept clear for a class of GPU jobs: it is
 // clear, no more are than tasks are about to arrive, and their start cannot wait
 // until a task of the given job has saved.
-func (p *Placer) isHeadroom(j *model.Job, m *model.Machine, class *model.Class) bool {
-	for i := range p.headroom {
-		c := &p.headroom[i]
-		if c.class != class || c.machines > c.wanted || m.Type.FetchGBPerS <= 0 {
+func (s *Scheduler) isHeadroom(job *model.Job, m *model.Machine, class *model.Class) bool {
+	for i := range s.headroom {
+		entry := &s.headroom[i]
+		if entry.class != class || entry.available > entry.target || m.Type.FetchGBPerS <= 0 {
 			continue
 		}
 		fetch := micro.Of(class.ImageGB / m.Type.FetchGBPerS)
-		hurried := p.timeToStart(class)-fetch <= yieldFactor*micro.Of(j.Spec.SaveS)
-		return hurried && fits(need(class.Last, m.Type), m, nil, room{})
+		urgent := s.effectiveStartObjective(class)-fetch <= checkpointTimeFactor*micro.Of(job.Spec.SaveS)
+		return urgent && fits(requestOn(class.Last, m.Type), m, nil, resources{})
 	}
 	return false
 }
 
-// noteTaken keeps the count of clear machines while a pass places tasks; it is told
+// updateHeadroom keeps the count of clear machines while a pass places tasks; it is told
 // before a task takes its place on a machine.
-func (p *Placer) noteTaken(j *model.Job, m *model.Machine) {
-	for i := range p.headroom {
-		c := &p.headroom[i]
-		s := c.class.Last
-		if !Allowed(s, m.Type, m.Zone, m.Spot) {
+func (s *Scheduler) updateHeadroom(job *model.Job, m *model.Machine) {
+	for i := range s.headroom {
+		entry := &s.headroom[i]
+		spec := entry.class.Last
+		if !Allowed(spec, m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		wants, taken := need(s, m.Type), need(&j.Spec, m.Type)
-		if fits(wants, m, nil, room{}) && !fits(wants, m, &taken, room{}) {
-			c.machines--
+		request, taken := requestOn(spec, m.Type), requestOn(&job.Spec, m.Type)
+		if fits(request, m, nil, resources{}) && !fits(request, m, &taken, resources{}) {
+			entry.available--
 		}
 	}
 }
--- /dev/null
+++ b/internal/sched/pending_reason.go
@@ -0,0 +1,87 @@
+package sched
+
+import (
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/wire"
+)
+
+// PendingReason is why a job waits. Those that hold for machines with room are in the
+// order in which they give way; of several the first is told.
+type PendingReason uint8
+
+// The reasons.
+const (
+	ReasonNextPass    PendingReason = iota // there is room: the next passes reach it
+	ReasonPartialFit                       // room for some of a gang's tasks
+	ReasonGPUHeadroom                      // room beside GPUs is kept for work that needs them
+	ReasonPrice
+	ReasonReserved // what has room is reserved for other jobs
+	ReasonQuarantined
+	ReasonUnreachable
+	ReasonZoneConstraint
+	ReasonInsufficientResources
+	ReasonQuota         // of its team
+	ReasonQuotaReserved // its team's limit is saved up for another of its jobs
+	ReasonBackoff       // its tasks failed, or were refused
+	ReasonGangStopping
+)
+
+func (r PendingReason) String() string {
+	return [...]string{"in turn", "room for a part", "room kept for GPUs", "dear room", "gathered room", "avoided machines", "unreachable machines",
+		"zone rule", "no room", "limit", "limit saved up", "backoff", "gang winding down"}[r]
+}
+
+// ExplainPending says why a job with tasks to place has not been given room. It looks at the
+// machines that have room for one of its tasks, so it costs about as much as a try
+// to place that.
+func (s *Scheduler) ExplainPending(job *model.Job, now micro.Time) PendingReason {
+	needed := minAllocations(job)
+	switch {
+	case job.GangStop || job.Spec.Kind == wire.Gang && job.HeldN > 0:
+		return ReasonGangStopping
+	case len(job.Next(now, needed)) < needed:
+		return ReasonBackoff
+	case job.Team != nil && !job.Team.Allows(job.Spec.CPUs, job.Spec.GPUs, needed):
+		return ReasonQuota
+	case !withinQuota(job, needed):
+		return ReasonQuotaReserved
+	}
+	reason := ReasonInsufficientResources
+	for _, pool := range s.Cluster.Pools {
+		if pool.N == 0 || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+			continue
+		}
+		request := requestOn(&job.Spec, pool.Type)
+		for row := int(request.Scaled - eps); row < pool.Rows(); row++ {
+			for _, machine := range pool.Row(row) {
+				if fits(request, machine, nil, resources{}) {
+					reason = min(reason, s.explainMachine(job, pool, machine, now))
+				}
+			}
+		}
+	}
+	if reason == ReasonNextPass && needed > 1 {
+		return ReasonPartialFit
+	}
+	return reason
+}
+
+// explainMachine says what keeps a job from a machine that has room.
+func (s *Scheduler) explainMachine(job *model.Job, pool *model.Pool, machine *model.Machine, now micro.Time) PendingReason {
+	switch {
+	case !ZoneAllowed(job, pool.Zone, nil):
+		return ReasonZoneConstraint
+	case !s.Cluster.Reachable(machine):
+		return ReasonUnreachable
+	case s.excludes(job, machine, now):
+		return ReasonQuarantined
+	case s.reservedForOther(job, machine, now):
+		return ReasonReserved
+	case s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now):
+		return ReasonPrice
+	case !s.keepsGPUHeadroom(job, machine):
+		return ReasonGPUHeadroom
+	}
+	return ReasonNextPass
+}
--- /dev/null
+++ b/internal/sched/relaxation.go
@@ -0,0 +1,45 @@
+package sched
+
+import (
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+)
+
+// The ordinary rules leave room unused for good reasons: machines that are
+// avoided, room beside idle GPUs, dear room, room gathered for others. None of
+// them knows how long a job has waited. So work that nothing was found for in
+// overdueAfter takes what fits, the ordinary choice first and the avoided machines
+// last.
+
+// overdueAfter is how long a job's tasks wait, without a place for any of them,
+// until the ordinary rules give way.
+const overdueAfter = micro.Minute
+
+// isOverdue reports whether the ordinary rules give way for a job.
+func isOverdue(job *model.Job, now micro.Time) bool { return now-job.WaitsFrom >= overdueAfter }
+
+// relaxation says which of the ordinary rules give way.
+type relaxation uint8
+
+// The leeways; each includes those before it.
+const (
+	relaxNone         relaxation = iota
+	relaxReservations            // room kept for GPU work or held in vain, and dear room
+	relaxQuarantine              // machines that are avoided
+)
+
+// fallbackMachine chooses a machine for a late job's task once nothing was found by the
+// ordinary rules. It looks at all machines: samples may miss the only one with
+// room.
+func (s *Scheduler) fallbackMachine(job *model.Job, planned map[*model.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time) *model.Machine {
+	sampling := s.sampling
+	defer func() { s.relaxation, s.sampling = relaxNone, sampling }()
+	s.sampling = false
+	for _, level := range []relaxation{relaxReservations, relaxQuarantine} {
+		s.relaxation = level
+		if m := s.bestMachine(job, planned, tasksByZone, zone, true, false, now); m != nil {
+			return m
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/sched/sampling_test.go
@@ -0,0 +1,194 @@
+package sched
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/wire"
+)
+
+type discardEffects struct{ model.Effects }
+
+func (discardEffects) Changed()              {}
+func (discardEffects) Log(string, ...any)    {}
+func (discardEffects) Touch(*model.Chunk)    {}
+func (discardEffects) Press(*model.Chunk)    {}
+func (discardEffects) Kick(m *model.Machine) {}
+
+// newLargeCluster is a cluster with a job of the most tasks and more machines than a
+// sample holds.
+func newLargeCluster(machines int) *Scheduler {
+	state := model.New(discardEffects{})
+	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
+	for i := range machines {
+		m := state.Machine("i-"+strconv.Itoa(1000+i), 1)
+		state.Describe(m, "small", "a", false)
+		state.Become(m, model.Up, "reports")
+	}
+	job := state.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0)
+	job.DoneN = 1 // it is known not to fail everywhere, see model.Job.Openings
+	properties := config.Defaults()
+	return &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
+}
+
+func TestSamplingUnderOverloadStillFillsTheMachines(t *testing.T) {
+	for _, overloaded := range []bool{false, true} {
+		scheduler := newLargeCluster(400)
+		scheduler.Overloaded = overloaded
+		total := 0
+		for range 60 {
+			total += scheduler.Schedule(micro.Second)
+		}
+		if total != 1600 {
+			t.Fatalf("%d tasks on 1600 CPUs", total)
+		}
+		// A machine's room falls by rows: a task looks at no more than a sample
+		// of each row.
+		maxExamined := total * (scheduler.Properties.SampleSize + 1) * 4
+		if got := scheduler.MachinesExamined <= maxExamined; got != overloaded {
+			t.Errorf("busy %v: looked at %d machines for %d tasks", overloaded, scheduler.MachinesExamined, total)
+		}
+	}
+}
+
+// fullSearch is the design's choice by a full search over all machines.
+func fullSearch(scheduler *Scheduler, job *model.Job, now micro.Time) *model.Machine {
+	var best candidate
+	var bestRank poolRank
+	for _, machine := range scheduler.Cluster.List() {
+		pool := &model.Pool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+		request := requestOn(&job.Spec, machine.Type)
+		if !machine.Usable(now) || !Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) || !ZoneAllowed(job, machine.Zone, nil) || !fits(request, machine, nil, resources{}) || !scheduler.mayUse(job, machine, now) {
+			continue
+		}
+		contender, rank := scheduler.evaluate(job, machine, request, 0), scheduler.rankPool(&job.Spec, pool, false)
+		if best.machine == nil || rank.betterThan(bestRank) || !bestRank.betterThan(rank) && contender.betterThan(&best) {
+			best, bestRank = contender, rank
+		}
+	}
+	return best.machine
+}
+
+// The rows by room must give the very machine that a full search gives, on any
+// fleet and through any history of places, freed room and states.
+func TestPoolRowsMatchAFullSearch(t *testing.T) {
+	for seed := range uint64(30) {
+		rng := rand.New(rand.NewPCG(seed, 7))
+		state := model.New(discardEffects{})
+		state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
+			{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "large", CPUs: 32, MemoryGB: 100}, {Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 1}}})
+		state.Types["large"].K, state.Types["gpu"].K = 0.5+rng.Float64(), 0.5+rng.Float64()
+		names := []string{"small", "large", "gpu"}
+		images, index := model.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{0}
+		for i := range 60 {
+			machine := state.Machine("i-"+strconv.Itoa(100+i), 1)
+			state.Describe(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
+			state.Become(machine, model.Up, "reports")
+			if rng.IntN(4) == 0 {
+				images.Machines[machine.Name] = index
+			}
+		}
+		state.RestoreImages(images, 1)
+		properties := config.Defaults()
+		scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rng}
+		var allocations []*model.Place
+		found := 0
+		for step := range 400 {
+			now := micro.Time(step) * micro.Second
+			spec := wire.Job{ID: "j-" + strconv.Itoa(step), Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: float64(1+rng.IntN(60)) / 10,
+				MemoryGB: float64(rng.IntN(200)) / 10, Image: "image", ImageGB: float64(rng.IntN(9)), Spot: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0}
+			if rng.IntN(4) == 0 {
+				spec.GPUs = float64(1 + rng.IntN(4))
+			}
+			job := state.AddJob(spec, 0, 0)
+			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(job, nil, nil, "", true, false, now)
+			if want != got {
+				t.Fatalf("seed %d, task %d: the rows give %+v, a full search %+v", seed, step, got, want)
+			}
+			if got != nil {
+				found++
+				allocations = append(allocations, state.NewPlace(job, 0, got, 1, ScaledCPUs(spec.CPUs, got.Type.K, got.Type.CPUs), now))
+			}
+			if len(allocations) > 0 && rng.IntN(3) == 0 {
+				released := rng.IntN(len(allocations))
+				state.Stop(allocations[released], "over", 0, now) // still planned: free at once
+				allocations = append(allocations[:released], allocations[released+1:]...)
+			}
+			if machine := state.List()[rng.IntN(60)]; rng.IntN(5) == 0 {
+				state.Become(machine, map[model.MachineState]model.MachineState{model.Up: model.Silent, model.Silent: model.Up}[machine.State], "test")
+			}
+		}
+		if found < 50 {
+			t.Fatalf("seed %d compared only %d choices", seed, found)
+		}
+	}
+}
+
+func BenchmarkScheduleSampled(b *testing.B) { benchmarkSchedule(b, 2000) }
+
+func BenchmarkScheduleFull(b *testing.B) { benchmarkSchedule(b, 1<<30) }
+
+func benchmarkSchedule(b *testing.B, sampleAbove int) {
+	scheduler := newLargeCluster(50)
+	scheduler.Properties.SampleAbove, scheduler.Overloaded = sampleAbove, true
+	for range 100 {
+		scheduler.Schedule(micro.Second)
+	}
+	for b.Loop() {
+		scheduler.Schedule(micro.Second)
+	}
+}
+
+// Tasks that cannot save, lost with a spot machine, went back to spot machines
+// and were lost again: an array of a hundred tasks of 100 s was late more often
+// than not.
+func TestWorkThatCannotBeRerunInTimePrefersOnDemandMachines(t *testing.T) {
+	state := model.New(discardEffects{})
+	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
+	for i := range 20 {
+		machine := state.Machine("i-"+strconv.Itoa(10+i), 1)
+		state.Describe(machine, "small", "a", i%2 == 0)
+		state.Become(machine, model.Up, "reports")
+	}
+	properties := config.Defaults()
+	scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives([]config.Objective{{Kind: "finished", Class: "c", WithinS: 250}}), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
+	now := 1000 * micro.Second
+	jobCount := 0
+	countOnSpot := func(estimate, checkpoint float64, attempts uint32, submitted micro.Time) int {
+		jobCount++
+		job := state.AddJob(wire.Job{ID: "j-" + strconv.Itoa(jobCount), Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: 5, CPUs: 1, Spot: true, EstimateS: estimate, CheckpointS: checkpoint}, submitted, submitted)
+		for i := range job.Tasks {
+			job.Tasks[i].Attempt = attempts
+		}
+		scheduler.Schedule(now)
+		count := 0
+		for _, allocation := range job.AllPlaces() {
+			if allocation.Machine.Spot {
+				count++
+			}
+		}
+		return count
+	}
+	for _, test := range []struct {
+		name            string
+		estimate, saves float64
+		lost            uint32
+		submitted       micro.Time
+		want            int
+	}{
+		{"short, and new", 50, 0, 0, now, 5},
+		{"lost once", 50, 0, 1, now, 0},
+		{"lost once, but it saves", 50, 10, 1, now, 5},
+		{"too long to be run twice in time", 130, 0, 0, now, 0},
+		{"short, but it has waited", 50, 0, 0, now - 160*micro.Second, 0},
+		{"too late in any case", 50, 0, 0, now - 240*micro.Second, 5},
+	} {
+		if got := countOnSpot(test.estimate, test.saves, test.lost, test.submitted); got != test.want {
+			t.Errorf("%s: %d of 5 on spot machines, want %d", test.name, got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sched/schedule.go
@@ -0,0 +1,198 @@
+package sched
+
+import (
+	"sort"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/wire"
+)
+
+// queuedJob is a job in the order of a pass.
+type queuedJob struct {
+	job             *model.Job
+	withinGuarantee bool
+	canStartInTime  bool // it can still start in time, or its class is not overloaded
+	latestStart     micro.Time
+}
+
+// Schedule places what it can, in order of rank, guarantee and nearness of the
+// objective, and reports how many tasks it placed. For work that has waited too
+// long and found no room, room is gathered.
+func (s *Scheduler) Schedule(now micro.Time) int {
+	s.Cluster.MarkGuarantees()
+	s.expireReservations(now)
+	s.countHeadroom(now)
+	s.fillReservations(now)
+	queue := make([]queuedJob, 0, len(s.Cluster.Pending))
+	waiting := 0
+	overloaded := s.overloadedClasses()
+	var images map[string]bool
+	for job := range s.Cluster.Pending {
+		waiting += job.Waiting()
+		entry := queuedJob{job: job, canStartInTime: true, withinGuarantee: job.Guar, latestStart: s.Objectives.LatestStart(job, now)}
+		if startObjective := overloaded[job.Class]; startObjective > 0 {
+			entry.latestStart = EstimatedRuntime(job)
+			if images == nil {
+				images = s.availableImages()
+			}
+			if !images[job.Spec.Image] {
+				entry.latestStart += s.fetchTime(&job.Spec) // as good as a longer run
+			}
+			entry.latestStart = now + entry.latestStart*micro.Time(len(job.Tasks))
+			entry.canStartInTime = now <= job.Since+startObjective
+			entry.withinGuarantee = entry.withinGuarantee && (s.Objectives.guaranteedStart == 0 || now <= job.Since+s.Objectives.guaranteedStart)
+		}
+		queue = append(queue, entry)
+	}
+	sort.Slice(queue, func(a, b int) bool { return schedulesBefore(&queue[a], &queue[b]) })
+	s.sampling = s.Overloaded && waiting > s.Properties.SampleAbove
+	rejected := unschedulable{}
+	placed := 0
+	var starved []*model.Job
+	for _, entry := range queue {
+		job := entry.job
+		if job.State != model.Active || job.Paused(now) || job.GangStop {
+			continue
+		}
+		if s.starved(job, now) {
+			starved = append(starved, job)
+		}
+		overdue := isOverdue(job, now)
+		if rejected.covers(job, overdue) && !s.hasReservation(job) {
+			continue
+		}
+		count, noCapacity := 0, false
+		if job.Spec.Kind == wire.Gang {
+			count, noCapacity = s.allocateGang(job, overdue, now)
+		} else {
+			count, noCapacity = s.allocateTasks(job, overdue, now)
+		}
+		placed += count
+		if noCapacity {
+			rejected.add(job, overdue)
+		}
+	}
+	s.startReservations(starved, len(overloaded) > 0, now)
+	return placed
+}
+
+func schedulesBefore(x, y *queuedJob) bool {
+	switch {
+	case x.job.Level != y.job.Level:
+		return x.job.Level < y.job.Level
+	case x.canStartInTime != y.canStartInTime:
+		return x.canStartInTime
+	case x.withinGuarantee != y.withinGuarantee:
+		return x.withinGuarantee
+	case x.latestStart != y.latestStart:
+		return x.latestStart < y.latestStart
+	}
+	return x.job.Spec.ID < y.job.Spec.ID
+}
+
+// overloadedClasses finds the classes that wait longer than their objective on starting
+// allows, with that objective: what waits, over what runs. Taken in the order of
+// their latest starts, all their jobs would start just too late; the least
+// work first, most start in time. Those that can no longer come after those that can,
+// whatever their guarantee: when all teams ask for theirs at once, there may be
+// more guaranteed than there is.
+func (s *Scheduler) overloadedClasses() map[*model.Class]micro.Time {
+	byClass := map[*model.Class]micro.Time{}
+	for job := range s.Cluster.Pending {
+		if job.Spec.Kind == wire.Gang {
+			byClass[job.Class] += EstimatedRuntime(job) * micro.Time(job.Waiting())
+		}
+	}
+	for class, amount := range byClass {
+		startObjective := s.Objectives.StartObjective(class.Name)
+		if startObjective == 0 || amount/micro.Time(max(class.Held, 1)) < startObjective/overloadDivisor {
+			delete(byClass, class)
+			continue
+		}
+		byClass[class] = startObjective
+	}
+	return byClass
+}
+
+// availableImages lists the images on GPU machines that have room for more than half
+// a machine: where a job's image is at hand, it takes the machine for less long.
+func (s *Scheduler) availableImages() map[string]bool {
+	images := map[string]bool{}
+	for _, pool := range s.Cluster.Pools {
+		if pool.Type.GPUs == 0 {
+			continue
+		}
+		for row := int(pool.Type.CPUs / 2); row < pool.Rows(); row++ {
+			for _, m := range pool.Row(row) {
+				m.EachImage(func(name string) { images[name] = true })
+			}
+		}
+	}
+	return images
+}
+
+// fetchTime is how long a job's image takes on the machines with GPUs.
+func (s *Scheduler) fetchTime(spec *wire.Job) micro.Time {
+	var best micro.Time
+	for _, t := range s.Cluster.Order {
+		if t.GPUs >= spec.GPUs && t.FetchGBPerS > 0 {
+			if duration := micro.Of(spec.ImageGB / t.FetchGBPerS); best == 0 || duration < best {
+				best = duration
+			}
+		}
+	}
+	return best
+}
+
+// overloadDivisor is the part of the objective at which a class counts as
+// overloaded: in good time before it is missed.
+const overloadDivisor = 2
+
+// unschedulable remembers what found no room in this pass: whatever asks for as much
+// or more, under the same rules, finds none either.
+type unschedulable map[unschedulableKey][]unschedulableRequest
+
+type unschedulableKey struct {
+	types, zone, class string
+	spot, checkpoints  bool
+	gpu, overdue       bool
+	oneZone, spread    bool // a gang of one zone finds no room where another does
+	priorityLevel      int
+}
+
+type unschedulableRequest struct {
+	cpu, gpu, mem float64
+	tasks         int
+}
+
+func unschedulableKeyOf(job *model.Job, overdue bool) (unschedulableKey, unschedulableRequest) {
+	spec := &job.Spec
+	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.Level}
+	if spec.Zone != nil {
+		key.zone = *spec.Zone
+	}
+	for _, name := range spec.Types {
+		key.types += name + " "
+	}
+	request := unschedulableRequest{spec.CPUs, spec.GPUs, spec.MemoryGB, 1}
+	if spec.Kind == wire.Gang {
+		request.tasks = len(job.Tasks)
+	}
+	return key, request
+}
+
+func (u unschedulable) covers(job *model.Job, overdue bool) bool {
+	// Each job of the first rank is tried by itself: one for which room is being
+	// cleared must not keep the next from having room cleared too.
+	if len(u) == 0 || job.Level == 0 || (job.Spec.OneZone || job.Spec.Spread) && job.HeldN > 0 {
+		return false
+	}
+	key, request := unschedulableKeyOf(job, overdue)
+	for _, known := range u[key] {
+		if known.cpu <= request.cpu && known.gpu <= request.gpu && known.mem <= request.mem && known.tasks <= request.tasks {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/sched/score_test.go
+++ b/internal/sched/score_test.go
@@ -5,7 +5,7 @@
 // The expected values are worked out by hand from the design's cases, with
 // L1 = 60 and L2 = 30.
 func TestScoreFollowsTheDesignsCasesInOrder(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		cpus, k, out float64
 	}{
@@ -18,17 +18,17 @@
 		{"below the ceiling: 1.5/0.8 = 1.875, 30 + 30 x 0.8", 1.5, 0.8, 54},
 		{"below the ceiling: 2.5/0.9 = 2.78, 30 + 30 x 0.9", 2.5, 0.9, 57},
 	} {
-		if got := Score(c.cpus, c.k, 60, 30); got < c.out-1e-6 || got > c.out+1e-6 {
-			t.Errorf("%s: score of %v CPUs at k %v is %v, want %v", c.name, c.cpus, c.k, got, c.out)
+		if got := Score(test.cpus, test.k, 60, 30); got < test.out-1e-6 || got > test.out+1e-6 {
+			t.Errorf("%s: score of %v CPUs at k %v is %v, want %v", test.name, test.cpus, test.k, got, test.out)
 		}
 	}
 }
 
 func TestScaledRequestIsCappedAtTheMachine(t *testing.T) {
-	if got := Scaled(86, 0.8, 96); got != 96 {
+	if got := ScaledCPUs(86, 0.8, 96); got != 96 {
 		t.Errorf("86 CPUs at k 0.8 on 96: %v", got)
 	}
-	if got := Scaled(3, 1.5, 8); got != 2 {
+	if got := ScaledCPUs(3, 1.5, 8); got != 2 {
 		t.Errorf("3 CPUs at k 1.5: %v", got)
 	}
 }
--- /dev/null
+++ b/internal/sched/starvation.go
@@ -0,0 +1,300 @@
+package sched
+
+import (
+	"sort"
+
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/wire"
+)
+
+// Ranks alone would let work of the last rank, and the largest gangs and arrays
+// of any, wait for ever behind a stream of other work. So age counts: for those
+// that have waited longest, room is gathered, whatever their rank: machines soon
+// free take nothing else until they fit. Only a few are gathered for at a time:
+// most of the room still goes by rank and objective.
+
+// Room is gathered for at most maxReservingJobs jobs at a time, and for no more than
+// one to so many machines.
+const (
+	maxReservingJobs     = 4
+	reservedFleetDivisor = 16
+)
+
+// The largest jobs should begin within this. Of those for which room is gathered
+// the ones that still can come first.
+const largeJobStartTarget = 225 * micro.Second
+
+// starved reports whether an old job will not be reached in its turn: the
+// largest, which what comes free is seldom enough for, and those of a class or a
+// team none of whose tasks has been placed for long.
+func (s *Scheduler) starved(job *model.Job, now micro.Time) bool {
+	if !s.waitedTooLong(job, now) {
+		return false
+	}
+	since := now - s.Properties.AgeAfter/2
+	return s.amongLargest(job) && !job.Started || job.Class.Placed < since || job.Team != nil && job.Team.Placed < since
+}
+
+// zoneReservation is a job that room is gathered for: machines of a zone as they come
+// free, one by one.
+type zoneReservation struct {
+	zone  string // "": any
+	since micro.Time
+}
+
+// reserveBusyAfter is how long room may be gathered from what comes free by itself.
+// After that machines are cleared for the job.
+const reserveBusyAfter = 15 * micro.Second
+
+// fillReservations reserves what came free for the jobs that room is gathered for.
+func (s *Scheduler) fillReservations(now micro.Time) {
+	jobs := make([]*model.Job, 0, len(s.reservations))
+	for job := range s.reservations {
+		if job.State != model.Active || job.Waiting() == 0 || job.Spec.Kind == wire.Gang && job.HeldN > 0 {
+			delete(s.reservations, job)
+			continue
+		}
+		jobs = append(jobs, job)
+	}
+	sort.Slice(jobs, func(a, b int) bool {
+		return s.reservations[jobs[a]].since < s.reservations[jobs[b]].since || s.reservations[jobs[a]].since == s.reservations[jobs[b]].since && jobs[a].Spec.ID < jobs[b].Spec.ID
+	})
+	for _, job := range jobs {
+		reservation := s.reservations[job]
+		missing := minAllocations(job) - s.countReserved(job)
+		for _, pool := range s.Cluster.Pools {
+			if missing <= 0 || pool.N == 0 || reservation.zone != "" && pool.Zone != reservation.zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
+				continue
+			}
+			request := requestOn(&job.Spec, pool.Type)
+			for row := int(request.Scaled - eps); row < pool.Rows() && missing > 0; row++ {
+				for _, machine := range pool.Row(row) {
+					if missing > 0 && machine.Reserve == nil && fits(request, machine, nil, resources{}) && s.mayUse(job, machine, now) {
+						s.reserveMachine(machine, job, true, now)
+						missing--
+					}
+				}
+			}
+		}
+		if now-reservation.since > reserveBusyAfter && s.countReserved(job) == 0 {
+			s.reserveSoonestFree(job, minAllocations(job), now)
+		}
+		if now-reservation.since > starvationReservationTTL {
+			delete(s.reservations, job) // another zone, perhaps
+		}
+	}
+}
+
+// minAllocations is how many places a job needs at once.
+func minAllocations(job *model.Job) int {
+	if job.Spec.Kind == wire.Gang {
+		return len(job.Tasks)
+	}
+	return 1
+}
+
+// startReservations begins to gather room for the oldest jobs that still wait.
+func (s *Scheduler) startReservations(starved []*model.Job, overloaded bool, now micro.Time) {
+	limit := min(maxReservingJobs, max(len(s.Cluster.Machines)/reservedFleetDivisor, 1))
+	if overloaded {
+		// What comes free soon is enough for one at a time, and all else waits
+		// for it meanwhile.
+		limit = 1
+	}
+	if len(s.reservations) >= limit || len(starved) == 0 {
+		return
+	}
+	if s.reservations == nil {
+		s.reservations = map[*model.Job]zoneReservation{}
+	}
+	sort.Slice(starved, func(a, b int) bool {
+		sinceA, sinceB := starved[a].Since, starved[b].Since
+		if overdueBefore := now - largeJobStartTarget; (sinceA < overdueBefore) != (sinceB < overdueBefore) {
+			return sinceB < overdueBefore
+		}
+		if sinceA != sinceB {
+			return sinceA < sinceB
+		}
+		return starved[a].Spec.ID < starved[b].Spec.ID
+	})
+	for _, job := range starved {
+		if len(s.reservations) >= limit {
+			return
+		}
+		if _, ok := s.reservations[job]; ok || job.State != model.Active || job.Waiting() == 0 {
+			continue
+		}
+		if team := job.Team; team != nil && !team.Allows(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
+			if team.Saving == nil && job.HeldN == 0 && now >= team.SaveAfter {
+				// Its smaller jobs would use up each bit of its limit that comes
+				// free.
+				team.Saving, team.SavingAt = job, now
+			}
+			continue
+		}
+		if zone, ok := s.reservationZone(job); ok {
+			s.reservations[job] = zoneReservation{zone, now}
+			s.Cluster.Log("gather", "job", job.Spec.ID, "places", minAllocations(job), "zone", zone)
+		}
+	}
+}
+
+// reservationZone is the zone with most machines for the job, over what is being
+// gathered there already.
+func (s *Scheduler) reservationZone(job *model.Job) (zone string, ok bool) {
+	best := 0.0
+	for _, option := range s.candidateZones(job) {
+		machines := 0
+		for _, pool := range s.Cluster.Pools {
+			if (option == "" || pool.Zone == option) && Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+				machines += pool.N
+			}
+		}
+		competing := 1
+		for _, reservation := range s.reservations {
+			if reservation.zone == option {
+				competing++
+			}
+		}
+		if perReservation := float64(machines) / float64(competing); machines >= 1 && perReservation > best {
+			zone, best, ok = option, perReservation, true
+		}
+	}
+	return zone, ok
+}
+
+// hasReservation reports whether machines are reserved for the job.
+func (s *Scheduler) hasReservation(job *model.Job) bool { return s.countReserved(job) > 0 }
+
+// transferReservation keeps a machine that was gathered for a job for the next of its class and
+// team that none was placed of, as long as it would have been kept for the first: a
+// swarm of single tasks got no more than one of them through at a time, once in a
+// minute and a half. None is handed on while one machine to reservedFleetDivisor is held
+// already.
+func (s *Scheduler) transferReservation(machine *model.Machine, previous *model.Job, since, now micro.Time) {
+	reservedCount := 0
+	for other := range s.reservedMachines {
+		if other.Gathered && other.Reserve != nil {
+			reservedCount++
+		}
+	}
+	if reservedCount >= max(len(s.Cluster.Machines)/reservedFleetDivisor, 1) {
+		return
+	}
+	var next *model.Job
+	for job := range s.Cluster.Pending {
+		if job.Class != previous.Class || job.Team != previous.Team || job.Spec.Kind == wire.Gang || job.Started || job.HeldN > 0 || job.Paused(now) || s.countReserved(job) > 0 ||
+			!Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) {
+			continue
+		}
+		if next == nil || job.Since < next.Since || job.Since == next.Since && job.Spec.ID < next.Spec.ID {
+			next = job
+		}
+	}
+	if next != nil {
+		s.reserveMachine(machine, next, true, now)
+		machine.ReserveAt = since
+	}
+}
+
+// amongLargest reports whether a job is among the largest of its class.
+func (s *Scheduler) amongLargest(job *model.Job) bool {
+	if s.maxTasksByClass == nil {
+		s.maxTasksByClass = map[string]int{}
+	}
+	tasks := len(job.Tasks)
+	if tasks > s.maxTasksByClass[job.Spec.Class] {
+		s.maxTasksByClass[job.Spec.Class] = tasks
+	}
+	return tasks > 1 && 4*tasks >= 3*s.maxTasksByClass[job.Spec.Class]
+}
+
+// waitedTooLong reports whether a job has waited too long; the largest wait half as long.
+func (s *Scheduler) waitedTooLong(job *model.Job, now micro.Time) bool {
+	waitLimit := s.Properties.AgeAfter
+	if s.amongLargest(job) && !job.Started {
+		waitLimit /= 2
+	}
+	return now-job.Since > waitLimit
+}
+
+// reserveSoonestFree reserves the machines that are soonest free for a job that waited long
+// and that nothing came free for,
+// enough for a gang in one zone, or for one task of another job.
+func (s *Scheduler) reserveSoonestFree(job *model.Job, tasks int, now micro.Time) {
+	type spot struct {
+		m    *model.Machine
+		n    int // tasks it could hold
+		free micro.Time
+	}
+	var best []spot
+	var bestAt micro.Time
+	for _, zone := range s.candidateZones(job) {
+		var options []spot
+		for _, pool := range s.Cluster.Pools {
+			if pool.N == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
+				continue
+			}
+			request := requestOn(&job.Spec, pool.Type)
+			for row := range pool.Rows() {
+				for _, machine := range pool.Row(row) {
+					if machine.Reserve != nil || machine.Avoid > now || !s.Cluster.Reachable(machine) || job.FailedOn[machine.Name] {
+						continue
+					}
+					if at, count := s.freeAt(request, machine, now); count > 0 {
+						options = append(options, spot{machine, count, at})
+					}
+				}
+			}
+		}
+		sort.Slice(options, func(a, b int) bool {
+			if options[a].free != options[b].free {
+				return options[a].free < options[b].free
+			}
+			return options[a].m.Name < options[b].m.Name
+		})
+		covered, count := 0, 0
+		for ; count < len(options) && covered < tasks; count++ {
+			covered += options[count].n
+		}
+		if covered >= tasks && (best == nil || options[count-1].free < bestAt) {
+			best, bestAt = options[:count], options[count-1].free
+		}
+	}
+	for _, choice := range best {
+		s.reserveMachine(choice.m, job, true, now)
+	}
+}
+
+// freeAt is when a machine is expected to be clear of all but services, and how
+// many tasks fit then.
+func (s *Scheduler) freeAt(request resources, machine *model.Machine, now micro.Time) (micro.Time, int) {
+	at := now
+	var remaining resources
+	for _, allocation := range machine.Places {
+		if allocation.Job == nil || allocation.Job.Spec.Kind == wire.Service && !allocation.Stopping {
+			if allocation.Job != nil {
+				remaining.Add(allocatedResources(allocation), 1)
+			}
+			continue
+		}
+		end := now
+		if !allocation.Stopping {
+			estimate := EstimatedRuntime(allocation.Job)
+			end = now + estimate
+			if allocation.RunFrom > 0 {
+				end = max(allocation.RunFrom+estimate, now+estimate/4)
+			}
+		}
+		at = max(at, end)
+	}
+	typ := machine.Type
+	fitting := 1 << 20
+	for _, dimension := range [][2]float64{{typ.CPUs - remaining.Scaled, request.Scaled}, {typ.CPUs - remaining.CPU, request.CPU}, {typ.GPUs - remaining.GPU, request.GPU}, {typ.MemoryGB - remaining.Mem, request.Mem}} {
+		if dimension[1] > 0 {
+			fitting = min(fitting, int(dimension[0]/dimension[1]+eps))
+		}
+	}
+	return at, max(fitting, 0)
+}
