--- a/cmd/notchmux/share.go
+++ b/cmd/notchmux/share.go
@@ -43,22 +43,22 @@
 
 // Run lists the shares.
 func (*shareListCmd) Run(c *cli) error {
-	return c.Share.give(share.Command{Operation: share.List})
+	return c.Share.give(share.Command{Operation: share.OperationList})
 }
 
 // Run shows one share.
 func (s *shareShowCmd) Run(c *cli) error {
-	return c.Share.give(share.Command{Operation: share.Show, Share: s.Name})
+	return c.Share.give(share.Command{Operation: share.OperationShow, Shard: s.Name})
 }
 
 // Run moves a share.
 func (s *shareMoveCmd) Run(c *cli) error {
-	return c.Share.give(share.Command{Operation: share.Move, Share: s.Name, Target: s.To})
+	return c.Share.give(share.Command{Operation: share.OperationMove, Shard: s.Name, Target: s.To})
 }
 
 // Run cancels a move.
 func (s *shareCancelCmd) Run(c *cli) error {
-	return c.Share.give(share.Command{Operation: share.Cancel, Share: s.Name})
+	return c.Share.give(share.Command{Operation: share.OperationCancel, Shard: s.Name})
 }
 
 // shareWait is how long a controller may take over a command.
@@ -79,8 +79,8 @@
 	if err := c.print(&reply, os.Stdout); err != nil {
 		return err
 	}
-	if reply.Refused != "" {
-		return fmt.Errorf("refused: %s", reply.Refused)
+	if reply.RefusalReason != "" {
+		return fmt.Errorf("refused: %s", reply.RefusalReason)
 	}
 	return nil
 }
@@ -89,17 +89,17 @@
 	if c.JSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(reply.Shares)
+		return encoder.Encode(reply.Shards)
 	}
-	for _, s := range reply.Shares {
+	for _, s := range reply.Shards {
 		fmt.Fprintf(out, "%s: %s, owner %s, selects %s\n", s.Name, s.Record.State, orLeader(s.Record.Owner.Node), s.Record.Selector)
-		fmt.Fprintf(out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", s.Machines, s.Empty, s.Jobs, s.Waiting,
-			s.Record.Moves, time.UnixMicro(s.Record.At).UTC().Format(time.RFC3339))
+		fmt.Fprintf(out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", s.MachineCount, s.IdleMachines, s.AssignedJobs, s.PendingTasks,
+			s.Record.OwnerChanges, time.UnixMicro(s.Record.ChangedAt).UTC().Format(time.RFC3339))
 		if s.Record.State == share.Moving {
 			fmt.Fprintf(out, "  to %s\n", orLeader(s.Record.Target.Node))
 		}
-		if s.Note != "" {
-			fmt.Fprintf(out, "  %s\n", s.Note)
+		if s.BlockedReason != "" {
+			fmt.Fprintf(out, "  %s\n", s.BlockedReason)
 		}
 	}
 	return nil
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -164,8 +164,8 @@
 	case "zone":
 		s.Selector.Zone = value
 	case "kind":
-		switch k := share.Kind(value); k {
-		case share.AnyKind, share.SpotOnly, share.OrdinaryOnly:
+		switch k := share.InstanceKind(value); k {
+		case share.AnyKind, share.SpotOnly, share.OnDemandOnly:
 			s.Selector.Kind = k
 		default:
 			return strconv.Quote(value) + " is not spot or ordinary"
@@ -218,7 +218,7 @@
 	for _, name := range sorted(p.shares) {
 		s := p.shares[name]
 		if s.Selector.Empty() {
-			return nil, fmt.Errorf("%s: key %q: %w", p.path, "share."+name, share.ErrNoSelection)
+			return nil, fmt.Errorf("%s: key %q: %w", p.path, "share."+name, share.ErrSelectsAll)
 		}
 		for _, other := range p.out.Declared {
 			if other.Selector.Overlaps(s.Selector) {
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -97,7 +97,7 @@
 			unknown = append(unknown, id)
 		}
 	}
-	maxIDs := writer.GuardsPerChange * n.Cfg.TxnOps()
+	maxIDs := writer.PreconditionsPerChange * n.Cfg.TxnOps()
 	for len(unknown) > 0 {
 		batch := unknown[:min(len(unknown), maxIDs)]
 		unknown = unknown[len(batch):]
--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -150,7 +150,7 @@
 
 func TestInvalidSubmissionsWithoutALeader(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startNodeWith("n-1", func(node *Node) { node.election.Pause(10 * micro.Minute) })
+	node, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	for why, body := range malformedSubmissions() {
 		if reply := node.Submit(body); reply.Status != 400 {
 			t.Errorf("%s: status %d", why, reply.Status)
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -332,7 +332,7 @@
 func leaseEnd(term *election.Term, controller *controllerProcess) micro.Time {
 	now := controller.runningNode().Now()
 	var d micro.Time
-	for d < 10*micro.Second && term.Valid(now+d) {
+	for d < 10*micro.Second && term.HoldsLease(now+d) {
 		d += 10 * micro.Millisecond
 	}
 	return now + d
@@ -692,7 +692,7 @@
 					test.change(sim, leader)
 					sim.waitUntil("a new term", 20*micro.Second, func() bool {
 						n := sim.waitForLeader().runningNode().activeLeader()
-						return n != nil && n.term.Stamp > was.Stamp
+						return n != nil && n.term.FencingRevision > was.FencingRevision
 					})
 				}
 				if len(lost) < 2 {
@@ -830,7 +830,7 @@
 				}
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
 					n := sim.waitForLeader().runningNode().activeLeader()
-					return n != nil && n.term.Stamp > was.Stamp
+					return n != nil && n.term.FencingRevision > was.FencingRevision
 				})
 				if test.when == after {
 					sim.sleep(sim.randomTime(0, 3*micro.Second))
@@ -930,7 +930,7 @@
 				var led micro.Time
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
 					for _, controller := range sim.controllers {
-						if x := controller.runningNode(); x != nil && x.activeLeader() != nil && x.activeLeader().term.Stamp > was.Stamp {
+						if x := controller.runningNode(); x != nil && x.activeLeader() != nil && x.activeLeader().term.FencingRevision > was.FencingRevision {
 							led = sim.now()
 						}
 					}
@@ -1000,7 +1000,7 @@
 				test.change(sim, l)
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
 					n := sim.waitForLeader().runningNode().activeLeader()
-					return n != nil && n.term.Stamp > was.Stamp
+					return n != nil && n.term.FencingRevision > was.FencingRevision
 				})
 				for _, job := range jobs {
 					if _, _, remaining, ok := job.abortReport(); !ok || remaining != 2 || job.runningTasks() != 2 {
--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -23,19 +23,19 @@
 				other.Old = nil
 			}
 		}
-		record.PutOff(l.node.Now())
+		record.Defer(l.node.Now())
 		return
 	}
-	record.Touch(l.node.Now(), writer.Lazy)
+	record.MarkDirty(l.node.Now(), writer.PriorityLow)
 }
 
 // Press notes that a start waits for a chunk.
 func (l *Leader) Press(chunk *model.Chunk) {
-	priority := writer.Soon
+	priority := writer.PriorityHigh
 	if chunk.Job.Level == 0 {
-		priority = writer.First
+		priority = writer.PriorityUrgent
 	}
-	l.records.chunkRecord(chunk).Touch(l.node.Now(), priority)
+	l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), priority)
 }
 
 // Kick notes that a machine has orders worth sending directly.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -72,8 +72,8 @@
 	cat, _ := b.cloud.Catalog(context.Background())
 	node.catalog.Store(cat)
 	ctx, cancel := context.WithCancel(context.Background())
-	node.election.OnLead = func(t *election.Term) { node.startLeader(ctx, t) }
-	node.election.OnLose = node.stopLeader
+	node.election.OnStartedLeading = func(t *election.Term) { node.startLeader(ctx, t) }
+	node.election.OnStoppedLeading = node.stopLeader
 	go func() { _ = node.election.Run(ctx) }()
 	b.t.Cleanup(cancel)
 	return node, cancel
@@ -289,7 +289,7 @@
 	}
 	old := n0.activeLeader().term
 	env.store.HoldBack(1)
-	_, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{If: []wire.Guard{old.Guard()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}})
+	_, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{If: []wire.Guard{old.Precondition()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}})
 	if err == nil {
 		t.Fatal("not held back")
 	}
@@ -299,7 +299,7 @@
 		t.Fatal("a write of the old term took effect under the new one")
 	}
 	reply := n1.Beat(wire.MustMarshal(wire.Report{Machine: "i-1", Addr: "x:1", Session: 1, Seq: 1}))
-	if commands, ok := reply.Body.(wire.Orders); !ok || uint64(commands.Token) <= old.Stamp<<tokenBits {
+	if commands, ok := reply.Body.(wire.Orders); !ok || uint64(commands.Token) <= old.FencingRevision<<tokenBits {
 		t.Fatalf("token of the new term: %+v", reply)
 	}
 }
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -149,13 +149,13 @@
 // controller's share is up: the share's owner has told it of all that report, and each
 // had time to. Without that, a leader that had just taken over returned machines at work.
 func (l *Leader) shardMachinesKnown(m *model.Machine, now micro.Time) bool {
-	e, ok := l.shardTable().Of(machineAttributes(m.TypeName, m.Zone, m.Spot))
-	if !ok || !e.Away() {
+	e, ok := l.shardTable().ShardOf(machineAttributes(m.TypeName, m.Zone, m.Spot))
+	if !ok || !e.OwnedElsewhere() {
 		return false
 	}
 	settleTime := l.node.Cfg.Round() + l.node.Cfg.SilentAfter
 	view := l.viewOf(e.Name)
-	return view.allMachinesKnownAt > 0 && now-view.allMachinesKnownAt > settleTime && l.node.Wall()-micro.Time(e.Record.At) > settleTime
+	return view.allMachinesKnownAt > 0 && now-view.allMachinesKnownAt > settleTime && l.node.Wall()-micro.Time(e.Record.ChangedAt) > settleTime
 }
 
 // bootTimeout is after how long a machine that is booting is given up.
--- a/internal/controller/final_status_cache_test.go
+++ b/internal/controller/final_status_cache_test.go
@@ -25,7 +25,7 @@
 // go is read again.
 func TestFinalStatusesAreReadOnceAndCachedWithinABound(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startNodeWith("n-0", func(node *Node) { node.election.Pause(1 << 50) })
+	node, _ := env.startNodeWith("n-0", func(node *Node) { node.election.SuspendCampaign(1 << 50) })
 	reads := 0
 	node.Store = rangeCountingStore{env.store, &reads}
 	var then []wire.Change
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -42,10 +42,10 @@
 	return m.Store.Range(ctx, class, prefix, after, limit)
 }
 
-// Existing says which keys there are.
-func (m usageCountingStore) Existing(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
+// ExistingKeys says which keys there are.
+func (m usageCountingStore) ExistingKeys(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
 	m.usage.reads.Add(1)
-	return m.Store.Existing(ctx, class, keys)
+	return m.Store.ExistingKeys(ctx, class, keys)
 }
 
 // Commit counts a transaction and its changes.
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -181,8 +181,8 @@
 
 // raiseFormat writes fleet/format. From then on, and not before, the new forms are used.
 func (l *Leader) raiseFormat() {
-	if !l.cluster.Compact && l.recovered && !l.records.format.Dirty() && !l.records.format.Doubtful() {
-		l.records.format.Touch(l.node.Now(), writer.Soon)
+	if !l.cluster.Compact && l.recovered && !l.records.format.Dirty() && !l.records.format.Uncertain() {
+		l.records.format.MarkDirty(l.node.Now(), writer.PriorityHigh)
 	}
 }
 
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -118,9 +118,9 @@
 	}
 	getCtx, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
 	defer cancel()
-	_, err := n.Store.Get(getCtx, store.Leadership, election.Key)
+	_, err := n.Store.Get(getCtx, store.Leadership, election.LeaderKey)
 	switch {
-	case err == nil, errors.Is(err, store.ErrNotFound), errors.Is(err, store.ErrBusy):
+	case err == nil, errors.Is(err, store.ErrNotFound), errors.Is(err, store.ErrRateLimited):
 		return probeResult{storeReached: true}
 	case errors.Is(err, store.ErrRefused):
 		return probeResult{storeRefused: true}
--- a/internal/controller/image_records.go
+++ b/internal/controller/image_records.go
@@ -25,19 +25,19 @@
 // record and one of the others in turn, so that the cost does not grow with the fleet.
 type imageWriter struct {
 	records     *recordStore
-	firstPage   *writer.Entry
-	pages       map[int]*writer.Entry // the further records that the store may hold
-	lastWritten int                   // the further record that was written last
+	firstPage   *writer.Record
+	pages       map[int]*writer.Record // the further records that the store may hold
+	lastWritten int                    // the further record that was written last
 }
 
 func newImageWriter(w *recordStore) *imageWriter {
-	iw := &imageWriter{records: w, firstPage: w.Entry(imageKey), pages: map[int]*writer.Entry{}}
+	iw := &imageWriter{records: w, firstPage: w.Record(imageKey), pages: map[int]*writer.Record{}}
 	iw.firstPage.Build = func() (any, uint64) { return w.leader.cluster.ImagePages(iw.maxRecordSize())[0], 0 }
 	return iw
 }
 
 // maxRecordSize is what a record may take: half of a value, since its size is estimated.
-func (iw *imageWriter) maxRecordSize() int { return iw.records.leader.ValueBytes() / 2 }
+func (iw *imageWriter) maxRecordSize() int { return iw.records.leader.MaxValueBytes() / 2 }
 
 // restore notes a record that the takeover read.
 func (iw *imageWriter) restore(it wire.Item) {
@@ -52,12 +52,12 @@
 
 // pageRecord finds or makes the entry of a further record. A record that is needed no more
 // is deleted.
-func (iw *imageWriter) pageRecord(page int) *writer.Entry {
+func (iw *imageWriter) pageRecord(page int) *writer.Record {
 	record := iw.pages[page]
 	if record != nil {
 		return record
 	}
-	record = iw.records.Entry(imagePageKey(page))
+	record = iw.records.Record(imagePageKey(page))
 	record.Build = func() (any, uint64) {
 		if pages := iw.records.leader.cluster.ImagePages(iw.maxRecordSize()); page < len(pages) {
 			return pages[page], 0
@@ -71,7 +71,7 @@
 
 // writeNext writes the first record, and one of the others.
 func (iw *imageWriter) writeNext(now micro.Time) {
-	iw.firstPage.Touch(now, writer.Lazy)
+	iw.firstPage.MarkDirty(now, writer.PriorityLow)
 	if !iw.records.leader.cluster.Compact {
 		return // the version before would not delete them
 	}
@@ -83,5 +83,5 @@
 		return
 	}
 	iw.lastWritten = iw.lastWritten%last + 1
-	iw.pageRecord(iw.lastWritten).Touch(now, writer.Lazy)
+	iw.pageRecord(iw.lastWritten).MarkDirty(now, writer.PriorityLow)
 }
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -62,7 +62,7 @@
 	requestedAt   micro.Time
 	maybeSent     bool // the cloud may know of it
 	priorityLevel int  // the rank of the work that asked for it
-	storeRecord   *writer.Entry
+	storeRecord   *writer.Record
 
 	recordVersion uint64 // of the record, counted up with each machine to be returned
 	storedVersion uint64 // the latest of them that is known to be in the store
@@ -82,23 +82,23 @@
 		l.sendQueuedRequests(request.requestedAt)
 	case InstanceRequestFulfilled:
 		delete(l.planner.PendingRequests, request.record.Request.Request)
-		request.storeRecord.Touch(l.node.Now(), writer.Lazy)
+		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
 	case InstanceRequestClosed:
 		delete(l.planner.PendingRequests, request.record.Request.Request)
 		delete(l.instanceRequests, request.record.Request.Request)
-		request.storeRecord.Touch(l.node.Now(), writer.Lazy)
+		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
 	}
 }
 
-func (l *Leader) newRequestRecord(request *instanceRequest) *writer.Entry {
-	record := l.records.Entry(instanceRequestPrefix + request.record.Request.Request)
+func (l *Leader) newRequestRecord(request *instanceRequest) *writer.Record {
+	record := l.records.Record(instanceRequestPrefix + request.record.Request.Request)
 	record.Build = func() (any, uint64) {
 		if request.state == InstanceRequestClosed {
 			return nil, 0
 		}
 		return request.record, request.recordVersion
 	}
-	record.Saved = func(version uint64) {
+	record.OnCommitted = func(version uint64) {
 		if request.state == InstanceRequestPersisting {
 			l.setRequestState(request, InstanceRequestPending)
 		}
@@ -153,14 +153,14 @@
 	for _, scaleOut := range scaleOuts { // each at most what one call rents
 		l.instanceRequestCount++
 		request := &instanceRequest{priorityLevel: scaleOut.PriorityLevel, record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.Rental{
-			Request: fmt.Sprintf("r-%d-%d", l.term.Stamp, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
+			Request: fmt.Sprintf("r-%d-%d", l.term.FencingRevision, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
 		l.instanceRequests[request.record.Request.Request] = request
 		l.planner.PendingRequests[request.record.Request.Request] = scaleOut
-		priority := writer.Soon
+		priority := writer.PriorityHigh
 		if scaleOut.PriorityLevel == 0 {
-			priority = writer.First
+			priority = writer.PriorityUrgent
 		}
-		l.newRequestRecord(request).Touch(now, priority)
+		l.newRequestRecord(request).MarkDirty(now, priority)
 		l.log.Info("rent", "request", request.record.Request.Request, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class)
 	}
 	for _, machine := range idle {
@@ -243,7 +243,7 @@
 	for _, name := range names {
 		if l.firstProvisioned == "" || createdBefore(name, l.firstProvisioned) {
 			l.firstProvisioned = name
-			l.records.firstProvisioned.Touch(now, writer.Soon)
+			l.records.firstProvisioned.MarkDirty(now, writer.PriorityHigh)
 		}
 		l.addInstance(request, name, request.requestedAt, now)
 	}
@@ -272,11 +272,11 @@
 	request.record.Terminating = append(slices.Clone(request.record.Terminating), machine.Name)
 	request.recordVersion++
 	if len(machine.Places) > 0 {
-		request.storeRecord.Touch(l.node.Now(), writer.Lazy)
+		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
 		return
 	}
 	l.pendingTerminations[machine] = request.recordVersion
-	request.storeRecord.Touch(l.node.Now(), writer.Soon)
+	request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityHigh)
 }
 
 // terminationRecorded reports whether the store knows that a machine is to be returned.
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -56,7 +56,7 @@
 	case errors.Is(err, store.ErrConflict):
 		// Known already: a repeat, or a write whose answer was lost.
 		return n.repeatedSubmissionStatus(job.ID)
-	case errors.Is(err, store.ErrBad):
+	case errors.Is(err, store.ErrMalformed):
 		n.Log.Error("description not taken by the store", "job", job.ID, "bytes", wire.JSONSize(job))
 		return front.Later(503, 2)
 	}
@@ -64,7 +64,7 @@
 	if reply, ok := n.relayedReply(attempt, relay); ok {
 		return reply
 	}
-	if errors.Is(err, store.ErrBudget) || errors.Is(err, store.ErrBusy) {
+	if errors.Is(err, store.ErrBudgetExhausted) || errors.Is(err, store.ErrRateLimited) {
 		return front.Later(429, 1)
 	}
 	return front.Later(503, 1)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -77,7 +77,7 @@
 	firstProvisioned         string                    // the first machine that the service ever rented
 	inventoryAt              micro.Time                // when the list that was read last was asked for
 	pendingTerminations      map[*model.Machine]uint64 // machines to be returned, with the version of their rental's record that must be stored before
-	renewalBound             *keep.Ledger
+	renewalBound             *keep.RenewalBound
 	fencedZones              atomic.Pointer[map[string]bool] // zones whose keepers are not answered; nil: all
 	suspectedZones           map[string]micro.Time           // when a zone was last missing too much to be taken for dead machines
 	pendingCancellations     map[*model.Job]bool             // withdrawn jobs whose users are not told yet
@@ -102,12 +102,12 @@
 
 // newLeader makes the loop of a term of leadership.
 func newLeader(n *Node, t *election.Term) *Leader {
-	l := newEventLoop(n, t, t.Stamp<<tokenBits, n.Log.With("term", t.Stamp))
+	l := newEventLoop(n, t, t.FencingRevision<<tokenBits, n.Log.With("term", t.FencingRevision))
 	zones := map[string]string{}
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
 	}
-	l.renewalBound = keep.NewLedger(t.Stamp, l.cluster.Began, n.Cfg.KeepSpan(), zones, n.Cfg.Zone)
+	l.renewalBound = keep.NewRenewalBound(t.FencingRevision, l.cluster.Began, n.Cfg.KeepSpan(), zones, n.Cfg.Zone)
 	for _, t := range n.Cfg.Facts.Teams {
 		l.cluster.Teams[t.Name] = &model.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}
 	}
@@ -132,7 +132,7 @@
 	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
 	l.objectives = sched.NewObjectives(node.Cfg.Facts.Objectives)
 	l.speeds = sched.NewSpeedEstimator()
-	l.scheduler = &sched.Scheduler{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.Stamp, 1))}
+	l.scheduler = &sched.Scheduler{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.FencingRevision, 1))}
 	l.planner = &scale.Planner{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, RefusedUntil: map[scale.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[scale.InstanceOffer]int{}, PendingRequests: map[string]scale.ScaleOut{}}
 	l.scheduler.WithinPrice = l.planner.WithinPrice
 	l.records = newRecordStore(l)
@@ -142,7 +142,9 @@
 func (l *Leader) stop() { l.stopOnce.Do(func() { close(l.done) }) }
 
 // holdsLease reports whether this loop may answer and send orders; any goroutine may ask.
-func (l *Leader) holdsLease() bool { return !l.responsesBlocked.Load() && l.term.Valid(l.node.Now()) }
+func (l *Leader) holdsLease() bool {
+	return !l.responsesBlocked.Load() && l.term.HoldsLease(l.node.Now())
+}
 
 // stopped reports whether the loop is over.
 func (l *Leader) stopped() bool {
@@ -312,7 +314,7 @@
 			for _, machineType := range l.cluster.Order {
 				l.log.Debug("speed", "type", machineType.Name, "k", machineType.K, "learnt", l.speeds.Record().Speeds[machineType.Name])
 			}
-			l.records.speeds.Touch(now, writer.Lazy)
+			l.records.speeds.MarkDirty(now, writer.PriorityLow)
 		}
 	}
 	l.checkToken(now)
@@ -414,14 +416,14 @@
 		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.N, empty)
 	}
 	l.log.Info("leading", "live", len(l.cluster.Live), "awaiting", l.cluster.AwaitingN, "pending", len(l.cluster.Pending), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
-		"writes_first", l.records.Queued(writer.First), "writes_soon", l.records.Queued(writer.Soon), "writes_lazy", l.records.Queued(writer.Lazy), "writes_idle", l.records.Queued(writer.Idle), "written", l.records.Told(),
+		"writes_first", l.records.Queued(writer.PriorityUrgent), "writes_soon", l.records.Queued(writer.PriorityHigh), "writes_lazy", l.records.Queued(writer.PriorityLow), "writes_idle", l.records.Queued(writer.PriorityBackground), "written", l.records.ChangeCounts(),
 		"pass_gap_ms", int64(l.scheduleInterval/micro.Millisecond), "events", len(l.events), "asks", len(l.queries), "directs", l.dispatchesInFlight, "kicked", len(l.pendingDispatch), "rentals_waiting", len(l.requestQueue), "fleet", fleet.String())
 }
 
 func (l *Leader) resign(reason string) {
 	l.log.Info("resigning", "why", reason)
 	l.term.End()
-	l.node.election.Pause(4 * micro.Second)
+	l.node.election.SuspendCampaign(4 * micro.Second)
 	go func() { _ = l.node.Store.Revoke(context.Background(), l.term.Lease) }()
 }
 
--- a/internal/controller/leader_faults_test.go
+++ b/internal/controller/leader_faults_test.go
@@ -227,7 +227,7 @@
 				sim.startController(controller)
 				sim.slowStore(600*micro.Millisecond, 5*micro.Second)
 				won := func() bool {
-					item, err := sim.store.Get(context.Background(), store.Leadership, election.Key)
+					item, err := sim.store.Get(context.Background(), store.Leadership, election.LeaderKey)
 					return err == nil && uint64(item.Version) > was
 				}
 				for end := sim.now() + 20*micro.Second; !won() && sim.now() < end; {
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -22,7 +22,7 @@
 		n.contactLeader(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(keep.Every.Std()):
+		case <-time.After(keep.RequestInterval.Std()):
 		}
 	}
 	return nil
@@ -31,7 +31,7 @@
 func (n *Node) contactLeader(ctx context.Context) {
 	if l := n.activeLeader(); l != nil {
 		if !l.zoneFenced(n.Cfg.Zone) {
-			n.leaseProxy.Leads(n.Now())
+			n.leaseProxy.NoteLeading(n.Now())
 		}
 		return
 	}
@@ -39,20 +39,20 @@
 	if leader != "" && leader != n.Cfg.Node {
 		sentAt := n.Now()
 		body := wire.MustMarshal(n.leaseProxy.Request(sentAt))
-		status, reply, err := n.Peers.Call(ctx, leader, peer.Keep, body, keep.Wait)
+		status, reply, err := n.Peers.Call(ctx, leader, peer.Keep, body, keep.ResponseTimeout)
 		answered = err == nil && status != 421 // it leads, even if it grants nothing now
-		var timestamp keep.Echo
+		var timestamp keep.LeaderTimestamp
 		if err == nil && status == 200 && wire.Unmarshal(reply, &timestamp) == nil {
-			n.leaseProxy.Answered(sentAt, n.Now(), timestamp)
+			n.leaseProxy.HandleResponse(sentAt, n.Now(), timestamp)
 		}
 	}
-	if n.leaseProxy.Span > 0 && n.leaseProxy.OutOfTouch(n.Now()) {
+	if n.leaseProxy.RenewalWindow > 0 && n.leaseProxy.Disconnected(n.Now()) {
 		sameZone, otherZone := n.probePeerZones(ctx)
 		// With the store in reach, only a leader beyond the cut is missed: one of
 		// this zone that died is replaced by this zone's nodes. Keeping the
 		// workers meanwhile once hid half of the fleet from the next leader.
 		canElect := !n.Cut() && !n.inOtherZone(leader)
-		n.leaseProxy.Looked(sameZone, otherZone || answered || canElect, n.Now())
+		n.leaseProxy.RecordProbe(sameZone, otherZone || answered || canElect, n.Now())
 	}
 }
 
@@ -96,7 +96,7 @@
 // once sent hundreds of workers to one another until their leases ran out.
 func (n *Node) leaderUnreachable(leader string) bool {
 	now := n.Now()
-	return n.leaseProxy.OutOfTouch(now) && (n.Cut() || n.inOtherZone(leader) && n.leaseProxy.Parted(now))
+	return n.leaseProxy.Disconnected(now) && (n.Cut() || n.inOtherZone(leader) && n.leaseProxy.ZonePartitioned(now))
 }
 
 // proxyHeartbeat answers a report of this zone's worker in place of the leader, if
@@ -112,7 +112,7 @@
 
 // proxiesLease reports whether this node keeps the worker's lease alive now.
 func (n *Node) proxiesLease(heartbeat *wire.Report) bool {
-	return heartbeat.Token != 0 && heartbeat.Zone == n.Cfg.Zone && n.leaseProxy.Renew(n.Now())
+	return heartbeat.Token != 0 && heartbeat.Zone == n.Cfg.Zone && n.leaseProxy.TryRenew(n.Now())
 }
 
 func leaseProxyReply(heartbeat *wire.Report) front.Reply {
@@ -134,7 +134,7 @@
 			return 503, nil
 		}
 	}
-	timestamp := l.renewalBound.Answer(request, n.Now())
+	timestamp := l.renewalBound.HandleRequest(request, n.Now())
 	if !l.holdsLease() {
 		return 421, nil
 	}
@@ -150,14 +150,14 @@
 		return
 	}
 	l.updateFencedZones()
-	ownRenewal := l.node.leaseProxy.Kept() // of a time when this very term had lapsed
+	ownRenewal := l.node.leaseProxy.LastRenewal() // of a time when this very term had lapsed
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
-		until := l.renewalBound.Until(zone, now)
+		until := l.renewalBound.RenewedUntil(zone, now)
 		if ownRenewal > 0 && (zone == "" || zone == l.node.Cfg.Zone) {
 			until = max(until, ownRenewal)
 		}
 		l.cluster.Kept[zone] = until
-		if _, known := l.cluster.Away[zone]; !l.renewalBound.Away(zone, now) {
+		if _, known := l.cluster.Away[zone]; !l.renewalBound.ZoneDisconnected(zone, now) {
 			if known {
 				delete(l.cluster.Away, zone)
 				l.cluster.Changed()
@@ -212,7 +212,7 @@
 		for _, allocation := range job.AllPlaces() {
 			zone := allocation.Machine.Zone
 			if _, ok := limits[zone]; !ok {
-				limits[zone] = l.renewalBound.Limit(zone, now)
+				limits[zone] = l.renewalBound.RenewalLimit(zone, now)
 			}
 			if limits[zone] > 0 && limits[zone]+l.cluster.Lease+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
 				return
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -42,7 +42,7 @@
 	waitUntil(t, "in touch", func() bool { // barred until the leader's first look around
 		now += micro.Second
 		inside.contactLeader(context.Background())
-		return !inside.leaseProxy.OutOfTouch(now)
+		return !inside.leaseProxy.Disconnected(now)
 	})
 	if got := report("b"); got != 421 {
 		t.Fatalf("the leader is there: status %d", got)
@@ -185,7 +185,7 @@
 	fleet := newFleet(t, 2)
 	cfg := fleet.leader.node.Cfg
 	cfg.Facts.Workers.CancelS, cfg.Facts.Zones = 50, []string{"a", "b"}
-	fleet.leader.renewalBound = keep.NewLedger(7, fleet.now, cfg.KeepSpan(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
+	fleet.leader.renewalBound = keep.NewRenewalBound(7, fleet.now, cfg.KeepSpan(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
 	if fleet.leader.zoneFenced("a") {
@@ -299,12 +299,12 @@
 	env := newTestCluster(t)
 	leader, kill := env.startNodeWith("n-0", withLongLease)
 	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
-	neighbor, _ := env.startNodeWith("n-2", func(node *Node) { node.election.Pause(10 * micro.Minute) })
+	neighbor, _ := env.startNodeWith("n-2", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	now := micro.Minute
 	node, _ := env.startNodeWith("n-1", func(node *Node) {
 		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{{Node: "n-0", Zone: "b"}, {Node: "n-2", Zone: "b"}, {Node: "n-3", Zone: "a"}}
 		node.Init()
-		node.election.Pause(10 * micro.Minute)
+		node.election.SuspendCampaign(10 * micro.Minute)
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader), "n-2": env.servePeer(neighbor)})
 	})
 	waitUntil(t, "leader known", func() bool { return node.election.Leader() == "n-0" })
@@ -312,14 +312,14 @@
 	waitUntil(t, "in touch", func() bool {
 		now += micro.Second
 		node.contactLeader(context.Background())
-		return !node.leaseProxy.OutOfTouch(now)
+		return !node.leaseProxy.Disconnected(now)
 	})
 	kill()
 	node.Peers = peer.NewClient(map[string]string{"n-2": env.servePeer(neighbor)})
 	keeps := func() bool {
 		now += 5 * micro.Second
 		node.contactLeader(context.Background())
-		return node.leaseProxy.Renew(now)
+		return node.leaseProxy.TryRenew(now)
 	}
 	if keeps() {
 		t.Fatal("it reaches the store: another node leads soon")
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -96,9 +96,9 @@
 	env.store.Limit(fake.Limits{ValueBytes: 1 << 10}) // long before it was to be expected
 	put := func(key string, bytes int) {
 		leader.post(func() {
-			e := leader.records.Entry(key)
+			e := leader.records.Record(key)
 			e.Build = func() (any, uint64) { return strings.Repeat("x", bytes), 0 }
-			e.Touch(node.Now(), writer.Soon)
+			e.MarkDirty(node.Now(), writer.PriorityHigh)
 		})
 	}
 	put("job/j-1/end", 1<<11) // the limits as known allow it
@@ -207,9 +207,9 @@
 	leader := node.activeLeader()
 	put := func(key, value string) {
 		leader.post(func() {
-			e := leader.records.Entry(key)
+			e := leader.records.Record(key)
 			e.Build = func() (any, uint64) { return value, 0 }
-			e.Touch(node.Now(), writer.Soon)
+			e.MarkDirty(node.Now(), writer.PriorityHigh)
 		})
 	}
 	written := func(key, value string) func() bool {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -49,7 +49,7 @@
 	finalStatuses    finalStatusCache
 	peerBackoffUntil sync.Map // node: time until which it is not asked
 	health           healthMonitor
-	leaseProxy       keep.Keeper
+	leaseProxy       keep.Proxy
 	formatGate       atomic.Int32 // a GateState
 	lastHandover     atomic.Pointer[leadershipHandover]
 	acceptedIDs      sync.Map // ids of jobs known to have been accepted
@@ -90,10 +90,10 @@
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
 	n.health.log = n.Log.Info
-	n.leaseProxy.Node, n.leaseProxy.Span, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.KeepSpan(), n.Log.Info
+	n.leaseProxy.Node, n.leaseProxy.RenewalWindow, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.KeepSpan(), n.Log.Info
 	n.election = &election.Election{
 		Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
-		TTL: n.Cfg.LeaderLease, Renew: n.Cfg.LeaderRenew, Log: n.Log, Now: n.Now,
+		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenew, Log: n.Log, Now: n.Now,
 	}
 }
 
@@ -108,8 +108,8 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	n.election.OnLead = func(t *election.Term) { n.startLeader(ctx, t) }
-	n.election.OnLose = n.stopLeader
+	n.election.OnStartedLeading = func(t *election.Term) { n.startLeader(ctx, t) }
+	n.election.OnStoppedLeading = n.stopLeader
 	server := &front.Server{Service: n, Metrics: n.Metrics, Sockets: n.Cfg.Facts.Quota.MaxSockets, Report: micro.Of(n.Cfg.Facts.Workers.ReportS)}
 	group.Go(func() error { return server.Serve(ctx, public) })
 	group.Go(func() error {
@@ -152,7 +152,7 @@
 
 func (n *Node) activeLeader() *Leader {
 	l := n.leader.Load()
-	if l == nil || !l.term.Valid(n.Now()) {
+	if l == nil || !l.term.HoldsLease(n.Now()) {
 		return nil
 	}
 	return l
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -144,7 +144,7 @@
 	if !n.lookupBudget.admit(requestsPerRead, 0) {
 		return 503, nil
 	}
-	reply, err := n.readStatus(id, store.Poll)
+	reply, err := n.readStatus(id, store.StatusQuery)
 	if err != nil {
 		return 503, nil
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -109,7 +109,7 @@
 // refusingStore is a store that refuses this node alone.
 type refusingStore struct{ store.Store }
 
-func (refusingStore) Existing(context.Context, store.Class, []string) (map[string]bool, error) {
+func (refusingStore) ExistingKeys(context.Context, store.Class, []string) (map[string]bool, error) {
 	return nil, store.ErrRefused
 }
 func (refusingStore) Commit(context.Context, store.Class, wire.Txn) (uint64, error) {
@@ -182,14 +182,14 @@
 	node.Submit(submission("j-100", wire.Service))
 	kill()
 	waitUntil(t, "its lease over", func() bool {
-		_, err := env.store.Get(context.Background(), store.Routine, election.Key)
+		_, err := env.store.Get(context.Background(), store.Routine, election.LeaderKey)
 		return err != nil
 	})
 	// Stored by the old leader as its last deed.
 	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{{Put: endKey("j-0"), Value: model.EndRecord{State: wire.JobAborted}}}}); err != nil {
 		t.Fatal(err)
 	}
-	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.Pause(10 * micro.Minute) })
+	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	if got := jobState(reader, "j-5"); got != wire.JobAborted {
 		t.Fatalf("without a leader it is %q", got)
 	}
@@ -253,7 +253,7 @@
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith("n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, endKey("j-1")} })
 	node.Submit(submission("j-1", wire.Array))
-	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.Pause(10 * micro.Minute) })
+	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	stop := make(chan struct{})
 	defer close(stop)
 	go env.runAgents(node, stop)
@@ -286,7 +286,7 @@
 				return 0, store.ErrUncertain
 			}
 			*s.rejectedCommits++
-			return 0, store.ErrBusy
+			return 0, store.ErrRateLimited
 		}
 	}
 	return s.Store.Commit(ctx, c, t)
@@ -299,7 +299,7 @@
 	d := heldWriteStore{nil, endKey("j-1"), &sync.Mutex{}, &[]wire.Txn{}, new(int)}
 	node, _ := env.startNodeWith("n-0", func(node *Node) { d.Store = node.Store; node.Store = d })
 	node.Submit(submission("j-1", wire.Array))
-	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.Pause(10 * micro.Minute) })
+	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	stop := make(chan struct{})
 	defer close(stop)
 	go env.runAgents(node, stop)
@@ -323,7 +323,7 @@
 	node.Submit(submission("j-1", wire.Service))
 	node.Submit(dependentSubmission("j-2", "j-1"))
 	node.Submit(dependentSubmission("j-3", "j-2"))
-	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.Pause(10 * micro.Minute) })
+	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	go node.Withdraw("j-1")
 	waitUntil(t, "aborted to one that reads the store", func() bool { return jobState(reader, "j-3") == wire.JobAborted })
 	for range 50 {
@@ -341,7 +341,7 @@
 	node, kill := env.startLeaderWithGateOpen("n-0", func(*Node) {})
 	node.Submit(submission("j-1", wire.Array))
 	node.Submit(dependentSubmission("j-2", "j-1"))
-	guard := node.activeLeader().term.Guard()
+	guard := node.activeLeader().term.Precondition()
 	kill()
 	env.store.HoldBack(1)
 	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Txn{If: []wire.Guard{guard, {Key: endKey("j-1")}},
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -171,7 +171,7 @@
 			runScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 				withShard(sim)
 				// Not a whole zone: services that are spread over both would find no room.
-				sim.config.Shares.Declared[0].Selector = share.Selector{Kind: []share.Kind{share.SpotOnly, share.OrdinaryOnly}[seed%2]}
+				sim.config.Shares.Declared[0].Selector = share.Selector{Kind: []share.InstanceKind{share.SpotOnly, share.OnDemandOnly}[seed%2]}
 				sim.fastBoot = seed%4 == 0
 				sim.cloud.bootFailureRatio = []float64{0, 0.1}[seed%2]
 				if seed%5 == 0 {
@@ -189,9 +189,9 @@
 func (w *simCluster) moveShardRandomly() {
 	for w.ctx.Err() == nil && w.now() < 260*micro.Second { // then all must be served
 		time.Sleep(w.randomDuration(micro.Second, 12*micro.Second))
-		c := share.Command{Operation: share.Move, Share: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name}
+		c := share.Command{Operation: share.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name}
 		if w.randomChance(0.15) {
-			c.Operation = share.Cancel
+			c.Operation = share.OperationCancel
 		}
 		if controller := w.randomUserNode(); controller != nil {
 			if n := controller.runningNode(); n != nil {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -42,7 +42,7 @@
 	l.node.lastHandover.Store(&leadershipHandover{now, previous.count + 1})
 	// Two nodes that no worker reached once won elections in turn, until both had
 	// handed over as often as they do, and one stayed: the third never led.
-	l.node.election.Yield(l.node.handoverWindow())
+	l.node.election.DeferCampaign(l.node.handoverWindow())
 	l.resign("no worker reaches this node")
 }
 
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -21,11 +21,11 @@
 type recordStore struct {
 	*writer.Writer
 	leader           *Leader
-	chunks           map[*model.Chunk]*writer.Entry
-	legacyRecords    map[*model.Old]*writer.Entry
-	speeds           *writer.Entry
-	firstProvisioned *writer.Entry
-	format           *writer.Entry
+	chunks           map[*model.Chunk]*writer.Record
+	legacyRecords    map[*model.Old]*writer.Record
+	speeds           *writer.Record
+	firstProvisioned *writer.Record
+	format           *writer.Record
 	images           *imageWriter
 }
 
@@ -34,22 +34,22 @@
 }
 
 func newRecordStore(l *Leader) *recordStore {
-	records := &recordStore{Writer: writer.New(l, l.node.Store, l.log), leader: l, chunks: map[*model.Chunk]*writer.Entry{}, legacyRecords: map[*model.Old]*writer.Entry{}}
-	records.speeds = records.Entry(speedKey)
+	records := &recordStore{Writer: writer.New(l, l.node.Store, l.log), leader: l, chunks: map[*model.Chunk]*writer.Record{}, legacyRecords: map[*model.Old]*writer.Record{}}
+	records.speeds = records.Record(speedKey)
 	records.speeds.Build = func() (any, uint64) { return l.speeds.Record(), 0 }
-	records.firstProvisioned = records.Entry(firstProvisionedKey)
+	records.firstProvisioned = records.Record(firstProvisionedKey)
 	records.firstProvisioned.Build = func() (any, uint64) { return firstProvisionedRecord{l.firstProvisioned}, 0 }
 	records.images = newImageWriter(records)
-	records.format = records.Entry(formatKey)
+	records.format = records.Record(formatKey)
 	records.format.Build = func() (any, uint64) {
 		_, safe := l.node.Cfg.ValueBytes()
 		return FormatRecord{Version: FormatVersion, TasksPerChunk: model.CompactTasks(safe - valueMargin)}, 0
 	}
-	records.format.Saved = func(uint64) {
+	records.format.OnCommitted = func(uint64) {
 		l.formatRaised()
 		l.log.Info("format raised", "version", l.format.Version, "tasks", l.format.TasksPerChunk)
 	}
-	records.format.Found = func(item wire.Item) bool {
+	records.format.ResolveUncertain = func(item wire.Item) bool {
 		if l.restoreFormat(item) {
 			l.formatRaised()
 			return true
@@ -62,23 +62,23 @@
 // Now is this node's steady clock.
 func (l *Leader) Now() micro.Time { return l.node.Now() }
 
-// Valid reports whether the right to act holds.
-func (l *Leader) Valid() bool { return l.holdsLease() }
+// HoldsLease reports whether the right to act holds.
+func (l *Leader) HoldsLease() bool { return l.holdsLease() }
 
-// Guards are the conditions of every transaction of the term.
-func (l *Leader) Guards() []wire.Guard {
+// Preconditions are the conditions of every transaction of the term.
+func (l *Leader) Preconditions() []wire.Guard {
 	if l.owner != nil {
-		return l.owner.Guards()
+		return l.owner.Preconditions()
 	}
-	return []wire.Guard{l.term.Guard()}
+	return []wire.Guard{l.term.Precondition()}
 }
 
 // Post has the loop run something.
 func (l *Leader) Post(f func()) { l.post(f) }
 
-// ValueBytes is what a value may take. Once the later forms are in use, the next
+// MaxValueBytes is what a value may take. Once the later forms are in use, the next
 // limits may come at any time.
-func (l *Leader) ValueBytes() int {
+func (l *Leader) MaxValueBytes() int {
 	now, safe := l.node.Cfg.ValueBytes()
 	if l.cluster.Compact {
 		return safe - valueMargin
@@ -86,11 +86,11 @@
 	return now - valueMargin
 }
 
-// TxnOps is how many changes a transaction may have.
-func (l *Leader) TxnOps() int { return l.node.Cfg.TxnOps() }
+// MaxTransactionOps is how many changes a transaction may have.
+func (l *Leader) MaxTransactionOps() int { return l.node.Cfg.TxnOps() }
 
-// Committed notes how long a transaction took.
-func (l *Leader) Committed(took micro.Time) { l.node.Metrics.Observe("commit", took) }
+// ObserveCommit notes how long a transaction took.
+func (l *Leader) ObserveCommit(took micro.Time) { l.node.Metrics.Observe("commit", took) }
 
 // chunkKey is the key of a chunk's record.
 func (l *Leader) chunkKey(ch *model.Chunk) string {
@@ -105,12 +105,12 @@
 }
 
 // chunkRecord finds or makes the entry of a chunk's record.
-func (w *recordStore) chunkRecord(chunk *model.Chunk) *writer.Entry {
+func (w *recordStore) chunkRecord(chunk *model.Chunk) *writer.Record {
 	record := w.chunks[chunk]
 	if record == nil {
 		key := w.leader.chunkKey(chunk)
 		compact := w.leader.cluster.Compact
-		record = w.Entry(key)
+		record = w.Record(key)
 		record.SetVersion(chunk.Stamp)
 		record.Build = func() (any, uint64) {
 			if chunk.Job.Over() && len(chunk.Places) == 0 {
@@ -122,7 +122,7 @@
 			}
 			return value, chunk.Ver
 		}
-		record.Saved = func(version uint64) { w.leader.cluster.Persisted(chunk, version) }
+		record.OnCommitted = func(version uint64) { w.leader.cluster.Persisted(chunk, version) }
 		w.chunks[chunk] = record
 	}
 	return record
@@ -139,14 +139,14 @@
 			legacy.Left = 0 // never written
 			return
 		}
-		record = w.Entry(runKey(legacy.Job.Spec.ID, legacy.N))
+		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.N))
 		record.SetVersion(legacy.Stamp)
 	}
-	record.Clean()
-	record.Saved = func(uint64) {}
+	record.ClearDirty()
+	record.OnCommitted = func(uint64) {}
 	record.Build = func() (any, uint64) {
 		if !legacy.Free() {
-			return writer.NotYet, 0
+			return writer.NotReady, 0
 		}
 		return nil, 0
 	}
@@ -161,29 +161,29 @@
 	}
 	record := w.legacyRecords[legacy]
 	if record == nil {
-		record = w.Entry(runKey(legacy.Job.Spec.ID, legacy.N))
+		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.N))
 		record.SetVersion(legacy.Stamp)
 		w.legacyRecords[legacy] = record
 		record.Build = func() (any, uint64) {
 			if !legacy.Free() {
-				return writer.NotYet, 0
+				return writer.NotReady, 0
 			}
 			return nil, 0
 		}
 	}
 	if legacy.Free() {
-		record.Touch(w.leader.node.Now(), writer.Idle)
+		record.MarkDirty(w.leader.node.Now(), writer.PriorityBackground)
 	}
 }
 
 // writeJobEnd writes the end of a job. The first end wins: if another is found, that
 // one is the truth.
 func (w *recordStore) writeJobEnd(job *model.Job, state wire.JobState) {
-	record := w.Entry(endKey(job.Spec.ID))
+	record := w.Record(endKey(job.Spec.ID))
 	at := int64(w.leader.node.Wall())
 	record.Build = func() (any, uint64) { return model.EndRecord{State: state, At: at}, 0 }
-	record.Saved = func(uint64) { w.Drop(record); w.leader.jobEnded(job, state) }
-	record.Found = func(item wire.Item) bool {
+	record.OnCommitted = func(uint64) { w.Drop(record); w.leader.jobEnded(job, state) }
+	record.ResolveUncertain = func(item wire.Item) bool {
 		var stored model.EndRecord
 		if wire.Unmarshal(item.Value, &stored) != nil {
 			return false
@@ -192,11 +192,11 @@
 		w.leader.jobEnded(job, stored.State)
 		return true
 	}
-	priority := writer.Soon
+	priority := writer.PriorityHigh
 	if state == wire.JobAborted {
-		priority = writer.First
+		priority = writer.PriorityUrgent
 	}
-	record.Touch(w.leader.node.Now(), priority)
+	record.MarkDirty(w.leader.node.Now(), priority)
 }
 
 // endUncertain reports whether the job's end may be in the store unknown to this leader.
@@ -205,5 +205,5 @@
 // job was done, and then by the leader that it was pending.
 func (w *recordStore) endUncertain(id string) bool {
 	record := w.Lookup(endKey(id))
-	return record != nil && record.Doubtful()
+	return record != nil && record.Uncertain()
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -16,7 +16,9 @@
 
 // withLongLease makes a lease that outlives the test, so that whoever leads does not owe
 // it to an expiry.
-func withLongLease(n *Node) { n.election.TTL, n.election.Renew = 10*micro.Minute, 50*micro.Millisecond }
+func withLongLease(n *Node) {
+	n.election.TTL, n.election.RenewInterval = 10*micro.Minute, 50*micro.Millisecond
+}
 
 // A leader was back a fraction of a second after its end, and waited for its own
 // old lease.
@@ -29,8 +31,8 @@
 	kill()
 	restarted, _ := env.startNodeWith("n-0", withLongLease)
 	waitUntil(t, "leading again", func() bool { return restarted.activeLeader() != nil })
-	if term := restarted.activeLeader().term; term.Stamp <= old.Stamp {
-		t.Fatalf("the new term's tokens are no higher: %d, %d", term.Stamp, old.Stamp)
+	if term := restarted.activeLeader().term; term.FencingRevision <= old.FencingRevision {
+		t.Fatalf("the new term's tokens are no higher: %d, %d", term.FencingRevision, old.FencingRevision)
 	}
 	waitUntil(t, "its job", func() bool { return restarted.Show("j-1").Status == 200 })
 }
@@ -117,7 +119,7 @@
 // that had looked for its end before it looked at its tasks.
 func TestEndThatComesDuringAReadIsSeen(t *testing.T) {
 	env := newTestCluster(t)
-	n, _ := env.startNodeWith("n-0", func(n *Node) { n.election.Pause(10 * micro.Minute) })
+	n, _ := env.startNodeWith("n-0", func(n *Node) { n.election.SuspendCampaign(10 * micro.Minute) })
 	if r := n.Submit(submission("j-1", wire.Array)); r.Status != 201 {
 		t.Fatalf("%+v", r)
 	}
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -68,7 +68,7 @@
 	}
 	fleet.now += micro.Minute * 60
 	entry := fleet.leader.records.chunkRecord(job.Chunks[0])
-	entry.Clean()
+	entry.ClearDirty()
 	entry.SetVersion(17)
 	fleet.leader.prune(fleet.now)
 	if fleet.leader.cluster.Jobs[job.Spec.ID] == nil {
@@ -114,13 +114,13 @@
 	for range n {
 		h.leader.records.images.writeNext(h.now)
 		changes := 0
-		h.leader.records.Each(func(e *writer.Entry) {
+		h.leader.records.Each(func(e *writer.Record) {
 			if !e.Dirty() || !isImageKey(e.Key) {
 				return
 			}
 			changes++
 			value, _ := e.Build()
-			e.Clean()
+			e.ClearDirty()
 			e.SetVersion(1)
 			if value == nil {
 				h.leader.records.Drop(e)
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -20,7 +20,7 @@
 		return 400, nil
 	}
 	if n.shards == nil {
-		return 200, wire.MustMarshal(share.CommandReply{Refused: "this controller runs without shares (serve --feature)"})
+		return 200, wire.MustMarshal(share.CommandReply{RefusalReason: "this controller runs without shares (serve --feature)"})
 	}
 	if l := n.activeLeader(); l != nil {
 		return 200, wire.MustMarshal(l.runAdminCommand(&command))
@@ -42,36 +42,36 @@
 		l.executeAdminCommand(command, func(r share.CommandReply) { reply(front.Reply{Body: r}) })
 	})
 	if !ok {
-		return share.CommandReply{Refused: "the leader does not act now: try again"}
+		return share.CommandReply{RefusalReason: "the leader does not act now: try again"}
 	}
 	return r.Body.(share.CommandReply)
 }
 
 func (l *Leader) executeAdminCommand(command *share.Command, reply func(share.CommandReply)) {
-	if command.Operation == share.List {
-		reply(share.CommandReply{Shares: l.shardStatuses("")})
+	if command.Operation == share.OperationList {
+		reply(share.CommandReply{Shards: l.shardStatuses("")})
 		return
 	}
 	respond := func(refused string) {
-		reply(share.CommandReply{Refused: refused, Shares: l.shardStatuses(command.Share)})
+		reply(share.CommandReply{RefusalReason: refused, Shards: l.shardStatuses(command.Shard)})
 	}
-	entry, ok := l.shardTable().Get(command.Share)
+	entry, ok := l.shardTable().Get(command.Shard)
 	if !ok {
-		respond(fmt.Sprintf("there is no share %q", command.Share))
+		respond(fmt.Sprintf("there is no share %q", command.Shard))
 		return
 	}
 	switch command.Operation {
-	case share.Show:
+	case share.OperationShow:
 		respond("")
-	case share.Move:
+	case share.OperationMove:
 		target, ok := l.coordinator.sessions.Controller(command.Target)
 		if !ok {
-			respond(fmt.Sprintf("%q: %v", command.Target, share.ErrNoTarget))
+			respond(fmt.Sprintf("%q: %v", command.Target, share.ErrTargetWithoutSession))
 			return
 		}
 		l.changeShardByAdmin(entry, func(wall int64) (share.Record, error) { return entry.Record.Move(target, wall) }, respond)
-	case share.Cancel:
-		l.changeShardByAdmin(entry, entry.Record.Cancel, respond)
+	case share.OperationCancel:
+		l.changeShardByAdmin(entry, entry.Record.CancelMove, respond)
 	default:
 		respond(fmt.Sprintf("there is no operation %q", command.Operation))
 	}
@@ -113,12 +113,12 @@
 
 func (l *Leader) shardStatus(entry share.Entry, jobs int) share.Status {
 	view := l.viewOf(entry.Name)
-	status := share.Status{Name: entry.Name, Record: entry.Record, Version: entry.Version, Machines: view.machineCount, Empty: view.idleMachines, Waiting: view.pendingTasks, Jobs: jobs,
-		OwnerGone: entry.OwnerGone(l.coordinator.sessions), HeardAgoS: -1}
+	status := share.Status{Name: entry.Name, Record: entry.Record, Version: entry.Version, MachineCount: view.machineCount, IdleMachines: view.idleMachines, PendingTasks: view.pendingTasks, AssignedJobs: jobs,
+		OwnerSessionLost: entry.OwnerSessionLost(l.coordinator.sessions), LastUpdateAgeS: -1}
 	if view.capacityAt > 0 {
-		status.HeardAgoS = int((l.node.Now() - view.capacityAt) / micro.Second)
+		status.LastUpdateAgeS = int((l.node.Now() - view.capacityAt) / micro.Second)
 	}
-	status.Note = l.shardNote(entry, &status)
+	status.BlockedReason = l.shardNote(entry, &status)
 	return status
 }
 
@@ -129,7 +129,7 @@
 		return "waits for all controllers to run with the feature"
 	case entry.Record.State == share.Forming:
 		return fmt.Sprintf("waits for %d tasks on its machines to end", l.allocationsIn(entry))
-	case status.OwnerGone:
+	case status.OwnerSessionLost:
 		return "its owner has lost its session: another gets it"
 	case entry.Record.State == share.Moving:
 		return "waits for its owner to settle what it wrote, and to hand over"
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -86,8 +86,8 @@
 	if fitting < total && !partial {
 		return false
 	}
-	assignment := share.Assignment{Job: job.Spec, At: int64(l.node.Wall())}
-	if wire.JSONSize(assignment) > l.ValueBytes() {
+	assignment := share.Assignment{Job: job.Spec, AssignedAt: int64(l.node.Wall())}
+	if wire.JSONSize(assignment) > l.MaxValueBytes() {
 		return false
 	}
 	assigned := l.cluster.Assign(job, entry.Name)
@@ -95,14 +95,14 @@
 		return false
 	}
 	l.deductCapacity(view, &job.Spec, min(assigned, fitting))
-	assignment.Tasks = assigned
+	assignment.MaxAllocations = assigned
 	l.log.Info("job assigned", "job", job.Spec.ID, "share", entry.Name, "owner", entry.Record.Owner.Node, "tasks", total, "at_once", assigned)
-	l.storeAssignment(entry.Name, job, assignment).storeRecord.Touch(now, writer.Soon)
+	l.storeAssignment(entry.Name, job, assignment).storeRecord.MarkDirty(now, writer.PriorityHigh)
 	return true
 }
 
 // tasksThatFit is how many of a job's tasks fit the room as it is, by its rules on zones.
-func (l *Leader) tasksThatFit(capacity []share.Room, spec *wire.Job) int {
+func (l *Leader) tasksThatFit(capacity []share.FreeCapacity, spec *wire.Job) int {
 	zones := map[string]int{}
 	for i := range capacity {
 		zones[capacity[i].Zone] += capacity[i].Count * l.tasksPerMachine(&capacity[i], spec)
@@ -121,7 +121,7 @@
 }
 
 // tasksPerMachine is how many of a job's tasks one machine of a kind of room takes.
-func (l *Leader) tasksPerMachine(capacity *share.Room, spec *wire.Job) int {
+func (l *Leader) tasksPerMachine(capacity *share.FreeCapacity, spec *wire.Job) int {
 	machineType := l.cluster.Types[capacity.Type]
 	if machineType == nil || !sched.Allowed(spec, machineType, capacity.Zone, capacity.Spot) {
 		return 0
@@ -153,17 +153,17 @@
 
 // storeAssignment keeps the record of an assignment.
 func (l *Leader) storeAssignment(shardName string, job *model.Job, assignment share.Assignment) *assignedJob {
-	assigned := &assignedJob{job: job, shardName: shardName, assignment: assignment, storeRecord: l.records.Entry(share.AssignmentKey(shardName, job.Spec.ID))}
+	assigned := &assignedJob{job: job, shardName: shardName, assignment: assignment, storeRecord: l.records.Record(share.AssignmentKey(shardName, job.Spec.ID))}
 	l.coordinator.assignedJobs[job.Spec.ID] = assigned
-	assigned.storeRecord.Guards = func() []wire.Guard { return l.assignmentPreconditions(assigned) }
+	assigned.storeRecord.Preconditions = func() []wire.Guard { return l.assignmentPreconditions(assigned) }
 	assigned.storeRecord.Build = func() (any, uint64) {
 		if assigned.storeRecord.Version() > 0 || !assigned.stored && !job.Over() {
 			return assigned.assignment, 0
 		}
 		l.assignmentDeleted(assigned)
-		return writer.NotYet, 0
+		return writer.NotReady, 0
 	}
-	assigned.storeRecord.Saved = func(uint64) {
+	assigned.storeRecord.OnCommitted = func(uint64) {
 		assigned.stored = true
 		view := l.viewOf(shardName)
 		view.assignedRevision = max(view.assignedRevision, assigned.storeRecord.Version())
@@ -181,7 +181,7 @@
 	}
 	preconditions := []wire.Guard{{Key: endKey(assigned.job.Spec.ID)}}
 	if entry, ok := l.shardTable().Get(assigned.shardName); ok {
-		preconditions = append(preconditions, entry.Guard())
+		preconditions = append(preconditions, entry.Precondition())
 	}
 	return preconditions
 }
@@ -211,8 +211,8 @@
 		switch {
 		case ok && entry.Version > assigned.fenceVersion:
 			l.verifyHandedBack(assigned)
-		case ok && entry.Away() && !l.coordinator.commitsInFlight[entry.Name]:
-			l.commitShard(entry.Name, entry.Put(entry.Record.Renewed(int64(l.node.Wall())), l.term.Guard()))
+		case ok && entry.OwnedElsewhere() && !l.coordinator.commitsInFlight[entry.Name]:
+			l.commitShard(entry.Name, entry.Update(entry.Record.Rewritten(int64(l.node.Wall())), l.term.Precondition()))
 		}
 	}
 }
@@ -245,7 +245,7 @@
 	}
 	delete(l.coordinator.assignedJobs, assigned.job.Spec.ID)
 	l.records.Drop(assigned.storeRecord)
-	assigned.storeRecord.Clean()
+	assigned.storeRecord.ClearDirty()
 	l.cluster.Unassign(assigned.job, l.node.Now())
 	if assigned.cancelling && !assigned.endRequested && assigned.job.State == model.Aborting {
 		l.pendingCancellations[assigned.job] = true // nothing of it is anywhere: its user may be told
@@ -276,25 +276,25 @@
 	}
 	l.cluster.BeginAbort(j)
 	assigned.cancelling = true
-	assigned.assignment.Stop = true
-	assigned.storeRecord.Touch(l.node.Now(), writer.First)
+	assigned.assignment.StopRequested = true
+	assigned.storeRecord.MarkDirty(l.node.Now(), writer.PriorityUrgent)
 }
 
 // shardCancellationProgress takes in that the owner starts no task of a withdrawn job any more, and
 // tells those that run to stop. Whoever owns the share later reads the same from the
 // store; so the user may be told once the tasks are gone, or surely will be in time.
-func (l *Leader) shardCancellationProgress(shardName string, stopping share.Stopped, now micro.Time) {
+func (l *Leader) shardCancellationProgress(shardName string, stopping share.StoppingJob, now micro.Time) {
 	assigned := l.coordinator.assignedJobs[stopping.Job]
 	if assigned == nil || assigned.shardName != shardName || !assigned.cancelling {
 		return
 	}
-	if stopping.Held == 0 {
+	if stopping.UnreleasedAllocations == 0 {
 		assigned.fencedZones = nil
 	}
-	if assigned.endRequested || stopping.Held > 0 && !l.tasksEndInTime(stopping.Zones, now) {
+	if assigned.endRequested || stopping.UnreleasedAllocations > 0 && !l.tasksEndInTime(stopping.Zones, now) {
 		return
 	}
-	if assigned.endRequested = true; stopping.Held > 0 {
+	if assigned.endRequested = true; stopping.UnreleasedAllocations > 0 {
 		assigned.fencedZones = stopping.Zones
 		l.updateFencedZones() // keepers there must not keep the tasks alive any longer
 	}
@@ -310,7 +310,7 @@
 		return false
 	}
 	for _, zone := range zones {
-		if limit := l.renewalBound.Limit(zone, now); limit > 0 && limit+l.cluster.Lease+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
+		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 && limit+l.cluster.Lease+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
 			return false
 		}
 	}
@@ -337,8 +337,8 @@
 		return
 	}
 	l.cluster.Release(j, needed)
-	if more := l.cluster.ReserveMore(j, needed-assigned.assignment.Tasks); more > 0 {
-		assigned.assignment.Tasks += more // counted first, and used only once it is stored
-		assigned.storeRecord.Touch(l.node.Now(), writer.Soon)
+	if more := l.cluster.ReserveMore(j, needed-assigned.assignment.MaxAllocations); more > 0 {
+		assigned.assignment.MaxAllocations += more // counted first, and used only once it is stored
+		assigned.storeRecord.MarkDirty(l.node.Now(), writer.PriorityHigh)
 	}
 }
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -32,12 +32,12 @@
 	policiesEvaluatedAt      micro.Time
 	policyEvaluationInFlight bool
 	movedAt                  map[string]micro.Time // when each share was last told to move
-	marker                   *writer.Entry
+	marker                   *writer.Record
 }
 
 // shardView is what the leader knows of a share beside its record.
 type shardView struct {
-	freeCapacity       []share.Room // free for jobs, less what was assigned since
+	freeCapacity       []share.FreeCapacity // free for jobs, less what was assigned since
 	capacityAt         micro.Time
 	seenRevision       uint64 // revision up to which the owner has read assignments
 	assignedRevision   uint64 // revision of the last assignment that was stored
@@ -56,7 +56,7 @@
 	job          *model.Job
 	shardName    string
 	assignment   share.Assignment
-	storeRecord  *writer.Entry
+	storeRecord  *writer.Record
 	stored       bool     // the record is in the store
 	cancelling   bool     // its withdrawal is under way
 	endRequested bool     // the end of the withdrawal is being written
@@ -74,7 +74,7 @@
 	}
 	l.coordinator = &shardCoordinator{views: map[string]*shardView{}, commitsInFlight: map[string]bool{}, assignedJobs: map[string]*assignedJob{},
 		reclaims: map[string]*shardReclaim{}, movedAt: map[string]micro.Time{}}
-	l.coordinator.marker = l.records.Entry(share.MarkerKey)
+	l.coordinator.marker = l.records.Record(share.MarkerKey)
 	l.coordinator.marker.Build = func() (any, uint64) {
 		if l.node.shards.table.Snapshot().Len() == 0 && len(l.node.Cfg.Shares.Declared) == 0 {
 			return nil, 0
@@ -84,7 +84,7 @@
 	l.cluster.Partition = l.classifyMachine
 	l.planner.ShardDemands = l.shardDemands
 	l.planner.OwnsOffer = func(offer scale.InstanceOffer) bool {
-		_, shared := l.shardTable().Of(machineAttributes(offer.Type, offer.Zone, offer.Spot))
+		_, shared := l.shardTable().ShardOf(machineAttributes(offer.Type, offer.Zone, offer.Spot))
 		return !shared
 	}
 }
@@ -93,7 +93,7 @@
 func (l *Leader) shardDemands() []scale.ShardDemand {
 	var demands []scale.ShardDemand
 	l.shardTable().Each(func(entry share.Entry) bool {
-		if !entry.Away() {
+		if !entry.OwnedElsewhere() {
 			return true
 		}
 		for _, demand := range l.viewOf(entry.Name).demand {
@@ -114,7 +114,7 @@
 
 // classifyMachine says whether another controller owns a machine, and whether it is to.
 func (l *Leader) classifyMachine(m *model.Machine) (ownedElsewhere, clearing bool) {
-	entry, ok := l.shardTable().Of(machineAttributes(m.TypeName, m.Zone, m.Spot))
+	entry, ok := l.shardTable().ShardOf(machineAttributes(m.TypeName, m.Zone, m.Spot))
 	if !ok {
 		return false, false
 	}
@@ -128,7 +128,7 @@
 	if l.coordinator == nil {
 		return false
 	}
-	entry, ok := l.shardTable().Of(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
+	entry, ok := l.shardTable().ShardOf(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
 	return ok && l.shardOwnedElsewhere(entry)
 }
 
@@ -220,17 +220,17 @@
 		l.reconcileForming(entry, wall)
 	case entry.Record.State == share.Released:
 		l.reclaimShard(entry, now)
-	case entry.OwnerGone(l.coordinator.sessions):
+	case entry.OwnerSessionLost(l.coordinator.sessions):
 		successor, ok := entry.Successor(l.coordinator.sessions, l.shardTable())
 		if !ok {
 			return
 		}
-		if transaction, err := entry.Take(successor, l.coordinator.sessions, wall, l.term.Guard()); err == nil {
+		if transaction, err := entry.Reassign(successor, l.coordinator.sessions, wall, l.term.Precondition()); err == nil {
 			l.log.Info("share taken from an owner that is gone", "share", entry.Name, "owner", entry.Record.Owner.Node, "to", successor.Node)
 			l.commitShard(entry.Name, transaction)
 		}
 	case entry.Record.State == share.Moving && entry.Record.Target.Node != "" && !l.coordinator.sessions.Has(entry.Record.Target):
-		l.changeShard(entry, "move cancelled: its target is gone", entry.Record.Cancel)
+		l.changeShard(entry, "move cancelled: its target is gone", entry.Record.CancelMove)
 	case l.node.Cfg.Shares.Dissolve && entry.Record.State == share.Owned:
 		l.changeShard(entry, "share to be dissolved", func(wall int64) (share.Record, error) { return entry.Record.Move(share.Controller{}, wall) })
 	case entry.Record.State == share.Owned && l.viewOf(entry.Name).unreachable:
@@ -256,7 +256,7 @@
 			others[node] = version
 		}
 	}
-	target, ok := others.FewestShares(l.shardTable())
+	target, ok := others.LeastLoaded(l.shardTable())
 	if !ok {
 		return
 	}
@@ -279,7 +279,7 @@
 		return err
 	}
 	l.log.Info("share", "share", entry.Name, "was", string(entry.Record.State), "is", string(changed.State), "owner", changed.Owner.Node, "target", changed.Target.Node, "why", reason)
-	l.commitShardThen(entry.Name, entry.Put(changed, l.term.Guard()), done)
+	l.commitShardThen(entry.Name, entry.Update(changed, l.term.Precondition()), done)
 	return nil
 }
 
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -50,8 +50,8 @@
 func (w *simCluster) requestMove(to string) {
 	w.t.Helper()
 	w.waitUntil("the move is taken", micro.Minute, func() bool {
-		r := w.shardCommand(share.Command{Operation: share.Move, Share: "east", Target: to})
-		return r.Refused == "" || strings.Contains(r.Refused, share.ErrMoving.Error()) || strings.Contains(r.Refused, share.ErrSameOwner.Error())
+		r := w.shardCommand(share.Command{Operation: share.OperationMove, Shard: "east", Target: to})
+		return r.RefusalReason == "" || strings.Contains(r.RefusalReason, share.ErrAlreadyMoving.Error()) || strings.Contains(r.RefusalReason, share.ErrSameOwner.Error())
 	})
 }
 
@@ -261,19 +261,19 @@
 			command share.Command
 			says    string
 		}{
-			{share.Command{Operation: share.Move, Share: "east", Target: "n-2"}, share.ErrSameOwner.Error()},
-			{share.Command{Operation: share.Move, Share: "east", Target: "n-9"}, share.ErrNoTarget.Error()},
-			{share.Command{Operation: share.Move, Share: "west", Target: "n-0"}, "no share"},
-			{share.Command{Operation: share.Cancel, Share: "east"}, share.ErrNotMoving.Error()},
-			{share.Command{Operation: "melt", Share: "east"}, "no operation"},
+			{share.Command{Operation: share.OperationMove, Shard: "east", Target: "n-2"}, share.ErrSameOwner.Error()},
+			{share.Command{Operation: share.OperationMove, Shard: "east", Target: "n-9"}, share.ErrTargetWithoutSession.Error()},
+			{share.Command{Operation: share.OperationMove, Shard: "west", Target: "n-0"}, "no share"},
+			{share.Command{Operation: share.OperationCancel, Shard: "east"}, share.ErrNotMoving.Error()},
+			{share.Command{Operation: "melt", Shard: "east"}, "no operation"},
 		} {
-			if reply := sim.shardCommand(test.command); !strings.Contains(reply.Refused, test.says) {
-				sim.t.Errorf("%+v: %q, not %q", test.command, reply.Refused, test.says)
+			if reply := sim.shardCommand(test.command); !strings.Contains(reply.RefusalReason, test.says) {
+				sim.t.Errorf("%+v: %q, not %q", test.command, reply.RefusalReason, test.says)
 			}
 		}
 		sim.killController(sim.controllerNamed("n-0"))
 		sim.waitUntil("its session is over", micro.Minute, func() bool {
-			return strings.Contains(sim.shardCommand(share.Command{Operation: share.Move, Share: "east", Target: "n-0"}).Refused, share.ErrNoTarget.Error())
+			return strings.Contains(sim.shardCommand(share.Command{Operation: share.OperationMove, Shard: "east", Target: "n-0"}).RefusalReason, share.ErrTargetWithoutSession.Error())
 		})
 		sim.waitShardSettled(service, 3)
 	})
@@ -385,7 +385,7 @@
 		if err != nil || len(page.Items) > 0 {
 			sim.t.Errorf("%d sessions, %v", len(page.Items), err)
 		}
-		status, _ := sim.randomUserNode().runningNode().handleAdmin(wire.MustMarshal(share.Command{Operation: share.List}))
+		status, _ := sim.randomUserNode().runningNode().handleAdmin(wire.MustMarshal(share.Command{Operation: share.OperationList}))
 		if status != 200 {
 			sim.t.Errorf("status %d", status)
 		}
@@ -410,13 +410,13 @@
 			{Name: "2-always", Share: "east", Owner: "n-1", When: condition(`machines["east"] >= 0`)},
 		}
 	}, func(sim *simCluster) {
-		sim.waitUntil("the share is owned", 2*micro.Minute, func() bool { entry, ok := sim.shardRecord(); return ok && entry.Away() })
+		sim.waitUntil("the share is owned", 2*micro.Minute, func() bool { entry, ok := sim.shardRecord(); return ok && entry.OwnedElsewhere() })
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 3, cpus: 2, zone: "b"}).submit()
 		sim.waitRunning(service, 3)
 		from, _ := sim.shardRecord()
 		sim.sleep(30 * micro.Minute)
 		to, _ := sim.shardRecord()
-		if moves := to.Record.Moves - from.Record.Moves; moves < 3 || moves > 10 {
+		if moves := to.Record.OwnerChanges - from.Record.OwnerChanges; moves < 3 || moves > 10 {
 			sim.t.Errorf("%d moves in half an hour", moves)
 		}
 		if service.startCount() != 3 {
--- a/internal/controller/shard_form.go
+++ b/internal/controller/shard_form.go
@@ -35,12 +35,12 @@
 			continue
 		}
 		if l.coordinator.marker.Version() == 0 {
-			l.coordinator.marker.Touch(l.node.Now(), writer.Soon) // before the first share
+			l.coordinator.marker.MarkDirty(l.node.Now(), writer.PriorityHigh) // before the first share
 			return
 		}
 		l.log.Info("share formed", "share", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams)
 		entry := share.Entry{Name: declared.Name}
-		l.commitShard(declared.Name, entry.Put(share.Form(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Guard()))
+		l.commitShard(declared.Name, entry.Update(share.NewRecord(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Precondition()))
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	if granted, err := entry.Record.Grant(owner, wall); err == nil {
 		l.log.Info("share granted", "share", entry.Name, "owner", owner.Node)
-		l.commitShard(entry.Name, entry.Put(granted, l.term.Guard(), owner.Guard()))
+		l.commitShard(entry.Name, entry.Update(granted, l.term.Precondition(), owner.Precondition()))
 	}
 }
 
@@ -70,7 +70,7 @@
 			return l.coordinator.sessions.Controller(d.Owner)
 		}
 	}
-	return l.coordinator.sessions.FewestShares(l.shardTable())
+	return l.coordinator.sessions.LeastLoaded(l.shardTable())
 }
 
 // maxReplicasStopping is how many replicas are moved from the machines of a share that is
@@ -127,7 +127,7 @@
 // deleteShard deletes the record of a share that has nothing left. The last one takes
 // the marker along.
 func (l *Leader) deleteShard(e share.Entry) {
-	transaction := wire.Txn{If: []wire.Guard{l.term.Guard(), e.Guard()}, Then: []wire.Change{{Delete: e.Key()}}}
+	transaction := wire.Txn{If: []wire.Guard{l.term.Precondition(), e.Precondition()}, Then: []wire.Change{{Delete: e.Key()}}}
 	if l.shardTable().Len() == 1 {
 		transaction.Then = append(transaction.Then, wire.Change{Delete: share.MarkerKey})
 		l.coordinator.marker.SetVersion(0)
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -48,8 +48,8 @@
 	n.shards = &nodeShards{owners: map[string]*Leader{}}
 	n.shards.session = &election.Election{
 		Key: share.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
-		TTL: n.Cfg.LeaderLease, Renew: n.Cfg.LeaderRenew, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
-		OnLead: n.sessionStarted, OnLose: n.sessionEnded,
+		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenew, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
+		OnStartedLeading: n.sessionStarted, OnStoppedLeading: n.sessionEnded,
 	}
 }
 
@@ -216,9 +216,9 @@
 	if term == nil || shards.ctx == nil || n.catalog.Load() == nil {
 		return
 	}
-	self := share.Controller{Node: n.Cfg.Node, Session: wire.Count(term.Stamp)}
+	self := share.Controller{Node: n.Cfg.Node, SessionVersion: wire.Count(term.FencingRevision)}
 	table.Each(func(entry share.Entry) bool {
-		if shards.owners[entry.Name] == nil && entry.Away() && entry.Record.Owner == self {
+		if shards.owners[entry.Name] == nil && entry.OwnedElsewhere() && entry.Record.Owner == self {
 			shards.owners[entry.Name] = n.startShardOwner(shards.ctx, entry, term, self)
 		}
 		return true
@@ -256,8 +256,8 @@
 	if !n.shards.tableRead.Load() {
 		return front.Later(503, 1), true // whose it is is not known yet
 	}
-	entry, ok := n.shards.table.Snapshot().Of(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
-	if !ok || !entry.Away() {
+	entry, ok := n.shards.table.Snapshot().ShardOf(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
+	if !ok || !entry.OwnedElsewhere() {
 		return front.Reply{}, false
 	}
 	node := entry.Record.Owner.Node
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -20,13 +20,13 @@
 	*share.Owner
 	name string
 
-	assignments         map[string]*writer.Entry // of the jobs that were assigned, by job
-	assignedAt          map[string]micro.Time    // by the wall clock: a new owner does not wait anew
-	assignmentRevision  uint64                   // revision up to which assignments were read
-	finished            map[*model.Job]bool      // jobs all of whose tasks are done
-	cancelling          map[*model.Job]bool      // jobs that are being withdrawn
-	pendingTerminations map[*model.Machine]bool  // machines to be returned
-	unreachable         bool                     // no worker reaches this node
+	assignments         map[string]*writer.Record // of the jobs that were assigned, by job
+	assignedAt          map[string]micro.Time     // by the wall clock: a new owner does not wait anew
+	assignmentRevision  uint64                    // revision up to which assignments were read
+	finished            map[*model.Job]bool       // jobs all of whose tasks are done
+	cancelling          map[*model.Job]bool       // jobs that are being withdrawn
+	pendingTerminations map[*model.Machine]bool   // machines to be returned
+	unreachable         bool                      // no worker reaches this node
 
 	leaderTerm       uint64                // of the leader whose answer came last
 	reportedMachines map[string]bool       // machines that it was told are up
@@ -38,14 +38,14 @@
 }
 
 // mayPlace reports whether new tasks may be placed.
-func (l *Leader) mayPlace() bool { return l.owner == nil || l.owner.Places() }
+func (l *Leader) mayPlace() bool { return l.owner == nil || l.owner.MayAllocate() }
 
 // startShardOwner begins the loop of a share that this incarnation owns.
 func (n *Node) startShardOwner(ctx context.Context, e share.Entry, term *election.Term, self share.Controller) *Leader {
 	log := n.Log.With("share", e.Name, "version", e.Version)
 	owner := share.NewOwner(e, term, self, log.Info)
-	l := newEventLoop(n, term, owner.FirstToken(), log)
-	l.owner = &ownedShard{Owner: owner, name: e.Name, assignments: map[string]*writer.Entry{}, assignedAt: map[string]micro.Time{}, finished: map[*model.Job]bool{},
+	l := newEventLoop(n, term, owner.FirstFencingToken(), log)
+	l.owner = &ownedShard{Owner: owner, name: e.Name, assignments: map[string]*writer.Record{}, assignedAt: map[string]micro.Time{}, finished: map[*model.Job]bool{},
 		cancelling: map[*model.Job]bool{}, pendingTerminations: map[*model.Machine]bool{}, reportedMachines: map[string]bool{}}
 	for _, t := range n.Cfg.Facts.Teams {
 		// The leader has counted all that is assigned against the limits.
@@ -100,7 +100,7 @@
 	if exists {
 		l.owner.Observe(e)
 	} else {
-		l.owner.Gone()
+		l.owner.HandleRecordDeleted()
 	}
 	l.applyOwnerState()
 }
@@ -108,8 +108,8 @@
 // applyOwnerState follows a change of the owner's state: whether the loop may say anything,
 // and whether it is over.
 func (l *Leader) applyOwnerState() {
-	l.responsesBlocked.Store(!l.owner.Speaks())
-	if l.owner.State() == share.Over {
+	l.responsesBlocked.Store(!l.owner.MayRespond())
+	if l.owner.State() == share.Relinquished {
 		l.stop()
 	}
 }
@@ -117,11 +117,11 @@
 // reconcileTransfer brings a move on.
 func (l *Leader) reconcileTransfer(now micro.Time) {
 	switch l.owner.State() {
-	case share.Settling:
+	case share.Draining:
 		if l.holdsLease() && !l.owner.transferInFlight && l.drainForTransfer(now) {
 			l.transferShard()
 		}
-	case share.Doubtful:
+	case share.Uncertain:
 		if !l.owner.transferInFlight {
 			l.resolveTransfer()
 		}
@@ -141,19 +141,19 @@
 	if l.records.Settled() {
 		return true
 	}
-	l.records.Hurry(now)
+	l.records.EscalateAll(now)
 	return false
 }
 
 // transferShard sends the transaction that names the next owner. From here on this one
 // says nothing.
 func (l *Leader) transferShard() {
-	transaction, ok := l.owner.HandOver(int64(l.node.Wall()))
+	transaction, ok := l.owner.BeginTransfer(int64(l.node.Wall()))
 	if !ok {
 		return
 	}
 	l.applyOwnerState()
-	l.commitTransfer(transaction, func(_ uint64, err error) { l.owner.HandedOver(err) })
+	l.commitTransfer(transaction, func(_ uint64, err error) { l.owner.HandleTransferResult(err) })
 }
 
 // commitTransfer sends a transaction on the share's record, and has the loop take in what
@@ -199,8 +199,8 @@
 		l.owner.Observe(e)
 		l.applyOwnerState()
 	}
-	if transaction, ok := l.owner.Renew(int64(l.node.Wall())); ok {
-		l.commitTransfer(transaction, l.owner.Renewed)
+	if transaction, ok := l.owner.ResolveUncertain(int64(l.node.Wall())); ok {
+		l.commitTransfer(transaction, l.owner.HandleResolveResult)
 	}
 }
 
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -32,7 +32,7 @@
 	}
 	now := l.node.Now()
 	var assignments []wire.Item
-	revision, ok := l.readAll(ctx, share.AssignmentsOf(l.owner.name), func(item wire.Item) { assignments = append(assignments, item) })
+	revision, ok := l.readAll(ctx, share.AssignmentPrefixFor(l.owner.name), func(item wire.Item) { assignments = append(assignments, item) })
 	if !ok {
 		return false
 	}
@@ -40,7 +40,7 @@
 	for _, item := range assignments {
 		l.applyAssignment(item.Key, item.Value, uint64(item.Version))
 	}
-	_, ok = l.readAll(ctx, share.AllocationsOf(l.owner.name), func(item wire.Item) { l.restoreAllocation(item, now) })
+	_, ok = l.readAll(ctx, share.AllocationPrefixFor(l.owner.name), func(item wire.Item) { l.restoreAllocation(item, now) })
 	if !ok {
 		return false
 	}
@@ -74,10 +74,10 @@
 // assignment, or that a late write of it created again.
 func (l *Leader) deleteOrphanedAllocation(item wire.Item) {
 	l.log.Info("allocation without an assignment", "key", item.Key)
-	record := l.records.Entry(item.Key)
+	record := l.records.Record(item.Key)
 	record.SetVersion(uint64(item.Version))
 	record.Build = func() (any, uint64) { return nil, 0 }
-	record.Touch(l.node.Now(), writer.Idle)
+	record.MarkDirty(l.node.Now(), writer.PriorityBackground)
 }
 
 // applyAssignment takes in a job that the leader assigned, or what became of it.
@@ -90,9 +90,9 @@
 	}
 	record := l.owner.assignments[id]
 	if record == nil {
-		record = l.records.Entry(key)
+		record = l.records.Record(key)
 		record.Build = func() (any, uint64) { return nil, 0 } // an owner only ever deletes it
-		record.Saved = func(uint64) { l.removeAssignedJob(id) }
+		record.OnCommitted = func(uint64) { l.removeAssignedJob(id) }
 		l.owner.assignments[id] = record
 	}
 	record.SetVersion(max(record.Version(), version))
@@ -100,14 +100,14 @@
 	if job == nil {
 		assignment.Job.Needs, assignment.Job.NeedsIn = nil, 0 // all of them are done
 		job = l.insertJob(assignment.Job, l.node.Now(), l.node.Wall())
-		l.owner.assignedAt[id] = micro.Time(assignment.At)
-		l.log.Info("job assigned", "job", id, "class", assignment.Job.Class, "tasks", assignment.Job.Tasks, "at_once", assignment.Tasks)
+		l.owner.assignedAt[id] = micro.Time(assignment.AssignedAt)
+		l.log.Info("job assigned", "job", id, "class", assignment.Job.Class, "tasks", assignment.Job.Tasks, "at_once", assignment.MaxAllocations)
 	}
-	if assignment.Tasks > job.Most {
-		job.Most = assignment.Tasks
+	if assignment.MaxAllocations > job.Most {
+		job.Most = assignment.MaxAllocations
 		l.cluster.Changed()
 	}
-	if assignment.Stop {
+	if assignment.StopRequested {
 		l.cancelAssigned(job)
 	}
 }
@@ -133,7 +133,7 @@
 
 // watchAssignments follows the share's assignments.
 func (l *Leader) watchAssignments(ctx context.Context, revision uint64) {
-	prefix := share.AssignmentsOf(l.owner.name)
+	prefix := share.AssignmentPrefixFor(l.owner.name)
 	for {
 		events, err := l.node.Store.Watch(ctx, prefix, revision, tableWatchTimeout)
 		switch {
@@ -181,7 +181,7 @@
 			l.cluster.Withhold(job)
 		}
 		if over || unplaced {
-			record.Touch(now, writer.Soon)
+			record.MarkDirty(now, writer.PriorityHigh)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	l.knownJobs.Delete(id)
 	if job.Over() {
 		for _, chunk := range job.Chunks {
-			l.records.chunkRecord(chunk).Touch(l.node.Now(), writer.Lazy)
+			l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), writer.PriorityLow)
 		}
 	}
 	l.records.dropJob(job)
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -34,7 +34,7 @@
 	now := l.node.Now()
 	for _, ch := range j.Chunks {
 		if ch.Ver > ch.Saved {
-			l.records.chunkRecord(ch).Touch(now, writer.Soon)
+			l.records.chunkRecord(ch).MarkDirty(now, writer.PriorityHigh)
 		}
 	}
 }
@@ -55,21 +55,21 @@
 		return
 	}
 	l.owner.reportInFlight, l.owner.reportUrgent, l.owner.reportedAt = true, false, now
-	update := share.Touch{Node: l.node.Cfg.Node, Session: l.term.Stamp, Term: l.owner.leaderTerm, Shares: []share.ShareTouch{l.buildShardUpdate(now)}}
+	update := share.StatusUpdate{Node: l.node.Cfg.Node, SessionVersion: l.term.FencingRevision, Term: l.owner.leaderTerm, Shards: []share.ShardUpdate{l.buildShardUpdate(now)}}
 	body := wire.MustMarshal(update)
 	go func() {
 		reply, ok := l.node.deliverStatusUpdate(body)
 		l.post(func() {
 			l.owner.reportInFlight = false
 			if ok && l.holdsLease() {
-				l.statusUpdateAnswered(&update.Shares[0], &reply, now)
+				l.statusUpdateAnswered(&update.Shards[0], &reply, now)
 			}
 		})
 	}()
 }
 
 // deliverStatusUpdate brings a touch to the leader.
-func (n *Node) deliverStatusUpdate(body []byte) (reply share.Reply, ok bool) {
+func (n *Node) deliverStatusUpdate(body []byte) (reply share.UpdateReply, ok bool) {
 	if l := n.activeLeader(); l != nil {
 		return l.receiveStatusUpdate(body)
 	}
@@ -82,22 +82,22 @@
 }
 
 // buildShardUpdate puts together what the leader is told. The caller has the right to act.
-func (l *Leader) buildShardUpdate(now micro.Time) share.ShareTouch {
-	update := share.ShareTouch{Name: l.owner.name, Seen: l.owner.assignmentRevision, Room: l.freeCapacity(now), Unreached: l.owner.unreachable}
+func (l *Leader) buildShardUpdate(now micro.Time) share.ShardUpdate {
+	update := share.ShardUpdate{Name: l.owner.name, AssignmentRevision: l.owner.assignmentRevision, FreeCapacity: l.freeCapacity(now), Unreachable: l.owner.unreachable}
 	l.owner.unreachable = false // unless the next look finds it so again
 	for job := range l.owner.finished {
-		if len(update.Finished) < maxStatusItems && fullyRecorded(job) {
-			update.Finished = append(update.Finished, job.Spec.ID)
+		if len(update.FinishedJobs) < maxStatusItems && fullyRecorded(job) {
+			update.FinishedJobs = append(update.FinishedJobs, job.Spec.ID)
 		}
 	}
 	for job := range l.owner.cancelling {
-		if len(update.Stopped) < maxStatusItems {
-			update.Stopped = append(update.Stopped, cancellationProgress(job))
+		if len(update.StoppingJobs) < maxStatusItems {
+			update.StoppingJobs = append(update.StoppingJobs, cancellationProgress(job))
 		}
 	}
 	for machine := range l.owner.pendingTerminations {
-		if len(update.Return) < maxStatusItems {
-			update.Return = append(update.Return, machine.Name)
+		if len(update.MachinesToTerminate) < maxStatusItems {
+			update.MachinesToTerminate = append(update.MachinesToTerminate, machine.Name)
 		}
 	}
 	l.reportMachines(&update)
@@ -105,8 +105,8 @@
 	return update
 }
 
-func cancellationProgress(j *model.Job) share.Stopped {
-	progress := share.Stopped{Job: j.Spec.ID, Held: j.HeldN}
+func cancellationProgress(j *model.Job) share.StoppingJob {
+	progress := share.StoppingJob{Job: j.Spec.ID, UnreleasedAllocations: j.HeldN}
 	zones := map[string]bool{}
 	for _, p := range j.AllPlaces() {
 		zones[p.Machine.Zone] = true
@@ -117,30 +117,30 @@
 
 // reportMachines counts the machines that are up, and names those that the leader has not
 // been told of.
-func (l *Leader) reportMachines(update *share.ShareTouch) {
+func (l *Leader) reportMachines(update *share.ShardUpdate) {
 	for _, m := range l.cluster.List() {
 		if m.State != model.Up {
 			continue
 		}
-		update.Machines++
+		update.MachineCount++
 		if len(m.Places) == 0 {
-			update.Empty++
+			update.IdleMachines++
 		}
-		if !l.owner.reportedMachines[m.Name] && len(update.Up) < maxStatusItems {
-			update.Up = append(update.Up, m.Name)
+		if !l.owner.reportedMachines[m.Name] && len(update.ReadyMachines) < maxStatusItems {
+			update.ReadyMachines = append(update.ReadyMachines, m.Name)
 		}
 	}
 }
 
-func (l *Leader) reportProgress(update *share.ShareTouch) {
+func (l *Leader) reportProgress(update *share.ShardUpdate) {
 	now := l.node.Now()
 	for job := range l.cluster.Live {
-		update.Unassigned += job.Waiting()
+		update.PendingTasks += job.Waiting()
 		if schedulable := min(job.Demand(now), job.Openings(now)); schedulable > 0 && len(update.Demand) < maxStatusItems {
 			update.Demand = append(update.Demand, share.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)})
 		}
 		if len(update.Progress) < maxStatusItems && job.DoneN+job.RunningN > 0 {
-			update.Progress = append(update.Progress, share.Progress{Job: job.Spec.ID, Done: job.DoneN, Running: job.RunningN, Need: allocationsNeeded(job)})
+			update.Progress = append(update.Progress, share.Progress{Job: job.Spec.ID, Done: job.DoneN, Running: job.RunningN, AllocationsNeeded: allocationsNeeded(job)})
 		}
 	}
 }
@@ -187,7 +187,7 @@
 
 // freeCapacity lists what is free, by like machines, the largest first. What waits for room
 // in the share comes before jobs that are yet to be assigned: while any does, none is.
-func (l *Leader) freeCapacity(now micro.Time) []share.Room {
+func (l *Leader) freeCapacity(now micro.Time) []share.FreeCapacity {
 	for job := range l.cluster.Pending {
 		if job.Waiting() > 0 && !job.Paused(now) {
 			return nil
@@ -205,10 +205,10 @@
 			}
 		}
 	}
-	capacity := make([]share.Room, 0, len(counts))
+	capacity := make([]share.FreeCapacity, 0, len(counts))
 	for key, count := range counts {
 		if key.cpu > 0 {
-			capacity = append(capacity, share.Room{Type: key.pool.Type.Name, Zone: key.pool.Zone, Spot: key.pool.Spot, Count: count,
+			capacity = append(capacity, share.FreeCapacity{Type: key.pool.Type.Name, Zone: key.pool.Zone, Spot: key.pool.Spot, Count: count,
 				CPU: float64(key.cpu), GPU: float64(key.gpu), Mem: float64(key.mem)})
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // hasMoreCapacity orders kinds of room; the order of equal ones is fixed, so that runs repeat.
-func hasMoreCapacity(a, b share.Room) bool {
+func hasMoreCapacity(a, b share.FreeCapacity) bool {
 	switch {
 	case a.GPU != b.GPU:
 		return a.GPU > b.GPU
@@ -234,22 +234,22 @@
 }
 
 // statusUpdateAnswered takes in the leader's answer to a touch that was sent at a time.
-func (l *Leader) statusUpdateAnswered(update *share.ShareTouch, reply *share.Reply, sentAt micro.Time) {
+func (l *Leader) statusUpdateAnswered(update *share.ShardUpdate, reply *share.UpdateReply, sentAt micro.Time) {
 	if reply.Term != l.owner.leaderTerm {
 		l.owner.leaderTerm = reply.Term
 		clear(l.owner.reportedMachines) // a new leader knows of no machine here
 	} else {
-		for _, name := range update.Up {
+		for _, name := range update.ReadyMachines {
 			l.owner.reportedMachines[name] = true
 		}
 	}
 	now := l.node.Now()
-	for id, state := range reply.Ends {
+	for id, state := range reply.FinalStates {
 		if job := l.cluster.Jobs[id]; job != nil && !job.Over() {
 			l.endJobInShard(job, wire.JobState(state), now)
 		}
 	}
-	for _, name := range reply.Gone {
+	for _, name := range reply.TerminatedMachines {
 		if machine := l.cluster.Machines[name]; machine != nil {
 			delete(l.owner.pendingTerminations, machine)
 			delete(l.owner.reportedMachines, name)
@@ -274,13 +274,13 @@
 
 // applyLeaderBound notes until when keepers may have renewed leases, by this node's clock, as of
 // the leader's answer: that was given after the touch was sent.
-func (l *Leader) applyLeaderBound(reply *share.Reply, sentAt, now micro.Time) {
+func (l *Leader) applyLeaderBound(reply *share.UpdateReply, sentAt, now micro.Time) {
 	l.owner.renewedUntil = map[string]micro.Time{}
-	for zone, age := range reply.Kept {
+	for zone, age := range reply.ProxyRenewalAge {
 		l.owner.renewedUntil[zone] = now - max(micro.Time(age)-(now-sentAt), 0)
 	}
 	disconnected := map[string]bool{}
-	for _, zone := range reply.Away {
+	for _, zone := range reply.DisconnectedZones {
 		disconnected[zone] = true
 		if _, known := l.cluster.Away[zone]; !known {
 			l.cluster.Away[zone] = now
--- a/internal/controller/shard_policy.go
+++ b/internal/controller/shard_policy.go
@@ -74,7 +74,7 @@
 		}
 		target, ok := l.coordinator.sessions.Controller(movePolicy.Owner)
 		if !ok {
-			l.log.Info("policy not followed", "policy", movePolicy.Name, "why", share.ErrNoTarget)
+			l.log.Info("policy not followed", "policy", movePolicy.Name, "why", share.ErrTargetWithoutSession)
 			continue
 		}
 		moving += l.viewOf(entry.Name).machineCount
@@ -87,7 +87,7 @@
 	if e.Record.State != share.Owned || e.Record.Owner.Node == p.Owner || l.coordinator.commitsInFlight[e.Name] {
 		return false
 	}
-	if l.node.Wall()-micro.Time(e.Record.At) < l.node.Cfg.Shares.LeastTime {
+	if l.node.Wall()-micro.Time(e.Record.ChangedAt) < l.node.Cfg.Shares.LeastTime {
 		return false
 	}
 	return moving == 0 || moving+l.viewOf(e.Name).machineCount <= l.node.Cfg.Shares.MostMoved
--- a/internal/controller/shard_reclaim.go
+++ b/internal/controller/shard_reclaim.go
@@ -15,8 +15,8 @@
 // shardReclaim is how far the leader is with taking back a share that its owner released.
 type shardReclaim struct {
 	readInFlight   bool
-	reclaimed      bool                     // its machines and jobs are the leader's
-	pendingDeletes map[string]*writer.Entry // allocations that are still to be deleted
+	reclaimed      bool                      // its machines and jobs are the leader's
+	pendingDeletes map[string]*writer.Record // allocations that are still to be deleted
 }
 
 // reclaimShard takes back a released share: first what the store holds of it is read, then
@@ -24,7 +24,7 @@
 func (l *Leader) reclaimShard(entry share.Entry, now micro.Time) {
 	reclaim := l.coordinator.reclaims[entry.Name]
 	if reclaim == nil {
-		reclaim = &shardReclaim{pendingDeletes: map[string]*writer.Entry{}}
+		reclaim = &shardReclaim{pendingDeletes: map[string]*writer.Record{}}
 		l.coordinator.reclaims[entry.Name] = reclaim
 	}
 	switch {
@@ -46,7 +46,7 @@
 	after, ok := "", true
 	for more := true; more && ok; {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		page, err := l.node.Store.Range(ctx, store.Routine, share.AllocationsOf(entry.Name), after, 1000)
+		page, err := l.node.Store.Range(ctx, store.Routine, share.AllocationPrefixFor(entry.Name), after, 1000)
 		cancel()
 		if ok = err == nil; ok {
 			for _, item := range page.Items {
@@ -112,7 +112,7 @@
 // written before that is deleted.
 func (l *Leader) reclaimAllocation(item wire.Item, reclaim *shardReclaim, now micro.Time) {
 	id, allocation, ok := parseAllocation(item)
-	record := l.records.Entry(item.Key)
+	record := l.records.Record(item.Key)
 	record.SetVersion(uint64(item.Version))
 	reclaim.pendingDeletes[item.Key] = record
 	job := l.cluster.Jobs[id]
@@ -121,22 +121,22 @@
 		chunk = job.Chunks[allocation.chunkIndex]
 		if !chunk.Stored { // else an earlier leader has moved it
 			l.cluster.TakeBack(job, allocation.chunkIndex, &allocation.record, now)
-			l.records.chunkRecord(chunk).Touch(now, writer.Soon)
+			l.records.chunkRecord(chunk).MarkDirty(now, writer.PriorityHigh)
 		}
 	}
 	record.Build = func() (any, uint64) {
 		if chunk != nil && !chunk.Stored && !(job.Over() && job.HeldN == 0) {
-			return writer.NotYet, 0
+			return writer.NotReady, 0
 		}
 		return nil, 0
 	}
-	record.Saved = func(uint64) { delete(reclaim.pendingDeletes, item.Key) }
+	record.OnCommitted = func(uint64) { delete(reclaim.pendingDeletes, item.Key) }
 }
 
 // deleteShardRecords deletes what is left of a share that was taken back.
 func (l *Leader) deleteShardRecords(shardName string, reclaim *shardReclaim, now micro.Time) {
 	for _, record := range reclaim.pendingDeletes {
-		record.Touch(now, writer.Soon)
+		record.MarkDirty(now, writer.PriorityHigh)
 	}
 	if len(reclaim.pendingDeletes) > 0 {
 		return // a next leader needs them to know where the allocations belong
@@ -146,8 +146,8 @@
 			continue
 		}
 		assigned.storeRecord.Build = func() (any, uint64) { return nil, 0 }
-		assigned.storeRecord.Saved = func(uint64) { l.dropAssignment(assigned) }
-		assigned.storeRecord.Touch(now, writer.Soon)
+		assigned.storeRecord.OnCommitted = func(uint64) { l.dropAssignment(assigned) }
+		assigned.storeRecord.MarkDirty(now, writer.PriorityHigh)
 	}
 }
 
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -53,7 +53,7 @@
 	if stored == nil {
 		return
 	}
-	l.cluster.RestoreAssigned(j, stored.shardName, stored.assignment.Tasks)
+	l.cluster.RestoreAssigned(j, stored.shardName, stored.assignment.MaxAllocations)
 	assigned := l.storeAssignment(stored.shardName, j, stored.assignment)
 	assigned.stored = true
 	assigned.storeRecord.SetVersion(stored.version)
@@ -65,7 +65,7 @@
 		return
 	}
 	for _, assigned := range l.coordinator.assignedJobs {
-		if assigned.assignment.Stop && assigned.job.State == model.Assigned {
+		if assigned.assignment.StopRequested && assigned.job.State == model.Assigned {
 			assigned.cancelling = true
 			l.cluster.BeginAbort(assigned.job)
 		}
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -91,8 +91,8 @@
 			sim.waitRunning(service, 3)
 			sim.waitRunning(other, 2)
 			sim.waitUntil("the owner tells of its machines and its job", micro.Minute, func() bool {
-				reply := sim.shardCommand(share.Command{Operation: share.Show, Share: "east"})
-				return len(reply.Shares) == 1 && reply.Shares[0].Jobs == 1 && reply.Shares[0].Machines > 0
+				reply := sim.shardCommand(share.Command{Operation: share.OperationShow, Shard: "east"})
+				return len(reply.Shards) == 1 && reply.Shards[0].AssignedJobs == 1 && reply.Shards[0].MachineCount > 0
 			})
 			array := sim.newJob(jobRequest{kind: wire.Array, tasks: 4, runTime: 20 * micro.Second, runTimeStep: 5 * micro.Second, zone: "b"}).submit()
 			for _, to := range []string{"n-0", "n-1", "n-2", "n-0"} {
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -20,78 +20,78 @@
 }
 
 // receiveStatusUpdate takes in what an owner tells, and answers it.
-func (l *Leader) receiveStatusUpdate(body []byte) (share.Reply, bool) {
-	var update share.Touch
+func (l *Leader) receiveStatusUpdate(body []byte) (share.UpdateReply, bool) {
+	var update share.StatusUpdate
 	if l.coordinator == nil || wire.Unmarshal(body, &update) != nil {
-		return share.Reply{}, false
+		return share.UpdateReply{}, false
 	}
 	response, ok := l.callLoop(l.events, statusUpdateTimeout, func(reply func(front.Reply)) {
 		reply(front.Reply{Body: l.applyStatusUpdate(&update, l.node.Now())})
 	})
 	if !ok {
-		return share.Reply{}, false
+		return share.UpdateReply{}, false
 	}
-	return response.Body.(share.Reply), true
+	return response.Body.(share.UpdateReply), true
 }
 
 // applyStatusUpdate is touched, in the loop.
-func (l *Leader) applyStatusUpdate(update *share.Touch, now micro.Time) share.Reply {
-	reply := share.Reply{Term: l.term.Stamp, Ends: map[string]string{}, Kept: map[string]int64{}}
-	owner := share.Controller{Node: update.Node, Session: wire.Count(update.Session)}
-	for i := range update.Shares {
-		shardUpdate := &update.Shares[i]
+func (l *Leader) applyStatusUpdate(update *share.StatusUpdate, now micro.Time) share.UpdateReply {
+	reply := share.UpdateReply{Term: l.term.FencingRevision, FinalStates: map[string]string{}, ProxyRenewalAge: map[string]int64{}}
+	owner := share.Controller{Node: update.Node, SessionVersion: wire.Count(update.SessionVersion)}
+	for i := range update.Shards {
+		shardUpdate := &update.Shards[i]
 		entry, ok := l.shardTable().Get(shardUpdate.Name)
-		if ok && entry.Away() && entry.Record.Owner == owner {
+		if ok && entry.OwnedElsewhere() && entry.Record.Owner == owner {
 			l.applyShardUpdate(entry, shardUpdate, update.Term, now)
 		}
 		l.acknowledgeStatus(shardUpdate, &reply)
 	}
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
-		if until := max(l.cluster.Kept[zone], l.renewalBound.Until(zone, now)); until > 0 {
-			reply.Kept[zone] = int64(now - until)
+		if until := max(l.cluster.Kept[zone], l.renewalBound.RenewedUntil(zone, now)); until > 0 {
+			reply.ProxyRenewalAge[zone] = int64(now - until)
 		}
 	}
 	for zone := range l.cluster.Away {
-		reply.Away = append(reply.Away, zone)
+		reply.DisconnectedZones = append(reply.DisconnectedZones, zone)
 	}
 	return reply
 }
 
 // applyShardUpdate takes in what the owner of a share tells of it.
-func (l *Leader) applyShardUpdate(entry share.Entry, update *share.ShareTouch, term uint64, now micro.Time) {
+func (l *Leader) applyShardUpdate(entry share.Entry, update *share.ShardUpdate, term uint64, now micro.Time) {
 	view := l.viewOf(entry.Name)
-	view.machineCount, view.idleMachines, view.pendingTasks = update.Machines, update.Empty, update.Unassigned
-	view.unreachable, view.demand = update.Unreached, update.Demand
-	if update.Machines > 0 {
+	view.machineCount, view.idleMachines, view.pendingTasks = update.MachineCount, update.IdleMachines, update.PendingTasks
+	view.unreachable, view.demand = update.Unreachable, update.Demand
+	if update.MachineCount > 0 {
 		view.handovers = 0
 	}
-	if update.Seen >= view.assignedRevision {
+	if update.AssignmentRevision >= view.assignedRevision {
 		// The owner knows of all that it was given: its room is net of that.
-		view.freeCapacity, view.capacityAt, view.seenRevision = update.Room, now, update.Seen
+		view.freeCapacity, view.capacityAt, view.seenRevision = update.FreeCapacity, now, update.AssignmentRevision
 	}
-	for _, id := range update.Finished {
+	for _, id := range update.FinishedJobs {
 		if job := l.cluster.Jobs[id]; job != nil && job.Share == entry.Name {
 			l.cluster.Finish(job)
 		}
 	}
-	for _, stopping := range update.Stopped {
+	for _, stopping := range update.StoppingJobs {
 		l.shardCancellationProgress(entry.Name, stopping, now)
 	}
 	for _, progress := range update.Progress {
 		if job := l.cluster.Jobs[progress.Job]; job != nil && job.Share == entry.Name && job.State == model.Assigned {
 			job.SharedDid, job.SharedRun = progress.Done, progress.Running
-			l.adjustShardReservation(job, progress.Need)
+			l.adjustShardReservation(job, progress.AllocationsNeeded)
 		}
 	}
-	if term == l.term.Stamp {
-		for _, name := range update.Up {
+	if term == l.term.FencingRevision {
+		for _, name := range update.ReadyMachines {
 			l.machineUpInShard(name)
 		}
-		if view.allMachinesKnownAt == 0 && len(update.Up) < maxStatusItems {
+		if view.allMachinesKnownAt == 0 && len(update.ReadyMachines) < maxStatusItems {
 			view.allMachinesKnownAt = now
 		}
 	}
-	for _, name := range update.Return {
+	for _, name := range update.MachinesToTerminate {
 		if !l.cluster.Departed(name) {
 			machine := l.cluster.Machine(name, now)
 			machine.Foreign = true
@@ -108,27 +108,27 @@
 }
 
 // acknowledgeStatus answers for the jobs and machines that an owner named, whoever owns them now.
-func (l *Leader) acknowledgeStatus(update *share.ShareTouch, reply *share.Reply) {
-	for _, id := range update.Finished {
+func (l *Leader) acknowledgeStatus(update *share.ShardUpdate, reply *share.UpdateReply) {
+	for _, id := range update.FinishedJobs {
 		l.acknowledgeEnd(id, reply)
 	}
-	for _, stopping := range update.Stopped {
+	for _, stopping := range update.StoppingJobs {
 		l.acknowledgeEnd(stopping.Job, reply)
 	}
-	for _, name := range update.Return {
+	for _, name := range update.MachinesToTerminate {
 		if l.cluster.Departed(name) {
-			reply.Gone = append(reply.Gone, name)
+			reply.TerminatedMachines = append(reply.TerminatedMachines, name)
 		}
 	}
 }
 
-func (l *Leader) acknowledgeEnd(id string, reply *share.Reply) {
+func (l *Leader) acknowledgeEnd(id string, reply *share.UpdateReply) {
 	end, over := l.cluster.Ends[id]
 	switch {
 	case !over:
 	case end.Aborted:
-		reply.Ends[id] = string(wire.JobAborted)
+		reply.FinalStates[id] = string(wire.JobAborted)
 	default:
-		reply.Ends[id] = string(wire.JobDone)
+		reply.FinalStates[id] = string(wire.JobDone)
 	}
 }
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -230,7 +230,7 @@
 func (w *simCluster) currentTerm() uint64 {
 	if controller := w.leader(); controller != nil {
 		if l := controller.runningNode().activeLeader(); l != nil {
-			return l.term.Stamp
+			return l.term.FencingRevision
 		}
 	}
 	return 0
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -267,8 +267,8 @@
 		node.Store = w.wrapStore(link)
 	}
 	node.Init()
-	node.election.OnLead = func(t *election.Term) { node.startLeader(ctx, t) }
-	node.election.OnLose = node.stopLeader
+	node.election.OnStartedLeading = func(t *election.Term) { node.startLeader(ctx, t) }
+	node.election.OnStoppedLeading = node.stopLeader
 	controller.mu.Lock()
 	controller.node, controller.link, controller.cancel, controller.alive = node, link, cancel, true
 	link.Set(controller.storeReachability)
--- a/internal/controller/status_lookup.go
+++ b/internal/controller/status_lookup.go
@@ -195,7 +195,7 @@
 	if !n.lookupBudget.admit(requestsPerRead, spare) {
 		return front.Later(503, 1)
 	}
-	reply := n.readAnywhere(id, store.Poll)
+	reply := n.readAnywhere(id, store.StatusQuery)
 	if reply.Status == 200 {
 		lookups.mu.Lock()
 		if len(lookups.lastAnswered) >= maxAcceptedIDs {
@@ -215,7 +215,7 @@
 	defer lookups.mu.Unlock()
 	lookup := lookups.nextBatch[id]
 	if lookup == nil {
-		if len(lookups.nextBatch) >= writer.GuardsPerChange*n.Cfg.TxnOps() {
+		if len(lookups.nextBatch) >= writer.PreconditionsPerChange*n.Cfg.TxnOps() {
 			return nil, false
 		}
 		lookup = newStatusLookup()
@@ -311,7 +311,7 @@
 			return accepted, nil
 		}
 	}
-	accepted, err := n.acceptedInStore(ids, store.Poll)
+	accepted, err := n.acceptedInStore(ids, store.StatusQuery)
 	if err == nil || storeUnreachable || isRateLimited(err) {
 		return accepted, err
 	}
@@ -344,13 +344,13 @@
 // accepted.
 func (n *Node) handleAccepted(body []byte) (int, []byte) {
 	var ids []string
-	if wire.Unmarshal(body, &ids) != nil || len(ids) > writer.GuardsPerChange*n.Cfg.TxnOps() {
+	if wire.Unmarshal(body, &ids) != nil || len(ids) > writer.PreconditionsPerChange*n.Cfg.TxnOps() {
 		return 400, nil
 	}
 	if !n.lookupBudget.admit(1, requestsPerRead) {
 		return 503, nil
 	}
-	accepted, err := n.acceptedInStore(ids, store.Poll)
+	accepted, err := n.acceptedInStore(ids, store.StatusQuery)
 	if err != nil {
 		return 503, nil
 	}
@@ -371,7 +371,7 @@
 	for i, id := range ids {
 		keys[i] = specKey(id)
 	}
-	stored, err := n.Store.Existing(ctx, class, keys)
+	stored, err := n.Store.ExistingKeys(ctx, class, keys)
 	if err != nil {
 		return nil, err
 	}
@@ -396,7 +396,7 @@
 	if err == nil {
 		return reply
 	}
-	if !storeUnreachable && !(class == store.Poll && isRateLimited(err)) {
+	if !storeUnreachable && !(class == store.StatusQuery && isRateLimited(err)) {
 		if reply, ok := n.readByPeers(id); ok {
 			return reply
 		}
@@ -407,5 +407,5 @@
 // isRateLimited reports whether a request was refused for its rate, by this node or
 // by the store.
 func isRateLimited(err error) bool {
-	return errors.Is(err, store.ErrBudget) || errors.Is(err, store.ErrBusy)
+	return errors.Is(err, store.ErrBudgetExhausted) || errors.Is(err, store.ErrRateLimited)
 }
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -80,11 +80,11 @@
 	if s.meter.limiter != nil {
 		if !store.Admit(s.nodeLimiter, class, 1) {
 			s.meter.refused[class]++
-			return store.ErrBudget
+			return store.ErrBudgetExhausted
 		}
 		if !s.meter.limiter.Allow() {
 			s.meter.refused[class]++
-			return store.ErrBusy
+			return store.ErrRateLimited
 		}
 	}
 	s.meter.sent[class]++
@@ -105,11 +105,11 @@
 	return s.Link.Range(ctx, c, prefix, after, limit)
 }
 
-func (s *rateLimitedStore) Existing(ctx context.Context, c store.Class, keys []string) (map[string]bool, error) {
+func (s *rateLimitedStore) ExistingKeys(ctx context.Context, c store.Class, keys []string) (map[string]bool, error) {
 	if err := s.admit(c); err != nil {
 		return nil, err
 	}
-	return s.Link.Existing(ctx, c, keys)
+	return s.Link.ExistingKeys(ctx, c, keys)
 }
 
 func (s *rateLimitedStore) Commit(ctx context.Context, c store.Class, t wire.Txn) (uint64, error) {
@@ -231,8 +231,8 @@
 				running := sim.newJob(jobRequest{kind: wire.Service, tasks: 2}).submit()
 				sim.waitUntil("runs", 2*micro.Minute, func() bool { return running.runningTasks() == 2 })
 				sim.sleep(10 * micro.Second)
-				before, _ := meter.counts(store.Poll)
-				others := []store.Class{store.Leadership, store.Urgent, store.Routine, store.Lazy}
+				before, _ := meter.counts(store.StatusQuery)
+				others := []store.Class{store.Leadership, store.Urgent, store.Routine, store.Deferrable}
 				_, heldBefore := meter.counts(others...)
 				from, unanswered := sim.now(), sim.unansweredHeartbeats.Load()
 				storm := sim.startQueryStorm(400)
@@ -256,7 +256,7 @@
 				took := (sim.now() - from).Seconds()
 				close(storm.stop)
 				sim.sleep(3 * micro.Second)
-				after, _ := meter.counts(store.Poll)
+				after, _ := meter.counts(store.StatusQuery)
 				_, held := meter.counts(others...)
 				if got := sim.unansweredHeartbeats.Load() - unanswered; name == "calm" && got > 0 {
 					t.Errorf("%d reports were not answered", got)
@@ -342,12 +342,12 @@
 // A spent store lets no request out: the node's budget is used.
 type exhaustedStore struct{ store.Store }
 
-func (exhaustedStore) Existing(context.Context, store.Class, []string) (map[string]bool, error) {
-	return nil, store.ErrBudget
+func (exhaustedStore) ExistingKeys(context.Context, store.Class, []string) (map[string]bool, error) {
+	return nil, store.ErrBudgetExhausted
 }
 
 func (exhaustedStore) Range(context.Context, store.Class, string, string, int) (wire.Page, error) {
-	return wire.Page{}, store.ErrBudget
+	return wire.Page{}, store.ErrBudgetExhausted
 }
 
 // A countingPeer counts the calls to it.
@@ -364,7 +364,7 @@
 	env := newTestCluster(t)
 	peers := &countingPeer{}
 	node, stop := env.startNodeWith("n-0", func(node *Node) {
-		node.election.Pause(1 << 50)
+		node.election.SuspendCampaign(1 << 50)
 		node.Store = exhaustedStore{env.store}
 		node.Cfg.Peers = []config.Peer{{Node: "n-1", Zone: "a"}}
 		node.Peers = peers
@@ -428,7 +428,7 @@
 		env := newTestCluster(t)
 		meter := newRequestMeter(queryStormStoreRPS)
 		node, stop := env.startNodeWith("n-0", func(node *Node) {
-			node.election.Pause(1 << 50)
+			node.election.SuspendCampaign(1 << 50)
 			node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 			node.Cfg.Facts.State.RPS = queryStormStoreRPS
 			node.setBudgetFractions(0.3, 0.3)
@@ -476,7 +476,7 @@
 		env := newTestCluster(t)
 		meter := newRequestMeter(queryStormStoreRPS)
 		node, stop := env.startNodeWith("n-0", func(node *Node) {
-			node.election.Pause(1 << 50)
+			node.election.SuspendCampaign(1 << 50)
 			node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 			node.Cfg.Facts.State.RPS = queryStormStoreRPS
 			node.setBudgetFractions(0.1, 0.1)
@@ -510,7 +510,7 @@
 				missed++
 			}
 		}
-		sent, _ := meter.counts(store.Poll)
+		sent, _ := meter.counts(store.StatusQuery)
 		t.Logf("%d requests, the last job got its first answer after %v", sent, last)
 		if missed > 0 {
 			t.Errorf("%d of %d jobs got no answer in %v", missed, jobs, patient)
@@ -540,8 +540,8 @@
 	release chan struct{}
 }
 
-func (s gatedStore) Existing(ctx context.Context, c store.Class, keys []string) (map[string]bool, error) {
-	there, err := s.rateLimitedStore.Existing(ctx, c, keys)
+func (s gatedStore) ExistingKeys(ctx context.Context, c store.Class, keys []string) (map[string]bool, error) {
+	there, err := s.rateLimitedStore.ExistingKeys(ctx, c, keys)
 	<-s.release
 	return there, err
 }
@@ -558,7 +558,7 @@
 	meter := newRequestMeter(0)
 	gate := gatedStore{rateLimitedStore: meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1)))).(*rateLimitedStore), release: make(chan struct{})}
 	n, stop := env.startNodeWith("n-0", func(n *Node) {
-		n.election.Pause(1 << 50)
+		n.election.SuspendCampaign(1 << 50)
 		n.Store = gate
 	})
 	t.Cleanup(func() { env.stopNode(stop) })
@@ -649,7 +649,7 @@
 				synctest.Wait()
 				close(gate.release)
 				polled.Wait()
-				if sent, _ := meter.counts(store.Poll, store.Routine); sent > test.most {
+				if sent, _ := meter.counts(store.StatusQuery, store.Routine); sent > test.most {
 					t.Errorf("%d requests for %d polls, at most %d expected", sent, polls, test.most)
 				}
 			})
@@ -662,7 +662,7 @@
 	env := newTestCluster(t)
 	meter := newRequestMeter(0)
 	node, stop := env.startNodeWith("n-0", func(node *Node) {
-		node.election.Pause(1 << 50)
+		node.election.SuspendCampaign(1 << 50)
 		node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 	})
 	defer stop()
@@ -674,16 +674,16 @@
 			t.Errorf("%q from a peer: %d", id, status)
 		}
 	}
-	if sent, _ := meter.counts(store.Poll, store.Routine); sent > 0 {
+	if sent, _ := meter.counts(store.StatusQuery, store.Routine); sent > 0 {
 		t.Errorf("%d requests", sent)
 	}
 }
 
 // Polls come last in what is left of a node's budget.
 func TestStatusQueriesComeLastInTheBudget(t *testing.T) {
-	for _, c := range []store.Class{store.Leadership, store.Urgent, store.Routine, store.Lazy} {
+	for _, c := range []store.Class{store.Leadership, store.Urgent, store.Routine, store.Deferrable} {
 		lim := rate.NewLimiter(0, 100)
-		for store.Admit(lim, store.Poll, 1) {
+		for store.Admit(lim, store.StatusQuery, 1) {
 		}
 		if !store.Admit(lim, c, 1) {
 			t.Errorf("polls leave nothing to class %d", c)
--- a/internal/controller/status_read.go
+++ b/internal/controller/status_read.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		if visited[id] = true; len(visited) > maxDependencyReads {
-			return nil, false, store.ErrBudget
+			return nil, false, store.ErrBudgetExhausted
 		}
 		if status, ok := n.finalStatuses.get(id); ok {
 			if status.State == wire.JobAborted {
@@ -100,7 +100,7 @@
 			}
 			continue
 		}
-		if class == store.Poll {
+		if class == store.StatusQuery {
 			n.lookupBudget.charge()
 		}
 		snapshot := newJobSnapshot()
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -53,8 +53,8 @@
 		v1First:             firstProvisionedRecord{"i-000231"},
 		v1Leader:            election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
 		v1Images:            model.ImageRecord{Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}}},
-		v1LeaseProxyRequest: keep.Request{Node: "n-1", Kept: true, Echo: keep.Echo{Term: 7, At: 12345}},
-		v1LeaseProxyEcho:    keep.Echo{Term: 7, At: 12345},
+		v1LeaseProxyRequest: keep.Request{Node: "n-1", RenewedLeases: true, Echo: keep.LeaderTimestamp{Term: 7, At: 12345}},
+		v1LeaseProxyEcho:    keep.LeaderTimestamp{Term: 7, At: 12345},
 		v1Status:            wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2},
 	}
 }
@@ -85,7 +85,7 @@
 		}
 		got, want := wire.JSONSize(value), wire.JSONSize(counted)
 		switch value.(type) {
-		case keep.Request, keep.Echo:
+		case keep.Request, keep.LeaderTimestamp:
 			continue // between nodes only
 		}
 		if _, user := value.(wire.Job); user && got >= want {
@@ -170,9 +170,9 @@
 			leader.post(func() {
 				for _, ch := range leader.cluster.Jobs["j-9"].Chunks {
 					leader.records.deleteLegacy(ch.Old)
-					leader.records.legacyRecords[ch.Old].Touch(node.Now(), writer.Soon)
+					leader.records.legacyRecords[ch.Old].MarkDirty(node.Now(), writer.PriorityHigh)
 				}
-				leader.records.firstProvisioned.Touch(node.Now(), writer.Soon)
+				leader.records.firstProvisioned.MarkDirty(node.Now(), writer.PriorityHigh)
 			})
 			waitUntil(t, "later writes done", func() bool {
 				_, err := env.store.Get(context.Background(), store.Routine, firstProvisionedKey)
@@ -207,7 +207,7 @@
 	if reply := leader.Submit(piped); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Fatalf("a leader of the earlier version would not wait: %+v", reply)
 	}
-	other, _ := env.startNodeWith("n-1", func(node *Node) { pair("n-0")(node); node.election.Pause(10 * micro.Minute) })
+	other, _ := env.startNodeWith("n-1", func(node *Node) { pair("n-0")(node); node.election.SuspendCampaign(10 * micro.Minute) })
 	env.store.Outage(true)
 	other.checkGate(context.Background())
 	env.store.Outage(false)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -21,84 +21,84 @@
 	renew = 2 * micro.Second
 )
 
-// site is a store with nodes that elect a leader, in fake time.
-type site struct {
+// testCluster is a store with nodes that elect a leader, in fake time.
+type testCluster struct {
 	t     *testing.T
 	start time.Time
 	store *fake.Store
 }
 
-// node is one process of a site.
-type node struct {
+// testNode is one process of a site.
+type testNode struct {
 	*Election
-	link  *fake.Link
-	gains []*Term
-	loses []*Term
+	link         *fake.Link
+	startedTerms []*Term
+	endedTerms   []*Term
 }
 
 // inFakeTime tells a story whose clocks move only when all wait.
-func inFakeTime(t *testing.T, tell func(*site)) {
+func inFakeTime(t *testing.T, scenario func(*testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{t: t, start: time.Now(), store: fake.NewStore()}
-		s.store.Now = s.clock(0)
-		tell(s)
+		cluster := &testCluster{t: t, start: time.Now(), store: fake.NewStore()}
+		cluster.store.Now = cluster.clock(0)
+		scenario(cluster)
 	})
 }
 
 // clock makes a steady clock that is slow by so many parts of 1e4.
-func (s *site) clock(slow int64) func() micro.Time {
+func (c *testCluster) clock(drift int64) func() micro.Time {
 	return func() micro.Time {
-		passed := time.Since(s.start).Microseconds()
-		return micro.Time(passed - passed*slow/10000)
+		passed := time.Since(c.start).Microseconds()
+		return micro.Time(passed - passed*drift/10000)
 	}
 }
 
-// begin runs a node until the story ends. What is set goes before its first step.
-func (s *site) begin(name string, slow int64, set ...func(*node)) *node {
-	n := &node{link: fake.NewLink(s.store, rand.New(rand.NewPCG(1, 2)))}
-	n.Election = &Election{
-		Node: name, Nonce: "now", Store: n.link, TTL: ttl, Renew: renew,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: s.clock(slow),
-		OnLead: func(t *Term) { n.gains = append(n.gains, t) },
-		OnLose: func(t *Term) { n.loses = append(n.loses, t) },
+// startNode runs a node until the story ends. What is set goes before its first step.
+func (c *testCluster) startNode(name string, drift int64, options ...func(*testNode)) *testNode {
+	member := &testNode{link: fake.NewLink(c.store, rand.New(rand.NewPCG(1, 2)))}
+	member.Election = &Election{
+		Node: name, Nonce: "now", Store: member.link, TTL: ttl, RenewInterval: renew,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: c.clock(drift),
+		OnStartedLeading: func(t *Term) { member.startedTerms = append(member.startedTerms, t) },
+		OnStoppedLeading: func(t *Term) { member.endedTerms = append(member.endedTerms, t) },
 	}
-	for _, f := range set {
-		f(n)
+	for _, option := range options {
+		option(member)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.t.Cleanup(cancel)
-	go func() { _ = n.Run(ctx) }()
-	return n
+	c.t.Cleanup(cancel)
+	go func() { _ = member.Run(ctx) }()
+	return member
 }
 
-// pass lets fake time pass.
-func (s *site) pass(span micro.Time) {
+// advance lets fake time pass.
+func (c *testCluster) advance(span micro.Time) {
 	time.Sleep(span.Std())
 	synctest.Wait()
 }
 
-// held says whether the store holds the leader's key.
-func (s *site) held() bool {
-	_, err := s.store.Get(context.Background(), store.Leadership, Key)
+// leaderKeyExists says whether the store holds the leader's key.
+func (c *testCluster) leaderKeyExists() bool {
+	_, err := c.store.Get(context.Background(), store.Leadership, LeaderKey)
 	return err == nil
 }
 
-func (n *node) leads() bool { return n.Term().Valid(n.Now()) }
+func (n *testNode) isLeading() bool { return n.Term().HoldsLease(n.Now()) }
 
-func TestOneNodeLeadsAndTheOthersKnowIt(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		first := s.begin("n-0", 0)
-		s.pass(micro.Second)
-		second := s.begin("n-1", 0)
-		s.pass(3 * ttl)
-		if !first.leads() || second.leads() {
-			t.Fatalf("first leads: %v, second: %v", first.leads(), second.leads())
+func TestOneNodeLeadsAndOthersKnowTheLeader(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		first := cluster.startNode("n-0", 0)
+		cluster.advance(micro.Second)
+		second := cluster.startNode("n-1", 0)
+		cluster.advance(3 * ttl)
+		if !first.isLeading() || second.isLeading() {
+			t.Fatalf("first leads: %v, second: %v", first.isLeading(), second.isLeading())
 		}
 		if first.Leader() != "n-0" || second.Leader() != "n-0" {
 			t.Errorf("leader: %q and %q", first.Leader(), second.Leader())
 		}
-		if len(first.gains) != 1 || len(first.loses)+len(second.gains) != 0 {
+		if len(first.startedTerms) != 1 || len(first.endedTerms)+len(second.startedTerms) != 0 {
 			t.Errorf("the leadership changed while all went well")
 		}
 	})
@@ -106,92 +106,92 @@
 
 // The right to act ends before the lease does, by a clock that is slow and with
 // renewals that are answered late: the time counts from when the last was sent.
-func TestRightToActEndsBeforeTheLeaseDoes(t *testing.T) {
+func TestLeadershipEndsBeforeTheStoreLease(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		slow  int64
 		delay micro.Time
-	}{{"slow clock", drift - 1, 0}, {"late answers", 0, micro.Second}} {
+	}{{"slow clock", maxClockDrift - 1, 0}, {"late answers", 0, micro.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			inFakeTime(t, func(s *site) {
-				old := s.begin("n-0", c.slow)
-				s.pass(micro.Second)
-				next := s.begin("n-1", 0)
+			inFakeTime(t, func(cluster *testCluster) {
+				old := cluster.startNode("n-0", c.slow)
+				cluster.advance(micro.Second)
+				next := cluster.startNode("n-1", 0)
 				old.link.Delay(c.delay)
-				s.pass(2 * ttl)
-				if !old.leads() {
+				cluster.advance(2 * ttl)
+				if !old.isLeading() {
 					t.Fatal("does not lead")
 				}
 				old.link.Set(fake.Silent)
-				for end := s.store.Now() + 2*ttl; s.store.Now() < end; s.pass(micro.Millisecond) {
-					if old.leads() && (next.leads() || !s.held()) {
-						t.Fatalf("acts after its lease ended; the other leads: %v", next.leads())
+				for end := cluster.store.Now() + 2*ttl; cluster.store.Now() < end; cluster.advance(micro.Millisecond) {
+					if old.isLeading() && (next.isLeading() || !cluster.leaderKeyExists()) {
+						t.Fatalf("acts after its lease ended; the other leads: %v", next.isLeading())
 					}
 				}
-				if !next.leads() {
+				if !next.isLeading() {
 					t.Fatal("nobody took over")
 				}
-				if stamp := next.Term().Stamp; stamp <= old.gains[0].Stamp {
-					t.Errorf("the new term's token is no higher: %d", stamp)
+				if revision := next.Term().FencingRevision; revision <= old.startedTerms[0].FencingRevision {
+					t.Errorf("the new term's token is no higher: %d", revision)
 				}
 			})
 		})
 	}
 }
 
-func TestRightLapsesInAnOutageAndComesBackWithTheLease(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		n := s.begin("n-0", 0)
-		s.pass(micro.Second)
-		term := n.Term()
-		s.store.Outage(true)
-		s.pass(2 * ttl)
-		if n.leads() || term.Valid(n.Now()) {
+func TestLeadershipLapsesInAnOutageAndResumesWithTheLease(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		member := cluster.startNode("n-0", 0)
+		cluster.advance(micro.Second)
+		term := member.Term()
+		cluster.store.Outage(true)
+		cluster.advance(2 * ttl)
+		if member.isLeading() || term.HoldsLease(member.Now()) {
 			t.Fatal("acts though no renewal was answered")
 		}
-		s.store.Outage(false)
-		s.pass(micro.Second)
-		if !n.leads() || n.Term() != term || len(n.loses) != 0 {
-			t.Errorf("did not go on with its term: lost %d times", len(n.loses))
+		cluster.store.Outage(false)
+		cluster.advance(micro.Second)
+		if !member.isLeading() || member.Term() != term || len(member.endedTerms) != 0 {
+			t.Errorf("did not go on with its term: lost %d times", len(member.endedTerms))
 		}
 	})
 }
 
 // A renewal that nobody answers is given up and sent again while the lease lives.
-func TestRenewalWithoutAnAnswerIsRepeatedInTime(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		n := s.begin("n-0", 0)
-		s.pass(micro.Second)
-		term := n.Term()
-		n.link.Patient = micro.Minute
-		n.link.Set(fake.Silent)
-		s.pass(ttl / 2)
-		n.link.Set(fake.Served)
-		s.pass(ttl)
-		if !n.leads() || n.Term() != term || len(n.loses) != 0 {
-			t.Errorf("lost %d terms", len(n.loses))
+func TestUnansweredRenewalIsRetriedInTime(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		member := cluster.startNode("n-0", 0)
+		cluster.advance(micro.Second)
+		term := member.Term()
+		member.link.Patient = micro.Minute
+		member.link.Set(fake.Silent)
+		cluster.advance(ttl / 2)
+		member.link.Set(fake.Served)
+		cluster.advance(ttl)
+		if !member.isLeading() || member.Term() != term || len(member.endedTerms) != 0 {
+			t.Errorf("lost %d terms", len(member.endedTerms))
 		}
 	})
 }
 
-func TestTermIsOverOnceItsLeaseIsGone(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		n := s.begin("n-0", 0)
-		s.pass(micro.Second)
-		term := n.Term()
-		n.Pause(ttl / 2)
-		if err := s.store.Revoke(context.Background(), term.Lease); err != nil {
+func TestTermEndsWithItsLease(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		member := cluster.startNode("n-0", 0)
+		cluster.advance(micro.Second)
+		term := member.Term()
+		member.SuspendCampaign(ttl / 2)
+		if err := cluster.store.Revoke(context.Background(), term.Lease); err != nil {
 			t.Fatal(err)
 		}
-		s.pass(renew)
-		if term.Valid(n.Now()) || n.Term() != nil || n.Leader() != "" {
+		cluster.advance(renew)
+		if term.HoldsLease(member.Now()) || member.Term() != nil || member.Leader() != "" {
 			t.Error("leads without a lease")
 		}
-		if len(n.loses) != 1 || n.loses[0] != term {
-			t.Errorf("lost %d terms", len(n.loses))
+		if len(member.endedTerms) != 1 || member.endedTerms[0] != term {
+			t.Errorf("lost %d terms", len(member.endedTerms))
 		}
-		s.pass(ttl)
-		if !n.leads() || n.Term().Stamp <= term.Stamp {
+		cluster.advance(ttl)
+		if !member.isLeading() || member.Term().FencingRevision <= term.FencingRevision {
 			t.Error("does not lead again")
 		}
 	})
@@ -199,76 +199,76 @@
 
 // A campaign whose answer is lost may have won. Its node does not know when the
 // lease began: it gives that up at once, and starts afresh before it would end.
-func TestCampaignWhoseAnswerIsLostStartsAfresh(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		s.store.LoseAnswers(1)
-		n := s.begin("n-0", 0)
-		s.pass(ttl / 2)
-		if !n.leads() || len(n.gains) != 1 {
-			t.Fatalf("gained %d terms", len(n.gains))
+func TestCampaignWithLostResponseStartsAfresh(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		cluster.store.LoseAnswers(1)
+		member := cluster.startNode("n-0", 0)
+		cluster.advance(ttl / 2)
+		if !member.isLeading() || len(member.startedTerms) != 1 {
+			t.Fatalf("gained %d terms", len(member.startedTerms))
 		}
-		if n.Term().Lease != 2 {
-			t.Errorf("leads by lease %d", n.Term().Lease)
+		if member.Term().Lease != 2 {
+			t.Errorf("leads by lease %d", member.Term().Lease)
 		}
 	})
 }
 
-func TestCampaignThatIsCarriedOutLateGivesNoTerm(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		s.store.HoldBack(1)
-		n := s.begin("n-0", 0)
-		s.pass(micro.Second)
-		if !n.leads() || n.Term().Lease != 2 {
+func TestCampaignCommittedLateGivesNoTerm(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		cluster.store.HoldBack(1)
+		member := cluster.startNode("n-0", 0)
+		cluster.advance(micro.Second)
+		if !member.isLeading() || member.Term().Lease != 2 {
 			t.Fatal("did not campaign again")
 		}
-		if done := s.store.Deliver(); done != 0 {
+		if done := cluster.store.Deliver(); done != 0 {
 			t.Error("the late campaign took effect against its guard")
 		}
-		s.pass(2 * ttl)
-		if !n.leads() || len(n.gains) != 1 {
-			t.Errorf("gained %d terms", len(n.gains))
+		cluster.advance(2 * ttl)
+		if !member.isLeading() || len(member.startedTerms) != 1 {
+			t.Errorf("gained %d terms", len(member.startedTerms))
 		}
 	})
 }
 
-func TestNodeEndsTheLeaseOfItsEarlierProcess(t *testing.T) {
-	inFakeTime(t, func(s *site) {
+func TestNodeRevokesTheLeaseOfItsEarlierProcess(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
 		ctx := context.Background()
-		lease, err := s.store.Grant(ctx, micro.Minute)
+		lease, err := cluster.store.Grant(ctx, micro.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		earlier := Record{Node: "n-0", Nonce: "before", Lease: wire.Count(lease)}
-		if _, err := s.store.Commit(ctx, store.Leadership, wire.Txn{
-			Then: []wire.Change{{Put: Key, Value: earlier, Lease: wire.Count(lease)}}}); err != nil {
+		if _, err := cluster.store.Commit(ctx, store.Leadership, wire.Txn{
+			Then: []wire.Change{{Put: LeaderKey, Value: earlier, Lease: wire.Count(lease)}}}); err != nil {
 			t.Fatal(err)
 		}
-		other := s.begin("n-1", 0)
-		s.pass(micro.Second)
-		if other.leads() || other.Leader() != "n-0" {
+		other := cluster.startNode("n-1", 0)
+		cluster.advance(micro.Second)
+		if other.isLeading() || other.Leader() != "n-0" {
 			t.Fatal("another node does not respect the lease")
 		}
-		other.Pause(micro.Minute)
-		n := s.begin("n-0", 0)
-		s.pass(micro.Second)
-		if !n.leads() {
+		other.SuspendCampaign(micro.Minute)
+		member := cluster.startNode("n-0", 0)
+		cluster.advance(micro.Second)
+		if !member.isLeading() {
 			t.Error("waits for its own old lease")
 		}
 	})
 }
 
-func TestRefusedAndSilentStoreMakesNoLeader(t *testing.T) {
+func TestUnavailableStoreElectsNoLeader(t *testing.T) {
 	for _, reach := range []fake.Reach{fake.Refused, fake.Silent} {
 		t.Run(strconv.Itoa(int(reach)), func(t *testing.T) {
-			inFakeTime(t, func(s *site) {
-				n := s.begin("n-0", 0, func(n *node) { n.link.Set(reach) })
-				s.pass(ttl)
-				if len(n.gains) != 0 || s.held() {
+			inFakeTime(t, func(cluster *testCluster) {
+				member := cluster.startNode("n-0", 0, func(member *testNode) { member.link.Set(reach) })
+				cluster.advance(ttl)
+				if len(member.startedTerms) != 0 || cluster.leaderKeyExists() {
 					t.Fatal("leads without the store")
 				}
-				n.link.Set(fake.Served)
-				s.pass(2 * micro.Second)
-				if !n.leads() {
+				member.link.Set(fake.Served)
+				cluster.advance(2 * micro.Second)
+				if !member.isLeading() {
 					t.Error("does not lead once the store answers")
 				}
 			})
@@ -276,15 +276,15 @@
 	}
 }
 
-func TestPausedNodeDoesNotCampaign(t *testing.T) {
-	inFakeTime(t, func(s *site) {
-		n := s.begin("n-0", 0, func(n *node) { n.Pause(ttl) })
-		s.pass(ttl - micro.Millisecond)
-		if len(n.gains) != 0 || s.held() {
+func TestSuspendedNodeDoesNotCampaign(t *testing.T) {
+	inFakeTime(t, func(cluster *testCluster) {
+		member := cluster.startNode("n-0", 0, func(member *testNode) { member.SuspendCampaign(ttl) })
+		cluster.advance(ttl - micro.Millisecond)
+		if len(member.startedTerms) != 0 || cluster.leaderKeyExists() {
 			t.Fatal("campaigned")
 		}
-		s.pass(micro.Second)
-		if !n.leads() {
+		cluster.advance(micro.Second)
+		if !member.isLeading() {
 			t.Error("does not campaign after its pause")
 		}
 	})
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -82,12 +82,12 @@
 
 func (l *Link) limiter() *rate.Limiter { l.mu.Lock(); defer l.mu.Unlock(); return l.writes }
 
-// WriteRoom is how many puts and deletes the budget allows now.
-func (l *Link) WriteRoom(class store.Class) int {
+// AvailableWrites is how many puts and deletes the budget allows now.
+func (l *Link) AvailableWrites(class store.Class) int {
 	if lim := l.limiter(); lim != nil {
-		return int(lim.Tokens() - max(class.Reserve(), 0)*float64(lim.Burst()))
+		return int(lim.Tokens() - max(class.ReservedFraction(), 0)*float64(lim.Burst()))
 	}
-	return l.Store.WriteRoom(class)
+	return l.Store.AvailableWrites(class)
 }
 
 // Fate is what befalls one commit.
@@ -197,12 +197,12 @@
 	return p, err
 }
 
-// Existing says which keys there are.
-func (l *Link) Existing(ctx context.Context, c store.Class, keys []string) (map[string]bool, error) {
+// ExistingKeys says which keys there are.
+func (l *Link) ExistingKeys(ctx context.Context, c store.Class, keys []string) (map[string]bool, error) {
 	if err := l.enter(ctx); err != nil {
 		return nil, err
 	}
-	m, err := l.Store.Existing(ctx, c, keys)
+	m, err := l.Store.ExistingKeys(ctx, c, keys)
 	if lost := l.leave(ctx); lost != nil {
 		return nil, lost
 	}
@@ -212,7 +212,7 @@
 // Commit runs a transaction, or has it run late.
 func (l *Link) Commit(ctx context.Context, c store.Class, t wire.Txn) (uint64, error) {
 	if lim := l.limiter(); lim != nil && !store.Admit(lim, c, len(t.Then)) {
-		return 0, store.ErrBudget
+		return 0, store.ErrBudgetExhausted
 	}
 	if err := l.enter(ctx); err != nil {
 		return 0, err
--- a/internal/fake/serve.go
+++ b/internal/fake/serve.go
@@ -28,9 +28,9 @@
 		return 404
 	case errors.Is(err, store.ErrConflict):
 		return 409
-	case errors.Is(err, store.ErrBad):
+	case errors.Is(err, store.ErrMalformed):
 		return 400
-	case errors.Is(err, store.ErrBusy):
+	case errors.Is(err, store.ErrRateLimited):
 		return 429
 	}
 	return 503
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -73,12 +73,12 @@
 	l := s.limits
 	if l.TxnOps > 0 && (len(t.Then) > l.TxnOps || len(t.If) > 4*l.TxnOps) {
 		s.Bad++
-		return store.ErrBad
+		return store.ErrMalformed
 	}
 	for _, c := range t.Then {
 		if l.ValueBytes > 0 && c.Value != nil && wire.JSONSize(c.Value) > l.ValueBytes {
 			s.Bad++
-			return store.ErrBad
+			return store.ErrMalformed
 		}
 	}
 	if l.WriteRPS > 0 && len(t.Then) > 0 {
@@ -87,20 +87,20 @@
 		s.filled = now
 		if s.tokens < float64(len(t.Then)) {
 			s.Busy++
-			return store.ErrBusy
+			return store.ErrRateLimited
 		}
 		s.tokens -= float64(len(t.Then))
 	}
 	return nil
 }
 
-// Existing says which keys there are.
-func (s *Store) Existing(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
+// ExistingKeys says which keys there are.
+func (s *Store) ExistingKeys(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
 	s.mu.Lock()
 	over := s.limits.TxnOps > 0 && len(keys) > 4*s.limits.TxnOps
 	s.mu.Unlock()
 	if over {
-		return nil, store.ErrBad
+		return nil, store.ErrMalformed
 	}
 	out := map[string]bool{}
 	for _, k := range keys {
@@ -192,8 +192,8 @@
 	}
 }
 
-// WriteRoom is without limit.
-func (s *Store) WriteRoom(store.Class) int { return 1000 }
+// AvailableWrites is without limit.
+func (s *Store) AvailableWrites(store.Class) int { return 1000 }
 
 // Get reads a key.
 func (s *Store) Get(_ context.Context, _ store.Class, key string) (wire.Item, error) {
--- /dev/null
+++ b/internal/keep/renewal_bound.go
@@ -0,0 +1,144 @@
+package keep
+
+import (
+	"sync"
+
+	"notchmux.dev/notchmux/internal/micro"
+)
+
+// RenewalBound is what a leader knows of the other nodes as keepers, in one term.
+type RenewalBound struct {
+	term       uint64
+	termStart  micro.Time
+	window     micro.Time
+	leaderZone string // the leader's own zone, "" if it can have no keepers
+
+	mu       sync.Mutex
+	zones    map[string][]string // the zones that can have keepers, with their nodes
+	contacts map[string]*nodeContact
+}
+
+// nodeContact is the leader's touch with a node.
+type nodeContact struct {
+	lastAnswer    micro.Time // the latest answer: from it the node may keep for a span
+	lastConfirmed micro.Time // the latest answer that surely arrived in time
+	renewedUntil  micro.Time // until when it may have kept, as far as it was in touch since
+}
+
+// NewRenewalBound starts a term: answers of earlier terms went out before. Nodes lists the zone of every other node, self is the
+// leader's own zone. A zone of one node has no keeper: a node cut off by itself
+// and a zone cut off look alike to it.
+func NewRenewalBound(term uint64, termStart, window micro.Time, nodes map[string]string, leaderZone string) *RenewalBound {
+	bound := &RenewalBound{term: term, termStart: termStart, window: window, zones: map[string][]string{}, contacts: map[string]*nodeContact{}}
+	if window == 0 {
+		return bound
+	}
+	nodesByZone := map[string]int{leaderZone: 1}
+	for node, zone := range nodes {
+		nodesByZone[zone]++
+		bound.zones[zone] = append(bound.zones[zone], node)
+		bound.contacts[node] = &nodeContact{lastAnswer: termStart}
+	}
+	for zone, count := range nodesByZone {
+		if count < 2 {
+			delete(bound.zones, zone)
+		}
+	}
+	if nodesByZone[leaderZone] > 1 {
+		bound.leaderZone = leaderZone
+	}
+	return bound
+}
+
+// HandleRequest takes in a node's request and says what it is told; the caller must
+// still have the right to act.
+func (b *RenewalBound) HandleRequest(request Request, now micro.Time) LeaderTimestamp {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	contact := b.contacts[request.Node]
+	if contact == nil {
+		return LeaderTimestamp{Term: b.term, At: int64(now)}
+	}
+	if request.Echo.Term == b.term {
+		contact.lastConfirmed = max(contact.lastConfirmed, micro.Time(request.Echo.At))
+	}
+	if request.RenewedLeases || request.Echo.Term != b.term {
+		// What a process did that was not in touch in this term is not known.
+		contact.renewedUntil = now
+	}
+	contact.lastAnswer = now
+	return LeaderTimestamp{Term: b.term, At: int64(now)}
+}
+
+// connected reports whether a node surely keeps nothing now. It took the answer
+// given at sure within Wait of its request, keeps nothing for a while after that
+// request, and its next request told what it had kept until then.
+func (c *nodeContact) connected(now micro.Time) bool {
+	return c.lastConfirmed > 0 && now < c.lastConfirmed+renewAfter-ResponseTimeout-clockDrift(renewAfter)
+}
+
+// RenewedUntil is until when a keeper may have renewed the lease of a worker of a zone;
+// "" stands for a zone that is not known.
+func (b *RenewalBound) RenewedUntil(zone string, now micro.Time) micro.Time {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var until micro.Time
+	b.eachContact(zone, func(contact *nodeContact) {
+		renewedUntil := contact.renewedUntil
+		if !contact.connected(now) {
+			renewedUntil = max(renewedUntil, min(now, contact.lastAnswer+b.window+clockDrift(b.window)))
+		}
+		until = max(until, renewedUntil)
+	})
+	return until
+}
+
+// contactGrace is how long after a term began each node in reach has asked its
+// leader: it asks every second, and twice until it is in touch.
+const contactGrace = 8 * micro.Second
+
+// ZoneDisconnected reports whether a zone's nodes, two or more, are all out of touch. One that
+// has not been in touch in this term counts once there was time for it: a leader
+// that took over while the zone was cut off once rented machines there.
+func (b *RenewalBound) ZoneDisconnected(zone string, now micro.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	disconnected := now-b.termStart > contactGrace
+	for _, node := range b.zones[zone] {
+		contact := b.contacts[node]
+		if contact.connected(now) {
+			return false
+		}
+		disconnected = disconnected || contact.lastConfirmed > 0
+	}
+	return disconnected && len(b.zones[zone]) > 0 && zone != b.leaderZone
+}
+
+// RenewalLimit is until when a keeper of a zone may yet renew a lease, if none is
+// answered from now on; 0: it has none.
+func (b *RenewalBound) RenewalLimit(zone string, now micro.Time) micro.Time {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var limit micro.Time
+	if b.leaderZone != "" && (zone == "" || zone == b.leaderZone) {
+		limit = now + b.window + clockDrift(b.window) // the leader may become a keeper itself
+	}
+	b.eachContact(zone, func(contact *nodeContact) {
+		renewableUntil := contact.lastAnswer + b.window + clockDrift(b.window)
+		if contact.connected(now) {
+			renewableUntil = now + b.window + clockDrift(b.window)
+		}
+		limit = max(limit, renewableUntil)
+	})
+	return limit
+}
+
+func (b *RenewalBound) eachContact(zone string, f func(*nodeContact)) {
+	for candidate, nodes := range b.zones {
+		if zone == "" || zone == candidate {
+			for _, node := range nodes {
+				f(b.contacts[node])
+			}
+		}
+	}
+}
--- a/internal/share/keys.go
+++ b/internal/share/keys.go
@@ -22,18 +22,18 @@
 // SessionKey is the key of a controller's session.
 func SessionKey(node string) string { return SessionPrefix + node }
 
-// AssignmentsOf begins the keys of a share's assignments.
-func AssignmentsOf(name string) string { return AssignmentPrefix + name + "/" }
+// AssignmentPrefixFor begins the keys of a share's assignments.
+func AssignmentPrefixFor(name string) string { return AssignmentPrefix + name + "/" }
 
 // AssignmentKey is the key of a job's assignment to a share.
-func AssignmentKey(name, job string) string { return AssignmentsOf(name) + job }
+func AssignmentKey(name, job string) string { return AssignmentPrefixFor(name) + job }
 
-// AllocationsOf begins the keys of a share's allocations.
-func AllocationsOf(name string) string { return AllocationPrefix + name + "/" }
+// AllocationPrefixFor begins the keys of a share's allocations.
+func AllocationPrefixFor(name string) string { return AllocationPrefix + name + "/" }
 
 // AllocationKey is the key of the record of a chunk of a job's tasks in a share.
 func AllocationKey(name, job string, chunk int) string {
-	return AllocationsOf(name) + job + "/" + strconv.Itoa(chunk)
+	return AllocationPrefixFor(name) + job + "/" + strconv.Itoa(chunk)
 }
 
 // ParseAssignmentKey splits the key of an assignment.
@@ -49,12 +49,12 @@
 	return name, job, chunk, ok && cut && err == nil && chunk >= 0
 }
 
-// maxName is the longest name of a share: keys have 200 bytes.
-const maxName = 40
+// maxNameLength is the longest name of a share: keys have 200 bytes.
+const maxNameLength = 40
 
 // ValidName reports whether a share may be called so: letters, digits and hyphens.
 func ValidName(name string) bool {
-	if name == "" || len(name) > maxName {
+	if name == "" || len(name) > maxNameLength {
 		return false
 	}
 	for _, c := range name {
--- a/internal/share/loopback_test.go
+++ b/internal/share/loopback_test.go
@@ -33,57 +33,57 @@
 var loopbackMoves = flag.Int("share.moves", 150, "moves that the loopback test plays")
 
 const (
-	loopShares  = 4
-	loopWorkers = 2 // for each share
-	loopSession = 400 * micro.Millisecond
-	loopStep    = 2 * time.Millisecond
-	loopLimit   = 10 * time.Minute // only a bound on a hang
+	loopbackShards         = 4
+	loopbackAgentsPerShard = 2 // for each share
+	loopbackSessionTTL     = 400 * micro.Millisecond
+	loopbackStep           = 2 * time.Millisecond
+	loopbackTimeout        = 10 * time.Minute // only a bound on a hang
 )
 
-// decision is one answer to a worker, as its controller decided it.
-type decision struct {
-	first uint64
-	node  string
-	at    micro.Time
+// responseRecord is one answer to a worker, as its controller decided it.
+type responseRecord struct {
+	firstToken uint64
+	node       string
+	at         micro.Time
 }
 
-// audit collects what the workers' side saw.
-type audit struct {
-	mu    sync.Mutex
-	by    map[string]map[uint64]*span // share: answers of each ownership
-	lapse atomic.Int64                // workers whose lease ran out
+// responseAudit collects what the workers' side saw.
+type responseAudit struct {
+	mu            sync.Mutex
+	byShard       map[string]map[uint64]*ownershipSpan // share: answers of each ownership
+	expiredLeases atomic.Int64                         // workers whose lease ran out
 }
 
-// span is when the answers of one ownership were decided, and by whom.
-type span struct {
+// ownershipSpan is when the answers of one ownership were decided, and by whom.
+type ownershipSpan struct {
 	node        string
 	first, last micro.Time
 }
 
-func (a *audit) note(name string, d decision) {
+func (a *responseAudit) add(name string, d responseRecord) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.by[name] == nil {
-		a.by[name] = map[uint64]*span{}
+	if a.byShard[name] == nil {
+		a.byShard[name] = map[uint64]*ownershipSpan{}
 	}
-	s := a.by[name][d.first]
-	if s == nil {
-		a.by[name][d.first] = &span{d.node, d.at, d.at}
+	span := a.byShard[name][d.firstToken]
+	if span == nil {
+		a.byShard[name][d.firstToken] = &ownershipSpan{d.node, d.at, d.at}
 		return
 	}
-	s.first, s.last = min(s.first, d.at), max(s.last, d.at)
-	if s.node != d.node {
-		s.node += " and " + d.node
+	span.first, span.last = min(span.first, d.at), max(span.last, d.at)
+	if span.node != d.node {
+		span.node += " and " + d.node
 	}
 }
 
-// twoOwners lists where an owner answered after a later one had begun, or two under one
+// overlappingOwners lists where an owner answered after a later one had begun, or two under one
 // token.
-func (a *audit) twoOwners() []string {
+func (a *responseAudit) overlappingOwners() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var out []string
-	for name, spans := range a.by {
+	var overlaps []string
+	for name, spans := range a.byShard {
 		firsts := make([]uint64, 0, len(spans))
 		for first := range spans {
 			firsts = append(firsts, first)
@@ -91,26 +91,26 @@
 		slices.Sort(firsts)
 		latest := micro.Time(0)
 		for _, first := range firsts {
-			s := spans[first]
-			if s.first < latest || len(s.node) > len("n-0") {
-				out = append(out, fmt.Sprintf("%s: %s began at %v, another answered until %v", name, s.node, s.first, latest))
+			span := spans[first]
+			if span.first < latest || len(span.node) > len("n-0") {
+				overlaps = append(overlaps, fmt.Sprintf("%s: %s began at %v, another answered until %v", name, span.node, span.first, latest))
 			}
-			latest = max(latest, s.last)
+			latest = max(latest, span.last)
 		}
 	}
-	return out
+	return overlaps
 }
 
 // faultyStore is the store as one controller reaches it.
 type faultyStore struct {
 	store.Store
-	cut  atomic.Bool // nothing arrives, nothing is answered
-	lose atomic.Bool // transactions are carried out, their answers are lost
+	partitioned   atomic.Bool // nothing arrives, nothing is answered
+	responsesLost atomic.Bool // transactions are carried out, their answers are lost
 }
 
 // Get reads a key, unless the controller is cut off.
 func (f *faultyStore) Get(ctx context.Context, class store.Class, key string) (wire.Item, error) {
-	if f.cut.Load() {
+	if f.partitioned.Load() {
 		return wire.Item{}, store.ErrUncertain
 	}
 	return f.Store.Get(ctx, class, key)
@@ -118,7 +118,7 @@
 
 // Renew renews a lease, unless the controller is cut off.
 func (f *faultyStore) Renew(ctx context.Context, lease uint64) error {
-	if f.cut.Load() {
+	if f.partitioned.Load() {
 		return store.ErrUncertain
 	}
 	return f.Store.Renew(ctx, lease)
@@ -126,21 +126,21 @@
 
 // Commit sends a transaction.
 func (f *faultyStore) Commit(ctx context.Context, class store.Class, txn wire.Txn) (uint64, error) {
-	if f.cut.Load() {
+	if f.partitioned.Load() {
 		return 0, store.ErrUncertain
 	}
 	revision, err := f.Store.Commit(ctx, class, txn)
-	if f.lose.Load() {
+	if f.responsesLost.Load() {
 		return 0, store.ErrUncertain
 	}
 	return revision, err
 }
 
-// loopController is a stand-in controller: a session, owners, and an address.
-type loopController struct {
-	name  string
-	site  *loopSite
-	store *faultyStore
+// loopbackController is a stand-in controller: a session, owners, and an address.
+type loopbackController struct {
+	name    string
+	cluster *loopbackCluster
+	store   *faultyStore
 
 	mu     sync.Mutex // one goroutine at a time answers, or changes an owner's state
 	frozen bool
@@ -149,66 +149,66 @@
 	stop   context.CancelFunc
 }
 
-type loopSite struct {
-	t           *testing.T
-	audit       audit
-	backing     *fake.Store
-	storeAddr   string
-	controllers map[string]*loopController
-	addrs       map[string]string
-	careless    bool // controllers answer on after they handed over: the audit must notice
+type loopbackCluster struct {
+	t            *testing.T
+	audit        responseAudit
+	backing      *fake.Store
+	storeAddr    string
+	controllers  map[string]*loopbackController
+	addrs        map[string]string
+	ignoresLease bool // controllers answer on after they handed over: the audit must notice
 }
 
-func newLoopSite(t *testing.T, ctx context.Context) *loopSite {
+func newLoopbackCluster(t *testing.T, ctx context.Context) *loopbackCluster {
 	t.Helper()
-	s := &loopSite{t: t, backing: fake.NewStore(), controllers: map[string]*loopController{}, addrs: map[string]string{}}
-	s.audit.by = map[string]map[uint64]*span{}
-	s.storeAddr = s.listen(s.backing.Handle)
+	loopback := &loopbackCluster{t: t, backing: fake.NewStore(), controllers: map[string]*loopbackController{}, addrs: map[string]string{}}
+	loopback.audit.byShard = map[string]map[uint64]*ownershipSpan{}
+	loopback.storeAddr = loopback.listen(loopback.backing.Handle)
 	for _, name := range controllers {
-		c := &loopController{name: name, site: s, store: &faultyStore{Store: store.NewClient(s.storeAddr, 1e6, 1e6)}}
-		s.controllers[name] = c
-		s.addrs[name] = s.listen(c.answer)
-		c.begin(ctx)
+		controller := &loopbackController{name: name, cluster: loopback, store: &faultyStore{Store: store.NewClient(loopback.storeAddr, 1e6, 1e6)}}
+		loopback.controllers[name] = controller
+		loopback.addrs[name] = loopback.listen(controller.handleHeartbeat)
+		controller.start(ctx)
 	}
-	return s
+	return loopback
 }
 
-func (s *loopSite) listen(handle fasthttp.RequestHandler) string {
+func (c *loopbackCluster) listen(handle fasthttp.RequestHandler) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	server := &fasthttp.Server{Handler: handle, Logger: quiet{}}
+	server := &fasthttp.Server{Handler: handle, Logger: discardLogger{}}
 	go func() { _ = server.Serve(listener) }()
-	s.t.Cleanup(func() { _ = listener.Close() })
+	c.t.Cleanup(func() { _ = listener.Close() })
 	return listener.Addr().String()
 }
 
-// quiet drops what the servers log of connections that end.
-type quiet struct{}
+// discardLogger drops what the servers log of connections that end.
+type discardLogger struct{}
 
 // Printf drops a line.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// begin starts a process of the controller.
-func (c *loopController) begin(ctx context.Context) {
+// start starts a process of the controller.
+func (c *loopbackController) start(ctx context.Context) {
 	ctx, c.stop = context.WithCancel(ctx)
 	c.owners, c.term = map[string]*share.Owner{}, nil
-	session := &election.Election{Key: share.SessionKey(c.name), Node: c.name, Nonce: fmt.Sprint(rand.Uint64()), Store: c.store,
-		TTL: loopSession, Renew: loopSession / 5, Log: discard, Now: micro.Now,
-		OnLead: func(t *election.Term) { c.registered(ctx, t) },
-		OnLose: func(*election.Term) {}}
-	go func() { _ = session.Run(ctx) }()
+	campaign := &election.Election{Key: share.SessionKey(c.name), Node: c.name, Nonce: fmt.Sprint(rand.Uint64()), Store: c.store,
+		TTL: loopbackSessionTTL, RenewInterval: loopbackSessionTTL / 5, Log: discard, Now: micro.Now,
+		OnStartedLeading: func(t *election.Term) { c.setSession(ctx, t) },
+		OnStoppedLeading: func(*election.Term) {}}
+	go func() { _ = campaign.Run(ctx) }()
 	go func() {
 		for ctx.Err() == nil {
 			c.step(ctx)
-			time.Sleep(loopStep)
+			time.Sleep(loopbackStep)
 		}
 	}()
 }
 
-// registered notes the session, unless the process has ended meanwhile.
-func (c *loopController) registered(ctx context.Context, t *election.Term) {
+// setSession notes the session, unless the process has ended meanwhile.
+func (c *loopbackController) setSession(ctx context.Context, t *election.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ctx.Err() == nil {
@@ -216,8 +216,8 @@
 	}
 }
 
-// kill ends the process, which is back after a while.
-func (c *loopController) kill(ctx context.Context, after time.Duration) {
+// restartAfter ends the process, which is back after a while.
+func (c *loopbackController) restartAfter(ctx context.Context, after time.Duration) {
 	c.stop()
 	c.mu.Lock()
 	c.owners, c.term = map[string]*share.Owner{}, nil
@@ -226,263 +226,263 @@
 		if ctx.Err() == nil {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.begin(ctx)
+			c.start(ctx)
 		}
 	})
 }
 
 // step reads the records, and hands over what is to move.
-func (c *loopController) step(ctx context.Context) {
-	entries, err := readShares(ctx, c.store)
+func (c *loopbackController) step(ctx context.Context) {
+	entries, err := readShards(ctx, c.store)
 	if err != nil {
 		return
 	}
-	for _, e := range entries {
+	for _, entry := range entries {
 		c.mu.Lock()
-		txn, send, renew := c.look(ctx, e)
+		txn, shouldSend, resolving := c.observe(ctx, entry)
 		c.mu.Unlock()
-		if !send {
+		if !shouldSend {
 			continue
 		}
 		revision, err := c.store.Commit(ctx, store.Urgent, txn)
 		c.mu.Lock()
-		if o := c.owners[e.Name]; o != nil && renew {
-			o.Renewed(revision, err)
-		} else if o != nil {
-			o.HandedOver(err)
+		if owner := c.owners[entry.Name]; owner != nil && resolving {
+			owner.HandleResolveResult(revision, err)
+		} else if owner != nil {
+			owner.HandleTransferResult(err)
 		}
 		c.mu.Unlock()
 	}
 }
 
-// look takes in a record, and tells what to send for it.
-func (c *loopController) look(ctx context.Context, e share.Entry) (txn wire.Txn, send, renew bool) {
+// observe takes in a record, and tells what to send for it.
+func (c *loopbackController) observe(ctx context.Context, entry share.Entry) (txn wire.Txn, shouldSend, resolving bool) {
 	if ctx.Err() != nil || c.frozen || c.term == nil {
 		return txn, false, false
 	}
-	self := share.Controller{Node: c.name, Session: wire.Count(c.term.Stamp)}
-	o := c.owners[e.Name]
-	if o != nil {
-		o.Observe(e)
+	self := share.Controller{Node: c.name, SessionVersion: wire.Count(c.term.FencingRevision)}
+	owner := c.owners[entry.Name]
+	if owner != nil {
+		owner.Observe(entry)
 	}
-	if (o == nil || o.State() == share.Over) && e.Away() && e.Record.Owner == self {
-		o = share.NewOwner(e, c.term, self, func(string, ...any) {})
-		c.owners[e.Name] = o
+	if (owner == nil || owner.State() == share.Relinquished) && entry.OwnedElsewhere() && entry.Record.Owner == self {
+		owner = share.NewOwner(entry, c.term, self, func(string, ...any) {})
+		c.owners[entry.Name] = owner
 	}
-	if o == nil {
+	if owner == nil {
 		return txn, false, false
 	}
-	if txn, ok := o.Renew(0); ok {
+	if txn, ok := owner.ResolveUncertain(0); ok {
 		return txn, true, true
 	}
-	if o.Valid(micro.Now()) {
-		txn, send = o.HandOver(0)
+	if owner.MayServe(micro.Now()) {
+		txn, shouldSend = owner.BeginTransfer(0)
 	}
-	return txn, send, false
+	return txn, shouldSend, false
 }
 
-// answer answers a worker's report.
-func (c *loopController) answer(ctx *fasthttp.RequestCtx) {
+// handleHeartbeat answers a worker's report.
+func (c *loopbackController) handleHeartbeat(ctx *fasthttp.RequestCtx) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r, err := wire.DecodeReport(ctx.PostBody())
+	heartbeat, err := wire.DecodeReport(ctx.PostBody())
 	if err != nil || c.frozen {
 		ctx.SetStatusCode(503)
 		return
 	}
 	now := micro.Now()
-	o := c.owners[r.Zone]
-	if o == nil || !o.Valid(now) && !c.site.careless {
+	owner := c.owners[heartbeat.Zone]
+	if owner == nil || !owner.MayServe(now) && !c.cluster.ignoresLease {
 		ctx.SetStatusCode(503)
 		return
 	}
-	c.site.audit.note(r.Zone, decision{o.FirstToken(), c.name, now})
-	ctx.SetBody(wire.MustMarshal(wire.Orders{Token: wire.Count(o.FirstToken()), Orders: []wire.Order{}}))
+	c.cluster.audit.add(heartbeat.Zone, responseRecord{owner.FirstFencingToken(), c.name, now})
+	ctx.SetBody(wire.MustMarshal(wire.Orders{Token: wire.Count(owner.FirstFencingToken()), Orders: []wire.Order{}}))
 }
 
-func readShares(ctx context.Context, s store.Store) ([]share.Entry, error) {
+func readShards(ctx context.Context, s store.Store) ([]share.Entry, error) {
 	page, err := s.Range(ctx, store.Routine, share.RecordPrefix, "", 1000)
 	if err != nil {
 		return nil, err
 	}
 	var out []share.Entry
-	for _, it := range page.Items {
-		e := share.Entry{Name: it.Key[len(share.RecordPrefix):], Version: uint64(it.Version)}
-		if err := wire.Unmarshal(it.Value, &e.Record); err != nil {
+	for _, item := range page.Items {
+		entry := share.Entry{Name: item.Key[len(share.RecordPrefix):], Version: uint64(item.Version)}
+		if err := wire.Unmarshal(item.Value, &entry.Record); err != nil {
 			return nil, err
 		}
-		out = append(out, e)
+		out = append(out, entry)
 	}
 	return out, nil
 }
 
-// work is a worker of a share (its zone), which asks the controllers in turn.
-func (s *loopSite) work(ctx context.Context, zone string, i int) {
-	w := fake.NewWorker(fmt.Sprintf("%s-%d", zone, i), "small", zone, 5*micro.Second)
-	w.Sent = micro.Now()
-	for at := i; ctx.Err() == nil; time.Sleep(2 * loopStep) {
-		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		req.Header.SetMethod("POST")
-		req.SetRequestURI("http://" + s.addrs[controllers[at%len(controllers)]] + "/agent/beat")
+// runAgent is a worker of a share (its zone), which asks the controllers in turn.
+func (c *loopbackCluster) runAgent(ctx context.Context, zone string, i int) {
+	agent := fake.NewWorker(fmt.Sprintf("%s-%d", zone, i), "small", zone, 5*micro.Second)
+	agent.Sent = micro.Now()
+	for target := i; ctx.Err() == nil; time.Sleep(2 * loopbackStep) {
+		request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+		request.Header.SetMethod("POST")
+		request.SetRequestURI("http://" + c.addrs[controllers[target%len(controllers)]] + "/agent/beat")
 		sent := micro.Now()
-		req.SetBody(wire.MustMarshal(w.Report()))
-		var o wire.Orders
-		if fasthttp.DoTimeout(req, resp, time.Second) == nil && resp.StatusCode() == 200 && wire.Unmarshal(resp.Body(), &o) == nil {
-			w.Answer(o, sent)
+		request.SetBody(wire.MustMarshal(agent.Report()))
+		var commands wire.Orders
+		if fasthttp.DoTimeout(request, response, time.Second) == nil && response.StatusCode() == 200 && wire.Unmarshal(response.Body(), &commands) == nil {
+			agent.Answer(commands, sent)
 		}
-		if resp.StatusCode() != 200 || rand.IntN(4) == 0 {
-			at++ // now and then also without need: all controllers are asked, whoever owns the share
+		if response.StatusCode() != 200 || rand.IntN(4) == 0 {
+			target++ // now and then also without need: all controllers are asked, whoever owns the share
 		}
-		fasthttp.ReleaseRequest(req)
-		fasthttp.ReleaseResponse(resp)
-		if w.Expire(micro.Now()) {
-			s.audit.lapse.Add(1)
+		fasthttp.ReleaseRequest(request)
+		fasthttp.ReleaseResponse(response)
+		if agent.Expire(micro.Now()) {
+			c.audit.expiredLeases.Add(1)
 		}
 	}
 }
 
-// lead moves shares, and takes them from controllers that are gone, until so many moves
+// moveShards moves shares, and takes them from controllers that are gone, until so many moves
 // were carried out.
-func (s *loopSite) lead(ctx context.Context, moves int) (done int, took []micro.Time) {
-	client := store.NewClient(s.storeAddr, 1e6, 1e6)
-	began, last := map[string]micro.Time{}, map[string]uint64{}
+func (c *loopbackCluster) moveShards(ctx context.Context, moves int) (done int, durations []micro.Time) {
+	client := store.NewClient(c.storeAddr, 1e6, 1e6)
+	startedAt, lastOwnerChanges := map[string]micro.Time{}, map[string]uint64{}
 	for ctx.Err() == nil && done < moves {
-		time.Sleep(loopStep)
-		entries, err := readShares(ctx, client)
-		sessions, serr := readSessions(ctx, client)
-		if err != nil || serr != nil {
+		time.Sleep(loopbackStep)
+		entries, err := readShards(ctx, client)
+		sessions, sessionsErr := readSessions(ctx, client)
+		if err != nil || sessionsErr != nil {
 			continue
 		}
-		for _, e := range entries {
-			if e.Record.Moves > last[e.Name] && last[e.Name] > 0 {
+		for _, entry := range entries {
+			if entry.Record.OwnerChanges > lastOwnerChanges[entry.Name] && lastOwnerChanges[entry.Name] > 0 {
 				done++
-				took = append(took, micro.Now()-began[e.Name])
+				durations = append(durations, micro.Now()-startedAt[entry.Name])
 			}
-			last[e.Name] = e.Record.Moves
-			if txn, ok := s.next(e, sessions); ok {
-				began[e.Name] = micro.Now()
+			lastOwnerChanges[entry.Name] = entry.Record.OwnerChanges
+			if txn, ok := c.nextTransaction(entry, sessions); ok {
+				startedAt[entry.Name] = micro.Now()
 				_, _ = client.Commit(ctx, store.Urgent, txn)
 			}
 		}
 	}
-	return done, took
+	return done, durations
 }
 
-// next is what the leader does with a share.
-func (s *loopSite) next(e share.Entry, sessions share.Sessions) (wire.Txn, bool) {
-	if e.OwnerGone(sessions) {
-		to, ok := e.Successor(sessions, share.Snapshot{})
+// nextTransaction is what the leader does with a share.
+func (c *loopbackCluster) nextTransaction(entry share.Entry, sessions share.Sessions) (wire.Txn, bool) {
+	if entry.OwnerSessionLost(sessions) {
+		to, ok := entry.Successor(sessions, share.Snapshot{})
 		if !ok {
 			return wire.Txn{}, false
 		}
-		txn, err := e.Take(to, sessions, 0, leaderKey)
+		txn, err := entry.Reassign(to, sessions, 0, leaderKey)
 		return txn, err == nil
 	}
 	to, ok := sessions.Controller(controllers[rand.IntN(len(controllers))])
-	later, err := e.Record.Move(to, 0)
+	next, err := entry.Record.Move(to, 0)
 	if !ok || err != nil {
-		if errors.Is(err, share.ErrMoving) && !sessions.Has(e.Record.Target) {
-			later, err = e.Record.Cancel(0)
-			return e.Put(later, leaderKey), err == nil
+		if errors.Is(err, share.ErrAlreadyMoving) && !sessions.Has(entry.Record.Target) {
+			next, err = entry.Record.CancelMove(0)
+			return entry.Update(next, leaderKey), err == nil
 		}
 		return wire.Txn{}, false
 	}
-	return e.Put(later, leaderKey), true
+	return entry.Update(next, leaderKey), true
 }
 
 func readSessions(ctx context.Context, st store.Store) (share.Sessions, error) {
 	page, err := st.Range(ctx, store.Routine, share.SessionPrefix, "", 1000)
 	out := share.Sessions{}
-	for _, it := range page.Items {
-		out[it.Key[len(share.SessionPrefix):]] = it.Version
+	for _, item := range page.Items {
+		out[item.Key[len(share.SessionPrefix):]] = item.Version
 	}
 	return out, err
 }
 
-// trouble befalls one controller after another.
-func (s *loopSite) trouble(ctx context.Context) {
+// injectFaults befalls one controller after another.
+func (c *loopbackCluster) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rand.IntN(100)) * time.Millisecond)
-		c := s.controllers[controllers[rand.IntN(len(controllers))]]
-		spell := time.Duration(20+rand.IntN(600)) * time.Millisecond
+		controller := c.controllers[controllers[rand.IntN(len(controllers))]]
+		duration := time.Duration(20+rand.IntN(600)) * time.Millisecond
 		switch rand.IntN(4) {
 		case 0:
-			c.kill(ctx, spell)
+			controller.restartAfter(ctx, duration)
 		case 1:
-			c.store.cut.Store(true)
-			time.AfterFunc(spell, func() { c.store.cut.Store(false) })
+			controller.store.partitioned.Store(true)
+			time.AfterFunc(duration, func() { controller.store.partitioned.Store(false) })
 		case 2:
-			c.store.lose.Store(true)
-			time.AfterFunc(spell/4, func() { c.store.lose.Store(false) })
+			controller.store.responsesLost.Store(true)
+			time.AfterFunc(duration/4, func() { controller.store.responsesLost.Store(false) })
 		case 3:
-			c.freeze(true)
-			time.AfterFunc(spell, func() { c.freeze(false) })
+			controller.freeze(true)
+			time.AfterFunc(duration, func() { controller.freeze(false) })
 		}
-		time.Sleep(spell)
+		time.Sleep(duration)
 	}
 }
 
-func (c *loopController) freeze(on bool) { c.mu.Lock(); c.frozen = on; c.mu.Unlock() }
+func (c *loopbackController) freeze(on bool) { c.mu.Lock(); c.frozen = on; c.mu.Unlock() }
 
-// playLoopback plays so many moves on a site, and gives what the audit found.
-func playLoopback(t *testing.T, moves int, careless bool) (done int, twice []string, none int) {
+// runLoopback plays so many moves on a site, and gives what the audit found.
+func runLoopback(t *testing.T, moves int, ignoresLease bool) (done int, overlaps []string, withoutOwner int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), loopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), loopbackTimeout)
 	defer cancel()
-	s := newLoopSite(t, ctx)
-	s.careless = careless
-	for i := range loopShares {
+	loopback := newLoopbackCluster(t, ctx)
+	loopback.ignoresLease = ignoresLease
+	for i := range loopbackShards {
 		name := fmt.Sprintf("zone-%d", i)
-		rec := share.Form(share.Selector{Zone: name}, nil, 0)
-		rec.State = share.Owned // by nobody: the leader gives it to the first that is there
-		if _, err := s.backing.Commit(ctx, store.Urgent, wire.Txn{Then: []wire.Change{{Put: share.RecordKey(name), Value: rec}}}); err != nil {
+		record := share.NewRecord(share.Selector{Zone: name}, nil, 0)
+		record.State = share.Owned // by nobody: the leader gives it to the first that is there
+		if _, err := loopback.backing.Commit(ctx, store.Urgent, wire.Txn{Then: []wire.Change{{Put: share.RecordKey(name), Value: record}}}); err != nil {
 			t.Fatal(err)
 		}
-		for k := range loopWorkers {
-			go s.work(ctx, name, k)
+		for agent := range loopbackAgentsPerShard {
+			go loopback.runAgent(ctx, name, agent)
 		}
 	}
-	go s.trouble(ctx)
-	done, took := s.lead(ctx, moves)
+	go loopback.injectFaults(ctx)
+	done, durations := loopback.moveShards(ctx, moves)
 	cancel()
-	slices.Sort(took)
-	if len(took) > 0 {
-		t.Logf("%d moves and take-overs: median %v us, 95%% %v us, longest %v us; %d leases ran out", done, took[len(took)/2], took[len(took)*95/100], took[len(took)-1], s.audit.lapse.Load())
+	slices.Sort(durations)
+	if len(durations) > 0 {
+		t.Logf("%d moves and take-overs: median %v us, 95%% %v us, longest %v us; %d leases ran out", done, durations[len(durations)/2], durations[len(durations)*95/100], durations[len(durations)-1], loopback.audit.expiredLeases.Load())
 	}
-	return done, s.audit.twoOwners(), s.without(t)
+	return done, loopback.audit.overlappingOwners(), loopback.revisionsWithoutOwner(t)
 }
 
-// without counts revisions of a share's record that name no owner after one did.
-func (s *loopSite) without(t *testing.T) int {
+// revisionsWithoutOwner counts revisions of a share's record that name no owner after one did.
+func (c *loopbackCluster) revisionsWithoutOwner(t *testing.T) int {
 	t.Helper()
-	events, err := s.backing.Watch(context.Background(), share.RecordPrefix, 0, 0)
+	events, err := c.backing.Watch(context.Background(), share.RecordPrefix, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	owned, none := map[string]bool{}, 0
-	for _, e := range events.Events {
-		var rec share.Record
-		if e.Delete != "" || wire.Unmarshal(e.Value, &rec) != nil || rec.Owner.Node == "" && owned[e.Put] {
-			none++
+	owned, withoutOwner := map[string]bool{}, 0
+	for _, event := range events.Events {
+		var record share.Record
+		if event.Delete != "" || wire.Unmarshal(event.Value, &record) != nil || record.Owner.Node == "" && owned[event.Put] {
+			withoutOwner++
 		}
-		owned[e.Put] = owned[e.Put] || rec.Owner.Node != ""
+		owned[event.Put] = owned[event.Put] || record.Owner.Node != ""
 	}
-	return none
+	return withoutOwner
 }
 
-func TestLoopbackMovesLeaveNoMachineWithTwoOwnersOrNone(t *testing.T) {
-	done, twice, none := playLoopback(t, *loopbackMoves, false)
+func TestLoopbackMovesLeaveEachMachineOneOwner(t *testing.T) {
+	done, overlaps, withoutOwner := runLoopback(t, *loopbackMoves, false)
 	if done < *loopbackMoves {
 		t.Errorf("%d of %d moves", done, *loopbackMoves)
 	}
-	if len(twice) > 0 || none > 0 {
-		t.Errorf("%d times two owners, %d revisions without one: %v", len(twice), none, twice[:min(len(twice), 5)])
+	if len(overlaps) > 0 || withoutOwner > 0 {
+		t.Errorf("%d times two owners, %d revisions without one: %v", len(overlaps), withoutOwner, overlaps[:min(len(overlaps), 5)])
 	}
 }
 
 // The counter counts: controllers that answer on after they handed over are noticed.
-func TestLoopbackCounterNoticesTwoOwners(t *testing.T) {
-	if _, twice, _ := playLoopback(t, 60, true); len(twice) == 0 {
+func TestLoopbackAuditDetectsTwoOwners(t *testing.T) {
+	if _, overlaps, _ := runLoopback(t, 60, true); len(overlaps) == 0 {
 		t.Error("careless controllers were not noticed")
 	}
 }
--- a/internal/share/owner_test.go
+++ b/internal/share/owner_test.go
@@ -12,71 +12,71 @@
 
 // A placement that races with a move fails its conditions: its record is not stored, and
 // no start goes out for it.
-func TestWriteThatRacesWithAMoveFails(t *testing.T) {
-	w := newWorld(t.Fatalf, func(options []string) string { return options[0] })
-	n := w.nodes["n-0"]
-	w.refresh(n)
+func TestWriteRacingWithAMoveFails(t *testing.T) {
+	sim := newSimulation(t.Fatalf, func(options []string) string { return options[0] })
+	controller := sim.controllers["n-0"]
+	sim.refresh(controller)
 	put := func(key string) error {
-		_, err := w.commit(wire.Txn{If: append(n.owner.Guards(), wire.Guard{Key: key}), Then: []wire.Change{{Put: key, Value: "i-1"}}})
+		_, err := sim.commit(wire.Txn{If: append(controller.owner.Preconditions(), wire.Guard{Key: key}), Then: []wire.Change{{Put: key, Value: "i-1"}}})
 		return err
 	}
-	if err := put(share.AllocationKey(shareName, "j-1", 0)); err != nil {
+	if err := put(share.AllocationKey(shardName, "j-1", 0)); err != nil {
 		t.Fatal(err)
 	}
-	w.lead("move", "n-1", "answered")
-	if err := put(share.AllocationKey(shareName, "j-2", 0)); !errors.Is(err, store.ErrConflict) {
+	sim.leaderAction("move", "n-1", "answered")
+	if err := put(share.AllocationKey(shardName, "j-2", 0)); !errors.Is(err, store.ErrConflict) {
 		t.Errorf("a write under the record before the move: %v", err)
 	}
-	w.refresh(n)
-	if n.owner.Places() {
+	sim.refresh(controller)
+	if controller.owner.MayAllocate() {
 		t.Error("it places, though the share is to move")
 	}
-	if err := put(share.AllocationKey(shareName, "j-2", 0)); err != nil {
+	if err := put(share.AllocationKey(shardName, "j-2", 0)); err != nil {
 		t.Errorf("the owner settles what it wrote: %v", err)
 	}
-	w.register("n-0")
-	if err := put(share.AllocationKey(shareName, "j-3", 0)); !errors.Is(err, store.ErrConflict) {
+	sim.register("n-0")
+	if err := put(share.AllocationKey(shardName, "j-3", 0)); !errors.Is(err, store.ErrConflict) {
 		t.Errorf("a write of an incarnation that is over: %v", err)
 	}
 }
 
-func TestRecordsChangeStateOnlyAsTheyMay(t *testing.T) {
-	a, b := share.Controller{Node: "a", Session: 1}, share.Controller{Node: "b", Session: 2}
-	formed := share.Form(share.Selector{Zone: "z"}, nil, 0)
+func TestRecordStateTransitions(t *testing.T) {
+	a, b := share.Controller{Node: "a", SessionVersion: 1}, share.Controller{Node: "b", SessionVersion: 2}
+	formed := share.NewRecord(share.Selector{Zone: "z"}, nil, 0)
 	owned, _ := formed.Grant(a, 1)
 	moving, _ := owned.Move(b, 2)
-	released, err := share.Record{State: share.Moving, Owner: a}.HandOver(3)
+	released, err := share.Record{State: share.Moving, Owner: a}.Transfer(3)
 	if err != nil || released.State != share.Released || released.Owner.Node != "" {
 		t.Fatalf("%+v, %v", released, err)
 	}
-	after, err := moving.HandOver(3)
-	if err != nil || after.Owner != b || after.Moves != 2 || after.State != share.Owned {
+	after, err := moving.Transfer(3)
+	if err != nil || after.Owner != b || after.OwnerChanges != 2 || after.State != share.Owned {
 		t.Fatalf("%+v, %v", after, err)
 	}
 	for name, refused := range map[string]struct {
 		err  error
 		want error
 	}{
-		"move to the owner":         {second(owned.Move(a, 2)), share.ErrSameOwner},
-		"move of a moving one":      {second(moving.Move(a, 2)), share.ErrMoving},
-		"move of one being formed":  {second(formed.Move(b, 2)), share.ErrNotOwned},
-		"move of a released one":    {second(released.Move(b, 2)), share.ErrNotOwned},
-		"cancel without a move":     {second(owned.Cancel(2)), share.ErrNotMoving},
-		"hand over without a move":  {second(owned.HandOver(2)), share.ErrNotMoving},
-		"reassign a released one":   {second(released.Reassign(b, 2)), share.ErrNotOwned},
-		"grant one that is granted": {second(owned.Grant(b, 2)), share.ErrSameOwner},
+		"move to the owner":         {errorOf(owned.Move(a, 2)), share.ErrSameOwner},
+		"move of a moving one":      {errorOf(moving.Move(a, 2)), share.ErrAlreadyMoving},
+		"move of one being formed":  {errorOf(formed.Move(b, 2)), share.ErrNotOwned},
+		"move of a released one":    {errorOf(released.Move(b, 2)), share.ErrNotOwned},
+		"cancel without a move":     {errorOf(owned.CancelMove(2)), share.ErrNotMoving},
+		"hand over without a move":  {errorOf(owned.Transfer(2)), share.ErrNotMoving},
+		"reassign a released one":   {errorOf(released.Reassign(b, 2)), share.ErrNotOwned},
+		"grant one that is granted": {errorOf(owned.Grant(b, 2)), share.ErrSameOwner},
 	} {
 		if !errors.Is(refused.err, refused.want) {
 			t.Errorf("%s: %v, want %v", name, refused.err, refused.want)
 		}
 	}
-	cancelled, err := moving.Cancel(4)
-	if err != nil || cancelled.Owner != a || cancelled.Moves != owned.Moves {
+	cancelled, err := moving.CancelMove(4)
+	if err != nil || cancelled.Owner != a || cancelled.OwnerChanges != owned.OwnerChanges {
 		t.Errorf("%+v, %v", cancelled, err)
 	}
 }
 
-func second(_ share.Record, err error) error { return err }
+func errorOf(_ share.Record, err error) error { return err }
 
 func TestSelectors(t *testing.T) {
 	machine := share.Attributes{Type: "t", Zone: "z", Spot: true}
@@ -85,7 +85,7 @@
 		matches bool
 	}{
 		{share.Selector{Type: "t"}, true}, {share.Selector{Type: "u"}, false}, {share.Selector{Zone: "z", Kind: share.SpotOnly}, true},
-		{share.Selector{Kind: share.OrdinaryOnly}, false}, {share.Selector{Type: "t", Zone: "y"}, false},
+		{share.Selector{Kind: share.OnDemandOnly}, false}, {share.Selector{Type: "t", Zone: "y"}, false},
 	} {
 		if c.s.Matches(machine) != c.matches {
 			t.Errorf("%v matches: %v", c.s, !c.matches)
@@ -97,7 +97,7 @@
 	}{
 		{share.Selector{Type: "t"}, share.Selector{Zone: "z"}, true},
 		{share.Selector{Type: "t"}, share.Selector{Type: "u"}, false},
-		{share.Selector{Type: "t", Kind: share.SpotOnly}, share.Selector{Type: "t", Kind: share.OrdinaryOnly}, false},
+		{share.Selector{Type: "t", Kind: share.SpotOnly}, share.Selector{Type: "t", Kind: share.OnDemandOnly}, false},
 		{share.Selector{Type: "t", Zone: "z"}, share.Selector{Type: "t", Kind: share.SpotOnly}, true},
 	} {
 		if c.a.Overlaps(c.b) != c.overlaps || c.b.Overlaps(c.a) != c.overlaps {
@@ -108,35 +108,35 @@
 
 // A reader sees a snapshot as a whole, whatever is written meanwhile, and an older
 // record never replaces a later one.
-func TestTableIsSeenAsAWhole(t *testing.T) {
+func TestTableSnapshotsAreConsistent(t *testing.T) {
 	var table share.Table
-	entry := func(name string, version uint64) share.Entry {
+	newEntry := func(name string, version uint64) share.Entry {
 		return share.Entry{Name: name, Version: version, Record: share.Record{Selector: share.Selector{Type: name}}}
 	}
-	table.Replace([]share.Entry{entry("a", 1), entry("b", 2)})
+	table.Replace([]share.Entry{newEntry("a", 1), newEntry("b", 2)})
 	before := table.Snapshot()
-	table.Put(entry("c", 5))
-	table.Put(entry("a", 9))
-	table.Put(entry("a", 4))
+	table.Put(newEntry("c", 5))
+	table.Put(newEntry("a", 9))
+	table.Put(newEntry("a", 4))
 	table.Delete("b", 7)
 	table.Delete("c", 3)
 	names := func(s share.Snapshot) string {
 		var out []string
-		s.Each(func(e share.Entry) bool { out = append(out, e.Name); return true })
+		s.Each(func(entry share.Entry) bool { out = append(out, entry.Name); return true })
 		return strings.Join(out, " ")
 	}
 	if names(before) != "a b" || names(table.Snapshot()) != "a c" {
 		t.Errorf("before: %s, now: %s", names(before), names(table.Snapshot()))
 	}
-	if e, ok := table.Snapshot().Get("a"); !ok || e.Version != 9 {
-		t.Errorf("version %d", e.Version)
+	if entry, ok := table.Snapshot().Get("a"); !ok || entry.Version != 9 {
+		t.Errorf("version %d", entry.Version)
 	}
-	if e, ok := table.Snapshot().Of(share.Attributes{Type: "c"}); !ok || e.Name != "c" {
-		t.Errorf("%+v, %v", e, ok)
+	if entry, ok := table.Snapshot().ShardOf(share.Attributes{Type: "c"}); !ok || entry.Name != "c" {
+		t.Errorf("%+v, %v", entry, ok)
 	}
 }
 
-func TestKeysAreReadAsTheyAreWritten(t *testing.T) {
+func TestKeysRoundTrip(t *testing.T) {
 	name, job, ok := share.ParseAssignmentKey(share.AssignmentKey("gpu-1", "j-12"))
 	if !ok || name != "gpu-1" || job != "j-12" {
 		t.Errorf("%s, %s, %v", name, job, ok)
