--- a/internal/share/property_test.go
+++ b/internal/share/property_test.go
@@ -23,415 +23,415 @@
 // is checked is read on the store's and the machines' side.
 
 const (
-	sessionLife = 4 * micro.Second
-	clockMargin = 20 * micro.Millisecond // by which a right ends before its lease
-	shareName   = "s"
+	sessionTTL    = 4 * micro.Second
+	sessionMargin = 20 * micro.Millisecond // by which a right ends before its lease
+	shardName     = "s"
 )
 
 var (
-	leaderKey   = wire.Guard{Key: election.Key}
+	leaderKey   = wire.Guard{Key: election.LeaderKey}
 	controllers = []string{"n-0", "n-1", "n-2"}
 )
 
-// standIn is a controller as an owner.
-type standIn struct {
-	self  share.Controller
-	lease uint64
-	right *election.Term
-	until micro.Time
-	owner *share.Owner
-	token uint64
-	taken map[string]string // machine of each task that the records name
-	holds []string          // tasks whose record has no answer
+// simulatedController is a controller as an owner.
+type simulatedController struct {
+	self                 share.Controller
+	lease                uint64
+	session              *election.Term
+	sessionUntil         micro.Time
+	owner                *share.Owner
+	token                uint64
+	allocations          map[string]string // machine of each task that the records name
+	uncertainAllocations []string          // tasks whose record has no answer
 
 	frozen bool // it stands still, or reaches nothing: its session is not renewed
 }
 
-// answered is an answer that a machine was given.
-type answered struct {
-	first uint64 // of the ownership under which it was given
-	at    micro.Time
+// sentResponse is an answer that a machine was given.
+type sentResponse struct {
+	firstToken uint64 // of the ownership under which it was given
+	at         micro.Time
 }
 
-type world struct {
-	fail     func(format string, args ...any)
-	draw     func(options []string) string
-	now      micro.Time
-	store    *fake.Store
-	nodes    map[string]*standIn
-	machines map[string]*fake.Worker
-	delayed  []wire.Txn // that the network holds back
-	orders   []heldOrder
-	answers  []answered
-	runs     map[string]map[string]bool // task: machines that it is on
-	tasks    int
-	careless bool // owners answer without looking at their right: the checks must notice
-	moves    int
+type simulation struct {
+	fail                func(format string, args ...any)
+	draw                func(options []string) string
+	now                 micro.Time
+	store               *fake.Store
+	controllers         map[string]*simulatedController
+	machines            map[string]*fake.Worker
+	delayedTransactions []wire.Txn // that the network holds back
+	delayedCommands     []delayedCommand
+	responses           []sentResponse
+	machinesByTask      map[string]map[string]bool // task: machines that it is on
+	allocatedTasks      int
+	ignoresLease        bool // owners answer without looking at their right: the checks must notice
+	transfers           int
 }
 
-// heldOrder is a direct order that arrives late.
-type heldOrder struct {
-	machine string
-	order   wire.Orders
+// delayedCommand is a direct order that arrives late.
+type delayedCommand struct {
+	machine  string
+	commands wire.Orders
 }
 
-func newWorld(fail func(string, ...any), draw func([]string) string) *world {
-	w := &world{fail: fail, draw: draw, now: micro.Minute, store: fake.NewStore(), nodes: map[string]*standIn{}, machines: map[string]*fake.Worker{}, runs: map[string]map[string]bool{}}
-	w.store.Now = func() micro.Time { return w.now }
+func newSimulation(fail func(string, ...any), draw func([]string) string) *simulation {
+	sim := &simulation{fail: fail, draw: draw, now: micro.Minute, store: fake.NewStore(), controllers: map[string]*simulatedController{}, machines: map[string]*fake.Worker{}, machinesByTask: map[string]map[string]bool{}}
+	sim.store.Now = func() micro.Time { return sim.now }
 	for _, m := range []string{"i-1", "i-2"} {
-		w.machines[m] = fake.NewWorker(m, "small", "a", 30*micro.Second)
+		sim.machines[m] = fake.NewWorker(m, "small", "a", 30*micro.Second)
 	}
 	for _, node := range controllers {
-		w.register(node)
+		sim.register(node)
 	}
-	rec := share.Form(share.Selector{Zone: "a"}, nil, 0)
-	rec, err := rec.Grant(w.nodes["n-0"].self, 0)
+	rec := share.NewRecord(share.Selector{Zone: "a"}, nil, 0)
+	rec, err := rec.Grant(sim.controllers["n-0"].self, 0)
 	if err != nil {
-		w.fail("%v", err)
+		sim.fail("%v", err)
 	}
-	w.commit(wire.Txn{Then: []wire.Change{{Put: share.RecordKey(shareName), Value: rec}}})
-	return w
+	sim.commit(wire.Txn{Then: []wire.Change{{Put: share.RecordKey(shardName), Value: rec}}})
+	return sim
 }
 
-func (w *world) commit(txn wire.Txn) (uint64, error) {
-	return w.store.Commit(context.Background(), store.Urgent, txn)
+func (s *simulation) commit(txn wire.Txn) (uint64, error) {
+	return s.store.Commit(context.Background(), store.Urgent, txn)
 }
 
 // register begins a new incarnation, which ends the session of the one before.
-func (w *world) register(node string) {
-	if old := w.nodes[node]; old != nil {
-		_ = w.store.Revoke(context.Background(), old.lease)
+func (s *simulation) register(node string) {
+	if previous := s.controllers[node]; previous != nil {
+		_ = s.store.Revoke(context.Background(), previous.lease)
 	}
-	sent := w.now
-	lease, err := w.store.Grant(context.Background(), sessionLife)
+	sent := s.now
+	lease, err := s.store.Grant(context.Background(), sessionTTL)
 	if err != nil {
-		w.fail("%v", err)
+		s.fail("%v", err)
 	}
-	version, err := w.commit(wire.Txn{If: []wire.Guard{{Key: share.SessionKey(node)}},
+	version, err := s.commit(wire.Txn{If: []wire.Guard{{Key: share.SessionKey(node)}},
 		Then: []wire.Change{{Put: share.SessionKey(node), Value: node, Lease: wire.Count(lease)}}})
 	if err != nil {
-		w.fail("%v", err)
+		s.fail("%v", err)
 	}
-	until := sent + sessionLife - clockMargin
-	w.nodes[node] = &standIn{self: share.Controller{Node: node, Session: wire.Count(version)}, lease: lease, until: until,
-		right: election.NewTermOf(share.SessionKey(node), version, until)}
+	until := sent + sessionTTL - sessionMargin
+	s.controllers[node] = &simulatedController{self: share.Controller{Node: node, SessionVersion: wire.Count(version)}, lease: lease, sessionUntil: until,
+		session: election.NewTermForKey(share.SessionKey(node), version, until)}
 }
 
 // renew renews a session if it is still there.
-func (w *world) renew(n *standIn) {
-	if w.store.Renew(context.Background(), n.lease) != nil {
-		w.register(n.self.Node)
+func (s *simulation) renew(controller *simulatedController) {
+	if s.store.Renew(context.Background(), controller.lease) != nil {
+		s.register(controller.self.Node)
 		return
 	}
 	// A term's end cannot be put off from outside: the right goes on as a new one of the
 	// same session, which the owner holds from here on.
-	n.until = w.now + sessionLife - clockMargin
-	n.right.Extend(n.until)
+	controller.sessionUntil = s.now + sessionTTL - sessionMargin
+	controller.session.Extend(controller.sessionUntil)
 }
 
 // entry reads the share's record.
-func (w *world) entry() share.Entry {
-	all, err := readShares(context.Background(), w.store)
+func (s *simulation) entry() share.Entry {
+	all, err := readShards(context.Background(), s.store)
 	if err != nil || len(all) != 1 {
-		w.fail("%d records, %v", len(all), err)
+		s.fail("%d records, %v", len(all), err)
 	}
 	return all[0]
 }
 
 // refresh lets a controller read the record.
-func (w *world) refresh(n *standIn) {
-	e := w.entry()
-	if n.owner != nil {
-		n.owner.Observe(e)
-		if n.owner.State() == share.Over {
-			n.owner = nil
+func (s *simulation) refresh(controller *simulatedController) {
+	entry := s.entry()
+	if controller.owner != nil {
+		controller.owner.Observe(entry)
+		if controller.owner.State() == share.Relinquished {
+			controller.owner = nil
 		}
 	}
-	if n.owner == nil && e.Away() && e.Record.Owner == n.self {
-		n.owner = share.NewOwner(e, n.right, n.self, func(string, ...any) {})
-		n.token, n.holds = n.owner.FirstToken(), nil
-		n.taken = w.allocations()
+	if controller.owner == nil && entry.OwnedElsewhere() && entry.Record.Owner == controller.self {
+		controller.owner = share.NewOwner(entry, controller.session, controller.self, func(string, ...any) {})
+		controller.token, controller.uncertainAllocations = controller.owner.FirstFencingToken(), nil
+		controller.allocations = s.allocations()
 	}
 }
 
 // allocations reads which machine each task was placed on.
-func (w *world) allocations() map[string]string {
-	page, err := w.store.Range(context.Background(), store.Routine, share.AllocationsOf(shareName), "", 1000)
+func (s *simulation) allocations() map[string]string {
+	page, err := s.store.Range(context.Background(), store.Routine, share.AllocationPrefixFor(shardName), "", 1000)
 	if err != nil {
-		w.fail("%v", err)
+		s.fail("%v", err)
 	}
 	out := map[string]string{}
-	for _, it := range page.Items {
+	for _, item := range page.Items {
 		var machine string
-		if err := wire.Unmarshal(it.Value, &machine); err != nil {
-			w.fail("%v", err)
+		if err := wire.Unmarshal(item.Value, &machine); err != nil {
+			s.fail("%v", err)
 		}
-		out[it.Key] = machine
+		out[item.Key] = machine
 	}
 	return out
 }
 
-var fates = []string{"answered", "answered", "unanswered", "late", "refused"}
+var outcomes = []string{"answered", "answered", "unanswered", "late", "refused"}
 
 // send sends a transaction, with one of the fates that the protocol knows.
-func (w *world) send(txn wire.Txn, fate string) (uint64, error) {
-	switch fate {
+func (s *simulation) send(txn wire.Txn, outcome string) (uint64, error) {
+	switch outcome {
 	case "answered":
-		return w.commit(txn)
+		return s.commit(txn)
 	case "unanswered":
-		_, _ = w.commit(txn)
+		_, _ = s.commit(txn)
 	case "late":
-		w.delayed = append(w.delayed, txn)
+		s.delayedTransactions = append(s.delayedTransactions, txn)
 	case "refused":
 		return 0, store.ErrRefused
 	}
 	return 0, store.ErrUncertain
 }
 
-// acts reports whether a controller may answer now, as its owner sees it.
-func (w *world) acts(n *standIn) bool {
-	if n.owner == nil {
+// mayRespond reports whether a controller may answer now, as its owner sees it.
+func (s *simulation) mayRespond(controller *simulatedController) bool {
+	if controller.owner == nil {
 		return false
 	}
-	return w.careless || n.owner.Valid(w.now)
+	return s.ignoresLease || controller.owner.MayServe(s.now)
 }
 
-// answer lets a controller answer a machine's report.
-func (w *world) answer(n *standIn, m *fake.Worker) {
-	if !w.acts(n) {
+// respond lets a controller answer a machine's report.
+func (s *simulation) respond(controller *simulatedController, machine *fake.Worker) {
+	if !s.mayRespond(controller) {
 		return
 	}
-	first := n.owner.FirstToken()
-	w.answers = append(w.answers, answered{first, w.now})
-	for _, other := range w.answers {
-		if other.first > first && other.at < w.now {
-			w.fail("%s answered under token %d after another owner did under %d", n.self.Node, first, other.first)
+	first := controller.owner.FirstFencingToken()
+	s.responses = append(s.responses, sentResponse{first, s.now})
+	for _, other := range s.responses {
+		if other.firstToken > first && other.at < s.now {
+			s.fail("%s answered under token %d after another owner did under %d", controller.self.Node, first, other.firstToken)
 		}
 	}
-	m.Answer(wire.Orders{Token: wire.Count(n.token)}, w.now)
+	machine.Answer(wire.Orders{Token: wire.Count(controller.token)}, s.now)
 }
 
-// place lets a controller place a task: the record first, then the start.
-func (w *world) place(n *standIn, m string, fate string, direct string) {
-	if !w.acts(n) || !n.owner.Places() {
+// allocate lets a controller place a task: the record first, then the start.
+func (s *simulation) allocate(controller *simulatedController, machine string, outcome string, delivery string) {
+	if !s.mayRespond(controller) || !controller.owner.MayAllocate() {
 		return
 	}
-	task := fmt.Sprintf("j-%d/0", w.tasks%4+1)
-	w.tasks++
-	key := share.AllocationKey(shareName, task[:3], 0)
-	if n.taken[key] != "" || slices.Contains(n.holds, key) {
+	task := fmt.Sprintf("j-%d/0", s.allocatedTasks%4+1)
+	s.allocatedTasks++
+	key := share.AllocationKey(shardName, task[:3], 0)
+	if controller.allocations[key] != "" || slices.Contains(controller.uncertainAllocations, key) {
 		return
 	}
-	txn := wire.Txn{If: append(n.owner.Guards(), wire.Guard{Key: key}), Then: []wire.Change{{Put: key, Value: m}}}
-	_, err := w.send(txn, fate)
+	txn := wire.Txn{If: append(controller.owner.Preconditions(), wire.Guard{Key: key}), Then: []wire.Change{{Put: key, Value: machine}}}
+	_, err := s.send(txn, outcome)
 	if err != nil {
 		if errors.Is(err, store.ErrUncertain) {
-			n.holds = append(n.holds, key)
+			controller.uncertainAllocations = append(controller.uncertainAllocations, key)
 		}
 		return
 	}
-	n.taken[key] = m
-	order := wire.Orders{Token: wire.Count(n.token), Session: wire.Count(w.machines[m].Session),
+	controller.allocations[key] = machine
+	command := wire.Orders{Token: wire.Count(controller.token), Session: wire.Count(s.machines[machine].Session),
 		Orders: []wire.Order{{Op: wire.OpStart, Task: task, Attempt: 1}}}
-	if direct == "late" {
-		w.orders = append(w.orders, heldOrder{m, order})
+	if delivery == "late" {
+		s.delayedCommands = append(s.delayedCommands, delayedCommand{machine, command})
 		return
 	}
-	w.deliverOrder(heldOrder{m, order})
+	s.deliverCommand(delayedCommand{machine, command})
 }
 
-// deliverOrder brings a direct order to its machine, and looks at what runs there.
-func (w *world) deliverOrder(h heldOrder) {
-	m := w.machines[h.machine]
-	m.Direct(h.order)
-	for key := range m.Tasks {
-		if w.runs[key.Task] == nil {
-			w.runs[key.Task] = map[string]bool{}
+// deliverCommand brings a direct order to its machine, and looks at what runs there.
+func (s *simulation) deliverCommand(command delayedCommand) {
+	machine := s.machines[command.machine]
+	machine.Direct(command.commands)
+	for key := range machine.Tasks {
+		if s.machinesByTask[key.Task] == nil {
+			s.machinesByTask[key.Task] = map[string]bool{}
 		}
-		w.runs[key.Task][h.machine] = true
-		if len(w.runs[key.Task]) > 1 {
-			w.fail("%s runs on two machines", key.Task)
+		s.machinesByTask[key.Task][command.machine] = true
+		if len(s.machinesByTask[key.Task]) > 1 {
+			s.fail("%s runs on two machines", key.Task)
 		}
 	}
 }
 
-// handOver lets an owner that is to move hand over.
-func (w *world) handOver(n *standIn, fate string) {
-	if n.owner == nil || len(n.holds) > 0 || !w.acts(n) {
+// transfer lets an owner that is to move hand over.
+func (s *simulation) transfer(controller *simulatedController, outcome string) {
+	if controller.owner == nil || len(controller.uncertainAllocations) > 0 || !s.mayRespond(controller) {
 		return
 	}
-	txn, ok := n.owner.HandOver(0)
+	txn, ok := controller.owner.BeginTransfer(0)
 	if !ok {
 		return
 	}
-	_, err := w.send(txn, fate)
-	n.owner.HandedOver(err)
+	_, err := s.send(txn, outcome)
+	controller.owner.HandleTransferResult(err)
 	if err == nil {
-		w.moves++
+		s.transfers++
 	}
 }
 
-// resolve lets an owner in doubt resolve it.
-func (w *world) resolve(n *standIn, fate string) {
-	w.refresh(n)
-	if n.owner == nil {
+// resolveUncertain lets an owner in doubt resolve it.
+func (s *simulation) resolveUncertain(controller *simulatedController, outcome string) {
+	s.refresh(controller)
+	if controller.owner == nil {
 		return
 	}
-	if txn, ok := n.owner.Renew(0); ok {
-		n.owner.Renewed(w.send(txn, fate))
+	if txn, ok := controller.owner.ResolveUncertain(0); ok {
+		controller.owner.HandleResolveResult(s.send(txn, outcome))
 	}
 }
 
-// settle lets a controller read what came of its uncertain placements. One that is not
+// verifyAllocations lets a controller read what came of its uncertain placements. One that is not
 // there is written off only under a record that has changed since.
-func (w *world) settle(n *standIn) {
-	if n.owner == nil {
+func (s *simulation) verifyAllocations(controller *simulatedController) {
+	if controller.owner == nil {
 		return
 	}
-	there := w.allocations()
-	var open []string
-	for _, key := range n.holds {
-		if machine, ok := there[key]; ok {
-			n.taken[key] = machine
+	stored := s.allocations()
+	var unresolved []string
+	for _, key := range controller.uncertainAllocations {
+		if machine, ok := stored[key]; ok {
+			controller.allocations[key] = machine
 			continue
 		}
-		open = append(open, key)
+		unresolved = append(unresolved, key)
 	}
-	n.holds = open
-	if len(open) > 0 && n.owner.State() == share.Settling {
+	controller.uncertainAllocations = unresolved
+	if len(unresolved) > 0 && controller.owner.State() == share.Draining {
 		// The move has changed the record: what was sent before fails for good.
-		n.holds = nil
+		controller.uncertainAllocations = nil
 	}
 }
 
 // sessions reads who has a session.
-func (w *world) sessions() share.Sessions {
-	out, err := readSessions(context.Background(), w.store)
+func (s *simulation) sessions() share.Sessions {
+	out, err := readSessions(context.Background(), s.store)
 	if err != nil {
-		w.fail("%v", err)
+		s.fail("%v", err)
 	}
 	return out
 }
 
-// lead lets the leader begin or cancel a move, or take a share from an owner that is gone.
-func (w *world) lead(what, target, fate string) {
-	e, sessions := w.entry(), w.sessions()
-	if e.OwnerGone(sessions) {
-		if to, ok := e.Successor(sessions, share.Snapshot{}); ok {
-			if txn, err := e.Take(to, sessions, 0, leaderKey); err == nil {
-				_, _ = w.send(txn, fate)
+// leaderAction lets the leader begin or cancel a move, or take a share from an owner that is gone.
+func (s *simulation) leaderAction(action, target, outcome string) {
+	entry, sessions := s.entry(), s.sessions()
+	if entry.OwnerSessionLost(sessions) {
+		if to, ok := entry.Successor(sessions, share.Snapshot{}); ok {
+			if txn, err := entry.Reassign(to, sessions, 0, leaderKey); err == nil {
+				_, _ = s.send(txn, outcome)
 			}
 		}
 		return
 	}
-	later, err := e.Record.Cancel(0)
-	if what == "move" {
+	next, err := entry.Record.CancelMove(0)
+	if action == "move" {
 		to, ok := sessions.Controller(target)
 		if !ok {
 			return
 		}
-		later, err = e.Record.Move(to, 0)
+		next, err = entry.Record.Move(to, 0)
 	}
 	if err == nil {
-		_, _ = w.send(e.Put(later, leaderKey), fate)
+		_, _ = s.send(entry.Update(next, leaderKey), outcome)
 	}
 }
 
-// check looks at what must hold at each moment.
-func (w *world) check() {
-	e := w.entry()
-	if e.Record.Owner.Node == "" {
-		w.fail("revision %d names no owner", e.Version)
+// checkInvariants looks at what must hold at each moment.
+func (s *simulation) checkInvariants() {
+	entry := s.entry()
+	if entry.Record.Owner.Node == "" {
+		s.fail("revision %d names no owner", entry.Version)
 	}
-	valid := []string{}
+	serving := []string{}
 	for _, node := range controllers {
-		if n := w.nodes[node]; n.owner != nil && n.owner.Valid(w.now) {
-			valid = append(valid, node)
+		if controller := s.controllers[node]; controller.owner != nil && controller.owner.MayServe(s.now) {
+			serving = append(serving, node)
 		}
 	}
-	if len(valid) > 1 {
-		w.fail("%v may all act", valid)
+	if len(serving) > 1 {
+		s.fail("%v may all act", serving)
 	}
 }
 
 // step draws what happens next.
-func (w *world) step() {
-	n := w.someController()
-	m := w.draw([]string{"i-1", "i-2"})
-	fate := w.draw(fates)
-	switch w.draw([]string{"refresh", "refresh", "answer", "answer", "place", "place", "hand over", "hand over", "resolve",
+func (s *simulation) step() {
+	controller := s.drawController()
+	machine := s.draw([]string{"i-1", "i-2"})
+	outcome := s.draw(outcomes)
+	switch s.draw([]string{"refresh", "refresh", "answer", "answer", "place", "place", "hand over", "hand over", "resolve",
 		"settle", "move", "move", "cancel", "freeze", "restart", "late txn", "late order", "time", "long time"}) {
 	case "refresh":
-		w.refresh(n)
+		s.refresh(controller)
 	case "answer":
-		w.answer(n, w.machines[m])
+		s.respond(controller, s.machines[machine])
 	case "place":
-		w.place(n, m, fate, w.draw([]string{"now", "late"}))
+		s.allocate(controller, machine, outcome, s.draw([]string{"now", "late"}))
 	case "hand over":
-		w.handOver(n, fate)
+		s.transfer(controller, outcome)
 	case "resolve":
-		w.resolve(n, fate)
+		s.resolveUncertain(controller, outcome)
 	case "settle":
-		w.settle(n)
+		s.verifyAllocations(controller)
 	case "move":
-		w.lead("move", w.draw(controllers), fate)
+		s.leaderAction("move", s.draw(controllers), outcome)
 	case "cancel":
-		w.lead("cancel", "", fate)
+		s.leaderAction("cancel", "", outcome)
 	case "restart":
-		w.register(n.self.Node)
+		s.register(controller.self.Node)
 	case "late txn":
-		if len(w.delayed) > 0 {
-			_, _ = w.commit(w.delayed[0])
-			w.delayed = w.delayed[1:]
+		if len(s.delayedTransactions) > 0 {
+			_, _ = s.commit(s.delayedTransactions[0])
+			s.delayedTransactions = s.delayedTransactions[1:]
 		}
 	case "late order":
-		if len(w.orders) > 0 {
-			w.deliverOrder(w.orders[0])
-			w.orders = w.orders[1:]
+		if len(s.delayedCommands) > 0 {
+			s.deliverCommand(s.delayedCommands[0])
+			s.delayedCommands = s.delayedCommands[1:]
 		}
 	case "freeze":
-		n.frozen = !n.frozen
+		controller.frozen = !controller.frozen
 	case "time":
-		w.pass(300 * micro.Millisecond)
+		s.advance(300 * micro.Millisecond)
 	case "long time":
-		w.pass(sessionLife / 2)
+		s.advance(sessionTTL / 2)
 	}
-	w.check()
+	s.checkInvariants()
 }
 
-// someController draws a controller, the owner more often than others.
-func (w *world) someController() *standIn {
-	if n := w.nodes[w.entry().Record.Owner.Node]; n != nil && w.draw([]string{"owner", "any"}) == "owner" {
-		return n
+// drawController draws a controller, the owner more often than others.
+func (s *simulation) drawController() *simulatedController {
+	if controller := s.controllers[s.entry().Record.Owner.Node]; controller != nil && s.draw([]string{"owner", "any"}) == "owner" {
+		return controller
 	}
-	return w.nodes[w.draw(controllers)]
+	return s.controllers[s.draw(controllers)]
 }
 
-// pass lets time go on: who is not frozen renews its session.
-func (w *world) pass(d micro.Time) {
-	w.now += d
+// advance lets time go on: who is not frozen renews its session.
+func (s *simulation) advance(d micro.Time) {
+	s.now += d
 	for _, node := range controllers {
-		if n := w.nodes[node]; !n.frozen {
-			w.renew(n)
+		if controller := s.controllers[node]; !controller.frozen {
+			s.renew(controller)
 		}
 	}
 }
 
-// play plays so many steps, and tells how often the share was handed over.
-func (w *world) play(steps int) int {
+// run plays so many steps, and tells how often the share was handed over.
+func (s *simulation) run(steps int) int {
 	for range steps {
-		w.step()
+		s.step()
 	}
-	return w.moves
+	return s.transfers
 }
 
 // Whatever is late, lost or repeated, and whoever ends: at most one controller may act
 // for a share, exactly one is named, and no task runs twice.
-func TestNoShareHasTwoOwnersWhateverIsLateOrLost(t *testing.T) {
+func TestNoShardHasTwoOwnersUnderDelayAndLoss(t *testing.T) {
 	moves := 0
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(options []string) string { return rapid.SampledFrom(options).Draw(t, "choice") }
-		moves += newWorld(t.Fatalf, draw).play(rapid.IntRange(50, 250).Draw(t, "steps"))
+		moves += newSimulation(t.Fatalf, draw).run(rapid.IntRange(50, 250).Draw(t, "steps"))
 	})
 	t.Logf("%d moves", moves)
 	if moves == 0 {
@@ -441,50 +441,50 @@
 
 // A hand-over had no answer and was carried out, and the share came back before its
 // first owner read the record again.
-func TestShareThatCameBackIsANewOwnership(t *testing.T) {
+func TestShardThatReturnsIsANewOwnership(t *testing.T) {
 	draw := func(options []string) string { return options[0] }
-	w := newWorld(t.Fatalf, draw)
-	first, second := w.nodes["n-0"], w.nodes["n-1"]
-	w.refresh(first)
-	w.lead("move", "n-1", "answered")
-	w.refresh(first)
-	w.handOver(first, "unanswered")
-	w.refresh(second)
-	w.answer(second, w.machines["i-1"])
-	w.lead("move", "n-0", "answered")
-	w.refresh(second)
-	w.handOver(second, "answered")
-	w.pass(micro.Second)
-	w.refresh(first)
-	if first.owner == nil || first.owner.FirstToken() <= second.owner.FirstToken() {
+	sim := newSimulation(t.Fatalf, draw)
+	first, second := sim.controllers["n-0"], sim.controllers["n-1"]
+	sim.refresh(first)
+	sim.leaderAction("move", "n-1", "answered")
+	sim.refresh(first)
+	sim.transfer(first, "unanswered")
+	sim.refresh(second)
+	sim.respond(second, sim.machines["i-1"])
+	sim.leaderAction("move", "n-0", "answered")
+	sim.refresh(second)
+	sim.transfer(second, "answered")
+	sim.advance(micro.Second)
+	sim.refresh(first)
+	if first.owner == nil || first.owner.FirstFencingToken() <= second.owner.FirstFencingToken() {
 		t.Fatal("no new ownership with higher tokens")
 	}
-	w.answer(first, w.machines["i-1"])
+	sim.respond(first, sim.machines["i-1"])
 }
 
 // The checks notice owners that answer without looking at their right.
-func TestCarelessOwnersAreNoticed(t *testing.T) {
-	const days = 100
-	noticed := 0
-	for seed := range uint64(days) {
+func TestOwnersIgnoringTheirLeaseAreDetected(t *testing.T) {
+	const runs = 100
+	detected := 0
+	for seed := range uint64(runs) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		noticed += carelessDay(func(options []string) string { return options[random.IntN(len(options))] })
+		detected += runIgnoringLease(func(options []string) string { return options[random.IntN(len(options))] })
 	}
-	t.Logf("noticed on %d of %d days", noticed, days)
-	if noticed == 0 {
+	t.Logf("noticed on %d of %d days", detected, runs)
+	if detected == 0 {
 		t.Error("none was noticed")
 	}
 }
 
-// carelessDay plays a day of careless owners, and counts it if the checks notice.
-func carelessDay(draw func([]string) string) (noticed int) {
+// runIgnoringLease plays a day of careless owners, and counts it if the checks notice.
+func runIgnoringLease(draw func([]string) string) (detected int) {
 	defer func() {
 		if recover() != nil {
-			noticed = 1
+			detected = 1
 		}
 	}()
-	w := newWorld(func(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }, draw)
-	w.careless = true
-	w.play(400)
+	sim := newSimulation(func(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }, draw)
+	sim.ignoresLease = true
+	sim.run(400)
 	return 0
 }
--- a/internal/share/record.go
+++ b/internal/share/record.go
@@ -27,8 +27,8 @@
 	Released State = "released" // its owner gave it back to the leader, which takes in its work
 )
 
-// stateMoves lists the states that may follow each state.
-var stateMoves = map[State][]State{
+// stateTransitions lists the states that may follow each state.
+var stateTransitions = map[State][]State{
 	Forming:  {Owned, Released},
 	Owned:    {Moving, Owned},
 	Moving:   {Owned, Released},
@@ -37,52 +37,52 @@
 
 // The reasons for which a change of a share is refused.
 var (
-	ErrSameOwner   = errors.New("the target owns the share already")
-	ErrMoving      = errors.New("the share is moving already")
-	ErrNotMoving   = errors.New("the share is not moving")
-	ErrNotOwned    = errors.New("the share has no owner yet, or none any more")
-	ErrNoTarget    = errors.New("the target has no session: it is not running, or runs without shares")
-	ErrOverlap     = errors.New("another share selects some of the same machines")
-	ErrNoSelection = errors.New("selects all machines: name a type, a zone or a kind")
+	ErrSameOwner            = errors.New("the target owns the share already")
+	ErrAlreadyMoving        = errors.New("the share is moving already")
+	ErrNotMoving            = errors.New("the share is not moving")
+	ErrNotOwned             = errors.New("the share has no owner yet, or none any more")
+	ErrTargetWithoutSession = errors.New("the target has no session: it is not running, or runs without shares")
+	ErrOverlap              = errors.New("another share selects some of the same machines")
+	ErrSelectsAll           = errors.New("selects all machines: name a type, a zone or a kind")
 )
 
 // Controller is one incarnation of a controller as an owner.
 type Controller struct {
-	Node    string     `msgpack:"node" json:"node"`
-	Session wire.Count `msgpack:"session" json:"session"` // version of its session's key
+	Node           string     `msgpack:"node" json:"node"`
+	SessionVersion wire.Count `msgpack:"session" json:"session"` // version of its session's key
 }
 
-// Guard is the condition that this incarnation still has its session.
-func (c Controller) Guard() wire.Guard {
-	return wire.Guard{Key: SessionKey(c.Node), Version: c.Session}
+// Precondition is the condition that this incarnation still has its session.
+func (c Controller) Precondition() wire.Guard {
+	return wire.Guard{Key: SessionKey(c.Node), Version: c.SessionVersion}
 }
 
 // Record is the value of a share's key.
 type Record struct {
-	State    State      `msgpack:"state" json:"state"`
-	Owner    Controller `msgpack:"owner" json:"owner"`   // none while forming or released
-	Target   Controller `msgpack:"target" json:"target"` // while moving; no node: the leader
-	Selector Selector   `msgpack:"select" json:"select"`
-	Teams    []string   `msgpack:"teams" json:"teams"` // whose jobs go there first; empty: any job that finds no room elsewhere
-	Moves    uint64     `msgpack:"moves" json:"moves"` // changes of owner so far
-	At       int64      `msgpack:"at" json:"at"`       // wall clock of the last change, microseconds
+	State        State      `msgpack:"state" json:"state"`
+	Owner        Controller `msgpack:"owner" json:"owner"`   // none while forming or released
+	Target       Controller `msgpack:"target" json:"target"` // while moving; no node: the leader
+	Selector     Selector   `msgpack:"select" json:"select"`
+	Teams        []string   `msgpack:"teams" json:"teams"` // whose jobs go there first; empty: any job that finds no room elsewhere
+	OwnerChanges uint64     `msgpack:"moves" json:"moves"` // changes of owner so far
+	ChangedAt    int64      `msgpack:"at" json:"at"`       // wall clock of the last change, microseconds
 }
 
-// become is the one place where a record's state changes.
-func (r Record) become(to State, owner, target Controller, wall int64) (Record, error) {
-	if !slices.Contains(stateMoves[r.State], to) {
+// transition is the one place where a record's state changes.
+func (r Record) transition(to State, owner, target Controller, wall int64) (Record, error) {
+	if !slices.Contains(stateTransitions[r.State], to) {
 		return r, fmt.Errorf("from %s to %s: %w", r.State, to, ErrNotOwned)
 	}
 	if owner != r.Owner {
-		r.Moves++
+		r.OwnerChanges++
 	}
-	r.State, r.Owner, r.Target, r.At = to, owner, target, wall
+	r.State, r.Owner, r.Target, r.ChangedAt = to, owner, target, wall
 	return r, nil
 }
 
-// Form makes the record of a new share.
-func Form(s Selector, teams []string, wall int64) Record {
-	return Record{State: Forming, Selector: s, Teams: teams, At: wall}
+// NewRecord makes the record of a new share.
+func NewRecord(s Selector, teams []string, wall int64) Record {
+	return Record{State: Forming, Selector: s, Teams: teams, ChangedAt: wall}
 }
 
 // Grant gives a share that was formed to its first owner.
@@ -90,41 +90,41 @@
 	if r.State != Forming {
 		return r, ErrSameOwner
 	}
-	return r.become(Owned, owner, Controller{}, wall)
+	return r.transition(Owned, owner, Controller{}, wall)
 }
 
 // Move begins a move to a target; without a node, back to the leader.
 func (r Record) Move(target Controller, wall int64) (Record, error) {
 	switch {
 	case r.State == Moving && r.Target.Node == target.Node:
-		return r, ErrMoving
+		return r, ErrAlreadyMoving
 	case r.State == Moving:
-		return r, fmt.Errorf("to %q: %w", r.Target.Node, ErrMoving)
+		return r, fmt.Errorf("to %q: %w", r.Target.Node, ErrAlreadyMoving)
 	case r.State != Owned:
 		return r, ErrNotOwned
 	case target.Node == r.Owner.Node:
 		return r, ErrSameOwner
 	}
-	return r.become(Moving, r.Owner, target, wall)
+	return r.transition(Moving, r.Owner, target, wall)
 }
 
-// Cancel ends a move that was not carried out: the owner stays.
-func (r Record) Cancel(wall int64) (Record, error) {
+// CancelMove ends a move that was not carried out: the owner stays.
+func (r Record) CancelMove(wall int64) (Record, error) {
 	if r.State != Moving {
 		return r, ErrNotMoving
 	}
-	return r.become(Owned, r.Owner, Controller{}, wall)
+	return r.transition(Owned, r.Owner, Controller{}, wall)
 }
 
-// HandOver carries out a move.
-func (r Record) HandOver(wall int64) (Record, error) {
+// Transfer carries out a move.
+func (r Record) Transfer(wall int64) (Record, error) {
 	switch {
 	case r.State != Moving:
 		return r, ErrNotMoving
 	case r.Target.Node == "":
-		return r.become(Released, Controller{}, Controller{}, wall)
+		return r.transition(Released, Controller{}, Controller{}, wall)
 	}
-	return r.become(Owned, r.Target, Controller{}, wall)
+	return r.transition(Owned, r.Target, Controller{}, wall)
 }
 
 // Reassign gives the share of an owner whose session is over to another incarnation. A
@@ -133,21 +133,21 @@
 	if r.State != Owned && r.State != Moving {
 		return r, ErrNotOwned
 	}
-	return r.become(Owned, owner, Controller{}, wall)
+	return r.transition(Owned, owner, Controller{}, wall)
 }
 
-// Renewed is the same record, to be written anew: whatever else was sent with the
+// Rewritten is the same record, to be written anew: whatever else was sent with the
 // version before can then no longer be carried out.
-func (r Record) Renewed(wall int64) Record {
-	r.At = wall
+func (r Record) Rewritten(wall int64) Record {
+	r.ChangedAt = wall
 	return r
 }
 
 // Assignment is a job that the leader gave to a share. It counts against its team's
 // limit for as long as its record exists, which the share's owner deletes.
 type Assignment struct {
-	Job   wire.Job `msgpack:"job" json:"job"`
-	At    int64    `msgpack:"at" json:"at"`       // when it was assigned, wall clock, microseconds
-	Tasks int      `msgpack:"tasks" json:"tasks"` // how many of its tasks may have places at once; it only grows
-	Stop  bool     `msgpack:"stop" json:"stop"`   // its tasks are to be stopped: it is being withdrawn
+	Job            wire.Job `msgpack:"job" json:"job"`
+	AssignedAt     int64    `msgpack:"at" json:"at"`       // when it was assigned, wall clock, microseconds
+	MaxAllocations int      `msgpack:"tasks" json:"tasks"` // how many of its tasks may have places at once; it only grows
+	StopRequested  bool     `msgpack:"stop" json:"stop"`   // its tasks are to be stopped: it is being withdrawn
 }
--- a/internal/share/selector.go
+++ b/internal/share/selector.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// Kind is whether a share selects spot machines.
-type Kind string
+// InstanceKind is whether a share selects spot machines.
+type InstanceKind string
 
 // The kinds.
 const (
-	AnyKind      Kind = ""
-	SpotOnly     Kind = "spot"
-	OrdinaryOnly Kind = "ordinary"
+	AnyKind      InstanceKind = ""
+	SpotOnly     InstanceKind = "spot"
+	OnDemandOnly InstanceKind = "ordinary"
 )
 
 // Attributes are what a share is selected by. They never change while a machine lives,
@@ -22,9 +22,9 @@
 
 // Selector says which machines a share has; an empty field selects any.
 type Selector struct {
-	Type string `msgpack:"type" json:"type"`
-	Zone string `msgpack:"zone" json:"zone"`
-	Kind Kind   `msgpack:"kind" json:"kind"`
+	Type string       `msgpack:"type" json:"type"`
+	Zone string       `msgpack:"zone" json:"zone"`
+	Kind InstanceKind `msgpack:"kind" json:"kind"`
 }
 
 // Empty reports whether the selector selects all machines.
@@ -39,9 +39,9 @@
 }
 
 // Overlaps reports whether a machine could match both selectors.
-func (s Selector) Overlaps(o Selector) bool {
+func (s Selector) Overlaps(other Selector) bool {
 	disjoint := func(a, b string) bool { return a != "" && b != "" && a != b }
-	return !disjoint(s.Type, o.Type) && !disjoint(s.Zone, o.Zone) && !disjoint(string(s.Kind), string(o.Kind))
+	return !disjoint(s.Type, other.Type) && !disjoint(s.Zone, other.Zone) && !disjoint(string(s.Kind), string(other.Kind))
 }
 
 // String is the selector in words.
--- /dev/null
+++ b/internal/share/sessions.go
@@ -0,0 +1,71 @@
+package share
+
+import (
+	"slices"
+
+	"notchmux.dev/notchmux/wire"
+)
+
+// Sessions are the controllers that have a session, by node, with its version.
+type Sessions map[string]wire.Count
+
+// Controller is the incarnation of a node that has a session.
+func (s Sessions) Controller(node string) (Controller, bool) {
+	version, ok := s[node]
+	return Controller{Node: node, SessionVersion: version}, ok
+}
+
+// Has reports whether an incarnation still has its session.
+func (s Sessions) Has(c Controller) bool {
+	return s[c.Node] == c.SessionVersion && c.SessionVersion != 0
+}
+
+// OwnerSessionLost reports whether the owner that a record names has lost its session: by its
+// own clock its right has ended before.
+func (e Entry) OwnerSessionLost(s Sessions) bool { return e.OwnedElsewhere() && !s.Has(e.Record.Owner) }
+
+// Successor chooses who gets the share of an owner that is gone: the same node, if it is
+// back; else the node that it was to move to; else one with the fewest shares.
+func (e Entry) Successor(s Sessions, snapshot Snapshot) (Controller, bool) {
+	for _, node := range []string{e.Record.Owner.Node, e.Record.Target.Node} {
+		if controller, ok := s.Controller(node); ok {
+			return controller, true
+		}
+	}
+	return s.LeastLoaded(snapshot)
+}
+
+// LeastLoaded is the controller with the fewest shares, the first by name of several.
+func (s Sessions) LeastLoaded(snapshot Snapshot) (Controller, bool) {
+	ownedShards := map[string]int{}
+	snapshot.Each(func(entry Entry) bool {
+		ownedShards[entry.Record.Owner.Node]++
+		return true
+	})
+	nodes := make([]string, 0, len(s))
+	for node := range s {
+		nodes = append(nodes, node)
+	}
+	if len(nodes) == 0 {
+		return Controller{}, false
+	}
+	slices.Sort(nodes)
+	leastLoaded := slices.MinFunc(nodes, func(a, b string) int { return ownedShards[a] - ownedShards[b] })
+	return s.Controller(leastLoaded)
+}
+
+// Reassign is the transaction by which the leader takes the share from an owner that is gone
+// and gives it to another. Beside the leader's own conditions it carries those that the
+// owner's session has not come back and that the new one's has not ended.
+func (e Entry) Reassign(to Controller, s Sessions, wall int64, leader wire.Guard) (wire.Txn, error) {
+	next, err := e.Record.Reassign(to, wall)
+	if err != nil {
+		return wire.Txn{}, err
+	}
+	node := e.Record.Owner.Node
+	preconditions := []wire.Guard{leader, {Key: SessionKey(node), Version: s[node]}}
+	if to.Node != node {
+		preconditions = append(preconditions, to.Precondition())
+	}
+	return e.Update(next, preconditions...), nil
+}
--- a/internal/share/table.go
+++ b/internal/share/table.go
@@ -18,58 +18,58 @@
 // Key is the key of the share's record.
 func (e Entry) Key() string { return RecordKey(e.Name) }
 
-// Guard is the condition that the record has not changed.
-func (e Entry) Guard() wire.Guard {
+// Precondition is the condition that the record has not changed.
+func (e Entry) Precondition() wire.Guard {
 	return wire.Guard{Key: e.Key(), Version: wire.Count(e.Version)}
 }
 
-// Put is the transaction that writes a later record, under further conditions.
-func (e Entry) Put(later Record, further ...wire.Guard) wire.Txn {
+// Update is the transaction that writes a later record, under further conditions.
+func (e Entry) Update(next Record, preconditions ...wire.Guard) wire.Txn {
 	return wire.Txn{
-		If:   append(further, e.Guard()),
-		Then: []wire.Change{{Put: e.Key(), Value: later}},
+		If:   append(preconditions, e.Precondition()),
+		Then: []wire.Change{{Put: e.Key(), Value: next}},
 	}
 }
 
-// Away reports whether the machines of the share are not the leader's to answer.
-func (e Entry) Away() bool { return e.Record.State == Owned || e.Record.State == Moving }
+// OwnedElsewhere reports whether the machines of the share are not the leader's to answer.
+func (e Entry) OwnedElsewhere() bool { return e.Record.State == Owned || e.Record.State == Moving }
 
 // Snapshot is the table of all shares at one time. It never changes.
 type Snapshot struct {
-	shares *iradix.Tree[Entry]
+	shards *iradix.Tree[Entry]
 }
 
 // Len is how many shares there are.
 func (s Snapshot) Len() int {
-	if s.shares == nil {
+	if s.shards == nil {
 		return 0
 	}
-	return s.shares.Len()
+	return s.shards.Len()
 }
 
 // Get finds a share by its name.
 func (s Snapshot) Get(name string) (Entry, bool) {
-	if s.shares == nil {
+	if s.shards == nil {
 		return Entry{}, false
 	}
-	return s.shares.Get([]byte(name))
+	return s.shards.Get([]byte(name))
 }
 
 // Each calls f with every share, in the order of their names, until it says false.
 func (s Snapshot) Each(f func(Entry) bool) {
-	if s.shares == nil {
+	if s.shards == nil {
 		return
 	}
-	s.shares.Root().Walk(func(_ []byte, e Entry) bool { return !f(e) })
+	s.shards.Root().Walk(func(_ []byte, entry Entry) bool { return !f(entry) })
 }
 
-// Of finds the share that a machine is in; false: it is in none.
-func (s Snapshot) Of(a Attributes) (Entry, bool) {
+// ShardOf finds the share that a machine is in; false: it is in none.
+func (s Snapshot) ShardOf(a Attributes) (Entry, bool) {
 	var found Entry
 	ok := false
-	s.Each(func(e Entry) bool {
-		if e.Record.Selector.Matches(a) {
-			found, ok = e, true
+	s.Each(func(entry Entry) bool {
+		if entry.Record.Selector.Matches(a) {
+			found, ok = entry, true
 		}
 		return !ok
 	})
@@ -77,12 +77,12 @@
 }
 
 // Overlapping finds a share that selects some of the same machines.
-func (s Snapshot) Overlapping(sel Selector) (Entry, bool) {
+func (s Snapshot) Overlapping(selector Selector) (Entry, bool) {
 	var found Entry
 	ok := false
-	s.Each(func(e Entry) bool {
-		if e.Record.Selector.Overlaps(sel) {
-			found, ok = e, true
+	s.Each(func(entry Entry) bool {
+		if entry.Record.Selector.Overlaps(selector) {
+			found, ok = entry, true
 		}
 		return !ok
 	})
@@ -105,25 +105,25 @@
 // Replace takes in all records, as they were read.
 func (t *Table) Replace(entries []Entry) {
 	tree := iradix.New[Entry]().Txn()
-	for _, e := range entries {
-		tree.Insert([]byte(e.Name), e)
+	for _, entry := range entries {
+		tree.Insert([]byte(entry.Name), entry)
 	}
 	t.current.Store(&Snapshot{tree.Commit()})
 }
 
 // Put takes in one record, unless a later version is known.
-func (t *Table) Put(e Entry) {
+func (t *Table) Put(entry Entry) {
 	for {
-		was := t.current.Load()
+		previous := t.current.Load()
 		tree := iradix.New[Entry]()
-		if was != nil {
-			tree = was.shares
+		if previous != nil {
+			tree = previous.shards
 		}
-		if known, ok := tree.Get([]byte(e.Name)); ok && known.Version >= e.Version {
+		if known, ok := tree.Get([]byte(entry.Name)); ok && known.Version >= entry.Version {
 			return
 		}
-		tree, _, _ = tree.Insert([]byte(e.Name), e)
-		if t.current.CompareAndSwap(was, &Snapshot{tree}) {
+		tree, _, _ = tree.Insert([]byte(entry.Name), entry)
+		if t.current.CompareAndSwap(previous, &Snapshot{tree}) {
 			return
 		}
 	}
@@ -132,15 +132,15 @@
 // Delete forgets a share whose record is gone as of a revision.
 func (t *Table) Delete(name string, revision uint64) {
 	for {
-		was := t.current.Load()
-		if was == nil {
+		previous := t.current.Load()
+		if previous == nil {
 			return
 		}
-		if known, ok := was.shares.Get([]byte(name)); !ok || known.Version > revision {
+		if known, ok := previous.shards.Get([]byte(name)); !ok || known.Version > revision {
 			return
 		}
-		tree, _, _ := was.shares.Delete([]byte(name))
-		if t.current.CompareAndSwap(was, &Snapshot{tree}) {
+		tree, _, _ := previous.shards.Delete([]byte(name))
+		if t.current.CompareAndSwap(previous, &Snapshot{tree}) {
 			return
 		}
 	}
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -12,48 +12,48 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// still makes a limiter that is full and never fills again: no clock has a say.
-func still(burst int) *rate.Limiter { return rate.NewLimiter(0, burst) }
+// nonRefillingLimiter makes a limiter that is full and never fills again: no clock has a say.
+func nonRefillingLimiter(burst int) *rate.Limiter { return rate.NewLimiter(0, burst) }
 
-func TestEachClassLeavesItsReserve(t *testing.T) {
+func TestClassLeavesItsReservedFraction(t *testing.T) {
 	const burst = 100
 	for _, c := range []struct {
 		class Class
 		want  int
-	}{{Urgent, 95}, {Routine, 80}, {Lazy, 50}} {
-		lim, got := still(burst), 0
-		for Admit(lim, c.class, 1) {
+	}{{Urgent, 95}, {Routine, 80}, {Deferrable, 50}} {
+		limiter, got := nonRefillingLimiter(burst), 0
+		for Admit(limiter, c.class, 1) {
 			got++
 		}
 		if got != c.want {
 			t.Errorf("class %d got %d of %d", c.class, got, burst)
 		}
-		if !Admit(lim, Leadership, 1) {
+		if !Admit(limiter, Leadership, 1) {
 			t.Errorf("leadership held back after class %d", c.class)
 		}
-		if c.class != Urgent && !Admit(lim, Urgent, 1) {
+		if c.class != Urgent && !Admit(limiter, Urgent, 1) {
 			t.Errorf("class %d left nothing for what is urgent", c.class)
 		}
 	}
 }
 
 func TestLeadershipBorrowsAndOthersWait(t *testing.T) {
-	lim := still(2)
+	limiter := nonRefillingLimiter(2)
 	for range 10 {
-		if !Admit(lim, Leadership, 1) {
+		if !Admit(limiter, Leadership, 1) {
 			t.Fatal("leadership held back")
 		}
 	}
-	if Admit(lim, Urgent, 1) {
+	if Admit(limiter, Urgent, 1) {
 		t.Error("admitted while the budget is borrowed")
 	}
-	if !Admit(lim, Lazy, 0) {
+	if !Admit(limiter, Deferrable, 0) {
 		t.Error("what takes nothing is always admitted")
 	}
 }
 
-// refusing makes a client of a service that answers 429 and counts the requests.
-func refusing(t *testing.T, requests *atomic.Int32) *Client {
+// newRateLimitedClient makes a client of a service that answers 429 and counts the requests.
+func newRateLimitedClient(t *testing.T, requests *atomic.Int32) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,17 +71,17 @@
 
 func TestCallsOverTheBudgetAreNotSent(t *testing.T) {
 	var requests atomic.Int32
-	client := refusing(t, &requests)
-	client.writes, client.reads = still(10), still(10)
+	client := newRateLimitedClient(t, &requests)
+	client.writes, client.reads = nonRefillingLimiter(10), nonRefillingLimiter(10)
 	txn := wire.Txn{Then: make([]wire.Change, 9)}
-	if room := client.WriteRoom(Routine); room != 8 {
+	if room := client.AvailableWrites(Routine); room != 8 {
 		t.Errorf("room for %d changes", room)
 	}
-	if _, err := client.Commit(t.Context(), Routine, txn); !errors.Is(err, ErrBudget) {
+	if _, err := client.Commit(t.Context(), Routine, txn); !errors.Is(err, ErrBudgetExhausted) {
 		t.Errorf("commit: %v", err)
 	}
-	client.reads = still(0)
-	if _, err := client.Get(t.Context(), Routine, "k"); !errors.Is(err, ErrBudget) {
+	client.reads = nonRefillingLimiter(0)
+	if _, err := client.Get(t.Context(), Routine, "k"); !errors.Is(err, ErrBudgetExhausted) {
 		t.Errorf("read: %v", err)
 	}
 	if requests.Load() != 0 {
@@ -91,13 +91,13 @@
 
 // The service may lower its rate of changes at a time that nobody tells: the first
 // change that is refused for it says so.
-func TestRateIsLoweredByTheFirstRefusedChange(t *testing.T) {
+func TestAnnouncedWriteLimitAppliesAfterFirstRateLimitedWrite(t *testing.T) {
 	var requests atomic.Int32
-	client := refusing(t, &requests)
+	client := newRateLimitedClient(t, &requests)
 	client.SetBudgetFraction(1, 0.5)
 	commit := func() {
 		t.Helper()
-		if _, err := client.Commit(t.Context(), Urgent, wire.Txn{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(err, ErrBusy) {
+		if _, err := client.Commit(t.Context(), Urgent, wire.Txn{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(err, ErrRateLimited) {
 			t.Fatal(err)
 		}
 	}
@@ -110,7 +110,7 @@
 	commit()
 	limit(150) // nobody announced a lower rate
 	client.AnnounceWriteLimit(100)
-	if _, err := client.Get(t.Context(), Urgent, "k"); !errors.Is(err, ErrBusy) {
+	if _, err := client.Get(t.Context(), Urgent, "k"); !errors.Is(err, ErrRateLimited) {
 		t.Fatal(err)
 	}
 	limit(150) // a read says nothing of changes
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,16 +21,16 @@
 
 // The ways in which a call can fail, each handled by name.
 var (
-	ErrConflict  = errors.New("store: a guard did not hold")       // 409
-	ErrCompacted = errors.New("store: revision too old to watch")  // 410
-	ErrBusy      = errors.New("store: over its limits")            // 429
-	ErrRefused   = errors.New("store: refused, not executed")      // 503
-	ErrNoLease   = errors.New("store: no such lease")              // 404 or 400
-	ErrUncertain = errors.New("store: no answer, may have run")    // timeout, reset
-	ErrBudget    = errors.New("store: this node's budget is used") // not sent
-	ErrBad       = errors.New("store: request called malformed")   // 400
-	ErrNotFound  = errors.New("store: no such key")                // 404
-	ErrStatus    = errors.New("store: unexpected status")          // anything else
+	ErrConflict         = errors.New("store: a guard did not hold")       // 409
+	ErrCompacted        = errors.New("store: revision too old to watch")  // 410
+	ErrRateLimited      = errors.New("store: over its limits")            // 429
+	ErrRefused          = errors.New("store: refused, not executed")      // 503
+	ErrNoLease          = errors.New("store: no such lease")              // 404 or 400
+	ErrUncertain        = errors.New("store: no answer, may have run")    // timeout, reset
+	ErrBudgetExhausted  = errors.New("store: this node's budget is used") // not sent
+	ErrMalformed        = errors.New("store: request called malformed")   // 400
+	ErrNotFound         = errors.New("store: no such key")                // 404
+	ErrUnexpectedStatus = errors.New("store: unexpected status")          // anything else
 )
 
 // Class is a call's importance when the budget runs low.
@@ -38,23 +38,23 @@
 
 // The classes, most important first.
 const (
-	Leadership Class = iota
-	Urgent           // cancellations, starts
-	Routine          // other writes, reads for submissions
-	Lazy             // what can wait: completions, records of what is over
-	Poll             // look-ups for polls that the leader does not answer: users ask again
+	Leadership  Class = iota
+	Urgent            // cancellations, starts
+	Routine           // other writes, reads for submissions
+	Deferrable        // what can wait: completions, records of what is over
+	StatusQuery       // look-ups for polls that the leader does not answer: users ask again
 )
 
-// Reserve is the part of the burst that a class must leave untouched.
-func (c Class) Reserve() float64 {
+// ReservedFraction is the part of the burst that a class must leave untouched.
+func (c Class) ReservedFraction() float64 {
 	switch c {
 	case Leadership:
 		return -1 // may borrow: renewal is never held back
 	case Urgent:
 		return 0.05
-	case Lazy:
+	case Deferrable:
 		return 0.5
-	case Poll:
+	case StatusQuery:
 		return 0.6
 	}
 	return 0.2
@@ -62,14 +62,14 @@
 
 // Store is what the rest of the service needs of the state service.
 type Store interface {
-	// WriteRoom is how many puts and deletes the budget allows now.
-	WriteRoom(class Class) int
+	// AvailableWrites is how many puts and deletes the budget allows now.
+	AvailableWrites(class Class) int
 	Get(ctx context.Context, class Class, key string) (wire.Item, error)
 	Range(ctx context.Context, class Class, prefix, after string, limit int) (wire.Page, error)
 	Commit(ctx context.Context, class Class, txn wire.Txn) (revision uint64, err error)
 	// Existing says which of the keys there are: one transaction that changes
 	// nothing, and whose guards say that they do not exist.
-	Existing(ctx context.Context, class Class, keys []string) (map[string]bool, error)
+	ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error)
 	Grant(ctx context.Context, ttl micro.Time) (lease uint64, err error)
 	Renew(ctx context.Context, lease uint64) error
 	Revoke(ctx context.Context, lease uint64) error
@@ -78,26 +78,26 @@
 
 // Client speaks to the real state service.
 type Client struct {
-	base    string
-	http    *fasthttp.Client
-	timeout time.Duration
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	rps     float64
-	wps     float64
+	baseURL  string
+	http     *fasthttp.Client
+	timeout  time.Duration
+	reads    *rate.Limiter
+	writes   *rate.Limiter
+	readRPS  float64
+	writeRPS float64
 
-	mu    sync.Mutex
-	share [2]float64
-	lower float64 // the rate of changes that may come into force; 0: none
+	mu                sync.Mutex
+	budgetFractions   [2]float64
+	announcedWriteRPS float64 // the rate of changes that may come into force; 0: none
 
-	answered atomic.Int64
+	lastResponse atomic.Int64
 }
 
 // NewClient makes a client for the service at addr, allowed the given rates in
 // all; SetBudgetFraction says how much of them this node may use.
-func NewClient(addr string, rps, writeRPS float64) *Client {
+func NewClient(addr string, readRPS, writeRPS float64) *Client {
 	return &Client{
-		base: "http://" + addr,
+		baseURL: "http://" + addr,
 		http: &fasthttp.Client{
 			MaxConnsPerHost: 48, MaxIdleConnDuration: 20 * time.Second,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
@@ -106,9 +106,9 @@
 			DisablePathNormalizing: true,
 		},
 		timeout: 1500 * time.Millisecond,
-		reads:   rate.NewLimiter(rate.Limit(rps/3), max(1, int(rps/3))),
+		reads:   rate.NewLimiter(rate.Limit(readRPS/3), max(1, int(readRPS/3))),
 		writes:  rate.NewLimiter(rate.Limit(writeRPS/3), max(1, int(writeRPS/3))),
-		rps:     rps, wps: writeRPS,
+		readRPS: readRPS, writeRPS: writeRPS,
 	}
 }
 
@@ -116,17 +116,17 @@
 func (c *Client) SetBudgetFraction(reads, writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.share = [2]float64{reads, writes}
-	c.apply()
+	c.budgetFractions = [2]float64{reads, writes}
+	c.applyLimits()
 }
 
-func (c *Client) apply() {
-	for _, l := range []struct {
+func (c *Client) applyLimits() {
+	for _, limit := range []struct {
 		lim *rate.Limiter
 		all float64
-	}{{c.reads, c.rps * c.share[0]}, {c.writes, c.wps * c.share[1]}} {
-		l.lim.SetLimit(rate.Limit(l.all))
-		l.lim.SetBurst(max(1, int(l.all)))
+	}{{c.reads, c.readRPS * c.budgetFractions[0]}, {c.writes, c.writeRPS * c.budgetFractions[1]}} {
+		limit.lim.SetLimit(rate.Limit(limit.all))
+		limit.lim.SetBurst(max(1, int(limit.all)))
 	}
 }
 
@@ -135,72 +135,72 @@
 func (c *Client) AnnounceWriteLimit(writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if writes < c.wps {
-		c.lower = writes
+	if writes < c.writeRPS {
+		c.announcedWriteRPS = writes
 	}
 }
 
-// lowered notes that the service refused changes for being over its rate.
-func (c *Client) lowered() {
+// applyAnnouncedWriteLimit notes that the service refused changes for being over its rate.
+func (c *Client) applyAnnouncedWriteLimit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lower > 0 && c.lower < c.wps {
-		c.wps = c.lower
-		c.apply()
+	if c.announcedWriteRPS > 0 && c.announcedWriteRPS < c.writeRPS {
+		c.writeRPS = c.announcedWriteRPS
+		c.applyLimits()
 	}
 }
 
 // LastResponse is when the store last answered with anything but a refusal.
-func (c *Client) LastResponse() micro.Time { return micro.Time(c.answered.Load()) }
+func (c *Client) LastResponse() micro.Time { return micro.Time(c.lastResponse.Load()) }
 
-// WriteRoom is how many puts and deletes the budget allows now.
-func (c *Client) WriteRoom(class Class) int {
-	return int(c.writes.Tokens() - max(class.Reserve(), 0)*float64(c.writes.Burst()))
+// AvailableWrites is how many puts and deletes the budget allows now.
+func (c *Client) AvailableWrites(class Class) int {
+	return int(c.writes.Tokens() - max(class.ReservedFraction(), 0)*float64(c.writes.Burst()))
 }
 
 // Admit takes n tokens if the class may have them now.
-func Admit(lim *rate.Limiter, class Class, n int) bool {
+func Admit(limiter *rate.Limiter, class Class, n int) bool {
 	if n == 0 {
 		return true
 	}
 	if class == Leadership {
-		lim.ReserveN(time.Now(), min(n, lim.Burst()))
+		limiter.ReserveN(time.Now(), min(n, limiter.Burst()))
 		return true
 	}
-	if lim.Tokens()-float64(n) < class.Reserve()*float64(lim.Burst()) {
+	if limiter.Tokens()-float64(n) < class.ReservedFraction()*float64(limiter.Burst()) {
 		return false
 	}
-	return lim.AllowN(time.Now(), min(n, lim.Burst()))
+	return limiter.AllowN(time.Now(), min(n, limiter.Burst()))
 }
 
 func (c *Client) call(ctx context.Context, class Class, writes int, method, path string, body []byte, timeout time.Duration, out any) (int, error) {
 	if !Admit(c.writes, class, writes) || !Admit(c.reads, class, 1) {
-		return 0, ErrBudget
+		return 0, ErrBudgetExhausted
 	}
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI(c.base + path)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI(c.baseURL + path)
 	if body != nil {
-		req.SetBodyRaw(body)
+		request.SetBodyRaw(body)
 	}
 	deadline := time.Now().Add(timeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
-		deadline = d
+	if contextDeadline, ok := ctx.Deadline(); ok && contextDeadline.Before(deadline) {
+		deadline = contextDeadline
 	}
-	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
+	if err := c.http.DoDeadline(request, response, deadline); err != nil {
 		return 0, fmt.Errorf("%w: %v", ErrUncertain, err)
 	}
-	code := resp.StatusCode()
+	code := response.StatusCode()
 	if code != 503 {
-		c.answered.Store(int64(micro.Now()))
+		c.lastResponse.Store(int64(micro.Now()))
 	}
 	switch code {
 	case 200, 409, 400, 404:
 		if out != nil {
-			if err := wire.Unmarshal(resp.Body(), out); err != nil && code == 200 {
-				return code, fmt.Errorf("%w: %v", ErrStatus, err)
+			if err := wire.Unmarshal(response.Body(), out); err != nil && code == 200 {
+				return code, fmt.Errorf("%w: %v", ErrUnexpectedStatus, err)
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 	case 200:
 		return code, nil
 	case 400:
-		return code, ErrBad
+		return code, ErrMalformed
 	case 404:
 		return code, ErrNotFound
 	case 409:
@@ -217,31 +217,31 @@
 		return code, ErrCompacted
 	case 429:
 		if writes > 0 {
-			c.lowered()
+			c.applyAnnouncedWriteLimit()
 		}
-		return code, ErrBusy
+		return code, ErrRateLimited
 	case 503:
 		return code, ErrRefused
 	}
-	return code, fmt.Errorf("%w %d", ErrStatus, code)
+	return code, fmt.Errorf("%w %d", ErrUnexpectedStatus, code)
 }
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, class Class, key string) (wire.Item, error) {
-	var it wire.Item
-	_, err := c.call(ctx, class, 0, "GET", "/keys/"+key, nil, c.timeout, &it)
-	return it, err
+	var item wire.Item
+	_, err := c.call(ctx, class, 0, "GET", "/keys/"+key, nil, c.timeout, &item)
+	return item, err
 }
 
 // Range reads up to limit keys with the prefix, in order, starting after a key.
 func (c *Client) Range(ctx context.Context, class Class, prefix, after string, limit int) (wire.Page, error) {
-	var p wire.Page
+	var page wire.Page
 	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
 		path += "&since=" + url.QueryEscape(after)
 	}
-	_, err := c.call(ctx, class, 0, "GET", path, nil, c.timeout, &p)
-	return p, err
+	_, err := c.call(ctx, class, 0, "GET", path, nil, c.timeout, &page)
+	return page, err
 }
 
 // Commit runs a transaction. On ErrConflict nothing was changed.
@@ -250,42 +250,42 @@
 	if err != nil {
 		return 0, err
 	}
-	var r wire.TxnResult
-	_, err = c.call(ctx, class, len(txn.Then), "POST", "/commit", body, c.timeout, &r)
-	if errors.Is(err, ErrBad) && r.Error == "no such lease" {
+	var result wire.TxnResult
+	_, err = c.call(ctx, class, len(txn.Then), "POST", "/commit", body, c.timeout, &result)
+	if errors.Is(err, ErrMalformed) && result.Error == "no such lease" {
 		err = ErrNoLease
 	}
-	return uint64(r.Revision), err
+	return uint64(result.Revision), err
 }
 
-// Existing says which of the keys there are.
-func (c *Client) Existing(ctx context.Context, class Class, keys []string) (map[string]bool, error) {
+// ExistingKeys says which of the keys there are.
+func (c *Client) ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error) {
 	txn := wire.Txn{If: make([]wire.Guard, 0, len(keys)), Then: []wire.Change{}}
-	for _, k := range keys {
-		txn.If = append(txn.If, wire.Guard{Key: k})
+	for _, key := range keys {
+		txn.If = append(txn.If, wire.Guard{Key: key})
 	}
 	body, err := wire.Marshal(txn)
 	if err != nil {
 		return nil, err
 	}
-	var r wire.TxnResult
-	_, err = c.call(ctx, class, 0, "POST", "/commit", body, c.timeout, &r)
+	var result wire.TxnResult
+	_, err = c.call(ctx, class, 0, "POST", "/commit", body, c.timeout, &result)
 	if err != nil && !errors.Is(err, ErrConflict) {
 		return nil, err
 	}
-	out := make(map[string]bool, len(r.Failed))
-	for _, k := range r.Failed {
-		out[k] = true
+	existing := make(map[string]bool, len(result.Failed))
+	for _, key := range result.Failed {
+		existing[key] = true
 	}
-	return out, nil
+	return existing, nil
 }
 
 // Grant asks for a lease.
 func (c *Client) Grant(ctx context.Context, ttl micro.Time) (uint64, error) {
-	var r wire.LeaseReply
+	var reply wire.LeaseReply
 	body := wire.MustMarshal(wire.LeaseRequest{TTLMs: int64(ttl / micro.Millisecond)})
-	_, err := c.call(ctx, Leadership, 0, "POST", "/leases", body, c.timeout, &r)
-	return uint64(r.Lease), err
+	_, err := c.call(ctx, Leadership, 0, "POST", "/leases", body, c.timeout, &reply)
+	return uint64(reply.Lease), err
 }
 
 // Renew extends a lease to its full time.
@@ -308,9 +308,9 @@
 
 // Watch waits for changes under the prefix after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
-	var ev wire.Events
+	var events wire.Events
 	path := "/changes?prefix=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(after, 10) +
 		"&waitMs=" + strconv.FormatInt(int64(wait/micro.Millisecond), 10)
-	_, err := c.call(ctx, Leadership, 0, "GET", path, nil, wait.Std()+2*time.Second, &ev)
-	return ev, err
+	_, err := c.call(ctx, Leadership, 0, "GET", path, nil, wait.Std()+2*time.Second, &events)
+	return events, err
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,8 +16,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// plenty is a rate that no test uses up.
-const plenty = 1e6
+// unlimitedRate is a rate that no test uses up.
+const unlimitedRate = 1e6
 
 // serve answers on loopback until the test ends.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (addr string) {
@@ -32,15 +32,15 @@
 	return listener.Addr().String()
 }
 
-// answer makes a handler that always gives the same answer.
-func answer(status int, body []byte) fasthttp.RequestHandler {
+// respondWith makes a handler that always gives the same answer.
+func respondWith(status int, body []byte) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(status)
 		ctx.SetBody(body)
 	}
 }
 
-func put(key string, guards ...wire.Guard) wire.Txn {
+func putTransaction(key string, guards ...wire.Guard) wire.Txn {
 	return wire.Txn{If: guards, Then: []wire.Change{{Put: key, Value: "v"}}}
 }
 
@@ -54,22 +54,22 @@
 		silent bool // the service counts as not having answered
 	}{
 		{"done", 200, wire.MustMarshal(wire.TxnResult{Revision: 7}), nil, false},
-		{"malformed", 400, empty, store.ErrBad, false},
+		{"malformed", 400, empty, store.ErrMalformed, false},
 		{"no lease", 400, wire.MustMarshal(wire.TxnResult{Error: "no such lease"}), store.ErrNoLease, false},
 		{"no key", 404, empty, store.ErrNotFound, false},
 		{"guard", 409, empty, store.ErrConflict, false},
 		{"compacted", 410, empty, store.ErrCompacted, false},
-		{"over its limits", 429, empty, store.ErrBusy, false},
-		{"unexpected", 500, empty, store.ErrStatus, false},
+		{"over its limits", 429, empty, store.ErrRateLimited, false},
+		{"unexpected", 500, empty, store.ErrUnexpectedStatus, false},
 		{"refused", 503, empty, store.ErrRefused, true},
-		{"done, and no body", 200, nil, store.ErrStatus, false},
-		{"done, and half a body", 200, wire.MustMarshal(wire.TxnResult{Revision: 7})[:5], store.ErrStatus, false},
-		{"done, and another body", 200, wire.MustMarshal("text"), store.ErrStatus, false},
+		{"done, and no body", 200, nil, store.ErrUnexpectedStatus, false},
+		{"done, and half a body", 200, wire.MustMarshal(wire.TxnResult{Revision: 7})[:5], store.ErrUnexpectedStatus, false},
+		{"done, and another body", 200, wire.MustMarshal("text"), store.ErrUnexpectedStatus, false},
 		{"guard, and no body", 409, nil, store.ErrConflict, false},
 		{"refused, and no body", 503, nil, store.ErrRefused, true},
 	} {
-		client := store.NewClient(serve(t, answer(c.status, c.body)), plenty, plenty)
-		_, err := client.Commit(t.Context(), store.Routine, put("k"))
+		client := store.NewClient(serve(t, respondWith(c.status, c.body)), unlimitedRate, unlimitedRate)
+		_, err := client.Commit(t.Context(), store.Routine, putTransaction("k"))
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, not %v", c.name, err, c.want)
 		}
@@ -81,7 +81,7 @@
 
 // A commit whose answer is lost may have run: it is neither repeated nor taken for
 // refused, on a connection that is new or has served before.
-func TestLostAnswerIsUncertainAndNothingIsSentTwice(t *testing.T) {
+func TestLostResponseIsUncertainAndNothingIsSentTwice(t *testing.T) {
 	state := fake.NewStore()
 	var requests atomic.Int32
 	client := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) {
@@ -89,10 +89,10 @@
 		if n := requests.Add(1); n != 2 {
 			_ = ctx.Conn().Close()
 		}
-	}), plenty, plenty)
+	}), unlimitedRate, unlimitedRate)
 	for i, key := range []string{"new", "answered", "served before"} {
-		_, err := client.Commit(t.Context(), store.Routine, put(key, wire.Guard{Key: key}))
-		if lost := key != "answered"; lost != errors.Is(err, store.ErrUncertain) || !lost && err != nil {
+		_, err := client.Commit(t.Context(), store.Routine, putTransaction(key, wire.Guard{Key: key}))
+		if responseLost := key != "answered"; responseLost != errors.Is(err, store.ErrUncertain) || !responseLost && err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
 		if got := int(requests.Load()); got != i+1 {
@@ -109,9 +109,9 @@
 	}
 }
 
-func TestCallsGiveUpAtTheDeadlineOfTheirContext(t *testing.T) {
+func TestCallsEndAtTheDeadlineOfTheirContext(t *testing.T) {
 	state := fake.NewStore()
-	client := store.NewClient(serve(t, state.Handle), plenty, plenty)
+	client := store.NewClient(serve(t, state.Handle), unlimitedRate, unlimitedRate)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Hour))
 	defer cancel()
 	if err := client.Renew(ctx, 1); !errors.Is(err, store.ErrUncertain) {
@@ -122,12 +122,12 @@
 	}
 }
 
-func TestLeaseThatExpiredIsNoLeaseForAnyCall(t *testing.T) {
+func TestExpiredLeaseIsNoLeaseForAnyCall(t *testing.T) {
 	const ttl = 3 * micro.Second
 	var now atomic.Int64
 	state := fake.NewStore()
 	state.Now = func() micro.Time { return micro.Time(now.Load()) }
-	client := store.NewClient(serve(t, state.Handle), plenty, plenty)
+	client := store.NewClient(serve(t, state.Handle), unlimitedRate, unlimitedRate)
 	ctx := t.Context()
 	lease, err := client.Grant(ctx, ttl)
 	if err != nil {
@@ -156,26 +156,26 @@
 		t.Errorf("commit: %v", err)
 	}
 	missing := fake.NewStore()
-	gone := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) { missing.Handle(ctx); ctx.SetStatusCode(404) }), plenty, plenty)
-	if err := gone.Revoke(ctx, lease); err != nil {
+	withoutLease := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) { missing.Handle(ctx); ctx.SetStatusCode(404) }), unlimitedRate, unlimitedRate)
+	if err := withoutLease.Revoke(ctx, lease); err != nil {
 		t.Errorf("a lease that is gone counts as revoked: %v", err)
 	}
 }
 
-func TestExistingSaysWhichKeysThereAre(t *testing.T) {
+func TestExistingKeysListsTheKeysThatExist(t *testing.T) {
 	state := fake.NewStore()
-	client := store.NewClient(serve(t, state.Handle), plenty, plenty)
+	client := store.NewClient(serve(t, state.Handle), unlimitedRate, unlimitedRate)
 	for _, key := range []string{"a", "c"} {
-		if _, err := client.Commit(t.Context(), store.Routine, put(key)); err != nil {
+		if _, err := client.Commit(t.Context(), store.Routine, putTransaction(key)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := client.Existing(t.Context(), store.Routine, []string{"a", "b", "c"})
+	got, err := client.ExistingKeys(t.Context(), store.Routine, []string{"a", "b", "c"})
 	if err != nil || !got["a"] || got["b"] || !got["c"] {
 		t.Errorf("%v %v", got, err)
 	}
 	state.Outage(true)
-	if got, err := client.Existing(t.Context(), store.Routine, []string{"b"}); !errors.Is(err, store.ErrRefused) || got != nil {
+	if got, err := client.ExistingKeys(t.Context(), store.Routine, []string{"b"}); !errors.Is(err, store.ErrRefused) || got != nil {
 		t.Errorf("in an outage: %v %v", got, err)
 	}
 }
@@ -185,7 +185,7 @@
 	client := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) {
 		prefix, since = string(ctx.QueryArgs().Peek("prefix")), string(ctx.QueryArgs().Peek("since"))
 		ctx.SetBody(wire.MustMarshal(wire.Page{}))
-	}), plenty, plenty)
+	}), unlimitedRate, unlimitedRate)
 	if _, err := client.Range(t.Context(), store.Routine, "a&b=/", "a&since=c", 1); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/writer/commit.go
+++ b/internal/writer/commit.go
@@ -11,165 +11,165 @@
 )
 
 const (
-	commitWait   = 1200 * time.Millisecond
-	verifyWait   = time.Second
-	refusedPause = 80 * micro.Millisecond  // after a refusal, before the next try
-	doubtPause   = 50 * micro.Millisecond  // after an uncertain write, before the next
-	unreadPause  = 100 * micro.Millisecond // after an uncertain key could not be read
+	commitTimeout     = 1200 * time.Millisecond
+	verifyTimeout     = time.Second
+	refusedBackoff    = 80 * micro.Millisecond  // after a refusal, before the next try
+	uncertainBackoff  = 50 * micro.Millisecond  // after an uncertain write, before the next
+	unreadableBackoff = 100 * micro.Millisecond // after an uncertain key could not be read
 )
 
 // commit sends a transaction, and has the loop take in what came of it.
-func (w *Writer) commit(txn wire.Txn, batch []written) {
-	from := w.host.Now()
-	if !w.host.Valid() {
-		w.host.Post(func() { w.fail(batch, false) })
+func (w *Writer) commit(txn wire.Txn, changes []batchChange) {
+	sentAt := w.host.Now()
+	if !w.host.HoldsLease() {
+		w.host.Post(func() { w.requeue(changes, false) })
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), commitWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	revision, err := w.store.Commit(ctx, store.Urgent, txn)
 	w.host.Post(func() {
 		now := w.host.Now()
-		w.host.Committed(now - from)
-		w.committed(txn, batch, revision, err, now)
+		w.host.ObserveCommit(now - sentAt)
+		w.handleCommitResult(txn, changes, revision, err, now)
 	})
 }
 
-// committed takes in the outcome of a transaction.
-func (w *Writer) committed(txn wire.Txn, batch []written, revision uint64, err error, now micro.Time) {
+// handleCommitResult takes in the outcome of a transaction.
+func (w *Writer) handleCommitResult(txn wire.Txn, changes []batchChange, revision uint64, err error, now micro.Time) {
 	switch {
 	case err == nil:
-		w.land(entriesOf(batch)...)
-		w.tell(batch)
-		for _, b := range batch {
-			w.stored(b, revision)
+		w.endInFlight(recordsOf(changes)...)
+		w.countChanges(changes)
+		for _, change := range changes {
+			w.markStored(change, revision)
 		}
-	case errors.Is(err, store.ErrBudget), errors.Is(err, store.ErrBusy), errors.Is(err, store.ErrRefused):
-		w.fail(batch, false)
-		w.next = now + refusedPause
-	case errors.Is(err, store.ErrBad):
+	case errors.Is(err, store.ErrBudgetExhausted), errors.Is(err, store.ErrRateLimited), errors.Is(err, store.ErrRefused):
+		w.requeue(changes, false)
+		w.notBefore = now + refusedBackoff
+	case errors.Is(err, store.ErrMalformed):
 		// Not executed, and never will be as it is: one of its values or their
 		// number is over a limit that was lowered.
-		w.fail(batch, false)
-		if len(batch) > 1 {
-			w.alone = len(batch)
+		w.requeue(changes, false)
+		if len(changes) > 1 {
+			w.singleChangeBatches = len(changes)
 		} else {
-			w.park(batch[0].entry, now, "refused as malformed", txnSize(txn))
+			w.reject(changes[0].record, now, "refused as malformed", transactionSize(txn))
 		}
 	default:
 		// A conflict or no answer: what the store holds must be read.
-		w.log.Info("write not confirmed", "keys", len(batch), "err", err)
-		w.fail(batch, true)
-		w.next = now + doubtPause
+		w.log.Info("write not confirmed", "keys", len(changes), "err", err)
+		w.requeue(changes, true)
+		w.notBefore = now + uncertainBackoff
 	}
 }
 
-// stored takes in one change that is in the store.
-func (w *Writer) stored(b written, revision uint64) {
-	e := b.entry
-	e.doubt, e.held = false, false
-	e.version = revision
-	if b.deleted {
-		e.version = 0
-		if !e.dirty {
-			w.Drop(e)
+// markStored takes in one change that is in the store.
+func (w *Writer) markStored(change batchChange, revision uint64) {
+	record := change.record
+	record.uncertain, record.inFlightUnanswered = false, false
+	record.version = revision
+	if change.deleted {
+		record.version = 0
+		if !record.dirty {
+			w.Drop(record)
 		}
 	}
-	e.Saved(b.note)
+	record.OnCommitted(change.memoryVersion)
 }
 
-func entriesOf(batch []written) []*Entry {
-	out := make([]*Entry, len(batch))
-	for i, b := range batch {
-		out[i] = b.entry
+func recordsOf(changes []batchChange) []*Record {
+	records := make([]*Record, len(changes))
+	for i, change := range changes {
+		records[i] = change.record
 	}
-	return out
+	return records
 }
 
-func (w *Writer) fail(batch []written, verify bool) {
-	w.land(entriesOf(batch)...)
+func (w *Writer) requeue(changes []batchChange, needsVerify bool) {
+	w.endInFlight(recordsOf(changes)...)
 	now := w.host.Now()
-	for _, b := range batch {
-		e := b.entry
-		e.verify = e.verify || verify
-		e.doubt = e.doubt && (e.held || verify)
-		e.held = e.held || verify
-		e.Touch(now, Soon)
+	for _, change := range changes {
+		record := change.record
+		record.needsVerify = record.needsVerify || needsVerify
+		record.uncertain = record.uncertain && (record.inFlightUnanswered || needsVerify)
+		record.inFlightUnanswered = record.inFlightUnanswered || needsVerify
+		record.MarkDirty(now, PriorityHigh)
 	}
 }
 
-func txnSize(txn wire.Txn) int {
-	n := 0
+func transactionSize(txn wire.Txn) int {
+	bytes := 0
 	for _, ch := range txn.Then {
-		n += wire.JSONSize(ch.Value)
+		bytes += wire.JSONSize(ch.Value)
 	}
-	return n
+	return bytes
 }
 
-// park puts off a change that the store does not take: trying it again at once
+// reject puts off a change that the store does not take: trying it again at once
 // would only use up the budget of all others.
-func (w *Writer) park(e *Entry, now micro.Time, why string, size int) {
-	w.log.Error("value not taken by the store", "key", e.Key, "why", why, "bytes", size, "limit", w.host.ValueBytes())
-	u := e.urgency
-	e.dirty, e.parked = false, now+parkFor
-	e.Touch(now, u)
+func (w *Writer) reject(record *Record, now micro.Time, reason string, size int) {
+	w.log.Error("value not taken by the store", "key", record.Key, "why", reason, "bytes", size, "limit", w.host.MaxValueBytes())
+	priority := record.priority
+	record.dirty, record.rejectedUntil = false, now+rejectedRetryDelay
+	record.MarkDirty(now, priority)
 }
 
-func (w *Writer) unpark(now micro.Time) {
-	var still []*Entry
-	for _, e := range w.parked {
-		if now < e.parked {
-			still = append(still, e)
+func (w *Writer) retryRejected(now micro.Time) {
+	var stillRejected []*Record
+	for _, record := range w.rejected {
+		if now < record.rejectedUntil {
+			stillRejected = append(stillRejected, record)
 			continue
 		}
-		e.parked, e.dirty = 0, false
-		e.Touch(now, e.urgency)
+		record.rejectedUntil, record.dirty = 0, false
+		record.MarkDirty(now, record.priority)
 	}
-	w.parked = still
+	w.rejected = stillRejected
 }
 
-// looked is what a look at an uncertain key found.
-type looked struct {
-	entry *Entry
-	item  wire.Item
-	err   error
+// verification is what a look at an uncertain key found.
+type verification struct {
+	record *Record
+	item   wire.Item
+	err    error
 }
 
-// clear reads the versions of keys whose last write is uncertain.
-func (w *Writer) clear(entries []*Entry) {
-	var all []looked
-	for _, e := range entries {
-		ctx, cancel := context.WithTimeout(context.Background(), verifyWait)
-		it, err := w.store.Get(ctx, store.Urgent, e.Key)
+// verifyUncertain reads the versions of keys whose last write is uncertain.
+func (w *Writer) verifyUncertain(records []*Record) {
+	var results []verification
+	for _, record := range records {
+		ctx, cancel := context.WithTimeout(context.Background(), verifyTimeout)
+		item, err := w.store.Get(ctx, store.Urgent, record.Key)
 		cancel()
-		all = append(all, looked{e, it, err})
+		results = append(results, verification{record, item, err})
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			break
 		}
 	}
 	w.host.Post(func() {
-		for _, l := range all {
-			w.cleared(l, w.host.Now())
+		for _, result := range results {
+			w.handleVerification(result, w.host.Now())
 		}
-		w.land(entries...) // with their place in line
+		w.endInFlight(records...) // with their place in line
 	})
 }
 
-// cleared takes in what the store holds of an uncertain key.
-func (w *Writer) cleared(l looked, now micro.Time) {
-	e := l.entry
+// handleVerification takes in what the store holds of an uncertain key.
+func (w *Writer) handleVerification(result verification, now micro.Time) {
+	record := result.record
 	switch {
-	case l.err == nil:
-		e.verify = false
-		e.version = uint64(l.item.Version)
-		e.doubt, e.held = false, false
-		if e.Found != nil && e.Found(l.item) {
-			e.dirty = false
+	case result.err == nil:
+		record.needsVerify = false
+		record.version = uint64(result.item.Version)
+		record.uncertain, record.inFlightUnanswered = false, false
+		if record.ResolveUncertain != nil && record.ResolveUncertain(result.item) {
+			record.dirty = false
 		}
-	case errors.Is(l.err, store.ErrNotFound):
-		e.verify = false
-		e.version = 0
+	case errors.Is(result.err, store.ErrNotFound):
+		record.needsVerify = false
+		record.version = 0
 	default:
-		w.next = now + unreadPause
+		w.notBefore = now + unreadableBackoff
 	}
 }
--- a/internal/writer/flush.go
+++ b/internal/writer/flush.go
@@ -7,189 +7,189 @@
 )
 
 const (
-	// idleBelow is how few lazy changes wait when there is time for idle ones.
-	idleBelow = 50
-	// maxTxnBytes keeps a transaction under the store's limit for one.
-	maxTxnBytes = 60 << 10
-	// txnHead is what a transaction takes beside its changes.
-	txnHead = 1024
-	// verifyAtOnce is how many uncertain keys are read together.
-	verifyAtOnce = 8
-	// lazyEvery is how often what is not pressing is looked at.
-	lazyEvery = 200 * micro.Millisecond
-	// noRoomPause is how long the writer waits for its budget.
-	noRoomPause = 50 * micro.Millisecond
+	// backgroundThreshold is how few lazy changes wait when there is time for idle ones.
+	backgroundThreshold = 50
+	// maxTransactionBytes keeps a transaction under the store's limit for one.
+	maxTransactionBytes = 60 << 10
+	// transactionOverhead is what a transaction takes beside its changes.
+	transactionOverhead = 1024
+	// maxVerifyBatch is how many uncertain keys are read together.
+	maxVerifyBatch = 8
+	// lowPriorityInterval is how often what is not pressing is looked at.
+	lowPriorityInterval = 200 * micro.Millisecond
+	// budgetBackoff is how long the writer waits for its budget.
+	budgetBackoff = 50 * micro.Millisecond
 )
 
-// While an answer is late by slowAnswer, another transaction goes out beside it:
+// While an answer is late by slowResponse, another transaction goes out beside it:
 // with every third answer lost, starts once waited for a time-out after the other.
 const (
-	maxFlights = 6
-	slowAnswer = 80 * micro.Millisecond
+	maxInFlight  = 6
+	slowResponse = 80 * micro.Millisecond
 )
 
-// written is a change in a transaction.
-type written struct {
-	entry   *Entry
-	note    uint64
-	deleted bool
+// batchChange is a change in a transaction.
+type batchChange struct {
+	record        *Record
+	memoryVersion uint64
+	deleted       bool
 }
 
 // batch is a transaction being put together.
 type batch struct {
-	txn     wire.Txn
-	changes []written
-	verify  []*Entry
-	size    int
-	guards  map[wire.Guard]bool // further conditions that are in it already
-	guardsN int                 // how many conditions it may have
+	txn              wire.Txn
+	changes          []batchChange
+	toVerify         []*Record
+	size             int
+	preconditions    map[wire.Guard]bool // further conditions that are in it already
+	maxPreconditions int                 // how many conditions it may have
 }
 
 // Flush starts a transaction if one is due.
 func (w *Writer) Flush(now micro.Time) {
-	if now < w.next || w.flights >= maxFlights || w.flights > 0 && now-w.sent < slowAnswer {
+	if now < w.notBefore || w.inFlight >= maxInFlight || w.inFlight > 0 && now-w.lastSent < slowResponse {
 		return
 	}
-	pressing := len(w.queues[First])+len(w.queues[Soon])+len(w.parked) > 0
-	if !pressing && (len(w.queues[Lazy])+len(w.queues[Idle]) == 0 || now < w.later) {
+	urgentWaiting := len(w.queues[PriorityUrgent])+len(w.queues[PriorityHigh])+len(w.rejected) > 0
+	if !urgentWaiting && (len(w.queues[PriorityLow])+len(w.queues[PriorityBackground]) == 0 || now < w.lowPriorityNotBefore) {
 		return
 	}
-	if len(w.parked) > 0 {
-		w.unpark(now)
+	if len(w.rejected) > 0 {
+		w.retryRejected(now)
 	}
-	b := w.gather(now)
-	w.later = now + lazyEvery
-	if len(b.verify) > 0 {
-		w.launch(b.verify, now)
-		go w.clear(b.verify)
+	b := w.assembleBatch(now)
+	w.lowPriorityNotBefore = now + lowPriorityInterval
+	if len(b.toVerify) > 0 {
+		w.beginInFlight(b.toVerify, now)
+		go w.verifyUncertain(b.toVerify)
 	}
 	if len(b.changes) > 0 {
-		for _, x := range b.changes {
-			x.entry.doubt = true
+		for _, change := range b.changes {
+			change.record.uncertain = true
 		}
-		w.launch(entriesOf(b.changes), now)
+		w.beginInFlight(recordsOf(b.changes), now)
 		go w.commit(b.txn, b.changes)
-	} else if len(b.verify) == 0 && pressing {
-		w.next = now + noRoomPause
+	} else if len(b.toVerify) == 0 && urgentWaiting {
+		w.notBefore = now + budgetBackoff
 	}
 }
 
-// gather puts a transaction together from what is due, the most urgent first.
-func (w *Writer) gather(now micro.Time) *batch {
-	most := w.host.TxnOps()
-	b := &batch{txn: wire.Txn{If: w.host.Guards()}, size: txnHead, guards: map[wire.Guard]bool{}, guardsN: GuardsPerChange * most}
-	if w.alone > 0 {
-		w.alone--
-		most = 1
-	}
-	w.fill(b, First, min(most, w.store.WriteRoom(store.Urgent)), now)
-	w.fill(b, Soon, min(most, w.store.WriteRoom(store.Routine)), now)
+// assembleBatch puts a transaction together from what is due, the most urgent first.
+func (w *Writer) assembleBatch(now micro.Time) *batch {
+	maxChanges := w.host.MaxTransactionOps()
+	b := &batch{txn: wire.Txn{If: w.host.Preconditions()}, size: transactionOverhead, preconditions: map[wire.Guard]bool{}, maxPreconditions: PreconditionsPerChange * maxChanges}
+	if w.singleChangeBatches > 0 {
+		w.singleChangeBatches--
+		maxChanges = 1
+	}
+	w.fillFromQueue(b, PriorityUrgent, min(maxChanges, w.store.AvailableWrites(store.Urgent)), now)
+	w.fillFromQueue(b, PriorityHigh, min(maxChanges, w.store.AvailableWrites(store.Routine)), now)
 	// What is lazy leaves most of the budget to what comes next.
-	w.fill(b, Lazy, min(most, w.store.WriteRoom(store.Lazy)), now-coalesce)
-	if len(w.queues[Lazy]) < idleBelow {
-		w.fill(b, Idle, min(most, w.store.WriteRoom(store.Lazy)), now)
+	w.fillFromQueue(b, PriorityLow, min(maxChanges, w.store.AvailableWrites(store.Deferrable)), now-coalesceWindow)
+	if len(w.queues[PriorityLow]) < backgroundThreshold {
+		w.fillFromQueue(b, PriorityBackground, min(maxChanges, w.store.AvailableWrites(store.Deferrable)), now)
 	}
 	return b
 }
 
-func (w *Writer) launch(entries []*Entry, now micro.Time) {
-	w.flights++
-	w.sent = now
-	for _, e := range entries {
-		e.flying = true
+func (w *Writer) beginInFlight(records []*Record, now micro.Time) {
+	w.inFlight++
+	w.lastSent = now
+	for _, record := range records {
+		record.inFlight = true
 	}
 }
 
-// land ends a flight. What changed meanwhile lost its place in line to it.
-func (w *Writer) land(entries ...*Entry) {
-	w.flights--
-	for _, e := range entries {
-		e.flying = false
-		if e.dirty && e.parked == 0 {
-			w.queues[e.urgency] = append(w.queues[e.urgency], e)
+// endInFlight ends a flight. What changed meanwhile lost its place in line to it.
+func (w *Writer) endInFlight(records ...*Record) {
+	w.inFlight--
+	for _, record := range records {
+		record.inFlight = false
+		if record.dirty && record.rejectedUntil == 0 {
+			w.queues[record.priority] = append(w.queues[record.priority], record)
 		}
 	}
 }
 
-// fill takes what is due from a queue, as far as there is room.
-func (w *Writer) fill(b *batch, u Urgency, room int, due micro.Time) {
-	q := w.queues[u]
-	k := 0
-	for ; k < len(q); k++ {
-		e := q[k]
-		if !e.dirty || e.urgency != u || e.parked > 0 || e.flying {
+// fillFromQueue takes what is due from a queue, as far as there is room.
+func (w *Writer) fillFromQueue(b *batch, priority Priority, maxChanges int, dueBefore micro.Time) {
+	queue := w.queues[priority]
+	taken := 0
+	for ; taken < len(queue); taken++ {
+		record := queue[taken]
+		if !record.dirty || record.priority != priority || record.rejectedUntil > 0 || record.inFlight {
 			continue // written meanwhile, due in another queue, not taken by the store, or its turn comes when its write has landed
 		}
-		if e.verify {
-			if len(b.verify) == verifyAtOnce {
+		if record.needsVerify {
+			if len(b.toVerify) == maxVerifyBatch {
 				break
 			}
-			b.verify = append(b.verify, e)
+			b.toVerify = append(b.toVerify, record)
 			continue
 		}
-		if len(b.changes) >= room || e.since > due || !w.add(b, e) {
+		if len(b.changes) >= maxChanges || record.dirtySince > dueBefore || !w.addChange(b, record) {
 			break
 		}
 	}
 	// What was skipped as uncertain is put back by clear.
-	if k == len(q) {
-		w.queues[u] = q[:0]
+	if taken == len(queue) {
+		w.queues[priority] = queue[:0]
 	} else {
-		w.queues[u] = q[k:]
+		w.queues[priority] = queue[taken:]
 	}
 }
 
-// add takes one entry's change into the transaction, if it has one to make; false if
+// addChange takes one entry's change into the transaction, if it has one to make; false if
 // there is no room for it.
-func (w *Writer) add(b *batch, e *Entry) bool {
-	value, note := e.Build()
-	if value == any(NotYet) {
-		e.dirty = false
+func (w *Writer) addChange(b *batch, record *Record) bool {
+	value, memoryVersion := record.Build()
+	if value == any(NotReady) {
+		record.dirty = false
 		return true
 	}
-	if value == nil && e.version == 0 {
-		e.dirty = false
-		w.Drop(e)
+	if value == nil && record.version == 0 {
+		record.dirty = false
+		w.Drop(record)
 		return true
 	}
-	size := extraBytes
+	size := changeOverhead
 	if value != nil {
-		bytes := wire.JSONSize(value)
-		if bytes > w.host.ValueBytes() {
-			w.park(e, w.host.Now(), "too large", bytes)
+		valueBytes := wire.JSONSize(value)
+		if valueBytes > w.host.MaxValueBytes() {
+			w.reject(record, w.host.Now(), "too large", valueBytes)
 			return true
 		}
-		size += bytes
+		size += valueBytes
 	}
-	further := b.further(e)
-	if b.size+size > maxTxnBytes || len(b.txn.If)+len(further)+1 > b.guardsN {
+	preconditions := b.missingPreconditions(record)
+	if b.size+size > maxTransactionBytes || len(b.txn.If)+len(preconditions)+1 > b.maxPreconditions {
 		return false
 	}
 	b.size += size
-	change := wire.Change{Put: e.Key, Value: value}
+	change := wire.Change{Put: record.Key, Value: value}
 	if value == nil {
-		change = wire.Change{Delete: e.Key}
+		change = wire.Change{Delete: record.Key}
 	}
-	for _, g := range further {
-		b.guards[g] = true
+	for _, g := range preconditions {
+		b.preconditions[g] = true
 	}
-	b.txn.If = append(append(b.txn.If, further...), wire.Guard{Key: e.Key, Version: wire.Count(e.version)})
+	b.txn.If = append(append(b.txn.If, preconditions...), wire.Guard{Key: record.Key, Version: wire.Count(record.version)})
 	b.txn.Then = append(b.txn.Then, change)
-	b.changes = append(b.changes, written{e, note, value == nil})
-	e.dirty = false
+	b.changes = append(b.changes, batchChange{record, memoryVersion, value == nil})
+	record.dirty = false
 	return true
 }
 
-// further lists the entry's own conditions that the transaction does not carry yet.
-func (b *batch) further(e *Entry) []wire.Guard {
-	if e.Guards == nil {
+// missingPreconditions lists the entry's own conditions that the transaction does not carry yet.
+func (b *batch) missingPreconditions(record *Record) []wire.Guard {
+	if record.Preconditions == nil {
 		return nil
 	}
-	var out []wire.Guard
-	for _, g := range e.Guards() {
-		if !b.guards[g] {
-			out = append(out, g)
+	var missing []wire.Guard
+	for _, g := range record.Preconditions() {
+		if !b.preconditions[g] {
+			missing = append(missing, g)
 		}
 	}
-	return out
+	return missing
 }
--- a/internal/writer/writer.go
+++ b/internal/writer/writer.go
@@ -23,114 +23,114 @@
 type Host interface {
 	Now() micro.Time
 	// Valid reports whether the right to write still holds; any goroutine may ask.
-	Valid() bool
+	HoldsLease() bool
 	// Guards are the conditions that every transaction carries.
-	Guards() []wire.Guard
+	Preconditions() []wire.Guard
 	// Post has the loop run something.
 	Post(f func())
-	// ValueBytes is what a value may take now.
-	ValueBytes() int
-	// TxnOps is how many changes a transaction may have.
-	TxnOps() int
+	// MaxValueBytes is what a value may take now.
+	MaxValueBytes() int
+	// MaxTransactionOps is how many changes a transaction may have.
+	MaxTransactionOps() int
 	// Committed is told how long a transaction took.
-	Committed(took micro.Time)
+	ObserveCommit(took micro.Time)
 }
 
-// GuardsPerChange is how many conditions the store takes for each change that a
+// PreconditionsPerChange is how many conditions the store takes for each change that a
 // transaction may have.
-const GuardsPerChange = 4
+const PreconditionsPerChange = 4
 
 // Writer batches the changes: one transaction at a time, and a few more while the
 // store is slow to answer. A key is in one of them at most.
 type Writer struct {
-	host    Host
-	store   store.Store
-	log     *slog.Logger
-	entries map[string]*Entry
-	queues  [urgencies][]*Entry // in the order in which they became due; an entry counts in that of its urgency
-	parked  []*Entry            // those that the store would not take, to be tried again
-	changes map[string]int      // written, by cause
-	alone   int                 // so many transactions of one change, to find what the store does not take
-	flights int                 // transactions, and looks at uncertain keys, under way
-	sent    micro.Time          // when the last of them went out
-	next    micro.Time          // no transaction before
-	later   micro.Time          // no look at what is not pressing before
+	host                 Host
+	store                store.Store
+	log                  *slog.Logger
+	records              map[string]*Record
+	queues               [priorityCount][]*Record // in the order in which they became due; an entry counts in that of its urgency
+	rejected             []*Record                // those that the store would not take, to be tried again
+	changeCounts         map[string]int           // written, by cause
+	singleChangeBatches  int                      // so many transactions of one change, to find what the store does not take
+	inFlight             int                      // transactions, and looks at uncertain keys, under way
+	lastSent             micro.Time               // when the last of them went out
+	notBefore            micro.Time               // no transaction before
+	lowPriorityNotBefore micro.Time               // no look at what is not pressing before
 }
 
 // New makes a writer.
 func New(host Host, st store.Store, log *slog.Logger) *Writer {
-	return &Writer{host: host, store: st, log: log, entries: map[string]*Entry{}, changes: map[string]int{}}
+	return &Writer{host: host, store: st, log: log, records: map[string]*Record{}, changeCounts: map[string]int{}}
 }
 
-// Entry finds or makes the entry of a key.
-func (w *Writer) Entry(key string) *Entry {
-	e := w.entries[key]
-	if e == nil {
-		e = &Entry{w: w, Key: key, Saved: func(uint64) {}}
-		w.entries[key] = e
+// Record finds or makes the entry of a key.
+func (w *Writer) Record(key string) *Record {
+	record := w.records[key]
+	if record == nil {
+		record = &Record{writer: w, Key: key, OnCommitted: func(uint64) {}}
+		w.records[key] = record
 	}
-	return e
+	return record
 }
 
 // Lookup finds the entry of a key; nil: there is none.
-func (w *Writer) Lookup(key string) *Entry { return w.entries[key] }
+func (w *Writer) Lookup(key string) *Record { return w.records[key] }
 
 // Drop forgets an entry.
-func (w *Writer) Drop(e *Entry) { delete(w.entries, e.Key) }
+func (w *Writer) Drop(record *Record) { delete(w.records, record.Key) }
 
 // Each calls f with every entry.
-func (w *Writer) Each(f func(e *Entry)) {
-	for _, e := range w.entries {
-		f(e)
+func (w *Writer) Each(f func(record *Record)) {
+	for _, record := range w.records {
+		f(record)
 	}
 }
 
 // Queued is how many changes wait in a queue, those passed over included.
-func (w *Writer) Queued(u Urgency) int { return len(w.queues[u]) }
+func (w *Writer) Queued(priority Priority) int { return len(w.queues[priority]) }
 
 // Settled reports whether nothing is still to be written, under way or in doubt.
 func (w *Writer) Settled() bool {
-	if w.flights > 0 {
+	if w.inFlight > 0 {
 		return false
 	}
-	for _, e := range w.entries {
-		if !e.Settled() {
+	for _, record := range w.records {
+		if !record.Settled() {
 			return false
 		}
 	}
 	return true
 }
 
-// tell counts changes by what they are for: the prefix of their keys, and deletes.
-func (w *Writer) tell(batch []written) {
-	for _, b := range batch {
-		kind, _, _ := strings.Cut(b.entry.Key, "/")
+// countChanges counts changes by what they are for: the prefix of their keys, and deletes.
+func (w *Writer) countChanges(changes []batchChange) {
+	for _, change := range changes {
+		kind, _, _ := strings.Cut(change.record.Key, "/")
 		if kind == "job" {
 			kind = "end"
 		}
-		if b.deleted {
+		if change.deleted {
 			kind += "-deleted"
 		}
-		w.changes[kind]++
+		w.changeCounts[kind]++
 	}
 }
 
-// Told lists the changes by cause since it was last asked.
-func (w *Writer) Told() string {
-	kinds := make([]string, 0, len(w.changes))
-	for k, n := range w.changes {
-		kinds = append(kinds, k+" "+strconv.Itoa(n))
+// ChangeCounts lists the changes by cause since it was last asked.
+func (w *Writer) ChangeCounts() string {
+	kinds := make([]string, 0, len(w.changeCounts))
+	for kind, n := range w.changeCounts {
+		kinds = append(kinds, kind+" "+strconv.Itoa(n))
 	}
-	clear(w.changes)
+	clear(w.changeCounts)
 	sort.Strings(kinds)
 	return strings.Join(kinds, ", ")
 }
 
-// Hurry makes all that waits as urgent as can be.
-func (w *Writer) Hurry(now micro.Time) {
-	for _, e := range w.entries {
-		if e.dirty {
-			e.Touch(now, First)
+// EscalateAll makes all that waits as urgent as can be.
+func (w *Writer) EscalateAll(now micro.Time) {
+	for _, record := range w.records {
+		if record.dirty {
+			record.MarkDirty(now, PriorityUrgent)
 		}
 	}
 }
