--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -220,7 +220,7 @@
 	}
 	fits := false
 	for i := range catalog.Types {
-		machineType := &model.Type{MachineType: catalog.Types[i]}
+		machineType := &model.MachineType{MachineType: catalog.Types[i]}
 		for _, zone := range machineType.Zones {
 			fits = fits || sched.Allowed(job, machineType, zone, false)
 		}
--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -78,7 +78,7 @@
 func TestOnlyTheTerminationOfAMachineWithoutTasksWaitsForItsRecord(t *testing.T) {
 	runScenario(t, 5, 3, func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 		leader, _ := sim.waitForRestoredLeader()
-		sim.waitUntil("the forms of this version in use", micro.Minute, func() bool { return leader.runningNode().activeLeader().cluster.Compact })
+		sim.waitUntil("the forms of this version in use", micro.Minute, func() bool { return leader.runningNode().activeLeader().cluster.CompactRecords })
 		long := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 4, runTime: 3 * micro.Minute}).submit()
 		short := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 4, runTime: 20 * micro.Second}).submit()
 		sim.waitUntil("both run", micro.Minute, func() bool { return long.runningTasks() == 1 && short.runningTasks() == 1 })
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -746,7 +746,7 @@
 		free := leader.recovered
 		for _, job := range jobs {
 			x := leader.cluster.Jobs[job.id]
-			free = free && (x == nil || x.State != model.Active && x.HeldN == 0)
+			free = free && (x == nil || x.State != model.Active && x.AllocationCount == 0)
 		}
 		ch <- free
 	})
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -360,7 +360,7 @@
 // that was gone looked like their own.
 func TestOwnMachinesAreThoseCreatedBeforeTheFirstInstanceRequest(t *testing.T) {
 	l := &Leader{}
-	if !l.isOperatorOwned(&model.Machine{Name: "i-000007"}) || l.isOperatorOwned(&model.Machine{Name: "i-000007", RentalID: "r-1-1"}) {
+	if !l.isOperatorOwned(&model.Machine{Name: "i-000007"}) || l.isOperatorOwned(&model.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
 		t.Error("before any rental is answered, what was not rented is their own")
 	}
 	l.firstProvisioned = "i-000024"
@@ -398,9 +398,9 @@
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	leader := newLeader(node, election.NewTerm(9, 1000*micro.Second))
-	leader.cluster.Began = 0
-	machine := leader.cluster.Machine("i-1", 0)
-	machine.Heard = 100 * micro.Second
+	leader.cluster.TermStartedAt = 0
+	machine := leader.cluster.EnsureMachine("i-1", 0)
+	machine.LastHeartbeat = 100 * micro.Second
 	leader.lastTick = 100 * micro.Second
 	leader.lastSweep, leader.lastPlan, leader.lastSpeedWrite, leader.nextTokenCheck = 2000*micro.Second, 2000*micro.Second, 2000*micro.Second, 2000*micro.Second
 	leader.term.End()
--- a/internal/controller/dependency_lookup.go
+++ b/internal/controller/dependency_lookup.go
@@ -15,7 +15,7 @@
 	}
 	var ids []string
 	for id := range l.dependencyLookups {
-		if _, over := l.cluster.Ends[id]; over || l.cluster.Jobs[id] != nil {
+		if _, over := l.cluster.FinalStatuses[id]; over || l.cluster.Jobs[id] != nil {
 			delete(l.dependencyLookups, id) // it has come meanwhile
 			continue
 		}
@@ -42,11 +42,11 @@
 				}
 				if end, over := snapshot.ends[id]; over {
 					delete(l.dependencyLookups, id)
-					endedAt := now - max(wall-micro.Time(end.At), 0)
-					if end.At == 0 {
+					endedAt := now - max(wall-micro.Time(end.EndedAt), 0)
+					if end.EndedAt == 0 {
 						endedAt = now
 					}
-					l.cluster.Settle(id, model.End{Aborted: end.State == wire.JobAborted, At: endedAt}, now)
+					l.cluster.ApplyFinalStatus(id, model.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: endedAt}, now)
 				} else if job, ok := snapshot.specs[id]; ok && snapshot.completeDependencies(&job) {
 					delete(l.dependencyLookups, id)
 					l.addJob(job)
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -29,7 +29,7 @@
 	}
 	l.checkReachability(summary.up, summary.suspect, now)
 	l.checkOverruns(now)
-	for _, m := range l.cluster.List() {
+	for _, m := range l.cluster.SortedMachines() {
 		l.evaluateMachine(m, summary, now)
 	}
 	l.sendTerminations()
@@ -39,8 +39,8 @@
 // those that were up and have not been heard for long.
 func (l *Leader) summarizeHeartbeats(now micro.Time) *heartbeatSummary {
 	summary := &heartbeatSummary{zones: map[string]*zoneHeartbeats{}}
-	for _, machine := range l.cluster.List() {
-		if machine.Foreign {
+	for _, machine := range l.cluster.SortedMachines() {
+		if machine.OwnedElsewhere {
 			continue // it reports to the owner of its share
 		}
 		zone := summary.zones[machine.Zone]
@@ -51,8 +51,8 @@
 		sinceHeartbeat := l.sinceHeartbeat(machine, now)
 		if machine.State == model.Up && sinceHeartbeat > l.node.Cfg.SilentAfter {
 			// Only what proves to have been sent from now on is a sign of life.
-			machine.Prove = l.fencingToken + 1
-			l.cluster.Become(machine, model.Silent, "no reports")
+			machine.RequiredFencingToken = l.fencingToken + 1
+			l.cluster.TransitionMachine(machine, model.Suspect, "no reports")
 		}
 		if l.heartbeatExpected(machine, sinceHeartbeat, now) {
 			l.countHeartbeat(machine, zone, summary, sinceHeartbeat)
@@ -64,10 +64,10 @@
 // heartbeatExpected reports whether a machine's silence says anything: not if it never
 // came up, is on its way back, or has been silent for so long that it is surely lost.
 func (l *Leader) heartbeatExpected(m *model.Machine, sinceHeartbeat, now micro.Time) bool {
-	if m.State == model.Unheard && len(m.Places) == 0 || m.State == model.Returning {
+	if m.State == model.Registering && len(m.Allocations) == 0 || m.State == model.Terminating {
 		return false
 	}
-	return sinceHeartbeat <= 2*l.cluster.Lease || !l.cluster.LeaseOut(m, now)
+	return sinceHeartbeat <= 2*l.cluster.LeaseDuration || !l.cluster.LeaseExpired(m, now)
 }
 
 func (l *Leader) countHeartbeat(machine *model.Machine, zone *zoneHeartbeats, summary *heartbeatSummary, sinceHeartbeat micro.Time) {
@@ -80,13 +80,13 @@
 	switch machine.State {
 	case model.Up:
 		summary.up++
-		if machine.MayBeDeaf() {
+		if machine.ResponsesLikelyLost() {
 			summary.responsesLost++
 		}
-	case model.Silent:
+	case model.Suspect:
 		summary.suspect++
-	case model.Unheard:
-		if len(machine.Places) > 0 && sinceHeartbeat > l.node.Cfg.SilentAfter {
+	case model.Registering:
+		if len(machine.Allocations) > 0 && sinceHeartbeat > l.node.Cfg.SilentAfter {
 			summary.suspect++ // not one report since the takeover
 		}
 	}
@@ -105,30 +105,30 @@
 // evaluateMachine frees what a machine surely lost and has it returned if it is of no more
 // use.
 func (l *Leader) evaluateMachine(machine *model.Machine, summary *heartbeatSummary, now micro.Time) {
-	if machine.Foreign {
+	if machine.OwnedElsewhere {
 		l.evaluateOwnedElsewhere(machine, now)
 		return
 	}
-	if len(machine.Places) > 0 && machine.State != model.Up && l.cluster.LeaseOut(machine, now) {
-		l.cluster.Lose(machine, now)
+	if len(machine.Allocations) > 0 && machine.State != model.Up && l.cluster.LeaseExpired(machine, now) {
+		l.cluster.ExpireMachine(machine, now)
 	}
 	switch machine.State {
-	case model.Unheard:
+	case model.Registering:
 		if reason := l.registrationFailure(machine, summary, now); reason != "" {
 			l.terminate(machine, reason)
 		}
 	case model.Up:
 		l.checkResponsesLost(machine, summary, now)
-	case model.Silent:
-		noticeExpired := machine.NoticeAt != 0 && now > machine.NoticeAt+2*micro.Second
+	case model.Suspect:
+		noticeExpired := machine.PreemptionAt != 0 && now > machine.PreemptionAt+2*micro.Second
 		// Just after a lapse of the right nothing has been heard for long: that
 		// says nothing of a zone that was silent before. A thousand machines
 		// beyond a cut were once returned in the moment an outage ended.
 		if l.missingFromInventory(machine) || noticeExpired || l.sinceHeartbeat(machine, now) > l.node.Cfg.SilentAfter && l.machinesLookDead(machine.Zone, summary, now) {
 			l.terminate(machine, "silent")
 		}
-	case model.Lost:
-		if l.missingFromInventory(machine) || now-machine.Heard > 2*l.cluster.Lease {
+	case model.Expired:
+		if l.missingFromInventory(machine) || now-machine.LastHeartbeat > 2*l.cluster.LeaseDuration {
 			l.terminate(machine, "lost")
 		}
 	}
@@ -137,10 +137,10 @@
 // evaluateOwnedElsewhere gives a machine of another controller's share up that never came up, as
 // far as the list tells. All else is for the share's owner to find.
 func (l *Leader) evaluateOwnedElsewhere(m *model.Machine, now micro.Time) {
-	if m.State != model.Unheard || !l.shardMachinesKnown(m, now) {
+	if m.State != model.Registering || !l.shardMachinesKnown(m, now) {
 		return
 	}
-	if l.missingFromInventory(m) || m.ListState == wire.MachineBooting && now-m.Listed < maxInventoryAge && now-m.Rented > l.bootTimeout(m) {
+	if l.missingFromInventory(m) || m.CloudState == wire.MachineBooting && now-m.LastListed < maxInventoryAge && now-m.RequestedAt > l.bootTimeout(m) {
 		l.terminate(m, "did not come up in its share")
 	}
 }
@@ -171,7 +171,7 @@
 // the list lags.
 func (l *Leader) missingFromInventory(m *model.Machine) bool {
 	lag := micro.Of(l.node.Cfg.Facts.Cloud.ListLagS)
-	return m.Listed > 0 && l.inventoryAt-m.Listed > 2*lag
+	return m.LastListed > 0 && l.inventoryAt-m.LastListed > 2*lag
 }
 
 // defaultBootTime is the boot time of a machine whose type is not known.
@@ -185,20 +185,20 @@
 	if machine.Type != nil {
 		bootTime = micro.Of(machine.Type.BootS)
 	}
-	age := now - max(machine.Rented, l.cluster.Began-micro.Of(3600))
+	age := now - max(machine.RequestedAt, l.cluster.TermStartedAt-micro.Of(3600))
 	bootTimeout := l.bootTimeout(machine)
-	waited := now - max(l.cluster.Began, l.resumedAt)
-	idle := len(machine.Places) == 0
+	waited := now - max(l.cluster.TermStartedAt, l.resumedAt)
+	idle := len(machine.Allocations) == 0
 	switch {
-	case machine.Listed == 0 && now-l.inventoryAt < maxInventoryAge && idle && waited > cfg.SilentAfter && age > bootTimeout+2*micro.Of(cfg.Facts.Cloud.ListLagS):
+	case machine.LastListed == 0 && now-l.inventoryAt < maxInventoryAge && idle && waited > cfg.SilentAfter && age > bootTimeout+2*micro.Of(cfg.Facts.Cloud.ListLagS):
 		return "never listed, never heard"
 	case l.missingFromInventory(machine) && waited > cfg.SilentAfter:
 		return "no longer listed, never heard"
-	case machine.ListState == wire.MachineRunning && waited > max(15*micro.Second, cfg.Round()) && age > 3*bootTime && now-machine.Listed < micro.Minute && l.machinesLookDead(machine.Zone, summary, now):
+	case machine.CloudState == wire.MachineRunning && waited > max(15*micro.Second, cfg.Round()) && age > 3*bootTime && now-machine.LastListed < micro.Minute && l.machinesLookDead(machine.Zone, summary, now):
 		return "listed as running, never heard"
 	case !idle && waited > cfg.SilentAfter+4*micro.Second && l.machinesLookDead(machine.Zone, summary, now) && l.registrationRoundOver(machine, summary, waited):
 		return "silent since the takeover"
-	case machine.ListState == wire.MachineBooting && now-machine.Listed < maxInventoryAge && idle && waited > cfg.SilentAfter && age > bootTimeout:
+	case machine.CloudState == wire.MachineBooting && now-machine.LastListed < maxInventoryAge && idle && waited > cfg.SilentAfter && age > bootTimeout:
 		return "did not come up"
 	}
 	return ""
@@ -214,23 +214,23 @@
 // checkResponsesLost watches a machine that reports but may hear nothing.
 func (l *Leader) checkResponsesLost(m *model.Machine, summary *heartbeatSummary, now micro.Time) {
 	// If many seem to hear nothing, the fault is this node's.
-	if m.MayBeDeaf() && !m.Deaf && summary.responsesLost*3 <= summary.up {
-		l.cluster.SetDeaf(m, true, now)
+	if m.ResponsesLikelyLost() && !m.ResponsesLost && summary.responsesLost*3 <= summary.up {
+		l.cluster.SetResponsesLost(m, true, now)
 	}
-	if m.Deaf && !m.Base && now-m.DeafFrom > 2*l.cluster.Lease {
+	if m.ResponsesLost && !m.Permanent && now-m.ResponsesLostSince > 2*l.cluster.LeaseDuration {
 		l.terminate(m, "hears nothing")
 	}
 }
 
 // checkOverruns looks over some of the machines for tasks that take far too long.
 func (l *Leader) checkOverruns(now micro.Time) {
-	machines := l.cluster.List()
+	machines := l.cluster.SortedMachines()
 	for range (len(machines) + overrunSlices - 1) / overrunSlices {
 		l.overrunCursor = (l.overrunCursor + 1) % len(machines)
 		if m := machines[l.overrunCursor]; m.State == model.Up {
-			for _, p := range m.Places {
+			for _, p := range m.Allocations {
 				if p.Job != nil {
-					l.cluster.Overran(p, sched.EstimatedRuntime(p.Job), now)
+					l.cluster.CheckOverrun(p, sched.EstimatedRuntime(p.Job), now)
 				}
 			}
 		}
@@ -245,7 +245,7 @@
 // report alone, an outage of the store once had eleven live machines returned in
 // the moment it ended.
 func (l *Leader) sinceHeartbeat(m *model.Machine, now micro.Time) micro.Time {
-	return now - max(m.Heard, l.cluster.Began, l.resumedAt)
+	return now - max(m.LastHeartbeat, l.cluster.TermStartedAt, l.resumedAt)
 }
 
 // indicatesFailure reports whether a zone's silence looks like machines that died rather
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -59,9 +59,9 @@
 		fleet.leader.addJob(wire.Job{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i"})
 	}
 	fleet.leader.scheduler.Schedule(fleet.now)
-	for _, machine := range fleet.leader.cluster.List() {
-		for _, allocation := range machine.Places {
-			fleet.leader.cluster.Persisted(allocation.Job.Chunk(allocation.Index), 1<<40)
+	for _, machine := range fleet.leader.cluster.SortedMachines() {
+		for _, allocation := range machine.Allocations {
+			fleet.leader.cluster.ChunkPersisted(allocation.Job.Chunk(allocation.Index), 1<<40)
 		}
 	}
 	for _, fakeAgent := range fleet.agents {
@@ -78,12 +78,12 @@
 	if err != nil {
 		panic(err)
 	}
-	m, verdict := h.leader.cluster.Apply(r, model.Beat, h.now)
-	if verdict != model.Taken {
+	m, verdict := h.leader.cluster.Reconcile(r, model.FromHeartbeat, h.now)
+	if verdict != model.Applied {
 		panic("not taken")
 	}
-	o := wire.Orders{Token: wire.Count(h.leader.fencingToken), Orders: h.leader.cluster.Orders(m, h.leader.fencingToken, false, h.now)}
-	h.leader.cluster.Told(m, h.leader.fencingToken)
+	o := wire.Orders{Token: wire.Count(h.leader.fencingToken), Orders: h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now)}
+	h.leader.cluster.ResponseSent(m, h.leader.fencingToken)
 	_ = wire.MustMarshal(o)
 	w.Answer(o, h.now)
 }
@@ -199,7 +199,7 @@
 				id := fmt.Sprint("j-8", i)
 				j := fleet.leader.cluster.AddJob(wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20}, fleet.now, fleet.now)
 				fleet.leader.cluster.AddJob(wire.Job{ID: id + "1", Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20, Needs: []string{id}}, fleet.now, fleet.now)
-				fleet.leader.cluster.End(j, false, fleet.now)
+				fleet.leader.cluster.FinalizeJob(j, false, fleet.now)
 			}
 		})
 	}
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -35,7 +35,7 @@
 		} else if wire.Unmarshal(item.Value, &rec) != nil {
 			continue
 		}
-		for _, x := range rec.Places {
+		for _, x := range rec.Allocations {
 			if x.Index == index && uint64(x.Attempt) == key.Attempt && x.Machine == machine {
 				return true
 			}
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -181,7 +181,7 @@
 
 // raiseFormat writes fleet/format. From then on, and not before, the new forms are used.
 func (l *Leader) raiseFormat() {
-	if !l.cluster.Compact && l.recovered && !l.records.format.Dirty() && !l.records.format.Uncertain() {
+	if !l.cluster.CompactRecords && l.recovered && !l.records.format.Dirty() && !l.records.format.Uncertain() {
 		l.records.format.MarkDirty(l.node.Now(), writer.PriorityHigh)
 	}
 }
@@ -199,13 +199,13 @@
 
 // formatRaised turns to the new forms: fleet/format is in the store.
 func (l *Leader) formatRaised() {
-	if l.cluster.Compact {
+	if l.cluster.CompactRecords {
 		return
 	}
 	if l.format.TasksPerChunk == 0 {
 		record, _ := l.records.format.Build()
 		l.format = record.(FormatRecord)
 	}
-	l.cluster.UseCompact(l.format.TasksPerChunk)
+	l.cluster.EnableCompactRecords(l.format.TasksPerChunk)
 	l.node.setGateState(GateOpen)
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -17,7 +17,7 @@
 	if l.records.endUncertain(job.Spec.ID) {
 		return true
 	}
-	if job.State != model.Awaiting {
+	if job.State != model.Blocked {
 		return false
 	}
 	visited := map[*model.Job]bool{job: true}
@@ -26,7 +26,7 @@
 		queue = queue[:len(queue)-1]
 		for _, id := range current.Spec.Needs {
 			dependency := l.cluster.Jobs[id]
-			if dependency == nil || dependency.Over() || visited[dependency] {
+			if dependency == nil || dependency.IsTerminal() || visited[dependency] {
 				continue
 			}
 			if l.records.endUncertain(id) {
@@ -59,7 +59,7 @@
 				}
 			}()
 			switch job.State {
-			case model.Active, model.Awaiting:
+			case model.Active, model.Blocked:
 				l.beginCancellation(job)
 			case model.Assigned:
 				l.beginShardCancellation(job)
@@ -75,18 +75,18 @@
 // jobEnded settles a job whose end is in the store.
 func (l *Leader) jobEnded(job *model.Job, state wire.JobState) {
 	now := l.node.Now()
-	l.cluster.End(job, state == wire.JobAborted, now)
-	if state == wire.JobDone && len(l.cluster.Order) > 0 {
-		l.speeds.FinishArray(job.Spec.ID, l.cluster.Order[0].Name)
+	l.cluster.FinalizeJob(job, state == wire.JobAborted, now)
+	if state == wire.JobDone && len(l.cluster.CatalogOrder) > 0 {
+		l.speeds.FinishArray(job.Spec.ID, l.cluster.CatalogOrder[0].Name)
 	} else {
 		l.speeds.DropSamples(job.Spec.ID)
 	}
-	if job.HeldN > 0 && state == wire.JobAborted {
+	if job.AllocationCount > 0 && state == wire.JobAborted {
 		l.unconfirmedCancellations[job] = true
 	}
-	l.log.Info("job over", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.Submitted).Seconds(), "since_s", (now - job.Since).Seconds())
+	l.log.Info("job over", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s", (now - job.EligibleSince).Seconds())
 	for _, ch := range job.Chunks {
-		l.Touch(ch)
+		l.ChunkDirty(ch)
 	}
 	for _, ch := range l.cancellationWaiters[job.Spec.ID] {
 		ch <- front.Reply{Status: 200, Body: job.Status()}
@@ -108,22 +108,22 @@
 		}
 		l.heartbeatsReceived++
 		l.observeQueueDelay(now-receivedAt, now)
-		machine, outcome := l.cluster.Apply(heartbeat, model.Beat, now)
-		if machine == nil || outcome == model.Refused || outcome == model.Stale && uint64(heartbeat.Session) != machine.Session {
+		machine, outcome := l.cluster.Reconcile(heartbeat, model.FromHeartbeat, now)
+		if machine == nil || outcome == model.Refused || outcome == model.Stale && uint64(heartbeat.Session) != machine.AgentEpoch {
 			reply(front.Later(503, 1))
 			return
 		}
-		if machine.Unproven(l.fencingToken) {
+		if machine.WouldProveAlive(l.fencingToken) {
 			l.pendingDispatch[machine] = true
 		}
-		commands := l.cluster.Orders(machine, l.fencingToken, false, now)
+		commands := l.cluster.Commands(machine, l.fencingToken, false, now)
 		if len(commands) > maxCommands {
 			commands = commands[:maxCommands]
 		}
 		if now-receivedAt < promptResponseLimit {
-			l.cluster.Told(machine, l.fencingToken)
+			l.cluster.ResponseSent(machine, l.fencingToken)
 		} else {
-			l.cluster.Told(machine, 0) // the worker may have given up waiting
+			l.cluster.ResponseSent(machine, 0) // the worker may have given up waiting
 		}
 		reply(front.Reply{Status: 200, Body: wire.Orders{Token: wire.Count(l.fencingToken), Orders: commands}})
 	})
@@ -139,15 +139,15 @@
 
 // dispatch sends a machine its orders without waiting for its next report.
 func (l *Leader) dispatch(machine *model.Machine, now micro.Time) {
-	unproven := machine.Unproven(l.fencingToken)
+	unproven := machine.WouldProveAlive(l.fencingToken)
 	if machine.State != model.Up && !unproven || machine.Addr == "" {
 		return
 	}
-	if machine.Busy {
-		machine.Again = true
+	if machine.DispatchInFlight {
+		machine.DispatchPending = true
 		return
 	}
-	if machine.RetryAt > now {
+	if machine.NextDispatchAt > now {
 		return // the next report brings them
 	}
 	var commands []wire.Order
@@ -156,39 +156,39 @@
 		// worker reports at once of a newer token only now and then. An answer
 		// to an empty order shows it as well.
 		commands = []wire.Order{}
-	} else if commands = l.cluster.Orders(machine, l.fencingToken, true, now); len(commands) == 0 {
+	} else if commands = l.cluster.Commands(machine, l.fencingToken, true, now); len(commands) == 0 {
 		return
 	}
 	if len(commands) > maxCommands {
 		commands = commands[:maxCommands]
 	}
-	machine.Busy, machine.Again = true, false
+	machine.DispatchInFlight, machine.DispatchPending = true, false
 	l.dispatchesInFlight++
-	message := wire.Orders{Token: wire.Count(l.fencingToken), Session: wire.Count(machine.Session), Orders: commands}
+	message := wire.Orders{Token: wire.Count(l.fencingToken), Session: wire.Count(machine.AgentEpoch), Orders: commands}
 	addr := machine.Addr
 	go func() {
 		if !l.holdsLease() {
-			l.post(func() { l.dispatchesInFlight--; machine.Busy = false })
+			l.post(func() { l.dispatchesInFlight--; machine.DispatchInFlight = false })
 			return
 		}
 		heartbeat, executed, err := l.node.Agent.Send(addr, message)
 		l.post(func() {
-			machine.Busy = false
+			machine.DispatchInFlight = false
 			l.dispatchesInFlight--
 			now := l.node.Now()
 			if err != nil {
 				l.log.Debug("direct orders", "machine", machine.Name, "err", err)
-				machine.RetryAt, machine.Mute = now+2*micro.Second, true
+				machine.NextDispatchAt, machine.DispatchUnanswered = now+2*micro.Second, true
 				return
 			}
 			if heartbeat.Machine == machine.Name {
-				l.cluster.Apply(heartbeat, model.Answer, now)
+				l.cluster.Reconcile(heartbeat, model.FromDispatchResponse, now)
 			}
-			if machine.Again || !executed {
+			if machine.DispatchPending || !executed {
 				l.pendingDispatch[machine] = true
 			}
 			if !executed {
-				machine.RetryAt = now + 500*micro.Millisecond
+				machine.NextDispatchAt = now + 500*micro.Millisecond
 			}
 		})
 	}()
--- a/internal/controller/image_records.go
+++ b/internal/controller/image_records.go
@@ -72,7 +72,7 @@
 // writeNext writes the first record, and one of the others.
 func (iw *imageWriter) writeNext(now micro.Time) {
 	iw.firstPage.MarkDirty(now, writer.PriorityLow)
-	if !iw.records.leader.cluster.Compact {
+	if !iw.records.leader.cluster.CompactRecords {
 		return // the version before would not delete them
 	}
 	last := len(iw.records.leader.cluster.ImagePages(iw.maxRecordSize())) - 1
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -132,19 +132,19 @@
 	}
 	for _, name := range record.Terminating {
 		l.addInstance(request, name, now-age, now)
-		l.terminate(l.cluster.Machine(name, now), "an earlier leader asked for its return")
+		l.terminate(l.cluster.EnsureMachine(name, now), "an earlier leader asked for its return")
 	}
 }
 
 // addInstance adds a machine that a rental brought.
 func (l *Leader) addInstance(request *instanceRequest, name string, at, now micro.Time) {
-	if l.cluster.Departed(name) {
+	if l.cluster.WasTerminated(name) {
 		return
 	}
-	m := l.cluster.Machine(name, now)
-	m.RentalID = request.record.Request.Request
-	m.Rented = at
-	l.cluster.Describe(m, request.record.Request.Type, request.record.Request.Zone, request.record.Request.Spot)
+	m := l.cluster.EnsureMachine(name, now)
+	m.InstanceRequestID = request.record.Request.Request
+	m.RequestedAt = at
+	l.cluster.DescribeMachine(m, request.record.Request.Type, request.record.Request.Zone, request.record.Request.Spot)
 }
 
 // planScaling rents what is missing and returns what is idle.
@@ -227,8 +227,8 @@
 	defer l.sendQueuedRequests(now)
 	l.planner.RecordAnswer(scale.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
 	if len(names) < wireRequest.Count {
-		for job := range l.cluster.Pending {
-			if job.Level == 0 {
+		for job := range l.cluster.PendingJobs {
+			if job.PriorityLevel == 0 {
 				l.lastPlan = 0 // the next best offer is asked for at once
 				break
 			}
@@ -256,7 +256,7 @@
 // only the cloud's answer frees them. Behind the writes of a busy hour the tasks of
 // dead machines were placed again 14 s later.
 func (l *Leader) terminate(machine *model.Machine, reason string) {
-	if !l.cluster.Become(machine, model.Returning, reason) {
+	if !l.cluster.TransitionMachine(machine, model.Terminating, reason) {
 		return
 	}
 	if l.owner != nil {
@@ -264,14 +264,14 @@
 		return
 	}
 	l.pendingTerminations[machine] = 0
-	request := l.instanceRequests[machine.RentalID]
-	if request == nil || !l.cluster.Compact || !slices.Contains(request.record.Machines, machine.Name) {
+	request := l.instanceRequests[machine.InstanceRequestID]
+	if request == nil || !l.cluster.CompactRecords || !slices.Contains(request.record.Machines, machine.Name) {
 		return // without a record, or marked by an earlier leader; version 1 would drop the mark
 	}
 	request.record.Machines = withoutName(request.record.Machines, machine.Name)
 	request.record.Terminating = append(slices.Clone(request.record.Terminating), machine.Name)
 	request.recordVersion++
-	if len(machine.Places) > 0 {
+	if len(machine.Allocations) > 0 {
 		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
 		return
 	}
@@ -281,7 +281,7 @@
 
 // terminationRecorded reports whether the store knows that a machine is to be returned.
 func (l *Leader) terminationRecorded(m *model.Machine) bool {
-	request := l.instanceRequests[m.RentalID]
+	request := l.instanceRequests[m.InstanceRequestID]
 	return request == nil || l.pendingTerminations[m] <= request.storedVersion
 }
 
@@ -326,15 +326,15 @@
 
 func (l *Leader) retryTerminations(machines []*model.Machine) {
 	for _, m := range machines {
-		if m.State == model.Returning {
+		if m.State == model.Terminating {
 			l.pendingTerminations[m] = 0 // its mark is in the store
 		}
 	}
 }
 
 func (l *Leader) instanceTerminated(m *model.Machine) {
-	l.cluster.Depart(m, l.node.Now())
-	if request := l.instanceRequests[m.RentalID]; request != nil {
+	l.cluster.RemoveMachine(m, l.node.Now())
+	if request := l.instanceRequests[m.InstanceRequestID]; request != nil {
 		request.record.Machines = withoutName(request.record.Machines, m.Name)
 		request.record.Terminating = withoutName(request.record.Terminating, m.Name)
 		if len(request.record.Machines)+len(request.record.Terminating) == 0 {
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -81,7 +81,7 @@
 // returned machine that a lagging list still showed once looked like an own one.
 func (l *Leader) isOperatorOwned(m *model.Machine) bool {
 	if l.firstProvisioned == "" {
-		return m.RentalID == ""
+		return m.InstanceRequestID == ""
 	}
 	return createdBefore(m.Name, l.firstProvisioned)
 }
@@ -91,20 +91,20 @@
 	l.inventoryAt = requestedAt
 	for i := range rows {
 		row := &rows[i]
-		if l.cluster.Departed(row.Name) {
+		if l.cluster.WasTerminated(row.Name) {
 			continue // the list lags
 		}
-		machine := l.cluster.Machine(row.Name, now)
+		machine := l.cluster.EnsureMachine(row.Name, now)
 		if machine.Type == nil {
-			l.cluster.Describe(machine, row.Type, row.Zone, row.Spot)
+			l.cluster.DescribeMachine(machine, row.Type, row.Zone, row.Spot)
 		}
 		if machine.Addr == "" {
 			machine.Addr = row.Addr
 		}
 		age := micro.Of(row.AgeS)
-		machine.Rented = min(machine.Rented, now-age)
-		machine.Base = l.isOperatorOwned(machine)
-		machine.Listed, machine.ListState = requestedAt, row.State
+		machine.RequestedAt = min(machine.RequestedAt, now-age)
+		machine.Permanent = l.isOperatorOwned(machine)
+		machine.LastListed, machine.CloudState = requestedAt, row.State
 		if row.State == wire.MachineFailed {
 			l.terminate(machine, "failed")
 		}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -49,7 +49,7 @@
 	serving      atomic.Bool // the takeover is over: known holds all jobs that it read
 
 	// Owned by the loop.
-	cluster                  *model.Cluster
+	cluster                  *model.State
 	scheduler                *sched.Scheduler
 	planner                  *scale.Planner
 	speeds                   *sched.SpeedEstimator
@@ -107,9 +107,9 @@
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
 	}
-	l.renewalBound = keep.NewRenewalBound(t.FencingRevision, l.cluster.Began, n.Cfg.KeepSpan(), zones, n.Cfg.Zone)
+	l.renewalBound = keep.NewRenewalBound(t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.KeepSpan(), zones, n.Cfg.Zone)
 	for _, t := range n.Cfg.Facts.Teams {
-		l.cluster.Teams[t.Name] = &model.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}
+		l.cluster.Teams[t.Name] = &model.Team{Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax}
 	}
 	l.initCoordinator()
 	return l
@@ -125,10 +125,10 @@
 		pendingCancellations: map[*model.Job]bool{}, unconfirmedCancellations: map[*model.Job]bool{},
 	}
 	l.cluster = model.New(l)
-	l.cluster.BaseTok = l.fencingToken
-	l.cluster.Began = node.Now()
-	l.cluster.Lease = node.Cfg.LeaseOut()
-	l.cluster.ErrJobs = node.Cfg.ErrorMachines
+	l.cluster.MinFencingToken = l.fencingToken
+	l.cluster.TermStartedAt = node.Now()
+	l.cluster.LeaseDuration = node.Cfg.LeaseOut()
+	l.cluster.QuarantineThreshold = node.Cfg.ErrorMachines
 	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
 	l.objectives = sched.NewObjectives(node.Cfg.Facts.Objectives)
 	l.speeds = sched.NewSpeedEstimator()
@@ -311,8 +311,8 @@
 		l.lastSpeedWrite = now
 		if l.speeds.TakeDirty() {
 			l.speeds.Apply(l.cluster)
-			for _, machineType := range l.cluster.Order {
-				l.log.Debug("speed", "type", machineType.Name, "k", machineType.K, "learnt", l.speeds.Record().Speeds[machineType.Name])
+			for _, machineType := range l.cluster.CatalogOrder {
+				l.log.Debug("speed", "type", machineType.Name, "k", machineType.SpeedFactor, "learnt", l.speeds.Record().Speeds[machineType.Name])
 			}
 			l.records.speeds.MarkDirty(now, writer.PriorityLow)
 		}
@@ -365,7 +365,7 @@
 
 func (l *Leader) newTokenNeeded() bool {
 	for _, m := range l.cluster.Machines {
-		if (m.State == model.Up || m.Heard > 0) && m.State != model.Returning && m.NeedsToken(l.fencingToken) {
+		if (m.State == model.Up || m.LastHeartbeat > 0) && m.State != model.Terminating && m.NeedsNewerToken(l.fencingToken) {
 			return true
 		}
 	}
@@ -380,7 +380,7 @@
 // to place work on.
 func (l *Leader) planInterval() micro.Time {
 	for _, p := range l.cluster.Pools {
-		if p.N > 0 {
+		if p.MachineCount > 0 {
 			return micro.Second
 		}
 	}
@@ -397,14 +397,14 @@
 	usable := 0
 	var fleet strings.Builder
 	for _, pool := range l.cluster.Pools {
-		if pool.N == 0 {
+		if pool.MachineCount == 0 {
 			continue
 		}
-		usable += pool.N
+		usable += pool.MachineCount
 		empty := 0
 		for row := range pool.Rows() {
 			for _, machine := range pool.Row(row) {
-				if len(machine.Places) == 0 {
+				if len(machine.Allocations) == 0 {
 					empty++
 				}
 			}
@@ -413,9 +413,9 @@
 		if pool.Spot {
 			kind = "spot"
 		}
-		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.N, empty)
+		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
 	}
-	l.log.Info("leading", "live", len(l.cluster.Live), "awaiting", l.cluster.AwaitingN, "pending", len(l.cluster.Pending), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
+	l.log.Info("leading", "live", len(l.cluster.ActiveJobs), "awaiting", l.cluster.BlockedJobs, "pending", len(l.cluster.PendingJobs), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
 		"writes_first", l.records.Queued(writer.PriorityUrgent), "writes_soon", l.records.Queued(writer.PriorityHigh), "writes_lazy", l.records.Queued(writer.PriorityLow), "writes_idle", l.records.Queued(writer.PriorityBackground), "written", l.records.ChangeCounts(),
 		"pass_gap_ms", int64(l.scheduleInterval/micro.Millisecond), "events", len(l.events), "asks", len(l.queries), "directs", l.dispatchesInFlight, "kicked", len(l.pendingDispatch), "rentals_waiting", len(l.requestQueue), "fleet", fleet.String())
 }
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -156,14 +156,14 @@
 		if ownRenewal > 0 && (zone == "" || zone == l.node.Cfg.Zone) {
 			until = max(until, ownRenewal)
 		}
-		l.cluster.Kept[zone] = until
-		if _, known := l.cluster.Away[zone]; !l.renewalBound.ZoneDisconnected(zone, now) {
+		l.cluster.ProxyRenewedUntil[zone] = until
+		if _, known := l.cluster.ZoneUnreachableSince[zone]; !l.renewalBound.ZoneDisconnected(zone, now) {
 			if known {
-				delete(l.cluster.Away, zone)
-				l.cluster.Changed()
+				delete(l.cluster.ZoneUnreachableSince, zone)
+				l.cluster.ScheduleSoon()
 			}
 		} else if !known {
-			l.cluster.Away[zone] = now
+			l.cluster.ZoneUnreachableSince[zone] = now
 		}
 	}
 }
@@ -172,11 +172,11 @@
 func (l *Leader) updateFencedZones() {
 	fenced := map[string]bool{}
 	for j := range l.unconfirmedCancellations {
-		if j.HeldN == 0 {
+		if j.AllocationCount == 0 {
 			delete(l.unconfirmedCancellations, j)
 			continue
 		}
-		for _, p := range j.AllPlaces() {
+		for _, p := range j.Allocations() {
 			fenced[p.Machine.Zone] = true
 		}
 	}
@@ -195,8 +195,8 @@
 func (l *Leader) beginCancellation(j *model.Job) {
 	now := l.node.Now()
 	l.cluster.BeginAbort(j)
-	for _, p := range j.AllPlaces() {
-		l.cluster.Stop(p, "withdrawn", 0, now)
+	for _, p := range j.Allocations() {
+		l.cluster.StopAllocation(p, "withdrawn", 0, now)
 	}
 	l.pendingCancellations[j] = true
 	l.completeCancellation(j, now)
@@ -204,17 +204,17 @@
 
 // completeCancellation writes the end of a withdrawn job as soon as its user may be told.
 func (l *Leader) completeCancellation(job *model.Job, now micro.Time) {
-	if job.HeldN > 0 {
+	if job.AllocationCount > 0 {
 		if l.node.Cfg.ProveFirst() {
 			return // without any order, its tasks could outlive the time for that
 		}
 		limits := map[string]micro.Time{}
-		for _, allocation := range job.AllPlaces() {
+		for _, allocation := range job.Allocations() {
 			zone := allocation.Machine.Zone
 			if _, ok := limits[zone]; !ok {
 				limits[zone] = l.renewalBound.RenewalLimit(zone, now)
 			}
-			if limits[zone] > 0 && limits[zone]+l.cluster.Lease+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
+			if limits[zone] > 0 && limits[zone]+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
 				return
 			}
 		}
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -122,7 +122,7 @@
 			fleet.heartbeat(fakeAgent)
 		}
 		fleet.leader.runPending(fleet.now)
-		if job.HeldN > 0 || fleet.leader.pendingCancellations[job] {
+		if job.AllocationCount > 0 || fleet.leader.pendingCancellations[job] {
 			t.Fatalf("within %v s, all gone: not written", test.cancelS)
 		}
 	}
@@ -145,9 +145,9 @@
 		fleet.now += micro.Second
 		leader.scheduler.Schedule(fleet.now)
 		job := leader.cluster.Jobs["j-9"]
-		leader.cluster.Persisted(job.Chunk(0), 1<<40)
-		allocation := job.AllPlaces()[0]
-		late := wire.Orders{Token: wire.Count(leader.fencingToken), Session: wire.Count(allocation.Machine.Session), Orders: leader.cluster.Orders(allocation.Machine, leader.fencingToken, true, fleet.now)}
+		leader.cluster.ChunkPersisted(job.Chunk(0), 1<<40)
+		allocation := job.Allocations()[0]
+		late := wire.Orders{Token: wire.Count(leader.fencingToken), Session: wire.Count(allocation.Machine.AgentEpoch), Orders: leader.cluster.Commands(allocation.Machine, leader.fencingToken, true, fleet.now)}
 		var fakeAgent *fake.Worker
 		for _, x := range fleet.agents {
 			if x.Name == allocation.Machine.Name {
@@ -155,7 +155,7 @@
 			}
 		}
 		leader.beginCancellation(job)
-		if leader.pendingCancellations[job] || job.HeldN != 1 {
+		if leader.pendingCancellations[job] || job.AllocationCount != 1 {
 			t.Fatal("no keepers: the end is written, with the start under way")
 		}
 		fleet.now += micro.Second
@@ -173,7 +173,7 @@
 			}
 		}
 		fleet.heartbeat(fakeAgent)
-		if job.HeldN != 0 {
+		if job.AllocationCount != 0 {
 			t.Fatalf("sooner %v: its place is not free", sooner)
 		}
 	}
@@ -193,7 +193,7 @@
 	}
 	job := fleet.leader.cluster.Jobs["j-000000"]
 	fleet.leader.beginCancellation(job)
-	if fleet.leader.pendingCancellations[job] || job.HeldN == 0 {
+	if fleet.leader.pendingCancellations[job] || job.AllocationCount == 0 {
 		t.Fatal("no keeper can keep its tasks alive for too long: its end may be written")
 	}
 	if !fleet.leader.zoneFenced("a") {
@@ -246,14 +246,14 @@
 	for range 20 {
 		second("a")
 	}
-	if fleet.machinesInState(model.Silent) != 20 {
-		t.Fatalf("%d machines are silent, want those of the zone that was cut off", fleet.machinesInState(model.Silent))
+	if fleet.machinesInState(model.Suspect) != 20 {
+		t.Fatalf("%d machines are silent, want those of the zone that was cut off", fleet.machinesInState(model.Suspect))
 	}
 	fleet.now += 15 * micro.Second // the outage: no report was answered
 	for range 3 {
 		second("a")
 	}
-	if n := fleet.machinesInState(model.Returning); n > 0 {
+	if n := fleet.machinesInState(model.Terminating); n > 0 {
 		t.Fatalf("%d machines of a zone that was cut off are returned", n)
 	}
 }
@@ -278,7 +278,7 @@
 	for range 3 {
 		second(func(i int, z string) bool { return z == "a" || i >= 10 })
 	}
-	if n := fleet.machinesInState(model.Returning); n > 0 {
+	if n := fleet.machinesInState(model.Terminating); n > 0 {
 		t.Fatalf("%d machines whose next report is on its way are returned", n)
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -31,12 +31,12 @@
 func TestLimitsAreLoweredWithoutNoticeAndNothingIsRefused(t *testing.T) {
 	env := newTestCluster(t)
 	env.cloud = fake.NewCloud(40, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"}})
-	var places []model.PlaceRecord
+	var places []model.AllocationRecord
 	for i := range 120 {
-		places = append(places, model.PlaceRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
+		places = append(places, model.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
 	}
 	env.storeVersion1Job(t, places...)
-	if size := wire.JSONSize(model.ChunkRecord{Places: places}); size <= nextLimits.ValueBytes {
+	if size := wire.JSONSize(model.ChunkRecord{Allocations: places}); size <= nextLimits.ValueBytes {
 		t.Fatalf("%d bytes are no large record", size)
 	}
 	node, kill := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
@@ -149,11 +149,11 @@
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
 	leader := newLeader(node, node.activeLeader().term)
-	leader.cluster.UseCompact(64)
+	leader.cluster.EnableCompactRecords(64)
 	rec := instanceRequestRecord{Request: wire.Rental{Request: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50}, Answered: true, CreatedAt: int64(micro.Wall())}
 	for i := range 300 {
-		machine := leader.cluster.Machine(fmt.Sprintf("i-%06d", i), 0)
-		machine.Type = &model.Type{MachineType: wire.MachineType{CacheGB: 100}}
+		machine := leader.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), 0)
+		machine.Type = &model.MachineType{MachineType: wire.MachineType{CacheGB: 100}}
 		if len(rec.Machines) < 50 {
 			rec.Machines = append(rec.Machines, machine.Name)
 		}
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -51,11 +51,11 @@
 // processor time, else those that start work of the first priority or prove that the
 // machine lives.
 func (l *Leader) shouldDispatch(m *model.Machine) bool {
-	if !l.overload.active || m.Unproven(l.fencingToken) {
+	if !l.overload.active || m.WouldProveAlive(l.fencingToken) {
 		return true
 	}
-	for _, p := range m.Places {
-		if p.State == model.Starting && !p.Seen && p.Job != nil && p.Job.Level == 0 {
+	for _, p := range m.Allocations {
+		if p.State == model.Starting && !p.Observed && p.Job != nil && p.Job.PriorityLevel == 0 {
 			return true
 		}
 	}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -30,12 +30,12 @@
 func TestOverloadedLeaderDispatchesOnlyUrgentCommands(t *testing.T) {
 	fleet := newFleet(t, 8)
 	currentLeader := fleet.leader
-	machines := currentLeader.cluster.List()
+	machines := currentLeader.cluster.SortedMachines()
 	normal, service := machines[0], machines[1]
 	currentLeader.addJob(wire.Job{ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
 	starts := func(machine *model.Machine, job *model.Job) {
-		allocation := currentLeader.cluster.NewPlace(job, job.Next(fleet.now, 1)[0], machine, 1, 1, fleet.now)
-		currentLeader.cluster.Persisted(job.Chunk(allocation.Index), 1<<40)
+		allocation := currentLeader.cluster.Allocate(job, job.NextTasks(fleet.now, 1)[0], machine, 1, 1, fleet.now)
+		currentLeader.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
 	}
 	starts(service, currentLeader.cluster.Jobs["j-7777"])
 	if !currentLeader.shouldDispatch(normal) || !currentLeader.shouldDispatch(service) {
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -16,8 +16,8 @@
 // reviewPendingJobs counts what waits, and tells why of some that have waited long.
 func (l *Leader) reviewPendingJobs(now micro.Time) {
 	waiting, explanationsLeft := 0, maxExplanations
-	for job := range l.cluster.Pending {
-		waiting += job.Waiting()
+	for job := range l.cluster.PendingJobs {
+		waiting += job.PendingTasks()
 		if explanationsLeft > 0 && needsExplanation(job, now) {
 			explanationsLeft--
 			l.logWaitReason(job, now)
@@ -28,10 +28,10 @@
 
 // needsExplanation reports whether a job waits long and nobody was told of this wait.
 func needsExplanation(j *model.Job, now micro.Time) bool {
-	return now-j.WaitsFrom >= explainAfter && j.Explained <= j.WaitsFrom
+	return now-j.WaitingSince >= explainAfter && j.WaitReasonLoggedAt <= j.WaitingSince
 }
 
 func (l *Leader) logWaitReason(j *model.Job, now micro.Time) {
-	j.Explained = now
-	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitsFrom)/micro.Second), "why", l.scheduler.ExplainPending(j, now).String())
+	j.WaitReasonLoggedAt = now
+	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "why", l.scheduler.ExplainPending(j, now).String())
 }
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -14,8 +14,8 @@
 // Why a job waits is told once, after a while, of a few jobs at a time.
 func TestWaitReasonIsLoggedOnce(t *testing.T) {
 	fleet := newFleet(t, 4)
-	for job := range fleet.leader.cluster.Pending {
-		fleet.leader.cluster.End(job, true, fleet.now) // what the herd could not place
+	for job := range fleet.leader.cluster.PendingJobs {
+		fleet.leader.cluster.FinalizeJob(job, true, fleet.now) // what the herd could not place
 	}
 	var out bytes.Buffer
 	fleet.leader.log = slog.New(slog.NewTextHandler(&out, nil))
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -153,7 +153,7 @@
 		got := make(chan int, 1)
 		leader.post(func() {
 			if job := leader.cluster.Jobs["j-1"]; job != nil {
-				got <- job.Unmet
+				got <- job.UnmetDependencies
 			} else {
 				got <- -1
 			}
@@ -186,7 +186,7 @@
 		return err != nil
 	})
 	// Stored by the old leader as its last deed.
-	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{{Put: endKey("j-0"), Value: model.EndRecord{State: wire.JobAborted}}}}); err != nil {
+	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{{Put: endKey("j-0"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}}); err != nil {
 		t.Fatal(err)
 	}
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
@@ -345,7 +345,7 @@
 	kill()
 	env.store.HoldBack(1)
 	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Txn{If: []wire.Guard{guard, {Key: endKey("j-1")}},
-		Then: []wire.Change{{Put: endKey("j-1"), Value: model.EndRecord{State: wire.JobAborted}}}})
+		Then: []wire.Change{{Put: endKey("j-1"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}})
 	next, _ := env.startLeaderWithGateOpen("n-1", func(*Node) {})
 	stop := make(chan struct{})
 	defer close(stop)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -33,7 +33,7 @@
 		return
 	}
 	previous := l.node.lastHandover.Load()
-	if previous == nil || l.cluster.Began-previous.lastAt > l.node.handoverWindow() {
+	if previous == nil || l.cluster.TermStartedAt-previous.lastAt > l.node.handoverWindow() {
 		previous = &leadershipHandover{}
 	}
 	if previous.count == maxHandovers {
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -21,8 +21,8 @@
 type recordStore struct {
 	*writer.Writer
 	leader           *Leader
-	chunks           map[*model.Chunk]*writer.Record
-	legacyRecords    map[*model.Old]*writer.Record
+	chunks           map[*model.TaskChunk]*writer.Record
+	legacyRecords    map[*model.LegacyRecord]*writer.Record
 	speeds           *writer.Record
 	firstProvisioned *writer.Record
 	format           *writer.Record
@@ -34,7 +34,7 @@
 }
 
 func newRecordStore(l *Leader) *recordStore {
-	records := &recordStore{Writer: writer.New(l, l.node.Store, l.log), leader: l, chunks: map[*model.Chunk]*writer.Record{}, legacyRecords: map[*model.Old]*writer.Record{}}
+	records := &recordStore{Writer: writer.New(l, l.node.Store, l.log), leader: l, chunks: map[*model.TaskChunk]*writer.Record{}, legacyRecords: map[*model.LegacyRecord]*writer.Record{}}
 	records.speeds = records.Record(speedKey)
 	records.speeds.Build = func() (any, uint64) { return l.speeds.Record(), 0 }
 	records.firstProvisioned = records.Record(firstProvisionedKey)
@@ -43,7 +43,7 @@
 	records.format = records.Record(formatKey)
 	records.format.Build = func() (any, uint64) {
 		_, safe := l.node.Cfg.ValueBytes()
-		return FormatRecord{Version: FormatVersion, TasksPerChunk: model.CompactTasks(safe - valueMargin)}, 0
+		return FormatRecord{Version: FormatVersion, TasksPerChunk: model.TasksPerCompactChunk(safe - valueMargin)}, 0
 	}
 	records.format.OnCommitted = func(uint64) {
 		l.formatRaised()
@@ -80,7 +80,7 @@
 // limits may come at any time.
 func (l *Leader) MaxValueBytes() int {
 	now, safe := l.node.Cfg.ValueBytes()
-	if l.cluster.Compact {
+	if l.cluster.CompactRecords {
 		return safe - valueMargin
 	}
 	return now - valueMargin
@@ -93,36 +93,36 @@
 func (l *Leader) ObserveCommit(took micro.Time) { l.node.Metrics.Observe("commit", took) }
 
 // chunkKey is the key of a chunk's record.
-func (l *Leader) chunkKey(ch *model.Chunk) string {
+func (l *Leader) chunkKey(ch *model.TaskChunk) string {
 	id := ch.Job.Spec.ID
 	switch {
 	case l.owner != nil:
-		return share.AllocationKey(l.owner.name, id, ch.N)
-	case l.cluster.Compact:
-		return compactKey(id, ch.N)
+		return share.AllocationKey(l.owner.name, id, ch.Index)
+	case l.cluster.CompactRecords:
+		return compactKey(id, ch.Index)
 	}
-	return runKey(id, ch.N)
+	return runKey(id, ch.Index)
 }
 
 // chunkRecord finds or makes the entry of a chunk's record.
-func (w *recordStore) chunkRecord(chunk *model.Chunk) *writer.Record {
+func (w *recordStore) chunkRecord(chunk *model.TaskChunk) *writer.Record {
 	record := w.chunks[chunk]
 	if record == nil {
 		key := w.leader.chunkKey(chunk)
-		compact := w.leader.cluster.Compact
+		compact := w.leader.cluster.CompactRecords
 		record = w.Record(key)
-		record.SetVersion(chunk.Stamp)
+		record.SetVersion(chunk.KeyRevision)
 		record.Build = func() (any, uint64) {
-			if chunk.Job.Over() && len(chunk.Places) == 0 {
-				return nil, chunk.Ver // its end says all there is to know
+			if chunk.Job.IsTerminal() && len(chunk.Allocations) == 0 {
+				return nil, chunk.MemoryVersion // its end says all there is to know
 			}
 			value := chunk.Record()
 			if compact {
-				return value.Compact(), chunk.Ver
+				return value.Compact(), chunk.MemoryVersion
 			}
-			return value, chunk.Ver
+			return value, chunk.MemoryVersion
 		}
-		record.OnCommitted = func(version uint64) { w.leader.cluster.Persisted(chunk, version) }
+		record.OnCommitted = func(version uint64) { w.leader.cluster.ChunkPersisted(chunk, version) }
 		w.chunks[chunk] = record
 	}
 	return record
@@ -131,21 +131,21 @@
 // retireLegacy turns the entry of a chunk's record in the first form into one that only
 // deletes it, in its time. A write of it may be under way: whatever comes of
 // that, the record stays until its time has come.
-func (w *recordStore) retireLegacy(chunk *model.Chunk, legacy *model.Old) {
+func (w *recordStore) retireLegacy(chunk *model.TaskChunk, legacy *model.LegacyRecord) {
 	record := w.chunks[chunk]
 	delete(w.chunks, chunk)
 	if record == nil {
-		if legacy.Stamp == 0 {
-			legacy.Left = 0 // never written
+		if legacy.KeyRevision == 0 {
+			legacy.PendingChunks = 0 // never written
 			return
 		}
-		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.N))
-		record.SetVersion(legacy.Stamp)
+		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.Index))
+		record.SetVersion(legacy.KeyRevision)
 	}
 	record.ClearDirty()
 	record.OnCommitted = func(uint64) {}
 	record.Build = func() (any, uint64) {
-		if !legacy.Free() {
+		if !legacy.Obsolete() {
 			return writer.NotReady, 0
 		}
 		return nil, 0
@@ -155,23 +155,23 @@
 
 // deleteLegacy deletes a record in the first form when there is time, if nothing
 // depends on it any more.
-func (w *recordStore) deleteLegacy(legacy *model.Old) {
+func (w *recordStore) deleteLegacy(legacy *model.LegacyRecord) {
 	if legacy == nil {
 		return
 	}
 	record := w.legacyRecords[legacy]
 	if record == nil {
-		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.N))
-		record.SetVersion(legacy.Stamp)
+		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.Index))
+		record.SetVersion(legacy.KeyRevision)
 		w.legacyRecords[legacy] = record
 		record.Build = func() (any, uint64) {
-			if !legacy.Free() {
+			if !legacy.Obsolete() {
 				return writer.NotReady, 0
 			}
 			return nil, 0
 		}
 	}
-	if legacy.Free() {
+	if legacy.Obsolete() {
 		record.MarkDirty(w.leader.node.Now(), writer.PriorityBackground)
 	}
 }
@@ -181,10 +181,10 @@
 func (w *recordStore) writeJobEnd(job *model.Job, state wire.JobState) {
 	record := w.Record(endKey(job.Spec.ID))
 	at := int64(w.leader.node.Wall())
-	record.Build = func() (any, uint64) { return model.EndRecord{State: state, At: at}, 0 }
+	record.Build = func() (any, uint64) { return model.FinalStatusRecord{State: state, EndedAt: at}, 0 }
 	record.OnCommitted = func(uint64) { w.Drop(record); w.leader.jobEnded(job, state) }
 	record.ResolveUncertain = func(item wire.Item) bool {
-		var stored model.EndRecord
+		var stored model.FinalStatusRecord
 		if wire.Unmarshal(item.Value, &stored) != nil {
 			return false
 		}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -131,9 +131,9 @@
 			machine.Type = l.cluster.Types[machine.TypeName]
 		}
 	}
-	l.cluster.Restored(now)
+	l.cluster.FinishRestore(now)
 	for _, job := range l.cluster.Jobs {
-		if job.State == model.Aborted && job.HeldN > 0 {
+		if job.State == model.Aborted && job.AllocationCount > 0 {
 			l.unconfirmedCancellations[job] = true
 		}
 	}
@@ -145,10 +145,10 @@
 func (l *Leader) restoreJobs(snapshot *jobSnapshot, now, wall micro.Time) {
 	for id, end := range snapshot.ends {
 		at := now
-		if end.At > 0 {
-			at -= max(wall-micro.Time(end.At), 0)
+		if end.EndedAt > 0 {
+			at -= max(wall-micro.Time(end.EndedAt), 0)
 		}
-		l.cluster.Ends[id] = model.End{Aborted: end.State == wire.JobAborted, At: at}
+		l.cluster.FinalStatuses[id] = model.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: at}
 	}
 	for id, spec := range snapshot.specs {
 		end, over := snapshot.ends[id]
@@ -165,18 +165,18 @@
 		}
 		job := l.insertJob(spec, now, wall)
 		if over {
-			l.cluster.End(job, end.State == wire.JobAborted, now)
+			l.cluster.FinalizeJob(job, end.State == wire.JobAborted, now)
 		}
 		for _, stored := range snapshot.compactChunks[id] {
 			var record model.CompactRecord
 			if wire.Unmarshal(stored.item.Value, &record) == nil {
-				l.cluster.RestoreCompact(job, stored.index, &record, uint64(stored.item.Version), now)
+				l.cluster.RestoreCompactChunk(job, stored.index, &record, uint64(stored.item.Version), now)
 			}
 		}
 		for _, stored := range snapshot.legacyChunks[id] {
 			var record model.ChunkRecord
 			if wire.Unmarshal(stored.item.Value, &record) == nil {
-				l.cluster.Restore(job, stored.index, &record, uint64(stored.item.Version), now)
+				l.cluster.RestoreChunk(job, stored.index, &record, uint64(stored.item.Version), now)
 			}
 		}
 		l.restoreAssignment(job, snapshot.assignments[id])
@@ -184,7 +184,7 @@
 }
 
 // finalStatus is what polls are told of a job whose end is in the store.
-func finalStatus(id string, end model.EndRecord, tasks int) wire.JobStatus {
+func finalStatus(id string, end model.FinalStatusRecord, tasks int) wire.JobStatus {
 	s := wire.JobStatus{ID: id, State: end.State}
 	if s.State == wire.JobDone {
 		s.Done = tasks
@@ -197,7 +197,7 @@
 	l.knownJobs.Store(spec.ID, true)
 	age := max(wall-micro.Time(spec.SubmittedAt), 0)
 	job := l.cluster.AddJob(spec, now-age, now)
-	job.Class.Quick = l.objectives.StartObjective(spec.Class)
+	job.Class.StartObjective = l.objectives.StartObjective(spec.Class)
 	return job
 }
 
@@ -205,7 +205,7 @@
 	if l.cluster.Jobs[spec.ID] != nil {
 		return
 	}
-	if _, over := l.cluster.Ends[spec.ID]; over {
+	if _, over := l.cluster.FinalStatuses[spec.ID]; over {
 		return
 	}
 	if spec.NeedsIn > 0 {
@@ -213,7 +213,7 @@
 		return
 	}
 	job := l.insertJob(spec, l.node.Now(), l.node.Wall())
-	l.log.Info("job", "job", spec.ID, "class", spec.Class, "kind", string(spec.Kind), "tasks", spec.Tasks, "state", job.State.String(), "awaits", spec.Needs, "unmet", job.Unmet)
+	l.log.Info("job", "job", spec.ID, "class", spec.Class, "kind", string(spec.Kind), "tasks", spec.Tasks, "state", job.State.String(), "awaits", spec.Needs, "unmet", job.UnmetDependencies)
 }
 
 // watchSubmissions finds jobs that other nodes accepted.
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -125,7 +125,7 @@
 	}
 	n.Store = endDuringReadStore{n.Store, func() {
 		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Txn{
-			Then: []wire.Change{{Put: endKey("j-1"), Value: model.EndRecord{State: wire.JobDone}}}})
+			Then: []wire.Change{{Put: endKey("j-1"), Value: model.FinalStatusRecord{State: wire.JobDone}}}})
 	}}
 	if got := jobState(n, "j-1"); got != wire.JobDone {
 		t.Fatalf("it is %q", got)
--- a/internal/controller/retention.go
+++ b/internal/controller/retention.go
@@ -21,14 +21,14 @@
 // jobFlushed reports whether nothing of a job that is over has still to be written, or
 // may yet be carried out.
 func (w *recordStore) jobFlushed(j *model.Job) bool {
-	if w.Lookup(endKey(j.Spec.ID)) != nil || j.Share != "" {
+	if w.Lookup(endKey(j.Spec.ID)) != nil || j.Shard != "" {
 		return false
 	}
 	for _, ch := range j.Chunks {
 		if record := w.chunks[ch]; record != nil && (!record.Settled() || record.Version() != 0) {
 			return false
 		}
-		if ch.Old != nil {
+		if ch.Legacy != nil {
 			return false
 		}
 	}
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -61,10 +61,10 @@
 // A record that is yet to be deleted is the next leader's only word of a place.
 func TestJobWithAnOpenRecordIsNotPruned(t *testing.T) {
 	fleet := newFleet(t, 4)
-	job := fleet.leader.cluster.List()[0].Sorted()[0].Job
-	fleet.leader.cluster.End(job, true, fleet.now)
-	for _, allocation := range job.AllPlaces() {
-		fleet.leader.cluster.Lose(allocation.Machine, fleet.now)
+	job := fleet.leader.cluster.SortedMachines()[0].SortedAllocations()[0].Job
+	fleet.leader.cluster.FinalizeJob(job, true, fleet.now)
+	for _, allocation := range job.Allocations() {
+		fleet.leader.cluster.ExpireMachine(allocation.Machine, fleet.now)
 	}
 	fleet.now += micro.Minute * 60
 	entry := fleet.leader.records.chunkRecord(job.Chunks[0])
@@ -88,10 +88,10 @@
 // that a smaller fleet needs no more.
 func TestImageRecordsOfALargeFleetAreWrittenInTurn(t *testing.T) {
 	fleet := newFleet(t, 4)
-	fleet.leader.cluster.UseCompact(64)
+	fleet.leader.cluster.EnableCompactRecords(64)
 	has := model.ImageRecord{Names: []string{"x"}, GB: []float64{9}, Machines: map[string][]int{}}
 	for i := range 4000 {
-		has.Machines[fleet.leader.cluster.Machine(wire.TaskName("i", i), fleet.now).Name] = []int{0}
+		has.Machines[fleet.leader.cluster.EnsureMachine(wire.TaskName("i", i), fleet.now).Name] = []int{0}
 	}
 	fleet.leader.cluster.RestoreImages(has, fleet.now)
 	all := len(fleet.leader.cluster.ImagePages(fleet.leader.records.images.maxRecordSize()))
@@ -99,8 +99,8 @@
 	if len(written) != all {
 		t.Errorf("%d of %d records were written", len(written), all)
 	}
-	for _, machine := range fleet.leader.cluster.List()[100:] {
-		fleet.leader.cluster.Depart(machine, fleet.now)
+	for _, machine := range fleet.leader.cluster.SortedMachines()[100:] {
+		fleet.leader.cluster.RemoveMachine(machine, fleet.now)
 	}
 	fleet.writeImageRounds(3 * all)
 	if n := len(fleet.leader.records.images.pages); n != 0 {
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -55,18 +55,18 @@
 // assignableJobs lists the jobs that may be assigned, in the order in which they get room.
 func (l *Leader) assignableJobs() []*model.Job {
 	var jobs []*model.Job
-	for job := range l.cluster.Pending {
-		if job.State == model.Active && job.Untouched() {
+	for job := range l.cluster.PendingJobs {
+		if job.State == model.Active && job.NeverAllocated() {
 			jobs = append(jobs, job)
 		}
 	}
 	sort.Slice(jobs, func(a, b int) bool {
 		first, second := jobs[a], jobs[b]
-		if first.Level != second.Level {
-			return first.Level < second.Level
+		if first.PriorityLevel != second.PriorityLevel {
+			return first.PriorityLevel < second.PriorityLevel
 		}
-		if first.Since != second.Since {
-			return first.Since < second.Since
+		if first.EligibleSince != second.EligibleSince {
+			return first.EligibleSince < second.EligibleSince
 		}
 		return first.Spec.ID < second.Spec.ID
 	})
@@ -75,7 +75,7 @@
 
 // assignToShard assigns a job to a share if that has room for it.
 func (l *Leader) assignToShard(entry share.Entry, job *model.Job, now micro.Time) bool {
-	waited := now - job.WaitsFrom
+	waited := now - job.WaitingSince
 	if !slices.Contains(entry.Record.Teams, job.Spec.Team) && (len(entry.Record.Teams) > 0 || waited < assignDelay) {
 		return false
 	}
@@ -127,7 +127,7 @@
 		return 0
 	}
 	count := math.MaxInt32
-	for _, x := range []struct{ free, need float64 }{{capacity.CPU, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, machineType.K, machineType.CPUs))}, {capacity.GPU, spec.GPUs}, {capacity.Mem, spec.MemoryGB}} {
+	for _, x := range []struct{ free, need float64 }{{capacity.CPU, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, machineType.SpeedFactor, machineType.CPUs))}, {capacity.GPU, spec.GPUs}, {capacity.Mem, spec.MemoryGB}} {
 		if x.need > 0 {
 			count = min(count, int(x.free/x.need+1e-9))
 		}
@@ -157,7 +157,7 @@
 	l.coordinator.assignedJobs[job.Spec.ID] = assigned
 	assigned.storeRecord.Preconditions = func() []wire.Guard { return l.assignmentPreconditions(assigned) }
 	assigned.storeRecord.Build = func() (any, uint64) {
-		if assigned.storeRecord.Version() > 0 || !assigned.stored && !job.Over() {
+		if assigned.storeRecord.Version() > 0 || !assigned.stored && !job.IsTerminal() {
 			return assigned.assignment, 0
 		}
 		l.assignmentDeleted(assigned)
@@ -191,7 +191,7 @@
 // it back. A late write can create the record of the former no more; for the latter the
 // share's record has to change first.
 func (l *Leader) assignmentDeleted(assigned *assignedJob) {
-	if assigned.job.Over() {
+	if assigned.job.IsTerminal() {
 		l.dropAssignment(assigned)
 		return
 	}
@@ -310,7 +310,7 @@
 		return false
 	}
 	for _, zone := range zones {
-		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 && limit+l.cluster.Lease+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
+		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 && limit+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
 			return false
 		}
 	}
@@ -336,8 +336,8 @@
 	if needed < 0 || assigned == nil || assigned.cancelling {
 		return
 	}
-	l.cluster.Release(j, needed)
-	if more := l.cluster.ReserveMore(j, needed-assigned.assignment.MaxAllocations); more > 0 {
+	l.cluster.ReleaseQuota(j, needed)
+	if more := l.cluster.ReserveQuota(j, needed-assigned.assignment.MaxAllocations); more > 0 {
 		assigned.assignment.MaxAllocations += more // counted first, and used only once it is stored
 		assigned.storeRecord.MarkDirty(l.node.Now(), writer.PriorityHigh)
 	}
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -81,7 +81,7 @@
 		}
 		return true, 0
 	}
-	l.cluster.Partition = l.classifyMachine
+	l.cluster.Ownership = l.classifyMachine
 	l.planner.ShardDemands = l.shardDemands
 	l.planner.OwnsOffer = func(offer scale.InstanceOffer) bool {
 		_, shared := l.shardTable().ShardOf(machineAttributes(offer.Type, offer.Zone, offer.Spot))
@@ -100,7 +100,7 @@
 			inShard := func(offer scale.InstanceOffer) bool {
 				return entry.Record.Selector.Matches(machineAttributes(offer.Type, offer.Zone, offer.Spot)) && (len(demand.Zones) == 0 || slices.Contains(demand.Zones, offer.Zone))
 			}
-			if job := l.cluster.Jobs[demand.Job]; job != nil && job.State == model.Assigned && job.Share == entry.Name {
+			if job := l.cluster.Jobs[demand.Job]; job != nil && job.State == model.Assigned && job.Shard == entry.Name {
 				demands = append(demands, scale.ShardDemand{Job: job, Tasks: demand.Tasks, InShard: inShard})
 			}
 		}
@@ -157,7 +157,7 @@
 			delete(l.coordinator.views, name)
 		}
 	}
-	l.cluster.Repartition()
+	l.cluster.RefreshOwnership()
 }
 
 // How often the leader looks after the shares, and reads who has a session.
--- a/internal/controller/shard_form.go
+++ b/internal/controller/shard_form.go
@@ -23,7 +23,7 @@
 
 // formDeclaredShards forms the shares of the settings that do not exist.
 func (l *Leader) formDeclaredShards() {
-	if l.node.Cfg.Shares.Dissolve || !l.cluster.Compact || !l.allRegistered() {
+	if l.node.Cfg.Shares.Dissolve || !l.cluster.CompactRecords || !l.allRegistered() {
 		return
 	}
 	for _, declared := range l.node.Cfg.Shares.Declared {
@@ -83,9 +83,9 @@
 // proven free of it.
 func (l *Leader) allocationsIn(e share.Entry) int {
 	held := 0
-	for _, m := range l.cluster.List() {
-		if m.Type == nil || m.Clearing && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
-			held += len(m.Places)
+	for _, m := range l.cluster.SortedMachines() {
+		if m.Type == nil || m.TransferPending && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
+			held += len(m.Allocations)
 		}
 	}
 	return held
@@ -94,8 +94,8 @@
 // formingMachines lists the machines of a share that is being formed.
 func (l *Leader) formingMachines(e share.Entry) []*model.Machine {
 	var out []*model.Machine
-	for _, m := range l.cluster.List() {
-		if m.Clearing && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
+	for _, m := range l.cluster.SortedMachines() {
+		if m.TransferPending && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
 			out = append(out, m)
 		}
 	}
@@ -107,9 +107,9 @@
 func (l *Leader) drainReplicas(entry share.Entry) {
 	now := l.node.Now()
 	stopping := 0
-	var replicas []*model.Place
+	var replicas []*model.Allocation
 	for _, machine := range l.formingMachines(entry) {
-		for _, allocation := range machine.Sorted() {
+		for _, allocation := range machine.SortedAllocations() {
 			switch {
 			case allocation.Job == nil || allocation.Job.Spec.Kind != wire.Service:
 			case allocation.Stopping:
@@ -120,7 +120,7 @@
 		}
 	}
 	for _, allocation := range replicas[:max(min(len(replicas), maxReplicasStopping-stopping), 0)] {
-		l.cluster.Stop(allocation, "the machine goes to a share", allocation.Job.Spec.SaveS, now)
+		l.cluster.StopAllocation(allocation, "the machine goes to a share", allocation.Job.Spec.SaveS, now)
 	}
 }
 
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -131,10 +131,10 @@
 // drainForTransfer drops what was planned and not started, and reports whether nothing is
 // still to be written or in doubt: the next owner reads the rest.
 func (l *Leader) drainForTransfer(now micro.Time) bool {
-	for _, m := range l.cluster.List() {
-		for _, p := range m.Sorted() {
+	for _, m := range l.cluster.SortedMachines() {
+		for _, p := range m.SortedAllocations() {
 			if p.State == model.Planned {
-				l.cluster.Stop(p, "the share moves", 0, now)
+				l.cluster.StopAllocation(p, "the share moves", 0, now)
 			}
 		}
 	}
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -26,7 +26,7 @@
 	if _, ok := l.readAll(ctx, "fleet/", l.restoreFleet); !ok {
 		return false
 	}
-	if !l.cluster.Compact {
+	if !l.cluster.CompactRecords {
 		l.log.Error("share not taken over: the forms of this version are not in use yet")
 		return false
 	}
@@ -45,7 +45,7 @@
 		return false
 	}
 	l.speeds.Apply(l.cluster)
-	l.cluster.Restored(now)
+	l.cluster.FinishRestore(now)
 	for job := range l.owner.cancelling {
 		l.stopAllocations(job, now) // read after it was known that the job is to be stopped
 	}
@@ -67,7 +67,7 @@
 		l.deleteOrphanedAllocation(item)
 		return
 	}
-	l.cluster.RestoreCompact(j, allocation.chunkIndex, &allocation.record, allocation.version, now)
+	l.cluster.RestoreCompactChunk(j, allocation.chunkIndex, &allocation.record, allocation.version, now)
 }
 
 // deleteOrphanedAllocation deletes a record that an earlier owner had no time to delete after its
@@ -103,9 +103,9 @@
 		l.owner.assignedAt[id] = micro.Time(assignment.AssignedAt)
 		l.log.Info("job assigned", "job", id, "class", assignment.Job.Class, "tasks", assignment.Job.Tasks, "at_once", assignment.MaxAllocations)
 	}
-	if assignment.MaxAllocations > job.Most {
-		job.Most = assignment.MaxAllocations
-		l.cluster.Changed()
+	if assignment.MaxAllocations > job.MaxAllocations {
+		job.MaxAllocations = assignment.MaxAllocations
+		l.cluster.ScheduleSoon()
 	}
 	if assignment.StopRequested {
 		l.cancelAssigned(job)
@@ -115,7 +115,7 @@
 // cancelAssigned stops the tasks of a job that is being withdrawn. The leader is told at
 // once: its user waits.
 func (l *Leader) cancelAssigned(j *model.Job) {
-	if l.owner.cancelling[j] || j.Over() {
+	if l.owner.cancelling[j] || j.IsTerminal() {
 		return
 	}
 	l.owner.cancelling[j] = true
@@ -126,8 +126,8 @@
 
 // stopAllocations tells all tasks of a withdrawn job to stop.
 func (l *Leader) stopAllocations(j *model.Job, now micro.Time) {
-	for _, p := range j.AllPlaces() {
-		l.cluster.Stop(p, "withdrawn", 0, now)
+	for _, p := range j.Allocations() {
+		l.cluster.StopAllocation(p, "withdrawn", 0, now)
 	}
 }
 
@@ -174,11 +174,11 @@
 		if job == nil || record.Dirty() {
 			continue
 		}
-		over := job.Over() && job.HeldN == 0
-		unplaced := job.State == model.Active && job.Untouched() && l.node.Wall()-l.owner.assignedAt[id] > handBackTimeout
+		over := job.IsTerminal() && job.AllocationCount == 0
+		unplaced := job.State == model.Active && job.NeverAllocated() && l.node.Wall()-l.owner.assignedAt[id] > handBackTimeout
 		if unplaced {
 			l.log.Info("job handed back", "job", id)
-			l.cluster.Withhold(job)
+			l.cluster.PrepareTransfer(job)
 		}
 		if over || unplaced {
 			record.MarkDirty(now, writer.PriorityHigh)
@@ -200,7 +200,7 @@
 	delete(l.owner.finished, job)
 	delete(l.owner.cancelling, job)
 	l.knownJobs.Delete(id)
-	if job.Over() {
+	if job.IsTerminal() {
 		for _, chunk := range job.Chunks {
 			l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), writer.PriorityLow)
 		}
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -33,7 +33,7 @@
 	l.owner.reportUrgent = true
 	now := l.node.Now()
 	for _, ch := range j.Chunks {
-		if ch.Ver > ch.Saved {
+		if ch.MemoryVersion > ch.StoredVersion {
 			l.records.chunkRecord(ch).MarkDirty(now, writer.PriorityHigh)
 		}
 	}
@@ -42,7 +42,7 @@
 // recorded reports whether all that is known of a job's tasks is in the store.
 func fullyRecorded(j *model.Job) bool {
 	for _, ch := range j.Chunks {
-		if ch.Ver > ch.Saved {
+		if ch.MemoryVersion > ch.StoredVersion {
 			return false
 		}
 	}
@@ -106,9 +106,9 @@
 }
 
 func cancellationProgress(j *model.Job) share.StoppingJob {
-	progress := share.StoppingJob{Job: j.Spec.ID, UnreleasedAllocations: j.HeldN}
+	progress := share.StoppingJob{Job: j.Spec.ID, UnreleasedAllocations: j.AllocationCount}
 	zones := map[string]bool{}
-	for _, p := range j.AllPlaces() {
+	for _, p := range j.Allocations() {
 		zones[p.Machine.Zone] = true
 	}
 	progress.Zones = slices.Sorted(maps.Keys(zones))
@@ -118,12 +118,12 @@
 // reportMachines counts the machines that are up, and names those that the leader has not
 // been told of.
 func (l *Leader) reportMachines(update *share.ShardUpdate) {
-	for _, m := range l.cluster.List() {
+	for _, m := range l.cluster.SortedMachines() {
 		if m.State != model.Up {
 			continue
 		}
 		update.MachineCount++
-		if len(m.Places) == 0 {
+		if len(m.Allocations) == 0 {
 			update.IdleMachines++
 		}
 		if !l.owner.reportedMachines[m.Name] && len(update.ReadyMachines) < maxStatusItems {
@@ -134,13 +134,13 @@
 
 func (l *Leader) reportProgress(update *share.ShardUpdate) {
 	now := l.node.Now()
-	for job := range l.cluster.Live {
-		update.PendingTasks += job.Waiting()
-		if schedulable := min(job.Demand(now), job.Openings(now)); schedulable > 0 && len(update.Demand) < maxStatusItems {
+	for job := range l.cluster.ActiveJobs {
+		update.PendingTasks += job.PendingTasks()
+		if schedulable := min(job.Demand(now), job.SchedulableTasks(now)); schedulable > 0 && len(update.Demand) < maxStatusItems {
 			update.Demand = append(update.Demand, share.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)})
 		}
-		if len(update.Progress) < maxStatusItems && job.DoneN+job.RunningN > 0 {
-			update.Progress = append(update.Progress, share.Progress{Job: job.Spec.ID, Done: job.DoneN, Running: job.RunningN, AllocationsNeeded: allocationsNeeded(job)})
+		if len(update.Progress) < maxStatusItems && job.DoneTasks+job.RunningTasks > 0 {
+			update.Progress = append(update.Progress, share.Progress{Job: job.Spec.ID, Done: job.DoneTasks, Running: job.RunningTasks, AllocationsNeeded: allocationsNeeded(job)})
 		}
 	}
 }
@@ -151,12 +151,12 @@
 	if !fullyRecorded(job) {
 		return -1
 	}
-	needed := len(job.Tasks) - job.DoneN
-	for _, allocation := range job.AllPlaces() {
+	needed := len(job.Tasks) - job.DoneTasks
+	for _, allocation := range job.Allocations() {
 		// Beside one for each task that is not done. A gang that is wound up holds less
 		// for a while, and then all of its places again: counted by what was held and
 		// waited, two jobs once had the same part of a limit.
-		if task := &job.Tasks[allocation.Index]; task.Done || task.Held > 1 {
+		if task := &job.Tasks[allocation.Index]; task.Done || task.AllocationCount > 1 {
 			needed++
 		}
 	}
@@ -165,7 +165,7 @@
 
 // schedulableZones lists the zones where more of a job's tasks may go, by its rules on zones.
 func (l *Leader) schedulableZones(j *model.Job) []string {
-	if !j.Spec.Spread && (!j.Spec.OneZone || j.HeldN == 0) {
+	if !j.Spec.Spread && (!j.Spec.OneZone || j.AllocationCount == 0) {
 		return nil
 	}
 	var open []string
@@ -179,7 +179,7 @@
 
 // capacityKey is what makes machines' room alike.
 type capacityKey struct {
-	pool *model.Pool
+	pool *model.MachinePool
 	cpu  int
 	gpu  int
 	mem  int
@@ -188,8 +188,8 @@
 // freeCapacity lists what is free, by like machines, the largest first. What waits for room
 // in the share comes before jobs that are yet to be assigned: while any does, none is.
 func (l *Leader) freeCapacity(now micro.Time) []share.FreeCapacity {
-	for job := range l.cluster.Pending {
-		if job.Waiting() > 0 && !job.Paused(now) {
+	for job := range l.cluster.PendingJobs {
+		if job.PendingTasks() > 0 && !job.InBackoff(now) {
 			return nil
 		}
 	}
@@ -197,11 +197,11 @@
 	for _, pool := range l.cluster.Pools {
 		for row := range pool.Rows() {
 			for _, machine := range pool.Row(row) {
-				if !machine.Usable(now) || machine.Reserve != nil {
+				if !machine.Schedulable(now) || machine.ReservedFor != nil {
 					continue
 				}
-				cpu := min(machine.Type.CPUs-machine.UsedScaled, machine.Type.CPUs-machine.UsedCPU)
-				counts[capacityKey{pool, int(cpu) / cpuRounding, int(machine.Type.GPUs - machine.UsedGPU), int(machine.Type.MemoryGB - machine.UsedMem)}]++
+				cpu := min(machine.Type.CPUs-machine.UsedScaledCPU, machine.Type.CPUs-machine.UsedCPU)
+				counts[capacityKey{pool, int(cpu) / cpuRounding, int(machine.Type.GPUs - machine.UsedGPU), int(machine.Type.MemoryGB - machine.UsedMemoryGB)}]++
 			}
 		}
 	}
@@ -245,7 +245,7 @@
 	}
 	now := l.node.Now()
 	for id, state := range reply.FinalStates {
-		if job := l.cluster.Jobs[id]; job != nil && !job.Over() {
+		if job := l.cluster.Jobs[id]; job != nil && !job.IsTerminal() {
 			l.endJobInShard(job, wire.JobState(state), now)
 		}
 	}
@@ -253,7 +253,7 @@
 		if machine := l.cluster.Machines[name]; machine != nil {
 			delete(l.owner.pendingTerminations, machine)
 			delete(l.owner.reportedMachines, name)
-			l.cluster.Depart(machine, now)
+			l.cluster.RemoveMachine(machine, now)
 		}
 	}
 	l.applyLeaderBound(reply, sentAt, now)
@@ -263,12 +263,12 @@
 
 // endJobInShard settles a job whose end is in the store.
 func (l *Leader) endJobInShard(j *model.Job, state wire.JobState, now micro.Time) {
-	l.cluster.End(j, state == wire.JobAborted, now)
+	l.cluster.FinalizeJob(j, state == wire.JobAborted, now)
 	delete(l.owner.finished, j)
 	delete(l.owner.cancelling, j)
 	l.log.Info("job over in share", "job", j.Spec.ID, "state", string(state))
 	for _, ch := range j.Chunks {
-		l.Touch(ch)
+		l.ChunkDirty(ch)
 	}
 }
 
@@ -282,14 +282,14 @@
 	disconnected := map[string]bool{}
 	for _, zone := range reply.DisconnectedZones {
 		disconnected[zone] = true
-		if _, known := l.cluster.Away[zone]; !known {
-			l.cluster.Away[zone] = now
+		if _, known := l.cluster.ZoneUnreachableSince[zone]; !known {
+			l.cluster.ZoneUnreachableSince[zone] = now
 		}
 	}
-	for zone := range l.cluster.Away {
+	for zone := range l.cluster.ZoneUnreachableSince {
 		if !disconnected[zone] {
-			delete(l.cluster.Away, zone)
-			l.cluster.Changed()
+			delete(l.cluster.ZoneUnreachableSince, zone)
+			l.cluster.ScheduleSoon()
 		}
 	}
 }
@@ -298,9 +298,9 @@
 // leader is in touch with them: without its answer nothing is proven by a lease.
 func (l *Leader) updateBoundFromLeader(now micro.Time) {
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
-		l.cluster.Kept[zone] = l.owner.renewedUntil[zone]
+		l.cluster.ProxyRenewedUntil[zone] = l.owner.renewedUntil[zone]
 		if l.owner.renewedUntil == nil {
-			l.cluster.Kept[zone] = now
+			l.cluster.ProxyRenewedUntil[zone] = now
 		}
 	}
 }
--- a/internal/controller/shard_policy.go
+++ b/internal/controller/shard_policy.go
@@ -44,10 +44,10 @@
 	facts := policy.Facts{Waiting: map[string]int{}, Guaranteed: map[string]int{}, Free: map[string]int{}, Machines: map[string]int{}}
 	facts.SetTime(time.UnixMicro(int64(l.node.Wall())))
 	l.cluster.MarkGuarantees()
-	for job := range l.cluster.Pending {
-		facts.Waiting[job.Spec.Team] += job.Waiting()
-		if job.Guar {
-			facts.Guaranteed[job.Spec.Team] += job.Waiting()
+	for job := range l.cluster.PendingJobs {
+		facts.Waiting[job.Spec.Team] += job.PendingTasks()
+		if job.WithinGuarantee {
+			facts.Guaranteed[job.Spec.Team] += job.PendingTasks()
 		}
 	}
 	for name, view := range l.coordinator.views {
--- a/internal/controller/shard_reclaim.go
+++ b/internal/controller/shard_reclaim.go
@@ -70,14 +70,14 @@
 	now := l.node.Now()
 	firstToken := entry.Version << tokenBits
 	l.fencingToken = max(l.fencingToken, firstToken)
-	l.cluster.RaiseBase(firstToken)
+	l.cluster.RaiseMinFencingToken(firstToken)
 	reclaim.reclaimed = true
-	for _, machine := range l.cluster.List() {
-		if machine.Foreign && entry.Record.Selector.Matches(machineAttributes(machine.TypeName, machine.Zone, machine.Spot)) {
-			l.cluster.Receive(machine, now)
+	for _, machine := range l.cluster.SortedMachines() {
+		if machine.OwnedElsewhere && entry.Record.Selector.Matches(machineAttributes(machine.TypeName, machine.Zone, machine.Spot)) {
+			l.cluster.AcquireMachine(machine, now)
 		}
 	}
-	l.cluster.Repartition()
+	l.cluster.RefreshOwnership()
 	for _, assigned := range l.coordinator.assignedJobs {
 		if assigned.shardName == entry.Name {
 			l.cluster.Unassign(assigned.job, now)
@@ -97,8 +97,8 @@
 // resumeReclaimedJob goes on with a job of a share that was taken back, as with any other.
 func (l *Leader) resumeReclaimedJob(assigned *assignedJob, now micro.Time) {
 	job := assigned.job
-	l.cluster.RestoredJob(job, now)
-	if assigned.fencedZones = nil; job.Over() && job.HeldN > 0 {
+	l.cluster.FinishJobRestore(job, now)
+	if assigned.fencedZones = nil; job.IsTerminal() && job.AllocationCount > 0 {
 		l.unconfirmedCancellations[job] = true
 	}
 	if assigned.cancelling && !assigned.endRequested && job.State == model.Aborting {
@@ -116,16 +116,16 @@
 	record.SetVersion(uint64(item.Version))
 	reclaim.pendingDeletes[item.Key] = record
 	job := l.cluster.Jobs[id]
-	var chunk *model.Chunk
+	var chunk *model.TaskChunk
 	if ok && job != nil && allocation.chunkIndex < len(job.Chunks) {
 		chunk = job.Chunks[allocation.chunkIndex]
 		if !chunk.Stored { // else an earlier leader has moved it
-			l.cluster.TakeBack(job, allocation.chunkIndex, &allocation.record, now)
+			l.cluster.ReclaimChunk(job, allocation.chunkIndex, &allocation.record, now)
 			l.records.chunkRecord(chunk).MarkDirty(now, writer.PriorityHigh)
 		}
 	}
 	record.Build = func() (any, uint64) {
-		if chunk != nil && !chunk.Stored && !(job.Over() && job.HeldN == 0) {
+		if chunk != nil && !chunk.Stored && !(job.IsTerminal() && job.AllocationCount == 0) {
 			return writer.NotReady, 0
 		}
 		return nil, 0
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -53,7 +53,7 @@
 	if stored == nil {
 		return
 	}
-	l.cluster.RestoreAssigned(j, stored.shardName, stored.assignment.MaxAllocations)
+	l.cluster.RestoreAssignment(j, stored.shardName, stored.assignment.MaxAllocations)
 	assigned := l.storeAssignment(stored.shardName, j, stored.assignment)
 	assigned.stored = true
 	assigned.storeRecord.SetVersion(stored.version)
@@ -74,7 +74,7 @@
 			assigned.cancelling, assigned.endRequested, assigned.fencedZones = true, true, l.node.Cfg.Facts.Zones
 		}
 	}
-	l.cluster.Repartition()
+	l.cluster.RefreshOwnership()
 }
 
 // watchAssignmentDeletions finds the assignments that owners delete.
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -47,11 +47,11 @@
 		l.acknowledgeStatus(shardUpdate, &reply)
 	}
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
-		if until := max(l.cluster.Kept[zone], l.renewalBound.RenewedUntil(zone, now)); until > 0 {
+		if until := max(l.cluster.ProxyRenewedUntil[zone], l.renewalBound.RenewedUntil(zone, now)); until > 0 {
 			reply.ProxyRenewalAge[zone] = int64(now - until)
 		}
 	}
-	for zone := range l.cluster.Away {
+	for zone := range l.cluster.ZoneUnreachableSince {
 		reply.DisconnectedZones = append(reply.DisconnectedZones, zone)
 	}
 	return reply
@@ -70,16 +70,16 @@
 		view.freeCapacity, view.capacityAt, view.seenRevision = update.FreeCapacity, now, update.AssignmentRevision
 	}
 	for _, id := range update.FinishedJobs {
-		if job := l.cluster.Jobs[id]; job != nil && job.Share == entry.Name {
-			l.cluster.Finish(job)
+		if job := l.cluster.Jobs[id]; job != nil && job.Shard == entry.Name {
+			l.cluster.FinishAssigned(job)
 		}
 	}
 	for _, stopping := range update.StoppingJobs {
 		l.shardCancellationProgress(entry.Name, stopping, now)
 	}
 	for _, progress := range update.Progress {
-		if job := l.cluster.Jobs[progress.Job]; job != nil && job.Share == entry.Name && job.State == model.Assigned {
-			job.SharedDid, job.SharedRun = progress.Done, progress.Running
+		if job := l.cluster.Jobs[progress.Job]; job != nil && job.Shard == entry.Name && job.State == model.Assigned {
+			job.ShardDoneTasks, job.ShardRunningTasks = progress.Done, progress.Running
 			l.adjustShardReservation(job, progress.AllocationsNeeded)
 		}
 	}
@@ -92,9 +92,9 @@
 		}
 	}
 	for _, name := range update.MachinesToTerminate {
-		if !l.cluster.Departed(name) {
-			machine := l.cluster.Machine(name, now)
-			machine.Foreign = true
+		if !l.cluster.WasTerminated(name) {
+			machine := l.cluster.EnsureMachine(name, now)
+			machine.OwnedElsewhere = true
 			l.terminate(machine, "its share's owner wants it returned")
 		}
 	}
@@ -102,8 +102,8 @@
 
 // machineUpInShard notes a machine that reports to the owner of its share.
 func (l *Leader) machineUpInShard(name string) {
-	if m := l.cluster.Machines[name]; m != nil && m.Foreign {
-		l.cluster.Become(m, model.Up, "its share's owner says so")
+	if m := l.cluster.Machines[name]; m != nil && m.OwnedElsewhere {
+		l.cluster.TransitionMachine(m, model.Up, "its share's owner says so")
 	}
 }
 
@@ -116,14 +116,14 @@
 		l.acknowledgeEnd(stopping.Job, reply)
 	}
 	for _, name := range update.MachinesToTerminate {
-		if l.cluster.Departed(name) {
+		if l.cluster.WasTerminated(name) {
 			reply.TerminatedMachines = append(reply.TerminatedMachines, name)
 		}
 	}
 }
 
 func (l *Leader) acknowledgeEnd(id string, reply *share.UpdateReply) {
-	end, over := l.cluster.Ends[id]
+	end, over := l.cluster.FinalStatuses[id]
 	switch {
 	case !over:
 	case end.Aborted:
--- a/internal/controller/status_batcher.go
+++ b/internal/controller/status_batcher.go
@@ -223,7 +223,7 @@
 		for _, id := range known {
 			if job := l.cluster.Jobs[id]; job != nil && !l.endUncertain(job) {
 				status := job.Status()
-				status.Needs = l.cluster.Lacks(job)
+				status.Needs = l.cluster.PendingDependencies(job)
 				found = append(found, status)
 			}
 		}
--- a/internal/controller/status_read.go
+++ b/internal/controller/status_read.go
@@ -33,7 +33,7 @@
 // Polls have taken what it usually costs from their budget before.
 func (n *Node) readStatus(id string, class store.Class) (front.Reply, error) {
 	status := wire.JobStatus{ID: id, State: wire.JobPending}
-	var tally model.Tally
+	var tally model.TaskCounter
 	err := n.readPrefix(class, "run/"+id+"/", func(rest string, value []byte) error { return tally.Add(rest, compactMark, value) })
 	if err != nil {
 		return front.Reply{}, err
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -226,9 +226,9 @@
 func allocationsIn(c wire.Change) int {
 	switch r := c.Value.(type) {
 	case model.ChunkRecord:
-		return len(r.Places)
+		return len(r.Allocations)
 	case model.CompactRecord:
-		return len(r.Places)
+		return len(r.Allocations)
 	}
 	return 0
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -47,8 +47,8 @@
 	due, zone := 900.0, "east"
 	return map[string]any{
 		v1Spec:              wire.Job{ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25, MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000},
-		v1Chunk:             model.ChunkRecord{Places: []model.PlaceRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Tries: [][2]int{{135, 4}}},
-		v1End:               model.EndRecord{State: wire.JobAborted},
+		v1Chunk:             model.ChunkRecord{Allocations: []model.AllocationRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Attempts: [][2]int{{135, 4}}},
+		v1End:               model.FinalStatusRecord{State: wire.JobAborted},
 		v1InstanceRequest:   instanceRequestRecord{Request: wire.Rental{Request: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2}, Machines: []string{"i-000231", "i-000232"}, Answered: true, CreatedAt: 1700000000000000},
 		v1First:             firstProvisionedRecord{"i-000231"},
 		v1Leader:            election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
@@ -76,7 +76,7 @@
 // A size is measured in the form that the store counts: what it decodes, as JSON.
 func TestSizesAreMeasuredAsTheStoreCountsThem(t *testing.T) {
 	all := version1Values()
-	all["compact"] = (&model.ChunkRecord{Places: []model.PlaceRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Tries: [][2]int{}}).Compact()
+	all["compact"] = (&model.ChunkRecord{Allocations: []model.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
 	all["format"], all["node"], all["needs"] = FormatRecord{2, 64}, nodeRecord{2}, dependencyRecord{[]string{"j-1", "j-2"}}
 	for _, value := range all {
 		var counted any
@@ -112,7 +112,7 @@
 
 func TestEarlierVersionReadsPastWhatWasAdded(t *testing.T) {
 	var e v1EndRecord
-	if err := wire.Unmarshal(wire.MustMarshal(model.EndRecord{State: wire.JobDone, At: 1700000000000000}), &e); err != nil || e.State != wire.JobDone {
+	if err := wire.Unmarshal(wire.MustMarshal(model.FinalStatusRecord{State: wire.JobDone, EndedAt: 1700000000000000}), &e); err != nil || e.State != wire.JobDone {
 		t.Errorf("%+v, %v", e, err)
 	}
 	var j v1Job
@@ -122,11 +122,11 @@
 }
 
 // storeVersion1Job leaves what a leader of the earlier version wrote of a job that runs.
-func (b *testCluster) storeVersion1Job(t *testing.T, places ...model.PlaceRecord) {
+func (b *testCluster) storeVersion1Job(t *testing.T, places ...model.AllocationRecord) {
 	t.Helper()
 	spec := wire.Job{ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: len(places), CPUs: 0.01, MemoryGB: 0.01, SubmittedAt: int64(micro.Wall())}
 	_, err := b.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{
-		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: model.ChunkRecord{Places: places}}}})
+		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: model.ChunkRecord{Allocations: places}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,9 +135,9 @@
 // A place that one version misses in the other's records runs twice.
 func TestRunningTasksOfTheEarlierVersionAreKnownBeforeAndAfterTheGateOpens(t *testing.T) {
 	env := newTestCluster(t)
-	var places []model.PlaceRecord
+	var places []model.AllocationRecord
 	for i := range 100 {
-		places = append(places, model.PlaceRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
+		places = append(places, model.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
 	}
 	env.storeVersion1Job(t, places...)
 	for _, open := range []bool{false, true, true} {
@@ -148,7 +148,7 @@
 			got := make(chan int, 1)
 			leader.post(func() {
 				k := 0
-				for _, allocation := range leader.cluster.Jobs["j-9"].AllPlaces() {
+				for _, allocation := range leader.cluster.Jobs["j-9"].Allocations() {
 					if allocation.Index < 100 && allocation.Machine.Name == fmt.Sprintf("i-9%05d", allocation.Index) {
 						k++
 					}
@@ -169,8 +169,8 @@
 			// record stays while it alone says where its tasks are.
 			leader.post(func() {
 				for _, ch := range leader.cluster.Jobs["j-9"].Chunks {
-					leader.records.deleteLegacy(ch.Old)
-					leader.records.legacyRecords[ch.Old].MarkDirty(node.Now(), writer.PriorityHigh)
+					leader.records.deleteLegacy(ch.Legacy)
+					leader.records.legacyRecords[ch.Legacy].MarkDirty(node.Now(), writer.PriorityHigh)
 				}
 				leader.records.firstProvisioned.MarkDirty(node.Now(), writer.PriorityHigh)
 			})
--- a/internal/model/compact.go
+++ b/internal/model/compact.go
@@ -12,228 +12,230 @@
 // which names each machine and zone once. Places are (machine, session, task,
 // attempt), with the machine by its index.
 type CompactRecord struct {
-	Zones    []string        `msgpack:"z" json:"z"`
-	Machines []string        `msgpack:"m" json:"m"`
-	In       []int           `msgpack:"i" json:"i"` // the zone of each machine, by its index
-	Places   [][4]wire.Count `msgpack:"p" json:"p"`
-	Done     [][2]int        `msgpack:"d" json:"d"` // first and last of each range
-	Tries    [][2]int        `msgpack:"t" json:"t"` // task and attempt, where no place is taken
+	Zones        []string        `msgpack:"z" json:"z"`
+	Machines     []string        `msgpack:"m" json:"m"`
+	MachineZones []int           `msgpack:"i" json:"i"` // the zone of each machine, by its index
+	Allocations  [][4]wire.Count `msgpack:"p" json:"p"`
+	Done         [][2]int        `msgpack:"d" json:"d"` // first and last of each range
+	Attempts     [][2]int        `msgpack:"t" json:"t"` // task and attempt, where no place is taken
 }
 
 // Compact puts a record into the later form.
 func (r *ChunkRecord) Compact() CompactRecord {
-	out := CompactRecord{Zones: []string{}, Machines: []string{}, In: []int{}, Places: [][4]wire.Count{}, Done: r.Done, Tries: r.Tries}
+	out := CompactRecord{Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{}, Done: r.Done, Attempts: r.Attempts}
 	zones, machines := map[string]int{}, map[string]int{}
-	for _, p := range r.Places {
-		k, ok := machines[p.Machine]
+	for _, allocation := range r.Allocations {
+		machineIndex, ok := machines[allocation.Machine]
 		if !ok {
-			z, ok := zones[p.Zone]
+			zoneIndex, ok := zones[allocation.Zone]
 			if !ok {
-				z = len(out.Zones)
-				zones[p.Zone] = z
-				out.Zones = append(out.Zones, p.Zone)
+				zoneIndex = len(out.Zones)
+				zones[allocation.Zone] = zoneIndex
+				out.Zones = append(out.Zones, allocation.Zone)
 			}
-			k = len(out.Machines)
-			machines[p.Machine] = k
-			out.Machines = append(out.Machines, p.Machine)
-			out.In = append(out.In, z)
+			machineIndex = len(out.Machines)
+			machines[allocation.Machine] = machineIndex
+			out.Machines = append(out.Machines, allocation.Machine)
+			out.MachineZones = append(out.MachineZones, zoneIndex)
 		}
-		out.Places = append(out.Places, [4]wire.Count{wire.Count(k), p.Session, wire.Count(p.Index), p.Attempt})
+		out.Allocations = append(out.Allocations, [4]wire.Count{wire.Count(machineIndex), allocation.Session, wire.Count(allocation.Index), allocation.Attempt})
 	}
 	return out
 }
 
 // Expand puts a record back into the first form; false if it makes no sense.
 func (r *CompactRecord) Expand() (ChunkRecord, bool) {
-	out := ChunkRecord{Done: r.Done, Tries: r.Tries}
-	if len(r.In) != len(r.Machines) {
+	out := ChunkRecord{Done: r.Done, Attempts: r.Attempts}
+	if len(r.MachineZones) != len(r.Machines) {
 		return out, false
 	}
-	for _, p := range r.Places {
-		if p[0] >= wire.Count(len(r.Machines)) || p[2] >= wire.MaxTasks {
+	for _, allocation := range r.Allocations {
+		if allocation[0] >= wire.Count(len(r.Machines)) || allocation[2] >= wire.MaxTasks {
 			return out, false
 		}
-		z := r.In[p[0]]
-		if z < 0 || z >= len(r.Zones) {
+		zoneIndex := r.MachineZones[allocation[0]]
+		if zoneIndex < 0 || zoneIndex >= len(r.Zones) {
 			return out, false
 		}
-		out.Places = append(out.Places, PlaceRecord{Index: int(p[2]), Attempt: p[3], Machine: r.Machines[p[0]], Session: p[1], Zone: r.Zones[z]})
+		out.Allocations = append(out.Allocations, AllocationRecord{Index: int(allocation[2]), Attempt: allocation[3], Machine: r.Machines[allocation[0]], Session: allocation[1], Zone: r.Zones[zoneIndex]})
 	}
 	return out, true
 }
 
-// placeBytes is what a place takes in the later form, on a machine of its own:
+// allocationBytes is what a place takes in the later form, on a machine of its own:
 // its name, its zone, and four numbers.
-const placeBytes = 30
+const allocationBytes = 30
 
-// compactHead is what a record takes besides its places.
-const compactHead = 120
+// recordOverheadBytes is what a record takes besides its places.
+const recordOverheadBytes = 120
 
-// CompactTasks is how many tasks a chunk of the later form may have for its
+// TasksPerCompactChunk is how many tasks a chunk of the later form may have for its
 // record to fit a value of so many bytes.
-func CompactTasks(bytes int) int {
-	n := 8
-	for n < ChunkTasks && (2*n)*placeBytes+compactHead <= bytes {
-		n *= 2
+func TasksPerCompactChunk(bytes int) int {
+	tasks := 8
+	for tasks < LegacyTasksPerChunk && (2*tasks)*allocationBytes+recordOverheadBytes <= bytes {
+		tasks *= 2
 	}
-	return n
+	return tasks
 }
 
-// Old is a record in the first form whose tasks have moved to chunks of the later
+// LegacyRecord is a record in the first form whose tasks have moved to chunks of the later
 // one. It is deleted once each of these is in the store: until then a takeover
 // reads from it what they do not cover.
-type Old struct {
-	Job   *Job
-	N     int
-	Stamp uint64
-	Left  int // chunks that are not in the store yet
+type LegacyRecord struct {
+	Job           *Job
+	Index         int
+	KeyRevision   uint64
+	PendingChunks int // chunks that are not in the store yet
 }
 
-// Free reports whether nothing depends on the record any more.
-func (o *Old) Free() bool { return o.Left <= 0 || o.Job.Over() && o.Job.HeldN == 0 }
+// Obsolete reports whether nothing depends on the record any more.
+func (r *LegacyRecord) Obsolete() bool {
+	return r.PendingChunks <= 0 || r.Job.IsTerminal() && r.Job.AllocationCount == 0
+}
 
-// RestoreCompact reads a chunk's record of the later form. It comes before the
+// RestoreCompactChunk reads a chunk's record of the later form. It comes before the
 // records of the first form, which it stands for.
-func (c *Cluster) RestoreCompact(j *Job, n int, rec *CompactRecord, stamp uint64, now micro.Time) {
-	if n < 0 || n >= len(j.Chunks) {
+func (s *State) RestoreCompactChunk(job *Job, index int, record *CompactRecord, keyRevision uint64, now micro.Time) {
+	if index < 0 || index >= len(job.Chunks) {
 		return
 	}
-	first, ok := rec.Expand()
+	expanded, ok := record.Expand()
 	if !ok {
-		c.Log("record not understood", "job", j.Spec.ID, "chunk", n)
+		s.Log("record not understood", "job", job.Spec.ID, "chunk", index)
 		return
 	}
-	ch := j.Chunks[n]
-	ch.Stamp = stamp
-	c.restore(j, &first, func(i int) bool { return i >= 0 && i < len(j.Tasks) && i/j.per == n }, now)
-	ch.Stored = true
+	chunk := job.Chunks[index]
+	chunk.KeyRevision = keyRevision
+	s.restoreTasks(job, &expanded, func(i int) bool { return i >= 0 && i < len(job.Tasks) && i/job.tasksPerChunk == index }, now)
+	chunk.Stored = true
 }
 
-// UseCompact turns to the later form, with so many tasks to a chunk. Records in
+// EnableCompactRecords turns to the later form, with so many tasks to a chunk. Records in
 // the first form stay until what they hold is written anew.
-func (c *Cluster) UseCompact(tasks int) {
-	if c.Compact {
+func (s *State) EnableCompactRecords(tasks int) {
+	if s.CompactRecords {
 		return
 	}
-	c.Compact, c.PerChunk = true, tasks
-	moved := map[*Chunk]*Old{}
-	ids := make([]string, 0, len(c.Jobs))
-	for id := range c.Jobs {
+	s.CompactRecords, s.TasksPerChunk = true, tasks
+	migrated := map[*TaskChunk]*LegacyRecord{}
+	ids := make([]string, 0, len(s.Jobs))
+	for id := range s.Jobs {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		c.rechunk(c.Jobs[id], moved)
+		s.rechunk(s.Jobs[id], migrated)
 	}
-	for _, m := range c.Machines {
-		for key, x := range m.exits {
-			if x.chunk == nil || moved[x.chunk] == nil {
+	for _, machine := range s.Machines {
+		for key, exited := range machine.exitedAttempts {
+			if exited.chunk == nil || migrated[exited.chunk] == nil {
 				continue
 			}
 			_, index, _ := wire.SplitTask(key.Task)
-			ch := x.chunk.Job.Chunk(index)
-			if x.chunk.Saved >= x.ver {
-				x.ver = 0
+			chunk := exited.chunk.Job.Chunk(index)
+			if exited.chunk.StoredVersion >= exited.chunkVersion {
+				exited.chunkVersion = 0
 			} else {
-				x.ver = ch.Ver
+				exited.chunkVersion = chunk.MemoryVersion
 			}
-			x.chunk = ch
+			exited.chunk = chunk
 		}
 	}
 }
 
-func (c *Cluster) rechunk(j *Job, moved map[*Chunk]*Old) {
-	was := j.Chunks
-	j.per, j.Chunks = c.PerChunk, nil
-	for n := 0; n*j.per < len(j.Tasks); n++ {
-		j.Chunks = append(j.Chunks, &Chunk{Job: j, N: n})
-	}
-	for _, o := range was {
-		old := &Old{Job: j, N: o.N, Stamp: o.Stamp}
-		moved[o] = old
-		dirty := o.Ver > o.Saved
-		for i := o.N * ChunkTasks; i < min((o.N+1)*ChunkTasks, len(j.Tasks)); i += j.per {
-			ch := j.Chunk(i)
-			ch.Old = old
-			old.Left++
+func (s *State) rechunk(job *Job, migrated map[*TaskChunk]*LegacyRecord) {
+	previousChunks := job.Chunks
+	job.tasksPerChunk, job.Chunks = s.TasksPerChunk, nil
+	for index := 0; index*job.tasksPerChunk < len(job.Tasks); index++ {
+		job.Chunks = append(job.Chunks, &TaskChunk{Job: job, Index: index})
+	}
+	for _, previous := range previousChunks {
+		legacy := &LegacyRecord{Job: job, Index: previous.Index, KeyRevision: previous.KeyRevision}
+		migrated[previous] = legacy
+		dirty := previous.MemoryVersion > previous.StoredVersion
+		for i := previous.Index * LegacyTasksPerChunk; i < min((previous.Index+1)*LegacyTasksPerChunk, len(job.Tasks)); i += job.tasksPerChunk {
+			chunk := job.Chunk(i)
+			chunk.Legacy = legacy
+			legacy.PendingChunks++
 			if dirty {
-				ch.Ver = 1
+				chunk.MemoryVersion = 1
 			}
 		}
-		for _, p := range o.Places {
-			ch := j.Chunk(p.Index)
-			ch.Places = append(ch.Places, p)
-			p.Ver = ch.Ver
+		for _, allocation := range previous.Allocations {
+			chunk := job.Chunk(allocation.Index)
+			chunk.Allocations = append(chunk.Allocations, allocation)
+			allocation.ChunkVersion = chunk.MemoryVersion
 		}
-		c.Moved(o, old)
-		for i := o.N * ChunkTasks; dirty && i < min((o.N+1)*ChunkTasks, len(j.Tasks)); i += j.per {
-			ch := j.Chunk(i)
-			c.Touch(ch)
-			for _, p := range ch.Places {
-				if p.State == Planned {
-					c.Press(ch)
+		s.ChunkMigrated(previous, legacy)
+		for i := previous.Index * LegacyTasksPerChunk; dirty && i < min((previous.Index+1)*LegacyTasksPerChunk, len(job.Tasks)); i += job.tasksPerChunk {
+			chunk := job.Chunk(i)
+			s.ChunkDirty(chunk)
+			for _, allocation := range chunk.Allocations {
+				if allocation.State == Planned {
+					s.ChunkUrgent(chunk)
 					break
 				}
 			}
 		}
-		o.Places = nil
+		previous.Allocations = nil
 	}
 }
 
-// Tally counts a job's tasks from its records, in either form.
-type Tally struct {
-	compact, first []ChunkRecord
+// TaskCounter counts a job's tasks from its records, in either form.
+type TaskCounter struct {
+	compact, legacy []ChunkRecord
 }
 
 // Add reads a record by the last part of its key, which a mark begins in the later
 // form.
-func (t *Tally) Add(rest, mark string, value []byte) error {
-	if strings.HasPrefix(rest, mark) {
-		var rec CompactRecord
-		if err := wire.Unmarshal(value, &rec); err != nil {
+func (c *TaskCounter) Add(keySuffix, compactPrefix string, value []byte) error {
+	if strings.HasPrefix(keySuffix, compactPrefix) {
+		var record CompactRecord
+		if err := wire.Unmarshal(value, &record); err != nil {
 			return err
 		}
-		if first, ok := rec.Expand(); ok {
-			t.compact = append(t.compact, first)
+		if expanded, ok := record.Expand(); ok {
+			c.compact = append(c.compact, expanded)
 		}
 		return nil
 	}
-	var rec ChunkRecord
-	if err := wire.Unmarshal(value, &rec); err != nil {
+	var record ChunkRecord
+	if err := wire.Unmarshal(value, &record); err != nil {
 		return err
 	}
-	t.first = append(t.first, rec)
+	c.legacy = append(c.legacy, record)
 	return nil
 }
 
 // Count is how many tasks are done, and how many others hold a place. A record in
 // the first form may lag behind one in the later form: a task counts as done if
 // either says so.
-func (t *Tally) Count() (done, held int) {
-	if len(t.compact) == 0 || len(t.first) == 0 {
-		for _, rec := range append(t.compact, t.first...) {
-			for _, d := range rec.Done {
-				done += d[1] - d[0] + 1
+func (c *TaskCounter) Count() (done, allocated int) {
+	if len(c.compact) == 0 || len(c.legacy) == 0 {
+		for _, record := range append(c.compact, c.legacy...) {
+			for _, taskRange := range record.Done {
+				done += taskRange[1] - taskRange[0] + 1
 			}
-			held += len(rec.Places)
+			allocated += len(record.Allocations)
 		}
-		return done, held
+		return done, allocated
 	}
-	over, taken := map[int]bool{}, map[int]bool{}
-	for _, rec := range append(t.compact, t.first...) {
-		for _, d := range rec.Done {
-			for i := max(d[0], 0); i <= min(d[1], wire.MaxTasks); i++ {
-				over[i] = true
+	doneTasks, allocatedTasks := map[int]bool{}, map[int]bool{}
+	for _, record := range append(c.compact, c.legacy...) {
+		for _, taskRange := range record.Done {
+			for i := max(taskRange[0], 0); i <= min(taskRange[1], wire.MaxTasks); i++ {
+				doneTasks[i] = true
 			}
 		}
-		for _, p := range rec.Places {
-			taken[p.Index] = true
+		for _, allocation := range record.Allocations {
+			allocatedTasks[allocation.Index] = true
 		}
 	}
-	for i := range taken {
-		if !over[i] {
-			held++
+	for i := range allocatedTasks {
+		if !doneTasks[i] {
+			allocated++
 		}
 	}
-	return len(over), held
+	return len(doneTasks), allocated
 }
--- a/internal/model/compact_test.go
+++ b/internal/model/compact_test.go
@@ -14,119 +14,119 @@
 // are as long here as they get in a few days.
 func TestCompactRecordFitsTheSmallestValueWhateverItsTasksDo(t *testing.T) {
 	for _, bytes := range []int{1 << 10, 2 << 10, 4 << 10, 16 << 10} {
-		n := model.CompactTasks(bytes)
-		rec := model.ChunkRecord{Done: [][2]int{}, Tries: [][2]int{}}
-		for i := range n {
-			rec.Places = append(rec.Places, model.PlaceRecord{Index: 9000 + i, Attempt: 3, Machine: fmt.Sprintf("i-%06d", 100000+i), Session: 2, Zone: []string{"a-long-zones-name", "another-long-name"}[i%2]})
+		tasks := model.TasksPerCompactChunk(bytes)
+		record := model.ChunkRecord{Done: [][2]int{}, Attempts: [][2]int{}}
+		for i := range tasks {
+			record.Allocations = append(record.Allocations, model.AllocationRecord{Index: 9000 + i, Attempt: 3, Machine: fmt.Sprintf("i-%06d", 100000+i), Session: 2, Zone: []string{"a-long-zones-name", "another-long-name"}[i%2]})
 		}
-		if size := wire.JSONSize(rec.Compact()); size > bytes {
-			t.Errorf("%d tasks take %d bytes of %d", n, size, bytes)
+		if size := wire.JSONSize(record.Compact()); size > bytes {
+			t.Errorf("%d tasks take %d bytes of %d", tasks, size, bytes)
 		}
-		back := rec.Compact()
-		got, ok := back.Expand()
-		if !ok || fmt.Sprint(got.Places) != fmt.Sprint(rec.Places) {
-			t.Errorf("read back: %v", got.Places)
+		compacted := record.Compact()
+		expanded, ok := compacted.Expand()
+		if !ok || fmt.Sprint(expanded.Allocations) != fmt.Sprint(record.Allocations) {
+			t.Errorf("read back: %v", expanded.Allocations)
 		}
 	}
-	bad := model.CompactRecord{Zones: []string{"a"}, Machines: []string{"i-1"}, In: []int{1}, Places: [][4]wire.Count{{0, 1, 0, 1}}}
-	if _, ok := bad.Expand(); ok {
+	invalid := model.CompactRecord{Zones: []string{"a"}, Machines: []string{"i-1"}, MachineZones: []int{1}, Allocations: [][4]wire.Count{{0, 1, 0, 1}}}
+	if _, ok := invalid.Expand(); ok {
 		t.Error("a zone that the record lacks")
 	}
 }
 
-// places lists what a model holds, in a fixed order.
-func places(c *model.Cluster) []string {
-	var out []string
-	for _, j := range c.Jobs {
-		for _, p := range j.AllPlaces() {
-			out = append(out, fmt.Sprint(p.Name, " try ", p.Attempt, " on ", p.Machine.Name, " session ", p.Session, " in ", p.Machine.Zone))
+// describeAllocations lists what a model holds, in a fixed order.
+func describeAllocations(state *model.State) []string {
+	var lines []string
+	for _, job := range state.Jobs {
+		for _, allocation := range job.Allocations() {
+			lines = append(lines, fmt.Sprint(allocation.TaskName, " try ", allocation.Attempt, " on ", allocation.Machine.Name, " session ", allocation.AgentEpoch, " in ", allocation.Machine.Zone))
 		}
-		for i := range j.Tasks {
-			if j.Tasks[i].Done {
-				out = append(out, fmt.Sprint(wire.TaskName(j.Spec.ID, i), " done"))
+		for i := range job.Tasks {
+			if job.Tasks[i].Done {
+				lines = append(lines, fmt.Sprint(wire.TaskName(job.Spec.ID, i), " done"))
 			}
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(lines)
+	return lines
 }
 
-// disk is what the store holds of one job's tasks.
-type disk struct {
-	first   map[int]model.ChunkRecord
+// jobStore is what the store holds of one job's tasks.
+type jobStore struct {
+	legacy  map[int]model.ChunkRecord
 	compact map[int]model.CompactRecord
 }
 
-func (d *disk) takeover(spec wire.Job, tasks int, now micro.Time, fx model.Effects) *model.Cluster {
-	c := model.New(fx)
-	c.BaseTok = 2 << 24
-	c.UseCompact(tasks)
-	j := c.AddJob(spec, now, now)
-	for n, rec := range d.compact {
-		c.RestoreCompact(j, n, &rec, 5, now)
+func (s *jobStore) failOver(spec wire.Job, tasks int, now micro.Time, effects model.Effects) *model.State {
+	state := model.New(effects)
+	state.MinFencingToken = 2 << 24
+	state.EnableCompactRecords(tasks)
+	job := state.AddJob(spec, now, now)
+	for index, record := range s.compact {
+		state.RestoreCompactChunk(job, index, &record, 5, now)
 	}
-	for n, rec := range d.first {
-		c.Restore(j, n, &rec, 5, now)
+	for index, record := range s.legacy {
+		state.RestoreChunk(job, index, &record, 5, now)
 	}
-	return c
+	return state
 }
 
 // A job begun under the earlier version has records of 128 tasks. Its tasks move
 // to smaller records, one change at a time, and the leader may end after any.
-func TestMoveToCompactRecordsReadsRightAfterEachStep(t *testing.T) {
-	s := newSite(t)
-	s.c.Teams["team"].CPUsMax = 0
-	d := disk{first: map[int]model.ChunkRecord{}, compact: map[int]model.CompactRecord{}}
+func TestMigrationToCompactRecordsRestoresAfterEachStep(t *testing.T) {
+	tc := newTestCluster(t)
+	tc.cluster.Teams["team"].CPULimit = 0
+	stored := jobStore{legacy: map[int]model.ChunkRecord{}, compact: map[int]model.CompactRecord{}}
 	spec := wire.Job{ID: "j-1", Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 200, CPUs: 0.01, MemoryGB: 0.01, EstimateS: 10}
-	w := s.worker("i-1", "a")
-	s.worker("i-2", "b")
-	j := s.add(spec)
-	s.place(200)
-	for _, ch := range j.Chunks {
-		d.first[ch.N] = ch.Record()
+	agent := tc.addAgent("i-1", "a")
+	tc.addAgent("i-2", "b")
+	job := tc.submitSpec(spec)
+	tc.expectScheduled(200)
+	for _, chunk := range job.Chunks {
+		stored.legacy[chunk.Index] = chunk.Record()
 	}
-	s.persist()
-	s.beat(w)
-	w.Exit("j-1/3", 1, wire.CauseDone)
-	s.beat(w) // its completion is not written yet
-	before := places(s.c)
-	s.c.UseCompact(32)
-	if got := places(s.c); fmt.Sprint(got) != fmt.Sprint(before) {
+	tc.persist()
+	tc.heartbeat(agent)
+	agent.Exit("j-1/3", 1, wire.CauseDone)
+	tc.heartbeat(agent) // its completion is not written yet
+	before := describeAllocations(tc.cluster)
+	tc.cluster.EnableCompactRecords(32)
+	if got := describeAllocations(tc.cluster); fmt.Sprint(got) != fmt.Sprint(before) {
 		t.Fatal("the move itself changed the picture")
 	}
-	other := newSite(t)
+	other := newTestCluster(t)
 	check := func(step string) {
 		t.Helper()
-		held := map[string]bool{}
-		for _, p := range places(d.takeover(spec, 32, s.now, other)) {
-			held[p] = true
+		restored := map[string]bool{}
+		for _, line := range describeAllocations(stored.failOver(spec, 32, tc.now, other)) {
+			restored[line] = true
 		}
-		for _, p := range before {
-			if !held[p] && p != "j-1/3 done" { // that, the worker keeps until it is written
-				t.Fatalf("%s: a takeover misses %q", step, p)
+		for _, line := range before {
+			if !restored[line] && line != "j-1/3 done" { // that, the worker keeps until it is written
+				t.Fatalf("%s: a takeover misses %q", step, line)
 			}
 		}
-		if held["j-1/3 done"] && held["j-1/3 try 1 on i-1 session 1 in a"] {
+		if restored["j-1/3 done"] && restored["j-1/3 try 1 on i-1 session 1 in a"] {
 			t.Fatalf("%s: the old record still has its say", step)
 		}
 	}
-	for _, ch := range j.Chunks {
-		rec := ch.Record()
-		d.compact[ch.N] = rec.Compact()
-		check(fmt.Sprint("record ", ch.N, " written"))
-		s.c.Persisted(ch, ch.Ver)
-		for _, o := range s.outdated {
-			if !o.Free() {
+	for _, chunk := range job.Chunks {
+		record := chunk.Record()
+		stored.compact[chunk.Index] = record.Compact()
+		check(fmt.Sprint("record ", chunk.Index, " written"))
+		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
+		for _, legacy := range tc.supersededRecords {
+			if !legacy.Obsolete() {
 				t.Fatal("a record is given up that still stands for tasks")
 			}
-			delete(d.first, o.N)
+			delete(stored.legacy, legacy.Index)
 		}
-		check(fmt.Sprint("record ", ch.N, " confirmed"))
+		check(fmt.Sprint("record ", chunk.Index, " confirmed"))
 	}
-	if len(d.first) != 0 {
-		t.Fatalf("%d records in the first form are left", len(d.first))
+	if len(stored.legacy) != 0 {
+		t.Fatalf("%d records in the first form are left", len(stored.legacy))
 	}
-	if got := places(d.takeover(spec, 32, s.now, other)); fmt.Sprint(got) != fmt.Sprint(before) {
+	if got := describeAllocations(stored.failOver(spec, 32, tc.now, other)); fmt.Sprint(got) != fmt.Sprint(before) {
 		t.Fatalf("%d places, want %d", len(got), len(before))
 	}
 }
--- /dev/null
+++ b/internal/model/dependencies.go
@@ -0,0 +1,157 @@
+package model
+
+import "notchmux.dev/notchmux/internal/micro"
+
+// FinalStatus is the end of a job as it is in the store.
+type FinalStatus struct {
+	Aborted bool
+	EndedAt micro.Time // on the steady clock
+}
+
+// awaitDependencies counts what a job awaits and is not over. That a job is done is known
+// from its stored end alone: one that has left the lists of those alive may have
+// been withdrawn.
+func (s *State) awaitDependencies(job *Job, now micro.Time) {
+	var lastEnd micro.Time
+	dependencyAborted := false
+	for _, id := range job.Spec.Needs {
+		status, final := s.FinalStatuses[id]
+		switch {
+		case final && status.Aborted:
+			dependencyAborted = true
+		case final:
+			lastEnd = max(lastEnd, status.EndedAt)
+		default:
+			job.UnmetDependencies++
+			s.dependents[id] = append(s.dependents[id], job)
+			dependency := s.Jobs[id]
+			if dependency == nil {
+				s.DependencyUnknown(id)
+			} else if dependency.DependencyAborted {
+				dependencyAborted = true
+			}
+		}
+	}
+	switch {
+	case dependencyAborted:
+		s.cascadeAbort(job, now)
+	case job.UnmetDependencies == 0:
+		job.EligibleSince = max(job.SubmittedAt, lastEnd)
+		s.transitionJob(job, Active)
+	}
+}
+
+// ApplyFinalStatus takes in an end that is in the store: it lets those that await it go
+// on, or aborts all that need it, through any depth. What is aborted here follows
+// from that one end, so that any other leader, or node, comes to the same.
+func (s *State) ApplyFinalStatus(id string, status FinalStatus, now micro.Time) {
+	if _, known := s.FinalStatuses[id]; known {
+		return
+	}
+	s.FinalStatuses[id] = status
+	dependents := s.dependents[id]
+	delete(s.dependents, id)
+	for _, job := range dependents {
+		job.UnmetDependencies--
+		switch {
+		case job.State != Blocked:
+		case status.Aborted:
+			s.cascadeAbort(job, now)
+		case job.UnmetDependencies == 0:
+			job.EligibleSince = max(job.SubmittedAt, status.EndedAt)
+			s.transitionJob(job, Active)
+			s.Log("job may start", "job", job.Spec.ID)
+		}
+	}
+	if job := s.Jobs[id]; job != nil && status.Aborted {
+		s.propagateToDependencies(job) // they are needed by one less
+	}
+}
+
+// cascadeAbort aborts a job and all that need it. None of them has ever started.
+func (s *State) cascadeAbort(job *Job, now micro.Time) {
+	for stack := []*Job{job}; len(stack) > 0; {
+		next := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		if next.DependencyAborted || next.IsTerminal() || next.State != Blocked && next.State != Aborting {
+			continue
+		}
+		next.DependencyAborted = true
+		s.transitionJob(next, Aborting)
+		s.DependencyAborted(next)
+		stack = append(stack, s.dependents[next.Spec.ID]...)
+	}
+}
+
+// startOverhead is what passes between the end of one job of a pipeline and the first
+// run of the next, beside its image: a report, two writes and a start.
+const startOverhead = 3 * micro.Second
+
+// expectedDuration is how long a job of a pipeline is expected to take: of many tasks, some
+// run longer than the owner's estimate for one.
+func (j *Job) expectedDuration() micro.Time {
+	runTime := float64(micro.Of(j.Spec.EstimateS)) * j.Class.EstimateBias
+	if len(j.Tasks) > 1 {
+		runTime *= stragglerFactor
+	}
+	return micro.Time(runTime) + micro.Of(j.Spec.ImageGB) + startOverhead
+}
+
+// stragglerFactor is the longest run of a job's tasks over the estimate.
+const stragglerFactor = 1.4
+
+// effectiveDeadline is when the heir's deadline asks a job itself to be done.
+func (j *Job) effectiveDeadline() micro.Time {
+	return j.DeadlineSource.SubmittedAt + micro.Of(*j.DeadlineSource.Spec.DeadlineS) - j.CriticalPath
+}
+
+// inheritFromDependents passes rank and deadline back from those that need a job: it counts as
+// the highest of their ranks and its own, and has to be done as early as the
+// tightest of their deadlines asks, less what comes after it. Users set both on
+// the last job of a pipeline only, and allow this.
+func (s *State) inheritFromDependents(job *Job) {
+	level, deadlineSource, criticalPath := job.Spec.Priority.Level(), (*Job)(nil), micro.Time(0)
+	if job.Spec.DeadlineS != nil {
+		deadlineSource = job
+	}
+	earliest := micro.Time(0)
+	if deadlineSource != nil {
+		earliest = job.SubmittedAt + micro.Of(*job.Spec.DeadlineS)
+	}
+	for _, dependent := range s.dependents[job.Spec.ID] {
+		if dependent.IsTerminal() || dependent.DependencyAborted || dependent.State == Aborting {
+			continue
+		}
+		level = min(level, dependent.PriorityLevel)
+		if dependent.DeadlineSource != nil {
+			if deadline := dependent.effectiveDeadline() - dependent.expectedDuration(); deadlineSource == nil || deadline < earliest {
+				deadlineSource, criticalPath, earliest = dependent.DeadlineSource, dependent.CriticalPath+dependent.expectedDuration(), deadline
+			}
+		}
+	}
+	if level == job.PriorityLevel && deadlineSource == job.DeadlineSource && criticalPath == job.CriticalPath {
+		return
+	}
+	if level != job.PriorityLevel {
+		allocations := job.Allocations()
+		for _, allocation := range allocations { // a machine counts what it holds by rank
+			allocation.Machine.account(allocation, -1)
+		}
+		job.PriorityLevel = level
+		for _, allocation := range allocations {
+			allocation.Machine.account(allocation, 1)
+		}
+	}
+	job.DeadlineSource, job.CriticalPath = deadlineSource, criticalPath
+	s.propagateToDependencies(job)
+	s.ScheduleSoon()
+}
+
+// propagateToDependencies lets those that a job needs inherit from it anew.
+func (s *State) propagateToDependencies(job *Job) {
+	for _, id := range job.Spec.Needs {
+		if dependency := s.Jobs[id]; dependency != nil && !dependency.IsTerminal() {
+			s.inheritFromDependents(dependency)
+		}
+	}
+}
--- a/internal/model/images.go
+++ b/internal/model/images.go
@@ -6,34 +6,34 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// image is an image that a machine has fetched.
-type image struct {
-	used micro.Time
-	gb   float64
+// cachedImage is an image that a machine has fetched.
+type cachedImage struct {
+	lastUsed micro.Time
+	sizeGB   float64
 }
 
-// fetched notes that a machine has an image. It caches the most recently used
+// recordImage notes that a machine has an image. It caches the most recently used
 // ones, as far as its disk goes.
-func (m *Machine) fetched(name string, gb float64, now micro.Time) {
+func (m *Machine) recordImage(name string, sizeGB float64, now micro.Time) {
 	if name == "" {
 		return
 	}
-	m.images[name] = image{now, gb}
+	m.images[name] = cachedImage{now, sizeGB}
 	if m.Type == nil || m.Type.CacheGB <= 0 {
 		return
 	}
-	sum := 0.0
-	for _, im := range m.images {
-		sum += im.gb
+	totalGB := 0.0
+	for _, cached := range m.images {
+		totalGB += cached.sizeGB
 	}
-	for sum > m.Type.CacheGB && len(m.images) > 1 {
+	for totalGB > m.Type.CacheGB && len(m.images) > 1 {
 		oldest := ""
-		for n, im := range m.images {
-			if n != name && (oldest == "" || im.used < m.images[oldest].used || im.used == m.images[oldest].used && n < oldest) {
-				oldest = n
+		for candidate, cached := range m.images {
+			if candidate != name && (oldest == "" || cached.lastUsed < m.images[oldest].lastUsed || cached.lastUsed == m.images[oldest].lastUsed && candidate < oldest) {
+				oldest = candidate
 			}
 		}
-		sum -= m.images[oldest].gb
+		totalGB -= m.images[oldest].sizeGB
 		delete(m.images, oldest)
 	}
 }
@@ -45,9 +45,9 @@
 }
 
 // EachImage calls f with the name of each image that the machine has.
-func (m *Machine) EachImage(f func(name string)) {
+func (m *Machine) EachImage(yield func(name string)) {
 	for n := range m.images {
-		f(n)
+		yield(n)
 	}
 }
 
@@ -63,19 +63,19 @@
 // ImagePages builds the records. The first holds the machines that have most, as far
 // as the size in the store's count allows; the others hold the rest in the order of
 // their names, so that a machine mostly keeps its page.
-func (c *Cluster) ImagePages(size int) []ImageRecord {
-	all := c.withImages()
+func (s *State) ImagePages(size int) []ImageRecord {
+	holders := s.machinesWithImages()
 	first := newImagePage(size)
-	k := 0
-	for k < len(all) && first.add(all[k].machine) {
-		k++
+	included := 0
+	for included < len(holders) && first.add(holders[included].machine) {
+		included++
 	}
 	pages := []ImageRecord{first.record}
-	rest := all[k:]
+	rest := holders[included:]
 	sort.Slice(rest, func(a, b int) bool { return rest[a].machine.Name < rest[b].machine.Name })
 	page := newImagePage(size)
-	for _, h := range rest {
-		if page.add(h.machine) {
+	for _, holder := range rest {
+		if page.add(holder.machine) {
 			continue
 		}
 		if len(page.record.Machines) == 0 {
@@ -83,7 +83,7 @@
 		}
 		pages = append(pages, page.record)
 		page = newImagePage(size)
-		page.add(h.machine)
+		page.add(holder.machine)
 	}
 	if len(page.record.Machines) > 0 {
 		pages = append(pages, page.record)
@@ -94,62 +94,62 @@
 // imageHolder is a machine whose images are worth a place in a record.
 type imageHolder struct {
 	machine *Machine
-	gb      float64
+	totalGB float64
 }
 
-// withImages lists those machines, the ones that have most first.
-func (c *Cluster) withImages() []imageHolder {
-	var all []imageHolder
-	for _, m := range c.Machines {
-		h := imageHolder{machine: m}
-		for _, im := range m.images {
-			h.gb += im.gb
+// machinesWithImages lists those machines, the ones that have most first.
+func (s *State) machinesWithImages() []imageHolder {
+	var holders []imageHolder
+	for _, machine := range s.Machines {
+		holder := imageHolder{machine: machine}
+		for _, cached := range machine.images {
+			holder.totalGB += cached.sizeGB
 		}
-		if h.gb >= minImagesGB {
-			all = append(all, h)
+		if holder.totalGB >= minImagesGB {
+			holders = append(holders, holder)
 		}
 	}
-	sort.Slice(all, func(a, b int) bool {
-		if all[a].gb != all[b].gb {
-			return all[a].gb > all[b].gb
+	sort.Slice(holders, func(a, b int) bool {
+		if holders[a].totalGB != holders[b].totalGB {
+			return holders[a].totalGB > holders[b].totalGB
 		}
-		return all[a].machine.Name < all[b].machine.Name
+		return holders[a].machine.Name < holders[b].machine.Name
 	})
-	return all
+	return holders
 }
 
 // imagePage is a record being built.
 type imagePage struct {
-	record ImageRecord
-	index  map[string]int // of each image in the record's names
-	left   int            // of the size in the store's count
+	record    ImageRecord
+	index     map[string]int // of each image in the record's names
+	remaining int            // of the size in the store's count
 }
 
 func newImagePage(size int) *imagePage {
-	return &imagePage{record: ImageRecord{Names: []string{}, GB: []float64{}, Machines: map[string][]int{}}, index: map[string]int{}, left: size}
+	return &imagePage{record: ImageRecord{Names: []string{}, GB: []float64{}, Machines: map[string][]int{}}, index: map[string]int{}, remaining: size}
 }
 
 // add takes a machine into the record; false if there is no room for it.
-func (p *imagePage) add(m *Machine) bool {
-	names := m.imagesByUse()
-	p.left -= len(m.Name) + 6
-	var list []int
-	for _, n := range names {
-		i, ok := p.index[n]
+func (p *imagePage) add(machine *Machine) bool {
+	names := machine.imagesByUse()
+	p.remaining -= len(machine.Name) + 6
+	var indices []int
+	for _, name := range names {
+		index, ok := p.index[name]
 		if !ok {
-			i = len(p.record.Names)
-			p.index[n] = i
-			p.record.Names = append(p.record.Names, n)
-			p.record.GB = append(p.record.GB, m.images[n].gb)
-			p.left -= len(n) + 12
+			index = len(p.record.Names)
+			p.index[name] = index
+			p.record.Names = append(p.record.Names, name)
+			p.record.GB = append(p.record.GB, machine.images[name].sizeGB)
+			p.remaining -= len(name) + 12
 		}
-		list = append(list, i)
-		p.left -= 4
+		indices = append(indices, index)
+		p.remaining -= 4
 	}
-	if p.left < 0 {
+	if p.remaining < 0 {
 		return false
 	}
-	p.record.Machines[m.Name] = list
+	p.record.Machines[machine.Name] = indices
 	return true
 }
 
@@ -161,8 +161,8 @@
 	}
 	sort.Slice(names, func(a, b int) bool {
 		x, y := m.images[names[a]], m.images[names[b]]
-		if x.used != y.used {
-			return x.used < y.used
+		if x.lastUsed != y.lastUsed {
+			return x.lastUsed < y.lastUsed
 		}
 		return names[a] < names[b]
 	})
@@ -175,21 +175,21 @@
 
 // RestoreImages reads a record. What it says of machines that are not known yet is
 // kept for when they are: only the first report tells of an operators' own machine.
-func (c *Cluster) RestoreImages(r ImageRecord, now micro.Time) {
-	if len(r.Names) != len(r.GB) {
+func (s *State) RestoreImages(record ImageRecord, now micro.Time) {
+	if len(record.Names) != len(record.GB) {
 		return
 	}
-	for name, list := range r.Machines {
-		images := map[string]image{}
-		for k, i := range list {
-			if i >= 0 && i < len(r.Names) {
-				images[r.Names[i]] = image{now - micro.Time(len(list)-k), r.GB[i]}
+	for name, indices := range record.Machines {
+		images := map[string]cachedImage{}
+		for position, index := range indices {
+			if index >= 0 && index < len(record.Names) {
+				images[record.Names[index]] = cachedImage{now - micro.Time(len(indices)-position), record.GB[index]}
 			}
 		}
-		if m := c.Machines[name]; m != nil {
-			m.images = images
+		if machine := s.Machines[name]; machine != nil {
+			machine.images = images
 		} else {
-			c.imageHints[name] = images
+			s.imageHints[name] = images
 		}
 	}
 }
--- a/internal/model/images_test.go
+++ b/internal/model/images_test.go
@@ -11,45 +11,45 @@
 // A new leader knew of no images, and for minutes gangs fetched again what some
 // free machine had.
 func TestImagesAreKnownToTheNextLeaderWithinTheStoresLimit(t *testing.T) {
-	s := newSite(t)
+	tc := newTestCluster(t)
 	for i := range 40 {
-		w := s.worker("m"+strconv.Itoa(10+i), "a")
+		agent := tc.addAgent("m"+strconv.Itoa(10+i), "a")
 		id := "j-" + strconv.Itoa(i)
-		s.c.Teams["team"].CPUsMax = 0
-		j := s.job(id, wire.Array, 1, 4)
-		j.Spec.Image, j.Spec.ImageGB = "image-"+strconv.Itoa(i%3), float64(4+i%3)
-		s.place(1)
-		s.persist()
-		s.beat(w)
-		s.beat(w)
+		tc.cluster.Teams["team"].CPULimit = 0
+		job := tc.submit(id, wire.Array, 1, 4)
+		job.Spec.Image, job.Spec.ImageGB = "image-"+strconv.Itoa(i%3), float64(4+i%3)
+		tc.expectScheduled(1)
+		tc.persist()
+		tc.heartbeat(agent)
+		tc.heartbeat(agent)
 	}
-	pages := s.c.ImagePages(4096)
-	rec := pages[0]
+	pages := tc.cluster.ImagePages(4096)
+	record := pages[0]
 	if len(pages) != 1 {
 		t.Fatalf("%d records where one holds all", len(pages))
 	}
-	if len(rec.Machines) != 40 || len(rec.Names) != 3 {
-		t.Fatalf("%d machines, %d images", len(rec.Machines), len(rec.Names))
+	if len(record.Machines) != 40 || len(record.Names) != 3 {
+		t.Fatalf("%d machines, %d images", len(record.Machines), len(record.Names))
 	}
-	together := map[string]bool{}
-	for _, page := range s.c.ImagePages(500) {
-		if n := wire.JSONSize(page); n > 500 {
-			t.Fatalf("%d bytes where 500 are allowed", n)
+	recorded := map[string]bool{}
+	for _, page := range tc.cluster.ImagePages(500) {
+		if size := wire.JSONSize(page); size > 500 {
+			t.Fatalf("%d bytes where 500 are allowed", size)
 		}
 		for name := range page.Machines {
-			if together[name] {
+			if recorded[name] {
 				t.Errorf("%s is in two records", name)
 			}
-			together[name] = true
+			recorded[name] = true
 		}
 	}
-	if len(together) != 40 {
-		t.Errorf("the records of 500 bytes hold %d of 40 machines", len(together))
+	if len(recorded) != 40 {
+		t.Errorf("the records of 500 bytes hold %d of 40 machines", len(recorded))
 	}
-	s.takeOver(2)
-	s.c.RestoreImages(rec, s.now)
-	if m := s.c.Machines["m10"]; !m.HasImage("image-0") || m.HasImage("image-1") {
+	tc.failOver(2)
+	tc.cluster.RestoreImages(record, tc.now)
+	if machine := tc.cluster.Machines["m10"]; !machine.HasImage("image-0") || machine.HasImage("image-1") {
 		t.Fatal("the record does not say what the machine has")
 	}
-	s.c.RestoreImages(model.ImageRecord{Names: []string{"x"}, Machines: map[string][]int{"m10": {7}}}, s.now)
+	tc.cluster.RestoreImages(model.ImageRecord{Names: []string{"x"}, Machines: map[string][]int{"m10": {7}}}, tc.now)
 }
--- /dev/null
+++ b/internal/model/quota_test.go
@@ -0,0 +1,178 @@
+package model_test
+
+import (
+	"testing"
+
+	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/wire"
+)
+
+// newClusterAtQuota is a site whose team's limit of 8 CPUs is used up by a job on m1 and m2,
+// each of whose tasks runs there; m3 stands empty, and j-2 waits for the limit.
+func newClusterAtQuota(t *testing.T) (tc *testCluster, m1, m2 *fake.Worker) {
+	tc = newTestCluster(t)
+	m1, m2 = tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
+	tc.submit("j-1", wire.Array, 2, 4)
+	tc.expectScheduled(2)
+	tc.persist()
+	tc.heartbeat(m1)
+	tc.heartbeat(m2)
+	tc.heartbeat(m1)
+	tc.heartbeat(m2)
+	tc.addAgent("m3", "a")
+	tc.submit("j-2", wire.Array, 2, 4)
+	tc.expectScheduled(0)
+	return tc, m1, m2
+}
+
+// cancel is the end of a withdrawn job.
+func (tc *testCluster) cancel(id string) { tc.cluster.FinalizeJob(tc.cluster.Jobs[id], true, tc.now) }
+
+// failOverWithAgent is a new leader that finds j-1's end in the store, before its places, and
+// hears the given worker only.
+func (tc *testCluster) failOverWithAgent(revision uint64, agent *fake.Worker) {
+	tc.startTerm(revision)
+	for _, spec := range tc.jobs {
+		job := tc.cluster.AddJob(spec, tc.now, tc.now)
+		if spec.ID == "j-1" {
+			tc.cancel("j-1")
+		}
+		for index, record := range tc.storedRecords[spec.ID] {
+			tc.cluster.RestoreChunk(job, index, &record, 1, tc.now)
+		}
+	}
+	tc.cluster.FinishRestore(tc.now)
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+}
+
+// expectQuotaUsed checks what of the team's limit counts as used.
+func (tc *testCluster) expectQuotaUsed(want float64) {
+	tc.t.Helper()
+	if got := tc.cluster.Teams["team"].UsedCPU; got != want {
+		tc.t.Fatalf("%v CPUs of the limit count as used, want %v", got, want)
+	}
+}
+
+// expireLeases lets go by what a worker's lease may take from now on, and gives up those
+// whose lease surely ran out, as the leader does.
+func (tc *testCluster) expireLeases(names ...string) {
+	tc.t.Helper()
+	for _, name := range names {
+		if tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
+			tc.t.Fatalf("%s was given up within its lease", name)
+		}
+	}
+	tc.now += leaseDuration + 2*micro.Second
+	for _, name := range names {
+		if !tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
+			tc.t.Fatalf("%s is never given up", name)
+		}
+		tc.cluster.ExpireMachine(tc.cluster.Machines[name], tc.now)
+	}
+}
+
+// The machines of a withdrawn job are cut off: whichever leader comes, the limit
+// counts what may still run there until the lease is out, counted anew by each.
+func TestQuotaCountsPartitionedAllocationsUnderEachLeader(t *testing.T) {
+	tc, _, _ := newClusterAtQuota(t)
+	m3 := fake.NewWorker("m3", "small", "a", leaseDuration)
+	tc.cancel("j-1")
+	tc.expectQuotaUsed(8)
+	for revision := uint64(2); revision < 6; revision++ {
+		tc.now += 20 * micro.Second
+		m3.Sent = tc.now
+		tc.failOverWithAgent(revision, m3)
+		tc.expectQuotaUsed(8)
+		tc.expectScheduled(0)
+	}
+	tc.expireLeases("m1", "m2")
+	tc.expectQuotaUsed(0)
+	tc.heartbeat(m3)
+	tc.expectScheduled(1) // m3 has room for one
+	tc.expectQuotaUsed(4)
+}
+
+// A machine hangs and comes back within its lease: its task ends then, and the
+// limit is free at the next pass after that proof, not before.
+func TestQuotaCountsHungTasksUntilProvenReleased(t *testing.T) {
+	tc, m1, m2 := newClusterAtQuota(t)
+	tc.cancel("j-1")
+	tc.failOverWithAgent(2, m2) // its task is stopped, and shown to be
+	tc.expectQuotaUsed(4)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(m2) // the start
+	tc.now += 5 * micro.Second
+	tc.failOverWithAgent(3, m2)
+	tc.expectQuotaUsed(8) // what hangs, and the place that the last leader gave
+	tc.expectScheduled(0)
+	tc.heartbeat(m1) // hears of the stop
+	tc.expectQuotaUsed(8)
+	tc.expectScheduled(0)
+	tc.heartbeat(m1) // and shows that it is gone
+	tc.expectQuotaUsed(4)
+	tc.expectScheduled(1)
+	tc.expectQuotaUsed(8)
+}
+
+// A start that went out directly and was left unanswered may run as long as the
+// worker has not seen a newer token, whatever its reports say, and whichever
+// leader reads them.
+func TestQuotaCountsUnansweredDispatchedStarts(t *testing.T) {
+	tc := newTestCluster(t)
+	agent, other := tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
+	tc.submit("j-1", wire.Array, 1, 4)
+	tc.submit("j-2", wire.Array, 2, 4)
+	tc.cluster.Machines["m2"].DispatchUnanswered = true
+	tc.expectScheduled(1)
+	tc.persist()
+	delayed := tc.dispatchCommands(agent) // on its way, the sender gave up
+	tc.cluster.Machines["m1"].DispatchUnanswered = true
+	tc.cancel("j-1")
+	tc.failOver(2)
+	tc.cancel("j-1")
+	tc.expectQuotaUsed(4)
+	if machine, outcome := tc.cluster.Reconcile(agent.Report(), model.FromHeartbeat, tc.now); outcome != model.Applied || machine.State == model.Up {
+		t.Fatalf("verdict %v, %v: a report that may be a late copy", outcome, machine.State)
+	}
+	tc.expectQuotaUsed(4) // absent, and the start may still run
+	tc.heartbeat(other)
+	tc.heartbeat(other)
+	tc.expectScheduled(1)
+	tc.expectQuotaUsed(8)
+	tc.expectScheduled(0)
+	tc.heartbeat(agent) // it sees the token of this term
+	tc.expectQuotaUsed(8)
+	tc.heartbeat(agent) // and says so
+	tc.expectQuotaUsed(4)
+	if _, ok := agent.Direct(delayed); ok || len(agent.Started) != 0 {
+		t.Fatal("the held start ran after its place was given up")
+	}
+	tc.expectScheduled(1)
+	tc.expectQuotaUsed(8)
+}
+
+// A job withdrawn under one leader is withdrawn under the next, whose picture of
+// it comes from the records: a place on a machine that nobody has described yet
+// counts as much.
+func TestQuotaCountsAllocationsOnMachinesRegisteringAfterFailover(t *testing.T) {
+	tc, m1, m2 := newClusterAtQuota(t)
+	tc.failOver(2)
+	tc.expectQuotaUsed(8)
+	tc.cancel("j-1")
+	tc.expectQuotaUsed(8)
+	tc.addAgent("m4", "a")
+	tc.expectScheduled(0)
+	m1.Session++ // its lease ran out meanwhile: all it had is gone
+	clear(m1.Tasks)
+	tc.heartbeat(m1)
+	tc.expectQuotaUsed(4)
+	tc.expectScheduled(1)
+	tc.expectQuotaUsed(8)
+	tc.heartbeat(m2)
+	tc.heartbeat(m2)
+	tc.expectQuotaUsed(4)
+}
--- a/internal/model/record.go
+++ b/internal/model/record.go
@@ -8,8 +8,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// PlaceRecord is a taken place in a chunk's record.
-type PlaceRecord struct {
+// AllocationRecord is a taken place in a chunk's record.
+type AllocationRecord struct {
 	//lint:ignore U1000 the codec reads its tag: a list without field names, since records are written often
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -22,136 +22,136 @@
 
 // MarshalJSON gives the form that the store's limits count: a list, as in the
 // store. With its fields' names, records that fit were once put aside as too large.
-func (r PlaceRecord) MarshalJSON() ([]byte, error) {
+func (r AllocationRecord) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{r.Index, r.Attempt, r.Machine, r.Session, r.Zone})
 }
 
 // ChunkRecord is a chunk of tasks as the store keeps it.
 type ChunkRecord struct {
-	Places []PlaceRecord `msgpack:"p" json:"p"`
-	Done   [][2]int      `msgpack:"d" json:"d"` // first and last of each range
-	Tries  [][2]int      `msgpack:"t" json:"t"` // task and attempt, where no place is taken
+	Allocations []AllocationRecord `msgpack:"p" json:"p"`
+	Done        [][2]int           `msgpack:"d" json:"d"` // first and last of each range
+	Attempts    [][2]int           `msgpack:"t" json:"t"` // task and attempt, where no place is taken
 }
 
-// EndRecord is the end of a job: created once, the first one wins.
-type EndRecord struct {
-	State wire.JobState `msgpack:"state" json:"state"`
-	At    int64         `msgpack:"at,omitempty" json:"at,omitempty"` // wall clock, microseconds: the clocks of what awaits the job start then
+// FinalStatusRecord is the end of a job: created once, the first one wins.
+type FinalStatusRecord struct {
+	State   wire.JobState `msgpack:"state" json:"state"`
+	EndedAt int64         `msgpack:"at,omitempty" json:"at,omitempty"` // wall clock, microseconds: the clocks of what awaits the job start then
 }
 
 // Record builds the chunk's record from the model.
-func (ch *Chunk) Record() ChunkRecord {
-	rec := ChunkRecord{Places: []PlaceRecord{}, Done: [][2]int{}, Tries: [][2]int{}}
-	held := map[int]bool{}
-	for _, p := range ch.Places {
-		held[p.Index] = true
-		rec.Places = append(rec.Places, PlaceRecord{Index: p.Index, Attempt: wire.Count(p.Attempt), Machine: p.Machine.Name, Session: wire.Count(p.Session), Zone: p.Machine.Zone})
+func (c *TaskChunk) Record() ChunkRecord {
+	record := ChunkRecord{Allocations: []AllocationRecord{}, Done: [][2]int{}, Attempts: [][2]int{}}
+	allocated := map[int]bool{}
+	for _, allocation := range c.Allocations {
+		allocated[allocation.Index] = true
+		record.Allocations = append(record.Allocations, AllocationRecord{Index: allocation.Index, Attempt: wire.Count(allocation.Attempt), Machine: allocation.Machine.Name, Session: wire.Count(allocation.AgentEpoch), Zone: allocation.Machine.Zone})
 	}
-	sort.Slice(rec.Places, func(a, b int) bool { return rec.Places[a].Index < rec.Places[b].Index })
-	first := ch.N * ch.Job.per
-	for i := first; i < min(first+ch.Job.per, len(ch.Job.Tasks)); i++ {
-		t := &ch.Job.Tasks[i]
+	sort.Slice(record.Allocations, func(a, b int) bool { return record.Allocations[a].Index < record.Allocations[b].Index })
+	first := c.Index * c.Job.tasksPerChunk
+	for i := first; i < min(first+c.Job.tasksPerChunk, len(c.Job.Tasks)); i++ {
+		task := &c.Job.Tasks[i]
 		switch {
-		case t.Done:
-			if n := len(rec.Done); n > 0 && rec.Done[n-1][1] == i-1 {
-				rec.Done[n-1][1] = i
+		case task.Done:
+			if ranges := len(record.Done); ranges > 0 && record.Done[ranges-1][1] == i-1 {
+				record.Done[ranges-1][1] = i
 			} else {
-				rec.Done = append(rec.Done, [2]int{i, i})
+				record.Done = append(record.Done, [2]int{i, i})
 			}
-		case t.Attempt > 0 && !held[i]:
-			rec.Tries = append(rec.Tries, [2]int{i, int(t.Attempt)})
+		case task.Attempt > 0 && !allocated[i]:
+			record.Attempts = append(record.Attempts, [2]int{i, int(task.Attempt)})
 		}
 	}
-	return rec
+	return record
 }
 
-// Restore reads a chunk's record, in its first form, into a job that was just
+// RestoreChunk reads a chunk's record, in its first form, into a job that was just
 // added. Every place in it counts as taken, with a start that may still be under
 // way; but no start of this term goes out for it. The records lag behind what the
 // earlier leader knew: a place that it had given up, or had taken for a late copy
 // of a report, was started anew under the next one, beside what had taken its
 // part of the limit, or beside the task itself elsewhere. What a record in the
 // later form covers is left to that.
-func (c *Cluster) Restore(j *Job, n int, rec *ChunkRecord, stamp uint64, now micro.Time) {
-	if n < 0 || n*ChunkTasks >= len(j.Tasks) {
+func (s *State) RestoreChunk(job *Job, index int, record *ChunkRecord, keyRevision uint64, now micro.Time) {
+	if index < 0 || index*LegacyTasksPerChunk >= len(job.Tasks) {
 		return
 	}
-	if j.per == ChunkTasks && !c.Compact {
-		j.Chunks[n].Stamp = stamp
+	if job.tasksPerChunk == LegacyTasksPerChunk && !s.CompactRecords {
+		job.Chunks[index].KeyRevision = keyRevision
 	} else {
-		old := &Old{Job: j, N: n, Stamp: stamp}
-		for i := n * ChunkTasks; i < min((n+1)*ChunkTasks, len(j.Tasks)); i += j.per {
-			ch := j.Chunk(i)
-			ch.Old = old
-			if !ch.Stored {
-				old.Left++
+		legacy := &LegacyRecord{Job: job, Index: index, KeyRevision: keyRevision}
+		for i := index * LegacyTasksPerChunk; i < min((index+1)*LegacyTasksPerChunk, len(job.Tasks)); i += job.tasksPerChunk {
+			chunk := job.Chunk(i)
+			chunk.Legacy = legacy
+			if !chunk.Stored {
+				legacy.PendingChunks++
 			}
 		}
-		c.Outdated(old)
+		s.LegacyRecordSuperseded(legacy)
 	}
-	ok := func(i int) bool {
-		return i >= 0 && i < len(j.Tasks) && i/ChunkTasks == n && !j.Chunk(i).Stored
+	includes := func(i int) bool {
+		return i >= 0 && i < len(job.Tasks) && i/LegacyTasksPerChunk == index && !job.Chunk(i).Stored
 	}
-	c.restore(j, rec, ok, now)
+	s.restoreTasks(job, record, includes, now)
 }
 
-func (c *Cluster) restore(j *Job, rec *ChunkRecord, ok func(i int) bool, now micro.Time) {
-	for _, t := range rec.Tries {
-		if ok(t[0]) {
-			j.Tasks[t[0]].Attempt = uint32(t[1])
-			j.GangTry = max(j.GangTry, uint32(t[1]))
+func (s *State) restoreTasks(job *Job, record *ChunkRecord, includes func(i int) bool, now micro.Time) {
+	for _, attempt := range record.Attempts {
+		if includes(attempt[0]) {
+			job.Tasks[attempt[0]].Attempt = uint32(attempt[1])
+			job.GangAttempt = max(job.GangAttempt, uint32(attempt[1]))
 		}
 	}
-	for _, r := range rec.Done {
-		for i := r[0]; i <= r[1] && ok(i); i++ {
-			if !j.Tasks[i].Done {
-				j.Tasks[i].Done = true
-				j.DoneN++
-				c.take(j, i)
+	for _, entry := range record.Done {
+		for i := entry[0]; i <= entry[1] && includes(i); i++ {
+			if !job.Tasks[i].Done {
+				job.Tasks[i].Done = true
+				job.DoneTasks++
+				s.dequeue(job, i)
 			}
 		}
 	}
-	for _, r := range rec.Places {
-		if !ok(r.Index) {
+	for _, entry := range record.Allocations {
+		if !includes(entry.Index) {
 			continue
 		}
-		if j.State == Active && !j.Tasks[r.Index].Done {
-			c.take(j, r.Index)
+		if job.State == Active && !job.Tasks[entry.Index].Done {
+			s.dequeue(job, entry.Index)
 		}
-		j.Tasks[r.Index].Attempt = max(j.Tasks[r.Index].Attempt, uint32(r.Attempt))
-		j.GangTry = max(j.GangTry, uint32(r.Attempt))
-		m := c.Machine(r.Machine, now)
-		if m.Zone == "" && r.Zone != "" {
-			c.Describe(m, m.TypeName, r.Zone, m.Spot)
+		job.Tasks[entry.Index].Attempt = max(job.Tasks[entry.Index].Attempt, uint32(entry.Attempt))
+		job.GangAttempt = max(job.GangAttempt, uint32(entry.Attempt))
+		machine := s.EnsureMachine(entry.Machine, now)
+		if machine.Zone == "" && entry.Zone != "" {
+			s.DescribeMachine(machine, machine.TypeName, entry.Zone, machine.Spot)
 		}
-		p := &Place{
-			Job: j, Index: r.Index, Name: wire.TaskName(j.Spec.ID, r.Index), Attempt: uint64(r.Attempt),
-			Machine: m, Session: uint64(r.Session), State: Starting, Direct: c.BaseTok - 1,
-			Scaled: j.Spec.CPUs, Planned: now, known: true, Restored: true,
+		allocation := &Allocation{
+			Job: job, Index: entry.Index, TaskName: wire.TaskName(job.Spec.ID, entry.Index), Attempt: uint64(entry.Attempt),
+			Machine: machine, AgentEpoch: uint64(entry.Session), State: Starting, DispatchToken: s.MinFencingToken - 1,
+			ScaledCPU: job.Spec.CPUs, PlannedAt: now, taskKnown: true, Restored: true,
 		}
-		c.hold(p)
+		s.reserve(allocation)
 	}
 }
 
-// Restored completes a takeover: all records have been read.
-func (c *Cluster) Restored(now micro.Time) {
-	for _, j := range c.Jobs {
-		c.RestoredJob(j, now)
+// FinishRestore completes a takeover: all records have been read.
+func (s *State) FinishRestore(now micro.Time) {
+	for _, job := range s.Jobs {
+		s.FinishJobRestore(job, now)
 	}
 }
 
-// RestoredJob goes on with a job all of whose records have been read.
-func (c *Cluster) RestoredJob(j *Job, now micro.Time) {
+// FinishJobRestore goes on with a job all of whose records have been read.
+func (s *State) FinishJobRestore(job *Job, now micro.Time) {
 	switch {
-	case j.Over():
-		for _, p := range j.AllPlaces() {
-			c.Stop(p, "job over", 0, now)
+	case job.IsTerminal():
+		for _, allocation := range job.Allocations() {
+			s.StopAllocation(allocation, "job over", 0, now)
 		}
-	case j.State == Active && j.DoneN == len(j.Tasks):
-		c.become(j, Finishing)
-		c.Finished(j)
-	case j.State == Active && j.Spec.Kind == wire.Gang && j.HeldN > 0 && j.HeldN < len(j.Tasks):
+	case job.State == Active && job.DoneTasks == len(job.Tasks):
+		s.transitionJob(job, Finishing)
+		s.JobFinished(job)
+	case job.State == Active && job.Spec.Kind == wire.Gang && job.AllocationCount > 0 && job.AllocationCount < len(job.Tasks):
 		// Only part of the attempt was written: it never started whole.
-		c.gangLost(j, now)
+		s.abortGangAttempt(job, now)
 	}
 }
--- a/internal/model/scenario_test.go
+++ b/internal/model/scenario_test.go
@@ -13,519 +13,527 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-const lease = 30 * micro.Second
+const leaseDuration = 30 * micro.Second
 
-// site is a leader's model among fake workers, with its records kept as the
+// testCluster is a leader's model among fake workers, with its records kept as the
 // store would.
-type site struct {
-	t       *testing.T
-	c       *model.Cluster
-	placer  *sched.Scheduler
-	now     micro.Time
-	token   uint64
-	dirty   map[*model.Chunk]bool
-	records map[string]map[int]model.ChunkRecord
-	jobs    []wire.Job
-	ended   []string
-
-	doomed, unknown []string
-	outdated        []*model.Old
-}
-
-func (s *site) Touch(ch *model.Chunk)          { s.dirty[ch] = true }
-func (s *site) Press(*model.Chunk)             {}
-func (s *site) Kick(*model.Machine)            {}
-func (s *site) Finished(j *model.Job)          { s.ended = append(s.ended, j.Spec.ID) }
-func (s *site) Doomed(j *model.Job)            { s.doomed = append(s.doomed, j.Spec.ID) }
-func (s *site) Unknown(id string)              { s.unknown = append(s.unknown, id) }
-func (s *site) Moved(*model.Chunk, *model.Old) {}
-func (s *site) Outdated(o *model.Old)          { s.outdated = append(s.outdated, o) }
-func (s *site) Ran(*model.Place, micro.Time)   {}
-func (s *site) Changed()                       {}
-func (s *site) Log(event string, args ...any)  {}
-
-func newSite(t *testing.T) *site {
-	s := &site{t: t, now: 100 * micro.Second, records: map[string]map[int]model.ChunkRecord{}}
-	s.lead(1)
-	return s
-}
-
-// lead starts a term with an empty model, as a new leader has.
-func (s *site) lead(stamp uint64) {
-	s.dirty = map[*model.Chunk]bool{}
-	s.token = stamp << 24
-	s.c = model.New(s)
-	s.c.BaseTok, s.c.Began, s.c.Lease = s.token, s.now, lease+micro.Second
-	s.c.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}}})
-	s.c.Teams["team"] = &model.Team{Name: "team", CPUsMax: 8}
+type testCluster struct {
+	t             *testing.T
+	cluster       *model.State
+	scheduler     *sched.Scheduler
+	now           micro.Time
+	token         uint64
+	dirtyChunks   map[*model.TaskChunk]bool
+	storedRecords map[string]map[int]model.ChunkRecord
+	jobs          []wire.Job
+	finishedJobs  []string
+
+	dependencyAborted, unknownDependencies []string
+	supersededRecords                      []*model.LegacyRecord
+}
+
+func (tc *testCluster) ChunkDirty(chunk *model.TaskChunk) { tc.dirtyChunks[chunk] = true }
+func (tc *testCluster) ChunkUrgent(*model.TaskChunk)      {}
+func (tc *testCluster) DispatchSoon(*model.Machine)       {}
+func (tc *testCluster) JobFinished(job *model.Job) {
+	tc.finishedJobs = append(tc.finishedJobs, job.Spec.ID)
+}
+func (tc *testCluster) DependencyAborted(job *model.Job) {
+	tc.dependencyAborted = append(tc.dependencyAborted, job.Spec.ID)
+}
+func (tc *testCluster) DependencyUnknown(id string) {
+	tc.unknownDependencies = append(tc.unknownDependencies, id)
+}
+func (tc *testCluster) ChunkMigrated(*model.TaskChunk, *model.LegacyRecord) {}
+func (tc *testCluster) LegacyRecordSuperseded(legacy *model.LegacyRecord) {
+	tc.supersededRecords = append(tc.supersededRecords, legacy)
+}
+func (tc *testCluster) AttemptCompleted(*model.Allocation, micro.Time) {}
+func (tc *testCluster) ScheduleSoon()                                  {}
+func (tc *testCluster) Log(event string, args ...any)                  {}
+
+func newTestCluster(t *testing.T) *testCluster {
+	tc := &testCluster{t: t, now: 100 * micro.Second, storedRecords: map[string]map[int]model.ChunkRecord{}}
+	tc.startTerm(1)
+	return tc
+}
+
+// startTerm starts a term with an empty model, as a new leader has.
+func (tc *testCluster) startTerm(revision uint64) {
+	tc.dirtyChunks = map[*model.TaskChunk]bool{}
+	tc.token = revision << 24
+	tc.cluster = model.New(tc)
+	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt, tc.cluster.LeaseDuration = tc.token, tc.now, leaseDuration+micro.Second
+	tc.cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}}})
+	tc.cluster.Teams["team"] = &model.Team{Name: "team", CPULimit: 8}
 	props := config.Defaults()
-	s.placer = &sched.Scheduler{Cluster: s.c, Objectives: sched.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1))}
+	tc.scheduler = &sched.Scheduler{Cluster: tc.cluster, Objectives: sched.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1))}
 }
 
-// takeOver is lead after a crash: the records are read.
-func (s *site) takeOver(stamp uint64) {
-	s.lead(stamp)
-	for _, spec := range s.jobs {
-		j := s.c.AddJob(spec, s.now, s.now)
-		for n, rec := range s.records[spec.ID] {
-			s.c.Restore(j, n, &rec, 1, s.now)
+// failOver is lead after a crash: the records are read.
+func (tc *testCluster) failOver(revision uint64) {
+	tc.startTerm(revision)
+	for _, spec := range tc.jobs {
+		job := tc.cluster.AddJob(spec, tc.now, tc.now)
+		for index, record := range tc.storedRecords[spec.ID] {
+			tc.cluster.RestoreChunk(job, index, &record, 1, tc.now)
 		}
 	}
-	s.c.Restored(s.now)
+	tc.cluster.FinishRestore(tc.now)
 }
 
-func (s *site) job(id string, kind wire.Kind, tasks int, cpus float64) *model.Job {
+func (tc *testCluster) submit(id string, kind wire.Kind, tasks int, cpus float64) *model.Job {
 	spec := wire.Job{ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1}
-	s.jobs = append(s.jobs, spec)
-	return s.c.AddJob(spec, s.now, s.now)
+	tc.jobs = append(tc.jobs, spec)
+	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
 
 // persist writes all records, after which starts may go out.
-func (s *site) persist() {
-	for ch := range s.dirty {
-		id := ch.Job.Spec.ID
-		if s.records[id] == nil {
-			s.records[id] = map[int]model.ChunkRecord{}
+func (tc *testCluster) persist() {
+	for chunk := range tc.dirtyChunks {
+		id := chunk.Job.Spec.ID
+		if tc.storedRecords[id] == nil {
+			tc.storedRecords[id] = map[int]model.ChunkRecord{}
 		}
-		s.records[id][ch.N] = ch.Record()
-		s.c.Persisted(ch, ch.Ver)
-		delete(s.dirty, ch)
+		tc.storedRecords[id][chunk.Index] = chunk.Record()
+		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
+		delete(tc.dirtyChunks, chunk)
 	}
 }
 
-// beat is a report with its answer.
-func (s *site) beat(w *fake.Worker) { s.answer(w, w.Report()) }
+// heartbeat is a report with its answer.
+func (tc *testCluster) heartbeat(agent *fake.Worker) { tc.reconcile(agent, agent.Report()) }
 
-func (s *site) answer(w *fake.Worker, r *wire.Report) {
-	m, v := s.c.Apply(r, model.Beat, s.now)
-	if v == model.Taken {
-		w.Answer(wire.Orders{Token: wire.Count(s.token), Orders: s.c.Orders(m, s.token, false, s.now)}, s.now)
+func (tc *testCluster) reconcile(agent *fake.Worker, heartbeat *wire.Report) {
+	machine, outcome := tc.cluster.Reconcile(heartbeat, model.FromHeartbeat, tc.now)
+	if outcome == model.Applied {
+		agent.Answer(wire.Orders{Token: wire.Count(tc.token), Orders: tc.cluster.Commands(machine, tc.token, false, tc.now)}, tc.now)
 	}
 }
 
-// direct builds the direct orders to a worker.
-func (s *site) direct(w *fake.Worker) wire.Orders {
-	m := s.c.Machines[w.Name]
-	return wire.Orders{Token: wire.Count(s.token), Session: wire.Count(m.Session), Orders: s.c.Orders(m, s.token, true, s.now)}
+// dispatchCommands builds the direct orders to a worker.
+func (tc *testCluster) dispatchCommands(agent *fake.Worker) wire.Orders {
+	machine := tc.cluster.Machines[agent.Name]
+	return wire.Orders{Token: wire.Count(tc.token), Session: wire.Count(machine.AgentEpoch), Orders: tc.cluster.Commands(machine, tc.token, true, tc.now)}
 }
 
-func (s *site) worker(name, zone string) *fake.Worker {
-	w := fake.NewWorker(name, "small", zone, lease)
-	w.Sent = s.now
-	s.beat(w)
-	s.beat(w) // it counts as up once it has shown this term's token
-	return w
+func (tc *testCluster) addAgent(name, zone string) *fake.Worker {
+	agent := fake.NewWorker(name, "small", zone, leaseDuration)
+	agent.Sent = tc.now
+	tc.heartbeat(agent)
+	tc.heartbeat(agent) // it counts as up once it has shown this term's token
+	return agent
 }
 
-func (s *site) place(want int) {
-	s.t.Helper()
-	if got := s.placer.Schedule(s.now); got != want {
-		s.t.Fatalf("placed %d tasks, want %d", got, want)
+func (tc *testCluster) expectScheduled(want int) {
+	tc.t.Helper()
+	if got := tc.scheduler.Schedule(tc.now); got != want {
+		tc.t.Fatalf("placed %d tasks, want %d", got, want)
 	}
 }
 
-func (s *site) held(j *model.Job, want int) {
-	s.t.Helper()
-	if j.HeldN != want {
-		s.t.Fatalf("%d places are held, want %d", j.HeldN, want)
+func (tc *testCluster) expectAllocations(job *model.Job, want int) {
+	tc.t.Helper()
+	if job.AllocationCount != want {
+		tc.t.Fatalf("%d places are held, want %d", job.AllocationCount, want)
 	}
 }
 
 func TestLeaderLostBetweenPersistAndStart(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	if o := s.direct(w); len(o.Orders) != 0 {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	if commands := tc.dispatchCommands(agent); len(commands.Orders) != 0 {
 		t.Fatal("a start went out before its record was written")
 	}
-	s.persist()
-	s.takeOver(2) // the start was never sent
-	j := s.c.Jobs["j-1"]
-	s.held(j, 1)
-	s.place(0)
-	s.beat(w)
-	s.held(j, 1) // that report may be older than a start of the last term
-	s.place(0)
-	s.beat(w)
-	s.held(j, 0)
-	if len(w.Started) != 0 {
-		t.Fatalf("a place of the last term was started: %v", w.Started)
-	}
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	s.beat(w)
-	if len(w.Started) != 1 || j.RunningN != 1 || j.Tasks[0].Attempt != 2 {
-		t.Fatalf("started %v, running %d, attempt %d", w.Started, j.RunningN, j.Tasks[0].Attempt)
+	tc.persist()
+	tc.failOver(2) // the start was never sent
+	job := tc.cluster.Jobs["j-1"]
+	tc.expectAllocations(job, 1)
+	tc.expectScheduled(0)
+	tc.heartbeat(agent)
+	tc.expectAllocations(job, 1) // that report may be older than a start of the last term
+	tc.expectScheduled(0)
+	tc.heartbeat(agent)
+	tc.expectAllocations(job, 0)
+	if len(agent.Started) != 0 {
+		t.Fatalf("a place of the last term was started: %v", agent.Started)
+	}
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	if len(agent.Started) != 1 || job.RunningTasks != 1 || job.Tasks[0].Attempt != 2 {
+		t.Fatalf("started %v, running %d, attempt %d", agent.Started, job.RunningTasks, job.Tasks[0].Attempt)
 	}
 }
 
 // A leader gave a place up that had never been started and used the limit for
 // another, whose record it wrote first. The next leader read both, and started
 // both: the team was over its limit.
-func TestPlaceThatTheLastLeaderHadGivenUpIsNotStarted(t *testing.T) {
-	s := newSite(t)
-	s.c.Teams["team"].CPUsMax = 4
-	w := s.worker("m1", "a")
-	s.job("j-1", wire.Array, 1, 4)
-	s.place(1)
-	s.persist()
-	old := s.records["j-1"][0]
-	for _, p := range s.c.Jobs["j-1"].AllPlaces() {
-		s.c.Stop(p, "preempted", 0, s.now)
-	}
-	s.token++
-	s.beat(w)
-	s.beat(w)
-	s.held(s.c.Jobs["j-1"], 0)
-	s.c.Jobs["j-1"].NotBefore = s.now + micro.Minute
-	s.job("j-2", wire.Array, 1, 4)
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	s.beat(w)
-	s.records["j-1"][0] = old // what it gave up was to be written later
-	s.takeOver(2)
-	s.beat(w)
-	s.beat(w)
-	s.beat(w)
-	if fmt.Sprint(w.Started) != "[j-2/0]" {
-		t.Fatalf("started %v on one machine with room for one", w.Started)
-	}
-	s.held(s.c.Jobs["j-1"], 0)
+func TestAllocationReleasedByThePreviousLeaderIsNotStarted(t *testing.T) {
+	tc := newTestCluster(t)
+	tc.cluster.Teams["team"].CPULimit = 4
+	agent := tc.addAgent("m1", "a")
+	tc.submit("j-1", wire.Array, 1, 4)
+	tc.expectScheduled(1)
+	tc.persist()
+	previousRecord := tc.storedRecords["j-1"][0]
+	for _, allocation := range tc.cluster.Jobs["j-1"].Allocations() {
+		tc.cluster.StopAllocation(allocation, "preempted", 0, tc.now)
+	}
+	tc.token++
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
+	tc.cluster.Jobs["j-1"].NotBefore = tc.now + micro.Minute
+	tc.submit("j-2", wire.Array, 1, 4)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	tc.storedRecords["j-1"][0] = previousRecord // what it gave up was to be written later
+	tc.failOver(2)
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	if fmt.Sprint(agent.Started) != "[j-2/0]" {
+		t.Fatalf("started %v on one machine with room for one", agent.Started)
+	}
+	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
 }
 
 // A report of an earlier attempt reached the next leader before any other. It took
 // the attempt for one that the records lacked, wrote it down, and the leader after
 // that started it once more, while the task ran elsewhere.
-func TestAttemptFromAnOldReportIsNeverStartedAgain(t *testing.T) {
-	s := newSite(t)
-	m1 := s.worker("m1", "a")
-	s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	s.beat(m1)
-	old := m1.Report()
-	m1.Exit("j-1/0", 1, wire.CauseError)
-	s.beat(m1)
-	s.persist()
-	s.token++
-	s.beat(m1)
-	s.beat(m1) // forgotten
-	s.beat(m1)
-	if len(m1.Tasks) != 0 {
+func TestAttemptFromAStaleHeartbeatIsNeverStartedAgain(t *testing.T) {
+	tc := newTestCluster(t)
+	first := tc.addAgent("m1", "a")
+	tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(first)
+	stale := first.Report()
+	first.Exit("j-1/0", 1, wire.CauseError)
+	tc.heartbeat(first)
+	tc.persist()
+	tc.token++
+	tc.heartbeat(first)
+	tc.heartbeat(first) // forgotten
+	tc.heartbeat(first)
+	if len(first.Tasks) != 0 {
 		t.Fatal("the worker still knows the attempt")
 	}
-	m2 := s.worker("m2", "a")
-	s.c.Machines["m1"].Avoid = s.now + 60*micro.Minute
-	s.now += 20 * micro.Second
-	s.place(1)
-	s.persist()
-	s.beat(m2)
-	s.beat(m2)
-	s.takeOver(2)
-	s.answer(m1, old)
-	s.persist()
-	s.takeOver(3)
+	second := tc.addAgent("m2", "a")
+	tc.cluster.Machines["m1"].QuarantinedUntil = tc.now + 60*micro.Minute
+	tc.now += 20 * micro.Second
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(second)
+	tc.heartbeat(second)
+	tc.failOver(2)
+	tc.reconcile(first, stale)
+	tc.persist()
+	tc.failOver(3)
 	for range 3 {
-		s.beat(m1)
-		s.beat(m2)
-	}
-	if len(m1.Started) != 1 || len(m2.Started) != 1 {
-		t.Fatalf("started %v and %v", m1.Started, m2.Started)
-	}
-	if j := s.c.Jobs["j-1"]; j.RunningN != 1 || j.HeldN != 1 {
-		t.Fatalf("running %d, places %d", j.RunningN, j.HeldN)
-	}
-}
-
-func TestLateDirectStartAfterAStopHoldsItsPlaceUntilItCannotRun(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	j := s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	late := s.direct(w) // held in the network, sender has given up
-	s.c.End(j, true, s.now)
-	s.beat(w)
-	s.held(j, 1) // absent, but the start may still run
-	s.token++
-	s.beat(w) // the worker sees the newer token
-	s.beat(w) // and says so
-	s.held(j, 0)
-	if _, ok := w.Direct(late); ok || len(w.Started) != 0 {
+		tc.heartbeat(first)
+		tc.heartbeat(second)
+	}
+	if len(first.Started) != 1 || len(second.Started) != 1 {
+		t.Fatalf("started %v and %v", first.Started, second.Started)
+	}
+	if job := tc.cluster.Jobs["j-1"]; job.RunningTasks != 1 || job.AllocationCount != 1 {
+		t.Fatalf("running %d, places %d", job.RunningTasks, job.AllocationCount)
+	}
+}
+
+func TestLateDispatchedStartAfterAStopHoldsItsAllocationUntilItCannotRun(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	late := tc.dispatchCommands(agent) // held in the network, sender has given up
+	tc.cluster.FinalizeJob(job, true, tc.now)
+	tc.heartbeat(agent)
+	tc.expectAllocations(job, 1) // absent, but the start may still run
+	tc.token++
+	tc.heartbeat(agent) // the worker sees the newer token
+	tc.heartbeat(agent) // and says so
+	tc.expectAllocations(job, 0)
+	if _, ok := agent.Direct(late); ok || len(agent.Started) != 0 {
 		t.Fatal("the late start ran after its place was given up")
 	}
 }
 
 func TestLateCopyOfAStartIsHarmlessAfterForget(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	s.job("j-1", wire.Array, 2, 1)
-	s.place(2)
-	s.persist()
-	o := s.direct(w)
-	r, _ := w.Direct(o)
-	s.c.Apply(r, model.Answer, s.now)
-	w.Exit("j-1/0", 1, wire.CauseDone)
-	s.beat(w)
-	s.persist()
-	s.beat(w)
-	if len(w.Tasks) != 2 {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	tc.submit("j-1", wire.Array, 2, 1)
+	tc.expectScheduled(2)
+	tc.persist()
+	commands := tc.dispatchCommands(agent)
+	heartbeat, _ := agent.Direct(commands)
+	tc.cluster.Reconcile(heartbeat, model.FromDispatchResponse, tc.now)
+	agent.Exit("j-1/0", 1, wire.CauseDone)
+	tc.heartbeat(agent)
+	tc.persist()
+	tc.heartbeat(agent)
+	if len(agent.Tasks) != 2 {
 		t.Fatal("forgotten while a late copy of its start could run it again")
 	}
-	if !s.c.Machines["m1"].NeedsToken(s.token) {
+	if !tc.cluster.Machines["m1"].NeedsNewerToken(tc.token) {
 		t.Fatal("nobody asks for a newer token")
 	}
-	s.token++
-	s.beat(w)
-	s.beat(w)
-	if len(w.Tasks) != 1 {
+	tc.token++
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	if len(agent.Tasks) != 1 {
 		t.Fatal("never forgotten")
 	}
-	if _, ok := w.Direct(o); ok {
+	if _, ok := agent.Direct(commands); ok {
 		t.Fatal("the late copy ran")
 	}
 }
 
 func TestDoneIsForgottenOnlyOnceItIsInTheStore(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	j := s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	w.Exit("j-1/0", 1, wire.CauseDone)
-	s.beat(w)
-	s.token++
-	s.beat(w)
-	s.beat(w)
-	if len(w.Tasks) != 1 {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	agent.Exit("j-1/0", 1, wire.CauseDone)
+	tc.heartbeat(agent)
+	tc.token++
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	if len(agent.Tasks) != 1 {
 		t.Fatal("forgotten before the completion was written")
 	}
-	if j.Status().State == wire.JobDone || len(s.ended) != 1 {
-		t.Fatalf("state %v before the end is written, ends asked for: %v", j.Status().State, s.ended)
+	if job.Status().State == wire.JobDone || len(tc.finishedJobs) != 1 {
+		t.Fatalf("state %v before the end is written, ends asked for: %v", job.Status().State, tc.finishedJobs)
 	}
-	s.takeOver(2)
-	s.beat(w)
-	if s.c.Jobs["j-1"].DoneN != 1 {
+	tc.failOver(2)
+	tc.heartbeat(agent)
+	if tc.cluster.Jobs["j-1"].DoneTasks != 1 {
 		t.Fatal("the next leader lost the completion")
 	}
 }
 
-func TestOlderReportFreesNothing(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	j := s.job("j-1", wire.Array, 1, 1)
-	old := w.Report() // overtaken on its way
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	s.beat(w)
-	if _, v := s.c.Apply(old, model.Beat, s.now); v != model.Stale {
-		t.Fatalf("verdict %v", v)
-	}
-	s.held(j, 1)
-}
-
-func TestNewLeaderWaitsOutASilentWorkersLease(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	s.takeOver(2)
-	other := s.worker("m2", "a")
-	j := s.c.Jobs["j-1"]
-	m := s.c.Machines["m1"]
-	s.now += lease
-	if s.c.LeaseOut(m, s.now) {
+func TestStaleHeartbeatReleasesNothing(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	stale := agent.Report() // overtaken on its way
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	if _, outcome := tc.cluster.Reconcile(stale, model.FromHeartbeat, tc.now); outcome != model.Stale {
+		t.Fatalf("verdict %v", outcome)
+	}
+	tc.expectAllocations(job, 1)
+}
+
+func TestNewLeaderWaitsForASuspectAgentsLeaseToExpire(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.failOver(2)
+	other := tc.addAgent("m2", "a")
+	job := tc.cluster.Jobs["j-1"]
+	machine := tc.cluster.Machines["m1"]
+	tc.now += leaseDuration
+	if tc.cluster.LeaseExpired(machine, tc.now) {
 		t.Fatal("given up within a lease of the takeover")
 	}
-	s.place(0)
-	s.now += 2 * micro.Second
-	if !w.Expire(s.now) || !s.c.LeaseOut(m, s.now) {
+	tc.expectScheduled(0)
+	tc.now += 2 * micro.Second
+	if !agent.Expire(tc.now) || !tc.cluster.LeaseExpired(machine, tc.now) {
 		t.Fatal("the lease should be over on both sides")
 	}
-	s.c.Lose(m, s.now)
-	s.held(j, 0)
-	s.beat(other)
-	s.place(1)
+	tc.cluster.ExpireMachine(machine, tc.now)
+	tc.expectAllocations(job, 0)
+	tc.heartbeat(other)
+	tc.expectScheduled(1)
 }
 
-func TestHeldReportOfAnExpiredSessionIsRefused(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	held := w.Report() // sent before the cut, delivered after it
-	s.now += lease + 2*micro.Second
-	s.c.Lose(s.c.Machines["m1"], s.now)
-	if _, v := s.c.Apply(held, model.Beat, s.now); v != model.Refused {
-		t.Fatalf("verdict %v", v)
+func TestDelayedHeartbeatOfAnExpiredAgentEpochIsRefused(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	delayed := agent.Report() // sent before the cut, delivered after it
+	tc.now += leaseDuration + 2*micro.Second
+	tc.cluster.ExpireMachine(tc.cluster.Machines["m1"], tc.now)
+	if _, outcome := tc.cluster.Reconcile(delayed, model.FromHeartbeat, tc.now); outcome != model.Refused {
+		t.Fatalf("verdict %v", outcome)
 	}
 }
 
-func TestGangLosingAMemberStartsAnewOnlyWhenAllAreGone(t *testing.T) {
+func TestGangRestartsOnlyAfterAllMembersAreReleased(t *testing.T) {
 	for _, started := range []bool{false, true} {
-		s := newSite(t)
-		a, b := s.worker("m1", "a"), s.worker("m2", "a")
-		j := s.job("j-1", wire.Gang, 2, 4)
-		s.place(2)
-		s.persist()
-		s.beat(a)
-		s.beat(b)
+		tc := newTestCluster(t)
+		first, second := tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
+		job := tc.submit("j-1", wire.Gang, 2, 4)
+		tc.expectScheduled(2)
+		tc.persist()
+		tc.heartbeat(first)
+		tc.heartbeat(second)
 		if started {
-			s.beat(a)
-			s.beat(b)
+			tc.heartbeat(first)
+			tc.heartbeat(second)
 		}
-		a.Sent = 0
-		a.Expire(s.now + 2*lease) // its tasks are gone
-		s.beat(a)
-		s.beat(a)
-		s.held(j, 1)
-		s.place(0) // the other member still holds its place
-		s.token++
-		s.beat(b)
-		s.beat(b)
-		s.beat(b)
-		s.held(j, 0)
-		s.place(2)
-		if j.GangTry != 2 {
-			t.Fatalf("attempt %d", j.GangTry)
+		first.Sent = 0
+		first.Expire(tc.now + 2*leaseDuration) // its tasks are gone
+		tc.heartbeat(first)
+		tc.heartbeat(first)
+		tc.expectAllocations(job, 1)
+		tc.expectScheduled(0) // the other member still holds its place
+		tc.token++
+		tc.heartbeat(second)
+		tc.heartbeat(second)
+		tc.heartbeat(second)
+		tc.expectAllocations(job, 0)
+		tc.expectScheduled(2)
+		if job.GangAttempt != 2 {
+			t.Fatalf("attempt %d", job.GangAttempt)
 		}
 	}
 }
 
 func TestQuotaCountsUnsettledStarts(t *testing.T) {
-	s := newSite(t) // the team may use 8 CPUs
-	for _, n := range []string{"m1", "m2", "m3"} {
-		s.worker(n, "a")
-	}
-	j := s.job("j-1", wire.Array, 3, 4)
-	s.place(2)
-	s.persist()
-	s.takeOver(2)
-	for _, n := range []string{"m3"} {
-		s.worker(n, "a")
-	}
-	s.place(0) // two starts may still be under way
-	if tm := s.c.Teams["team"]; tm.UsedCPU != 8 {
-		t.Fatalf("%v CPUs counted", tm.UsedCPU)
-	}
-	_ = j
+	tc := newTestCluster(t) // the team may use 8 CPUs
+	for _, name := range []string{"m1", "m2", "m3"} {
+		tc.addAgent(name, "a")
+	}
+	job := tc.submit("j-1", wire.Array, 3, 4)
+	tc.expectScheduled(2)
+	tc.persist()
+	tc.failOver(2)
+	for _, name := range []string{"m3"} {
+		tc.addAgent(name, "a")
+	}
+	tc.expectScheduled(0) // two starts may still be under way
+	if team := tc.cluster.Teams["team"]; team.UsedCPU != 8 {
+		t.Fatalf("%v CPUs counted", team.UsedCPU)
+	}
+	_ = job
 }
 
 // A restored place was counted under no zone until its machine was described,
 // and a spread service put both tasks into one zone.
-func TestSpreadHoldsForPlacesInUnknownZones(t *testing.T) {
-	s := newSite(t)
-	m1 := s.worker("m1", "a")
-	j := s.job("j-1", wire.Service, 2, 1)
-	j.Spec.Spread = true
-	s.jobs[0].Spread = true
-	s.place(1) // the other must go to another zone
-	s.persist()
-	for _, r := range s.records["j-1"][0].Places {
-		if r.Zone != "a" {
-			t.Fatalf("recorded zone %q", r.Zone)
+func TestSpreadHoldsForAllocationsInUnknownZones(t *testing.T) {
+	tc := newTestCluster(t)
+	m1 := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Service, 2, 1)
+	job.Spec.Spread = true
+	tc.jobs[0].Spread = true
+	tc.expectScheduled(1) // the other must go to another zone
+	tc.persist()
+	for _, entry := range tc.storedRecords["j-1"][0].Allocations {
+		if entry.Zone != "a" {
+			t.Fatalf("recorded zone %q", entry.Zone)
 		}
 	}
-	for i := range s.records["j-1"][0].Places {
-		s.records["j-1"][0].Places[i].Zone = "" // as an older record
-	}
-	s.beat(m1)
-	s.takeOver(2)
-	w := s.worker("m2", "a")
-	s.place(0)
-	_ = w
-	s.worker("m3", "b")
-	s.place(0) // it may be in b as well
-	s.beat(m1)
-	s.beat(m1)
-	s.place(1)
-	if n := s.c.Jobs["j-1"].ZoneHeld["a"]; n != 1 {
-		t.Fatalf("%d tasks in zone a", n)
-	}
-}
-
-func TestUnknownTaskIsStoppedAndHoldsItsPlace(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	j := s.job("j-1", wire.Array, 1, 4)
-	w.Tasks[fake.Key{Task: "j-1/0", Attempt: 7}] = &wire.TaskReport{Task: "j-1/0", Attempt: 7, State: wire.TaskRunning}
-	s.beat(w)
-	s.beat(w)
-	if j.Tasks[0].Attempt < 7 {
+	for i := range tc.storedRecords["j-1"][0].Allocations {
+		tc.storedRecords["j-1"][0].Allocations[i].Zone = "" // as an older record
+	}
+	tc.heartbeat(m1)
+	tc.failOver(2)
+	agent := tc.addAgent("m2", "a")
+	tc.expectScheduled(0)
+	_ = agent
+	tc.addAgent("m3", "b")
+	tc.expectScheduled(0) // it may be in b as well
+	tc.heartbeat(m1)
+	tc.heartbeat(m1)
+	tc.expectScheduled(1)
+	if tasks := tc.cluster.Jobs["j-1"].AllocationsByZone["a"]; tasks != 1 {
+		t.Fatalf("%d tasks in zone a", tasks)
+	}
+}
+
+func TestUnknownTaskIsStoppedAndHoldsItsAllocation(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Array, 1, 4)
+	agent.Tasks[fake.Key{Task: "j-1/0", Attempt: 7}] = &wire.TaskReport{Task: "j-1/0", Attempt: 7, State: wire.TaskRunning}
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	if job.Tasks[0].Attempt < 7 {
 		t.Fatal("its attempt number may be used again")
 	}
-	s.worker("m2", "a")
-	s.persist()
-	s.token++
-	s.beat(w)
-	s.place(1)
-	if j.Tasks[0].Attempt != 8 {
-		t.Fatalf("attempt %d", j.Tasks[0].Attempt)
+	tc.addAgent("m2", "a")
+	tc.persist()
+	tc.token++
+	tc.heartbeat(agent)
+	tc.expectScheduled(1)
+	if job.Tasks[0].Attempt != 8 {
+		t.Fatalf("attempt %d", job.Tasks[0].Attempt)
 	}
 }
 
-func TestFailingJobBacksOffAndFailingMachineIsAvoided(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
+func TestFailingJobBacksOffAndFailingMachineIsQuarantined(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
 	for _, id := range []string{"j-1", "j-2"} {
-		s.job(id, wire.Array, 1, 1)
-	}
-	s.place(2)
-	s.persist()
-	s.beat(w)
-	w.Exit("j-1/0", 1, wire.CauseError)
-	w.Exit("j-2/0", 1, wire.CauseError)
-	s.beat(w)
-	if s.c.Machines["m1"].Usable(s.now) {
+		tc.submit(id, wire.Array, 1, 1)
+	}
+	tc.expectScheduled(2)
+	tc.persist()
+	tc.heartbeat(agent)
+	agent.Exit("j-1/0", 1, wire.CauseError)
+	agent.Exit("j-2/0", 1, wire.CauseError)
+	tc.heartbeat(agent)
+	if tc.cluster.Machines["m1"].Schedulable(tc.now) {
 		t.Fatal("two jobs failed there and it is still used")
 	}
-	j := s.c.Jobs["j-1"]
-	j.FailedOn["x"], j.FailedOn["y"] = true, true
-	s.worker("m2", "a")
-	s.now += 20 * micro.Second
-	s.place(2)
-}
-
-func TestSlowMachineIsAvoidedAndItsTasksMove(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	j := s.job("j-1", wire.Array, 2, 1)
-	s.place(2)
-	s.persist()
-	s.beat(w)
-	s.beat(w)
-	m := s.c.Machines["m1"]
-	look := func() {
-		for _, p := range m.Sorted() {
-			s.c.Overran(p, 10*micro.Second, s.now)
+	job := tc.cluster.Jobs["j-1"]
+	job.FailedOn["x"], job.FailedOn["y"] = true, true
+	tc.addAgent("m2", "a")
+	tc.now += 20 * micro.Second
+	tc.expectScheduled(2)
+}
+
+func TestSlowMachineIsQuarantinedAndItsTasksMove(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Array, 2, 1)
+	tc.expectScheduled(2)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	machine := tc.cluster.Machines["m1"]
+	checkOverruns := func() {
+		for _, allocation := range machine.SortedAllocations() {
+			tc.cluster.CheckOverrun(allocation, 10*micro.Second, tc.now)
 		}
 	}
-	s.now += 20 * micro.Second
-	look()
-	if !m.Usable(s.now) {
+	tc.now += 20 * micro.Second
+	checkOverruns()
+	if !machine.Schedulable(tc.now) {
 		t.Fatal("avoided though its tasks are only twice late")
 	}
-	s.now += 10 * micro.Second
-	look()
-	look() // the first of them is counted before the machine is known as slow
-	if m.Usable(s.now) {
+	tc.now += 10 * micro.Second
+	checkOverruns()
+	checkOverruns() // the first of them is counted before the machine is known as slow
+	if machine.Schedulable(tc.now) {
 		t.Fatal("still used")
 	}
-	s.worker("m2", "a")
-	s.beat(w)
-	s.beat(w)
-	s.held(j, 0)
-	s.place(2)
-	if len(s.c.Machines["m2"].Places) != 2 {
+	tc.addAgent("m2", "a")
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	tc.expectAllocations(job, 0)
+	tc.expectScheduled(2)
+	if len(tc.cluster.Machines["m2"].Allocations) != 2 {
 		t.Fatal("its tasks did not move")
 	}
 }
@@ -533,89 +541,89 @@
 // After an outage that outlived its lease, a worker answered a direct order before
 // it reported, and hung then. Its session had just begun, and was given up by the
 // last answer to the session before: its tasks started elsewhere beside it.
-func TestLeaseOfASessionHeardOfByAnAnswerCountsFromThen(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	s.now += lease + 10*micro.Second // nobody answers
-	if !w.Expire(s.now) {
+func TestLeaseOfAnAgentEpochSeenInADispatchResponseCountsFromThen(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	tc.now += leaseDuration + 10*micro.Second // nobody answers
+	if !agent.Expire(tc.now) {
 		t.Fatal("its lease should have run out")
 	}
-	s.token++
-	r, _ := w.Direct(wire.Orders{Token: wire.Count(s.token), Session: 2})
-	s.c.Apply(r, model.Answer, s.now)
-	j := s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	w.Direct(s.direct(w))
-	if len(w.Started) != 1 {
+	tc.token++
+	heartbeat, _ := agent.Direct(wire.Orders{Token: wire.Count(tc.token), Session: 2})
+	tc.cluster.Reconcile(heartbeat, model.FromDispatchResponse, tc.now)
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	agent.Direct(tc.dispatchCommands(agent))
+	if len(agent.Started) != 1 {
 		t.Fatal("not started")
 	}
-	m := s.c.Machines["m1"]
-	s.now += lease - micro.Second
-	if s.c.LeaseOut(m, s.now) {
+	machine := tc.cluster.Machines["m1"]
+	tc.now += leaseDuration - micro.Second
+	if tc.cluster.LeaseExpired(machine, tc.now) {
 		t.Fatal("given up within the lease of its session")
 	}
-	s.now += 3 * micro.Second
-	if !s.c.LeaseOut(m, s.now) {
+	tc.now += 3 * micro.Second
+	if !tc.cluster.LeaseExpired(machine, tc.now) {
 		t.Fatal("never given up")
 	}
-	s.held(j, 1)
+	tc.expectAllocations(job, 1)
 }
 
 // Jobs with a mistake fail on every machine. Two of them had each machine avoided
 // on which both had failed; a faulty machine beside them must still be found.
-func TestNoMachineIsBlamedForJobsThatFailEverywhere(t *testing.T) {
-	s := newSite(t)
-	s.c.Teams["team"].CPUsMax = 0
-	workers := []*fake.Worker{s.worker("m1", "a"), s.worker("m2", "a"), s.worker("m3", "a")}
-	avoided := func() (names string) {
-		for _, m := range s.c.List() {
-			if m.Avoid > s.now {
-				names += m.Name + " "
+func TestNoMachineIsQuarantinedForJobsThatFailEverywhere(t *testing.T) {
+	tc := newTestCluster(t)
+	tc.cluster.Teams["team"].CPULimit = 0
+	agents := []*fake.Worker{tc.addAgent("m1", "a"), tc.addAgent("m2", "a"), tc.addAgent("m3", "a")}
+	quarantined := func() (names string) {
+		for _, machine := range tc.cluster.SortedMachines() {
+			if machine.QuarantinedUntil > tc.now {
+				names += machine.Name + " "
 			}
 		}
 		return names
 	}
-	fails := func(id string, on ...*fake.Worker) {
-		s.persist()
-		for _, w := range workers {
-			s.beat(w)
-			s.beat(w)
+	failTasks := func(id string, on ...*fake.Worker) {
+		tc.persist()
+		for _, agent := range agents {
+			tc.heartbeat(agent)
+			tc.heartbeat(agent)
 		}
-		for _, w := range on {
-			for k := range w.Tasks {
-				if job, _, _ := wire.SplitTask(k.Task); job == id {
-					w.Exit(k.Task, k.Attempt, wire.CauseError)
+		for _, agent := range on {
+			for key := range agent.Tasks {
+				if job, _, _ := wire.SplitTask(key.Task); job == id {
+					agent.Exit(key.Task, key.Attempt, wire.CauseError)
 				}
 			}
-			s.beat(w)
+			tc.heartbeat(agent)
 		}
 	}
 	for _, id := range []string{"j-1", "j-2"} {
-		j := s.job(id, wire.Array, 3, 4)
-		s.place(3)
-		fails(id, workers...)
-		if j.NotBefore <= s.now {
+		job := tc.submit(id, wire.Array, 3, 4)
+		tc.expectScheduled(3)
+		failTasks(id, agents...)
+		if job.NotBefore <= tc.now {
 			t.Fatalf("%s is tried again at once", id)
 		}
 	}
-	if got := avoided(); got != "" {
+	if got := quarantined(); got != "" {
 		t.Fatalf("avoided: %s", got)
 	}
-	for _, m := range s.c.List() {
-		if m.Name != "m1" {
-			s.c.SetDrained(m, true)
+	for _, machine := range tc.cluster.SortedMachines() {
+		if machine.Name != "m1" {
+			tc.cluster.SetCordoned(machine, true)
 		}
 	}
 	for _, id := range []string{"j-3", "j-4"} {
-		s.job(id, wire.Array, 1, 4)
-		s.place(1)
-		fails(id, workers[0])
-		s.token++ // exits are forgotten
-		s.beat(workers[0])
-		s.beat(workers[0])
-	}
-	if got := avoided(); got != "m1 " {
+		tc.submit(id, wire.Array, 1, 4)
+		tc.expectScheduled(1)
+		failTasks(id, agents[0])
+		tc.token++ // exits are forgotten
+		tc.heartbeat(agents[0])
+		tc.heartbeat(agents[0])
+	}
+	if got := quarantined(); got != "m1 " {
 		t.Fatalf("avoided: %q, want the faulty one", got)
 	}
 }
@@ -623,21 +631,21 @@
 // A large job met three faulty machines, and all its tasks waited as if it failed
 // everywhere, though others had completed.
 func TestJobWithACompletedTaskDoesNotFailEverywhere(t *testing.T) {
-	s := newSite(t)
-	s.c.Teams["team"].CPUsMax = 0
-	workers := []*fake.Worker{s.worker("m1", "a"), s.worker("m2", "a"), s.worker("m3", "a"), s.worker("m4", "a")}
-	j := s.job("j-1", wire.Array, 4, 4)
-	s.place(4)
-	s.persist()
-	for i, w := range workers {
-		s.beat(w)
-		s.beat(w)
-		for k := range w.Tasks {
-			w.Exit(k.Task, k.Attempt, []wire.Cause{wire.CauseDone, wire.CauseError}[min(i, 1)])
+	tc := newTestCluster(t)
+	tc.cluster.Teams["team"].CPULimit = 0
+	agents := []*fake.Worker{tc.addAgent("m1", "a"), tc.addAgent("m2", "a"), tc.addAgent("m3", "a"), tc.addAgent("m4", "a")}
+	job := tc.submit("j-1", wire.Array, 4, 4)
+	tc.expectScheduled(4)
+	tc.persist()
+	for i, agent := range agents {
+		tc.heartbeat(agent)
+		tc.heartbeat(agent)
+		for key := range agent.Tasks {
+			agent.Exit(key.Task, key.Attempt, []wire.Cause{wire.CauseDone, wire.CauseError}[min(i, 1)])
 		}
-		s.beat(w)
+		tc.heartbeat(agent)
 	}
-	if len(j.FailedOn) != 3 || j.NotBefore > s.now {
-		t.Fatalf("failed on %d, waits until %v", len(j.FailedOn), j.NotBefore-s.now)
+	if len(job.FailedOn) != 3 || job.NotBefore > tc.now {
+		t.Fatalf("failed on %d, waits until %v", len(job.FailedOn), job.NotBefore-tc.now)
 	}
 }
--- a/internal/model/wait_test.go
+++ b/internal/model/wait_test.go
@@ -12,30 +12,30 @@
 // A job that fails wherever it goes is retried ever more seldom, but is retried:
 // its user may have mended what was wrong.
 func TestJobThatFailsEverywhereIsRetriedEachMinute(t *testing.T) {
-	s := newSite(t)
-	var workers []*fake.Worker
+	tc := newTestCluster(t)
+	var agents []*fake.Worker
 	for i := range 12 {
-		workers = append(workers, s.worker(fmt.Sprint("m", 10+i), "a"))
+		agents = append(agents, tc.addAgent(fmt.Sprint("m", 10+i), "a"))
 	}
-	j := s.job("j-1", wire.Array, 1, 1)
-	failed, longest := s.now, micro.Time(0)
-	for tries := 0; tries < 40; s.now += micro.Second {
-		if s.placer.Schedule(s.now) == 0 {
-			if s.now-failed > 10*micro.Minute {
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	failed, longest := tc.now, micro.Time(0)
+	for tries := 0; tries < 40; tc.now += micro.Second {
+		if tc.scheduler.Schedule(tc.now) == 0 {
+			if tc.now-failed > 10*micro.Minute {
 				t.Fatalf("given up after %d tries", tries)
 			}
 			continue
 		}
 		tries++
-		longest = max(longest, s.now-failed)
-		s.persist()
-		for _, w := range workers {
-			s.beat(w)
-			w.Exit("j-1/0", uint64(j.Tasks[0].Attempt), wire.CauseError)
-			s.beat(w)
+		longest = max(longest, tc.now-failed)
+		tc.persist()
+		for _, agent := range agents {
+			tc.heartbeat(agent)
+			agent.Exit("j-1/0", uint64(job.Tasks[0].Attempt), wire.CauseError)
+			tc.heartbeat(agent)
 		}
-		s.held(j, 0)
-		failed = s.now
+		tc.expectAllocations(job, 0)
+		failed = tc.now
 	}
 	if longest < 30*micro.Second || longest > 62*micro.Second {
 		t.Fatalf("the longest time between tries is %v s", longest.Seconds())
@@ -44,21 +44,21 @@
 
 // On the only machine left, which is slow, an array's task was stopped each time
 // it overran, and never completed.
-func TestTaskOnASlowMachineStaysIfNothingElseFitted(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	m := s.c.Machines["m1"]
-	m.Avoid, m.Overruns = s.now+3*micro.Minute, 2
-	j := s.job("j-1", wire.Array, 1, 1)
-	s.place(0)
-	s.now += micro.Minute
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	s.beat(w)
-	s.now += 2 * micro.Minute
-	for _, p := range j.AllPlaces() {
-		if s.c.Overran(p, 10*micro.Second, s.now); p.Stopping {
+func TestTaskOnASlowMachineStaysIfNothingElseFits(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	machine := tc.cluster.Machines["m1"]
+	machine.QuarantinedUntil, machine.Overruns = tc.now+3*micro.Minute, 2
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(0)
+	tc.now += micro.Minute
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	tc.now += 2 * micro.Minute
+	for _, allocation := range job.Allocations() {
+		if tc.cluster.CheckOverrun(allocation, 10*micro.Second, tc.now); allocation.Stopping {
 			t.Fatal("stopped, to come back to the same machine")
 		}
 	}
@@ -66,35 +66,35 @@
 
 // A machine that left an order unanswered, or whose zone's controllers are out of
 // touch, takes tasks again with its next report.
-func TestMachineThatIsHeardAgainTakesTasksAtOnce(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	s.c.Machines["m1"].Mute = true
-	s.c.Away["a"] = s.now
-	s.job("j-1", wire.Array, 1, 1)
-	s.place(0)
-	s.now += 6 * micro.Second
-	s.beat(w)
-	s.place(1)
+func TestMachineTakesTasksAtOnceAfterItsNextHeartbeat(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	tc.cluster.Machines["m1"].DispatchUnanswered = true
+	tc.cluster.ZoneUnreachableSince["a"] = tc.now
+	tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(0)
+	tc.now += 6 * micro.Second
+	tc.heartbeat(agent)
+	tc.expectScheduled(1)
 }
 
 // A task that ran for long and was lost does not count as one that waited all the
 // time: the ordinary rules hold for it again.
-func TestTaskThatComesBackWaitsAnew(t *testing.T) {
-	s := newSite(t)
-	w := s.worker("m1", "a")
-	j := s.job("j-1", wire.Array, 1, 1)
-	s.place(1)
-	s.persist()
-	s.beat(w)
-	s.beat(w)
-	s.now += 10 * micro.Minute
-	s.c.Machines["m1"].Avoid = s.now + 10*micro.Minute
-	w.Session++ // it lost what it ran
-	clear(w.Tasks)
-	s.beat(w)
-	s.held(j, 0)
-	s.place(0)
-	s.now += micro.Minute
-	s.place(1)
+func TestRequeuedTaskRestartsItsWaitingTime(t *testing.T) {
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	job := tc.submit("j-1", wire.Array, 1, 1)
+	tc.expectScheduled(1)
+	tc.persist()
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+	tc.now += 10 * micro.Minute
+	tc.cluster.Machines["m1"].QuarantinedUntil = tc.now + 10*micro.Minute
+	agent.Session++ // it lost what it ran
+	clear(agent.Tasks)
+	tc.heartbeat(agent)
+	tc.expectAllocations(job, 0)
+	tc.expectScheduled(0)
+	tc.now += micro.Minute
+	tc.expectScheduled(1)
 }
--- a/internal/scale/boot_test.go
+++ b/internal/scale/boot_test.go
@@ -24,8 +24,8 @@
 	scaleOuts, _ := r.Plan(now)
 	for _, scaleOut := range scaleOuts {
 		for range scaleOut.Count {
-			machine := r.Cluster.Machine(fmt.Sprintf("i-%03d", r.requested), now)
-			r.Cluster.Describe(machine, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
+			machine := r.Cluster.EnsureMachine(fmt.Sprintf("i-%03d", r.requested), now)
+			r.Cluster.DescribeMachine(machine, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
 			if after, comes := r.bootTime(r.requested); comes {
 				r.upAt[machine] = now + after
 			}
@@ -34,7 +34,7 @@
 	}
 	for machine, at := range r.upAt {
 		if now >= at {
-			r.Cluster.Become(machine, model.Up, "reports")
+			r.Cluster.TransitionMachine(machine, model.Up, "reports")
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	properties := config.Defaults()
 	sched := &sched.Scheduler{Cluster: sim.Cluster, Objectives: sim.Objectives, Properties: &properties}
 	var secondRequestedAt micro.Time
-	for at := now; job.HeldN == 0; at += micro.Second {
+	for at := now; job.AllocationCount == 0; at += micro.Second {
 		if at > now+objective {
 			t.Fatalf("the work waits after %v s", (at - now).Seconds())
 		}
@@ -91,16 +91,16 @@
 		busy := planner.submit("j-0", 3, 4, false) // takes what is up for good
 		busy.Spec.EstimateS = 1e6
 		for i := range test.late + test.up {
-			machine := planner.Cluster.Machine(fmt.Sprint("i-", i), now)
-			planner.Cluster.Describe(machine, cheap.Type, cheap.Zone, cheap.Spot)
-			machine.Rented = now - micro.Minute
+			machine := planner.Cluster.EnsureMachine(fmt.Sprint("i-", i), now)
+			planner.Cluster.DescribeMachine(machine, cheap.Type, cheap.Zone, cheap.Spot)
+			machine.RequestedAt = now - micro.Minute
 			if i >= test.late {
-				planner.Cluster.Become(machine, model.Up, "reports")
-				planner.Cluster.NewPlace(busy, i-test.late, machine, 1, 4, now)
+				planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+				planner.Cluster.Allocate(busy, i-test.late, machine, 1, 4, now)
 			}
 		}
 		if test.up == 0 {
-			planner.Cluster.End(busy, true, now)
+			planner.Cluster.FinalizeJob(busy, true, now)
 		}
 		planner.submit("j-1", 4, 1, false)
 		requestsCheap := func(at micro.Time) bool {
@@ -113,9 +113,9 @@
 		if got := requestsCheap(now); got != test.want {
 			t.Errorf("%s: asked for %v, want %v", test.name, got, test.want)
 		}
-		for _, machine := range planner.Cluster.List() { // all late ones are returned
-			if machine.State == model.Unheard {
-				planner.Cluster.Depart(machine, now)
+		for _, machine := range planner.Cluster.SortedMachines() { // all late ones are returned
+			if machine.State == model.Registering {
+				planner.Cluster.RemoveMachine(machine, now)
 			}
 		}
 		if got := requestsCheap(now + micro.Minute); got != test.want {
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -13,7 +13,7 @@
 
 // bin is a machine's free room in a plan.
 type bin struct {
-	typ           *model.Type
+	typ           *model.MachineType
 	zone          string
 	spot          bool
 	cpu, gpu, mem float64
@@ -55,19 +55,19 @@
 			count = min(count, int(free/need+1e-9))
 		}
 	}
-	limit(b.cpu, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.K, b.typ.CPUs)))
+	limit(b.cpu, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs)))
 	limit(b.gpu, spec.GPUs)
 	limit(b.mem, spec.MemoryGB)
 	return max(count, 0)
 }
 
 func (b *bin) reserve(spec *wire.Job, n int) {
-	b.cpu -= float64(n) * max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.K, b.typ.CPUs))
+	b.cpu -= float64(n) * max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs))
 	b.gpu -= float64(n) * spec.GPUs
 	b.mem -= float64(n) * spec.MemoryGB
 }
 
-func newBin(typ *model.Type, zone string, spot bool) *bin {
+func newBin(typ *model.MachineType, zone string, spot bool) *bin {
 	return &bin{typ: typ, zone: zone, spot: spot, cpu: typ.CPUs, gpu: typ.GPUs, mem: typ.MemoryGB}
 }
 
@@ -78,7 +78,7 @@
 // offerCapacity is the room of machines of one offer that are expected to come up.
 type offerCapacity struct {
 	InstanceOffer
-	typ             *model.Type
+	typ             *model.MachineType
 	machines        int        // all its machines
 	emptyMachines   int        // whole machines that the plan has put nothing on
 	partialMachines []*bin     // those that it has put something on
@@ -91,7 +91,7 @@
 	byOffer map[InstanceOffer]*offerCapacity
 }
 
-func (c *capacity) groupFor(offer InstanceOffer, typ *model.Type) *offerCapacity {
+func (c *capacity) groupFor(offer InstanceOffer, typ *model.MachineType) *offerCapacity {
 	group := c.byOffer[offer]
 	if group == nil {
 		group = &offerCapacity{InstanceOffer: offer, typ: typ}
@@ -107,7 +107,7 @@
 		return math.MaxInt32
 	}
 	job := demand.job
-	return (len(job.Tasks)+1)/2 - job.ZoneHeld[zone] - job.ZoneHeld[""] - tasksByZone[zone]
+	return (len(job.Tasks)+1)/2 - job.AllocationsByZone[zone] - job.AllocationsByZone[""] - tasksByZone[zone]
 }
 
 // reserve puts up to n of a demand's tasks into the stock of the zones that are cut off,
@@ -224,7 +224,7 @@
 	if d.job == nil || !d.spec.OneZone {
 		return false
 	}
-	for z, n := range d.job.ZoneHeld {
+	for z, n := range d.job.AllocationsByZone {
 		if n > 0 && z != zone {
 			return true
 		}
@@ -235,7 +235,7 @@
 // bootOverdue reports whether a machine takes longer to come up than it may to count as
 // room to come.
 func bootOverdue(m *model.Machine, now micro.Time) bool {
-	return now-m.Rented > micro.Time(float64(micro.Of(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
+	return now-m.RequestedAt > micro.Time(float64(micro.Of(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
 }
 
 // bootFailureExclusion is for how long an offer is left out whose machines did not come up: once
@@ -252,13 +252,13 @@
 // as its cheapest offer did not work.
 func (p *Planner) trackBootFailures(now micro.Time) {
 	overdue, upCount := map[InstanceOffer]int{}, map[InstanceOffer]int{}
-	for _, machine := range p.Cluster.List() {
+	for _, machine := range p.Cluster.SortedMachines() {
 		offer := InstanceOffer{machine.TypeName, machine.Zone, machine.Spot}
 		switch {
 		case machine.Type == nil:
 		case machine.State == model.Up:
 			upCount[offer]++
-		case machine.State == model.Unheard && len(machine.Places) == 0 && bootOverdue(machine, now):
+		case machine.State == model.Registering && len(machine.Allocations) == 0 && bootOverdue(machine, now):
 			overdue[offer]++
 		}
 	}
@@ -273,8 +273,8 @@
 // expectedCapacity lists the room of machines that are expected to come up.
 func (p *Planner) expectedCapacity(now micro.Time) *capacity {
 	expected := &capacity{byOffer: map[InstanceOffer]*offerCapacity{}}
-	for _, machine := range p.Cluster.List() {
-		if machine.State != model.Unheard || machine.Type == nil || machine.ListState == wire.MachineFailed || len(machine.Places) > 0 {
+	for _, machine := range p.Cluster.SortedMachines() {
+		if machine.State != model.Registering || machine.Type == nil || machine.CloudState == wire.MachineFailed || len(machine.Allocations) > 0 {
 			continue
 		}
 		if bootOverdue(machine, now) {
@@ -300,14 +300,14 @@
 // free.
 func (p *Planner) runningBins(now micro.Time) []*bin {
 	var bins []*bin
-	for _, machine := range p.Cluster.List() {
-		if !machine.Usable(now) {
+	for _, machine := range p.Cluster.SortedMachines() {
+		if !machine.Schedulable(now) {
 			continue
 		}
 		free := newBin(machine.Type, machine.Zone, machine.Spot)
-		free.cpu = machine.Type.CPUs - max(machine.UsedScaled, machine.UsedCPU)
-		free.gpu, free.mem = machine.Type.GPUs-machine.UsedGPU, machine.Type.MemoryGB-machine.UsedMem
-		for _, allocation := range machine.Places {
+		free.cpu = machine.Type.CPUs - max(machine.UsedScaledCPU, machine.UsedCPU)
+		free.gpu, free.mem = machine.Type.GPUs-machine.UsedGPU, machine.Type.MemoryGB-machine.UsedMemoryGB
+		for _, allocation := range machine.Allocations {
 			job := allocation.Job
 			if job == nil || job.Spec.Kind == wire.Service && !allocation.Stopping {
 				continue
@@ -316,11 +316,11 @@
 			if !allocation.Stopping {
 				estimate := sched.EstimatedRuntime(job)
 				end = now + estimate + micro.Of(job.Spec.ImageGB/machine.Type.FetchGBPerS)
-				if allocation.RunFrom > 0 {
-					end = max(allocation.RunFrom+estimate, now+estimate/4)
+				if allocation.RunningSince > 0 {
+					end = max(allocation.RunningSince+estimate, now+estimate/4)
 				}
 			}
-			free.releases = append(free.releases, release{end, max(job.Spec.CPUs, allocation.Scaled), job.Spec.GPUs, job.Spec.MemoryGB})
+			free.releases = append(free.releases, release{end, max(job.Spec.CPUs, allocation.ScaledCPU), job.Spec.GPUs, job.Spec.MemoryGB})
 		}
 		bins = append(bins, free)
 	}
--- a/internal/scale/cordon.go
+++ b/internal/scale/cordon.go
@@ -28,8 +28,8 @@
 	}
 	if hasShortage {
 		p.noBacklogSince = 0
-		for _, machine := range p.Cluster.List() {
-			if machine.Drained {
+		for _, machine := range p.Cluster.SortedMachines() {
+			if machine.Cordoned {
 				uncordon = append(uncordon, machine)
 			}
 		}
@@ -41,19 +41,19 @@
 	if now-p.noBacklogSince < cordonDelay {
 		return nil, nil
 	}
-	var used, available model.Room
+	var used, available model.Resources
 	var candidates []*model.Machine
-	for _, machine := range p.Cluster.List() {
-		if !machine.Usable(now) {
+	for _, machine := range p.Cluster.SortedMachines() {
+		if !machine.Schedulable(now) {
 			continue
 		}
-		free, usedByArrays, hasOtherWork := model.Room{CPU: machine.Type.CPUs, Mem: machine.Type.MemoryGB}, model.Room{}, false
-		for _, allocation := range machine.Places {
+		free, usedByArrays, hasOtherWork := model.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}, model.Resources{}, false
+		for _, allocation := range machine.Allocations {
 			if allocation.Job == nil {
 				continue
 			}
 			spec := &allocation.Job.Spec
-			request := model.Room{CPU: spec.CPUs, Mem: spec.MemoryGB}
+			request := model.Resources{CPU: spec.CPUs, MemoryGB: spec.MemoryGB}
 			if spec.Kind == wire.Array {
 				usedByArrays.Add(request, 1)
 			} else {
@@ -63,15 +63,15 @@
 		}
 		used.Add(usedByArrays, 1)
 		available.Add(free, 1)
-		if !hasOtherWork && !machine.Base && !p.usableForGPUWork(machine) && machine.Reserve == nil && now-machine.Wanted > 5*micro.Second {
+		if !hasOtherWork && !machine.Permanent && !p.usableForGPUWork(machine) && machine.ReservedFor == nil && now-machine.LastNeededForHeadroom > 5*micro.Second {
 			candidates = append(candidates, machine)
 		}
 	}
 	sort.SliceStable(candidates, func(a, b int) bool { return pricePerCPU(candidates[a]) > pricePerCPU(candidates[b]) })
 	for _, machine := range candidates[:min(len(candidates), len(p.Cluster.Machines)/cordonFleetDivisor+1)] {
 		available.CPU -= machine.Type.CPUs
-		available.Mem -= machine.Type.MemoryGB
-		if available.CPU < cordonSlack*used.CPU || available.Mem < cordonSlack*used.Mem {
+		available.MemoryGB -= machine.Type.MemoryGB
+		if available.CPU < cordonSlack*used.CPU || available.MemoryGB < cordonSlack*used.MemoryGB {
 			break
 		}
 		cordon = append(cordon, machine)
@@ -86,7 +86,7 @@
 		return false
 	}
 	for _, class := range p.Cluster.Classes {
-		if spec := class.Last; spec != nil && spec.GPUs > 0 && sched.Allowed(spec, m.Type, m.Zone, m.Spot) {
+		if spec := class.LastJob; spec != nil && spec.GPUs > 0 && sched.Allowed(spec, m.Type, m.Zone, m.Spot) {
 			return true
 		}
 	}
