--- a/internal/scale/demand.go
+++ b/internal/scale/demand.go
@@ -22,7 +22,7 @@
 }
 
 // allows reports whether a machine of an offer could run the demand's tasks.
-func (d *taskDemand) allows(typ *model.Type, zone string, spot bool) bool {
+func (d *taskDemand) allows(typ *model.MachineType, zone string, spot bool) bool {
 	return sched.Allowed(d.spec, typ, zone, spot) && (d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
 }
 
@@ -30,7 +30,7 @@
 // assigned to one as a whole. A service with one replica in place once had machines
 // rented into a share, again and again, for the other.
 func (p *Planner) eligibleOffers(job *model.Job) func(InstanceOffer) bool {
-	if job.Untouched() {
+	if job.NeverAllocated() {
 		return nil
 	}
 	return p.OwnsOffer
@@ -49,13 +49,13 @@
 	var demands []taskDemand
 	topPriorityTasks := map[*model.Class]int{} // tasks of the first rank that wait
 	quotaPlanned := map[*model.Team][2]float64{}
-	jobs := make([]*model.Job, 0, len(p.Cluster.Pending))
-	for job := range p.Cluster.Pending {
+	jobs := make([]*model.Job, 0, len(p.Cluster.PendingJobs))
+	for job := range p.Cluster.PendingJobs {
 		jobs = append(jobs, job)
 	}
 	sort.Slice(jobs, func(a, b int) bool { return jobs[a].Spec.ID < jobs[b].Spec.ID })
 	for _, job := range jobs {
-		if job.NotBefore > now+10*micro.Second && job.Paused(now) {
+		if job.NotBefore > now+10*micro.Second && job.InBackoff(now) {
 			continue
 		}
 		tasks := job.Demand(now)
@@ -64,11 +64,11 @@
 		}
 		if team := job.Team; team != nil {
 			planned := quotaPlanned[team]
-			if team.CPUsMax > 0 && job.Spec.CPUs > 0 {
-				tasks = min(tasks, int((team.CPUsMax-team.UsedCPU-planned[0])/job.Spec.CPUs+1e-9))
+			if team.CPULimit > 0 && job.Spec.CPUs > 0 {
+				tasks = min(tasks, int((team.CPULimit-team.UsedCPU-planned[0])/job.Spec.CPUs+1e-9))
 			}
-			if team.GPUsMax > 0 && job.Spec.GPUs > 0 {
-				tasks = min(tasks, int((team.GPUsMax-team.UsedGPU-planned[1])/job.Spec.GPUs+1e-9))
+			if team.GPULimit > 0 && job.Spec.GPUs > 0 {
+				tasks = min(tasks, int((team.GPULimit-team.UsedGPU-planned[1])/job.Spec.GPUs+1e-9))
 			}
 			if tasks <= 0 || job.Spec.Kind == wire.Gang && tasks < len(job.Tasks) {
 				continue
@@ -81,14 +81,14 @@
 		if !p.isUrgent(job, latestStart, now) {
 			continue
 		}
-		demands = append(demands, taskDemand{job: job, spec: &job.Spec, tasks: tasks, latestStart: latestStart, priorityLevel: job.Level, eligible: p.eligibleOffers(job)})
-		if job.Level == 0 {
+		demands = append(demands, taskDemand{job: job, spec: &job.Spec, tasks: tasks, latestStart: latestStart, priorityLevel: job.PriorityLevel, eligible: p.eligibleOffers(job)})
+		if job.PriorityLevel == 0 {
 			topPriorityTasks[job.Class] += tasks
 		}
 	}
 	if p.ShardDemands != nil {
 		for _, shard := range p.ShardDemands() {
-			demands = append(demands, taskDemand{job: shard.Job, spec: &shard.Job.Spec, tasks: shard.Tasks, latestStart: p.Objectives.LatestStart(shard.Job, now), priorityLevel: shard.Job.Level, eligible: shard.InShard})
+			demands = append(demands, taskDemand{job: shard.Job, spec: &shard.Job.Spec, tasks: shard.Tasks, latestStart: p.Objectives.LatestStart(shard.Job, now), priorityLevel: shard.Job.PriorityLevel, eligible: shard.InShard})
 		}
 	}
 	demands = append(demands, p.bootSpares(topPriorityTasks, now)...)
@@ -110,9 +110,9 @@
 func (p *Planner) bootSpares(topPriorityTasks map[*model.Class]int, now micro.Time) []taskDemand {
 	var demands []taskDemand
 	for class, tasks := range topPriorityTasks {
-		startObjective, boot := p.Objectives.StartObjective(class.Name), p.minBootTime(class.Last)
+		startObjective, boot := p.Objectives.StartObjective(class.Name), p.minBootTime(class.LastJob)
 		if startObjective > 0 && startObjective < boot {
-			spec := *class.Last
+			spec := *class.LastJob
 			demands = append(demands, taskDemand{spec: &spec, tasks: int(math.Ceil(bootSpareFactor * float64(tasks))), latestStart: now + boot, eligible: p.OwnsOffer})
 		}
 	}
@@ -125,7 +125,7 @@
 const scaleOutDelay = 8 * micro.Second
 
 func (p *Planner) isUrgent(job *model.Job, latestStart, now micro.Time) bool {
-	if now-job.Since > scaleOutDelay {
+	if now-job.EligibleSince > scaleOutDelay {
 		return true
 	}
 	boot := p.minBootTime(&job.Spec)
@@ -135,7 +135,7 @@
 // minBootTime is the shortest boot time among the types that the job may use.
 func (p *Planner) minBootTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
-	for _, typ := range p.Cluster.Order {
+	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
 			if sched.Allowed(spec, typ, z, false) {
 				best = min(best, micro.Of(typ.BootS))
@@ -151,7 +151,7 @@
 // guaranteesGPUs reports whether any team is guaranteed GPUs.
 func (p *Planner) guaranteesGPUs() bool {
 	for _, team := range p.Cluster.Teams {
-		if team.GPUs > 0 {
+		if team.GuaranteedGPUs > 0 {
 			return true
 		}
 	}
@@ -161,10 +161,10 @@
 // minFetchTime is how long a class's images take where they are fetched fastest.
 func (p *Planner) minFetchTime(class *model.Class) micro.Time {
 	best := math.Inf(1)
-	for _, typ := range p.Cluster.Order {
+	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
-			if sched.Allowed(class.Last, typ, z, true) && typ.FetchGBPerS > 0 {
-				best = min(best, class.ImageGB/typ.FetchGBPerS)
+			if sched.Allowed(class.LastJob, typ, z, true) && typ.FetchGBPerS > 0 {
+				best = min(best, class.MeanImageGB/typ.FetchGBPerS)
 			}
 		}
 	}
@@ -187,13 +187,13 @@
 	for _, name := range names {
 		class := p.Cluster.Classes[name]
 		startObjective := p.Objectives.StartObjective(name)
-		if class.Last == nil || startObjective == 0 {
+		if class.LastJob == nil || startObjective == 0 {
 			continue
 		}
-		if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.Last.GPUs > 0 && p.guaranteesGPUs() {
+		if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.LastJob.GPUs > 0 && p.guaranteesGPUs() {
 			startObjective = min(startObjective, guaranteed)
 		}
-		boot := p.minBootTime(class.Last)
+		boot := p.minBootTime(class.LastJob)
 		slowBootTime := boot*3/2 + bootMargin
 		if startObjective >= slowBootTime+p.minFetchTime(class)*4/3 {
 			continue // a machine rented then is ready in time
@@ -205,25 +205,25 @@
 			want = int(math.Ceil(expected)) // in time unless the image is to be fetched
 		}
 		have := 0
-		level := class.Last.Priority.Level()
-		for _, machine := range p.Cluster.List() {
+		level := class.LastJob.Priority.Level()
+		for _, machine := range p.Cluster.SortedMachines() {
 			if have >= want {
 				break
 			}
-			if !machine.Usable(now) || p.limitsCost() && class.Last.GPUs == 0 && machine.Type.GPUs > 0 && p.isExpensive(class.Last, machine.Type, machine.Spot, maxRatio) {
+			if !machine.Schedulable(now) || p.limitsCost() && class.LastJob.GPUs == 0 && machine.Type.GPUs > 0 && p.isExpensive(class.LastJob, machine.Type, machine.Spot, maxRatio) {
 				continue // counted on, it would never be returned
 			}
-			preemptible := machine.Yields(level)
+			preemptible := machine.Preemptible(level)
 			free := bin{typ: machine.Type, zone: machine.Zone, spot: machine.Spot,
-				cpu: min(machine.Type.CPUs-machine.UsedScaled+preemptible.Scaled, machine.Type.CPUs-machine.UsedCPU+preemptible.CPU),
-				gpu: machine.Type.GPUs - machine.UsedGPU + preemptible.GPU, mem: machine.Type.MemoryGB - machine.UsedMem + preemptible.Mem}
-			if fitting := free.countFitting(class.Last); fitting > 0 {
+				cpu: min(machine.Type.CPUs-machine.UsedScaledCPU+preemptible.ScaledCPU, machine.Type.CPUs-machine.UsedCPU+preemptible.CPU),
+				gpu: machine.Type.GPUs - machine.UsedGPU + preemptible.GPU, mem: machine.Type.MemoryGB - machine.UsedMemoryGB + preemptible.MemoryGB}
+			if fitting := free.countFitting(class.LastJob); fitting > 0 {
 				have += fitting
-				machine.Wanted = now
+				machine.LastNeededForHeadroom = now
 			}
 		}
 		if have < want {
-			spec := *class.Last
+			spec := *class.LastJob
 			demands = append(demands, taskDemand{spec: &spec, tasks: want - have, latestStart: now + boot, priorityLevel: level, eligible: p.OwnsOffer})
 		}
 	}
--- a/internal/scale/failing_jobs_test.go
+++ b/internal/scale/failing_jobs_test.go
@@ -31,7 +31,7 @@
 	if scaleOuts, _ = planner.Plan(now); countMachines(scaleOuts) != 1 {
 		t.Fatalf("%d machines for a job that fails everywhere", countMachines(scaleOuts))
 	}
-	job.DoneN = 1
+	job.DoneTasks = 1
 	if scaleOuts, _ = planner.Plan(now); countMachines(scaleOuts) < 200 {
 		t.Fatalf("%d machines for a job that completed a task", countMachines(scaleOuts))
 	}
@@ -41,17 +41,17 @@
 func TestNoScaleOutForThrottledJobsBesideFreeCapacity(t *testing.T) {
 	planner := newTestPlanner()
 	job := planner.submit("j-1", 5000, 1, false)
-	machine := planner.Cluster.Machine("i-1", now)
-	planner.Cluster.Describe(machine, "small", "a", false)
-	planner.Cluster.Become(machine, model.Up, "reports")
-	for i := 0; job.Openings(now) > 0; i++ {
-		planner.Cluster.NewPlace(job, i, machine, 1, 1, now)
+	machine := planner.Cluster.EnsureMachine("i-1", now)
+	planner.Cluster.DescribeMachine(machine, "small", "a", false)
+	planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+	for i := 0; job.SchedulableTasks(now) > 0; i++ {
+		planner.Cluster.Allocate(job, i, machine, 1, 1, now)
 	}
-	job.HeldBack = true
+	job.Throttled = true
 	if scaleOuts, _ := planner.Plan(now); countMachines(scaleOuts) > 0 {
 		t.Fatalf("%+v", scaleOuts)
 	}
-	job.HeldBack = false
+	job.Throttled = false
 	if scaleOuts, _ := planner.Plan(now); countMachines(scaleOuts) < 200 {
 		t.Fatalf("%d machines, though there is no room", countMachines(scaleOuts))
 	}
--- a/internal/scale/planner.go
+++ b/internal/scale/planner.go
@@ -26,7 +26,7 @@
 
 // Planner remembers what the cloud refused and what is under way.
 type Planner struct {
-	Cluster             *model.Cluster
+	Cluster             *model.State
 	Objectives          *sched.Objectives
 	Properties          *config.Properties
 	RefusedUntil        map[InstanceOffer]micro.Time // until when not to ask again
@@ -89,10 +89,10 @@
 	}
 	cordon, uncordon := p.planCordons(demands, now)
 	for _, machine := range cordon {
-		p.Cluster.SetDrained(machine, true)
+		p.Cluster.SetCordoned(machine, true)
 	}
 	for _, machine := range uncordon {
-		p.Cluster.SetDrained(machine, false)
+		p.Cluster.SetCordoned(machine, false)
 	}
 	return plan.requests(), p.IdleMachines(now)
 }
@@ -111,7 +111,7 @@
 // machines were rented there again and again.
 func (p *Planner) listUnreachableZones() map[string]bool {
 	unreachable := map[string]bool{}
-	for zone := range p.Cluster.Away {
+	for zone := range p.Cluster.ZoneUnreachableSince {
 		if !p.Cluster.ZoneReachable(zone) {
 			unreachable[zone] = true
 		}
@@ -137,11 +137,11 @@
 	if !p.limitsCost() {
 		idleTimeout *= permanentFleetIdleFactor
 	}
-	for _, machine := range p.Cluster.List() {
-		if machine.State != model.Up || machine.Foreign || machine.Base || len(machine.Places) > 0 || machine.Reserve != nil || machine.NoticeAt != 0 {
+	for _, machine := range p.Cluster.SortedMachines() {
+		if machine.State != model.Up || machine.OwnedElsewhere || machine.Permanent || len(machine.Allocations) > 0 || machine.ReservedFor != nil || machine.PreemptionAt != 0 {
 			continue
 		}
-		if machine.Drained {
+		if machine.Cordoned {
 			idle = append(idle, machine)
 			continue
 		}
@@ -149,7 +149,7 @@
 		if p.limitsCost() && machine.Type != nil && machine.Type.GPUs > 0 {
 			timeout /= 2 // the dearest; those that are expected to be needed are wanted
 		}
-		if now-machine.IdleSince > timeout && now-machine.Wanted > 5*micro.Second {
+		if now-machine.IdleSince > timeout && now-machine.LastNeededForHeadroom > 5*micro.Second {
 			idle = append(idle, machine)
 		}
 	}
--- a/internal/scale/planner_test.go
+++ b/internal/scale/planner_test.go
@@ -12,10 +12,10 @@
 
 type discardEffects struct{ model.Effects }
 
-func (discardEffects) Changed()           {}
-func (discardEffects) Touch(*model.Chunk) {}
-func (discardEffects) Press(*model.Chunk) {}
-func (discardEffects) Log(string, ...any) {}
+func (discardEffects) ScheduleSoon()                {}
+func (discardEffects) ChunkDirty(*model.TaskChunk)  {}
+func (discardEffects) ChunkUrgent(*model.TaskChunk) {}
+func (discardEffects) Log(string, ...any)           {}
 
 const now = 1000 * micro.Second
 
@@ -59,7 +59,7 @@
 		t.Fatalf("CPU work rents a GPU machine at 15 times the price: %+v", scaleOuts)
 	}
 	// Where operators keep machines of their own, readiness wins.
-	planner.Cluster.Machine("own", now).Base = true
+	planner.Cluster.EnsureMachine("own", now).Permanent = true
 	if scaleOuts, _ = planner.Plan(now); len(scaleOuts) != 1 || scaleOuts[0].Type != "gpu" {
 		t.Fatalf("%+v", scaleOuts)
 	}
@@ -68,13 +68,13 @@
 func TestMachineThatFailsToBootIsReplacedInTime(t *testing.T) {
 	planner := newTestPlanner()
 	planner.submit("j-1", 4, 1, true)
-	m := planner.Cluster.Machine("i-1", now)
-	planner.Cluster.Describe(m, "small", "a", true)
-	m.Rented = now - 40*micro.Second
+	m := planner.Cluster.EnsureMachine("i-1", now)
+	planner.Cluster.DescribeMachine(m, "small", "a", true)
+	m.RequestedAt = now - 40*micro.Second
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) != 0 {
 		t.Fatalf("still expected: %+v", scaleOuts)
 	}
-	m.Rented = now - 60*micro.Second
+	m.RequestedAt = now - 60*micro.Second
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) != 1 {
 		t.Fatal("nothing is rented in place of a machine that does not come up")
 	}
@@ -83,11 +83,11 @@
 func TestIdleMachinesAreTerminatedAndPermanentOnesStay(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"rented", "own"} {
-		m := planner.Cluster.Machine(name, now)
-		planner.Cluster.Describe(m, "small", "a", false)
-		planner.Cluster.Become(m, model.Up, "reports")
+		m := planner.Cluster.EnsureMachine(name, now)
+		planner.Cluster.DescribeMachine(m, "small", "a", false)
+		planner.Cluster.TransitionMachine(m, model.Up, "reports")
 		m.IdleSince = now - 5*micro.Minute
-		m.Base = name == "own"
+		m.Permanent = name == "own"
 	}
 	_, idle := planner.Plan(now)
 	if len(idle) != 1 || idle[0].Name != "rented" {
@@ -116,28 +116,28 @@
 func TestExpensiveMachinesAreCordonedWithoutBacklogAndUncordonedWithIt(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-gpu"} {
-		machine := planner.Cluster.Machine(name, now)
+		machine := planner.Cluster.EnsureMachine(name, now)
 		typ := "small"
 		if name == "i-gpu" {
 			typ = "gpu"
 		}
-		planner.Cluster.Describe(machine, typ, "a", false)
-		planner.Cluster.Become(machine, model.Up, "reports")
+		planner.Cluster.DescribeMachine(machine, typ, "a", false)
+		planner.Cluster.TransitionMachine(machine, model.Up, "reports")
 	}
 	job := planner.submit("j-1", 2, 1, false)
-	planner.Cluster.NewPlace(job, 0, planner.Cluster.Machines["i-gpu"], 1, 1, now)
-	planner.Cluster.NewPlace(job, 1, planner.Cluster.Machines["i-1"], 1, 1, now)
+	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-gpu"], 1, 1, now)
+	planner.Cluster.Allocate(job, 1, planner.Cluster.Machines["i-1"], 1, 1, now)
 	planner.Plan(now)
-	if planner.Cluster.Machines["i-gpu"].Drained {
+	if planner.Cluster.Machines["i-gpu"].Cordoned {
 		t.Fatal("drained before it is known that nothing waits")
 	}
 	planner.Plan(now + cordonDelay)
-	if !planner.Cluster.Machines["i-gpu"].Drained || planner.Cluster.Machines["i-1"].Drained {
+	if !planner.Cluster.Machines["i-gpu"].Cordoned || planner.Cluster.Machines["i-1"].Cordoned {
 		t.Fatal("the dearest machine that is not needed should take nothing more, and it alone")
 	}
 	planner.submit("j-2", 40, 4, false)
 	planner.Plan(now + cordonDelay + micro.Second)
-	if planner.Cluster.Machines["i-gpu"].Drained {
+	if planner.Cluster.Machines["i-gpu"].Cordoned {
 		t.Fatal("work waits, and the machine still takes none")
 	}
 }
@@ -147,12 +147,12 @@
 func TestCapacityBeyondASpreadLimitIsNotAwaited(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
-		m := planner.Cluster.Machine(name, now)
-		planner.Cluster.Describe(m, "small", "a", false)
-		planner.Cluster.Become(m, model.Up, "reports")
+		m := planner.Cluster.EnsureMachine(name, now)
+		planner.Cluster.DescribeMachine(m, "small", "a", false)
+		planner.Cluster.TransitionMachine(m, model.Up, "reports")
 	}
 	job := planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Service, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1, Spread: true}, now-micro.Minute, now)
-	planner.Cluster.NewPlace(job, 0, planner.Cluster.Machines["i-1"], 1, 1, now)
+	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 1, now)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "b" {
 		t.Fatalf("its second task waits for good: %+v", scaleOuts)
@@ -163,12 +163,12 @@
 func TestCapacityInAnotherZoneIsNotAwaitedByASingleZoneJob(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
-		m := planner.Cluster.Machine(name, now)
-		planner.Cluster.Describe(m, "small", map[string]string{"i-1": "a", "i-2": "b"}[name], false)
-		planner.Cluster.Become(m, model.Up, "reports")
+		m := planner.Cluster.EnsureMachine(name, now)
+		planner.Cluster.DescribeMachine(m, "small", map[string]string{"i-1": "a", "i-2": "b"}[name], false)
+		planner.Cluster.TransitionMachine(m, model.Up, "reports")
 	}
 	job := planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 4, MemoryGB: 1, OneZone: true, EstimateS: 100}, now-micro.Minute, now)
-	planner.Cluster.NewPlace(job, 0, planner.Cluster.Machines["i-1"], 1, 4, now)
+	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 4, now)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "a" {
 		t.Fatalf("its second task waits for room that it may not use: %+v", scaleOuts)
@@ -179,17 +179,17 @@
 // machines must not be kept from it for longer.
 func TestCordonedMachineIsUncordonedForWorkThatCanWait(t *testing.T) {
 	planner := newTestPlanner()
-	machine := planner.Cluster.Machine("i-1", now)
-	planner.Cluster.Describe(machine, "small", "a", false)
-	planner.Cluster.Become(machine, model.Up, "reports")
-	planner.Cluster.SetDrained(machine, true)
+	machine := planner.Cluster.EnsureMachine("i-1", now)
+	planner.Cluster.DescribeMachine(machine, "small", "a", false)
+	planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+	planner.Cluster.SetCordoned(machine, true)
 	planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 10}, now, now)
 	planner.Plan(now + micro.Second)
-	if !machine.Drained {
+	if !machine.Cordoned {
 		t.Fatal("taken back at once")
 	}
 	planner.Plan(now + 9*micro.Second)
-	if machine.Drained {
+	if machine.Cordoned {
 		t.Fatal("the work still waits")
 	}
 }
@@ -199,10 +199,10 @@
 func TestScaleOutInAnUnreachableZoneOnlyForWorkBoundToIt(t *testing.T) {
 	zoneOf := func(lastHeartbeat micro.Time, bound bool) string {
 		planner := newTestPlanner()
-		planner.Cluster.Away["a"] = now - micro.Minute
-		machine := planner.Cluster.Machine("i-1", now)
-		planner.Cluster.Describe(machine, "small", "a", false)
-		machine.State, machine.Heard = model.Silent, lastHeartbeat
+		planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
+		machine := planner.Cluster.EnsureMachine("i-1", now)
+		planner.Cluster.DescribeMachine(machine, "small", "a", false)
+		machine.State, machine.LastHeartbeat = model.Suspect, lastHeartbeat
 		job := planner.submit("j-1", 4, 1, false)
 		if zone := "a"; bound {
 			job.Spec.Zone = &zone
@@ -228,13 +228,13 @@
 // others once took them into account first, and more were rented there each second.
 func TestExpectedCapacityInAnUnreachableZoneIsLeftToWorkBoundToIt(t *testing.T) {
 	planner := newTestPlanner()
-	planner.Cluster.Away["a"] = now - micro.Minute
+	planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
 	planner.submit("j-1", 4, 1, false)
 	zone := "a"
 	planner.submit("j-2", 4, 1, false).Spec.Zone = &zone
 	for i, z := range []string{"a", "b"} {
-		m := planner.Cluster.Machine([]string{"i-1", "i-2"}[i], now)
-		planner.Cluster.Describe(m, "small", z, false)
+		m := planner.Cluster.EnsureMachine([]string{"i-1", "i-2"}[i], now)
+		planner.Cluster.DescribeMachine(m, "small", z, false)
 	}
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) != 0 {
 		t.Errorf("rented though room for both is coming up: %+v", scaleOuts)
--- a/internal/scale/price.go
+++ b/internal/scale/price.go
@@ -18,8 +18,8 @@
 
 // meetsObjective reports whether a machine rented now would let a demand meet an
 // objective. Work that has waited very long gets one in any case.
-func (p *Planner) meetsObjective(demand *taskDemand, typ *model.Type, now micro.Time) bool {
-	if demand.job != nil && now-demand.job.Since > maxExpensiveDelay {
+func (p *Planner) meetsObjective(demand *taskDemand, typ *model.MachineType, now micro.Time) bool {
+	if demand.job != nil && now-demand.job.EligibleSince > maxExpensiveDelay {
 		return true
 	}
 	ready := now + micro.Of(slowBootFactor*typ.BootS+demand.spec.ImageGB/typ.FetchGBPerS)
@@ -51,17 +51,17 @@
 	for _, backlog := range p.backlogs {
 		backlog.pendingTasks = 0
 	}
-	for job := range p.Cluster.Pending {
+	for job := range p.Cluster.PendingJobs {
 		backlog := p.backlogs[job.Class]
 		if backlog == nil {
 			backlog = &classBacklog{measuredAt: now}
 			p.backlogs[job.Class] = backlog
 		}
-		backlog.pendingTasks += job.Waiting()
+		backlog.pendingTasks += job.PendingTasks()
 	}
 	upMachines := 0
 	for _, pool := range p.Cluster.Pools {
-		upMachines += pool.N
+		upMachines += pool.MachineCount
 	}
 	for _, backlog := range p.backlogs {
 		if upMachines == 0 {
@@ -88,7 +88,7 @@
 	return max(len(p.Cluster.Machines)/expensiveFleetDivisor, 1)
 }
 
-func priceOf(offer InstanceOffer, typ *model.Type) float64 {
+func priceOf(offer InstanceOffer, typ *model.MachineType) float64 {
 	if offer.Spot {
 		return typ.SpotPrice
 	}
@@ -109,7 +109,7 @@
 // minReadyTime is how soon a rented machine could run the job's task.
 func (p *Planner) minReadyTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
-	for _, typ := range p.Cluster.Order {
+	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
 			if sched.Allowed(spec, typ, z, false) {
 				best = min(best, micro.Of(typ.BootS+spec.ImageGB/typ.FetchGBPerS))
@@ -123,7 +123,7 @@
 // like it are waiting.
 func (p *Planner) cheapestPrice(spec *wire.Job, n int) float64 {
 	best := math.Inf(1)
-	for _, typ := range p.Cluster.Order {
+	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
 			b := newBin(typ, z, false)
 			if k := b.countFitting(spec); k > 0 {
@@ -146,7 +146,7 @@
 
 func (p *Planner) hasPermanentMachines() bool {
 	for _, m := range p.Cluster.Machines {
-		if m.Base {
+		if m.Permanent {
 			return true
 		}
 	}
@@ -156,7 +156,7 @@
 // WithinPrice reports whether work that needs no GPU may sit on a machine with
 // GPUs. Most are dear, and work that sits on one keeps it from being returned: a
 // service for as long as it lives.
-func (p *Planner) WithinPrice(job *model.Job, typ *model.Type, spot bool, now micro.Time) bool {
+func (p *Planner) WithinPrice(job *model.Job, typ *model.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
 	if spec.GPUs > 0 || typ.GPUs == 0 || !p.limitsCost() {
 		return true
@@ -179,7 +179,7 @@
 // those that other work had needed from being returned. A job none of whose tasks
 // found a place for maxExpensiveDelay takes what there is.
 func (p *Planner) onlyCostMatters(job *model.Job, now micro.Time) bool {
-	return job != nil && job.Level >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) && now-job.WaitsFrom <= maxExpensiveDelay
+	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) && now-job.WaitingSince <= maxExpensiveDelay
 }
 
 // lowestPriorityLevel is the rank of idle work.
@@ -187,7 +187,7 @@
 
 // isExpensive reports whether a machine's room costs more than so many times the
 // cheapest ordinary room, for tasks like this.
-func (p *Planner) isExpensive(spec *wire.Job, typ *model.Type, spot bool, ratio float64) bool {
+func (p *Planner) isExpensive(spec *wire.Job, typ *model.MachineType, spot bool, ratio float64) bool {
 	k := newBin(typ, "", false).countRoom(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
@@ -200,7 +200,7 @@
 		return p.Properties.DearRatio
 	}
 	limit := p.Properties.PriceRatio * 1.4
-	if job != nil && now-job.Since > urgentAfter {
+	if job != nil && now-job.EligibleSince > urgentAfter {
 		if latestStart := p.Objectives.LatestStart(job, now); latestStart-now < p.minReadyTime(&job.Spec)+urgentAfter {
 			limit *= urgentPriceFactor
 		}
@@ -225,7 +225,7 @@
 	if limitPrice && p.limitsCost() {
 		priceLimit = p.maxPriceRatio(demand.job, now) * p.cheapestPrice(demand.spec, unplaced)
 	}
-	for _, typ := range p.Cluster.Order {
+	for _, typ := range p.Cluster.CatalogOrder {
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
 				offer := InstanceOffer{typ.Name, zone, spot}
--- a/internal/scale/price_test.go
+++ b/internal/scale/price_test.go
@@ -38,11 +38,11 @@
 func TestLowPriorityWorkWithoutObjectiveRequestsNoExpensiveMachines(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
 	job := planner.submitWithPriority("guest", wire.Low)
-	job.WaitsFrom = now - micro.Minute
+	job.WaitingSince = now - micro.Minute
 	if planner.requestsMachines() {
 		t.Error("dear room is rented for idle work that nothing was promised for")
 	}
-	job.WaitsFrom = now - maxExpensiveDelay - micro.Second
+	job.WaitingSince = now - maxExpensiveDelay - micro.Second
 	if !planner.requestsMachines() {
 		t.Error("idle work none of which found a place for three minutes waits for good")
 	}
@@ -54,7 +54,7 @@
 		rank  wire.Priority
 	}{{"promised", wire.Low}, {"guest", wire.Normal}} {
 		planner := newExpensiveOfferPlanner()
-		planner.submitWithPriority(test.class, test.rank).WaitsFrom = now - micro.Minute
+		planner.submitWithPriority(test.class, test.rank).WaitingSince = now - micro.Minute
 		if !planner.requestsMachines() {
 			t.Errorf("class %s, rank %s: nothing is rented", test.class, test.rank)
 		}
@@ -66,7 +66,7 @@
 func TestLowPriorityWorkWithoutObjectiveKeepsNoExpensiveMachine(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
 	guest, promised := planner.submitWithPriority("guest", wire.Low), planner.submitWithPriority("promised", wire.Low)
-	guest.WaitsFrom, promised.WaitsFrom = now, now
+	guest.WaitingSince, promised.WaitingSince = now, now
 	gpu, small := planner.Cluster.Types["gpu"], planner.Cluster.Types["small"]
 	if planner.WithinPrice(guest, gpu, false, now) {
 		t.Error("it may sit on a dear machine")
--- a/internal/sched/best_effort_test.go
+++ b/internal/sched/best_effort_test.go
@@ -33,8 +33,8 @@
 		configure(scenario.scheduler)
 	}
 	totalCPUs := float64(8 * bestEffortMachines)
-	scenario.cluster.Teams["host"] = &model.Team{Name: "host", CPUs: totalCPUs}
-	scenario.cluster.Teams["guest"] = &model.Team{Name: "guest", CPUsMax: totalCPUs / 2}
+	scenario.cluster.Teams["host"] = &model.Team{Name: "host", GuaranteedCPUs: totalCPUs}
+	scenario.cluster.Teams["guest"] = &model.Team{Name: "guest", CPULimit: totalCPUs / 2}
 	submitted := 0
 	submit := func(team, class string, priority wire.Priority, tasks int) *model.Job {
 		submitted++
@@ -43,9 +43,9 @@
 	}
 	keepBusy := func() { // there is always more of the others' work than room
 		waiting := 0
-		for job := range scenario.cluster.Pending {
+		for job := range scenario.cluster.PendingJobs {
 			if job.Team.Name == "host" {
-				waiting += job.Waiting()
+				waiting += job.PendingTasks()
 			}
 		}
 		for ; waiting < 8*bestEffortMachines; waiting += 16 {
@@ -57,8 +57,8 @@
 	scenario.afterStep = func() {
 		keepBusy()
 		reserved := 0
-		for _, machine := range scenario.cluster.List() {
-			if machine.Gathered && machine.Reserve != nil {
+		for _, machine := range scenario.cluster.SortedMachines() {
+			if machine.StarvationReservation && machine.ReservedFor != nil {
 				reserved++
 			}
 		}
@@ -81,7 +81,7 @@
 	}
 	for _, job := range scenario.cluster.Jobs {
 		if job.Team.Name == "host" {
-			scenario.otherTeamDone += job.DoneN
+			scenario.otherTeamDone += job.DoneTasks
 		}
 	}
 	return scenario
@@ -93,7 +93,7 @@
 	count := 0
 	for _, job := range jobs {
 		for i := range job.Tasks {
-			if at, ok := b.lastStartedAt[wire.TaskName(job.Spec.ID, i)]; ok && at-job.Submitted <= limit {
+			if at, ok := b.lastStartedAt[wire.TaskName(job.Spec.ID, i)]; ok && at-job.SubmittedAt <= limit {
 				count++
 				break
 			}
@@ -116,9 +116,9 @@
 			t.Errorf("%s: %d of %d began within four minutes", class, started, len(jobs))
 		}
 	}
-	t.Logf("%d tasks of the huge array are done, %d of the others", scenario.hugeArray.DoneN, scenario.otherTeamDone)
-	if scenario.hugeArray.DoneN < 8 {
-		t.Errorf("%d tasks of the huge array are done", scenario.hugeArray.DoneN)
+	t.Logf("%d tasks of the huge array are done, %d of the others", scenario.hugeArray.DoneTasks, scenario.otherTeamDone)
+	if scenario.hugeArray.DoneTasks < 8 {
+		t.Errorf("%d tasks of the huge array are done", scenario.hugeArray.DoneTasks)
 	}
 	// The room of all machines for all the time, less a tenth and the fetches.
 	if all := 8 * bestEffortMachines * int(bestEffortDuration/(simulatedRun+simulatedFetch+2*micro.Second)); scenario.otherTeamDone < all*9/10 {
@@ -136,7 +136,7 @@
 
 func TestTeamWithoutGuaranteeGetsNothingWithoutStarvationReservations(t *testing.T) {
 	scenario := runBestEffortScenario(t, 5*micro.Minute, 0, func(scheduler *Scheduler) { scheduler.Properties.AgeAfter = PlanningHorizon })
-	if n := scenario.hugeArray.HeldN + scenario.countStartedWithin(append(append(scenario.smallArrays, scenario.singleTasks...), scenario.hugeArray), PlanningHorizon); n > 0 {
+	if n := scenario.hugeArray.AllocationCount + scenario.countStartedWithin(append(append(scenario.smallArrays, scenario.singleTasks...), scenario.hugeArray), PlanningHorizon); n > 0 {
 		t.Errorf("%d of the guest's jobs began: other room than what is gathered is left, and the test before shows nothing", n)
 	}
 }
--- a/internal/sched/failing_jobs_test.go
+++ b/internal/sched/failing_jobs_test.go
@@ -27,13 +27,13 @@
 type simulation struct {
 	model.Effects   // what the model asks for beyond the methods below is an error
 	t               *testing.T
-	cluster         *model.Cluster
+	cluster         *model.State
 	scheduler       *Scheduler
 	agents          []*fake.Worker
 	now             micro.Time
 	token           uint64
 	schedulePending bool
-	dirtyChunks     map[*model.Chunk]bool
+	dirtyChunks     map[*model.TaskChunk]bool
 	stateSince      map[string]micro.Time // when a task on a worker began its present state
 	failsAfter      micro.Time            // for so long a task runs that fails
 	afterStep       func()                // called after each step
@@ -53,10 +53,10 @@
 )
 
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
-	sim := &simulation{t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*model.Chunk]bool{}, stateSince: map[string]micro.Time{}, failsAfter: micro.Second,
+	sim := &simulation{t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*model.TaskChunk]bool{}, stateSince: map[string]micro.Time{}, failsAfter: micro.Second,
 		starts: map[string]int{}, writes: map[string]int{}, lastStartedAt: map[string]micro.Time{}, quarantineTime: map[string]micro.Time{}}
 	sim.cluster = model.New(sim)
-	sim.cluster.Lease = 30 * micro.Second
+	sim.cluster.LeaseDuration = 30 * micro.Second
 	sim.cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 64, FetchGBPerS: 1}}})
 	properties := config.Defaults()
 	sim.scheduler = &Scheduler{Cluster: sim.cluster, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
@@ -65,7 +65,7 @@
 		if i < faulty {
 			name = fmt.Sprint(faultyMachines, 100+i)
 		}
-		agent := fake.NewWorker(name, "small", []string{"a", "b"}[i%2], sim.cluster.Lease)
+		agent := fake.NewWorker(name, "small", []string{"a", "b"}[i%2], sim.cluster.LeaseDuration)
 		agent.First = wire.TaskFetching
 		sim.agents = append(sim.agents, agent)
 	}
@@ -74,13 +74,13 @@
 	return sim
 }
 
-func (s *simulation) Touch(chunk *model.Chunk)     { s.dirtyChunks[chunk] = true }
-func (s *simulation) Press(chunk *model.Chunk)     { s.dirtyChunks[chunk] = true }
-func (s *simulation) Kick(*model.Machine)          {}
-func (s *simulation) Changed()                     { s.schedulePending = true }
-func (s *simulation) Log(string, ...any)           {}
-func (s *simulation) Finished(job *model.Job)      { s.cluster.End(job, false, s.now) }
-func (s *simulation) Ran(*model.Place, micro.Time) { s.completedRuns++ }
+func (s *simulation) ChunkDirty(chunk *model.TaskChunk)              { s.dirtyChunks[chunk] = true }
+func (s *simulation) ChunkUrgent(chunk *model.TaskChunk)             { s.dirtyChunks[chunk] = true }
+func (s *simulation) DispatchSoon(*model.Machine)                    {}
+func (s *simulation) ScheduleSoon()                                  { s.schedulePending = true }
+func (s *simulation) Log(string, ...any)                             {}
+func (s *simulation) JobFinished(job *model.Job)                     { s.cluster.FinalizeJob(job, false, s.now) }
+func (s *simulation) AttemptCompleted(*model.Allocation, micro.Time) { s.completedRuns++ }
 
 func (s *simulation) submitArray(id string, tasks int) *model.Job {
 	return s.cluster.AddJob(wire.Job{ID: id, Class: id[:len(failingJobs)], Kind: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds()}, s.now, s.now)
@@ -107,11 +107,11 @@
 	}
 	for chunk := range s.dirtyChunks {
 		s.writes[chunk.Job.Spec.ID]++
-		s.cluster.Persisted(chunk, chunk.Ver)
+		s.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
 	}
 	clear(s.dirtyChunks)
-	for _, machine := range s.cluster.List() {
-		if machine.Avoid > s.now {
+	for _, machine := range s.cluster.SortedMachines() {
+		if machine.QuarantinedUntil > s.now {
 			s.quarantineTime[machine.Name] += simulatedStep
 		}
 	}
@@ -149,12 +149,12 @@
 }
 
 func (s *simulation) heartbeat(agent *fake.Worker) {
-	m, outcome := s.cluster.Apply(agent.Report(), model.Beat, s.now)
-	if outcome != model.Taken {
+	m, outcome := s.cluster.Reconcile(agent.Report(), model.FromHeartbeat, s.now)
+	if outcome != model.Applied {
 		s.t.Fatalf("%s: not taken", agent.Name)
 	}
-	commands := wire.Orders{Token: wire.Count(s.token), Orders: s.cluster.Orders(m, s.token, false, s.now)}
-	s.cluster.Told(m, s.token)
+	commands := wire.Orders{Token: wire.Count(s.token), Orders: s.cluster.Commands(m, s.token, false, s.now)}
+	s.cluster.ResponseSent(m, s.token)
 	agent.Answer(commands, s.now)
 }
 
@@ -210,7 +210,7 @@
 		for i := range 8 {
 			startedAt, ok := s.lastStartedAt[wire.TaskName(id, i)]
 			if !ok || s.cluster.Jobs[id].State != model.Done {
-				s.t.Errorf("%s was not served: %d of 8 tasks done", id, s.cluster.Jobs[id].DoneN)
+				s.t.Errorf("%s was not served: %d of 8 tasks done", id, s.cluster.Jobs[id].DoneTasks)
 				break
 			}
 			delays[id] = max(delays[id], startedAt-submittedAt[id])
@@ -303,12 +303,12 @@
 			if got := sim.quarantinedFor(healthyMachines); got > 5*micro.Second || sim.completedRuns > 0 {
 				t.Errorf("%d tasks: machines avoided for %v s, speeds learnt from %d runs", tasks, got.Seconds(), sim.completedRuns)
 			}
-			sim.cluster.End(job, true, sim.now)
+			sim.cluster.FinalizeJob(job, true, sim.now)
 			sim.runFor(2 * micro.Second)
 			starts := sim.starts[job.Spec.ID]
 			sim.runFor(micro.Minute)
-			if job.HeldN > 0 || sim.starts[job.Spec.ID] > starts {
-				t.Errorf("%d tasks: cancelled, and %d places held, %d more starts", tasks, job.HeldN, sim.starts[job.Spec.ID]-starts)
+			if job.AllocationCount > 0 || sim.starts[job.Spec.ID] > starts {
+				t.Errorf("%d tasks: cancelled, and %d places held, %d more starts", tasks, job.AllocationCount, sim.starts[job.Spec.ID]-starts)
 			}
 		}
 	}
@@ -330,10 +330,10 @@
 	sim := newSimulation(t, machines, faulty)
 	job := sim.submitArray(healthyJobs+"001", 20000)
 	from := sim.now
-	for job.HeldN < 8*(machines-faulty) {
+	for job.AllocationCount < 8*(machines-faulty) {
 		sim.step()
 		if sim.now-from > micro.Minute {
-			t.Fatalf("%d places after a minute", job.HeldN)
+			t.Fatalf("%d places after a minute", job.AllocationCount)
 		}
 	}
 	return sim, sim.now - from
@@ -354,8 +354,8 @@
 		}
 		sim.runFor(simulatedRun + 10*micro.Second)
 		job := sim.cluster.Jobs[healthyJobs+"001"]
-		if job.DoneN == 0 || job.HeldN < 8*(150-faulty)-40 || job.Paused(sim.now) {
-			t.Errorf("%d faulty machines: %d tasks done, %d places held", faulty, job.DoneN, job.HeldN)
+		if job.DoneTasks == 0 || job.AllocationCount < 8*(150-faulty)-40 || job.InBackoff(sim.now) {
+			t.Errorf("%d faulty machines: %d tasks done, %d places held", faulty, job.DoneTasks, job.AllocationCount)
 		}
 	}
 }
@@ -396,7 +396,7 @@
 	}
 	sim.runFor(6 * micro.Second)
 	for _, job := range sim.cluster.Jobs {
-		sim.cluster.End(job, true, sim.now)
+		sim.cluster.FinalizeJob(job, true, sim.now)
 	}
 	sim.runFor(3 * micro.Second)
 	var jobs []*model.Job
--- a/internal/sched/headroom.go
+++ b/internal/sched/headroom.go
@@ -27,7 +27,7 @@
 func (s *Scheduler) countHeadroom(now micro.Time) {
 	s.headroom = s.headroom[:0]
 	for _, class := range s.Cluster.Classes {
-		if class.Last == nil || class.Last.GPUs <= 0 || s.effectiveStartObjective(class) == 0 {
+		if class.LastJob == nil || class.LastJob.GPUs <= 0 || s.effectiveStartObjective(class) == 0 {
 			continue
 		}
 		wanted := int(class.ArrivalRate(now) * headroomWindow.Seconds())
@@ -49,7 +49,7 @@
 
 func (s *Scheduler) guaranteesGPUs() bool {
 	for _, team := range s.Cluster.Teams {
-		if team.GPUs > 0 {
+		if team.GuaranteedGPUs > 0 {
 			return true
 		}
 	}
@@ -59,11 +59,11 @@
 func (s *Scheduler) countFittingMachines(class *model.Class) int {
 	count := 0
 	for _, pool := range s.Cluster.Pools {
-		if pool.N == 0 || !Allowed(class.Last, pool.Type, pool.Zone, pool.Spot) {
+		if pool.MachineCount == 0 || !Allowed(class.LastJob, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
-		request := requestOn(class.Last, pool.Type)
-		for row := int(request.Scaled - eps); row < pool.Rows(); row++ {
+		request := requestOn(class.LastJob, pool.Type)
+		for row := int(request.ScaledCPU - eps); row < pool.Rows(); row++ {
 			for _, machine := range pool.Row(row) {
 				if fits(request, machine, nil, resources{}) {
 					count++
@@ -83,9 +83,9 @@
 		if entry.class != class || entry.available > entry.target || m.Type.FetchGBPerS <= 0 {
 			continue
 		}
-		fetch := micro.Of(class.ImageGB / m.Type.FetchGBPerS)
+		fetch := micro.Of(class.MeanImageGB / m.Type.FetchGBPerS)
 		urgent := s.effectiveStartObjective(class)-fetch <= checkpointTimeFactor*micro.Of(job.Spec.SaveS)
-		return urgent && fits(requestOn(class.Last, m.Type), m, nil, resources{})
+		return urgent && fits(requestOn(class.LastJob, m.Type), m, nil, resources{})
 	}
 	return false
 }
@@ -95,7 +95,7 @@
 func (s *Scheduler) updateHeadroom(job *model.Job, m *model.Machine) {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
-		spec := entry.class.Last
+		spec := entry.class.LastJob
 		if !Allowed(spec, m.Type, m.Zone, m.Spot) {
 			continue
 		}
--- a/internal/sched/headroom_test.go
+++ b/internal/sched/headroom_test.go
@@ -24,11 +24,11 @@
 	t.Helper()
 	state := model.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 0.5, Zones: []string{"a"}}}})
-	state.Teams["team"] = &model.Team{Name: "team", GPUs: 100}
+	state.Teams["team"] = &model.Team{Name: "team", GuaranteedGPUs: 100}
 	for i := range gpuMachines {
-		machine := state.Machine("i-"+strconv.Itoa(1000+i), 1)
-		state.Describe(machine, "gpu", "a", false)
-		state.Become(machine, model.Up, "reports")
+		machine := state.EnsureMachine("i-"+strconv.Itoa(1000+i), 1)
+		state.DescribeMachine(machine, "gpu", "a", false)
+		state.TransitionMachine(machine, model.Up, "reports")
 	}
 	gang := state.AddJob(wire.Job{ID: "j-gang", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 1, CPUs: 24 - cpusBesideGPUTask, GPUs: 4, MemoryGB: 150, ImageGB: 7}, testNow, testNow)
 	for at := testNow - 2*micro.Minute; at < testNow; at += micro.Second {
@@ -38,7 +38,7 @@
 	scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives(objectives), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
 	scheduler.Schedule(testNow) // the gang has its machine
 	idle := state.AddJob(wire.Job{ID: "j-idle", Class: "crawl", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 24 * gpuMachines, CPUs: 1, MemoryGB: 1, CheckpointS: 30, SaveS: 3}, testNow, testNow)
-	idle.DoneN = 1 // it is known not to fail everywhere
+	idle.DoneTasks = 1 // it is known not to fail everywhere
 	return scheduler, idle
 }
 
@@ -58,8 +58,8 @@
 		t.Errorf("%d machines are clear, want %d", got, gpuTasksPerWindow)
 	}
 	// All other room is used: whole machines, and what GPU tasks leave beside them.
-	if want := 24*(gpuMachines-1-gpuTasksPerWindow) + cpusBesideGPUTask*(1+gpuTasksPerWindow); idle.HeldN != want {
-		t.Errorf("%d idle tasks were placed, want %d", idle.HeldN, want)
+	if want := 24*(gpuMachines-1-gpuTasksPerWindow) + cpusBesideGPUTask*(1+gpuTasksPerWindow); idle.AllocationCount != want {
+		t.Errorf("%d idle tasks were placed, want %d", idle.AllocationCount, want)
 	}
 }
 
@@ -69,8 +69,8 @@
 	if got := freeGPUMachines(scheduler); got != 0 {
 		t.Errorf("%d machines are clear, though two minutes leave time for a save", got)
 	}
-	if want := 24*(gpuMachines-1) + cpusBesideGPUTask; idle.HeldN != want {
-		t.Errorf("%d idle tasks were placed, want %d", idle.HeldN, want)
+	if want := 24*(gpuMachines-1) + cpusBesideGPUTask; idle.AllocationCount != want {
+		t.Errorf("%d idle tasks were placed, want %d", idle.AllocationCount, want)
 	}
 }
 
@@ -79,10 +79,10 @@
 	scheduler, idle := newGPUCluster(t, config.Objective{Kind: "guarantee", WithinS: 30, Share: 0.9})
 	scheduler.Schedule(testNow)
 	overdueJob := scheduler.Cluster.AddJob(wire.Job{ID: "j-0", Class: "other", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 4, MemoryGB: 1, CheckpointS: 30, SaveS: 3}, testNow, testNow)
-	if scheduler.Schedule(testNow + micro.Second); overdueJob.HeldN > 0 {
-		t.Fatalf("placed at once, beside %d idle tasks", idle.HeldN)
+	if scheduler.Schedule(testNow + micro.Second); overdueJob.AllocationCount > 0 {
+		t.Fatalf("placed at once, beside %d idle tasks", idle.AllocationCount)
 	}
-	if scheduler.Schedule(testNow + overdueAfter); overdueJob.HeldN == 0 {
+	if scheduler.Schedule(testNow + overdueAfter); overdueJob.AllocationCount == 0 {
 		t.Error("still waits after a minute")
 	}
 }
--- a/internal/sched/machine_choice.go
+++ b/internal/sched/machine_choice.go
@@ -7,7 +7,7 @@
 )
 
 // Allowed reports whether the job may use machines of a type, zone and kind.
-func Allowed(spec *wire.Job, typ *model.Type, zone string, spot bool) bool {
+func Allowed(spec *wire.Job, typ *model.MachineType, zone string, spot bool) bool {
 	if spot && !spec.Spot || spec.Zone != nil && *spec.Zone != zone {
 		return false
 	}
@@ -28,14 +28,14 @@
 // ZoneAllowed checks one-zone and spread rules against every place still taken.
 func ZoneAllowed(job *model.Job, zone string, tasksByZone map[string]int) bool {
 	if job.Spec.OneZone {
-		for z, n := range job.ZoneHeld {
+		for z, n := range job.AllocationsByZone {
 			if n > 0 && z != zone { // also where the zone is not known
 				return false
 			}
 		}
 	}
 	// A place in a zone that is not known may be in this one.
-	if job.Spec.Spread && job.ZoneHeld[zone]+job.ZoneHeld[""]+tasksByZone[zone]+1 > (len(job.Tasks)+1)/2 {
+	if job.Spec.Spread && job.AllocationsByZone[zone]+job.AllocationsByZone[""]+tasksByZone[zone]+1 > (len(job.Tasks)+1)/2 {
 		return false
 	}
 	return true
@@ -51,10 +51,10 @@
 		planned = *taken
 	}
 	t := m.Type
-	return m.UsedScaled+planned.Scaled-freed.Scaled+request.Scaled <= t.CPUs+eps &&
+	return m.UsedScaledCPU+planned.ScaledCPU-freed.ScaledCPU+request.ScaledCPU <= t.CPUs+eps &&
 		m.UsedCPU+planned.CPU-freed.CPU+request.CPU <= t.CPUs+eps &&
 		m.UsedGPU+planned.GPU-freed.GPU+request.GPU <= t.GPUs+eps &&
-		m.UsedMem+planned.Mem-freed.Mem+request.Mem <= t.MemoryGB+eps
+		m.UsedMemoryGB+planned.MemoryGB-freed.MemoryGB+request.MemoryGB <= t.MemoryGB+eps
 }
 
 // checkpointTimeFactor is how many save times an objective on starting must leave.
@@ -69,17 +69,17 @@
 		return true
 	}
 	for _, class := range s.Cluster.Classes {
-		spec := class.Last
+		spec := class.LastJob
 		if spec == nil || spec.GPUs <= 0 || !Allowed(spec, machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
 		startObjective := s.Objectives.StartObjective(class.Name)
-		preemptible := job.Level > spec.Priority.Level() && job.Spec.CheckpointS > 0 && (startObjective == 0 || startObjective > checkpointTimeFactor*micro.Of(job.Spec.SaveS))
+		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointS > 0 && (startObjective == 0 || startObjective > checkpointTimeFactor*micro.Of(job.Spec.SaveS))
 		if preemptible && !s.isHeadroom(job, machine, class) {
 			continue
 		}
 		gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / spec.GPUs))
-		if gpuTasks > 0 && (machine.Type.CPUs-machine.UsedCPU-job.Spec.CPUs < gpuTasks*spec.CPUs-eps || machine.Type.MemoryGB-machine.UsedMem-job.Spec.MemoryGB < gpuTasks*spec.MemoryGB-eps) {
+		if gpuTasks > 0 && (machine.Type.CPUs-machine.UsedCPU-job.Spec.CPUs < gpuTasks*spec.CPUs-eps || machine.Type.MemoryGB-machine.UsedMemoryGB-job.Spec.MemoryGB < gpuTasks*spec.MemoryGB-eps) {
 			return false
 		}
 	}
@@ -100,8 +100,8 @@
 	return r.score > other.score
 }
 
-func (s *Scheduler) rankPool(spec *wire.Job, pool *model.Pool, preferOnDemand bool) poolRank {
-	rank := poolRank{score: Score(spec.CPUs, pool.Type.K, s.Properties.ScoreL1, s.Properties.ScoreL2)}
+func (s *Scheduler) rankPool(spec *wire.Job, pool *model.MachinePool, preferOnDemand bool) poolRank {
+	rank := poolRank{score: Score(spec.CPUs, pool.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2)}
 	if rank.score == 0 {
 		rank.tier += 8
 	}
@@ -136,7 +136,7 @@
 
 // takesWholeMachine reports whether a task takes all GPUs of a machine, so that how
 // tightly it fits is of no use to anyone, while its image would take long.
-func takesWholeMachine(spec *wire.Job, t *model.Type) bool {
+func takesWholeMachine(spec *wire.Job, t *model.MachineType) bool {
 	return spec.GPUs > 0 && spec.GPUs >= t.GPUs-eps && spec.ImageGB > longImageFetch.Seconds()*t.FetchGBPerS
 }
 
@@ -168,8 +168,8 @@
 	var bestRank poolRank
 	for _, pool := range s.Cluster.Pools {
 		request := requestOn(&job.Spec, pool.Type)
-		firstRow := int(request.Scaled - eps)
-		if pool.N == 0 || firstRow >= pool.Rows() || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		firstRow := int(request.ScaledCPU - eps)
+		if pool.MachineCount == 0 || firstRow >= pool.Rows() || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
 		rank := s.rankPool(&job.Spec, pool, preferOnDemand)
@@ -182,7 +182,7 @@
 		poolBest := s.tightestFit(job, pool, request, firstRow, planned, now)
 		for machine, taken := range planned { // their rows do not know what the plan took
 			if machine.Type == pool.Type && machine.Zone == pool.Zone && machine.Spot == pool.Spot && s.mayUse(job, machine, now) && fits(request, machine, taken, resources{}) {
-				if contender := s.evaluate(job, machine, request, taken.Scaled); contender.betterThan(&poolBest) {
+				if contender := s.evaluate(job, machine, request, taken.ScaledCPU); contender.betterThan(&poolBest) {
 					poolBest = contender
 				}
 			}
@@ -195,11 +195,11 @@
 }
 
 func (s *Scheduler) evaluate(job *model.Job, m *model.Machine, request resources, taken float64) candidate {
-	return candidate{m, m.Type.CPUs - m.UsedScaled - taken - request.Scaled, m.HasImage(job.Spec.Image), takesWholeMachine(&job.Spec, m.Type)}
+	return candidate{m, m.Type.CPUs - m.UsedScaledCPU - taken - request.ScaledCPU, m.HasImage(job.Spec.Image), takesWholeMachine(&job.Spec, m.Type)}
 }
 
 // tightestFit finds the machine of a pool with the least room left.
-func (s *Scheduler) tightestFit(job *model.Job, pool *model.Pool, request resources, firstRow int, planned map[*model.Machine]*resources, now micro.Time) candidate {
+func (s *Scheduler) tightestFit(job *model.Job, pool *model.MachinePool, request resources, firstRow int, planned map[*model.Machine]*resources, now micro.Time) candidate {
 	var best candidate
 	for row := firstRow; row < pool.Rows(); row++ {
 		machines := pool.Row(row)
@@ -228,7 +228,7 @@
 
 // mayUse reports whether a machine of a suitable pool may take the job's tasks.
 func (s *Scheduler) mayUse(job *model.Job, m *model.Machine, now micro.Time) bool {
-	return s.Cluster.Reachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) && (s.relaxation >= relaxReservations || s.keepsGPUHeadroom(job, m))
+	return s.Cluster.MachineReachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) && (s.relaxation >= relaxReservations || s.keepsGPUHeadroom(job, m))
 }
 
 // excludes reports whether a machine is avoided, or the job failed on it and there
@@ -237,9 +237,9 @@
 // all that wait.
 func (s *Scheduler) excludes(job *model.Job, m *model.Machine, now micro.Time) bool {
 	if s.relaxation >= relaxQuarantine {
-		return m.FaultAt > 0 && (now-m.FaultAt < overdueAfter || onProbation(job, m, now))
+		return m.LastFaultAt > 0 && (now-m.LastFaultAt < overdueAfter || onProbation(job, m, now))
 	}
-	return m.Avoid > now || job.FailedOn[m.Name] && len(job.FailedOn) < len(s.Cluster.Machines)/2
+	return m.QuarantinedUntil > now || job.FailedOn[m.Name] && len(job.FailedOn) < len(s.Cluster.Machines)/2
 }
 
 // probationPeriod is how long a job's tasks must have been on an avoided machine before
@@ -250,11 +250,11 @@
 // for long enough to tell.
 func onProbation(job *model.Job, m *model.Machine, now micro.Time) bool {
 	tried := false
-	for _, allocation := range m.Places {
-		if !allocation.Last || allocation.Job == job {
+	for _, allocation := range m.Allocations {
+		if !allocation.LastResort || allocation.Job == job {
 			continue
 		}
-		if now-allocation.Planned >= probationPeriod {
+		if now-allocation.PlannedAt >= probationPeriod {
 			return false
 		}
 		tried = true
@@ -265,16 +265,16 @@
 // reservedForOther reports whether a machine is kept for another job. Reservations follow
 // one another; room that none of them used for long is open to late work.
 func (s *Scheduler) reservedForOther(job *model.Job, m *model.Machine, now micro.Time) bool {
-	return m.Reserve != nil && m.Reserve != job && reservationBlocks(m, job) && (s.relaxation < relaxReservations || now-m.HeldFrom < overdueAfter)
+	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) && (s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
 }
 
 // reservationBlocks reports whether a machine reserved for another job is closed to this
 // one: one that is being cleared by preemption to its rank and those below, one
 // that is gathered for work that waited long to all but the first rank.
 func reservationBlocks(m *model.Machine, job *model.Job) bool {
-	holder := m.Reserve
+	holder := m.ReservedFor
 	if holder.State != model.Active {
 		return false
 	}
-	return holder.Level <= job.Level || m.Gathered && job.Level > 0
+	return holder.PriorityLevel <= job.PriorityLevel || m.StarvationReservation && job.PriorityLevel > 0
 }
--- a/internal/sched/objectives.go
+++ b/internal/sched/objectives.go
@@ -46,7 +46,7 @@
 // AppliesTo reports whether any objective says when a job should start or end.
 func (o *Objectives) AppliesTo(job *model.Job) bool {
 	class := job.Spec.Class
-	return len(o.startWithin[class]) > 0 || len(o.finishWithin[class]) > 0 || len(o.deadlineFactors[class]) > 0 || job.Heir != nil
+	return len(o.startWithin[class]) > 0 || len(o.finishWithin[class]) > 0 || len(o.deadlineFactors[class]) > 0 || job.DeadlineSource != nil
 }
 
 // GuaranteedStart is within how long work within a guarantee should start, 0 if nothing
@@ -56,7 +56,7 @@
 // EstimatedRuntime is how long a task of the job is expected to run, from its owner's
 // estimate and what its class has shown.
 func EstimatedRuntime(job *model.Job) micro.Time {
-	return micro.Time(float64(micro.Of(job.Spec.EstimateS)) * job.Class.Bias)
+	return micro.Time(float64(micro.Of(job.Spec.EstimateS)) * job.Class.EstimateBias)
 }
 
 // PlanningHorizon is beyond any objective: the latest start of work that can meet none.
@@ -67,7 +67,7 @@
 // than any that is not.
 func (o *Objectives) LatestStart(job *model.Job, now micro.Time) micro.Time {
 	runtime := EstimatedRuntime(job) + micro.Of(job.Spec.ImageGB)
-	latest := PlanningHorizon + job.Since
+	latest := PlanningHorizon + job.EligibleSince
 	consider := func(start micro.Time) {
 		if start >= now && start < latest {
 			latest = start
@@ -75,11 +75,11 @@
 	}
 	if !job.Started {
 		for _, objective := range o.startWithin[job.Spec.Class] {
-			consider(job.Since + objective)
+			consider(job.EligibleSince + objective)
 		}
 	}
 	for _, objective := range o.finishWithin[job.Spec.Class] {
-		consider(job.Since + objective - runtime)
+		consider(job.EligibleSince + objective - runtime)
 	}
 	o.eachDeadline(job, func(due micro.Time) { consider(due - runtime) })
 	return latest
@@ -88,16 +88,16 @@
 // eachDeadline gives the times by which deadlines ask a job to be done: its own, or that
 // of the job whose deadline it inherits, less what comes after it.
 func (o *Objectives) eachDeadline(job *model.Job, visit func(micro.Time)) {
-	source := job.Heir
+	source := job.DeadlineSource
 	if source == nil {
 		return
 	}
 	due, factors := micro.Of(*source.Spec.DeadlineS), o.deadlineFactors[source.Spec.Class]
 	if len(factors) == 0 {
-		visit(source.Submitted + due - job.Tail)
+		visit(source.SubmittedAt + due - job.CriticalPath)
 	}
 	for _, factor := range factors {
-		visit(source.Submitted + micro.Time(float64(due)*factor) - job.Tail)
+		visit(source.SubmittedAt + micro.Time(float64(due)*factor) - job.CriticalPath)
 	}
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, objective := range o.finishWithin[job.Spec.Class] {
-		consider(job.Since + objective)
+		consider(job.EligibleSince + objective)
 	}
 	o.eachDeadline(job, consider)
 	return nearest == 0 || nearest >= now+2*runtime
--- a/internal/sched/pending_reason.go
+++ b/internal/sched/pending_reason.go
@@ -38,22 +38,22 @@
 func (s *Scheduler) ExplainPending(job *model.Job, now micro.Time) PendingReason {
 	needed := minAllocations(job)
 	switch {
-	case job.GangStop || job.Spec.Kind == wire.Gang && job.HeldN > 0:
+	case job.GangStopping || job.Spec.Kind == wire.Gang && job.AllocationCount > 0:
 		return ReasonGangStopping
-	case len(job.Next(now, needed)) < needed:
+	case len(job.NextTasks(now, needed)) < needed:
 		return ReasonBackoff
-	case job.Team != nil && !job.Team.Allows(job.Spec.CPUs, job.Spec.GPUs, needed):
+	case job.Team != nil && !job.Team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, needed):
 		return ReasonQuota
 	case !withinQuota(job, needed):
 		return ReasonQuotaReserved
 	}
 	reason := ReasonInsufficientResources
 	for _, pool := range s.Cluster.Pools {
-		if pool.N == 0 || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if pool.MachineCount == 0 || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
 		request := requestOn(&job.Spec, pool.Type)
-		for row := int(request.Scaled - eps); row < pool.Rows(); row++ {
+		for row := int(request.ScaledCPU - eps); row < pool.Rows(); row++ {
 			for _, machine := range pool.Row(row) {
 				if fits(request, machine, nil, resources{}) {
 					reason = min(reason, s.explainMachine(job, pool, machine, now))
@@ -68,11 +68,11 @@
 }
 
 // explainMachine says what keeps a job from a machine that has room.
-func (s *Scheduler) explainMachine(job *model.Job, pool *model.Pool, machine *model.Machine, now micro.Time) PendingReason {
+func (s *Scheduler) explainMachine(job *model.Job, pool *model.MachinePool, machine *model.Machine, now micro.Time) PendingReason {
 	switch {
 	case !ZoneAllowed(job, pool.Zone, nil):
 		return ReasonZoneConstraint
-	case !s.Cluster.Reachable(machine):
+	case !s.Cluster.MachineReachable(machine):
 		return ReasonUnreachable
 	case s.excludes(job, machine, now):
 		return ReasonQuarantined
--- a/internal/sched/pending_reason_test.go
+++ b/internal/sched/pending_reason_test.go
@@ -17,25 +17,29 @@
 		{ReasonNextPass, func(*testCluster, *model.Job, *model.Machine) {}},
 		{ReasonPartialFit, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.Spec.Kind, job.Spec.CPUs = wire.Gang, 4 }},
 		{ReasonGPUHeadroom, func(tc *testCluster, _ *model.Job, machine *model.Machine) {
-			tc.cluster.Describe(machine, "gpu", "a", false)
-			tc.cluster.Class("g").Last = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64}
+			tc.cluster.DescribeMachine(machine, "gpu", "a", false)
+			tc.cluster.EnsureClass("g").LastJob = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64}
 		}},
 		{ReasonPrice, func(tc *testCluster, _ *model.Job, _ *model.Machine) {
-			tc.scheduler.WithinPrice = func(*model.Job, *model.Type, bool, micro.Time) bool { return false }
+			tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
 		}},
 		{ReasonReserved, func(tc *testCluster, job *model.Job, machine *model.Machine) {
 			tc.scheduler.reserveMachine(machine, tc.submitArray("j-2", 1, 1, 0), true, now)
 		}},
-		{ReasonQuarantined, func(_ *testCluster, _ *model.Job, machine *model.Machine) { machine.Avoid = now + 1 }},
-		{ReasonUnreachable, func(_ *testCluster, _ *model.Job, machine *model.Machine) { machine.Mute = true }},
-		{ReasonZoneConstraint, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.Spec.OneZone, job.ZoneHeld["b"] = true, 1 }},
-		{ReasonInsufficientResources, func(_ *testCluster, _ *model.Job, machine *model.Machine) { machine.UsedMem = machine.Type.MemoryGB }},
-		{ReasonQuota, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.Team = &model.Team{CPUsMax: 0.5} }},
+		{ReasonQuarantined, func(_ *testCluster, _ *model.Job, machine *model.Machine) { machine.QuarantinedUntil = now + 1 }},
+		{ReasonUnreachable, func(_ *testCluster, _ *model.Job, machine *model.Machine) { machine.DispatchUnanswered = true }},
+		{ReasonZoneConstraint, func(_ *testCluster, job *model.Job, _ *model.Machine) {
+			job.Spec.OneZone, job.AllocationsByZone["b"] = true, 1
+		}},
+		{ReasonInsufficientResources, func(_ *testCluster, _ *model.Job, machine *model.Machine) {
+			machine.UsedMemoryGB = machine.Type.MemoryGB
+		}},
+		{ReasonQuota, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.Team = &model.Team{CPULimit: 0.5} }},
 		{ReasonQuotaReserved, func(tc *testCluster, job *model.Job, _ *model.Machine) {
-			job.Team = &model.Team{CPUsMax: 8, Saving: tc.submitArray("j-2", 1, 1, 0)}
+			job.Team = &model.Team{CPULimit: 8, QuotaReservedFor: tc.submitArray("j-2", 1, 1, 0)}
 		}},
 		{ReasonBackoff, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.NotBefore = now + 1 }},
-		{ReasonGangStopping, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.GangStop = true }},
+		{ReasonGangStopping, func(_ *testCluster, job *model.Job, _ *model.Machine) { job.GangStopping = true }},
 	} {
 		tc := newTestCluster(t)
 		job, machine := tc.submitArray("j-1", 2, 1, 0), tc.addMachine("i-1", "small", "a")
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -37,30 +37,30 @@
 	if s.reservedMachines == nil {
 		s.reservedMachines = map[*model.Machine]bool{}
 	}
-	if m.HeldFrom == 0 || now-m.HeldTo > reservationGap {
-		m.HeldFrom = now
+	if m.UnusedReservationSince == 0 || now-m.UnusedReservationEndedAt > reservationGap {
+		m.UnusedReservationSince = now
 	}
-	m.Reserve, m.ReserveAt, m.Gathered = job, now, starvationReservation
+	m.ReservedFor, m.ReservedAt, m.StarvationReservation = job, now, starvationReservation
 	s.reservedMachines[m] = true
 }
 
 // expireReservations gives up reservations that are used, over or too old.
 func (s *Scheduler) expireReservations(now micro.Time) {
 	for _, team := range s.Cluster.Teams {
-		if job := team.Saving; job != nil && (job.State != model.Active || job.Waiting() == 0 || job.HeldN > 0 || now-team.SavingAt > starvationReservationTTL) {
-			team.Saving, team.SaveAfter = nil, now+quotaReservationBackoff
+		if job := team.QuotaReservedFor; job != nil && (job.State != model.Active || job.PendingTasks() == 0 || job.AllocationCount > 0 || now-team.QuotaReservedAt > starvationReservationTTL) {
+			team.QuotaReservedFor, team.QuotaReservableAfter = nil, now+quotaReservationBackoff
 		}
 	}
 	for machine := range s.reservedMachines {
-		holder, ttl := machine.Reserve, preemptionReservationTTL
-		if machine.Gathered {
+		holder, ttl := machine.ReservedFor, preemptionReservationTTL
+		if machine.StarvationReservation {
 			ttl = starvationReservationTTL
 		}
-		if holder != nil && (holder.State != model.Active || holder.Waiting() == 0 || now-machine.ReserveAt > ttl || !machine.Usable(now)) {
-			machine.Reserve, machine.HeldTo = nil, now
+		if holder != nil && (holder.State != model.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl || !machine.Schedulable(now)) {
+			machine.ReservedFor, machine.UnusedReservationEndedAt = nil, now
 		}
-		if machine.Reserve == nil {
-			machine.Gathered = false
+		if machine.ReservedFor == nil {
+			machine.StarvationReservation = false
 			delete(s.reservedMachines, machine)
 		}
 	}
@@ -70,7 +70,7 @@
 func (s *Scheduler) countReserved(job *model.Job) int {
 	count := 0
 	for m := range s.reservedMachines {
-		if m.Reserve == job {
+		if m.ReservedFor == job {
 			count++
 		}
 	}
@@ -88,14 +88,14 @@
 	}
 	if !gang {
 		limit := 1
-		if job.Level == 0 {
+		if job.PriorityLevel == 0 {
 			limit = preemptionBatch
 		}
 		idx = idx[:min(len(idx), limit)]
 	}
 	planned, tasksByZone := map[*model.Machine]*resources{}, map[string]int{}
 	freed := map[*model.Machine]*resources{}
-	chosen := map[*model.Place]bool{}
+	chosen := map[*model.Allocation]bool{}
 	var targets []*model.Machine
 	for range idx {
 		machine, victims := s.victims(job, planned, tasksByZone, freed, chosen, zone, now)
@@ -129,10 +129,10 @@
 				grace = allocation.Job.Spec.SaveS
 			}
 		}
-		s.Cluster.Stop(allocation, "preempted by "+job.Spec.ID, grace, now)
+		s.Cluster.StopAllocation(allocation, "preempted by "+job.Spec.ID, grace, now)
 		if allocation.Job.Spec.Kind == wire.Gang {
-			for _, member := range allocation.Job.AllPlaces() {
-				s.Cluster.Stop(member, "preempted with its gang", grace, now)
+			for _, member := range allocation.Job.Allocations() {
+				s.Cluster.StopAllocation(member, "preempted with its gang", grace, now)
 			}
 		}
 	}
@@ -142,19 +142,19 @@
 	return true
 }
 
-func allocatedResources(allocation *model.Place) resources {
+func allocatedResources(allocation *model.Allocation) resources {
 	spec := &allocation.Job.Spec
-	return resources{CPU: spec.CPUs, GPU: spec.GPUs, Mem: spec.MemoryGB, Scaled: allocation.Scaled}
+	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: allocation.ScaledCPU}
 }
 
 // victims finds the machine where making room for one task loses least, among a
 // sample of those that could make it.
-func (s *Scheduler) victims(job *model.Job, planned map[*model.Machine]*resources, tasksByZone map[string]int, freed map[*model.Machine]*resources, chosen map[*model.Place]bool, zone string, now micro.Time) (*model.Machine, []*model.Place) {
+func (s *Scheduler) victims(job *model.Job, planned map[*model.Machine]*resources, tasksByZone map[string]int, freed map[*model.Machine]*resources, chosen map[*model.Allocation]bool, zone string, now micro.Time) (*model.Machine, []*model.Allocation) {
 	var best *model.Machine
-	var bestVictims []*model.Place
+	var bestVictims []*model.Allocation
 	bestCost, examined := 0.0, 0
 	for _, pool := range s.Cluster.Pools {
-		if pool.N == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, tasksByZone) || s.rejectsPrice(job, pool, now) {
+		if pool.MachineCount == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, tasksByZone) || s.rejectsPrice(job, pool, now) {
 			continue
 		}
 		request := requestOn(&job.Spec, pool.Type)
@@ -164,7 +164,7 @@
 				if examined >= victimSample {
 					return best, bestVictims
 				}
-				if !fits(request, machine, planned[machine], machine.Yields(job.Level)) || machine.Reserve != nil && machine.Reserve != job || machine.Avoid > now || !s.Cluster.Reachable(machine) || job.FailedOn[machine.Name] {
+				if !fits(request, machine, planned[machine], machine.Preemptible(job.PriorityLevel)) || machine.ReservedFor != nil && machine.ReservedFor != job || machine.QuarantinedUntil > now || !s.Cluster.MachineReachable(machine) || job.FailedOn[machine.Name] {
 					continue
 				}
 				if fits(request, machine, planned[machine], resources{}) && !s.mayUse(job, machine, now) {
@@ -184,28 +184,28 @@
 // rejectsPrice reports whether room is dear for a job that would not take it once it
 // is cleared. Machines that stood empty were reserved for such jobs, again and
 // again, and closed to all others.
-func (s *Scheduler) rejectsPrice(job *model.Job, pool *model.Pool, now micro.Time) bool {
-	return (job.Level > 0 || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now)
+func (s *Scheduler) rejectsPrice(job *model.Job, pool *model.MachinePool, now micro.Time) bool {
+	return (job.PriorityLevel > 0 || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now)
 }
 
 // victimsOn lists what must go from a machine for a task to fit.
-func (s *Scheduler) victimsOn(job *model.Job, machine *model.Machine, request resources, planned, freed *resources, chosen map[*model.Place]bool, now micro.Time) (victims []*model.Place, cost float64, ok bool) {
+func (s *Scheduler) victimsOn(job *model.Job, machine *model.Machine, request resources, planned, freed *resources, chosen map[*model.Allocation]bool, now micro.Time) (victims []*model.Allocation, cost float64, ok bool) {
 	var freedTotal resources
 	if freed != nil {
 		freedTotal = *freed
 	}
 	type cand struct {
-		v    *model.Place
+		v    *model.Allocation
 		loss float64
 	}
 	var options []cand
-	for _, allocation := range machine.Places {
+	for _, allocation := range machine.Allocations {
 		if allocation.Job == nil || chosen[allocation] {
 			continue
 		}
 		if allocation.Stopping {
 			freedTotal.Add(allocatedResources(allocation), 1) // goes anyway
-		} else if allocation.Job.Level > job.Level {
+		} else if allocation.Job.PriorityLevel > job.PriorityLevel {
 			options = append(options, cand{allocation, s.preemptionCost(allocation, now)})
 		}
 	}
@@ -213,7 +213,7 @@
 		if options[a].loss != options[b].loss {
 			return options[a].loss < options[b].loss
 		}
-		return options[a].v.Name < options[b].v.Name
+		return options[a].v.TaskName < options[b].v.TaskName
 	})
 	for _, option := range options {
 		if fits(request, machine, planned, freedTotal) {
@@ -227,10 +227,10 @@
 }
 
 // preemptionCost is what stopping a place costs: work that is not saved, weighted by rank.
-func (s *Scheduler) preemptionCost(allocation *model.Place, now micro.Time) float64 {
+func (s *Scheduler) preemptionCost(allocation *model.Allocation, now micro.Time) float64 {
 	cost := 1.0
-	if allocation.RunFrom > 0 {
-		unsaved := (now - allocation.RunFrom).Seconds()
+	if allocation.RunningSince > 0 {
+		unsaved := (now - allocation.RunningSince).Seconds()
 		if interval := allocation.Job.Spec.CheckpointS; interval > 0 {
 			unsaved = min(unsaved, interval)
 		}
@@ -239,5 +239,5 @@
 			cost += 60 // its start would not count
 		}
 	}
-	return cost * allocation.Job.Spec.CPUs * float64(4-min(allocation.Level(), 3))
+	return cost * allocation.Job.Spec.CPUs * float64(4-min(allocation.PriorityLevel(), 3))
 }
--- a/internal/sched/relaxation.go
+++ b/internal/sched/relaxation.go
@@ -16,7 +16,7 @@
 const overdueAfter = micro.Minute
 
 // isOverdue reports whether the ordinary rules give way for a job.
-func isOverdue(job *model.Job, now micro.Time) bool { return now-job.WaitsFrom >= overdueAfter }
+func isOverdue(job *model.Job, now micro.Time) bool { return now-job.WaitingSince >= overdueAfter }
 
 // relaxation says which of the ordinary rules give way.
 type relaxation uint8
--- a/internal/sched/relaxation_test.go
+++ b/internal/sched/relaxation_test.go
@@ -17,7 +17,7 @@
 // testCluster is a cluster that tests put machines and jobs into.
 type testCluster struct {
 	*testing.T
-	cluster   *model.Cluster
+	cluster   *model.State
 	scheduler *Scheduler
 }
 
@@ -29,9 +29,9 @@
 }
 
 func (tc *testCluster) addMachine(name, typ, zone string) *model.Machine {
-	m := tc.cluster.Machine(name, 1)
-	tc.cluster.Describe(m, typ, zone, false)
-	tc.cluster.Become(m, model.Up, "reports")
+	m := tc.cluster.EnsureMachine(name, 1)
+	tc.cluster.DescribeMachine(m, typ, zone, false)
+	tc.cluster.TransitionMachine(m, model.Up, "reports")
 	return m
 }
 
@@ -49,11 +49,11 @@
 			each(now)
 		}
 		tc.scheduler.Schedule(now)
-		if job.HeldN >= want {
-			return now, job.AllPlaces()[0].Machine.Name
+		if job.AllocationCount >= want {
+			return now, job.Allocations()[0].Machine.Name
 		}
 	}
-	tc.Fatalf("%s holds %d places after 20 minutes", job.Spec.ID, job.HeldN)
+	tc.Fatalf("%s holds %d places after 20 minutes", job.Spec.ID, job.AllocationCount)
 	return 0, ""
 }
 
@@ -70,7 +70,7 @@
 func TestResourcesBesideGPUsAreOpenToOverdueJobs(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.cluster.Class("g").Last = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64, Priority: wire.High}
+	tc.cluster.EnsureClass("g").LastJob = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64, Priority: wire.High}
 	at, _ := tc.runUntilAllocated(tc.submitArray("j-1", 2, 1, micro.Second), 2, micro.Second, nil)
 	tc.checkOverdueWait("beside GPUs", at-micro.Second)
 }
@@ -79,7 +79,7 @@
 	for _, kind := range []wire.Kind{wire.Array, wire.Gang} {
 		tc := newTestCluster(t)
 		tc.addMachine("gpu-1", "gpu", "a")
-		tc.scheduler.WithinPrice = func(*model.Job, *model.Type, bool, micro.Time) bool { return false }
+		tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
 		job := tc.cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: 2, CPUs: 1}, micro.Second, micro.Second)
 		at, _ := tc.runUntilAllocated(job, 2, micro.Second, nil)
 		tc.checkOverdueWait("dear room, "+string(kind), at-micro.Second)
@@ -91,16 +91,16 @@
 func TestQuarantinedMachineIsTheLastResortOfOverdueJobs(t *testing.T) {
 	tc := newTestCluster(t)
 	machine := tc.addMachine("i-1", "small", "a")
-	fail := func(now micro.Time) { machine.Avoid, machine.FaultAt = now+10*micro.Minute, now }
+	fail := func(now micro.Time) { machine.QuarantinedUntil, machine.LastFaultAt = now+10*micro.Minute, now }
 	fail(micro.Second)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.scheduler.WithinPrice = func(_ *model.Job, typ *model.Type, _ bool, _ micro.Time) bool { return typ.GPUs == 0 }
+	tc.scheduler.WithinPrice = func(_ *model.Job, typ *model.MachineType, _ bool, _ micro.Time) bool { return typ.GPUs == 0 }
 	if _, machineName := tc.runUntilAllocated(tc.submitArray("j-1", 1, 4, micro.Second), 1, micro.Second, nil); machineName != "gpu-1" {
 		t.Fatalf("on %s, though other room was left", machineName)
 	}
 	tc.submitArray("j-2", 1, 4, micro.Second)
 	tc.scheduler.Schedule(2 * micro.Minute)
-	if len(tc.cluster.Machines["gpu-1"].Places) != 2 {
+	if len(tc.cluster.Machines["gpu-1"].Allocations) != 2 {
 		t.Fatal("the machine that is not avoided has room for two")
 	}
 	fail(3 * micro.Minute)
@@ -113,7 +113,7 @@
 	if took := at - 3*micro.Minute - 20*micro.Second; machineName != "i-1" || took < overdueAfter || took > maxOverdueWait {
 		t.Fatalf("on %s %v s after it last failed", machineName, took.Seconds())
 	}
-	if !job.AllPlaces()[0].Last {
+	if !job.Allocations()[0].LastResort {
 		t.Fatal("nobody knows that it was the last resort")
 	}
 }
@@ -129,8 +129,8 @@
 	tc.scheduler.Schedule(micro.Second)
 	job := tc.submitArray("j-1", 1, 4, micro.Second)
 	job.FailedOn = map[string]bool{}
-	for _, machine := range tc.cluster.List() {
-		if len(machine.Places) == 0 {
+	for _, machine := range tc.cluster.SortedMachines() {
+		if len(machine.Allocations) == 0 {
 			job.FailedOn[machine.Name] = true
 		}
 	}
@@ -156,8 +156,8 @@
 		tc.scheduler.Schedule(now)
 	}
 	reserved := 0
-	for _, machine := range tc.cluster.List() {
-		if machine.Reserve != nil {
+	for _, machine := range tc.cluster.SortedMachines() {
+		if machine.ReservedFor != nil {
 			reserved++
 		}
 	}
@@ -174,7 +174,7 @@
 // it: the rest of the limit lay idle.
 func TestUnusedQuotaReservationIsOpenToTheTeamsOtherJobs(t *testing.T) {
 	tc := newTestCluster(t)
-	tc.cluster.Teams["team"] = &model.Team{Name: "team", CPUsMax: 8}
+	tc.cluster.Teams["team"] = &model.Team{Name: "team", CPULimit: 8}
 	for i := range 3 {
 		tc.addMachine("i-"+strconv.Itoa(1+i), "small", "a")
 	}
@@ -185,7 +185,7 @@
 	tc.scheduler.Schedule(micro.Second) // half of the limit, for good
 	submit("j-2", wire.Gang, 2, micro.Second)
 	team, from := tc.cluster.Teams["team"], micro.Second
-	for from < 4*micro.Minute || team.Saving == nil || team.SavingAt < from-micro.Second {
+	for from < 4*micro.Minute || team.QuotaReservedFor == nil || team.QuotaReservedAt < from-micro.Second {
 		if from += micro.Second; from > 10*micro.Minute {
 			t.Fatal("nothing is saved up")
 		}
@@ -211,7 +211,7 @@
 	gang("j-1", true)
 	job := gang("j-2", false)
 	tc.scheduler.Schedule(micro.Second)
-	if job.HeldN != 2 {
+	if job.AllocationCount != 2 {
 		t.Fatal("it found no room, though it fits")
 	}
 }
@@ -220,12 +220,12 @@
 func TestUnschedulableNewJobDoesNotBlockAnOverdueOne(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.scheduler.WithinPrice = func(*model.Job, *model.Type, bool, micro.Time) bool { return false }
+	tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
 	due := 500.0
 	tc.cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, DeadlineS: &due}, 60*micro.Second, 60*micro.Second) // before the other in each pass
 	job := tc.submitArray("j-2", 1, 1, 10*micro.Second)
 	tc.scheduler.Schedule(70 * micro.Second)
-	if job.HeldN != 1 {
+	if job.AllocationCount != 1 {
 		t.Fatal("it was passed over for one that may wait")
 	}
 }
@@ -234,16 +234,16 @@
 func TestOverdueJobsSearchAllMachines(t *testing.T) {
 	tc := newTestCluster(t)
 	for i := range 400 {
-		tc.addMachine("i-"+strconv.Itoa(1000+i), "small", "a").Mute = i != 200
+		tc.addMachine("i-"+strconv.Itoa(1000+i), "small", "a").DispatchUnanswered = i != 200
 	}
 	tc.scheduler.Overloaded, tc.scheduler.Properties.SampleAbove, tc.scheduler.Properties.SampleSize = true, 0, 2
 	job := tc.submitArray("j-1", 1, 1, 0)
 	tc.scheduler.Schedule(overdueAfter - micro.Second)
-	if job.HeldN != 0 {
+	if job.AllocationCount != 0 {
 		t.Fatal("the sample held the only one: the story needs another seed")
 	}
 	tc.scheduler.Schedule(overdueAfter)
-	if job.HeldN != 1 {
+	if job.AllocationCount != 1 {
 		t.Fatal("not found")
 	}
 }
@@ -252,11 +252,11 @@
 func TestOverdueJobsPreferTheUnrelaxedChoice(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.addMachine("i-1", "small", "a").Avoid = 10 * micro.Minute
+	tc.addMachine("i-1", "small", "a").QuarantinedUntil = 10 * micro.Minute
 	tc.addMachine("i-2", "small", "a")
 	job := tc.submitArray("j-1", 1, 1, 0)
 	tc.scheduler.Schedule(2 * overdueAfter)
-	if on := job.AllPlaces()[0].Machine.Name; on != "i-2" {
+	if on := job.Allocations()[0].Machine.Name; on != "i-2" {
 		t.Fatalf("on %s", on)
 	}
 }
@@ -265,15 +265,15 @@
 // machines are heard one by one.
 func TestWaitsCountFromTheFailover(t *testing.T) {
 	tc := newTestCluster(t)
-	tc.cluster.Began = 10 * micro.Minute
-	tc.addMachine("i-1", "small", "a").Avoid = 60 * micro.Minute
+	tc.cluster.TermStartedAt = 10 * micro.Minute
+	tc.addMachine("i-1", "small", "a").QuarantinedUntil = 60 * micro.Minute
 	job := tc.submitArray("j-1", 1, 1, 0)
-	tc.scheduler.Schedule(tc.cluster.Began + micro.Second)
-	if job.HeldN != 0 {
+	tc.scheduler.Schedule(tc.cluster.TermStartedAt + micro.Second)
+	if job.AllocationCount != 0 {
 		t.Fatal("the last resort came first")
 	}
-	at, _ := tc.runUntilAllocated(job, 1, tc.cluster.Began, nil)
-	tc.checkOverdueWait("after a takeover", at-tc.cluster.Began)
+	at, _ := tc.runUntilAllocated(job, 1, tc.cluster.TermStartedAt, nil)
+	tc.checkOverdueWait("after a takeover", at-tc.cluster.TermStartedAt)
 }
 
 // Machines with room that a job refuses, as dear or kept for GPU work, were
@@ -283,13 +283,13 @@
 		tc := newTestCluster(t)
 		machine := tc.addMachine("gpu-1", "gpu", "a")
 		if expensive {
-			tc.scheduler.WithinPrice = func(*model.Job, *model.Type, bool, micro.Time) bool { return false }
+			tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
 		} else {
-			tc.cluster.Class("g").Last = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64, Priority: wire.High}
+			tc.cluster.EnsureClass("g").LastJob = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64, Priority: wire.High}
 		}
 		tc.submitArray("j-1", 1, 1, 0)
 		tc.scheduler.Schedule(micro.Second)
-		if machine.Reserve != nil {
+		if machine.ReservedFor != nil {
 			t.Errorf("dear %v: it is reserved for a job that does not take it", expensive)
 		}
 	}
@@ -301,19 +301,19 @@
 	for _, fails := range []bool{false, true} {
 		tc := newTestCluster(t)
 		machine := tc.addMachine("i-1", "small", "a")
-		machine.Avoid, machine.FaultAt = 10*micro.Minute, micro.Second
+		machine.QuarantinedUntil, machine.LastFaultAt = 10*micro.Minute, micro.Second
 		for i := range 4 {
 			tc.submitArray("j-"+strconv.Itoa(1+i), 1, 1, micro.Second)
 		}
 		first, all := micro.Time(0), micro.Time(0)
 		for now := micro.Second; now < 4*micro.Minute && all == 0; now += micro.Second {
 			tc.scheduler.Schedule(now)
-			switch count := len(machine.Places); {
+			switch count := len(machine.Allocations); {
 			case count == 1 && first == 0:
 				first = now
 				if fails {
-					tc.cluster.Stop(machine.Sorted()[0], "failed", 0, now) // still planned: free at once
-					machine.FaultAt = now
+					tc.cluster.StopAllocation(machine.SortedAllocations()[0], "failed", 0, now) // still planned: free at once
+					machine.LastFaultAt = now
 				}
 			case count > 1:
 				all = now
--- a/internal/sched/sampling_test.go
+++ b/internal/sched/sampling_test.go
@@ -13,11 +13,11 @@
 
 type discardEffects struct{ model.Effects }
 
-func (discardEffects) Changed()              {}
-func (discardEffects) Log(string, ...any)    {}
-func (discardEffects) Touch(*model.Chunk)    {}
-func (discardEffects) Press(*model.Chunk)    {}
-func (discardEffects) Kick(m *model.Machine) {}
+func (discardEffects) ScheduleSoon()                 {}
+func (discardEffects) Log(string, ...any)            {}
+func (discardEffects) ChunkDirty(*model.TaskChunk)   {}
+func (discardEffects) ChunkUrgent(*model.TaskChunk)  {}
+func (discardEffects) DispatchSoon(m *model.Machine) {}
 
 // newLargeCluster is a cluster with a job of the most tasks and more machines than a
 // sample holds.
@@ -25,12 +25,12 @@
 	state := model.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range machines {
-		m := state.Machine("i-"+strconv.Itoa(1000+i), 1)
-		state.Describe(m, "small", "a", false)
-		state.Become(m, model.Up, "reports")
+		m := state.EnsureMachine("i-"+strconv.Itoa(1000+i), 1)
+		state.DescribeMachine(m, "small", "a", false)
+		state.TransitionMachine(m, model.Up, "reports")
 	}
 	job := state.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Array, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0)
-	job.DoneN = 1 // it is known not to fail everywhere, see model.Job.Openings
+	job.DoneTasks = 1 // it is known not to fail everywhere, see model.Job.Openings
 	properties := config.Defaults()
 	return &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
 }
@@ -59,10 +59,10 @@
 func fullSearch(scheduler *Scheduler, job *model.Job, now micro.Time) *model.Machine {
 	var best candidate
 	var bestRank poolRank
-	for _, machine := range scheduler.Cluster.List() {
-		pool := &model.Pool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+	for _, machine := range scheduler.Cluster.SortedMachines() {
+		pool := &model.MachinePool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 		request := requestOn(&job.Spec, machine.Type)
-		if !machine.Usable(now) || !Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) || !ZoneAllowed(job, machine.Zone, nil) || !fits(request, machine, nil, resources{}) || !scheduler.mayUse(job, machine, now) {
+		if !machine.Schedulable(now) || !Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) || !ZoneAllowed(job, machine.Zone, nil) || !fits(request, machine, nil, resources{}) || !scheduler.mayUse(job, machine, now) {
 			continue
 		}
 		contender, rank := scheduler.evaluate(job, machine, request, 0), scheduler.rankPool(&job.Spec, pool, false)
@@ -81,13 +81,13 @@
 		state := model.New(discardEffects{})
 		state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
 			{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "large", CPUs: 32, MemoryGB: 100}, {Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 1}}})
-		state.Types["large"].K, state.Types["gpu"].K = 0.5+rng.Float64(), 0.5+rng.Float64()
+		state.Types["large"].SpeedFactor, state.Types["gpu"].SpeedFactor = 0.5+rng.Float64(), 0.5+rng.Float64()
 		names := []string{"small", "large", "gpu"}
 		images, index := model.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{0}
 		for i := range 60 {
-			machine := state.Machine("i-"+strconv.Itoa(100+i), 1)
-			state.Describe(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
-			state.Become(machine, model.Up, "reports")
+			machine := state.EnsureMachine("i-"+strconv.Itoa(100+i), 1)
+			state.DescribeMachine(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
+			state.TransitionMachine(machine, model.Up, "reports")
 			if rng.IntN(4) == 0 {
 				images.Machines[machine.Name] = index
 			}
@@ -95,7 +95,7 @@
 		state.RestoreImages(images, 1)
 		properties := config.Defaults()
 		scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rng}
-		var allocations []*model.Place
+		var allocations []*model.Allocation
 		found := 0
 		for step := range 400 {
 			now := micro.Time(step) * micro.Second
@@ -111,15 +111,15 @@
 			}
 			if got != nil {
 				found++
-				allocations = append(allocations, state.NewPlace(job, 0, got, 1, ScaledCPUs(spec.CPUs, got.Type.K, got.Type.CPUs), now))
+				allocations = append(allocations, state.Allocate(job, 0, got, 1, ScaledCPUs(spec.CPUs, got.Type.SpeedFactor, got.Type.CPUs), now))
 			}
 			if len(allocations) > 0 && rng.IntN(3) == 0 {
 				released := rng.IntN(len(allocations))
-				state.Stop(allocations[released], "over", 0, now) // still planned: free at once
+				state.StopAllocation(allocations[released], "over", 0, now) // still planned: free at once
 				allocations = append(allocations[:released], allocations[released+1:]...)
 			}
-			if machine := state.List()[rng.IntN(60)]; rng.IntN(5) == 0 {
-				state.Become(machine, map[model.MachineState]model.MachineState{model.Up: model.Silent, model.Silent: model.Up}[machine.State], "test")
+			if machine := state.SortedMachines()[rng.IntN(60)]; rng.IntN(5) == 0 {
+				state.TransitionMachine(machine, map[model.MachineState]model.MachineState{model.Up: model.Suspect, model.Suspect: model.Up}[machine.State], "test")
 			}
 		}
 		if found < 50 {
@@ -150,9 +150,9 @@
 	state := model.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range 20 {
-		machine := state.Machine("i-"+strconv.Itoa(10+i), 1)
-		state.Describe(machine, "small", "a", i%2 == 0)
-		state.Become(machine, model.Up, "reports")
+		machine := state.EnsureMachine("i-"+strconv.Itoa(10+i), 1)
+		state.DescribeMachine(machine, "small", "a", i%2 == 0)
+		state.TransitionMachine(machine, model.Up, "reports")
 	}
 	properties := config.Defaults()
 	scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives([]config.Objective{{Kind: "finished", Class: "c", WithinS: 250}}), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
@@ -166,7 +166,7 @@
 		}
 		scheduler.Schedule(now)
 		count := 0
-		for _, allocation := range job.AllPlaces() {
+		for _, allocation := range job.Allocations() {
 			if allocation.Machine.Spot {
 				count++
 			}
--- a/internal/sched/schedule.go
+++ b/internal/sched/schedule.go
@@ -24,13 +24,13 @@
 	s.expireReservations(now)
 	s.countHeadroom(now)
 	s.fillReservations(now)
-	queue := make([]queuedJob, 0, len(s.Cluster.Pending))
+	queue := make([]queuedJob, 0, len(s.Cluster.PendingJobs))
 	waiting := 0
 	overloaded := s.overloadedClasses()
 	var images map[string]bool
-	for job := range s.Cluster.Pending {
-		waiting += job.Waiting()
-		entry := queuedJob{job: job, canStartInTime: true, withinGuarantee: job.Guar, latestStart: s.Objectives.LatestStart(job, now)}
+	for job := range s.Cluster.PendingJobs {
+		waiting += job.PendingTasks()
+		entry := queuedJob{job: job, canStartInTime: true, withinGuarantee: job.WithinGuarantee, latestStart: s.Objectives.LatestStart(job, now)}
 		if startObjective := overloaded[job.Class]; startObjective > 0 {
 			entry.latestStart = EstimatedRuntime(job)
 			if images == nil {
@@ -40,8 +40,8 @@
 				entry.latestStart += s.fetchTime(&job.Spec) // as good as a longer run
 			}
 			entry.latestStart = now + entry.latestStart*micro.Time(len(job.Tasks))
-			entry.canStartInTime = now <= job.Since+startObjective
-			entry.withinGuarantee = entry.withinGuarantee && (s.Objectives.guaranteedStart == 0 || now <= job.Since+s.Objectives.guaranteedStart)
+			entry.canStartInTime = now <= job.EligibleSince+startObjective
+			entry.withinGuarantee = entry.withinGuarantee && (s.Objectives.guaranteedStart == 0 || now <= job.EligibleSince+s.Objectives.guaranteedStart)
 		}
 		queue = append(queue, entry)
 	}
@@ -52,7 +52,7 @@
 	var starved []*model.Job
 	for _, entry := range queue {
 		job := entry.job
-		if job.State != model.Active || job.Paused(now) || job.GangStop {
+		if job.State != model.Active || job.InBackoff(now) || job.GangStopping {
 			continue
 		}
 		if s.starved(job, now) {
@@ -79,8 +79,8 @@
 
 func schedulesBefore(x, y *queuedJob) bool {
 	switch {
-	case x.job.Level != y.job.Level:
-		return x.job.Level < y.job.Level
+	case x.job.PriorityLevel != y.job.PriorityLevel:
+		return x.job.PriorityLevel < y.job.PriorityLevel
 	case x.canStartInTime != y.canStartInTime:
 		return x.canStartInTime
 	case x.withinGuarantee != y.withinGuarantee:
@@ -99,14 +99,14 @@
 // more guaranteed than there is.
 func (s *Scheduler) overloadedClasses() map[*model.Class]micro.Time {
 	byClass := map[*model.Class]micro.Time{}
-	for job := range s.Cluster.Pending {
+	for job := range s.Cluster.PendingJobs {
 		if job.Spec.Kind == wire.Gang {
-			byClass[job.Class] += EstimatedRuntime(job) * micro.Time(job.Waiting())
+			byClass[job.Class] += EstimatedRuntime(job) * micro.Time(job.PendingTasks())
 		}
 	}
 	for class, amount := range byClass {
 		startObjective := s.Objectives.StartObjective(class.Name)
-		if startObjective == 0 || amount/micro.Time(max(class.Held, 1)) < startObjective/overloadDivisor {
+		if startObjective == 0 || amount/micro.Time(max(class.AllocationCount, 1)) < startObjective/overloadDivisor {
 			delete(byClass, class)
 			continue
 		}
@@ -135,7 +135,7 @@
 // fetchTime is how long a job's image takes on the machines with GPUs.
 func (s *Scheduler) fetchTime(spec *wire.Job) micro.Time {
 	var best micro.Time
-	for _, t := range s.Cluster.Order {
+	for _, t := range s.Cluster.CatalogOrder {
 		if t.GPUs >= spec.GPUs && t.FetchGBPerS > 0 {
 			if duration := micro.Of(spec.ImageGB / t.FetchGBPerS); best == 0 || duration < best {
 				best = duration
@@ -168,7 +168,7 @@
 
 func unschedulableKeyOf(job *model.Job, overdue bool) (unschedulableKey, unschedulableRequest) {
 	spec := &job.Spec
-	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.Level}
+	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.PriorityLevel}
 	if spec.Zone != nil {
 		key.zone = *spec.Zone
 	}
@@ -185,7 +185,7 @@
 func (u unschedulable) covers(job *model.Job, overdue bool) bool {
 	// Each job of the first rank is tried by itself: one for which room is being
 	// cleared must not keep the next from having room cleared too.
-	if len(u) == 0 || job.Level == 0 || (job.Spec.OneZone || job.Spec.Spread) && job.HeldN > 0 {
+	if len(u) == 0 || job.PriorityLevel == 0 || (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 {
 		return false
 	}
 	key, request := unschedulableKeyOf(job, overdue)
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -12,13 +12,13 @@
 
 // Scheduler places tasks on machines.
 type Scheduler struct {
-	Cluster    *model.Cluster
+	Cluster    *model.State
 	Objectives *Objectives
 	Properties *config.Properties
 	Rand       *rand.Rand
 	// Affordable says whether a job may sit on machines of a type and kind;
 	// nil: always.
-	WithinPrice func(job *model.Job, t *model.Type, spot bool, now micro.Time) bool
+	WithinPrice func(job *model.Job, t *model.MachineType, spot bool, now micro.Time) bool
 	// Busy is set while passes take too long. With many tasks waiting, each row
 	// of like machines is then looked at in samples.
 	Overloaded bool
@@ -33,14 +33,14 @@
 }
 
 // resources is what a plan has taken of a machine beyond what places hold.
-type resources = model.Room
+type resources = model.Resources
 
-func requestOn(spec *wire.Job, t *model.Type) resources {
-	return resources{CPU: spec.CPUs, GPU: spec.GPUs, Mem: spec.MemoryGB, Scaled: ScaledCPUs(spec.CPUs, t.K, t.CPUs)}
+func requestOn(spec *wire.Job, t *model.MachineType) resources {
+	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: ScaledCPUs(spec.CPUs, t.SpeedFactor, t.CPUs)}
 }
 
 func (u unschedulable) add(job *model.Job, overdue bool) {
-	if (job.Spec.OneZone || job.Spec.Spread) && job.HeldN > 0 || len(job.FailedOn) > 0 {
+	if (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 || len(job.FailedOn) > 0 {
 		return // it alone may have found no room
 	}
 	key, request := unschedulableKeyOf(job, overdue)
@@ -51,9 +51,9 @@
 // there is.
 func (s *Scheduler) allocateTasks(job *model.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
 	for {
-		schedulable := job.Openings(now)
-		job.HeldBack = schedulable == 0 && s.hasCapacity(job, now)
-		next := job.Next(now, min(allocationBatch, schedulable)) // not all of a huge job at once
+		schedulable := job.SchedulableTasks(now)
+		job.Throttled = schedulable == 0 && s.hasCapacity(job, now)
+		next := job.NextTasks(now, min(allocationBatch, schedulable)) // not all of a huge job at once
 		if len(next) == 0 {
 			return placed, false
 		}
@@ -66,8 +66,8 @@
 				machine = s.fallbackMachine(job, nil, nil, "", now)
 			}
 			if machine == nil {
-				preempting := job.Level < 3 && s.preempt(job, next[k:], "", now)
-				if !preempting && job.Level == 0 {
+				preempting := job.PriorityLevel < 3 && s.preempt(job, next[k:], "", now)
+				if !preempting && job.PriorityLevel == 0 {
 					// Dear room is better than none for the first rank.
 					machine = s.bestMachine(job, nil, nil, "", false, false, now)
 				}
@@ -93,44 +93,44 @@
 	if team == nil {
 		return true
 	}
-	if holder := team.Saving; holder != nil && holder != job && job.Level > 0 && (holder.Spec.GPUs > 0 && job.Spec.GPUs > 0 || team.CPUsMax > 0) {
+	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > 0 && (holder.Spec.GPUs > 0 && job.Spec.GPUs > 0 || team.CPULimit > 0) {
 		return false
 	}
-	return team.Allows(job.Spec.CPUs, job.Spec.GPUs, tasks)
+	return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, tasks)
 }
 
 // allocationBatch is how many tasks of a job are looked at together.
 const allocationBatch = 32
 
 func (s *Scheduler) allocate(job *model.Job, i int, machine *model.Machine, attempt uint32, now micro.Time) {
-	scaled := ScaledCPUs(job.Spec.CPUs, machine.Type.K, machine.Type.CPUs)
-	starvationReservation, since := machine.Reserve == job && machine.Gathered, machine.ReserveAt
+	scaled := ScaledCPUs(job.Spec.CPUs, machine.Type.SpeedFactor, machine.Type.CPUs)
+	starvationReservation, since := machine.ReservedFor == job && machine.StarvationReservation, machine.ReservedAt
 	s.updateHeadroom(job, machine)
-	allocation := s.Cluster.NewPlace(job, i, machine, attempt, scaled, now)
+	allocation := s.Cluster.Allocate(job, i, machine, attempt, scaled, now)
 	if starvationReservation {
 		s.transferReservation(machine, job, since, now)
 	}
-	allocation.Last = machine.Avoid > now
-	job.Class.Placed = now
+	allocation.LastResort = machine.QuarantinedUntil > now
+	job.Class.LastPlacedAt = now
 	if job.Team != nil {
-		job.Team.Placed = now
+		job.Team.LastPlacedAt = now
 	}
 	if s.Cluster.Verbose {
 		s.Cluster.Log("place", "task", wire.TaskName(job.Spec.ID, i), "try", attempt, "machine", machine.Name,
-			"score", Score(job.Spec.CPUs, machine.Type.K, s.Properties.ScoreL1, s.Properties.ScoreL2), "room_left", machine.Type.CPUs-machine.UsedScaled)
+			"score", Score(job.Spec.CPUs, machine.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2), "room_left", machine.Type.CPUs-machine.UsedScaledCPU)
 	}
 }
 
 // allocateGang places all of a gang's tasks or none.
 func (s *Scheduler) allocateGang(job *model.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
 	size := len(job.Tasks)
-	if job.HeldN > 0 || job.Waiting() < size {
+	if job.AllocationCount > 0 || job.PendingTasks() < size {
 		return 0, false
 	}
 	if !withinQuota(job, size) {
 		return 0, false
 	}
-	idx := job.Next(now, size)
+	idx := job.NextTasks(now, size)
 	if len(idx) < size {
 		return 0, false
 	}
@@ -140,11 +140,11 @@
 		chosen = s.machinesForGang(job, size, zones, true, now)
 	}
 	if chosen != nil {
-		attempt := job.GangTry + 1
+		attempt := job.GangAttempt + 1
 		for i := range job.Tasks {
 			attempt = max(attempt, job.Tasks[i].Attempt+1)
 		}
-		job.GangTry = attempt
+		job.GangAttempt = attempt
 		for k, i := range idx {
 			s.allocate(job, i, chosen[k], attempt, now)
 		}
@@ -189,7 +189,7 @@
 	var zones []string
 	seen := map[string]bool{}
 	for _, pool := range s.Cluster.Pools {
-		if pool.N > 0 && pool.Zone != "" && !seen[pool.Zone] && Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if pool.MachineCount > 0 && pool.Zone != "" && !seen[pool.Zone] && Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
 			seen[pool.Zone] = true
 			zones = append(zones, pool.Zone)
 		}
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -120,14 +120,14 @@
 // Apply sets each type's k from what was learnt, where it differs by more than
 // the threshold (the paper's formula 4): smaller differences are noise, and
 // every scaled request pays for them in room.
-func (e *SpeedEstimator) Apply(state *model.Cluster) {
+func (e *SpeedEstimator) Apply(state *model.State) {
 	for name, m := range e.ratiosByType {
 		t := state.Types[name]
 		if t == nil || m.count < minTypeWeight || t.Index == 0 {
 			continue
 		}
-		if speedFactor := m.value(); math.Abs(1-speedFactor/t.K) > updateThreshold {
-			t.K = speedFactor
+		if speedFactor := m.value(); math.Abs(1-speedFactor/t.SpeedFactor) > updateThreshold {
+			t.SpeedFactor = speedFactor
 		}
 	}
 }
--- a/internal/sched/speeds_test.go
+++ b/internal/sched/speeds_test.go
@@ -9,7 +9,7 @@
 
 type noEffects struct{ model.Effects }
 
-func newTwoTypeCluster() *model.Cluster {
+func newTwoTypeCluster() *model.State {
 	state := model.New(noEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "ref", CPUs: 4}, {Name: "other", CPUs: 4}}})
 	return state
@@ -27,7 +27,7 @@
 		estimator.FinishArray("j-1", "ref")
 	}
 	estimator.Apply(state)
-	if speedFactor := state.Types["other"].K; speedFactor != 1 {
+	if speedFactor := state.Types["other"].SpeedFactor; speedFactor != 1 {
 		t.Errorf("k of a like type is %v", speedFactor)
 	}
 }
@@ -47,7 +47,7 @@
 	restored := NewSpeedEstimator()
 	restored.Restore(estimator.Record())
 	restored.Apply(state)
-	if speedFactor := state.Types["other"].K; speedFactor < 0.49 || speedFactor > 0.51 {
+	if speedFactor := state.Types["other"].SpeedFactor; speedFactor < 0.49 || speedFactor > 0.51 {
 		t.Errorf("k is %v, want 0.5", speedFactor)
 	}
 }
@@ -64,7 +64,7 @@
 	estimator.DropSamples("j-2")
 	estimator.FinishArray("j-2", "ref")
 	estimator.Apply(state)
-	if speedFactor := state.Types["other"].K; speedFactor != 1 {
+	if speedFactor := state.Types["other"].SpeedFactor; speedFactor != 1 {
 		t.Errorf("k is %v", speedFactor)
 	}
 }
--- a/internal/sched/starvation.go
+++ b/internal/sched/starvation.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	since := now - s.Properties.AgeAfter/2
-	return s.amongLargest(job) && !job.Started || job.Class.Placed < since || job.Team != nil && job.Team.Placed < since
+	return s.amongLargest(job) && !job.Started || job.Class.LastPlacedAt < since || job.Team != nil && job.Team.LastPlacedAt < since
 }
 
 // zoneReservation is a job that room is gathered for: machines of a zone as they come
@@ -51,7 +51,7 @@
 func (s *Scheduler) fillReservations(now micro.Time) {
 	jobs := make([]*model.Job, 0, len(s.reservations))
 	for job := range s.reservations {
-		if job.State != model.Active || job.Waiting() == 0 || job.Spec.Kind == wire.Gang && job.HeldN > 0 {
+		if job.State != model.Active || job.PendingTasks() == 0 || job.Spec.Kind == wire.Gang && job.AllocationCount > 0 {
 			delete(s.reservations, job)
 			continue
 		}
@@ -64,13 +64,13 @@
 		reservation := s.reservations[job]
 		missing := minAllocations(job) - s.countReserved(job)
 		for _, pool := range s.Cluster.Pools {
-			if missing <= 0 || pool.N == 0 || reservation.zone != "" && pool.Zone != reservation.zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
+			if missing <= 0 || pool.MachineCount == 0 || reservation.zone != "" && pool.Zone != reservation.zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
 				continue
 			}
 			request := requestOn(&job.Spec, pool.Type)
-			for row := int(request.Scaled - eps); row < pool.Rows() && missing > 0; row++ {
+			for row := int(request.ScaledCPU - eps); row < pool.Rows() && missing > 0; row++ {
 				for _, machine := range pool.Row(row) {
-					if missing > 0 && machine.Reserve == nil && fits(request, machine, nil, resources{}) && s.mayUse(job, machine, now) {
+					if missing > 0 && machine.ReservedFor == nil && fits(request, machine, nil, resources{}) && s.mayUse(job, machine, now) {
 						s.reserveMachine(machine, job, true, now)
 						missing--
 					}
@@ -109,7 +109,7 @@
 		s.reservations = map[*model.Job]zoneReservation{}
 	}
 	sort.Slice(starved, func(a, b int) bool {
-		sinceA, sinceB := starved[a].Since, starved[b].Since
+		sinceA, sinceB := starved[a].EligibleSince, starved[b].EligibleSince
 		if overdueBefore := now - largeJobStartTarget; (sinceA < overdueBefore) != (sinceB < overdueBefore) {
 			return sinceB < overdueBefore
 		}
@@ -122,14 +122,14 @@
 		if len(s.reservations) >= limit {
 			return
 		}
-		if _, ok := s.reservations[job]; ok || job.State != model.Active || job.Waiting() == 0 {
+		if _, ok := s.reservations[job]; ok || job.State != model.Active || job.PendingTasks() == 0 {
 			continue
 		}
-		if team := job.Team; team != nil && !team.Allows(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
-			if team.Saving == nil && job.HeldN == 0 && now >= team.SaveAfter {
+		if team := job.Team; team != nil && !team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
+			if team.QuotaReservedFor == nil && job.AllocationCount == 0 && now >= team.QuotaReservableAfter {
 				// Its smaller jobs would use up each bit of its limit that comes
 				// free.
-				team.Saving, team.SavingAt = job, now
+				team.QuotaReservedFor, team.QuotaReservedAt = job, now
 			}
 			continue
 		}
@@ -148,7 +148,7 @@
 		machines := 0
 		for _, pool := range s.Cluster.Pools {
 			if (option == "" || pool.Zone == option) && Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
-				machines += pool.N
+				machines += pool.MachineCount
 			}
 		}
 		competing := 1
@@ -175,7 +175,7 @@
 func (s *Scheduler) transferReservation(machine *model.Machine, previous *model.Job, since, now micro.Time) {
 	reservedCount := 0
 	for other := range s.reservedMachines {
-		if other.Gathered && other.Reserve != nil {
+		if other.StarvationReservation && other.ReservedFor != nil {
 			reservedCount++
 		}
 	}
@@ -183,18 +183,18 @@
 		return
 	}
 	var next *model.Job
-	for job := range s.Cluster.Pending {
-		if job.Class != previous.Class || job.Team != previous.Team || job.Spec.Kind == wire.Gang || job.Started || job.HeldN > 0 || job.Paused(now) || s.countReserved(job) > 0 ||
+	for job := range s.Cluster.PendingJobs {
+		if job.Class != previous.Class || job.Team != previous.Team || job.Spec.Kind == wire.Gang || job.Started || job.AllocationCount > 0 || job.InBackoff(now) || s.countReserved(job) > 0 ||
 			!Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
-		if next == nil || job.Since < next.Since || job.Since == next.Since && job.Spec.ID < next.Spec.ID {
+		if next == nil || job.EligibleSince < next.EligibleSince || job.EligibleSince == next.EligibleSince && job.Spec.ID < next.Spec.ID {
 			next = job
 		}
 	}
 	if next != nil {
 		s.reserveMachine(machine, next, true, now)
-		machine.ReserveAt = since
+		machine.ReservedAt = since
 	}
 }
 
@@ -216,7 +216,7 @@
 	if s.amongLargest(job) && !job.Started {
 		waitLimit /= 2
 	}
-	return now-job.Since > waitLimit
+	return now-job.EligibleSince > waitLimit
 }
 
 // reserveSoonestFree reserves the machines that are soonest free for a job that waited long
@@ -233,13 +233,13 @@
 	for _, zone := range s.candidateZones(job) {
 		var options []spot
 		for _, pool := range s.Cluster.Pools {
-			if pool.N == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
+			if pool.MachineCount == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
 				continue
 			}
 			request := requestOn(&job.Spec, pool.Type)
 			for row := range pool.Rows() {
 				for _, machine := range pool.Row(row) {
-					if machine.Reserve != nil || machine.Avoid > now || !s.Cluster.Reachable(machine) || job.FailedOn[machine.Name] {
+					if machine.ReservedFor != nil || machine.QuarantinedUntil > now || !s.Cluster.MachineReachable(machine) || job.FailedOn[machine.Name] {
 						continue
 					}
 					if at, count := s.freeAt(request, machine, now); count > 0 {
@@ -272,7 +272,7 @@
 func (s *Scheduler) freeAt(request resources, machine *model.Machine, now micro.Time) (micro.Time, int) {
 	at := now
 	var remaining resources
-	for _, allocation := range machine.Places {
+	for _, allocation := range machine.Allocations {
 		if allocation.Job == nil || allocation.Job.Spec.Kind == wire.Service && !allocation.Stopping {
 			if allocation.Job != nil {
 				remaining.Add(allocatedResources(allocation), 1)
@@ -283,15 +283,15 @@
 		if !allocation.Stopping {
 			estimate := EstimatedRuntime(allocation.Job)
 			end = now + estimate
-			if allocation.RunFrom > 0 {
-				end = max(allocation.RunFrom+estimate, now+estimate/4)
+			if allocation.RunningSince > 0 {
+				end = max(allocation.RunningSince+estimate, now+estimate/4)
 			}
 		}
 		at = max(at, end)
 	}
 	typ := machine.Type
 	fitting := 1 << 20
-	for _, dimension := range [][2]float64{{typ.CPUs - remaining.Scaled, request.Scaled}, {typ.CPUs - remaining.CPU, request.CPU}, {typ.GPUs - remaining.GPU, request.GPU}, {typ.MemoryGB - remaining.Mem, request.Mem}} {
+	for _, dimension := range [][2]float64{{typ.CPUs - remaining.ScaledCPU, request.ScaledCPU}, {typ.CPUs - remaining.CPU, request.CPU}, {typ.GPUs - remaining.GPU, request.GPU}, {typ.MemoryGB - remaining.MemoryGB, request.MemoryGB}} {
 		if dimension[1] > 0 {
 			fitting = min(fitting, int(dimension[0]/dimension[1]+eps))
 		}
--- a/internal/sched/starvation_test.go
+++ b/internal/sched/starvation_test.go
@@ -14,7 +14,7 @@
 // contendedCluster is a full cluster that other work keeps coming to.
 type contendedCluster struct {
 	t         *testing.T
-	cluster   *model.Cluster
+	cluster   *model.State
 	scheduler *Scheduler
 	submitted int
 	startedAt map[*model.Job]micro.Time
@@ -24,11 +24,11 @@
 	state := model.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 16}}})
 	for i := range machines {
-		m := state.Machine("i-"+strconv.Itoa(10+i), 1)
-		state.Describe(m, "gpu", []string{"a", "b"}[i%2], false)
-		state.Become(m, model.Up, "reports")
+		m := state.EnsureMachine("i-"+strconv.Itoa(10+i), 1)
+		state.DescribeMachine(m, "gpu", []string{"a", "b"}[i%2], false)
+		state.TransitionMachine(m, model.Up, "reports")
 	}
-	state.Teams["team"] = &model.Team{Name: "team", GPUsMax: float64(4 * machines)}
+	state.Teams["team"] = &model.Team{Name: "team", GPULimit: float64(4 * machines)}
 	properties := config.Defaults()
 	return &contendedCluster{t: t, cluster: state, scheduler: &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}, startedAt: map[*model.Job]micro.Time{}}
 }
@@ -50,19 +50,19 @@
 		submitMore(now)
 		for other, started := range cc.startedAt {
 			if now-started >= micro.Time(3+len(other.Spec.ID)%2+int(other.Spec.ID[len(other.Spec.ID)-1])%3)*micro.Second {
-				cc.cluster.End(other, true, now)
+				cc.cluster.FinalizeJob(other, true, now)
 				delete(cc.startedAt, other)
 			}
 		}
 		cc.scheduler.Schedule(now)
-		if team := cc.cluster.Teams["team"]; team.UsedGPU > team.GPUsMax {
-			cc.t.Fatalf("%v GPUs used of %v", team.UsedGPU, team.GPUsMax)
+		if team := cc.cluster.Teams["team"]; team.UsedGPU > team.GPULimit {
+			cc.t.Fatalf("%v GPUs used of %v", team.UsedGPU, team.GPULimit)
 		}
-		if job.HeldN >= want {
+		if job.AllocationCount >= want {
 			return now
 		}
-		for other := range cc.cluster.Live {
-			if other != job && other.HeldN > 0 && cc.startedAt[other] == 0 {
+		for other := range cc.cluster.ActiveJobs {
+			if other != job && other.AllocationCount > 0 && cc.startedAt[other] == 0 {
 				cc.startedAt[other] = now
 			}
 		}
@@ -88,7 +88,7 @@
 	if took == 0 || took > 4*micro.Minute {
 		t.Fatalf("begun after %v s", took.Seconds())
 	}
-	for zone, tasks := range large.ZoneHeld {
+	for zone, tasks := range large.AllocationsByZone {
 		if tasks != 0 && tasks != 4 {
 			t.Fatalf("%d tasks in zone %s", tasks, zone)
 		}
@@ -125,8 +125,8 @@
 	}
 	contended.scheduler.Schedule(20 * micro.Second)
 	for i, job := range jobs {
-		if want := i >= 8; (job.HeldN > 0) != want {
-			t.Errorf("the job of %v s holds %d places", job.Spec.EstimateS, job.HeldN)
+		if want := i >= 8; (job.AllocationCount > 0) != want {
+			t.Errorf("the job of %v s holds %d places", job.Spec.EstimateS, job.AllocationCount)
 		}
 	}
 }
@@ -137,9 +137,9 @@
 	contended := newContendedCluster(t, 4)
 	contended.submit(wire.Array, wire.Low, 4, 0)
 	contended.scheduler.Schedule(micro.Second)
-	for job := range contended.cluster.Live {
+	for job := range contended.cluster.ActiveJobs {
 		for _, chunk := range job.Chunks {
-			contended.cluster.Persisted(chunk, chunk.Ver)
+			contended.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
 		}
 	}
 	for range 3 {
@@ -147,8 +147,8 @@
 	}
 	contended.scheduler.Schedule(2 * micro.Second)
 	stopping := 0
-	for _, machine := range contended.cluster.List() {
-		for _, allocation := range machine.Sorted() {
+	for _, machine := range contended.cluster.SortedMachines() {
+		for _, allocation := range machine.SortedAllocations() {
 			if allocation.Stopping {
 				stopping++
 			}
