--- a/cmd/notchmux/main.go
+++ b/cmd/notchmux/main.go
@@ -27,7 +27,7 @@
 	Serve   serveCmd   `cmd:"" help:"Run a controller until it is killed."`
 	Check   checkCmd   `cmd:"" help:"Check a settings file and the properties, and say what they amount to."`
 	Job     jobCmd     `cmd:"" help:"Submit, show or withdraw a job."`
-	Share   shareCmd   `cmd:"" help:"List, show or move shares of the machines."`
+	Share   shardCmd   `cmd:"" help:"List, show or move shares of the machines."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
@@ -62,14 +62,14 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: level}))
-	limit(cfg)
+	applyQuota(cfg)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	return controller.New(cfg, log).Run(ctx)
 }
 
-// limit keeps the process within its quota.
-func limit(cfg *config.Config) {
+// applyQuota keeps the process within its quota.
+func applyQuota(cfg *config.Config) {
 	if os.Getenv("GOMAXPROCS") == "" {
 		runtime.GOMAXPROCS(max(1, int(cfg.Facts.Quota.CoreShare+0.5)))
 	}
@@ -104,7 +104,7 @@
 		return err
 	}
 	fmt.Printf("node %s in %s: %d peers, %d teams, %d objectives\n", cfg.Node, cfg.Zone, len(cfg.Peers), len(cfg.Facts.Teams), len(cfg.Facts.Objectives))
-	describeShares(cfg.Shares)
+	describeShards(cfg.Shards)
 	config.Describe(func(key string, def, least, most float64, help string) {
 		fmt.Printf("%-22s default %g, %g to %g: %s\n", key, def, least, most, help)
 	})
--- /dev/null
+++ b/cmd/notchmux/shard.go
@@ -0,0 +1,128 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/wire"
+)
+
+// shardCmd are the operators' commands on shares. Each may be repeated.
+type shardCmd struct {
+	Peer string `default:"127.0.0.1:8081" env:"NOTCHMUX_PEER" help:"Peer address of any controller."`
+	JSON bool   `help:"Print JSON."`
+
+	List   shardListCmd   `cmd:"" help:"List the shares."`
+	Show   shardShowCmd   `cmd:"" help:"Show one share."`
+	Move   shardMoveCmd   `cmd:"" help:"Move a share to another controller."`
+	Cancel shardCancelCmd `cmd:"" help:"Cancel a move that is not carried out yet."`
+}
+
+type shardListCmd struct{}
+
+type shardShowCmd struct {
+	Name string `arg:"" help:"The share's name."`
+}
+
+type shardMoveCmd struct {
+	Name string `arg:"" help:"The share's name."`
+	To   string `arg:"" help:"The controller that is to own it."`
+}
+
+type shardCancelCmd struct {
+	Name string `arg:"" help:"The share's name."`
+}
+
+// Run lists the shares.
+func (*shardListCmd) Run(c *cli) error {
+	return c.Share.send(share.Command{Operation: share.OperationList})
+}
+
+// Run shows one share.
+func (s *shardShowCmd) Run(c *cli) error {
+	return c.Share.send(share.Command{Operation: share.OperationShow, Shard: s.Name})
+}
+
+// Run moves a share.
+func (s *shardMoveCmd) Run(c *cli) error {
+	return c.Share.send(share.Command{Operation: share.OperationMove, Shard: s.Name, Target: s.To})
+}
+
+// Run cancels a move.
+func (s *shardCancelCmd) Run(c *cli) error {
+	return c.Share.send(share.Command{Operation: share.OperationCancel, Shard: s.Name})
+}
+
+// commandTimeout is how long a controller may take over a command.
+const commandTimeout = 5 * micro.Second
+
+// send gives a command to a controller and prints what came of it.
+func (c *shardCmd) send(command share.Command) error {
+	const node = "controller"
+	client := peer.NewClient(map[string]string{node: c.Peer})
+	status, body, err := client.Call(context.Background(), node, peer.ShardAdmin, wire.MustMarshal(command), commandTimeout)
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.Peer, err)
+	}
+	var reply share.CommandReply
+	if status != 200 || wire.Unmarshal(body, &reply) != nil {
+		return fmt.Errorf("%s: no leader acts now (status %d): try again", c.Peer, status)
+	}
+	if err := c.print(&reply, os.Stdout); err != nil {
+		return err
+	}
+	if reply.RefusalReason != "" {
+		return fmt.Errorf("refused: %s", reply.RefusalReason)
+	}
+	return nil
+}
+
+func (c *shardCmd) print(reply *share.CommandReply, out io.Writer) error {
+	if c.JSON {
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(reply.Shards)
+	}
+	for _, row := range reply.Shards {
+		fmt.Fprintf(out, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node), row.Record.Selector)
+		fmt.Fprintf(out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", row.MachineCount, row.IdleMachines, row.AssignedJobs, row.PendingTasks,
+			row.Record.OwnerChanges, time.UnixMicro(row.Record.ChangedAt).UTC().Format(time.RFC3339))
+		if row.Record.State == share.Moving {
+			fmt.Fprintf(out, "  to %s\n", nodeOrLeader(row.Record.Target.Node))
+		}
+		if row.BlockedReason != "" {
+			fmt.Fprintf(out, "  %s\n", row.BlockedReason)
+		}
+	}
+	return nil
+}
+
+func nodeOrLeader(node string) string {
+	if node == "" {
+		return "the leader"
+	}
+	return node
+}
+
+// describeShards says what the settings of shares amount to.
+func describeShards(s *config.Shards) {
+	if s == nil {
+		return
+	}
+	fmt.Printf("shares: %d declared, %d policies, at least %v s between moves by policies, %d machines at most at a time, dissolve %v\n",
+		len(s.Declared), len(s.Policies), s.MinMoveInterval.Seconds(), s.MaxMachinesMoving, s.Dissolve)
+	for _, d := range s.Declared {
+		fmt.Printf("share %s: %s, teams %v, first owner %q\n", d.Name, d.Selector, d.Teams, d.Owner)
+	}
+	for _, p := range s.Policies {
+		fmt.Printf("policy %s: %s to %s when %s\n", p.Name, p.Shard, p.Owner, p.When)
+	}
+}
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -34,107 +34,111 @@
 	WriteRPS   float64       `default:"20" help:"Lower limit on the changes a second."`
 }
 
-// bench is the workers with their lock.
-type bench struct {
+// devCluster is the workers with their lock.
+type devCluster struct {
 	cli
 	store *fake.Store
 	cloud *fake.Cloud
 }
 
 func main() {
-	var c cli
-	kong.Parse(&c, kong.Name("standins"))
+	var flags cli
+	kong.Parse(&flags, kong.Name("standins"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	b := &bench{c, fake.NewStore(), fake.NewCloud(8, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 40,
+	dev := &devCluster{flags, fake.NewStore(), fake.NewCloud(8, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 40,
 		FetchGBPerS: 1, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: []string{"east", "west"}})}
-	g, ctx := errgroup.WithContext(ctx)
-	for addr, h := range map[string]fasthttp.RequestHandler{c.State: b.store.Handle, c.Cloud: b.cloud.Handle} {
-		ln, err := net.Listen("tcp4", addr)
+	group, ctx := errgroup.WithContext(ctx)
+	for addr, handler := range map[string]fasthttp.RequestHandler{flags.State: dev.store.Handle, flags.Cloud: dev.cloud.Handle} {
+		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "standins:", err)
 			os.Exit(1)
 		}
-		g.Go(func() error { return fasthttp.Serve(ln, h) })
+		group.Go(func() error { return fasthttp.Serve(listener, handler) })
 	}
-	g.Go(func() error { b.watch(ctx); return context.Canceled })
-	if c.LowerAfter > 0 {
-		time.AfterFunc(c.LowerAfter, func() {
-			b.store.Limit(fake.Limits{ValueBytes: int(c.ValueKB * 1024), TxnOps: c.TxnOps, WriteRPS: c.WriteRPS})
+	group.Go(func() error { dev.startAgents(ctx); return context.Canceled })
+	if flags.LowerAfter > 0 {
+		time.AfterFunc(flags.LowerAfter, func() {
+			dev.store.SetLimits(fake.Limits{ValueBytes: int(flags.ValueKB * 1024), TxnOps: flags.TxnOps, WriteRPS: flags.WriteRPS})
 			fmt.Println("the state service has lowered its limits")
 		})
 	}
-	fmt.Println("state service on", c.State, "and cloud on", c.Cloud)
-	_ = g.Wait()
+	fmt.Println("state service on", flags.State, "and cloud on", flags.Cloud)
+	_ = group.Wait()
 }
 
-// watch starts a worker for each machine that is rented.
-func (b *bench) watch(ctx context.Context) {
+// startAgents starts a worker for each machine that is rented.
+func (b *devCluster) startAgents(ctx context.Context) {
 	running := map[string]bool{}
 	for ctx.Err() == nil {
-		for _, m := range b.cloud.Rented() {
-			if !running[m.Name] {
-				running[m.Name] = true
-				go b.work(ctx, m)
+		for _, machine := range b.cloud.Instances() {
+			if !running[machine.Name] {
+				running[machine.Name] = true
+				go b.runAgent(ctx, machine)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// work is one worker: it reports, takes direct orders, and lets tasks end.
-func (b *bench) work(ctx context.Context, m wire.ListedMachine) {
+// runAgent is one worker: it reports, takes direct orders, and lets tasks end.
+func (b *devCluster) runAgent(ctx context.Context, machine wire.ListedMachine) {
 	time.Sleep(time.Second) // it boots
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "standins:", err)
 		return
 	}
-	defer ln.Close()
+	defer listener.Close()
 	var mu sync.Mutex
-	w := fake.NewWorker(m.Name, m.Type, m.Zone, 30*micro.Second)
-	w.Spot, w.Sent = m.Spot, micro.Now()
-	report := func() *wire.Report { r := w.Report(); r.Addr = ln.Addr().String(); return r }
+	agent := fake.NewAgent(machine.Name, machine.Type, machine.Zone, 30*micro.Second)
+	agent.Spot, agent.LeaseStart = machine.Spot, micro.Now()
+	nextHeartbeat := func() *wire.Heartbeat {
+		heartbeat := agent.Heartbeat()
+		heartbeat.Addr = listener.Addr().String()
+		return heartbeat
+	}
 	go func() {
-		_ = fasthttp.Serve(ln, func(c *fasthttp.RequestCtx) {
+		_ = fasthttp.Serve(listener, func(request *fasthttp.RequestCtx) {
 			mu.Lock()
 			defer mu.Unlock()
-			var o wire.Orders
-			if wire.Unmarshal(c.PostBody(), &o) != nil {
-				c.SetStatusCode(400)
+			var commands wire.Commands
+			if wire.Unmarshal(request.PostBody(), &commands) != nil {
+				request.SetStatusCode(400)
 				return
 			}
-			r, ok := w.Direct(o)
-			r.Addr = ln.Addr().String()
-			if !ok {
-				c.SetStatusCode(409)
+			heartbeat, executed := agent.HandleDispatch(commands)
+			heartbeat.Addr = listener.Addr().String()
+			if !executed {
+				request.SetStatusCode(409)
 			}
-			c.SetBody(wire.MustMarshal(r))
+			request.SetBody(wire.MustMarshal(heartbeat))
 		})
 	}()
-	since := map[fake.Key]time.Time{}
-	for ctx.Err() == nil && b.rented(m.Name) {
+	firstSeen := map[fake.AttemptKey]time.Time{}
+	for ctx.Err() == nil && b.isRunning(machine.Name) {
 		mu.Lock()
 		sent := micro.Now()
-		w.Expire(sent)
-		for k, t := range w.Tasks {
-			if _, ok := since[k]; !ok {
-				since[k] = time.Now()
+		agent.ExpireLease(sent)
+		for attempt, task := range agent.Tasks {
+			if _, executed := firstSeen[attempt]; !executed {
+				firstSeen[attempt] = time.Now()
 			}
-			if t.State == wire.TaskRunning && time.Since(since[k]) > b.Run && !b.service(k.Task) {
-				w.Exit(k.Task, k.Attempt, wire.CauseDone)
+			if task.State == wire.TaskRunning && time.Since(firstSeen[attempt]) > b.Run && !b.isServiceTask(attempt.Task) {
+				agent.ExitTask(attempt.Task, attempt.Attempt, wire.CauseDone)
 			}
 		}
-		body := wire.MustMarshal(report())
+		body := wire.MustMarshal(nextHeartbeat())
 		mu.Unlock()
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.Header.SetMethod("POST")
 		req.SetRequestURI("http://" + b.Node + "/agent/beat")
 		req.SetBody(body)
-		var o wire.Orders
-		if fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == 200 && wire.Unmarshal(resp.Body(), &o) == nil {
+		var commands wire.Commands
+		if fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == 200 && wire.Unmarshal(resp.Body(), &commands) == nil {
 			mu.Lock()
-			w.Answer(o, sent)
+			agent.HandleResponse(commands, sent)
 			mu.Unlock()
 		}
 		fasthttp.ReleaseRequest(req)
@@ -143,18 +147,18 @@
 	}
 }
 
-func (b *bench) rented(name string) bool {
-	for _, m := range b.cloud.Rented() {
-		if m.Name == name {
+func (b *devCluster) isRunning(name string) bool {
+	for _, machine := range b.cloud.Instances() {
+		if machine.Name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// service looks a task's job up, as a worker fetches its description.
-func (b *bench) service(task string) bool {
-	id, _, _ := wire.SplitTask(task)
+// isServiceTask looks a task's job up, as a worker fetches its description.
+func (b *devCluster) isServiceTask(task string) bool {
+	id, _, _ := wire.ParseTaskName(task)
 	it, err := b.store.Get(context.Background(), store.Routine, "job/"+id+"/spec")
 	var job wire.Job
 	return err == nil && wire.Unmarshal(it.Value, &job) == nil && job.Kind == wire.Service
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,60 +20,60 @@
 // Sender sends orders to a worker and returns its report. executed is false
 // where the worker refused them (older token or other session).
 type Sender interface {
-	Send(addr string, o wire.Orders) (report *wire.Report, executed bool, err error)
+	Send(addr string, commands wire.Commands) (heartbeat *wire.Heartbeat, executed bool, err error)
 }
 
 // Client speaks to real workers.
 type Client struct {
-	timeout micro.Time
-	mu      sync.Mutex
-	hosts   map[string]*fasthttp.HostClient
+	timeout     micro.Time
+	mu          sync.Mutex
+	hostClients map[string]*fasthttp.HostClient
 }
 
-// maxHosts bounds the clients kept, several times the largest fleet that a site is
+// maxHostClients bounds the clients kept, several times the largest fleet that a site is
 // known to run. Beyond it all are made anew, which costs their idle connections;
 // those end soon anyway, since sockets are scarce where workers are many.
-const maxHosts = 16_384
+const maxHostClients = 16_384
 
 // NewClient makes a client that gives a worker the time to answer.
 func NewClient(timeout micro.Time) *Client {
-	return &Client{timeout: timeout, hosts: map[string]*fasthttp.HostClient{}}
+	return &Client{timeout: timeout, hostClients: map[string]*fasthttp.HostClient{}}
 }
 
-func (c *Client) host(addr string) *fasthttp.HostClient {
+func (c *Client) hostClient(addr string) *fasthttp.HostClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.hosts[addr]
-	if h == nil {
-		if len(c.hosts) > maxHosts {
-			clear(c.hosts)
+	client := c.hostClients[addr]
+	if client == nil {
+		if len(c.hostClients) > maxHostClients {
+			clear(c.hostClients)
 		}
-		h = &fasthttp.HostClient{
+		client = &fasthttp.HostClient{
 			Addr: addr, MaxConns: 2, MaxIdleConnDuration: 300 * time.Millisecond, MaxIdemponentCallAttempts: 1,
 			NoDefaultUserAgentHeader: true,
 			RetryIfErr:               func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-			Dial:                     func(a string) (net.Conn, error) { return fasthttp.DialTimeout(a, time.Second) },
+			Dial:                     func(hostAddr string) (net.Conn, error) { return fasthttp.DialTimeout(hostAddr, time.Second) },
 		}
-		c.hosts[addr] = h
+		c.hostClients[addr] = client
 	}
-	return h
+	return client
 }
 
 // Send posts the orders.
-func (c *Client) Send(addr string, o wire.Orders) (*wire.Report, bool, error) {
+func (c *Client) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod("POST")
 	req.SetRequestURI("http://" + addr + "/orders")
-	req.SetBodyRaw(wire.MustMarshal(o))
-	if err := c.host(addr).DoTimeout(req, resp, c.timeout.Std()); err != nil {
+	req.SetBodyRaw(wire.MustMarshal(commands))
+	if err := c.hostClient(addr).DoTimeout(req, resp, c.timeout.Duration()); err != nil {
 		return nil, false, fmt.Errorf("%w: %v", ErrUncertain, err)
 	}
-	code := resp.StatusCode()
-	if code != 200 && code != 409 {
-		return nil, false, fmt.Errorf("agent: status %d", code)
+	status := resp.StatusCode()
+	if status != 200 && status != 409 {
+		return nil, false, fmt.Errorf("agent: status %d", status)
 	}
-	r, err := wire.DecodeReport(resp.Body())
-	return r, code == 200, err
+	heartbeat, err := wire.DecodeHeartbeat(resp.Body())
+	return heartbeat, status == 200, err
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,8 +15,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// patient is longer than any answer of these tests takes.
-const patient = micro.Minute
+// ampleTimeout is longer than any answer of these tests takes.
+const ampleTimeout = micro.Minute
 
 // serve answers on loopback until the test ends.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (addr string) {
@@ -30,91 +30,91 @@
 	return listener.Addr().String()
 }
 
-// direct answers with what a worker does with its orders.
-func direct(worker *fake.Worker) fasthttp.RequestHandler {
+// agentHandler answers with what a worker does with its orders.
+func agentHandler(fakeAgent *fake.Agent) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		var orders wire.Orders
-		if string(ctx.Method()) != "POST" || string(ctx.Path()) != "/orders" || wire.Unmarshal(ctx.PostBody(), &orders) != nil {
+		var commands wire.Commands
+		if string(ctx.Method()) != "POST" || string(ctx.Path()) != "/orders" || wire.Unmarshal(ctx.PostBody(), &commands) != nil {
 			ctx.SetStatusCode(400)
 			return
 		}
-		report, executed := worker.Direct(orders)
+		heartbeat, executed := fakeAgent.HandleDispatch(commands)
 		if !executed {
 			ctx.SetStatusCode(409)
 		}
-		ctx.SetBody(wire.MustMarshal(report))
+		ctx.SetBody(wire.MustMarshal(heartbeat))
 	}
 }
 
-func start(token, session uint64) wire.Orders {
-	return wire.Orders{Token: wire.Count(token), Session: wire.Count(session),
-		Orders: []wire.Order{{Op: wire.OpStart, Task: "j-1/0", Attempt: 1}}}
+func startCommand(token, epoch uint64) wire.Commands {
+	return wire.Commands{FencingToken: wire.Count(token), AgentEpoch: wire.Count(epoch),
+		Items: []wire.Command{{Kind: wire.CommandStart, Task: "j-1/0", Attempt: 1}}}
 }
 
-func TestWorkerExecutesOrRefusesOrders(t *testing.T) {
-	worker := fake.NewWorker("m-1", "small", "a", micro.Second)
-	worker.Token, worker.Session = 5, 2
-	addr, client := serve(t, direct(worker)), NewClient(patient)
-	for _, c := range []struct {
+func TestAgentExecutesOrRefusesCommands(t *testing.T) {
+	fakeAgent := fake.NewAgent("m-1", "small", "a", micro.Second)
+	fakeAgent.FencingToken, fakeAgent.Epoch = 5, 2
+	addr, client := serve(t, agentHandler(fakeAgent)), NewClient(ampleTimeout)
+	for _, tc := range []struct {
 		name           string
 		token, session uint64
 		executed       bool
 	}{{"older token", 4, 2, false}, {"other session", 5, 1, false}, {"its own", 5, 2, true}} {
-		report, executed, err := client.Send(addr, start(c.token, c.session))
-		if err != nil || executed != c.executed {
-			t.Errorf("%s: executed %v, %v", c.name, executed, err)
+		heartbeat, executed, err := client.Send(addr, startCommand(tc.token, tc.session))
+		if err != nil || executed != tc.executed {
+			t.Errorf("%s: executed %v, %v", tc.name, executed, err)
 		}
-		if report == nil || report.Machine != "m-1" || (len(report.Tasks) == 1) != c.executed {
-			t.Errorf("%s: report %+v", c.name, report)
+		if heartbeat == nil || heartbeat.Machine != "m-1" || (len(heartbeat.Tasks) == 1) != tc.executed {
+			t.Errorf("%s: report %+v", tc.name, heartbeat)
 		}
 	}
 }
 
-func TestOnlyAReportCountsAsAnAnswer(t *testing.T) {
-	report := wire.MustMarshal(fake.NewWorker("m-1", "small", "a", micro.Second).Report())
-	for _, c := range []struct {
+func TestOnlyAHeartbeatCountsAsAResponse(t *testing.T) {
+	heartbeat := wire.MustMarshal(fake.NewAgent("m-1", "small", "a", micro.Second).Heartbeat())
+	for _, tc := range []struct {
 		name   string
 		status int
 		body   []byte
 		want   error // nil: any
 	}{
 		{"no body", 200, nil, wire.ErrMalformed},
-		{"half a report", 200, report[:len(report)-1], wire.ErrMalformed},
-		{"report of nobody", 200, wire.MustMarshal(wire.Report{}), wire.ErrMalformed},
+		{"half a report", 200, heartbeat[:len(heartbeat)-1], wire.ErrMalformed},
+		{"report of nobody", 200, wire.MustMarshal(wire.Heartbeat{}), wire.ErrMalformed},
 		{"refusal without a report", 409, nil, wire.ErrMalformed},
-		{"malformed", 400, report, nil},
-		{"over its limit", 429, report, nil},
-		{"unexpected", 500, report, nil},
-		{"refused", 503, report, nil},
+		{"malformed", 400, heartbeat, nil},
+		{"over its limit", 429, heartbeat, nil},
+		{"unexpected", 500, heartbeat, nil},
+		{"refused", 503, heartbeat, nil},
 	} {
-		addr := serve(t, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(c.status); ctx.SetBody(c.body) })
-		got, executed, err := NewClient(patient).Send(addr, start(1, 1))
-		if err == nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+		addr := serve(t, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(tc.status); ctx.SetBody(tc.body) })
+		got, executed, err := NewClient(ampleTimeout).Send(addr, startCommand(1, 1))
+		if err == nil || tc.want != nil && !errors.Is(err, tc.want) {
+			t.Errorf("%s: %v", tc.name, err)
 		}
-		if got != nil || executed && c.status != 200 {
-			t.Errorf("%s: executed %v, report %v", c.name, executed, got)
+		if got != nil || executed && tc.status != 200 {
+			t.Errorf("%s: executed %v, report %v", tc.name, executed, got)
 		}
 		if errors.Is(err, ErrUncertain) {
-			t.Errorf("%s: an answer was taken for none", c.name)
+			t.Errorf("%s: an answer was taken for none", tc.name)
 		}
 	}
 }
 
 // Orders whose answer is lost may have run, and are not sent again.
-func TestLostAnswerIsUncertainAndOrdersAreNotSentTwice(t *testing.T) {
-	worker := fake.NewWorker("m-1", "small", "a", micro.Second)
+func TestLostResponseIsUncertainAndCommandsAreNotResent(t *testing.T) {
+	fakeAgent := fake.NewAgent("m-1", "small", "a", micro.Second)
 	var requests atomic.Int32
 	addr := serve(t, func(ctx *fasthttp.RequestCtx) {
-		direct(worker)(ctx)
-		if n := requests.Add(1); n != 2 {
+		agentHandler(fakeAgent)(ctx)
+		if count := requests.Add(1); count != 2 {
 			_ = ctx.Conn().Close()
 		}
 	})
-	client := NewClient(patient)
+	client := NewClient(ampleTimeout)
 	for i, lost := range []bool{true, false, true} {
-		report, executed, err := client.Send(addr, start(1, 1))
-		if lost && (!errors.Is(err, ErrUncertain) || executed || report != nil) {
+		heartbeat, executed, err := client.Send(addr, startCommand(1, 1))
+		if lost && (!errors.Is(err, ErrUncertain) || executed || heartbeat != nil) {
 			t.Errorf("lost answer: executed %v, %v", executed, err)
 		}
 		if !lost && (err != nil || !executed) {
@@ -126,19 +126,19 @@
 	}
 }
 
-func TestSilentAndMissingWorkersAreUncertain(t *testing.T) {
-	ended := make(chan struct{})
-	t.Cleanup(func() { close(ended) })
-	worker := fake.NewWorker("m-1", "small", "a", micro.Second)
-	silent := serve(t, func(ctx *fasthttp.RequestCtx) {
+func TestUnresponsiveAndMissingAgentsAreUncertain(t *testing.T) {
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
+	fakeAgent := fake.NewAgent("m-1", "small", "a", micro.Second)
+	unresponsive := serve(t, func(ctx *fasthttp.RequestCtx) {
 		select { // it answers in the end, long after the client gave up
-		case <-ended:
+		case <-testDone:
 		case <-time.After(10 * time.Second):
-			direct(worker)(ctx)
+			agentHandler(fakeAgent)(ctx)
 		}
 	})
 	client := NewClient(20 * micro.Millisecond)
-	if _, executed, err := client.Send(silent, start(1, 1)); !errors.Is(err, ErrUncertain) || executed {
+	if _, executed, err := client.Send(unresponsive, startCommand(1, 1)); !errors.Is(err, ErrUncertain) || executed {
 		t.Errorf("silent: executed %v, %v", executed, err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,20 +147,20 @@
 	}
 	missing := listener.Addr().String()
 	_ = listener.Close()
-	if _, executed, err := NewClient(patient).Send(missing, start(1, 1)); !errors.Is(err, ErrUncertain) || executed {
+	if _, executed, err := NewClient(ampleTimeout).Send(missing, startCommand(1, 1)); !errors.Is(err, ErrUncertain) || executed {
 		t.Errorf("missing: executed %v, %v", executed, err)
 	}
 }
 
-func TestClientsOfWorkersAreKeptWithinBounds(t *testing.T) {
-	client := NewClient(patient)
-	if first := client.host("m-1:9000"); client.host("m-1:9000") != first {
+func TestHostClientsAreBounded(t *testing.T) {
+	client := NewClient(ampleTimeout)
+	if first := client.hostClient("m-1:9000"); client.hostClient("m-1:9000") != first {
 		t.Error("a worker's connections are not kept")
 	}
-	for i := range 2 * maxHosts {
-		client.host(fmt.Sprintf("m-%d:9000", i))
+	for i := range 2 * maxHostClients {
+		client.hostClient(fmt.Sprintf("m-%d:9000", i))
 	}
-	if got := len(client.hosts); got > maxHosts+1 {
+	if got := len(client.hostClients); got > maxHostClients+1 {
 		t.Errorf("%d clients are kept", got)
 	}
 }
--- a/internal/cloud/timeout_test.go
+++ b/internal/cloud/timeout_test.go
@@ -12,29 +12,29 @@
 )
 
 // What the cloud does not answer in time may still have been carried out.
-func TestCallThatTakesTooLongIsUncertain(t *testing.T) {
+func TestTimedOutCallIsUncertain(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	ended := make(chan struct{})
-	t.Cleanup(func() { close(ended) })
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
 	go func() {
 		_ = fasthttp.Serve(listener, func(ctx *fasthttp.RequestCtx) {
 			select { // it answers in the end, long after the caller gave up
-			case <-ended:
-			case <-time.After(2 * answerWait):
+			case <-testDone:
+			case <-time.After(2 * responseTimeout):
 				ctx.SetBody(wire.MustMarshal(wire.MachineNames{Machines: []string{"i-000001"}}))
 			}
 		})
 	}()
 	client := NewClient(listener.Addr().String(), 1e6)
-	if client.timeout != answerWait {
-		t.Errorf("a call takes %v, not %v", client.timeout, answerWait)
+	if client.timeout != responseTimeout {
+		t.Errorf("a call takes %v, not %v", client.timeout, responseTimeout)
 	}
 	client.timeout = 20 * time.Millisecond
-	machines, err := client.Rent(t.Context(), wire.Rental{Request: "r-1", Count: 1})
+	machines, err := client.RequestInstances(t.Context(), wire.InstanceRequest{RequestID: "r-1", Count: 1})
 	if !errors.Is(err, ErrUncertain) || len(machines) != 0 {
 		t.Errorf("%v %v", machines, err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -95,78 +95,82 @@
 	Features
 }
 
-// LeaseSpan is the workers' lease.
-func (c *Config) LeaseSpan() micro.Time { return micro.Of(c.Facts.Workers.LeaseS) }
+// AgentLease is the workers' lease.
+func (c *Config) AgentLease() micro.Time { return micro.FromSeconds(c.Facts.Workers.LeaseS) }
 
-// KeepSpan is how long the controllers of a zone that is cut off keep the leases
+// LeaseProxyDuration is how long the controllers of a zone that is cut off keep the leases
 // of its workers alive.
-func (c *Config) KeepSpan() micro.Time {
-	return micro.Time(c.KeepLeases * float64(c.LeaseSpan()))
+func (c *Config) LeaseProxyDuration() micro.Time {
+	return micro.Time(c.LeaseProxyFactor * float64(c.AgentLease()))
 }
 
-// CancelSpan is how long the tasks of a withdrawn job may take to be gone.
-func (c *Config) CancelSpan() micro.Time { return micro.Of(c.Facts.Workers.CancelS) }
+// CancelTimeout is how long the tasks of a withdrawn job may take to be gone.
+func (c *Config) CancelTimeout() micro.Time { return micro.FromSeconds(c.Facts.Workers.CancelS) }
 
-// LeaseOut is after how long without a renewal a worker's lease has surely run
+// LeaseExpiredAfter is after how long without a renewal a worker's lease has surely run
 // out, by the clock of whoever counts it.
-func (c *Config) LeaseOut() micro.Time { return c.LeaseSpan() + c.LeaseSpan()/500 + micro.Second }
+func (c *Config) LeaseExpiredAfter() micro.Time {
+	return c.AgentLease() + c.AgentLease()/500 + micro.Second
+}
 
 // CancelSlack is what may pass between a look at the clock and the user being
 // told of a cancellation.
 const CancelSlack = 3 * micro.Second
 
-// Outlive is how long a task may live on after its user was told that its job is
+// MaxCancelledTaskLife is how long a task may live on after its user was told that its job is
 // cancelled, if from then on the state service answers nobody and no order
 // arrives: until its right to act lapses the leader may answer the worker's
 // reports, and the worker's lease runs from the last one answered.
-func (c *Config) Outlive() micro.Time { return c.LeaderLease + c.LeaseOut() + CancelSlack }
+func (c *Config) MaxCancelledTaskLife() micro.Time {
+	return c.LeaderLease + c.LeaseExpiredAfter() + CancelSlack
+}
 
-// ProveFirst reports whether leases alone do not end a cancelled job's tasks in
+// MustProveTermination reports whether leases alone do not end a cancelled job's tasks in
 // time: its user is then told only once they are proven gone.
-func (c *Config) ProveFirst() bool { return c.Outlive() > c.CancelSpan() }
+func (c *Config) MustProveTermination() bool { return c.MaxCancelledTaskLife() > c.CancelTimeout() }
 
-// repeats is for how long users repeat a withdrawal that is not confirmed.
-const repeats = micro.Minute
+// cancelRetryWindow is for how long users repeat a withdrawal that is not confirmed.
+const cancelRetryWindow = micro.Minute
 
-// checkCancel refuses settings by which cancellations cannot be kept to.
-func (c *Config) checkCancel(path, propertiesPath string) error {
-	if !c.ProveFirst() {
+// checkCancelTimeout refuses settings by which cancellations cannot be kept to.
+func (c *Config) checkCancelTimeout(path, propertiesPath string) error {
+	if !c.MustProveTermination() {
 		return nil
 	}
-	room := c.CancelSpan() - c.LeaseOut() - CancelSlack
-	if room >= Defaults().LeaderLease {
+	maxLeaderLease := c.CancelTimeout() - c.LeaseExpiredAfter() - CancelSlack
+	if maxLeaderLease >= Defaults().LeaderLease {
 		// It is the operators' own value that breaks the bound.
 		return fmt.Errorf("%s: key %q: must be at most %v: after a cancellation the leader's lease and then the workers' must be over within facts.workers.cancel_s",
-			propertiesPath, "leader.lease.s", room.Seconds())
+			propertiesPath, "leader.lease.s", maxLeaderLease.Seconds())
 	}
-	if c.LeaseOut()+CancelSlack > repeats {
+	if c.LeaseExpiredAfter()+CancelSlack > cancelRetryWindow {
 		return fmt.Errorf("%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, and users repeat a withdrawal for too short a time to wait for that",
-			path, "facts.workers.cancel_s", c.Outlive().Seconds())
+			path, "facts.workers.cancel_s", c.MaxCancelledTaskLife().Seconds())
 	}
 	return nil
 }
 
-// less is the smaller of two limits, of which the second may not be given.
-func less[T int | float64](now, next T) T {
+// lowerLimit is the smaller of two limits, of which the second may not be given.
+func lowerLimit[T int | float64](current, next T) T {
 	if next > 0 {
-		return min(now, next)
+		return min(current, next)
 	}
-	return now
+	return current
 }
 
-// ValueBytes is the most that a value may take, as the state service counts it:
+// MaxValueBytes is the most that a value may take, as the state service counts it:
 // now, and from its next limits on.
-func (c *Config) ValueBytes() (now, safe int) {
-	s := &c.Facts.State
-	return int(s.ValueKB * 1024), int(less(s.ValueKB, s.Next.ValueKB) * 1024)
+func (c *Config) MaxValueBytes() (current, safe int) {
+	state := &c.Facts.State
+	return int(state.ValueKB * 1024), int(lowerLimit(state.ValueKB, state.Next.ValueKB) * 1024)
 }
 
-// TxnOps is the most changes of a transaction, now and from the next limits on.
-func (c *Config) TxnOps() int { return less(c.Facts.State.TxnOps, c.Facts.State.Next.TxnOps) }
+// MaxTxnOps is the most changes of a transaction, now and from the next limits on.
+func (c *Config) MaxTxnOps() int { return lowerLimit(c.Facts.State.TxnOps, c.Facts.State.Next.TxnOps) }
 
 // NextWriteRPS is the rate of changes from the next limits on.
 func (c *Config) NextWriteRPS() float64 {
-	return less(c.Facts.State.WriteRPS, c.Facts.State.Next.WriteRPS)
+	return lowerLimit(c.Facts.State.WriteRPS, c.Facts.State.Next.WriteRPS)
 }
 
 // Team finds a team by name.
@@ -182,52 +186,52 @@
 // Load reads and checks the platform's file and the properties. An empty
 // propertiesPath means defaults. Errors name file, key and reason in one line.
 func Load(path, propertiesPath string) (*Config, error) {
-	c := &Config{}
+	cfg := &Config{}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := parsePlatform(string(raw), &c.Platform); err != nil {
+	if err := parsePlatform(string(raw), &cfg.Platform); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Properties, err = loadProperties(propertiesPath); err != nil {
+	if cfg.Properties, err = loadProperties(propertiesPath); err != nil {
 		return nil, err
 	}
-	if err := c.checkCancel(path, propertiesPath); err != nil {
+	if err := cfg.checkCancelTimeout(path, propertiesPath); err != nil {
 		return nil, err
 	}
-	c.Derive()
-	return c, nil
+	cfg.DeriveDefaults()
+	return cfg, nil
 }
 
-// reportLate is the most that a report may come late by the protocol, in report
-// intervals, and answerWait how long a worker waits for an answer.
+// maxHeartbeatDelay is the most that a report may come late by the protocol, in report
+// intervals, and heartbeatTimeoutS how long a worker waits for an answer.
 const (
-	reportLate = 1.25
-	answerWait = 4.25
+	maxHeartbeatDelay = 1.25
+	heartbeatTimeoutS = 4.25
 )
 
-// LongestReportInterval is the longest time between two reports of a live worker.
-func (c *Config) LongestReportInterval() micro.Time {
-	return micro.Of(c.Facts.Workers.ReportS * reportLate)
+// MaxHeartbeatInterval is the longest time between two reports of a live worker.
+func (c *Config) MaxHeartbeatInterval() micro.Time {
+	return micro.FromSeconds(c.Facts.Workers.ReportS * maxHeartbeatDelay)
 }
 
-// Overdue is how long after its last report a machine's next one is overdue.
-func (c *Config) Overdue() micro.Time {
-	return c.LongestReportInterval() + 250*micro.Millisecond
+// HeartbeatOverdueAfter is how long after its last report a machine's next one is overdue.
+func (c *Config) HeartbeatOverdueAfter() micro.Time {
+	return c.MaxHeartbeatInterval() + 250*micro.Millisecond
 }
 
-// Round is how long after a takeover every live worker has surely tried all
+// RegistrationWindow is how long after a takeover every live worker has surely tried all
 // nodes, those out of reach included.
-func (c *Config) Round() micro.Time {
-	return micro.Of(c.Facts.Workers.ReportS*reportLate + float64(len(c.Peers)+1)*(answerWait+1))
+func (c *Config) RegistrationWindow() micro.Time {
+	return micro.FromSeconds(c.Facts.Workers.ReportS*maxHeartbeatDelay + float64(len(c.Peers)+1)*(heartbeatTimeoutS+1))
 }
 
-// Derive fills in what follows from the platform's facts where no property says
+// DeriveDefaults fills in what follows from the platform's facts where no property says
 // otherwise.
-func (c *Config) Derive() {
-	if c.SilentAfter == 0 {
-		c.SilentAfter = micro.Of(c.Facts.Workers.ReportS*reportLate + answerWait)
+func (c *Config) DeriveDefaults() {
+	if c.SuspectAfter == 0 {
+		c.SuspectAfter = micro.FromSeconds(c.Facts.Workers.ReportS*maxHeartbeatDelay + heartbeatTimeoutS)
 	}
 }
 
@@ -273,19 +277,19 @@
 // check finds the first key that is missing or out of range.
 func (p *Platform) check() error {
 	if p.Node == "" {
-		return badKey("node", "is missing")
+		return invalidKey("node", "is missing")
 	}
-	for _, step := range []func() error{
+	for _, check := range []func() error{
 		p.checkAddresses, p.checkPeers, p.checkZones, p.checkAmounts, p.checkTeams, p.checkObjectives,
 	} {
-		if err := step(); err != nil {
+		if err := check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func badKey(key, why string) error { return fmt.Errorf("key %q: %s", key, why) }
+func invalidKey(key, reason string) error { return fmt.Errorf("key %q: %s", key, reason) }
 
 const notAnAddress = "is not an address of the form host:port"
 
@@ -295,7 +299,7 @@
 		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
 	} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return badKey(a.key, notAnAddress)
+			return invalidKey(a.key, notAnAddress)
 		}
 	}
 	return nil
@@ -305,11 +309,11 @@
 	names := map[string]bool{p.Node: true}
 	for _, peer := range p.Peers {
 		if peer.Node == "" || names[peer.Node] {
-			return badKey("known.node", "is missing or given twice")
+			return invalidKey("known.node", "is missing or given twice")
 		}
 		names[peer.Node] = true
 		if _, _, err := net.SplitHostPort(peer.Addr); err != nil {
-			return badKey("known.addr", notAnAddress)
+			return invalidKey("known.addr", notAnAddress)
 		}
 	}
 	return nil
@@ -317,40 +321,40 @@
 
 func (p *Platform) checkZones() error {
 	if len(p.Facts.Zones) == 0 {
-		return badKey("facts.zones", "is missing")
+		return invalidKey("facts.zones", "is missing")
 	}
 	return nil
 }
 
 func (p *Platform) checkAmounts() error {
-	f := &p.Facts
+	facts := &p.Facts
 	for _, amount := range []struct {
 		key   string
 		value float64
 		zero  bool // may be zero
 	}{
-		{"facts.workers.report_s", f.Workers.ReportS, false},
-		{"facts.workers.lease_s", f.Workers.LeaseS, false},
-		{"facts.workers.gang_wait_s", f.Workers.GangWaitS, true},
-		{"facts.workers.gang_peer_s", f.Workers.GangPeerS, true},
-		{"facts.workers.cancel_s", f.Workers.CancelS, false},
-		{"facts.state.rps", f.State.RPS, false},
-		{"facts.state.write_rps", f.State.WriteRPS, false},
-		{"facts.state.value_kb", f.State.ValueKB, false},
-		{"facts.state.txn_ops", float64(f.State.TxnOps), false},
-		{"facts.state.next.write_rps", f.State.Next.WriteRPS, true},
-		{"facts.state.next.value_kb", f.State.Next.ValueKB, true},
-		{"facts.state.next.txn_ops", float64(f.State.Next.TxnOps), true},
-		{"facts.cloud.rps", f.Cloud.RPS, false},
-		{"facts.cloud.list_lag_s", f.Cloud.ListLagS, true},
-		{"facts.quota.core_share", f.Quota.CoreShare, false},
-		{"facts.quota.ram_mb", f.Quota.RAMMB, false},
-		{"facts.quota.max_sockets", float64(f.Quota.MaxSockets), false},
-		{"facts.clock_off_ms", f.ClockOffMs, true},
+		{"facts.workers.report_s", facts.Workers.ReportS, false},
+		{"facts.workers.lease_s", facts.Workers.LeaseS, false},
+		{"facts.workers.gang_wait_s", facts.Workers.GangWaitS, true},
+		{"facts.workers.gang_peer_s", facts.Workers.GangPeerS, true},
+		{"facts.workers.cancel_s", facts.Workers.CancelS, false},
+		{"facts.state.rps", facts.State.RPS, false},
+		{"facts.state.write_rps", facts.State.WriteRPS, false},
+		{"facts.state.value_kb", facts.State.ValueKB, false},
+		{"facts.state.txn_ops", float64(facts.State.TxnOps), false},
+		{"facts.state.next.write_rps", facts.State.Next.WriteRPS, true},
+		{"facts.state.next.value_kb", facts.State.Next.ValueKB, true},
+		{"facts.state.next.txn_ops", float64(facts.State.Next.TxnOps), true},
+		{"facts.cloud.rps", facts.Cloud.RPS, false},
+		{"facts.cloud.list_lag_s", facts.Cloud.ListLagS, true},
+		{"facts.quota.core_share", facts.Quota.CoreShare, false},
+		{"facts.quota.ram_mb", facts.Quota.RAMMB, false},
+		{"facts.quota.max_sockets", float64(facts.Quota.MaxSockets), false},
+		{"facts.clock_off_ms", facts.ClockOffMs, true},
 	} {
-		v := amount.value
-		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 || v == 0 && !amount.zero {
-			return badKey(amount.key, "is missing or out of range")
+		value := amount.value
+		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 || value == 0 && !amount.zero {
+			return invalidKey(amount.key, "is missing or out of range")
 		}
 	}
 	return nil
@@ -360,12 +364,12 @@
 	seen := map[string]bool{}
 	for _, team := range p.Facts.Teams {
 		if team.Name == "" || seen[team.Name] {
-			return badKey("facts.teams.name", "is missing or given twice")
+			return invalidKey("facts.teams.name", "is missing or given twice")
 		}
 		seen[team.Name] = true
 		for _, v := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
 			if math.IsNaN(v) || v < 0 {
-				return badKey("facts.teams", "amounts of "+team.Name+" are out of range")
+				return invalidKey("facts.teams", "amounts of "+team.Name+" are out of range")
 			}
 		}
 	}
@@ -375,7 +379,7 @@
 func (p *Platform) checkObjectives() error {
 	for _, o := range p.Facts.Objectives {
 		if math.IsNaN(o.WithinS) || o.WithinS < 0 || o.Times < 0 {
-			return badKey("facts.objectives", "within_s or times is out of range")
+			return invalidKey("facts.objectives", "within_s or times is out of range")
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,34 +52,34 @@
 max_sockets = 1000
 `
 
-func load(t *testing.T, toml, props string) (*Config, error) {
+func loadConfig(t *testing.T, toml, props string) (*Config, error) {
 	t.Helper()
 	dir := t.TempDir()
-	f, p := filepath.Join(dir, "s.toml"), filepath.Join(dir, "p.properties")
-	if err := os.WriteFile(f, []byte(toml), 0o600); err != nil {
+	settingsPath, propertiesPath := filepath.Join(dir, "s.toml"), filepath.Join(dir, "p.properties")
+	if err := os.WriteFile(settingsPath, []byte(toml), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if props == "" {
-		return Load(f, "")
+		return Load(settingsPath, "")
 	}
-	if err := os.WriteFile(p, []byte(props), 0o600); err != nil {
+	if err := os.WriteFile(propertiesPath, []byte(props), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Load(f, p)
+	return Load(settingsPath, propertiesPath)
 }
 
 func TestSettingsAreRead(t *testing.T) {
-	c, err := load(t, settings, "# ours\nmachine.silent.s = 12\nscore.l1: 70\n")
+	c, err := loadConfig(t, settings, "# ours\nmachine.silent.s = 12\nscore.l1: 70\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.SilentAfter != 12*micro.Second || c.ScoreL1 != 70 || c.ScoreL2 != 30 || c.Team("t").GPUsMax != 16 || c.Peers[0].Addr != "127.0.0.2:8081" {
+	if c.SuspectAfter != 12*micro.Second || c.ScoreL1 != 70 || c.ScoreL2 != 30 || c.Team("t").GPUsMax != 16 || c.Peers[0].Addr != "127.0.0.2:8081" {
 		t.Fatalf("%+v", c)
 	}
 }
 
 func TestBadSettingsNameFileKeyAndReasonInOneLine(t *testing.T) {
-	for _, c := range []struct{ toml, props, want string }{
+	for _, tc := range []struct{ toml, props, want string }{
 		{strings.Replace(settings, `node = "n-0"`, "", 1), "", `"node"`},
 		{strings.Replace(settings, "txn_ops = 24", "txn_ops = 0", 1), "", `"facts.state.txn_ops"`},
 		{strings.Replace(settings, "lease_s = 30.0", `lease_s = "x"`, 1), "", `lease_s`},
@@ -90,9 +90,9 @@
 		{settings, "leader.renew.s = 3\n", `"leader.renew.s"`},
 		{settings, "score.l2 = 80\n", `"score.l2"`},
 	} {
-		_, err := load(t, c.toml, c.props)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("want %s in one line, got: %v", c.want, err)
+		_, err := loadConfig(t, tc.toml, tc.props)
+		if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("want %s in one line, got: %v", tc.want, err)
 		}
 		if err != nil && !strings.Contains(err.Error(), ".toml") && !strings.Contains(err.Error(), ".properties") {
 			t.Errorf("no file is named: %v", err)
@@ -101,11 +101,11 @@
 }
 
 // A worker's lease runs out after 31.06 s at the latest, 3 s are slack.
-func TestSettingsThatKeepNoCancellationAreRefused(t *testing.T) {
+func TestSettingsThatBreakTheCancelTimeoutAreRefused(t *testing.T) {
 	workers := func(lease, cancel string) string {
 		return strings.NewReplacer("lease_s = 30.0", "lease_s = "+lease, "cancel_s = 50.0", "cancel_s = "+cancel).Replace(settings)
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		lease, cancel, props string
 		prove                bool
 		want                 string
@@ -124,34 +124,34 @@
 		{"60.0", "50.0", "", false, `.toml: key "facts.workers.cancel_s": must be at least 67.62: `},
 		{"60.0", "67.7", "", false, ""},
 	} {
-		cfg, err := load(t, workers(c.lease, c.cancel), c.props)
+		cfg, err := loadConfig(t, workers(tc.lease, tc.cancel), tc.props)
 		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("lease %s, cancel %s, %q: %v", c.lease, c.cancel, c.props, err)
-		case c.want == "" && cfg.ProveFirst() != c.prove:
-			t.Errorf("lease %s, cancel %s, %q: proofs first: %v", c.lease, c.cancel, c.props, !c.prove)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("lease %s, cancel %s, %q: want %s, got: %v", c.lease, c.cancel, c.props, c.want, err)
+		case tc.want == "" && err != nil:
+			t.Errorf("lease %s, cancel %s, %q: %v", tc.lease, tc.cancel, tc.props, err)
+		case tc.want == "" && cfg.MustProveTermination() != tc.prove:
+			t.Errorf("lease %s, cancel %s, %q: proofs first: %v", tc.lease, tc.cancel, tc.props, !tc.prove)
+		case tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n")):
+			t.Errorf("lease %s, cancel %s, %q: want %s, got: %v", tc.lease, tc.cancel, tc.props, tc.want, err)
 		}
 	}
 }
 
-func TestLimitsToComeAreReadAndTheSmallerCounts(t *testing.T) {
-	c, err := load(t, settings, "")
+func TestUpcomingLimitsAreReadAndTheLowerApplies(t *testing.T) {
+	cfg, err := loadConfig(t, settings, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if now, safe := c.ValueBytes(); now != 16<<10 || safe != now || c.TxnOps() != 24 || c.NextWriteRPS() != 30 {
-		t.Errorf("without limits to come: %d, %d, %d, %v", now, safe, c.TxnOps(), c.NextWriteRPS())
+	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != current || cfg.MaxTxnOps() != 24 || cfg.NextWriteRPS() != 30 {
+		t.Errorf("without limits to come: %d, %d, %d, %v", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
 	}
-	with := strings.Replace(settings, "txn_ops = 24\n", "txn_ops = 24\n[facts.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 1)
-	if c, err = load(t, with, ""); err != nil {
+	withNext := strings.Replace(settings, "txn_ops = 24\n", "txn_ops = 24\n[facts.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 1)
+	if cfg, err = loadConfig(t, withNext, ""); err != nil {
 		t.Fatal(err)
 	}
-	if now, safe := c.ValueBytes(); now != 16<<10 || safe != 2<<10 || c.TxnOps() != 8 || c.NextWriteRPS() != 21 {
-		t.Errorf("with them: %d, %d, %d, %v", now, safe, c.TxnOps(), c.NextWriteRPS())
+	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != 2<<10 || cfg.MaxTxnOps() != 8 || cfg.NextWriteRPS() != 21 {
+		t.Errorf("with them: %d, %d, %d, %v", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
 	}
-	if _, err = load(t, strings.Replace(with, "value_kb = 2.0", "value_kb = -2.0", 1), ""); err == nil || !strings.Contains(err.Error(), "facts.state.next.value_kb") {
+	if _, err = loadConfig(t, strings.Replace(withNext, "value_kb = 2.0", "value_kb = -2.0", 1), ""); err == nil || !strings.Contains(err.Error(), "facts.state.next.value_kb") {
 		t.Errorf("negative: %v", err)
 	}
 }
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestSharesFileIsRead(t *testing.T) {
-	f, err := loadFeatureText(t, `
+	features, err := loadFeatureText(t, `
 share.gpu.type = g8
 share.gpu.kind = ordinary
 share.gpu.teams = a, b
@@ -37,18 +37,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := f.Shares
-	if len(s.Declared) != 2 || s.Declared[1].Name != "gpu" || s.Declared[1].Owner != "n-1" || len(s.Declared[1].Teams) != 2 {
-		t.Errorf("%+v", s.Declared)
+	shards := features.Shards
+	if len(shards.Declared) != 2 || shards.Declared[1].Name != "gpu" || shards.Declared[1].Owner != "n-1" || len(shards.Declared[1].Teams) != 2 {
+		t.Errorf("%+v", shards.Declared)
 	}
-	if len(s.Policies) != 2 || s.Policies[0].Name != "1-morning" || s.LeastTime != 90*micro.Second || s.MostMoved != 100 || s.Dissolve {
-		t.Errorf("%+v", s)
+	if len(shards.Policies) != 2 || shards.Policies[0].Name != "1-morning" || shards.MinMoveInterval != 90*micro.Second || shards.MaxMachinesMoving != 100 || shards.Dissolve {
+		t.Errorf("%+v", shards)
 	}
 }
 
 // Each mistake is one line with file, key and reason.
 func TestMistakesInTheSharesFileAreNamed(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"shares.melt = 1":                                          `key "shares.melt": is unknown`,
 		"share.gpu.colour = red":                                   `key "share.gpu.colour": is unknown`,
 		"share.GPU.type = g8":                                      "small letters",
@@ -68,8 +68,8 @@
 		"share.a.type=x\nshare.b.zone=z":                           "another share selects",
 	} {
 		_, err := loadFeatureText(t, text)
-		if err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "shares.properties") {
-			t.Errorf("%q: %v, nothing said of %q", text, err, says)
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "shares.properties") {
+			t.Errorf("%q: %v, nothing said of %q", text, err, want)
 		}
 	}
 	if _, err := LoadFeatures([]string{"/nowhere/melting.properties"}, "n-0", nil); err == nil || !strings.Contains(err.Error(), `no feature "melting"`) {
@@ -78,15 +78,15 @@
 	if _, err := LoadFeatures([]string{"/nowhere/shares.properties"}, "n-0", nil); err == nil {
 		t.Error("a missing file is none")
 	}
-	if f, err := LoadFeatures(nil, "n-0", nil); err != nil || f.Shares != nil {
-		t.Errorf("%+v, %v without any file", f, err)
+	if features, err := LoadFeatures(nil, "n-0", nil); err != nil || features.Shards != nil {
+		t.Errorf("%+v, %v without any file", features, err)
 	}
 }
 
 // The file that is deployed is sound, and declares no share.
 func TestDeployedSharesFileIsSound(t *testing.T) {
 	f, err := LoadFeatures([]string{filepath.Join("..", "..", "deploy", "shares.properties")}, "n-0", nil)
-	if err != nil || f.Shares == nil || len(f.Shares.Declared) > 0 || f.Shares.Dissolve {
-		t.Errorf("%+v, %v", f.Shares, err)
+	if err != nil || f.Shards == nil || len(f.Shards.Declared) > 0 || f.Shards.Dissolve {
+		t.Errorf("%+v, %v", f.Shards, err)
 	}
 }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -20,31 +20,31 @@
 func (n *Node) rejection(job *wire.Job, relay bool) (front.Reply, bool) {
 	catalog := n.catalog.Load()
 	if catalog == nil {
-		return front.Later(503, 1), true
+		return front.RetryReply(503, 1), true
 	}
 	reason, status := n.infeasibleReason(job, catalog), 422
 	if reason == "" && wire.JSONSize(withoutDependencies(job)) > n.maxValueBytes()-specMargin {
 		reason, status = "the description is too large to keep", 400
 	}
-	if reason == "" && len(job.Needs) > 0 {
+	if reason == "" && len(job.Dependencies) > 0 {
 		if !n.FormatOpen() {
 			// A node of the earlier version may still lead, and would not wait.
-			return n.existingStatusOr(job.ID, relay, front.Later(503, 2)), true
+			return n.existingStatusOr(job.ID, relay, front.RetryReply(503, 2)), true
 		}
-		missing, err := n.unknownDependency(job.Needs, job.ID, relay)
+		missing, err := n.unknownDependency(job.Dependencies, job.ID, relay)
 		switch {
 		case err != nil:
-			return front.Later(503, 1), true
+			return front.RetryReply(503, 1), true
 		case missing != "":
 			reason = "awaits " + missing + ", which was never accepted"
 		}
 	}
 	if reason != "" {
-		return n.existingStatusOr(job.ID, relay, front.Fail(status, reason)), true
+		return n.existingStatusOr(job.ID, relay, front.ErrorReply(status, reason)), true
 	}
-	if l := n.activeLeader(); l != nil && int(l.pendingTasks.Load()) > n.Cfg.MaxPending {
+	if l := n.activeLeader(); l != nil && int(l.pendingTasks.Load()) > n.Cfg.MaxPendingTasks {
 		if _, ok := l.knownJobs.Load(job.ID); !ok {
-			return front.Later(429, 5), true
+			return front.RetryReply(429, 5), true
 		}
 	}
 	return front.Reply{}, false
@@ -56,7 +56,7 @@
 // withoutDependencies is a description without the list of what it awaits.
 func withoutDependencies(job *wire.Job) *wire.Job {
 	spec := *job
-	spec.Needs = nil
+	spec.Dependencies = nil
 	return &spec
 }
 
@@ -69,7 +69,7 @@
 	} else if stored, err := n.readStatus(id, store.Routine); err == nil {
 		reply = stored
 	} else {
-		reply = front.Later(503, 1)
+		reply = front.RetryReply(503, 1)
 	}
 	switch reply.Status {
 	case 404:
@@ -77,7 +77,7 @@
 	case 200:
 		return reply
 	}
-	return front.Later(503, 1)
+	return front.RetryReply(503, 1)
 }
 
 // unknownDependency finds a job among those awaited that was never accepted, "" if there is
@@ -97,7 +97,7 @@
 			unknown = append(unknown, id)
 		}
 	}
-	maxIDs := writer.PreconditionsPerChange * n.Cfg.TxnOps()
+	maxIDs := writer.PreconditionsPerChange * n.Cfg.MaxTxnOps()
 	for len(unknown) > 0 {
 		batch := unknown[:min(len(unknown), maxIDs)]
 		unknown = unknown[len(batch):]
@@ -122,7 +122,7 @@
 		return accepted, err
 	}
 	for _, node := range n.peersLeaderFirst() {
-		status, body, peerErr := n.callPeer(node, peer.Exist, wire.MustMarshal(ids), peerCallTimeout)
+		status, body, peerErr := n.callPeer(node, peer.AcceptedJobs, wire.MustMarshal(ids), peerCallTimeout)
 		var got []string
 		if peerErr == nil && status == 200 && wire.Unmarshal(body, &got) == nil {
 			found := map[string]bool{}
@@ -175,7 +175,7 @@
 			size, part = 0, nil
 		}
 	}
-	for _, id := range job.Needs {
+	for _, id := range job.Dependencies {
 		if size += len(id) + 3; size > maxBytes-16 {
 			flush()
 			size = len(id) + 3
@@ -183,7 +183,7 @@
 		part = append(part, id)
 	}
 	flush()
-	spec.NeedsIn = len(parts)
+	spec.DependencyChunks = len(parts)
 	return spec, parts
 }
 
@@ -198,15 +198,15 @@
 	}
 	spec, parts := n.splitSpec(job)
 	for len(parts) > 0 {
-		batch := parts[:min(len(parts), n.Cfg.TxnOps())]
+		batch := parts[:min(len(parts), n.Cfg.MaxTxnOps())]
 		parts = parts[len(batch):]
 		// A repeat carries the same list, and writes the same.
-		if _, err := n.Store.Commit(ctx, class, wire.Txn{If: []wire.Guard{{Key: specKey(job.ID)}}, Then: batch}); err != nil {
+		if _, err := n.Store.Commit(ctx, class, wire.Transaction{If: []wire.Precondition{{Key: specKey(job.ID)}}, Then: batch}); err != nil {
 			return err
 		}
 	}
-	_, err := n.Store.Commit(ctx, class, wire.Txn{
-		If:   []wire.Guard{{Key: specKey(job.ID)}},
+	_, err := n.Store.Commit(ctx, class, wire.Transaction{
+		If:   []wire.Precondition{{Key: specKey(job.ID)}},
 		Then: []wire.Change{{Put: specKey(job.ID), Value: spec}},
 	})
 	return err
@@ -229,7 +229,7 @@
 		return "a task fits no allowed machine type"
 	}
 	tasks := float64(job.Tasks)
-	if job.Kind == wire.Array {
+	if job.Kind == wire.JobArray {
 		tasks = 1
 	}
 	const eps = 1e-9
--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -88,7 +88,7 @@
 
 func (b *testCluster) checkNothingStored() {
 	b.t.Helper()
-	b.store.Outage(false)
+	b.store.SetOutage(false)
 	if p, err := b.store.Range(context.Background(), store.Routine, "job/", "", 10); err != nil || len(p.Items) > 0 {
 		b.t.Errorf("kept: %v, %v", p.Items, err)
 	}
@@ -127,7 +127,7 @@
 func TestInvalidSubmissionsInAnOutage(t *testing.T) {
 	env := newTestCluster(t)
 	nodes := env.threeNodes()
-	env.store.Outage(true)
+	env.store.SetOutage(true)
 	check := func(when string) {
 		for name, node := range nodes {
 			for why, body := range malformedSubmissions() {
@@ -205,7 +205,7 @@
 			}
 		}
 	}
-	env.store.Outage(true)
+	env.store.SetOutage(true)
 	nodes["leader"].activeLeader().term.End()
 	for name, node := range nodes {
 		for _, body := range [][]byte{submission("j-1", wire.Gang), dependentSubmission("j-2", "j-1")} {
@@ -215,7 +215,7 @@
 		}
 	}
 	node := nodes["follower"]
-	env.store.Outage(false)
+	env.store.SetOutage(false)
 	node.catalog.Store(nil)
 	if reply := node.Submit(submission("j-1", wire.Gang)); reply.Status != 503 {
 		t.Errorf("without the machine types: %+v", reply)
--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -20,7 +20,7 @@
 		t.Run(end, func(t *testing.T) {
 			runScenario(t, 3, 3, func(sim *simCluster) {
 				sim.fastBoot = true
-				sim.config.IdleReturn = 5 * micro.Second
+				sim.config.IdleTerminateAfter = 5 * micro.Second
 			}, func(sim *simCluster) {
 				leader, _ := sim.waitForRestoredLeader()
 				sim.waitUntil("the forms of this version in use", micro.Minute, func() bool {
@@ -28,21 +28,21 @@
 					return err == nil
 				})
 				sim.sleep(micro.Second) // and its leader told
-				sim.onTaskStart = func(machine *fakeMachine, key fake.Key) {
+				sim.onTaskStart = func(machine *fakeMachine, key fake.AttemptKey) {
 					if at, ok := sim.terminationRequestedAt(machine.agent.Name); ok {
 						t.Errorf("%v: %s starts on %s, whose return was asked for at %v", sim.now(), key.Task, machine.agent.Name, at)
 					}
 				}
-				job := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, cpus: 2, runTime: 3 * micro.Second}).submit()
+				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 2, runTime: 3 * micro.Second}).submit()
 				sim.waitUntil("done", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
 				sim.mu.Lock()
 				sim.cloud.terminationDelay = micro.Minute
 				sim.mu.Unlock()
 				var held atomic.Bool
 				if end == "ended before its record was written" {
-					sim.onCommit(leader, "hire/", func(int, wire.Change) fake.Fate {
+					sim.onCommit(leader, "hire/", func(int, wire.Change) fake.CommitFault {
 						held.Store(true)
-						return fake.Fate{Mute: true, After: micro.Minute}
+						return fake.CommitFault{Unanswered: true, ExecuteAfter: micro.Minute}
 					})
 				}
 				sim.waitUntil("a return asked for, or about to be", micro.Minute, func() bool {
@@ -59,7 +59,7 @@
 				}
 				sim.waitUntil("another leads", micro.Minute, func() bool { x := sim.leader(); return x != nil && x != leader })
 				sim.sleep(3 * micro.Second) // its workers report to it
-				next := sim.newJob(jobRequest{kind: wire.Array, tasks: 4, cpus: 2, runTime: 3 * micro.Second}).submit()
+				next := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 3 * micro.Second}).submit()
 				sim.waitUntil("done on another machine", micro.Minute, func() bool { return replyState(next.queryStatus(sim.randomUserNode())) == wire.JobDone })
 				sim.sleep(2 * micro.Minute)
 				for _, machine := range sim.liveMachines() {
@@ -79,8 +79,8 @@
 	runScenario(t, 5, 3, func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 		leader, _ := sim.waitForRestoredLeader()
 		sim.waitUntil("the forms of this version in use", micro.Minute, func() bool { return leader.runningNode().activeLeader().cluster.CompactRecords })
-		long := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 4, runTime: 3 * micro.Minute}).submit()
-		short := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 4, runTime: 20 * micro.Second}).submit()
+		long := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 3 * micro.Minute}).submit()
+		short := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 20 * micro.Second}).submit()
 		sim.waitUntil("both run", micro.Minute, func() bool { return long.runningTasks() == 1 && short.runningTasks() == 1 })
 		busy, idle := long.machines()[0].agent.Name, short.machines()[0].agent.Name
 		sim.waitUntil("one is done", micro.Minute, func() bool { return replyState(short.queryStatus(sim.randomUserNode())) == wire.JobDone })
@@ -141,7 +141,7 @@
 			}, func(sim *simCluster) {
 				sim.waitForRestoredLeader()
 				const trouble = 3 * micro.Minute
-				job := sim.newJob(jobRequest{kind: wire.Array, tasks: 4, runTime: 3 * micro.Second}).submit() // fits one machine
+				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, runTime: 3 * micro.Second}).submit() // fits one machine
 				sim.sleep(trouble)
 				sim.mu.Lock()
 				sim.cloud.bootFailureRatio = 0
@@ -149,7 +149,7 @@
 				sim.mu.Unlock()
 				sim.waitUntil("done", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
 				sim.sleep(3 * micro.Minute)
-				left := len(sim.cloud.Rented())
+				left := len(sim.cloud.Instances())
 				charged := sim.cloud.billedTime()
 				t.Logf("%d machines never came up, charged for %.0f s in all, %d are left", all, charged.Seconds(), left)
 				// Another is asked for after 1.6 boot times and 2 s of the last, and each
@@ -173,12 +173,12 @@
 // that another type fits goes there.
 func TestWavesOfFailedBootsStarveNoJobClass(t *testing.T) {
 	runScenario(t, 6, 3, func(sim *simCluster) {
-		sim.cloud.failsBoot = func(r wire.Rental) bool { return r.Type == "small" }
+		sim.cloud.failsBoot = func(r wire.InstanceRequest) bool { return r.Type == "small" }
 	}, func(sim *simCluster) {
 		sim.waitForRestoredLeader()
 		for i := range 6 {
 			at := sim.now()
-			job := sim.newJob(jobRequest{kind: wire.Array, tasks: 12, runTime: 10 * micro.Second, team: []string{"team", "other"}[i%2], spot: i%3 == 0}).submit()
+			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 12, runTime: 10 * micro.Second, team: []string{"team", "other"}[i%2], spot: i%3 == 0}).submit()
 			sim.waitUntil("done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
 			t.Logf("done after %.0f s", (sim.now() - at).Seconds())
 		}
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -32,7 +32,7 @@
 
 // randomTime draws a span of time.
 func (w *simCluster) randomTime(least, most micro.Time) micro.Time {
-	return micro.Of(w.randomDuration(least, most).Seconds())
+	return micro.FromSeconds(w.randomDuration(least, most).Seconds())
 }
 
 // holdsLease reports whether the node has the right to act.
@@ -73,8 +73,8 @@
 		// Without keepers the bound is a narrower one: see the design, "The bound
 		// for cancellations".
 		bound, last := cancelSpan, at
-		if w.config.KeepLeases == 0 {
-			bound = w.config.Outlive()
+		if w.config.LeaseProxyFactor == 0 {
+			bound = w.config.MaxCancelledTaskLife()
 		}
 		for w.now() < at+cancelSpan+micro.Second {
 			if job.runningTasks() > 0 {
@@ -93,7 +93,7 @@
 func (w *simCluster) checkRecovery() {
 	w.t.Helper()
 	w.waitUntil("calm", 5*micro.Minute, w.noActiveFaults)
-	job := w.newJob(jobRequest{kind: wire.Array, tasks: 1, runTime: 2 * micro.Second, priority: wire.Production}).submit()
+	job := w.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 2 * micro.Second, priority: wire.Production}).submit()
 	go job.watchUntilFinal()
 	w.waitUntil("served again", 90*micro.Second, func() bool { return job.knowledge().done })
 }
@@ -113,7 +113,7 @@
 // right lapsed, the tasks would have run on through the whole outage. Where a zone
 // has no keepers the end is written while the tasks run; else they are gone before.
 func TestCancelledByTheNextLeaderBeforeAnOutage(t *testing.T) {
-	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{kind: wire.Array, tasks: 3, runTime: endlessRun}
+	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{kind: wire.JobArray, tasks: 3, runTime: endlessRun}
 	gang := jobRequest{kind: wire.Gang, tasks: 3, runTime: endlessRun}
 	inB := func(request jobRequest) jobRequest { request.zone = "b"; return request }
 	const within, after = "within", "after"
@@ -163,7 +163,7 @@
 		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
 				if !test.keepers {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				job := sim.submitAndWaitRunning(test.o)
@@ -246,13 +246,13 @@
 		runSeedsOfRow(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
 				if !test.keepers {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				outcomes.record(simulationRan)
 				var jobs []*userJob
 				for i := range 6 {
-					jobs = append(jobs, sim.submitAndWaitRunning([]jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.Array, tasks: 2, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}}[i%3]))
+					jobs = append(jobs, sim.submitAndWaitRunning([]jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}}[i%3]))
 				}
 				old := sim.leader()
 				term := old.runningNode().activeLeader().term
@@ -384,21 +384,21 @@
 	}{
 		{"service, by a poll", jobRequest{kind: wire.Service, tasks: 2}, false, false, false},
 		{"gang, by a repeat", jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun}, false, true, false},
-		{"array, by a poll, no worker hears the next leader", jobRequest{kind: wire.Array, tasks: 2, runTime: endlessRun}, true, false, false},
-		{"pipeline, by a poll", jobRequest{kind: wire.Array, tasks: 2, runTime: endlessRun}, true, false, true},
+		{"array, by a poll, no worker hears the next leader", jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, false},
+		{"pipeline, by a poll", jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, true},
 		{"pipeline, by a repeat", jobRequest{kind: wire.Service, tasks: 2}, false, true, true},
 	} {
 		runSeedsOfRow(t, 5, test.name, func(t *testing.T, seed uint64) {
-			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.KeepLeases = 0 }, func(sim *simCluster) {
+			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
 				request := test.o
 				if test.awaited {
-					one := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, runTime: micro.Second}).submit()
+					one := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second}).submit()
 					request.dependencies = []string{one.id}
 				}
 				job := sim.submitAndWaitRunning(request)
 				jobs := []*userJob{job}
 				if test.awaited {
-					jobs = append(jobs, sim.newJob(jobRequest{kind: wire.Array, tasks: 1, runTime: micro.Second, dependencies: []string{job.id}}).submit())
+					jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second, dependencies: []string{job.id}}).submit())
 				}
 				sim.sleep(sim.randomTime(3*micro.Second, 6*micro.Second))
 				old := sim.leader()
@@ -469,10 +469,10 @@
 		then    bool // the leader changes after that, before the cut ends
 	}{
 		{"cut throughout", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, false, false, false},
-		{"cut ends for a while", jobRequest{kind: wire.Array, tasks: 3, zone: "b", runTime: endlessRun}, true, false, false},
+		{"cut ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, false},
 		{"cut throughout, the leader changes", jobRequest{kind: wire.Gang, tasks: 3, zone: "b", runTime: endlessRun}, false, true, false},
 		{"cut ends for a while, the leader changes", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, true, true, false},
-		{"the leader changes, cut ends for a while", jobRequest{kind: wire.Array, tasks: 3, zone: "b", runTime: endlessRun}, true, false, true},
+		{"the leader changes, cut ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, true},
 	} {
 		runSeedsOfRow(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 5, nil, func(sim *simCluster) {
@@ -548,11 +548,11 @@
 		runSeedsOfRow(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 5, func(sim *simCluster) {
 				if !test.keepers {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				var jobs []*userJob
-				for _, request := range []jobRequest{{kind: wire.Service, tasks: 3}, {kind: wire.Array, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 3, runTime: endlessRun}, {kind: wire.Service, tasks: 2, zone: "b"}} {
+				for _, request := range []jobRequest{{kind: wire.Service, tasks: 3}, {kind: wire.JobArray, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 3, runTime: endlessRun}, {kind: wire.Service, tasks: 2, zone: "b"}} {
 					jobs = append(jobs, sim.submitAndWaitRunning(request))
 				}
 				old := sim.leader()
@@ -667,13 +667,13 @@
 			runScenario(t, seed, []int{3, 5}[seed%2], func(sim *simCluster) {
 				sim.fastBoot = true
 				if !test.keepers {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				team, other := sim.fillTeamLimit("team", teamMaxCPUs, jobRequest{tasks: 2}), sim.fillTeamLimit("other", teamMaxCPUs, jobRequest{tasks: 4})
 				var waiting []*userJob
 				for range 4 {
-					waiting = append(waiting, sim.newJob(jobRequest{kind: wire.Service, tasks: 2}).submit(), sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: 3 * micro.Second, team: "other"}).submit())
+					waiting = append(waiting, sim.newJob(jobRequest{kind: wire.Service, tasks: 2}).submit(), sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 3 * micro.Second, team: "other"}).submit())
 				}
 				sim.sleep(3 * micro.Second)
 				cancelled := []*userJob{team[0], team[1], team[2], other[0], other[1]}
@@ -786,7 +786,7 @@
 			runScenario(t, seed, []int{3, 4}[seed%2], func(sim *simCluster) {
 				sim.fastBoot = true
 				if !test.keepers {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				full := sim.fillTeamLimit("team", teamMaxCPUs, jobRequest{tasks: 2})
@@ -894,14 +894,14 @@
 		runSeedsOfRow(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
 				if !test.keepers {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				outcomes.record(simulationRan)
 				const n = 10
 				var jobs []*userJob
 				for i := range n {
-					request := []jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.Array, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}, {kind: wire.Array, tasks: 2, runTime: endlessRun, zone: "b"}}[i%4]
+					request := []jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun, zone: "b"}}[i%4]
 					request.team = []string{"team", "other"}[i%2]
 					jobs = append(jobs, sim.submitAndWaitRunning(request))
 				}
@@ -984,8 +984,8 @@
 		{"resigns", func(_ *simCluster, l *controllerProcess) { resignLeader(l) }},
 	} {
 		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
-			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.KeepLeases = 0 }, func(sim *simCluster) {
-				jobs := []*userJob{sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2}), sim.submitAndWaitRunning(jobRequest{kind: wire.Array, tasks: 2, runTime: endlessRun}), sim.submitAndWaitRunning(jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun})}
+			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
+				jobs := []*userJob{sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2}), sim.submitAndWaitRunning(jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}), sim.submitAndWaitRunning(jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun})}
 				sim.sleep(3 * micro.Second)
 				l := sim.waitForLeader()
 				was := l.runningNode().activeLeader().term
@@ -1026,7 +1026,7 @@
 		"cut":     func(sim *simCluster, l *controllerProcess) { sim.partitionNode(l, 20*micro.Second, "state", "peers") },
 	} {
 		runSeedsOfRow(t, 5, name, func(t *testing.T, seed uint64) {
-			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.KeepLeases = 0 }, func(sim *simCluster) {
+			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
 				outcomes.record(simulationRan)
 				job := sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2})
 				sim.sleep(3 * micro.Second)
--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -21,11 +21,11 @@
 	history.cpuLimits["team"] = 8
 	zone := "a"
 	for _, j := range []wire.Job{
-		{ID: "j-1", Team: "team", Kind: wire.Array, Tasks: 2, CPUs: 1},
-		{ID: "j-2", Team: "team", Kind: wire.Array, Tasks: 4, CPUs: 4},
+		{ID: "j-1", Team: "team", Kind: wire.JobArray, Tasks: 2, CPUs: 1},
+		{ID: "j-2", Team: "team", Kind: wire.JobArray, Tasks: 4, CPUs: 4},
 		{ID: "j-3", Team: "team", Kind: wire.Service, Tasks: 3, CPUs: 1, Spread: true},
 		{ID: "j-4", Team: "team", Kind: wire.Gang, Tasks: 2, CPUs: 1, OneZone: true},
-		{ID: "j-5", Team: "team", Kind: wire.Array, Tasks: 1, CPUs: 1, Types: []string{"large"}, Zone: &zone},
+		{ID: "j-5", Team: "team", Kind: wire.JobArray, Tasks: 1, CPUs: 1, Types: []string{"large"}, Zone: &zone},
 	} {
 		history.submitted(j, 0, false)
 	}
@@ -153,7 +153,7 @@
 			}},
 		{"retry_after",
 			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, front.Reply{Status: 503}) },
-			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, front.Later(503, 1)) }},
+			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, front.RetryReply(503, 1)) }},
 	} {
 		history := newHistory()
 		test.broken(history)
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -95,7 +95,7 @@
 func (c *checker) observeMachine(machine *fakeMachine) {
 	tasks := map[string]bool{}
 	for key, t := range machine.agent.Tasks {
-		if t.State == wire.TaskWaiting || t.State == wire.TaskRunning || t.State == wire.TaskSaving {
+		if t.State == wire.TaskWaitingForGang || t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing {
 			tasks[key.Task] = true
 		}
 	}
@@ -109,7 +109,7 @@
 	was := c.tasksByMachine[name]
 	for task := range was {
 		if !tasks[task] {
-			id, _, _ := wire.SplitTask(task)
+			id, _, _ := wire.ParseTaskName(task)
 			delete(c.machinesByTask[task], name)
 			if record := c.jobs[id]; record != nil {
 				c.cpusInUse[record.spec.Team] -= record.spec.CPUs
@@ -131,7 +131,7 @@
 
 func (c *checker) taskBegan(task, machine, typ, zone string, spot bool) {
 	c.startCount++
-	id, _, ok := wire.SplitTask(task)
+	id, _, ok := wire.ParseTaskName(task)
 	record := c.jobs[id]
 	if !ok || record == nil {
 		c.violate("invented", "%s runs, and nobody submitted it", task)
@@ -145,7 +145,7 @@
 	if most := c.cpuLimits[spec.Team]; most > 0 && c.cpusInUse[spec.Team] > most+1e-9 {
 		c.violate("quota", "%s has %v CPUs with %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, most)
 	}
-	for _, need := range spec.Needs {
+	for _, need := range spec.Dependencies {
 		if n := c.jobs[need]; n == nil || len(n.completedTasks) < n.spec.Tasks {
 			c.violate("too_early", "%s begins, %s is not done", task, need)
 		}
@@ -159,7 +159,7 @@
 	}
 	here, elsewhere := 1, ""
 	for t, machines := range c.machinesByTask {
-		if other, _, _ := wire.SplitTask(t); other == id && t != task {
+		if other, _, _ := wire.ParseTaskName(t); other == id && t != task {
 			for _, z := range machines {
 				if z == zone {
 					here++
@@ -193,7 +193,7 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	for task, ms := range c.machinesByTask {
-		id, _, _ := wire.SplitTask(task)
+		id, _, _ := wire.ParseTaskName(task)
 		if record := c.jobs[id]; record != nil && record.aborted && now > record.abortReportedAt+c.cancelLimit {
 			for m := range ms {
 				c.violate("ran_cancelled", "%s is on %s, its user was told at %.1f s", task, m, record.abortReportedAt.Seconds())
@@ -224,7 +224,7 @@
 	if record.cancelRequested {
 		return true
 	}
-	for _, id := range record.spec.Needs {
+	for _, id := range record.spec.Dependencies {
 		if n := c.jobs[id]; n != nil && c.cancelWanted(n) {
 			return true
 		}
@@ -277,7 +277,7 @@
 		if !record.aborted {
 			record.aborted, record.abortReportedAt, record.abortReportedBy = true, c.now(), by
 			for task, machines := range c.machinesByTask {
-				if of, _, _ := wire.SplitTask(task); of == id {
+				if of, _, _ := wire.ParseTaskName(task); of == id {
 					record.tasksAtAbort += len(machines)
 				}
 			}
--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -54,12 +54,12 @@
 func (l *Leader) AttemptCompleted(p *model.Allocation, took micro.Time) {
 	j := p.Job
 	p.Machine.RecordRunTime(took, sched.EstimatedRuntime(j))
-	if j.Spec.EstimateS > 1 && j.Spec.CheckpointS == 0 || j.Spec.Kind == wire.Array && p.Attempt == 1 {
+	if j.Spec.EstimateS > 1 && j.Spec.CheckpointIntervalS == 0 || j.Spec.Kind == wire.JobArray && p.Attempt == 1 {
 		if j.Spec.EstimateS > 1 {
 			j.Class.UpdateEstimateBias(took.Seconds() / j.Spec.EstimateS)
 		}
 	}
-	if j.Spec.Kind == wire.Array && p.Machine.Type != nil && len(l.cluster.CatalogOrder) > 0 && p.Attempt == 1 {
+	if j.Spec.Kind == wire.JobArray && p.Machine.Type != nil && len(l.cluster.CatalogOrder) > 0 && p.Attempt == 1 {
 		l.speeds.AddSample(j.Spec.ID, p.Machine.Type.Name, took.Seconds(), j.Spec.CPUs)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -24,15 +24,15 @@
 // fakeAgents passes direct orders to fake workers.
 type fakeAgents struct {
 	mu        sync.Mutex
-	byMachine map[string]*fake.Worker
+	byMachine map[string]*fake.Agent
 }
 
-func (h *fakeAgents) Send(addr string, o wire.Orders) (*wire.Report, bool, error) {
+func (h *fakeAgents) Send(addr string, o wire.Commands) (*wire.Heartbeat, bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, w := range h.byMachine {
 		if name+":9000" == addr {
-			r, ok := w.Direct(o)
+			r, ok := w.HandleDispatch(o)
 			return r, ok, nil
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 func newTestCluster(t *testing.T) *testCluster {
-	return &testCluster{t: t, store: fake.NewStore(), agents: &fakeAgents{byMachine: map[string]*fake.Worker{}},
+	return &testCluster{t: t, store: fake.NewStore(), agents: &fakeAgents{byMachine: map[string]*fake.Agent{}},
 		cloud: fake.NewCloud(2, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"}})}
 }
 
@@ -59,14 +59,14 @@
 func (b *testCluster) startNodeWith(name string, set func(*Node)) (*Node, func()) {
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node = name
-	cfg.LeaderLease, cfg.LeaderRenew = 600*micro.Millisecond, 100*micro.Millisecond
+	cfg.LeaderLease, cfg.LeaderRenewInterval = 600*micro.Millisecond, 100*micro.Millisecond
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
 	cfg.Facts.Workers.CancelS = 50
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
 	// Nothing waits for room to come free: machines are rented at once.
 	cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
 	node := &Node{Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(), Now: micro.Now, Wall: micro.Wall}
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(), Now: micro.Now, Wall: micro.WallNow}
 	node.Init()
 	set(node)
 	cat, _ := b.cloud.Catalog(context.Background())
@@ -94,7 +94,7 @@
 // unansweredCommitStore is a store that answers no transaction until its caller gives up.
 type unansweredCommitStore struct{ store.Store }
 
-func (unansweredCommitStore) Commit(ctx context.Context, _ store.Class, _ wire.Txn) (uint64, error) {
+func (unansweredCommitStore) Commit(ctx context.Context, _ store.Class, _ wire.Transaction) (uint64, error) {
 	<-ctx.Done()
 	return 0, store.ErrUncertain
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-func submission(id string, kind wire.Kind) []byte {
+func submission(id string, kind wire.JobKind) []byte {
 	return wire.MustMarshal(map[string]any{"nameId": id, "jobclass": "c", "outfit": "team", "shape": string(kind), "rank": "standard",
 		"pieces": 2, "vcpus": 1, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false, "scatter": false, "loaners": false,
 		"guessS": 10, "bookmarkS": 0, "stashS": 0})
@@ -123,24 +123,24 @@
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
-		for _, m := range b.cloud.Rented() {
+		for _, m := range b.cloud.Instances() {
 			b.agents.mu.Lock()
 			fakeAgent := b.agents.byMachine[m.Name]
 			if fakeAgent == nil {
-				fakeAgent = fake.NewWorker(m.Name, m.Type, m.Zone, 30*micro.Second)
+				fakeAgent = fake.NewAgent(m.Name, m.Type, m.Zone, 30*micro.Second)
 				b.agents.byMachine[m.Name] = fakeAgent
 			}
 			for key, task := range fakeAgent.Tasks {
 				if task.State == wire.TaskRunning && key.Task != "j-9/0" && key.Task != "j-9/1" {
-					fakeAgent.Exit(key.Task, key.Attempt, wire.CauseDone)
+					fakeAgent.ExitTask(key.Task, key.Attempt, wire.CauseDone)
 				}
 			}
-			body := wire.MustMarshal(fakeAgent.Report())
+			body := wire.MustMarshal(fakeAgent.Heartbeat())
 			b.agents.mu.Unlock()
-			reply := node.Beat(body)
-			if commands, ok := reply.Body.(wire.Orders); ok && reply.Status == 200 {
+			reply := node.Heartbeat(body)
+			if commands, ok := reply.Body.(wire.Commands); ok && reply.Status == 200 {
 				b.agents.mu.Lock()
-				fakeAgent.Answer(commands, micro.Now())
+				fakeAgent.HandleResponse(commands, micro.Now())
 				b.agents.mu.Unlock()
 			}
 		}
@@ -148,7 +148,7 @@
 }
 
 func jobState(n *Node, id string) wire.JobState {
-	if s, ok := n.Show(id).Body.(wire.JobStatus); ok {
+	if s, ok := n.Status(id).Body.(wire.JobStatus); ok {
 		return s.State
 	}
 	return ""
@@ -157,7 +157,7 @@
 func TestJobRunsToItsEndAndIsKnownAfterAllProcessesWereReplaced(t *testing.T) {
 	env := newTestCluster(t)
 	node, kill := env.startNode("n-0")
-	if reply := node.Submit(submission("j-1", wire.Array)); reply.Status != 201 {
+	if reply := node.Submit(submission("j-1", wire.JobArray)); reply.Status != 201 {
 		t.Fatalf("%+v", reply)
 	}
 	stop := make(chan struct{})
@@ -167,13 +167,13 @@
 	kill()
 	restarted, _ := env.startNode("n-0")
 	waitUntil(t, "its state from the store", func() bool { return jobState(restarted, "j-1") == wire.JobDone })
-	if reply := restarted.Submit(submission("j-1", wire.Array)); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
+	if reply := restarted.Submit(submission("j-1", wire.JobArray)); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
 		t.Fatalf("a late repeat got %+v", reply)
 	}
-	if reply := restarted.Withdraw("j-1"); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
+	if reply := restarted.Cancel("j-1"); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
 		t.Fatalf("withdrawn after its end: %+v", reply)
 	}
-	if reply := restarted.Show("j-404"); reply.Status != 404 {
+	if reply := restarted.Status("j-404"); reply.Status != 404 {
 		t.Fatalf("%+v", reply)
 	}
 }
@@ -185,7 +185,7 @@
 	stop := make(chan struct{})
 	go env.runAgents(node, stop)
 	waitUntil(t, "running", func() bool { return jobState(node, "j-9") == wire.JobRunning })
-	waitUntil(t, "withdrawn", func() bool { return node.Withdraw("j-9").Status == 200 })
+	waitUntil(t, "withdrawn", func() bool { return node.Cancel("j-9").Status == 200 })
 	waitUntil(t, "its tasks gone", func() bool {
 		env.agents.mu.Lock()
 		defer env.agents.mu.Unlock()
@@ -212,15 +212,15 @@
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	env.store.LoseAnswers(1)
-	reply := node.Submit(submission("j-1", wire.Array))
+	reply := node.Submit(submission("j-1", wire.JobArray))
 	for reply.Status == 201 { // the lost answer was the leader's own
 		env.store.LoseAnswers(1)
-		reply = node.Submit(submission("j-1", wire.Array))
+		reply = node.Submit(submission("j-1", wire.JobArray))
 	}
 	if reply.Status != 503 && reply.Status != 200 || reply.Status == 503 && reply.RetryAfter == 0 {
 		t.Fatalf("%+v", reply)
 	}
-	if reply := node.Submit(submission("j-1", wire.Array)); reply.Status != 200 {
+	if reply := node.Submit(submission("j-1", wire.JobArray)); reply.Status != 200 {
 		t.Fatalf("the retry got %+v", reply)
 	}
 }
@@ -263,15 +263,15 @@
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	leader := node.activeLeader()
-	env.store.Outage(true)
+	env.store.SetOutage(true)
 	waitUntil(t, "silent", func() bool { return node.activeLeader() == nil })
-	if reply := node.Beat(wire.MustMarshal(wire.Report{Machine: "i-1", Addr: "x:1", Session: 1, Seq: 1})); reply.Status != 503 {
+	if reply := node.Heartbeat(wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1})); reply.Status != 503 {
 		t.Fatalf("a worker got %+v", reply)
 	}
-	if reply := node.Show("j-1"); reply.Status != 503 || reply.RetryAfter == 0 {
+	if reply := node.Status("j-1"); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Fatalf("a poll got %+v", reply)
 	}
-	env.store.Outage(false)
+	env.store.SetOutage(false)
 	waitUntil(t, "leading again", func() bool { return node.activeLeader() != nil })
 	if again := node.activeLeader(); again != nil && again != leader {
 		t.Fatal("its lease had its full time again, yet the term changed")
@@ -288,18 +288,18 @@
 		t.Fatal("two lead")
 	}
 	old := n0.activeLeader().term
-	env.store.HoldBack(1)
-	_, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{If: []wire.Guard{old.Precondition()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}})
+	env.store.HoldCommits(1)
+	_, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{If: []wire.Precondition{old.Precondition()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}})
 	if err == nil {
 		t.Fatal("not held back")
 	}
 	kill()
 	waitUntil(t, "the other leads", func() bool { return n1.activeLeader() != nil })
-	if env.store.Deliver() != 0 {
+	if env.store.DeliverHeld() != 0 {
 		t.Fatal("a write of the old term took effect under the new one")
 	}
-	reply := n1.Beat(wire.MustMarshal(wire.Report{Machine: "i-1", Addr: "x:1", Session: 1, Seq: 1}))
-	if commands, ok := reply.Body.(wire.Orders); !ok || uint64(commands.Token) <= old.FencingRevision<<tokenBits {
+	reply := n1.Heartbeat(wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1}))
+	if commands, ok := reply.Body.(wire.Commands); !ok || uint64(commands.FencingToken) <= old.FencingRevision<<tokenBits {
 		t.Fatalf("token of the new term: %+v", reply)
 	}
 }
@@ -312,13 +312,13 @@
 	defer close(stop)
 	go env.runAgents(node, stop)
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
-	env.store.HoldBack(2)
-	for node.Submit(submission("j-1", wire.Array)).Status == 503 {
+	env.store.HoldCommits(2)
+	for node.Submit(submission("j-1", wire.JobArray)).Status == 503 {
 		time.Sleep(time.Millisecond)
 	}
 	waitUntil(t, "done", func() bool { return jobState(node, "j-1") == wire.JobDone })
 	before, _ := env.store.Range(context.Background(), store.Routine, "job/", "", 100)
-	env.store.Deliver()
+	env.store.DeliverHeld()
 	after, _ := env.store.Range(context.Background(), store.Routine, "job/", "", 100)
 	for i := range before.Items {
 		if before.Items[i].Version != after.Items[i].Version {
@@ -330,8 +330,8 @@
 func TestInstanceRequestIsRepeatedIdempotentlyByTheNextLeader(t *testing.T) {
 	env := newTestCluster(t)
 	node, kill := env.startNode("n-0")
-	node.Submit(submission("j-1", wire.Array))
-	waitUntil(t, "rented", func() bool { return len(env.cloud.Rented()) > 0 })
+	node.Submit(submission("j-1", wire.JobArray))
+	waitUntil(t, "rented", func() bool { return len(env.cloud.Instances()) > 0 })
 	kill()
 	restarted, _ := env.startNode("n-1")
 	waitUntil(t, "another leads", func() bool { return restarted.activeLeader() != nil })
@@ -339,7 +339,7 @@
 	defer close(stop)
 	go env.runAgents(restarted, stop)
 	waitUntil(t, "done", func() bool { return jobState(restarted, "j-1") == wire.JobDone })
-	if got := len(env.cloud.Rented()); got > 1 {
+	if got := len(env.cloud.Instances()); got > 1 {
 		t.Fatalf("%d machines for a job that needs one", got)
 	}
 }
@@ -382,7 +382,7 @@
 		then = append(then, wire.Change{Put: runKey("j-1", i), Value: model.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}})
 	}
 	then = append(then, wire.Change{Put: specKey("j-1"), Value: wire.Job{ID: "j-1", Team: "team", Tasks: 100_000, CPUs: 1}})
-	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Txn{Then: then}); err != nil {
+	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
 	}
 	reply, err := node.readStatus("j-1", store.Routine)
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -44,8 +44,8 @@
 	runScenario(t, 5, 3, func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 		var mu sync.Mutex
 		starts := map[string]int{}
-		sim.onTaskStart = func(_ *fakeMachine, key fake.Key) {
-			id, _, _ := wire.SplitTask(key.Task)
+		sim.onTaskStart = func(_ *fakeMachine, key fake.AttemptKey) {
+			id, _, _ := wire.ParseTaskName(key.Task)
 			mu.Lock()
 			defer mu.Unlock()
 			starts[id]++
@@ -53,16 +53,16 @@
 		sim.waitForRestoredLeader()
 		var bad []*userJob
 		for range singles {
-			bad = append(bad, sim.newJob(jobRequest{kind: wire.Array, tasks: 1, runTime: 10 * micro.Second, alwaysFails: true}))
+			bad = append(bad, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 10 * micro.Second, alwaysFails: true}))
 		}
-		huge := sim.newJob(jobRequest{kind: wire.Array, tasks: 3000, runTime: 10 * micro.Second, alwaysFails: true})
+		huge := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 3000, runTime: 10 * micro.Second, alwaysFails: true})
 		bad = append(bad, huge)
 		for _, job := range bad {
 			go job.submit()
 		}
 		var slowest micro.Time
 		for from := sim.now(); sim.now() < from+span; {
-			job := sim.newJob(jobRequest{kind: wire.Array, tasks: 4, runTime: 5 * micro.Second, team: "other"})
+			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, runTime: 5 * micro.Second, team: "other"})
 			at := sim.now()
 			go job.submit()
 			sim.waitUntil(job.id+" done beside the jobs that fail", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -49,7 +49,7 @@
 			summary.zones[machine.Zone] = zone
 		}
 		sinceHeartbeat := l.sinceHeartbeat(machine, now)
-		if machine.State == model.Up && sinceHeartbeat > l.node.Cfg.SilentAfter {
+		if machine.State == model.Up && sinceHeartbeat > l.node.Cfg.SuspectAfter {
 			// Only what proves to have been sent from now on is a sign of life.
 			machine.RequiredFencingToken = l.fencingToken + 1
 			l.cluster.TransitionMachine(machine, model.Suspect, "no reports")
@@ -74,7 +74,7 @@
 	zone.expected++
 	// A machine is missing once a report is overdue, well before it counts as
 	// silent: in a cut, the first to be called silent must not look alone.
-	if sinceHeartbeat > l.node.Cfg.Overdue() {
+	if sinceHeartbeat > l.node.Cfg.HeartbeatOverdueAfter() {
 		zone.missing++
 	}
 	switch machine.State {
@@ -86,7 +86,7 @@
 	case model.Suspect:
 		summary.suspect++
 	case model.Registering:
-		if len(machine.Allocations) > 0 && sinceHeartbeat > l.node.Cfg.SilentAfter {
+		if len(machine.Allocations) > 0 && sinceHeartbeat > l.node.Cfg.SuspectAfter {
 			summary.suspect++ // not one report since the takeover
 		}
 	}
@@ -99,7 +99,7 @@
 func (l *Leader) machinesLookDead(zoneName string, summary *heartbeatSummary, now micro.Time) bool {
 	zone := summary.zones[zoneName]
 	suspectedAt, suspected := l.suspectedZones[zoneName]
-	return l.indicatesFailure(zone.missing, zone.expected) && (!suspected || now-suspectedAt > l.node.Cfg.SilentAfter)
+	return l.indicatesFailure(zone.missing, zone.expected) && (!suspected || now-suspectedAt > l.node.Cfg.SuspectAfter)
 }
 
 // evaluateMachine frees what a machine surely lost and has it returned if it is of no more
@@ -124,7 +124,7 @@
 		// Just after a lapse of the right nothing has been heard for long: that
 		// says nothing of a zone that was silent before. A thousand machines
 		// beyond a cut were once returned in the moment an outage ended.
-		if l.missingFromInventory(machine) || noticeExpired || l.sinceHeartbeat(machine, now) > l.node.Cfg.SilentAfter && l.machinesLookDead(machine.Zone, summary, now) {
+		if l.missingFromInventory(machine) || noticeExpired || l.sinceHeartbeat(machine, now) > l.node.Cfg.SuspectAfter && l.machinesLookDead(machine.Zone, summary, now) {
 			l.terminate(machine, "silent")
 		}
 	case model.Expired:
@@ -153,7 +153,7 @@
 	if !ok || !e.OwnedElsewhere() {
 		return false
 	}
-	settleTime := l.node.Cfg.Round() + l.node.Cfg.SilentAfter
+	settleTime := l.node.Cfg.RegistrationWindow() + l.node.Cfg.SuspectAfter
 	view := l.viewOf(e.Name)
 	return view.allMachinesKnownAt > 0 && now-view.allMachinesKnownAt > settleTime && l.node.Wall()-micro.Time(e.Record.ChangedAt) > settleTime
 }
@@ -162,15 +162,15 @@
 func (l *Leader) bootTimeout(m *model.Machine) micro.Time {
 	bootTime := defaultBootTime
 	if m.Type != nil {
-		bootTime = micro.Of(m.Type.BootS)
+		bootTime = micro.FromSeconds(m.Type.BootS)
 	}
-	return micro.Time(float64(bootTime) * l.node.Cfg.BootPatience)
+	return micro.Time(float64(bootTime) * l.node.Cfg.BootTimeoutFactor)
 }
 
 // missingFromInventory reports whether a machine that was listed is no longer, for longer than
 // the list lags.
 func (l *Leader) missingFromInventory(m *model.Machine) bool {
-	lag := micro.Of(l.node.Cfg.Facts.Cloud.ListLagS)
+	lag := micro.FromSeconds(l.node.Cfg.Facts.Cloud.ListLagS)
 	return m.LastListed > 0 && l.inventoryAt-m.LastListed > 2*lag
 }
 
@@ -183,22 +183,22 @@
 	cfg := l.node.Cfg
 	bootTime := defaultBootTime
 	if machine.Type != nil {
-		bootTime = micro.Of(machine.Type.BootS)
+		bootTime = micro.FromSeconds(machine.Type.BootS)
 	}
-	age := now - max(machine.RequestedAt, l.cluster.TermStartedAt-micro.Of(3600))
+	age := now - max(machine.RequestedAt, l.cluster.TermStartedAt-micro.FromSeconds(3600))
 	bootTimeout := l.bootTimeout(machine)
 	waited := now - max(l.cluster.TermStartedAt, l.resumedAt)
 	idle := len(machine.Allocations) == 0
 	switch {
-	case machine.LastListed == 0 && now-l.inventoryAt < maxInventoryAge && idle && waited > cfg.SilentAfter && age > bootTimeout+2*micro.Of(cfg.Facts.Cloud.ListLagS):
+	case machine.LastListed == 0 && now-l.inventoryAt < maxInventoryAge && idle && waited > cfg.SuspectAfter && age > bootTimeout+2*micro.FromSeconds(cfg.Facts.Cloud.ListLagS):
 		return "never listed, never heard"
-	case l.missingFromInventory(machine) && waited > cfg.SilentAfter:
+	case l.missingFromInventory(machine) && waited > cfg.SuspectAfter:
 		return "no longer listed, never heard"
-	case machine.CloudState == wire.MachineRunning && waited > max(15*micro.Second, cfg.Round()) && age > 3*bootTime && now-machine.LastListed < micro.Minute && l.machinesLookDead(machine.Zone, summary, now):
+	case machine.CloudState == wire.MachineRunning && waited > max(15*micro.Second, cfg.RegistrationWindow()) && age > 3*bootTime && now-machine.LastListed < micro.Minute && l.machinesLookDead(machine.Zone, summary, now):
 		return "listed as running, never heard"
-	case !idle && waited > cfg.SilentAfter+4*micro.Second && l.machinesLookDead(machine.Zone, summary, now) && l.registrationRoundOver(machine, summary, waited):
+	case !idle && waited > cfg.SuspectAfter+4*micro.Second && l.machinesLookDead(machine.Zone, summary, now) && l.registrationRoundOver(machine, summary, waited):
 		return "silent since the takeover"
-	case machine.CloudState == wire.MachineBooting && now-machine.LastListed < maxInventoryAge && idle && waited > cfg.SilentAfter && age > bootTimeout:
+	case machine.CloudState == wire.MachineBooting && now-machine.LastListed < maxInventoryAge && idle && waited > cfg.SuspectAfter && age > bootTimeout:
 		return "did not come up"
 	}
 	return ""
@@ -208,7 +208,7 @@
 // zone are missing, or each worker has surely tried all nodes.
 func (l *Leader) registrationRoundOver(m *model.Machine, summary *heartbeatSummary, waited micro.Time) bool {
 	zone := summary.zones[m.Zone]
-	return zone.missing*fewMissingDivisor <= zone.expected || waited > l.node.Cfg.Round()
+	return zone.missing*fewMissingDivisor <= zone.expected || waited > l.node.Cfg.RegistrationWindow()
 }
 
 // checkResponsesLost watches a machine that reports but may hear nothing.
--- a/internal/controller/final_status_cache_test.go
+++ b/internal/controller/final_status_cache_test.go
@@ -32,12 +32,12 @@
 	for _, id := range []string{"j-1", "j-2"} {
 		then = append(then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}, wire.Change{Put: endKey(id), Value: map[string]any{"state": "done"}})
 	}
-	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Txn{Then: then}); err != nil {
+	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
 	}
 	ask := func(id string) {
 		t.Helper()
-		if reply := node.Show(id); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
+		if reply := node.Status(id); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
 			t.Fatalf("%s: %+v", id, reply)
 		}
 	}
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -19,7 +19,7 @@
 // unansweredDispatch answers no direct order.
 type unansweredDispatch struct{}
 
-func (unansweredDispatch) Send(string, wire.Orders) (*wire.Report, bool, error) {
+func (unansweredDispatch) Send(string, wire.Commands) (*wire.Heartbeat, bool, error) {
 	return nil, false, agent.ErrUncertain
 }
 
@@ -28,7 +28,7 @@
 type fleet struct {
 	leader *Leader
 	now    micro.Time
-	agents []*fake.Worker
+	agents []*fake.Agent
 }
 
 func newFleet(tb testing.TB, machines int) *fleet {
@@ -38,7 +38,7 @@
 	cfg.Node = "n-0"
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
 	cfg.Facts.Teams = []config.Team{{Name: "team"}}
-	cfg.Derive()
+	cfg.DeriveDefaults()
 	node := &Node{Cfg: cfg, Store: fake.NewStore(), Cloud: fake.NewCloud(0), Agent: unansweredDispatch{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: metrics.New(), Now: func() micro.Time { return fleet.now }, Wall: func() micro.Time { return fleet.now }}
 	node.Init()
@@ -50,13 +50,13 @@
 	fleet.leader = newLeader(node, election.NewTerm(7, 1<<60))
 	fleet.leader.cluster.SetCatalog(cat)
 	for i := range machines {
-		fakeAgent := fake.NewWorker(fmt.Sprintf("i-%06d", i), fmt.Sprint("t", i%4), []string{"a", "b"}[i%2], 30*micro.Second)
-		fakeAgent.Token = fleet.leader.fencingToken
+		fakeAgent := fake.NewAgent(fmt.Sprintf("i-%06d", i), fmt.Sprint("t", i%4), []string{"a", "b"}[i%2], 30*micro.Second)
+		fakeAgent.FencingToken = fleet.leader.fencingToken
 		fleet.agents = append(fleet.agents, fakeAgent)
 		fleet.heartbeat(fakeAgent)
 	}
 	for i := 0; i < machines*6; i += 60 {
-		fleet.leader.addJob(wire.Job{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i"})
+		fleet.leader.addJob(wire.Job{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i"})
 	}
 	fleet.leader.scheduler.Schedule(fleet.now)
 	for _, machine := range fleet.leader.cluster.SortedMachines() {
@@ -71,10 +71,10 @@
 	return fleet
 }
 
-func (h *fleet) heartbeat(w *fake.Worker) { h.handleHeartbeat(w, wire.MustMarshal(w.Report())) }
+func (h *fleet) heartbeat(w *fake.Agent) { h.handleHeartbeat(w, wire.MustMarshal(w.Heartbeat())) }
 
-func (h *fleet) handleHeartbeat(w *fake.Worker, body []byte) {
-	r, err := wire.DecodeReport(body)
+func (h *fleet) handleHeartbeat(w *fake.Agent, body []byte) {
+	r, err := wire.DecodeHeartbeat(body)
 	if err != nil {
 		panic(err)
 	}
@@ -82,10 +82,10 @@
 	if verdict != model.Applied {
 		panic("not taken")
 	}
-	o := wire.Orders{Token: wire.Count(h.leader.fencingToken), Orders: h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now)}
+	o := wire.Commands{FencingToken: wire.Count(h.leader.fencingToken), Items: h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now)}
 	h.leader.cluster.ResponseSent(m, h.leader.fencingToken)
 	_ = wire.MustMarshal(o)
-	w.Answer(o, h.now)
+	w.HandleResponse(o, h.now)
 }
 
 func BenchmarkHeartbeat(b *testing.B) {
@@ -100,7 +100,7 @@
 				if k == 0 {
 					b.StopTimer()
 					for x, fakeAgent := range fleet.agents {
-						bodies[x] = wire.MustMarshal(fakeAgent.Report())
+						bodies[x] = wire.MustMarshal(fakeAgent.Heartbeat())
 					}
 					fleet.now += 6 * micro.Second
 					b.StartTimer()
@@ -126,7 +126,7 @@
 	for _, n := range []int{290, 2900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
-			fleet.leader.addJob(wire.Job{ID: "j-99999999", Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 600, CPUs: 9, MemoryGB: 1, EstimateS: 50, Image: "i"})
+			fleet.leader.addJob(wire.Job{ID: "j-99999999", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 9, MemoryGB: 1, EstimateS: 50, Image: "i"})
 			for b.Loop() {
 				fleet.leader.planner.Plan(fleet.now)
 			}
@@ -139,7 +139,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 600, CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i"})
+				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i"})
 			}
 			for b.Loop() {
 				fleet.leader.scheduler.Schedule(fleet.now)
@@ -154,7 +154,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: fmt.Sprint("c", i), Team: "team", Kind: wire.Array, Priority: wire.Normal, Tasks: 600, CPUs: 2, MemoryGB: 60, EstimateS: 50, Image: "i"})
+				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: fmt.Sprint("c", i), Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 2, MemoryGB: 60, EstimateS: 50, Image: "i"})
 			}
 			fleet.now += 2 * micro.Minute
 			for b.Loop() {
@@ -171,8 +171,8 @@
 		ids = append(ids, id)
 	}
 	for i := range n {
-		h.leader.addJob(wire.Job{ID: fmt.Sprintf("j-5%06d", i), Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1,
-			EstimateS: 20, Image: "i", Needs: []string{ids[i%len(ids)], ids[(i*7+1)%len(ids)]}})
+		h.leader.addJob(wire.Job{ID: fmt.Sprintf("j-5%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1,
+			EstimateS: 20, Image: "i", Dependencies: []string{ids[i%len(ids)], ids[(i*7+1)%len(ids)]}})
 	}
 }
 
@@ -197,8 +197,8 @@
 			fleet.addWaitingJobs(n)
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("j-8", i)
-				j := fleet.leader.cluster.AddJob(wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20}, fleet.now, fleet.now)
-				fleet.leader.cluster.AddJob(wire.Job{ID: id + "1", Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20, Needs: []string{id}}, fleet.now, fleet.now)
+				j := fleet.leader.cluster.AddJob(wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20}, fleet.now, fleet.now)
+				fleet.leader.cluster.AddJob(wire.Job{ID: id + "1", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20, Dependencies: []string{id}}, fleet.now, fleet.now)
 				fleet.leader.cluster.FinalizeJob(j, false, fleet.now)
 			}
 		})
@@ -212,10 +212,10 @@
 			snapshot := newJobSnapshot()
 			for i := range n {
 				id := fmt.Sprintf("j-%06d", i)
-				snapshot.specs[id] = wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1}
+				snapshot.specs[id] = wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1}
 				if i >= 100 {
 					job := snapshot.specs[id]
-					job.Needs = []string{fmt.Sprintf("j-%06d", i-100), fmt.Sprintf("j-%06d", i/2)}
+					job.Dependencies = []string{fmt.Sprintf("j-%06d", i-100), fmt.Sprintf("j-%06d", i/2)}
 					snapshot.specs[id] = job
 				}
 			}
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -19,8 +19,8 @@
 // than room, and a stream of small jobs.
 
 // allocationStored reports whether the store holds the record of a place.
-func (w *simCluster) allocationStored(machine string, key fake.Key) bool {
-	id, index, _ := wire.SplitTask(key.Task)
+func (w *simCluster) allocationStored(machine string, key fake.AttemptKey) bool {
+	id, index, _ := wire.ParseTaskName(key.Task)
 	page, err := w.store.Range(context.Background(), store.Routine, "run/"+id+"/", "", 1000)
 	if err != nil {
 		w.t.Error(err)
@@ -71,11 +71,11 @@
 		{"rental's record late", func(sim *simCluster, leader *controllerProcess) func() bool {
 			tries := 0
 			var mu sync.Mutex
-			sim.onCommit(leader, "hire/", func(n int, _ wire.Change) fake.Fate {
+			sim.onCommit(leader, "hire/", func(n int, _ wire.Change) fake.CommitFault {
 				mu.Lock()
 				defer mu.Unlock()
 				tries = n
-				return fake.Fate{Mute: true, After: 30 * micro.Second}
+				return fake.CommitFault{Unanswered: true, ExecuteAfter: 30 * micro.Second}
 			})
 			return func() bool { mu.Lock(); defer mu.Unlock(); return tries > 3 }
 		}},
@@ -93,11 +93,11 @@
 		{"rental's record late and handed over", func(sim *simCluster, leader *controllerProcess) func() bool {
 			out := false
 			var mu sync.Mutex
-			sim.onCommit(leader, "hire/", func(int, wire.Change) fake.Fate {
+			sim.onCommit(leader, "hire/", func(int, wire.Change) fake.CommitFault {
 				mu.Lock()
 				defer mu.Unlock()
 				out = true
-				return fake.Fate{Mute: true, After: 30 * micro.Second}
+				return fake.CommitFault{Unanswered: true, ExecuteAfter: 30 * micro.Second}
 			})
 			return func() bool {
 				mu.Lock()
@@ -113,16 +113,16 @@
 		{"starts' records late", func(sim *simCluster, leader *controllerProcess) func() bool {
 			tries := 0
 			var mu sync.Mutex
-			sim.onCommit(leader, "run/", func(n int, _ wire.Change) fake.Fate {
+			sim.onCommit(leader, "run/", func(n int, _ wire.Change) fake.CommitFault {
 				mu.Lock()
 				defer mu.Unlock()
 				tries = n
-				return fake.Fate{Mute: true, After: 3 * micro.Second}
+				return fake.CommitFault{Unanswered: true, ExecuteAfter: 3 * micro.Second}
 			})
 			return func() bool { mu.Lock(); defer mu.Unlock(); return tries > 2 }
 		}},
 		{"starts' answers lost", func(sim *simCluster, leader *controllerProcess) func() bool {
-			sim.onCommit(leader, "run/", func(n int, _ wire.Change) fake.Fate { return fake.Fate{Mute: n%2 == 1} })
+			sim.onCommit(leader, "run/", func(n int, _ wire.Change) fake.CommitFault { return fake.CommitFault{Unanswered: n%2 == 1} })
 			return func() bool { return sim.checker.startsSoFar() > 0 }
 		}},
 		{"slow store", func(sim *simCluster, leader *controllerProcess) func() bool {
@@ -134,7 +134,7 @@
 			for seed := range uint64(3) {
 				runScenario(t, seed, 3, func(sim *simCluster) {
 					sim.fastBoot = true
-					sim.onTaskStart = func(machine *fakeMachine, key fake.Key) {
+					sim.onTaskStart = func(machine *fakeMachine, key fake.AttemptKey) {
 						if !sim.allocationStored(machine.agent.Name, key) {
 							sim.t.Errorf("%v: %s starts on %s without its record", sim.now(), key.Task, machine.agent.Name)
 						}
@@ -144,7 +144,7 @@
 					met := test.lag(sim, leader)
 					var jobs []*userJob
 					for i := range 6 {
-						jobs = append(jobs, sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 4, runTime: 50 * micro.Second, priority: wire.Production, team: []string{"team", "other"}[i%2]}).submit())
+						jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 50 * micro.Second, priority: wire.Production, team: []string{"team", "other"}[i%2]}).submit())
 					}
 					sim.waitUntil("the meeting", 30*micro.Second, met)
 					if !strings.HasSuffix(test.name, "handed over") {
@@ -204,7 +204,7 @@
 				sim.slowAgents(600*micro.Millisecond, 4*micro.Minute)
 				var jobs []*userJob
 				for i := range 8 {
-					jobs = append(jobs, sim.newJob(jobRequest{kind: wire.Array, tasks: 4, cpus: 2, runTime: 25 * micro.Second, priority: []wire.Priority{wire.Low, wire.Normal}[i%2], team: []string{"team", "other"}[i%2]}).submit())
+					jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 25 * micro.Second, priority: []wire.Priority{wire.Low, wire.Normal}[i%2], team: []string{"team", "other"}[i%2]}).submit())
 				}
 				full := func() bool {
 					n := 0
@@ -216,7 +216,7 @@
 				sim.waitUntil("no room left", micro.Minute, full)
 				var urgent []*userJob
 				for i := range 4 {
-					job := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, cpus: 2, runTime: 15 * micro.Second, priority: wire.Production, team: []string{"team", "other"}[i%2]}).submit()
+					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 2, runTime: 15 * micro.Second, priority: wire.Production, team: []string{"team", "other"}[i%2]}).submit()
 					urgent = append(urgent, job)
 					asked := sim.now()
 					sim.waitUntil("the urgent one runs", 30*micro.Second, func() bool { return job.runningTasks() > 0 || job.knowledge().done })
@@ -245,7 +245,7 @@
 	runScenario(t, 8, 3, func(sim *simCluster) {
 		sim.fastBoot = true
 		sim.writeRPS = changes
-		sim.store.Limit(fake.Limits{WriteRPS: changes})
+		sim.store.SetLimits(fake.Limits{WriteRPS: changes})
 	}, func(sim *simCluster) {
 		sim.waitForRestoredLeader()
 		var mu sync.Mutex
@@ -260,7 +260,7 @@
 			}
 		}
 		for from := sim.now(); sim.now() < from+stream; sim.sleep(250 * micro.Millisecond) {
-			job := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 0.5, runTime: 3 * micro.Second, team: []string{"team", "other"}[len(jobs)%2]})
+			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 0.5, runTime: 3 * micro.Second, team: []string{"team", "other"}[len(jobs)%2]})
 			jobs = append(jobs, job)
 			cancel, after := len(jobs)%4 == 0, sim.randomDuration(0, 6*micro.Second)
 			go func() {
@@ -311,7 +311,7 @@
 		}
 		n := float64(len(jobs))
 		sim.t.Logf("%d jobs: %v changes, %.2f a job in all; %d of %d polls not answered; %d cancelled, the slowest told after %.2f s; %d times over the store's rate",
-			len(jobs), by, float64(len(events.Events))/n, failed, asked, cancels, slowest.Seconds(), sim.store.Busy)
+			len(jobs), by, float64(len(events.Events))/n, failed, asked, cancels, slowest.Seconds(), sim.store.RateLimitedCount)
 		for kind, most := range map[string]float64{"spec": 1, "end": 1, "run": 1.3, "run deleted": 1} {
 			if got := float64(by[kind]) / n; got > most {
 				sim.t.Errorf("%.2f changes a job are for %q, at most %.1f", got, kind, most)
@@ -323,8 +323,8 @@
 		if asked < len(jobs) || failed*50 > asked {
 			sim.t.Errorf("%d of %d polls were not answered", failed, asked)
 		}
-		if sim.store.Busy > 0 {
-			sim.t.Errorf("the store refused %d writes for being over its rate", sim.store.Busy)
+		if sim.store.RateLimitedCount > 0 {
+			sim.t.Errorf("the store refused %d writes for being over its rate", sim.store.RateLimitedCount)
 		}
 	})
 }
@@ -338,8 +338,8 @@
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 				sim.waitForRestoredLeader()
 				jobs := []*userJob{
-					sim.newJob(jobRequest{kind: wire.Array, tasks: 8, cpus: 2, runTime: 20 * micro.Second, zone: "a"}).submit(),
-					sim.newJob(jobRequest{kind: wire.Array, tasks: 6, cpus: 2, runTime: 20 * micro.Second, oneZone: true, team: "other"}).submit(),
+					sim.newJob(jobRequest{kind: wire.JobArray, tasks: 8, cpus: 2, runTime: 20 * micro.Second, zone: "a"}).submit(),
+					sim.newJob(jobRequest{kind: wire.JobArray, tasks: 6, cpus: 2, runTime: 20 * micro.Second, oneZone: true, team: "other"}).submit(),
 					sim.newJob(jobRequest{kind: wire.Gang, tasks: 3, cpus: 2, runTime: 20 * micro.Second, oneZone: true, priority: wire.High}).submit(),
 					sim.newJob(jobRequest{kind: wire.Gang, tasks: 2, cpus: 2, runTime: 20 * micro.Second, zone: "b", team: "other"}).submit(),
 				}
@@ -379,7 +379,7 @@
 			sim.waitForRestoredLeader()
 			var jobs []*userJob
 			for i := range 4 {
-				jobs = append(jobs, sim.newJob(jobRequest{kind: wire.Array, tasks: 2, cpus: 4, runTime: 30 * micro.Second, zone: []string{"a", "b"}[i%2], team: []string{"team", "other"}[i%2]}).submit())
+				jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 4, runTime: 30 * micro.Second, zone: []string{"a", "b"}[i%2], team: []string{"team", "other"}[i%2]}).submit())
 			}
 			sim.waitUntil("four run", micro.Minute, func() bool { return len(sim.liveMachines()) >= 4 && sim.checker.startsSoFar() >= 4 })
 			for _, machine := range sim.liveMachines() {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -49,7 +49,7 @@
 }
 
 // Commit counts a transaction and its changes.
-func (m usageCountingStore) Commit(ctx context.Context, class store.Class, txn wire.Txn) (uint64, error) {
+func (m usageCountingStore) Commit(ctx context.Context, class store.Class, txn wire.Transaction) (uint64, error) {
 	m.usage.commits.Add(1)
 	m.usage.changes.Add(int64(len(txn.Then)))
 	return m.Store.Commit(ctx, class, txn)
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -77,7 +77,7 @@
 		n.checkGate(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(gatePollInterval.Std()):
+		case <-time.After(gatePollInterval.Duration()):
 		}
 	}
 	return nil
@@ -113,7 +113,7 @@
 		return true
 	}
 	for _, p := range n.peersLeaderFirst() {
-		if status, _, err := n.callPeer(p, peer.Announce, wire.MustMarshal(n.Cfg.Node), peerCallTimeout); err == nil && status == 200 {
+		if status, _, err := n.callPeer(p, peer.AnnounceVersion, wire.MustMarshal(n.Cfg.Node), peerCallTimeout); err == nil && status == 200 {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
-	_, err = n.Store.Commit(ctx, store.Routine, wire.Txn{If: []wire.Guard{}, Then: []wire.Change{{Put: key, Value: nodeRecord{FormatVersion}}}})
+	_, err = n.Store.Commit(ctx, store.Routine, wire.Transaction{If: []wire.Precondition{}, Then: []wire.Change{{Put: key, Value: nodeRecord{FormatVersion}}}})
 	return err == nil
 }
 
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -104,7 +104,7 @@
 		n.health.observe(n.probe(ctx))
 		select {
 		case <-ctx.Done():
-		case <-time.After(probeInterval.Std()):
+		case <-time.After(probeInterval.Duration()):
 		}
 	}
 	return nil
@@ -147,9 +147,9 @@
 // Ready reports whether the node can take requests.
 func (n *Node) Ready() bool { return n.health.healthState() != Unhealthy }
 
-// Cut reports whether the store was out of reach at the last look. What this node
+// Isolated reports whether the store was out of reach at the last look. What this node
 // then refuses, others may serve: its users do better with a new connection.
-func (n *Node) Cut() bool {
+func (n *Node) Isolated() bool {
 	n.health.mu.Lock()
 	defer n.health.mu.Unlock()
 	return n.health.storeUnreachable
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -38,17 +38,17 @@
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	node.health.observe(node.probe(context.Background()))
-	if !node.Ready() || node.Cut() {
+	if !node.Ready() || node.Isolated() {
 		t.Fatal("it reaches the store")
 	}
-	env.store.Cut(true)
+	env.store.SetPartitioned(true)
 	for range unhealthyAfter {
 		node.health.observe(node.probe(context.Background()))
 	}
-	if node.Ready() || !node.Cut() {
+	if node.Ready() || !node.Isolated() {
 		t.Fatal("still ready")
 	}
-	env.store.Cut(false)
+	env.store.SetPartitioned(false)
 	for range healthyAfter {
 		node.health.observe(node.probe(context.Background()))
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -24,7 +24,7 @@
 	for queue := []*model.Job{job}; len(queue) > 0; {
 		current := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
-		for _, id := range current.Spec.Needs {
+		for _, id := range current.Spec.Dependencies {
 			dependency := l.cluster.Jobs[id]
 			if dependency == nil || dependency.IsTerminal() || visited[dependency] {
 				continue
@@ -67,7 +67,7 @@
 		}
 	})
 	if !ok {
-		return front.Later(503, 1)
+		return front.RetryReply(503, 1)
 	}
 	return response
 }
@@ -98,19 +98,19 @@
 const maxCommands = 400
 
 // handleHeartbeat answers a worker's report.
-func (l *Leader) handleHeartbeat(heartbeat *wire.Report) front.Reply {
+func (l *Leader) handleHeartbeat(heartbeat *wire.Heartbeat) front.Reply {
 	receivedAt := l.node.Now()
 	response, ok := l.callLoop(l.events, 2*micro.Second, func(reply func(front.Reply)) {
 		now := l.node.Now()
 		if !l.holdsLease() || l.refusesHeartbeat(heartbeat) {
-			reply(front.Later(503, 1))
+			reply(front.RetryReply(503, 1))
 			return
 		}
 		l.heartbeatsReceived++
 		l.observeQueueDelay(now-receivedAt, now)
 		machine, outcome := l.cluster.Reconcile(heartbeat, model.FromHeartbeat, now)
-		if machine == nil || outcome == model.Refused || outcome == model.Stale && uint64(heartbeat.Session) != machine.AgentEpoch {
-			reply(front.Later(503, 1))
+		if machine == nil || outcome == model.Refused || outcome == model.Stale && uint64(heartbeat.AgentEpoch) != machine.AgentEpoch {
+			reply(front.RetryReply(503, 1))
 			return
 		}
 		if machine.WouldProveAlive(l.fencingToken) {
@@ -125,10 +125,10 @@
 		} else {
 			l.cluster.ResponseSent(machine, 0) // the worker may have given up waiting
 		}
-		reply(front.Reply{Status: 200, Body: wire.Orders{Token: wire.Count(l.fencingToken), Orders: commands}})
+		reply(front.Reply{Status: 200, Body: wire.Commands{FencingToken: wire.Count(l.fencingToken), Items: commands}})
 	})
 	if !ok {
-		return front.Later(503, 1)
+		return front.RetryReply(503, 1)
 	}
 	return response
 }
@@ -150,12 +150,12 @@
 	if machine.NextDispatchAt > now {
 		return // the next report brings them
 	}
-	var commands []wire.Order
+	var commands []wire.Command
 	if unproven {
 		// Its next report, which would show the token, may be long in coming: a
 		// worker reports at once of a newer token only now and then. An answer
 		// to an empty order shows it as well.
-		commands = []wire.Order{}
+		commands = []wire.Command{}
 	} else if commands = l.cluster.Commands(machine, l.fencingToken, true, now); len(commands) == 0 {
 		return
 	}
@@ -164,7 +164,7 @@
 	}
 	machine.DispatchInFlight, machine.DispatchPending = true, false
 	l.dispatchesInFlight++
-	message := wire.Orders{Token: wire.Count(l.fencingToken), Session: wire.Count(machine.AgentEpoch), Orders: commands}
+	message := wire.Commands{FencingToken: wire.Count(l.fencingToken), AgentEpoch: wire.Count(machine.AgentEpoch), Items: commands}
 	addr := machine.Addr
 	go func() {
 		if !l.holdsLease() {
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -22,10 +22,10 @@
 // instanceRequestRecord is a rental as the store keeps it: written before the request is
 // sent, so that a lost answer is asked for again under the same name.
 type instanceRequestRecord struct {
-	Request   wire.Rental `msgpack:"r" json:"r"`
-	Machines  []string    `msgpack:"m" json:"m"`
-	Answered  bool        `msgpack:"a" json:"a"`
-	CreatedAt int64       `msgpack:"at" json:"at"` // wall clock
+	Request   wire.InstanceRequest `msgpack:"r" json:"r"`
+	Machines  []string             `msgpack:"m" json:"m"`
+	Answered  bool                 `msgpack:"a" json:"a"`
+	CreatedAt int64                `msgpack:"at" json:"at"` // wall clock
 	// Machines whose return is being asked for, no longer among the others. The
 	// request may be carried out at any later time, so no leader may use them.
 	Terminating []string `msgpack:"b,omitempty" json:"b,omitempty"`
@@ -81,17 +81,17 @@
 		l.requestQueue = slices.Insert(l.requestQueue, index, request)
 		l.sendQueuedRequests(request.requestedAt)
 	case InstanceRequestFulfilled:
-		delete(l.planner.PendingRequests, request.record.Request.Request)
+		delete(l.planner.PendingRequests, request.record.Request.RequestID)
 		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
 	case InstanceRequestClosed:
-		delete(l.planner.PendingRequests, request.record.Request.Request)
-		delete(l.instanceRequests, request.record.Request.Request)
+		delete(l.planner.PendingRequests, request.record.Request.RequestID)
+		delete(l.instanceRequests, request.record.Request.RequestID)
 		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
 	}
 }
 
 func (l *Leader) newRequestRecord(request *instanceRequest) *writer.Record {
-	record := l.records.Record(instanceRequestPrefix + request.record.Request.Request)
+	record := l.records.Record(instanceRequestPrefix + request.record.Request.RequestID)
 	record.Build = func() (any, uint64) {
 		if request.state == InstanceRequestClosed {
 			return nil, 0
@@ -117,11 +117,11 @@
 		return
 	}
 	request := &instanceRequest{record: record}
-	l.instanceRequests[record.Request.Request] = request
+	l.instanceRequests[record.Request.RequestID] = request
 	l.newRequestRecord(request).SetVersion(uint64(item.Version))
 	if !record.Answered {
 		request.maybeSent = true // perhaps: only the same name again can tell
-		l.planner.PendingRequests[record.Request.Request] = scale.ScaleOut{InstanceOffer: scale.InstanceOffer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
+		l.planner.PendingRequests[record.Request.RequestID] = scale.ScaleOut{InstanceOffer: scale.InstanceOffer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
 		l.setRequestState(request, InstanceRequestPending)
 		return
 	}
@@ -142,7 +142,7 @@
 		return
 	}
 	m := l.cluster.EnsureMachine(name, now)
-	m.InstanceRequestID = request.record.Request.Request
+	m.InstanceRequestID = request.record.Request.RequestID
 	m.RequestedAt = at
 	l.cluster.DescribeMachine(m, request.record.Request.Type, request.record.Request.Zone, request.record.Request.Spot)
 }
@@ -152,16 +152,16 @@
 	scaleOuts, idle := l.planner.Plan(now)
 	for _, scaleOut := range scaleOuts { // each at most what one call rents
 		l.instanceRequestCount++
-		request := &instanceRequest{priorityLevel: scaleOut.PriorityLevel, record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.Rental{
-			Request: fmt.Sprintf("r-%d-%d", l.term.FencingRevision, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
-		l.instanceRequests[request.record.Request.Request] = request
-		l.planner.PendingRequests[request.record.Request.Request] = scaleOut
+		request := &instanceRequest{priorityLevel: scaleOut.PriorityLevel, record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.InstanceRequest{
+			RequestID: fmt.Sprintf("r-%d-%d", l.term.FencingRevision, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
+		l.instanceRequests[request.record.Request.RequestID] = request
+		l.planner.PendingRequests[request.record.Request.RequestID] = scaleOut
 		priority := writer.PriorityHigh
 		if scaleOut.PriorityLevel == 0 {
 			priority = writer.PriorityUrgent
 		}
 		l.newRequestRecord(request).MarkDirty(now, priority)
-		l.log.Info("rent", "request", request.record.Request.Request, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class)
+		l.log.Info("rent", "request", request.record.Request.RequestID, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class)
 	}
 	for _, machine := range idle {
 		l.terminate(machine, "idle")
@@ -190,7 +190,7 @@
 }
 
 // sendInstanceRequest sends a rental until it is answered for good.
-func (l *Leader) sendInstanceRequest(request *instanceRequest, wireRequest wire.Rental) {
+func (l *Leader) sendInstanceRequest(request *instanceRequest, wireRequest wire.InstanceRequest) {
 	failures := 0
 	for {
 		if !l.holdsLease() {
@@ -201,18 +201,18 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		names, err := l.node.Cloud.Rent(ctx, wireRequest)
+		names, err := l.node.Cloud.RequestInstances(ctx, wireRequest)
 		cancel()
 		switch {
 		case err == nil:
 			l.post(func() { l.instanceRequestAnswered(request, names) })
 			return
-		case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrBad):
+		case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrMalformed):
 			l.post(func() { l.instanceRequestAnswered(request, nil) })
 			return
 		}
 		failures++
-		l.log.Info("rental not answered", "request", wireRequest.Request, "err", err)
+		l.log.Info("rental not answered", "request", wireRequest.RequestID, "err", err)
 		if !l.sleep(micro.Second * micro.Time(min(failures, 5))) {
 			return
 		}
@@ -222,7 +222,7 @@
 func (l *Leader) instanceRequestAnswered(request *instanceRequest, names []string) {
 	now := l.node.Now()
 	wireRequest := request.record.Request
-	l.log.Info("rented", "request", wireRequest.Request, "type", wireRequest.Type, "zone", wireRequest.Zone, "spot", wireRequest.Spot, "asked", wireRequest.Count, "got", len(names))
+	l.log.Info("rented", "request", wireRequest.RequestID, "type", wireRequest.Type, "zone", wireRequest.Zone, "spot", wireRequest.Spot, "asked", wireRequest.Count, "got", len(names))
 	l.requestsInFlight--
 	defer l.sendQueuedRequests(now)
 	l.planner.RecordAnswer(scale.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
@@ -297,7 +297,7 @@
 		return
 	}
 	sort.Slice(machines, func(a, b int) bool { return machines[a].Name < machines[b].Name })
-	machines = machines[:min(len(machines), cloud.MaxReturn)]
+	machines = machines[:min(len(machines), cloud.MaxTerminate)]
 	names := make([]string, len(machines))
 	for i, machine := range machines {
 		names[i] = machine.Name
@@ -310,7 +310,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 		defer cancel()
-		err := l.node.Cloud.Return(ctx, names)
+		err := l.node.Cloud.Terminate(ctx, names)
 		l.post(func() {
 			if err != nil {
 				l.log.Info("return not answered", "machines", len(names), "err", err)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -60,7 +60,7 @@
 	if cloudRPS <= 0 {
 		return inventoryInterval
 	}
-	return min(max(inventoryInterval, micro.Of(float64(pages)/(cloudRPS*inventoryRateFraction))), maxInventoryPause)
+	return min(max(inventoryInterval, micro.FromSeconds(float64(pages)/(cloudRPS*inventoryRateFraction))), maxInventoryPause)
 }
 
 // maxInventoryAge is how old a list may be by which machines are returned.
@@ -101,7 +101,7 @@
 		if machine.Addr == "" {
 			machine.Addr = row.Addr
 		}
-		age := micro.Of(row.AgeS)
+		age := micro.FromSeconds(row.AgeS)
 		machine.RequestedAt = min(machine.RequestedAt, now-age)
 		machine.Permanent = l.isOperatorOwned(machine)
 		machine.LastListed, machine.CloudState = requestedAt, row.State
--- a/internal/controller/isolation_test.go
+++ b/internal/controller/isolation_test.go
@@ -18,7 +18,7 @@
 // of the next leader is included.
 func (w *simCluster) handoverBound() micro.Time {
 	cfg := w.controllers[0].runningNode().Cfg
-	return cfg.SilentAfter + 3*micro.Second
+	return cfg.SuspectAfter + 3*micro.Second
 }
 
 // otherControllers lists the nodes but these.
@@ -66,7 +66,7 @@
 		doneWithin     = 45 * micro.Second // a machine may have to be rented
 	)
 	for _, controller := range nodes {
-		job := w.submitThrough([]*controllerProcess{controller}, acceptedWithin, jobRequest{kind: wire.Array, tasks: 1, cpus: 1, runTime: 2 * micro.Second, team: "other"})
+		job := w.submitThrough([]*controllerProcess{controller}, acceptedWithin, jobRequest{kind: wire.JobArray, tasks: 1, cpus: 1, runTime: 2 * micro.Second, team: "other"})
 		for _, other := range nodes {
 			w.waitAnsweredBy(job, other, answeredWithin)
 		}
@@ -122,7 +122,7 @@
 					leader, followers := sim.waitForRestoredLeader()
 					silent := append([]*controllerProcess{leader}, followers[:test.silent-1]...)
 					rest := sim.otherControllers(silent...)
-					ends := sim.newJob(jobRequest{kind: wire.Array, tasks: 1, cpus: 1, runTime: 25 * micro.Second, team: "other"}).submit()
+					ends := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 1, runTime: 25 * micro.Second, team: "other"}).submit()
 					called := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 1}).submit()
 					sim.waitUntil("the leader knows both", 30*micro.Second, func() bool { return leader.jobStateInMemory(called.id) != "" && ends.runningTasks() == 1 })
 					from := sim.now()
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -37,7 +37,7 @@
 func (n *Node) submit(body []byte, relay bool) front.Reply {
 	job, err := wire.DecodeJob(body)
 	if err != nil {
-		return front.Fail(400, err.Error())
+		return front.ErrorReply(400, err.Error())
 	}
 	if reply, ok := n.rejection(job, relay); ok {
 		return reply
@@ -58,16 +58,16 @@
 		return n.repeatedSubmissionStatus(job.ID)
 	case errors.Is(err, store.ErrMalformed):
 		n.Log.Error("description not taken by the store", "job", job.ID, "bytes", wire.JSONSize(job))
-		return front.Later(503, 2)
+		return front.RetryReply(503, 2)
 	}
 	n.Log.Debug("submission not stored", "job", job.ID, "err", err)
 	if reply, ok := n.relayedReply(attempt, relay); ok {
 		return reply
 	}
 	if errors.Is(err, store.ErrBudgetExhausted) || errors.Is(err, store.ErrRateLimited) {
-		return front.Later(429, 1)
+		return front.RetryReply(429, 1)
 	}
-	return front.Later(503, 1)
+	return front.RetryReply(503, 1)
 }
 
 // storeAttempt is an attempt to store the description of a job.
@@ -88,8 +88,8 @@
 		return attempt
 	}
 	delay := time.Duration(0)
-	if !n.Cut() {
-		delay = hedgeAfter.Std()
+	if !n.Isolated() {
+		delay = hedgeAfter.Duration()
 	}
 	hedge := time.NewTimer(delay)
 	defer hedge.Stop()
@@ -119,7 +119,7 @@
 	select {
 	case r := <-attempt.relayed:
 		return r, true
-	case <-time.After(peerCallTimeout.Std()):
+	case <-time.After(peerCallTimeout.Duration()):
 		return front.Reply{}, false
 	}
 }
@@ -130,7 +130,7 @@
 
 // maxValueBytes is what a value may take.
 func (n *Node) maxValueBytes() int {
-	current, safe := n.Cfg.ValueBytes()
+	current, safe := n.Cfg.MaxValueBytes()
 	if n.FormatOpen() {
 		return safe
 	}
@@ -148,14 +148,14 @@
 	if leader == "" || leader == n.Cfg.Node {
 		return
 	}
-	go func() { _, _, _ = n.callPeer(leader, peer.Notify, wire.MustMarshal(job), relayTimeout) }()
+	go func() { _, _, _ = n.callPeer(leader, peer.JobAccepted, wire.MustMarshal(job), relayTimeout) }()
 }
 
-// Show answers a poll: the leader from its memory, else the store's truth, within
+// Status answers a poll: the leader from its memory, else the store's truth, within
 // the budget that polls have.
-func (n *Node) Show(id string) front.Reply {
+func (n *Node) Status(id string) front.Reply {
 	if !wire.ValidJobID(id) {
-		return front.Fail(404, "no such job")
+		return front.ErrorReply(404, "no such job")
 	}
 	reply, ok := n.statusWithoutLeader(id)
 	if !ok {
@@ -213,8 +213,8 @@
 	return front.Reply{}, false
 }
 
-// Withdraw cancels a job; only the leader can.
-func (n *Node) Withdraw(id string) front.Reply {
+// Cancel cancels a job; only the leader can.
+func (n *Node) Cancel(id string) front.Reply {
 	if final, ok := n.finalStatuses.get(id); ok {
 		return front.Reply{Status: 200, Body: final}
 	}
@@ -223,7 +223,7 @@
 	}
 	leader := n.election.Leader()
 	if leader != "" && leader != n.Cfg.Node {
-		if status, out, err := n.callPeer(leader, peer.Withdraw, []byte(id), relayTimeout); err == nil {
+		if status, out, err := n.callPeer(leader, peer.Cancel, []byte(id), relayTimeout); err == nil {
 			if reply, ok := decodeReply(status, out); ok {
 				if final, ok := reply.Body.(wire.JobStatus); ok {
 					n.finalStatuses.put(final)
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	return front.Later(503, 1)
+	return front.RetryReply(503, 1)
 }
 
 func (n *Node) cancelAsLeader(leader *Leader, id string) front.Reply {
@@ -241,12 +241,12 @@
 		// Not in memory yet, perhaps: the store decides.
 		stored, err := n.readStatus(id, store.Routine)
 		if err != nil {
-			return front.Later(503, 1)
+			return front.RetryReply(503, 1)
 		}
 		if status, ok := stored.Body.(wire.JobStatus); ok && stored.Status == 200 && status.State.Final() || stored.Status == 404 {
 			return stored
 		}
-		return front.Later(503, 1)
+		return front.RetryReply(503, 1)
 	}
 	if status, ok := reply.Body.(wire.JobStatus); ok {
 		n.finalStatuses.put(status)
@@ -254,9 +254,9 @@
 	return reply
 }
 
-// Beat answers a worker's report. Only the leader may, and with shares their owners; the
+// Heartbeat answers a worker's report. Only the leader may, and with shares their owners; the
 // others say whom to ask.
-func (n *Node) Beat(body []byte) front.Reply {
+func (n *Node) Heartbeat(body []byte) front.Reply {
 	if n.shards != nil {
 		return n.heartbeatWithShards(body)
 	}
@@ -265,11 +265,11 @@
 		return n.heartbeatAsFollower(body)
 	}
 	if len(body) > wire.MaxBody {
-		return front.Fail(400, "too large")
+		return front.ErrorReply(400, "too large")
 	}
-	heartbeat, err := wire.DecodeReport(body)
+	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
-		return front.Fail(400, err.Error())
+		return front.ErrorReply(400, err.Error())
 	}
 	return l.handleHeartbeat(heartbeat)
 }
@@ -281,7 +281,7 @@
 	}
 	leader := n.election.Leader()
 	if leader == "" || leader == n.Cfg.Node || n.leaderUnreachable(leader) {
-		return front.Later(503, 1)
+		return front.RetryReply(503, 1)
 	}
-	return front.Reply{Status: 421, Body: wire.Redirect{Leader: leader}}
+	return front.Reply{Status: 421, Body: wire.NotLeader{LeaderHint: leader}}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -107,7 +107,7 @@
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
 	}
-	l.renewalBound = keep.NewRenewalBound(t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.KeepSpan(), zones, n.Cfg.Zone)
+	l.renewalBound = keep.NewRenewalBound(t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone)
 	for _, t := range n.Cfg.Facts.Teams {
 		l.cluster.Teams[t.Name] = &model.Team{Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax}
 	}
@@ -127,8 +127,8 @@
 	l.cluster = model.New(l)
 	l.cluster.MinFencingToken = l.fencingToken
 	l.cluster.TermStartedAt = node.Now()
-	l.cluster.LeaseDuration = node.Cfg.LeaseOut()
-	l.cluster.QuarantineThreshold = node.Cfg.ErrorMachines
+	l.cluster.LeaseDuration = node.Cfg.LeaseExpiredAfter()
+	l.cluster.QuarantineThreshold = node.Cfg.QuarantineFailedJobs
 	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
 	l.objectives = sched.NewObjectives(node.Cfg.Facts.Objectives)
 	l.speeds = sched.NewSpeedEstimator()
@@ -168,7 +168,7 @@
 // withdrawals go before questions.
 func (l *Leader) callLoop(queue chan func(), timeout micro.Time, f func(reply func(front.Reply))) (front.Reply, bool) {
 	replies := make(chan front.Reply, 1)
-	timer := time.NewTimer(timeout.Std())
+	timer := time.NewTimer(timeout.Duration())
 	select {
 	case queue <- func() { f(func(response front.Reply) { replies <- response }) }:
 	case <-l.done:
@@ -254,7 +254,7 @@
 		l.scheduler.Schedule(now)
 		took := l.node.Now() - now
 		l.scheduleInterval = min(max(scheduleTimeDivisor*took, minScheduleInterval), maxScheduleInterval)
-		l.scheduler.Overloaded = took > l.node.Cfg.SampleBusy
+		l.scheduler.Overloaded = took > l.node.Cfg.SampleAbovePassTime
 		l.node.Metrics.Observe("pass", took)
 	}
 	for job := range l.pendingCancellations {
@@ -307,7 +307,7 @@
 		l.lastStatusLog = now
 		l.logStatus()
 	}
-	if now-l.lastSpeedWrite >= l.node.Cfg.SpeedWrite {
+	if now-l.lastSpeedWrite >= l.node.Cfg.SpeedWriteInterval {
 		l.lastSpeedWrite = now
 		if l.speeds.TakeDirty() {
 			l.speeds.Apply(l.cluster)
@@ -428,7 +428,7 @@
 }
 
 func (l *Leader) sleep(d micro.Time) bool {
-	t := time.NewTimer(d.Std())
+	t := time.NewTimer(d.Duration())
 	defer t.Stop()
 	select {
 	case <-l.done:
--- a/internal/controller/leader_faults_test.go
+++ b/internal/controller/leader_faults_test.go
@@ -92,7 +92,7 @@
 // A machine hung with the order to stop on its way, and went on seconds later.
 func TestStopInFlightToAHungMachineReleasesNothing(t *testing.T) {
 	for _, duration := range []micro.Time{3 * micro.Second, 6 * micro.Second, 14 * micro.Second} {
-		t.Run(duration.Std().String(), func(t *testing.T) {
+		t.Run(duration.Duration().String(), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 1, 3, nil, func(sim *simCluster) {
 				full := sim.fillZone("a", 4)
@@ -255,7 +255,7 @@
 		t.Run(fmt.Sprintf("%d ms", before), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 1, 3, nil, func(sim *simCluster) {
-				job := sim.newJob(jobRequest{kind: wire.Array, tasks: 6, runTime: 20 * micro.Second, cpus: 4}).submit()
+				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 6, runTime: 20 * micro.Second, cpus: 4}).submit()
 				sim.waitRunning(job, 4)
 				sim.waitUntil("soon over", 30*micro.Second, func() bool { return len(sim.tasksRunningFor(job, 20*micro.Second-before*micro.Millisecond)) > 0 })
 				leader, was := sim.leader(), sim.currentTerm()
@@ -285,7 +285,7 @@
 		terms := map[uint64]bool{}
 		sim.slowStore(300*micro.Millisecond, 2*micro.Minute)
 		for i := range 10 {
-			job := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: 15 * micro.Second, cpus: 1}).submit()
+			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 15 * micro.Second, cpus: 1}).submit()
 			jobs = append(jobs, job)
 			sim.waitUntil("a start", 20*micro.Second, func() bool { return job.startCount() > 0 })
 			if i == 5 {
@@ -345,7 +345,7 @@
 			t.Run(fmt.Sprintf("%d tasks, %d ms", tasks, after), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 1, 3, nil, func(sim *simCluster) {
-					job := sim.newJob(jobRequest{kind: wire.Array, tasks: tasks, runTime: 5 * micro.Second, runTimeStep: 25 * micro.Second, cpus: 1}).submit()
+					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: tasks, runTime: 5 * micro.Second, runTimeStep: 25 * micro.Second, cpus: 1}).submit()
 					sim.waitUntil("one ended", 60*micro.Second, func() bool { return job.startCount() == tasks && job.runningTasks() == tasks-1 })
 					sim.sleep(after * micro.Millisecond)
 					sim.replaceLeader(micro.Second)
@@ -475,7 +475,7 @@
 		sessions := func() bool {
 			for _, machine := range old {
 				machine.mu.Lock()
-				over := machine.agent.Session > 1
+				over := machine.agent.Epoch > 1
 				machine.mu.Unlock()
 				if !over {
 					return false
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -22,7 +22,7 @@
 		n.contactLeader(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(keep.RequestInterval.Std()):
+		case <-time.After(keep.RequestInterval.Duration()):
 		}
 	}
 	return nil
@@ -39,7 +39,7 @@
 	if leader != "" && leader != n.Cfg.Node {
 		sentAt := n.Now()
 		body := wire.MustMarshal(n.leaseProxy.Request(sentAt))
-		status, reply, err := n.Peers.Call(ctx, leader, peer.Keep, body, keep.ResponseTimeout)
+		status, reply, err := n.Peers.Call(ctx, leader, peer.LeaseProxy, body, keep.ResponseTimeout)
 		answered = err == nil && status != 421 // it leads, even if it grants nothing now
 		var timestamp keep.LeaderTimestamp
 		if err == nil && status == 200 && wire.Unmarshal(reply, &timestamp) == nil {
@@ -51,7 +51,7 @@
 		// With the store in reach, only a leader beyond the cut is missed: one of
 		// this zone that died is replaced by this zone's nodes. Keeping the
 		// workers meanwhile once hid half of the fleet from the next leader.
-		canElect := !n.Cut() && !n.inOtherZone(leader)
+		canElect := !n.Isolated() && !n.inOtherZone(leader)
 		n.leaseProxy.RecordProbe(sameZone, otherZone || answered || canElect, n.Now())
 	}
 }
@@ -96,14 +96,14 @@
 // once sent hundreds of workers to one another until their leases ran out.
 func (n *Node) leaderUnreachable(leader string) bool {
 	now := n.Now()
-	return n.leaseProxy.Disconnected(now) && (n.Cut() || n.inOtherZone(leader) && n.leaseProxy.ZonePartitioned(now))
+	return n.leaseProxy.Disconnected(now) && (n.Isolated() || n.inOtherZone(leader) && n.leaseProxy.ZonePartitioned(now))
 }
 
 // proxyHeartbeat answers a report of this zone's worker in place of the leader, if
 // the zone is cut off: its lease goes on, and it is told to do nothing. The
 // worker's own token is as good as any to it; no other node gives one out here.
 func (n *Node) proxyHeartbeat(body []byte) (front.Reply, bool) {
-	heartbeat, err := wire.DecodeReport(body)
+	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil || !n.proxiesLease(heartbeat) {
 		return front.Reply{}, false
 	}
@@ -111,12 +111,12 @@
 }
 
 // proxiesLease reports whether this node keeps the worker's lease alive now.
-func (n *Node) proxiesLease(heartbeat *wire.Report) bool {
-	return heartbeat.Token != 0 && heartbeat.Zone == n.Cfg.Zone && n.leaseProxy.TryRenew(n.Now())
+func (n *Node) proxiesLease(heartbeat *wire.Heartbeat) bool {
+	return heartbeat.FencingToken != 0 && heartbeat.Zone == n.Cfg.Zone && n.leaseProxy.TryRenew(n.Now())
 }
 
-func leaseProxyReply(heartbeat *wire.Report) front.Reply {
-	return front.Reply{Status: 200, Body: wire.Orders{Token: heartbeat.Token, Orders: []wire.Order{}}}
+func leaseProxyReply(heartbeat *wire.Heartbeat) front.Reply {
+	return front.Reply{Status: 200, Body: wire.Commands{FencingToken: heartbeat.FencingToken, Items: []wire.Command{}}}
 }
 
 // handleLeaseProxy answers another node's keeper, while this node leads.
@@ -205,7 +205,7 @@
 // completeCancellation writes the end of a withdrawn job as soon as its user may be told.
 func (l *Leader) completeCancellation(job *model.Job, now micro.Time) {
 	if job.AllocationCount > 0 {
-		if l.node.Cfg.ProveFirst() {
+		if l.node.Cfg.MustProveTermination() {
 			return // without any order, its tasks could outlive the time for that
 		}
 		limits := map[string]micro.Time{}
@@ -214,7 +214,7 @@
 			if _, ok := limits[zone]; !ok {
 				limits[zone] = l.renewalBound.RenewalLimit(zone, now)
 			}
-			if limits[zone] > 0 && limits[zone]+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
+			if limits[zone] > 0 && limits[zone]+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelTimeout() {
 				return
 			}
 		}
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -31,10 +31,10 @@
 	waitUntil(t, "leader known", func() bool { return inside.election.Leader() == "n-0" })
 	inside.Now = func() micro.Time { return now }
 	report := func(zone string) int {
-		fakeAgent := fake.NewWorker("i-9", "small", zone, 30*micro.Second)
-		fakeAgent.Token = 77
-		reply := inside.Beat(wire.MustMarshal(fakeAgent.Report()))
-		if commands, ok := reply.Body.(wire.Orders); ok && (commands.Token != 77 || commands.Orders == nil || len(commands.Orders) != 0) {
+		fakeAgent := fake.NewAgent("i-9", "small", zone, 30*micro.Second)
+		fakeAgent.FencingToken = 77
+		reply := inside.Heartbeat(wire.MustMarshal(fakeAgent.Heartbeat()))
+		if commands, ok := reply.Body.(wire.Commands); ok && (commands.FencingToken != 77 || commands.Items == nil || len(commands.Items) != 0) {
 			t.Fatalf("a keeper may only renew: %+v", commands)
 		}
 		return reply.Status
@@ -56,7 +56,7 @@
 	if got := report("b"); got != 200 {
 		t.Fatalf("status %d in the cut", got)
 	}
-	now += inside.Cfg.KeepSpan()
+	now += inside.Cfg.LeaseProxyDuration()
 	inside.contactLeader(context.Background())
 	if got := report("b"); got != 503 {
 		t.Fatalf("status %d once the span is over: naming a leader out of reach costs a worker 4 s", got)
@@ -71,7 +71,7 @@
 	node, _ := env.startNodeWith("n-0", func(node *Node) {
 		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{{Node: "n-1", Zone: "a"}, {Node: "n-2", Zone: "a"}}
 		node.Cfg.Facts.Zones, node.Cfg.Facts.Workers.CancelS = []string{"a", "b"}, 50
-		node.Cfg.SilentAfter = micro.Minute
+		node.Cfg.SuspectAfter = micro.Minute
 	})
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	node.Submit(submission("j-9", wire.Service))
@@ -86,9 +86,9 @@
 	// The workers are out of reach from here on.
 	env.agents.mu.Lock()
 	unreachable := env.agents.byMachine
-	env.agents.byMachine = map[string]*fake.Worker{}
+	env.agents.byMachine = map[string]*fake.Agent{}
 	env.agents.mu.Unlock()
-	if reply := node.Withdraw("j-9"); reply.Status != 503 || reply.RetryAfter == 0 {
+	if reply := node.Cancel("j-9"); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Fatalf("its tasks may run on: %+v", reply)
 	}
 	if got := jobState(node, "j-9"); got == wire.JobAborted {
@@ -100,7 +100,7 @@
 	stop = make(chan struct{})
 	defer close(stop)
 	go env.runAgents(node, stop)
-	waitUntil(t, "confirmed", func() bool { return node.Withdraw("j-9").Status == 200 })
+	waitUntil(t, "confirmed", func() bool { return node.Cancel("j-9").Status == 200 })
 }
 
 // Where leases are too long for the time that a cancellation may take, a user who
@@ -147,8 +147,8 @@
 		job := leader.cluster.Jobs["j-9"]
 		leader.cluster.ChunkPersisted(job.Chunk(0), 1<<40)
 		allocation := job.Allocations()[0]
-		late := wire.Orders{Token: wire.Count(leader.fencingToken), Session: wire.Count(allocation.Machine.AgentEpoch), Orders: leader.cluster.Commands(allocation.Machine, leader.fencingToken, true, fleet.now)}
-		var fakeAgent *fake.Worker
+		late := wire.Commands{FencingToken: wire.Count(leader.fencingToken), AgentEpoch: wire.Count(allocation.Machine.AgentEpoch), Items: leader.cluster.Commands(allocation.Machine, leader.fencingToken, true, fleet.now)}
+		var fakeAgent *fake.Agent
 		for _, x := range fleet.agents {
 			if x.Name == allocation.Machine.Name {
 				fakeAgent = x
@@ -163,7 +163,7 @@
 		if !sooner {
 			fleet.heartbeat(fakeAgent)
 		}
-		if _, executed := fakeAgent.Direct(late); executed != sooner {
+		if _, executed := fakeAgent.HandleDispatch(late); executed != sooner {
 			t.Fatalf("the late start ran: %v", executed)
 		}
 		fleet.heartbeat(fakeAgent)
@@ -185,7 +185,7 @@
 	fleet := newFleet(t, 2)
 	cfg := fleet.leader.node.Cfg
 	cfg.Facts.Workers.CancelS, cfg.Facts.Zones = 50, []string{"a", "b"}
-	fleet.leader.renewalBound = keep.NewRenewalBound(7, fleet.now, cfg.KeepSpan(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
+	fleet.leader.renewalBound = keep.NewRenewalBound(7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
 	if fleet.leader.zoneFenced("a") {
@@ -210,7 +210,7 @@
 	node, _ := env.startNodeWith("n-1", func(node *Node) { node.Cfg.Peers = []config.Peer{{Node: "n-0"}} })
 	waitUntil(t, "leader known", func() bool { return node.election.Leader() == "n-0" })
 	status := func() int {
-		return node.Beat(wire.MustMarshal(fake.NewWorker("i-9", "small", "a", 30*micro.Second).Report())).Status
+		return node.Heartbeat(wire.MustMarshal(fake.NewAgent("i-9", "small", "a", 30*micro.Second).Heartbeat())).Status
 	}
 	node.Now = func() micro.Time { return micro.Minute }
 	node.health.observe(probeResult{storeReached: true})
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -40,10 +40,10 @@
 		t.Fatalf("%d bytes are no large record", size)
 	}
 	node, kill := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
-	env.store.Limit(nextLimits)
+	env.store.SetLimits(nextLimits)
 	body := func(id string, tasks int) []byte {
 		var fields map[string]any
-		if err := wire.Unmarshal(submission(id, wire.Array), &fields); err != nil {
+		if err := wire.Unmarshal(submission(id, wire.JobArray), &fields); err != nil {
 			t.Fatal(err)
 		}
 		fields["pieces"], fields["ramGb"] = tasks, 0.1
@@ -59,11 +59,11 @@
 	for _, id := range []string{"j-1", "j-2", "j-3"} {
 		waitUntil(t, id+" done", func() bool { return jobState(node, id) == wire.JobDone })
 	}
-	waitUntil(t, "the old job withdrawn", func() bool { return node.Withdraw("j-9").Status == 200 })
+	waitUntil(t, "the old job withdrawn", func() bool { return node.Cancel("j-9").Status == 200 })
 	close(stop)
 	kill()
-	if env.store.Bad > 0 {
-		t.Fatalf("%d requests were over the limits", env.store.Bad)
+	if env.store.MalformedCount > 0 {
+		t.Fatalf("%d requests were over the limits", env.store.MalformedCount)
 	}
 }
 
@@ -93,7 +93,7 @@
 	node, _ := env.startNodeWith("n-0", func(node *Node) { node.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	leader := node.activeLeader()
-	env.store.Limit(fake.Limits{ValueBytes: 1 << 10}) // long before it was to be expected
+	env.store.SetLimits(fake.Limits{ValueBytes: 1 << 10}) // long before it was to be expected
 	put := func(key string, bytes int) {
 		leader.post(func() {
 			e := leader.records.Record(key)
@@ -120,8 +120,8 @@
 		_, err := env.store.Get(context.Background(), store.Routine, "hire/r-9")
 		return err == nil
 	})
-	if env.store.Bad > 4 {
-		t.Fatalf("refused %d times", env.store.Bad)
+	if env.store.MalformedCount > 4 {
+		t.Fatalf("refused %d times", env.store.MalformedCount)
 	}
 	put("job/j-2/end", 1<<20) // over what is known: never sent
 	waitUntil(t, "logged too", func() bool { return log.count("job/j-2/end") > 0 })
@@ -130,17 +130,17 @@
 func TestPreconditionsOfOneRequestFitTheSmallerLimit(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
-	env.store.Limit(nextLimits)
+	env.store.SetLimits(nextLimits)
 	var needs []string
 	for i := range 50 {
 		id := fmt.Sprint("j-", 100+i)
 		needs = append(needs, id)
-		if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}}); err != nil {
+		if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if reply := node.Submit(dependentSubmission("j-1", needs...)); reply.Status != 201 || env.store.Bad > 0 {
-		t.Fatalf("%+v, %d requests over the limits", reply, env.store.Bad)
+	if reply := node.Submit(dependentSubmission("j-1", needs...)); reply.Status != 201 || env.store.MalformedCount > 0 {
+		t.Fatalf("%+v, %d requests over the limits", reply, env.store.MalformedCount)
 	}
 }
 
@@ -150,7 +150,7 @@
 	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
 	leader := newLeader(node, node.activeLeader().term)
 	leader.cluster.EnableCompactRecords(64)
-	rec := instanceRequestRecord{Request: wire.Rental{Request: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50}, Answered: true, CreatedAt: int64(micro.Wall())}
+	rec := instanceRequestRecord{Request: wire.InstanceRequest{RequestID: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50}, Answered: true, CreatedAt: int64(micro.WallNow())}
 	for i := range 300 {
 		machine := leader.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), 0)
 		machine.Type = &model.MachineType{MachineType: wire.MachineType{CacheGB: 100}}
@@ -184,7 +184,7 @@
 	blocked chan struct{}
 }
 
-func (s blockingStore) Commit(ctx context.Context, c store.Class, t wire.Txn) (uint64, error) {
+func (s blockingStore) Commit(ctx context.Context, c store.Class, t wire.Transaction) (uint64, error) {
 	for _, ch := range t.Then {
 		if ch.Put == s.key {
 			select {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -35,7 +35,7 @@
 type Node struct {
 	Cfg     *config.Config
 	Store   store.Store
-	Cloud   cloud.Cloud
+	Cloud   cloud.Provider
 	Agent   agent.Sender
 	Peers   peer.Caller
 	Log     *slog.Logger
@@ -77,7 +77,7 @@
 		Log:     log,
 		Metrics: metrics.New(),
 		Now:     micro.Now,
-		Wall:    micro.Wall,
+		Wall:    micro.WallNow,
 	}
 	node.Init()
 	return node
@@ -90,10 +90,10 @@
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
 	n.health.log = n.Log.Info
-	n.leaseProxy.Node, n.leaseProxy.RenewalWindow, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.KeepSpan(), n.Log.Info
+	n.leaseProxy.Node, n.leaseProxy.RenewalWindow, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.LeaseProxyDuration(), n.Log.Info
 	n.election = &election.Election{
 		Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
-		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenew, Log: n.Log, Now: n.Now,
+		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenewInterval, Log: n.Log, Now: n.Now,
 	}
 }
 
@@ -110,7 +110,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	n.election.OnStartedLeading = func(t *election.Term) { n.startLeader(ctx, t) }
 	n.election.OnStoppedLeading = n.stopLeader
-	server := &front.Server{Service: n, Metrics: n.Metrics, Sockets: n.Cfg.Facts.Quota.MaxSockets, Report: micro.Of(n.Cfg.Facts.Workers.ReportS)}
+	server := &front.Server{Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets, HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS)}
 	group.Go(func() error { return server.Serve(ctx, public) })
 	group.Go(func() error {
 		return peer.Serve(ctx, peers, n.handlePeerCall, func(w io.Writer) { n.Metrics.Write(w) })
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -53,7 +53,7 @@
 
 func decodeReply(status int, out []byte) (front.Reply, bool) {
 	if status != 200 && status != 201 {
-		return front.Fail(status, "refused"), status == 400 || status == 404 || status == 422
+		return front.ErrorReply(status, "refused"), status == 400 || status == 404 || status == 422
 	}
 	var jobStatus wire.JobStatus
 	if wire.Unmarshal(out, &jobStatus) != nil {
@@ -67,21 +67,21 @@
 	switch call {
 	case peer.Ping:
 		return 200, nil
-	case peer.Announce:
+	case peer.AnnounceVersion:
 		return n.handleAnnounce(ctx, body), nil
-	case peer.Keep:
+	case peer.LeaseProxy:
 		return n.handleLeaseProxy(body)
 	case peer.Submit:
 		return encodeReply(n.submit(body, false))
-	case peer.Exist:
+	case peer.AcceptedJobs:
 		return n.handleExist(body)
-	case peer.Accepted:
+	case peer.AcceptedJobsBudgeted:
 		return n.handleAccepted(body)
-	case peer.Read:
+	case peer.StoredStatus:
 		return n.handleRead(string(body))
-	case peer.Admin:
+	case peer.ShardAdmin:
 		return n.handleAdmin(body)
-	case peer.Show, peer.Shows, peer.Withdraw, peer.Notify, peer.Share:
+	case peer.Status, peer.StatusBatch, peer.Cancel, peer.JobAccepted, peer.ShardOwner:
 		if l := n.activeLeader(); l != nil {
 			return n.handleLeaderCall(l, call, body)
 		}
@@ -93,13 +93,13 @@
 // handleLeaderCall answers a call that only the leader can.
 func (n *Node) handleLeaderCall(leader *Leader, call string, body []byte) (int, []byte) {
 	switch call {
-	case peer.Show:
+	case peer.Status:
 		return n.handleStatus(leader, string(body))
-	case peer.Shows:
+	case peer.StatusBatch:
 		return n.handleStatuses(leader, body)
-	case peer.Share:
+	case peer.ShardOwner:
 		return n.handleStatusUpdate(leader, body)
-	case peer.Withdraw:
+	case peer.Cancel:
 		if !wire.ValidJobID(string(body)) {
 			return 400, nil
 		}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -20,7 +20,7 @@
 // dependentSubmission is a submission that awaits others.
 func dependentSubmission(id string, needs ...string) []byte {
 	var m map[string]any
-	if err := wire.Unmarshal(submission(id, wire.Array), &m); err != nil {
+	if err := wire.Unmarshal(submission(id, wire.JobArray), &m); err != nil {
 		panic(err)
 	}
 	m["awaits"] = needs
@@ -38,7 +38,7 @@
 func TestPipelineRunsStageByStage(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen("n-0", func(*Node) {})
-	for _, s := range [][]byte{submission("j-1", wire.Array), dependentSubmission("j-2", "j-1", "j-1"), dependentSubmission("j-3", "j-1", "j-2"), dependentSubmission("j-4")} {
+	for _, s := range [][]byte{submission("j-1", wire.JobArray), dependentSubmission("j-2", "j-1", "j-1"), dependentSubmission("j-3", "j-1", "j-2"), dependentSubmission("j-4")} {
 		if reply := node.Submit(s); reply.Status != 201 {
 			t.Fatalf("%+v", reply)
 		}
@@ -56,7 +56,7 @@
 	defer env.agents.mu.Unlock()
 	at := map[string]int{}
 	for _, fakeAgent := range env.agents.byMachine {
-		for i, task := range fakeAgent.Started {
+		for i, task := range fakeAgent.StartedTasks {
 			at[task] = i
 		}
 	}
@@ -68,7 +68,7 @@
 func TestDependenciesMustHaveBeenAccepted(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen("n-0", func(*Node) {})
-	node.Submit(submission("j-1", wire.Array))
+	node.Submit(submission("j-1", wire.JobArray))
 	if reply := node.Submit(dependentSubmission("j-2", "j-1")); reply.Status != 201 {
 		t.Fatalf("%+v", reply)
 	}
@@ -86,14 +86,14 @@
 	}
 	// Another node, which the store refuses, knows nothing of j-1.
 	isolated, _ := env.startNodeWith("n-1", func(node *Node) { node.formatGate.Store(int32(GateOpen)) })
-	env.store.Outage(true)
+	env.store.SetOutage(true)
 	if reply := isolated.Submit(dependentSubmission("j-5", "j-1")); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Errorf("without the store: %+v", reply)
 	}
 	if reply := isolated.Submit(dependentSubmission("j-5", "j-404")); reply.Status != 503 {
 		t.Errorf("without the store nothing is refused for good: %+v", reply)
 	}
-	env.store.Outage(false)
+	env.store.SetOutage(false)
 	isolated.Store = refusingStore{isolated.Store}
 	isolated.Cfg.Peers = []config.Peer{{Node: "n-0"}}
 	isolated.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(node)})
@@ -112,7 +112,7 @@
 func (refusingStore) ExistingKeys(context.Context, store.Class, []string) (map[string]bool, error) {
 	return nil, store.ErrRefused
 }
-func (refusingStore) Commit(context.Context, store.Class, wire.Txn) (uint64, error) {
+func (refusingStore) Commit(context.Context, store.Class, wire.Transaction) (uint64, error) {
 	return 0, store.ErrRefused
 }
 func (refusingStore) Range(context.Context, store.Class, string, string, int) (wire.Page, error) {
@@ -127,24 +127,24 @@
 		node.Cfg.Facts.State.Next.ValueKB, node.Cfg.Facts.State.Next.TxnOps = 2, 4
 	}
 	node, kill := env.startLeaderWithGateOpen("n-0", small)
-	env.store.Limit(fake.Limits{ValueBytes: 2 << 10, TxnOps: 4})
+	env.store.SetLimits(fake.Limits{ValueBytes: 2 << 10, TxnOps: 4})
 	var ids []string
 	var then []wire.Change
 	for i := range 700 {
 		id := fmt.Sprintf("j-%06d", 1000+i)
 		ids = append(ids, id)
-		then = append(then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1}})
+		then = append(then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1}})
 	}
 	for ; len(then) > 0; then = then[4:] {
-		if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: then[:4]}); err != nil {
+		if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: then[:4]}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if reply := node.Submit(dependentSubmission("j-1", ids...)); reply.Status != 201 {
 		t.Fatalf("%+v", reply)
 	}
-	if env.store.Bad > 0 {
-		t.Fatalf("%d requests over the limits", env.store.Bad)
+	if env.store.MalformedCount > 0 {
+		t.Fatalf("%d requests over the limits", env.store.MalformedCount)
 	}
 	kill()
 	restarted, _ := env.startLeaderWithGateOpen("n-1", small)
@@ -186,7 +186,7 @@
 		return err != nil
 	})
 	// Stored by the old leader as its last deed.
-	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Txn{Then: []wire.Change{{Put: endKey("j-0"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}}); err != nil {
+	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{{Put: endKey("j-0"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}}); err != nil {
 		t.Fatal(err)
 	}
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
@@ -196,7 +196,7 @@
 	if got := jobState(reader, "j-100"); got != wire.JobPending {
 		t.Fatalf("nobody cancelled it: %q", got)
 	}
-	env.store.Limit(fake.Limits{TxnOps: 4})
+	env.store.SetLimits(fake.Limits{TxnOps: 4})
 	next, _ := env.startLeaderWithGateOpen("n-2", narrow)
 	for i := 1; i <= 30; i++ {
 		waitUntil(t, "aborted", func() bool {
@@ -211,8 +211,8 @@
 		t.Fatalf("it is accepted all the same: %+v", reply)
 	}
 	waitUntil(t, "aborted too", func() bool { return jobState(next, "j-31") == wire.JobAborted })
-	if env.store.Bad > 0 {
-		t.Fatalf("%d transactions were over the limit", env.store.Bad)
+	if env.store.MalformedCount > 0 {
+		t.Fatalf("%d transactions were over the limit", env.store.MalformedCount)
 	}
 }
 
@@ -222,7 +222,7 @@
 	n.Submit(submission("j-9", wire.Service))
 	n.Submit(dependentSubmission("j-10", "j-9"))
 	n.Submit(dependentSubmission("j-11", "j-10"))
-	waitUntil(t, "withdrawn", func() bool { return n.Withdraw("j-10").Status == 200 })
+	waitUntil(t, "withdrawn", func() bool { return n.Cancel("j-10").Status == 200 })
 	waitUntil(t, "with what needs it", func() bool { return jobState(n, "j-11") == wire.JobAborted })
 	if got := jobState(n, "j-9"); got == wire.JobAborted {
 		t.Fatal("what it awaited is nobody's to cancel")
@@ -236,7 +236,7 @@
 	key string
 }
 
-func (s unansweredKeyStore) Commit(ctx context.Context, c store.Class, t wire.Txn) (uint64, error) {
+func (s unansweredKeyStore) Commit(ctx context.Context, c store.Class, t wire.Transaction) (uint64, error) {
 	rev, err := s.Store.Commit(ctx, c, t)
 	for _, ch := range t.Then {
 		if ch.Put == s.key {
@@ -252,7 +252,7 @@
 func TestLeaderDoesNotAnswerFromMemoryWhileAnEndIsInFlight(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith("n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, endKey("j-1")} })
-	node.Submit(submission("j-1", wire.Array))
+	node.Submit(submission("j-1", wire.JobArray))
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	stop := make(chan struct{})
 	defer close(stop)
@@ -272,11 +272,11 @@
 	store.Store
 	key              string
 	mu               *sync.Mutex
-	heldTransactions *[]wire.Txn
+	heldTransactions *[]wire.Transaction
 	rejectedCommits  *int
 }
 
-func (s heldWriteStore) Commit(ctx context.Context, c store.Class, t wire.Txn) (uint64, error) {
+func (s heldWriteStore) Commit(ctx context.Context, c store.Class, t wire.Transaction) (uint64, error) {
 	for _, ch := range t.Then {
 		if ch.Put == s.key {
 			s.mu.Lock()
@@ -296,9 +296,9 @@
 // write was held up, and carried out after that look.
 func TestLeaderDoesNotAnswerFromMemoryOnceAnEndWasDelayed(t *testing.T) {
 	env := newTestCluster(t)
-	d := heldWriteStore{nil, endKey("j-1"), &sync.Mutex{}, &[]wire.Txn{}, new(int)}
+	d := heldWriteStore{nil, endKey("j-1"), &sync.Mutex{}, &[]wire.Transaction{}, new(int)}
 	node, _ := env.startNodeWith("n-0", func(node *Node) { d.Store = node.Store; node.Store = d })
-	node.Submit(submission("j-1", wire.Array))
+	node.Submit(submission("j-1", wire.JobArray))
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	stop := make(chan struct{})
 	defer close(stop)
@@ -324,7 +324,7 @@
 	node.Submit(dependentSubmission("j-2", "j-1"))
 	node.Submit(dependentSubmission("j-3", "j-2"))
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
-	go node.Withdraw("j-1")
+	go node.Cancel("j-1")
 	waitUntil(t, "aborted to one that reads the store", func() bool { return jobState(reader, "j-3") == wire.JobAborted })
 	for range 50 {
 		if got := jobState(node, "j-3"); got != wire.JobAborted {
@@ -339,19 +339,19 @@
 func TestLateDuplicateOfAnEndDecidesNothingTwice(t *testing.T) {
 	env := newTestCluster(t)
 	node, kill := env.startLeaderWithGateOpen("n-0", func(*Node) {})
-	node.Submit(submission("j-1", wire.Array))
+	node.Submit(submission("j-1", wire.JobArray))
 	node.Submit(dependentSubmission("j-2", "j-1"))
 	guard := node.activeLeader().term.Precondition()
 	kill()
-	env.store.HoldBack(1)
-	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Txn{If: []wire.Guard{guard, {Key: endKey("j-1")}},
+	env.store.HoldCommits(1)
+	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{If: []wire.Precondition{guard, {Key: endKey("j-1")}},
 		Then: []wire.Change{{Put: endKey("j-1"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}})
 	next, _ := env.startLeaderWithGateOpen("n-1", func(*Node) {})
 	stop := make(chan struct{})
 	defer close(stop)
 	go env.runAgents(next, stop)
 	waitUntil(t, "done", func() bool { return jobState(next, "j-1") == wire.JobDone })
-	env.store.Deliver()
+	env.store.DeliverHeld()
 	waitUntil(t, "the next goes on", func() bool { return jobState(next, "j-2") == wire.JobDone })
 	if got := jobState(next, "j-1"); got != wire.JobDone {
 		t.Fatalf("%q", got)
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -38,7 +38,7 @@
 				sim.cloud.bootFailureRatio = []float64{0, 0.1}[seed%2]
 				sim.cloud.lostAnswerRatio = []float64{0, 0, 0.2}[seed%3]
 				if seed%5 == 0 {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 				if seed%7 == 0 {
 					sim.writeRPS = 20
@@ -139,7 +139,7 @@
 	request.alwaysFails = w.randomChance(0.05)
 	switch w.randomInt(6) {
 	case 0, 1, 2:
-		request.kind = wire.Array
+		request.kind = wire.JobArray
 	case 3:
 		request.kind, request.tasks, request.oneZone = wire.Gang, 1+w.randomInt(4), w.randomChance(0.5)
 	default:
@@ -147,7 +147,7 @@
 		request.spread = w.randomChance(0.5)
 	}
 	if request.alwaysFails {
-		request.kind, request.spread, request.oneZone = wire.Array, false, false
+		request.kind, request.spread, request.oneZone = wire.JobArray, false, false
 	}
 	if !request.spread && w.randomChance(0.2) {
 		request.zone = []string{"a", "b"}[w.randomInt(2)]
@@ -171,11 +171,11 @@
 			runScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 				withShard(sim)
 				// Not a whole zone: services that are spread over both would find no room.
-				sim.config.Shares.Declared[0].Selector = share.Selector{Kind: []share.InstanceKind{share.SpotOnly, share.OnDemandOnly}[seed%2]}
+				sim.config.Shards.Declared[0].Selector = share.Selector{Kind: []share.InstanceKind{share.SpotOnly, share.OnDemandOnly}[seed%2]}
 				sim.fastBoot = seed%4 == 0
 				sim.cloud.bootFailureRatio = []float64{0, 0.1}[seed%2]
 				if seed%5 == 0 {
-					sim.config.KeepLeases = 0
+					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				go sim.moveShardRandomly()
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -5,7 +5,7 @@
 // checkReachability gives the lead to another node if no worker reaches this one: it may
 // be cut off from them, and their leases run.
 func (l *Leader) checkReachability(ready, suspect int, now micro.Time) {
-	gapExceeded := l.heartbeatGap.exceeded(l.heartbeatsReceived, ready, now, l.node.Cfg.LongestReportInterval())
+	gapExceeded := l.heartbeatGap.exceeded(l.heartbeatsReceived, ready, now, l.node.Cfg.MaxHeartbeatInterval())
 	if ready > 0 && !gapExceeded {
 		l.node.lastHandover.Store(nil)
 	}
@@ -66,7 +66,7 @@
 
 // handoverWindow is how soon this node leads again if none of the others hears more.
 func (n *Node) handoverWindow() micro.Time {
-	return micro.Time(len(n.Cfg.Peers)+1) * (n.Cfg.SilentAfter + maxUnreachableTerm)
+	return micro.Time(len(n.Cfg.Peers)+1) * (n.Cfg.SuspectAfter + maxUnreachableTerm)
 }
 
 // heartbeatGap watches for a spell in which no worker at all reports. Single machines
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -76,7 +76,7 @@
 			sim.cloud.Types, sim.cloud.Capacity = sim.machineTypes, 2*tasks
 		}, func(sim *simCluster) {
 			sim.waitForRestoredLeader()
-			job := sim.newJob(jobRequest{kind: wire.Array, tasks: tasks, cpus: cpus, runTime: 5 * micro.Minute, team: "team"}).submit()
+			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: tasks, cpus: cpus, runTime: 5 * micro.Minute, team: "team"}).submit()
 			sim.waitUntil("all run", 2*micro.Minute, func() bool { return job.runningTasks() == tasks })
 			sim.sleep(10 * micro.Second)
 			leader := sim.leader()
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -42,7 +42,7 @@
 	records.images = newImageWriter(records)
 	records.format = records.Record(formatKey)
 	records.format.Build = func() (any, uint64) {
-		_, safe := l.node.Cfg.ValueBytes()
+		_, safe := l.node.Cfg.MaxValueBytes()
 		return FormatRecord{Version: FormatVersion, TasksPerChunk: model.TasksPerCompactChunk(safe - valueMargin)}, 0
 	}
 	records.format.OnCommitted = func(uint64) {
@@ -66,11 +66,11 @@
 func (l *Leader) HoldsLease() bool { return l.holdsLease() }
 
 // Preconditions are the conditions of every transaction of the term.
-func (l *Leader) Preconditions() []wire.Guard {
+func (l *Leader) Preconditions() []wire.Precondition {
 	if l.owner != nil {
 		return l.owner.Preconditions()
 	}
-	return []wire.Guard{l.term.Precondition()}
+	return []wire.Precondition{l.term.Precondition()}
 }
 
 // Post has the loop run something.
@@ -79,7 +79,7 @@
 // MaxValueBytes is what a value may take. Once the later forms are in use, the next
 // limits may come at any time.
 func (l *Leader) MaxValueBytes() int {
-	now, safe := l.node.Cfg.ValueBytes()
+	now, safe := l.node.Cfg.MaxValueBytes()
 	if l.cluster.CompactRecords {
 		return safe - valueMargin
 	}
@@ -87,7 +87,7 @@
 }
 
 // MaxTransactionOps is how many changes a transaction may have.
-func (l *Leader) MaxTransactionOps() int { return l.node.Cfg.TxnOps() }
+func (l *Leader) MaxTransactionOps() int { return l.node.Cfg.MaxTxnOps() }
 
 // ObserveCommit notes how long a transaction took.
 func (l *Leader) ObserveCommit(took micro.Time) { l.node.Metrics.Observe("commit", took) }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		if over {
-			spec.Needs, spec.NeedsIn = nil, 0
+			spec.Dependencies, spec.DependencyChunks = nil, 0
 		} else if !snapshot.completeDependencies(&spec) {
 			l.dependencyLookups[id] = true
 			continue
@@ -208,12 +208,12 @@
 	if _, over := l.cluster.FinalStatuses[spec.ID]; over {
 		return
 	}
-	if spec.NeedsIn > 0 {
+	if spec.DependencyChunks > 0 {
 		l.dependencyLookups[spec.ID] = true // the rest of what it awaits is in keys of its own
 		return
 	}
 	job := l.insertJob(spec, l.node.Now(), l.node.Wall())
-	l.log.Info("job", "job", spec.ID, "class", spec.Class, "kind", string(spec.Kind), "tasks", spec.Tasks, "state", job.State.String(), "awaits", spec.Needs, "unmet", job.UnmetDependencies)
+	l.log.Info("job", "job", spec.ID, "class", spec.Class, "kind", string(spec.Kind), "tasks", spec.Tasks, "state", job.State.String(), "awaits", spec.Dependencies, "unmet", job.UnmetDependencies)
 }
 
 // watchSubmissions finds jobs that other nodes accepted.
--- a/internal/controller/recovery_snapshot.go
+++ b/internal/controller/recovery_snapshot.go
@@ -70,14 +70,14 @@
 // completeDependencies completes a description whose list of awaited jobs is kept apart; false
 // if some of it is missing: the job must not be taken for one that awaits less.
 func (k *jobSnapshot) completeDependencies(job *wire.Job) bool {
-	for n := range job.NeedsIn {
+	for n := range job.DependencyChunks {
 		part, ok := k.dependencies[job.ID][n]
 		if !ok {
 			return false
 		}
-		job.Needs = append(job.Needs, part...)
+		job.Dependencies = append(job.Dependencies, part...)
 	}
-	job.NeedsIn = 0
+	job.DependencyChunks = 0
 	return true
 }
 
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -27,25 +27,25 @@
 	n, kill := env.startNodeWith("n-0", withLongLease)
 	waitUntil(t, "leading", func() bool { return n.activeLeader() != nil })
 	old := n.activeLeader().term
-	n.Submit(submission("j-1", wire.Array))
+	n.Submit(submission("j-1", wire.JobArray))
 	kill()
 	restarted, _ := env.startNodeWith("n-0", withLongLease)
 	waitUntil(t, "leading again", func() bool { return restarted.activeLeader() != nil })
 	if term := restarted.activeLeader().term; term.FencingRevision <= old.FencingRevision {
 		t.Fatalf("the new term's tokens are no higher: %d, %d", term.FencingRevision, old.FencingRevision)
 	}
-	waitUntil(t, "its job", func() bool { return restarted.Show("j-1").Status == 200 })
+	waitUntil(t, "its job", func() bool { return restarted.Status("j-1").Status == 200 })
 }
 
 // A node was restarted in mid-election: its own campaign, sent by the process
 // that ended, took effect after the new one had begun.
 func TestNodeRestartedInMidElectionRecoversFromItsOwnLateCampaign(t *testing.T) {
 	env := newTestCluster(t)
-	env.store.HoldBack(1)
+	env.store.HoldCommits(1)
 	_, kill := env.startNodeWith("n-0", withLongLease)
-	waitUntil(t, "campaign on its way", func() bool { return env.store.Held() == 1 })
+	waitUntil(t, "campaign on its way", func() bool { return env.store.HeldCommits() == 1 })
 	kill()
-	env.store.Deliver()
+	env.store.DeliverHeld()
 	restarted, _ := env.startNodeWith("n-0", withLongLease)
 	waitUntil(t, "leads", func() bool { return restarted.activeLeader() != nil })
 	other, _ := env.startNodeWith("n-1", withLongLease)
@@ -67,11 +67,11 @@
 	isolated.Peers = peer.NewClient(map[string]string{"n-1": addr})
 	isolated.Store = unansweredCommitStore{isolated.Store}
 	from := time.Now()
-	reply := isolated.Submit(submission("j-1", wire.Array))
+	reply := isolated.Submit(submission("j-1", wire.JobArray))
 	if reply.Status != 201 {
 		t.Fatalf("%+v after %v", reply, time.Since(from))
 	}
-	if reply := leader.Show("j-1"); reply.Status != 200 {
+	if reply := leader.Status("j-1"); reply.Status != 200 {
 		t.Fatalf("the peer knows nothing of it: %+v", reply)
 	}
 }
@@ -83,12 +83,12 @@
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
-	fakeAgent := fake.NewWorker("i-9", "small", "a", 30*micro.Second)
+	fakeAgent := fake.NewAgent("i-9", "small", "a", 30*micro.Second)
 	env.agents.mu.Lock()
 	env.agents.byMachine["i-9"] = fakeAgent
-	heartbeat := fakeAgent.Report()
+	heartbeat := fakeAgent.Heartbeat()
 	env.agents.mu.Unlock()
-	node.Beat(wire.MustMarshal(heartbeat)) // its answer is of no effect yet
+	node.Heartbeat(wire.MustMarshal(heartbeat)) // its answer is of no effect yet
 	usable := func() bool {
 		up := make(chan bool, 1)
 		leader := node.activeLeader()
@@ -96,7 +96,7 @@
 		return <-up
 	}
 	waitUntil(t, "up without another report", usable)
-	if len(fakeAgent.Started) != 0 {
+	if len(fakeAgent.StartedTasks) != 0 {
 		t.Fatal("the order was to be empty")
 	}
 }
@@ -120,11 +120,11 @@
 func TestEndThatComesDuringAReadIsSeen(t *testing.T) {
 	env := newTestCluster(t)
 	n, _ := env.startNodeWith("n-0", func(n *Node) { n.election.SuspendCampaign(10 * micro.Minute) })
-	if r := n.Submit(submission("j-1", wire.Array)); r.Status != 201 {
+	if r := n.Submit(submission("j-1", wire.JobArray)); r.Status != 201 {
 		t.Fatalf("%+v", r)
 	}
 	n.Store = endDuringReadStore{n.Store, func() {
-		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Txn{
+		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
 			Then: []wire.Change{{Put: endKey("j-1"), Value: model.FinalStatusRecord{State: wire.JobDone}}}})
 	}}
 	if got := jobState(n, "j-1"); got != wire.JobDone {
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -13,7 +13,7 @@
 // word of its acceptance must not find it any other way than done.
 func TestPrunedJobStaysDone(t *testing.T) {
 	runScenario(t, 4, 3, nil, func(sim *simCluster) {
-		job := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: 3 * micro.Second}).submit()
+		job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 3 * micro.Second}).submit()
 		other := sim.newJob(jobRequest{kind: wire.Service, tasks: 1}).submit()
 		sim.waitUntil("done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
 		sim.waitRunning(other, 1)
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -29,7 +29,7 @@
 	if leader == "" || leader == n.Cfg.Node {
 		return 503, nil
 	}
-	status, reply, err := n.callPeer(leader, peer.Admin, body, adminTimeout)
+	status, reply, err := n.callPeer(leader, peer.ShardAdmin, body, adminTimeout)
 	if err != nil {
 		return 503, nil
 	}
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -155,7 +155,7 @@
 func (l *Leader) storeAssignment(shardName string, job *model.Job, assignment share.Assignment) *assignedJob {
 	assigned := &assignedJob{job: job, shardName: shardName, assignment: assignment, storeRecord: l.records.Record(share.AssignmentKey(shardName, job.Spec.ID))}
 	l.coordinator.assignedJobs[job.Spec.ID] = assigned
-	assigned.storeRecord.Preconditions = func() []wire.Guard { return l.assignmentPreconditions(assigned) }
+	assigned.storeRecord.Preconditions = func() []wire.Precondition { return l.assignmentPreconditions(assigned) }
 	assigned.storeRecord.Build = func() (any, uint64) {
 		if assigned.storeRecord.Version() > 0 || !assigned.stored && !job.IsTerminal() {
 			return assigned.assignment, 0
@@ -175,11 +175,11 @@
 // earlier try without an answer may be carried out late, after the owner has deleted the
 // record: with the condition on its key alone, a job whose user was told that it is
 // cancelled was assigned once more, and ran. Later writes carry their key's version.
-func (l *Leader) assignmentPreconditions(assigned *assignedJob) []wire.Guard {
+func (l *Leader) assignmentPreconditions(assigned *assignedJob) []wire.Precondition {
 	if assigned.storeRecord.Version() > 0 {
 		return nil
 	}
-	preconditions := []wire.Guard{{Key: endKey(assigned.job.Spec.ID)}}
+	preconditions := []wire.Precondition{{Key: endKey(assigned.job.Spec.ID)}}
 	if entry, ok := l.shardTable().Get(assigned.shardName); ok {
 		preconditions = append(preconditions, entry.Precondition())
 	}
@@ -306,11 +306,11 @@
 // tasksEndInTime reports whether the tasks of a withdrawn job in these zones end in time by
 // themselves, whatever keepers do from now on.
 func (l *Leader) tasksEndInTime(zones []string, now micro.Time) bool {
-	if l.node.Cfg.ProveFirst() {
+	if l.node.Cfg.MustProveTermination() {
 		return false
 	}
 	for _, zone := range zones {
-		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 && limit+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelSpan() {
+		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 && limit+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelTimeout() {
 			return false
 		}
 	}
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -76,7 +76,7 @@
 		reclaims: map[string]*shardReclaim{}, movedAt: map[string]micro.Time{}}
 	l.coordinator.marker = l.records.Record(share.MarkerKey)
 	l.coordinator.marker.Build = func() (any, uint64) {
-		if l.node.shards.table.Snapshot().Len() == 0 && len(l.node.Cfg.Shares.Declared) == 0 {
+		if l.node.shards.table.Snapshot().Len() == 0 && len(l.node.Cfg.Shards.Declared) == 0 {
 			return nil, 0
 		}
 		return true, 0
@@ -124,7 +124,7 @@
 // refusesHeartbeat reports whether a report comes from a machine that is not the leader's to
 // answer: another controller owns it, or a share's work is still to be read before its
 // machines are answered. Answered earlier, they were told to stop all that they ran.
-func (l *Leader) refusesHeartbeat(heartbeat *wire.Report) bool {
+func (l *Leader) refusesHeartbeat(heartbeat *wire.Heartbeat) bool {
 	if l.coordinator == nil {
 		return false
 	}
@@ -231,7 +231,7 @@
 		}
 	case entry.Record.State == share.Moving && entry.Record.Target.Node != "" && !l.coordinator.sessions.Has(entry.Record.Target):
 		l.changeShard(entry, "move cancelled: its target is gone", entry.Record.CancelMove)
-	case l.node.Cfg.Shares.Dissolve && entry.Record.State == share.Owned:
+	case l.node.Cfg.Shards.Dissolve && entry.Record.State == share.Owned:
 		l.changeShard(entry, "share to be dissolved", func(wall int64) (share.Record, error) { return entry.Record.Move(share.Controller{}, wall) })
 	case entry.Record.State == share.Owned && l.viewOf(entry.Name).unreachable:
 		l.moveUnreachableShard(entry, now)
@@ -284,11 +284,11 @@
 }
 
 // commitShard sends a transaction on a share's record. What came of it shows in the table.
-func (l *Leader) commitShard(name string, transaction wire.Txn) {
+func (l *Leader) commitShard(name string, transaction wire.Transaction) {
 	l.commitShardThen(name, transaction, func(error) {})
 }
 
-func (l *Leader) commitShardThen(name string, transaction wire.Txn, done func(error)) {
+func (l *Leader) commitShardThen(name string, transaction wire.Transaction, done func(error)) {
 	l.coordinator.commitsInFlight[name] = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
@@ -298,7 +298,7 @@
 			l.log.Info("share not written", "share", name, "err", err)
 		}
 		l.post(func() { done(err) })
-		time.Sleep(tableWatchPause.Std()) // the table follows
+		time.Sleep(tableWatchPause.Duration()) // the table follows
 		l.post(func() { delete(l.coordinator.commitsInFlight, name) })
 	}()
 }
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -58,19 +58,19 @@
 // A move begins while a task is being placed: while the write of its record has no
 // answer (carried out at once, late, or never), or with its start held up on the way.
 func TestShardMoveDuringAnAllocation(t *testing.T) {
-	for name, fate := range map[string]fake.Fate{
-		"record carried out, no answer":    {Mute: true},
-		"record carried out late":          {Mute: true, After: 6 * micro.Second},
+	for name, fate := range map[string]fake.CommitFault{
+		"record carried out, no answer":    {Unanswered: true},
+		"record carried out late":          {Unanswered: true, ExecuteAfter: 6 * micro.Second},
 		"record not carried out":           {Refused: true},
-		"record carried out a minute late": {Mute: true, After: micro.Minute},
+		"record carried out a minute late": {Unanswered: true, ExecuteAfter: micro.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runShardScenario(t, 11, 3, func(sim *simCluster) {
 				service := sim.startShardWorkload()
 				owner, met := sim.controllerNamed("n-2"), false
-				sim.onCommit(owner, share.AllocationPrefix, func(n int, _ wire.Change) fake.Fate {
+				sim.onCommit(owner, share.AllocationPrefix, func(n int, _ wire.Change) fake.CommitFault {
 					if n > 2 {
-						return fake.Fate{}
+						return fake.CommitFault{}
 					}
 					if !met {
 						met = true
@@ -78,7 +78,7 @@
 					}
 					return fate
 				})
-				array := sim.newJob(jobRequest{kind: wire.Array, tasks: 3, runTime: 5 * micro.Second, zone: "b"}).submit()
+				array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 3, runTime: 5 * micro.Second, zone: "b"}).submit()
 				sim.waitUntil("done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone })
 				if !met {
 					sim.t.Error("the move met no placement")
@@ -100,7 +100,7 @@
 		for _, machine := range sim.liveMachines() {
 			machine.holdDispatch()
 		}
-		array := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: micro.Minute, zone: "b"}).submit()
+		array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: micro.Minute, zone: "b"}).submit()
 		sim.sleep(3 * micro.Second)
 		sim.moveShard("n-0")
 		if got := array.cancel(); got != wire.JobAborted {
@@ -151,7 +151,7 @@
 	}
 	for name, trouble := range troubles {
 		for _, after := range []micro.Time{0, 15 * micro.Millisecond, 300 * micro.Millisecond} {
-			t.Run(fmt.Sprint(name, " after ", after.Std()), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " after ", after.Duration()), func(t *testing.T) {
 				t.Parallel()
 				runShardScenario(t, 13, 3, func(sim *simCluster) {
 					service := sim.startShardWorkload()
@@ -174,22 +174,22 @@
 // The transaction that hands over gets no answer: it was carried out, or will be seconds
 // later, or never.
 func TestShardTransferWithoutAnAnswer(t *testing.T) {
-	for name, fate := range map[string]fake.Fate{
-		"carried out":               {Mute: true},
-		"carried out 3 s late":      {Mute: true, After: 3 * micro.Second},
-		"carried out a minute late": {Mute: true, After: micro.Minute},
+	for name, fate := range map[string]fake.CommitFault{
+		"carried out":               {Unanswered: true},
+		"carried out 3 s late":      {Unanswered: true, ExecuteAfter: 3 * micro.Second},
+		"carried out a minute late": {Unanswered: true, ExecuteAfter: micro.Minute},
 		"refused":                   {Refused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runShardScenario(t, 14, 3, func(sim *simCluster) {
 				service := sim.startShardWorkload()
 				tries := 0
-				sim.onCommit(sim.controllerNamed("n-2"), share.RecordPrefix, func(n int, _ wire.Change) fake.Fate {
+				sim.onCommit(sim.controllerNamed("n-2"), share.RecordPrefix, func(n int, _ wire.Change) fake.CommitFault {
 					tries = n
 					if n <= 2 {
 						return fate
 					}
-					return fake.Fate{}
+					return fake.CommitFault{}
 				})
 				sim.requestMove("n-0")
 				sim.waitShardOwned("n-0", micro.Minute)
@@ -230,7 +230,7 @@
 			sim.waitShardOwned("n-2", 2*micro.Minute)
 			full := sim.newJob(jobRequest{kind: wire.Service, tasks: 4, cpus: 4, zone: "b"}).submit()
 			sim.waitRunning(full, 4)
-			next := sim.newJob(jobRequest{kind: wire.Array, tasks: 4, cpus: 4, runTime: 5 * micro.Second, zone: "b"}).submit()
+			next := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 4, runTime: 5 * micro.Second, zone: "b"}).submit()
 			sim.requestMove("n-0")
 			sim.sleep(micro.Time(seed) * 10 * micro.Millisecond)
 			if got := full.cancel(); got != wire.JobAborted {
@@ -309,9 +309,9 @@
 	for seed := range uint64(3) {
 		runShardScenario(t, 40+seed, 3, func(sim *simCluster) {
 			service := sim.startShardWorkload()
-			array := sim.newJob(jobRequest{kind: wire.Array, tasks: 2, runTime: 3 * micro.Minute, zone: "b"}).submit()
+			array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 3 * micro.Minute, zone: "b"}).submit()
 			sim.waitUntil("the array runs", micro.Minute, func() bool { return array.runningTasks() == 2 })
-			dissolve := *sim.config.Shares
+			dissolve := *sim.config.Shards
 			dissolve.Dissolve = true
 			sim.reconfigure(&dissolve)
 			sim.waitUntil("no record of the share is left", 4*micro.Minute, func() bool { return len(sim.shardKeys()) == 0 })
@@ -326,9 +326,9 @@
 }
 
 // reconfigure restarts all controllers, one after the other, with other settings.
-func (w *simCluster) reconfigure(s *config.Shares) {
+func (w *simCluster) reconfigure(s *config.Shards) {
 	w.t.Helper()
-	w.config.Shares = s
+	w.config.Shards = s
 	for _, controller := range w.controllers {
 		w.restartController(controller, micro.Second)
 		w.sleep(12 * micro.Second)
@@ -355,12 +355,12 @@
 func TestControllerWithoutShardsDoesNotLeadWhereThereAreShards(t *testing.T) {
 	runShardScenario(t, 43, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
-		with := sim.config.Shares
-		sim.config.Shares = nil
+		with := sim.config.Shards
+		sim.config.Shards = nil
 		leader, _ := sim.waitForRestoredLeader()
 		sim.restartController(leader, micro.Second)
 		sim.sleep(5 * micro.Second)
-		sim.config.Shares = with
+		sim.config.Shards = with
 		for range 20 { // whoever else ends, it does not lead
 			sim.sleep(3 * micro.Second)
 			if l := sim.leader(); l == leader && leader.holdsLease() {
@@ -404,10 +404,10 @@
 	}
 	runScenario(t, 45, 3, func(sim *simCluster) {
 		withShard(sim)
-		sim.config.Shares.LeastTime = 3 * micro.Minute
-		sim.config.Shares.Policies = []config.MovePolicy{
-			{Name: "1-flaps", Share: "east", Owner: "n-0", When: condition(`minute % 2 == 0`)},
-			{Name: "2-always", Share: "east", Owner: "n-1", When: condition(`machines["east"] >= 0`)},
+		sim.config.Shards.MinMoveInterval = 3 * micro.Minute
+		sim.config.Shards.Policies = []config.MovePolicy{
+			{Name: "1-flaps", Shard: "east", Owner: "n-0", When: condition(`minute % 2 == 0`)},
+			{Name: "2-always", Shard: "east", Owner: "n-1", When: condition(`machines["east"] >= 0`)},
 		}
 	}, func(sim *simCluster) {
 		sim.waitUntil("the share is owned", 2*micro.Minute, func() bool { entry, ok := sim.shardRecord(); return ok && entry.OwnedElsewhere() })
@@ -437,9 +437,9 @@
 			longest = max(longest, sim.now()-from)
 			sim.sleep(5 * micro.Second)
 		}
-		sim.t.Logf("the longest of three moves took %v", longest.Std().Round(time.Millisecond))
+		sim.t.Logf("the longest of three moves took %v", longest.Duration().Round(time.Millisecond))
 		if longest > micro.Second || service.startCount() != 3 {
-			sim.t.Errorf("a move took %v, %d starts of 3 replicas", longest.Std(), service.startCount())
+			sim.t.Errorf("a move took %v, %d starts of 3 replicas", longest.Duration(), service.startCount())
 		}
 	})
 }
--- a/internal/controller/shard_form.go
+++ b/internal/controller/shard_form.go
@@ -23,10 +23,10 @@
 
 // formDeclaredShards forms the shares of the settings that do not exist.
 func (l *Leader) formDeclaredShards() {
-	if l.node.Cfg.Shares.Dissolve || !l.cluster.CompactRecords || !l.allRegistered() {
+	if l.node.Cfg.Shards.Dissolve || !l.cluster.CompactRecords || !l.allRegistered() {
 		return
 	}
-	for _, declared := range l.node.Cfg.Shares.Declared {
+	for _, declared := range l.node.Cfg.Shards.Declared {
 		if _, ok := l.shardTable().Get(declared.Name); ok || l.coordinator.commitsInFlight[declared.Name] {
 			continue
 		}
@@ -47,7 +47,7 @@
 // reconcileForming clears the machines of a share that is being formed, and gives it to its
 // first owner once none of them holds a task.
 func (l *Leader) reconcileForming(entry share.Entry, wall int64) {
-	if l.node.Cfg.Shares.Dissolve {
+	if l.node.Cfg.Shards.Dissolve {
 		l.deleteShard(entry)
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 func (l *Leader) initialOwner(name string) (share.Controller, bool) {
-	for _, d := range l.node.Cfg.Shares.Declared {
+	for _, d := range l.node.Cfg.Shards.Declared {
 		if d.Name == name && d.Owner != "" {
 			return l.coordinator.sessions.Controller(d.Owner)
 		}
@@ -120,14 +120,14 @@
 		}
 	}
 	for _, allocation := range replicas[:max(min(len(replicas), maxReplicasStopping-stopping), 0)] {
-		l.cluster.StopAllocation(allocation, "the machine goes to a share", allocation.Job.Spec.SaveS, now)
+		l.cluster.StopAllocation(allocation, "the machine goes to a share", allocation.Job.Spec.CheckpointDurationS, now)
 	}
 }
 
 // deleteShard deletes the record of a share that has nothing left. The last one takes
 // the marker along.
 func (l *Leader) deleteShard(e share.Entry) {
-	transaction := wire.Txn{If: []wire.Guard{l.term.Precondition(), e.Precondition()}, Then: []wire.Change{{Delete: e.Key()}}}
+	transaction := wire.Transaction{If: []wire.Precondition{l.term.Precondition(), e.Precondition()}, Then: []wire.Change{{Delete: e.Key()}}}
 	if l.shardTable().Len() == 1 {
 		transaction.Then = append(transaction.Then, wire.Change{Delete: share.MarkerKey})
 		l.coordinator.marker.SetVersion(0)
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -26,12 +26,12 @@
 			var used usage
 			runScenario(t, 50, 3, func(sim *simCluster) {
 				withShard(sim)
-				sim.config.Shares.Declared[0] = config.DeclaredShare{Name: "east", Selector: share.Selector{Zone: "b"}, Owner: "n-2"}
+				sim.config.Shards.Declared[0] = config.DeclaredShard{Name: "east", Selector: share.Selector{Zone: "b"}, Owner: "n-2"}
 				sim.cloud.Capacity = machines + 20
 				sim.config.Facts.Teams[0].CPUsMax = 0
 				delete(sim.checker.cpuLimits, "team")
 				sim.wrapStore = func(l *fake.Link) store.Store {
-					l.Delay(storeLatency)
+					l.SetDelay(storeLatency)
 					return usageCountingStore{l, &used}
 				}
 			}, func(sim *simCluster) { sim.measureMoves(machines, &used) })
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -42,13 +42,13 @@
 
 // initShards prepares the node's part, if the feature is on.
 func (n *Node) initShards() {
-	if n.Cfg.Shares == nil {
+	if n.Cfg.Shards == nil {
 		return
 	}
 	n.shards = &nodeShards{owners: map[string]*Leader{}}
 	n.shards.session = &election.Election{
 		Key: share.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
-		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenew, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
+		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenewInterval, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
 		OnStartedLeading: n.sessionStarted, OnStoppedLeading: n.sessionEnded,
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 func pause(ctx context.Context, d micro.Time) {
-	t := time.NewTimer(d.Std())
+	t := time.NewTimer(d.Duration())
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -235,11 +235,11 @@
 // heartbeatWithShards answers a report, whoever's machine it comes from.
 func (n *Node) heartbeatWithShards(body []byte) front.Reply {
 	if len(body) > wire.MaxBody {
-		return front.Fail(400, "too large")
+		return front.ErrorReply(400, "too large")
 	}
-	heartbeat, err := wire.DecodeReport(body)
+	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
-		return front.Fail(400, err.Error())
+		return front.ErrorReply(400, err.Error())
 	}
 	if reply, ok := n.routeShardHeartbeat(heartbeat); ok {
 		return reply
@@ -252,9 +252,9 @@
 
 // routeShardHeartbeat answers a report of a machine that is in a share; false if it is in none,
 // and so the leader's to answer.
-func (n *Node) routeShardHeartbeat(heartbeat *wire.Report) (front.Reply, bool) {
+func (n *Node) routeShardHeartbeat(heartbeat *wire.Heartbeat) (front.Reply, bool) {
 	if !n.shards.tableRead.Load() {
-		return front.Later(503, 1), true // whose it is is not known yet
+		return front.RetryReply(503, 1), true // whose it is is not known yet
 	}
 	entry, ok := n.shards.table.Snapshot().ShardOf(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
 	if !ok || !entry.OwnedElsewhere() {
@@ -265,12 +265,12 @@
 		if n.activeLeader() == nil && n.proxiesLease(heartbeat) {
 			return leaseProxyReply(heartbeat), true
 		}
-		return front.Reply{Status: 421, Body: wire.Redirect{Leader: node}}, true
+		return front.Reply{Status: 421, Body: wire.NotLeader{LeaderHint: node}}, true
 	}
 	if owner := n.shards.ownerOf(entry.Name); owner != nil && owner.serving.Load() && owner.holdsLease() {
 		return owner.handleHeartbeat(heartbeat), true
 	}
-	return front.Later(503, 1), true
+	return front.RetryReply(503, 1), true
 }
 
 func machineAttributes(typ, zone string, spot bool) share.Attributes {
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -158,7 +158,7 @@
 
 // commitTransfer sends a transaction on the share's record, and has the loop take in what
 // came of it.
-func (l *Leader) commitTransfer(transaction wire.Txn, done func(revision uint64, err error)) {
+func (l *Leader) commitTransfer(transaction wire.Transaction, done func(revision uint64, err error)) {
 	l.owner.transferInFlight = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -98,7 +98,7 @@
 	record.SetVersion(max(record.Version(), version))
 	job := l.cluster.Jobs[id]
 	if job == nil {
-		assignment.Job.Needs, assignment.Job.NeedsIn = nil, 0 // all of them are done
+		assignment.Job.Dependencies, assignment.Job.DependencyChunks = nil, 0 // all of them are done
 		job = l.insertJob(assignment.Job, l.node.Now(), l.node.Wall())
 		l.owner.assignedAt[id] = micro.Time(assignment.AssignedAt)
 		l.log.Info("job assigned", "job", id, "class", assignment.Job.Class, "tasks", assignment.Job.Tasks, "at_once", assignment.MaxAllocations)
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -77,7 +77,7 @@
 	if leader == "" || leader == n.Cfg.Node {
 		return reply, false
 	}
-	status, response, err := n.Peers.Call(context.Background(), leader, peer.Share, body, statusUpdateTimeout)
+	status, response, err := n.Peers.Call(context.Background(), leader, peer.ShardOwner, body, statusUpdateTimeout)
 	return reply, err == nil && status == 200 && wire.Unmarshal(response, &reply) == nil
 }
 
