--- a/internal/share/table.go
+++ b/internal/share/table.go
@@ -19,13 +19,13 @@
 func (e Entry) Key() string { return RecordKey(e.Name) }
 
 // Precondition is the condition that the record has not changed.
-func (e Entry) Precondition() wire.Guard {
-	return wire.Guard{Key: e.Key(), Version: wire.Count(e.Version)}
+func (e Entry) Precondition() wire.Precondition {
+	return wire.Precondition{Key: e.Key(), Version: wire.Count(e.Version)}
 }
 
 // Update is the transaction that writes a later record, under further conditions.
-func (e Entry) Update(next Record, preconditions ...wire.Guard) wire.Txn {
-	return wire.Txn{
+func (e Entry) Update(next Record, preconditions ...wire.Precondition) wire.Transaction {
+	return wire.Transaction{
 		If:   append(preconditions, e.Precondition()),
 		Then: []wire.Change{{Put: e.Key(), Value: next}},
 	}
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -73,7 +73,7 @@
 	var requests atomic.Int32
 	client := newRateLimitedClient(t, &requests)
 	client.writes, client.reads = nonRefillingLimiter(10), nonRefillingLimiter(10)
-	txn := wire.Txn{Then: make([]wire.Change, 9)}
+	txn := wire.Transaction{Then: make([]wire.Change, 9)}
 	if room := client.AvailableWrites(Routine); room != 8 {
 		t.Errorf("room for %d changes", room)
 	}
@@ -97,7 +97,7 @@
 	client.SetBudgetFraction(1, 0.5)
 	commit := func() {
 		t.Helper()
-		if _, err := client.Commit(t.Context(), Urgent, wire.Txn{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(err, ErrRateLimited) {
+		if _, err := client.Commit(t.Context(), Urgent, wire.Transaction{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(err, ErrRateLimited) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -66,7 +66,7 @@
 	AvailableWrites(class Class) int
 	Get(ctx context.Context, class Class, key string) (wire.Item, error)
 	Range(ctx context.Context, class Class, prefix, after string, limit int) (wire.Page, error)
-	Commit(ctx context.Context, class Class, txn wire.Txn) (revision uint64, err error)
+	Commit(ctx context.Context, class Class, txn wire.Transaction) (revision uint64, err error)
 	// Existing says which of the keys there are: one transaction that changes
 	// nothing, and whose guards say that they do not exist.
 	ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error)
@@ -245,12 +245,12 @@
 }
 
 // Commit runs a transaction. On ErrConflict nothing was changed.
-func (c *Client) Commit(ctx context.Context, class Class, txn wire.Txn) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, class Class, txn wire.Transaction) (uint64, error) {
 	body, err := wire.Marshal(txn)
 	if err != nil {
 		return 0, err
 	}
-	var result wire.TxnResult
+	var result wire.TransactionResult
 	_, err = c.call(ctx, class, len(txn.Then), "POST", "/commit", body, c.timeout, &result)
 	if errors.Is(err, ErrMalformed) && result.Error == "no such lease" {
 		err = ErrNoLease
@@ -260,15 +260,15 @@
 
 // ExistingKeys says which of the keys there are.
 func (c *Client) ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error) {
-	txn := wire.Txn{If: make([]wire.Guard, 0, len(keys)), Then: []wire.Change{}}
+	txn := wire.Transaction{If: make([]wire.Precondition, 0, len(keys)), Then: []wire.Change{}}
 	for _, key := range keys {
-		txn.If = append(txn.If, wire.Guard{Key: key})
+		txn.If = append(txn.If, wire.Precondition{Key: key})
 	}
 	body, err := wire.Marshal(txn)
 	if err != nil {
 		return nil, err
 	}
-	var result wire.TxnResult
+	var result wire.TransactionResult
 	_, err = c.call(ctx, class, 0, "POST", "/commit", body, c.timeout, &result)
 	if err != nil && !errors.Is(err, ErrConflict) {
 		return nil, err
@@ -311,6 +311,6 @@
 	var events wire.Events
 	path := "/changes?prefix=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(after, 10) +
 		"&waitMs=" + strconv.FormatInt(int64(wait/micro.Millisecond), 10)
-	_, err := c.call(ctx, Leadership, 0, "GET", path, nil, wait.Std()+2*time.Second, &events)
+	_, err := c.call(ctx, Leadership, 0, "GET", path, nil, wait.Duration()+2*time.Second, &events)
 	return events, err
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-func putTransaction(key string, guards ...wire.Guard) wire.Txn {
-	return wire.Txn{If: guards, Then: []wire.Change{{Put: key, Value: "v"}}}
+func putTransaction(key string, guards ...wire.Precondition) wire.Transaction {
+	return wire.Transaction{If: guards, Then: []wire.Change{{Put: key, Value: "v"}}}
 }
 
 func TestEachStatusHasItsError(t *testing.T) {
@@ -53,9 +53,9 @@
 		want   error
 		silent bool // the service counts as not having answered
 	}{
-		{"done", 200, wire.MustMarshal(wire.TxnResult{Revision: 7}), nil, false},
+		{"done", 200, wire.MustMarshal(wire.TransactionResult{Revision: 7}), nil, false},
 		{"malformed", 400, empty, store.ErrMalformed, false},
-		{"no lease", 400, wire.MustMarshal(wire.TxnResult{Error: "no such lease"}), store.ErrNoLease, false},
+		{"no lease", 400, wire.MustMarshal(wire.TransactionResult{Error: "no such lease"}), store.ErrNoLease, false},
 		{"no key", 404, empty, store.ErrNotFound, false},
 		{"guard", 409, empty, store.ErrConflict, false},
 		{"compacted", 410, empty, store.ErrCompacted, false},
@@ -63,7 +63,7 @@
 		{"unexpected", 500, empty, store.ErrUnexpectedStatus, false},
 		{"refused", 503, empty, store.ErrRefused, true},
 		{"done, and no body", 200, nil, store.ErrUnexpectedStatus, false},
-		{"done, and half a body", 200, wire.MustMarshal(wire.TxnResult{Revision: 7})[:5], store.ErrUnexpectedStatus, false},
+		{"done, and half a body", 200, wire.MustMarshal(wire.TransactionResult{Revision: 7})[:5], store.ErrUnexpectedStatus, false},
 		{"done, and another body", 200, wire.MustMarshal("text"), store.ErrUnexpectedStatus, false},
 		{"guard, and no body", 409, nil, store.ErrConflict, false},
 		{"refused, and no body", 503, nil, store.ErrRefused, true},
@@ -91,7 +91,7 @@
 		}
 	}), unlimitedRate, unlimitedRate)
 	for i, key := range []string{"new", "answered", "served before"} {
-		_, err := client.Commit(t.Context(), store.Routine, putTransaction(key, wire.Guard{Key: key}))
+		_, err := client.Commit(t.Context(), store.Routine, putTransaction(key, wire.Precondition{Key: key}))
 		if responseLost := key != "answered"; responseLost != errors.Is(err, store.ErrUncertain) || !responseLost && err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	leased := wire.Txn{Then: []wire.Change{{Put: "leased", Value: "v", Lease: wire.Count(lease)}}}
+	leased := wire.Transaction{Then: []wire.Change{{Put: "leased", Value: "v", Lease: wire.Count(lease)}}}
 	if _, err := client.Commit(ctx, store.Routine, leased); err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	if err != nil || !got["a"] || got["b"] || !got["c"] {
 		t.Errorf("%v %v", got, err)
 	}
-	state.Outage(true)
+	state.SetOutage(true)
 	if got, err := client.ExistingKeys(t.Context(), store.Routine, []string{"b"}); !errors.Is(err, store.ErrRefused) || got != nil {
 		t.Errorf("in an outage: %v %v", got, err)
 	}
--- a/internal/writer/commit.go
+++ b/internal/writer/commit.go
@@ -19,7 +19,7 @@
 )
 
 // commit sends a transaction, and has the loop take in what came of it.
-func (w *Writer) commit(txn wire.Txn, changes []batchChange) {
+func (w *Writer) commit(txn wire.Transaction, changes []batchChange) {
 	sentAt := w.host.Now()
 	if !w.host.HoldsLease() {
 		w.host.Post(func() { w.requeue(changes, false) })
@@ -36,7 +36,7 @@
 }
 
 // handleCommitResult takes in the outcome of a transaction.
-func (w *Writer) handleCommitResult(txn wire.Txn, changes []batchChange, revision uint64, err error, now micro.Time) {
+func (w *Writer) handleCommitResult(txn wire.Transaction, changes []batchChange, revision uint64, err error, now micro.Time) {
 	switch {
 	case err == nil:
 		w.endInFlight(recordsOf(changes)...)
@@ -98,7 +98,7 @@
 	}
 }
 
-func transactionSize(txn wire.Txn) int {
+func transactionSize(txn wire.Transaction) int {
 	bytes := 0
 	for _, ch := range txn.Then {
 		bytes += wire.JSONSize(ch.Value)
--- a/internal/writer/flush.go
+++ b/internal/writer/flush.go
@@ -37,12 +37,12 @@
 
 // batch is a transaction being put together.
 type batch struct {
-	txn              wire.Txn
+	txn              wire.Transaction
 	changes          []batchChange
 	toVerify         []*Record
 	size             int
-	preconditions    map[wire.Guard]bool // further conditions that are in it already
-	maxPreconditions int                 // how many conditions it may have
+	preconditions    map[wire.Precondition]bool // further conditions that are in it already
+	maxPreconditions int                        // how many conditions it may have
 }
 
 // Flush starts a transaction if one is due.
@@ -77,7 +77,7 @@
 // assembleBatch puts a transaction together from what is due, the most urgent first.
 func (w *Writer) assembleBatch(now micro.Time) *batch {
 	maxChanges := w.host.MaxTransactionOps()
-	b := &batch{txn: wire.Txn{If: w.host.Preconditions()}, size: transactionOverhead, preconditions: map[wire.Guard]bool{}, maxPreconditions: PreconditionsPerChange * maxChanges}
+	b := &batch{txn: wire.Transaction{If: w.host.Preconditions()}, size: transactionOverhead, preconditions: map[wire.Precondition]bool{}, maxPreconditions: PreconditionsPerChange * maxChanges}
 	if w.singleChangeBatches > 0 {
 		w.singleChangeBatches--
 		maxChanges = 1
@@ -173,7 +173,7 @@
 	for _, g := range preconditions {
 		b.preconditions[g] = true
 	}
-	b.txn.If = append(append(b.txn.If, preconditions...), wire.Guard{Key: record.Key, Version: wire.Count(record.version)})
+	b.txn.If = append(append(b.txn.If, preconditions...), wire.Precondition{Key: record.Key, Version: wire.Count(record.version)})
 	b.txn.Then = append(b.txn.Then, change)
 	b.changes = append(b.changes, batchChange{record, memoryVersion, value == nil})
 	record.dirty = false
@@ -181,11 +181,11 @@
 }
 
 // missingPreconditions lists the entry's own conditions that the transaction does not carry yet.
-func (b *batch) missingPreconditions(record *Record) []wire.Guard {
+func (b *batch) missingPreconditions(record *Record) []wire.Precondition {
 	if record.Preconditions == nil {
 		return nil
 	}
-	var missing []wire.Guard
+	var missing []wire.Precondition
 	for _, g := range record.Preconditions() {
 		if !b.preconditions[g] {
 			missing = append(missing, g)
--- a/internal/writer/record.go
+++ b/internal/writer/record.go
@@ -34,7 +34,7 @@
 	// It may be nil.
 	ResolveUncertain func(item wire.Item) bool
 	// Guards are further conditions of each write; it may be nil.
-	Preconditions func() []wire.Guard
+	Preconditions func() []wire.Precondition
 
 	writer             *Writer
 	version            uint64
--- a/internal/writer/writer.go
+++ b/internal/writer/writer.go
@@ -25,7 +25,7 @@
 	// Valid reports whether the right to write still holds; any goroutine may ask.
 	HoldsLease() bool
 	// Guards are the conditions that every transaction carries.
-	Preconditions() []wire.Guard
+	Preconditions() []wire.Precondition
 	// Post has the loop run something.
 	Post(f func())
 	// MaxValueBytes is what a value may take now.
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -19,13 +19,13 @@
 	Types []MachineType `msgpack:"rigs"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Request string `msgpack:"hire" json:"hire"`
-	Type    string `msgpack:"rig" json:"rig"`
-	Zone    string `msgpack:"yard" json:"yard"`
-	Spot    bool   `msgpack:"loaners" json:"loaners"`
-	Count   int    `msgpack:"count" json:"count"`
+// InstanceRequest asks the cloud for machines.
+type InstanceRequest struct {
+	RequestID string `msgpack:"hire" json:"hire"`
+	Type      string `msgpack:"rig" json:"rig"`
+	Zone      string `msgpack:"yard" json:"yard"`
+	Spot      bool   `msgpack:"loaners" json:"loaners"`
+	Count     int    `msgpack:"count" json:"count"`
 }
 
 // MachineNames lists machines, rented or to be returned.
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -20,8 +20,8 @@
 // ErrMalformed is the error for a body that is no well-formed message.
 var ErrMalformed = errors.New("malformed body")
 
-// maxDepth bounds nesting, so that a hostile body cannot exhaust the stack.
-const maxDepth = 32
+// maxNesting bounds nesting, so that a hostile body cannot exhaust the stack.
+const maxNesting = 32
 
 // Marshal encodes a message.
 func Marshal(v any) ([]byte, error) {
@@ -47,7 +47,7 @@
 // Unmarshal decodes one message. The body must hold exactly one value: it is
 // walked first, so that lengths it only claims allocate nothing.
 func Unmarshal(body []byte, v any) (err error) {
-	if err := walk(body); err != nil {
+	if err := checkWellFormed(body); err != nil {
 		return err
 	}
 	// The decoder panics on some kinds of mismatch; a bad message must never
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// walk checks that body is exactly one well-formed value of bounded depth.
-func walk(body []byte) error {
-	rest, err := skip(body, maxDepth)
+// checkWellFormed checks that body is exactly one well-formed value of bounded depth.
+func checkWellFormed(body []byte) error {
+	rest, err := skipValue(body, maxNesting)
 	if err != nil {
 		return err
 	}
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// skip gives what follows the first value of b. The value may nest so deep.
-func skip(b []byte, depth int) ([]byte, error) {
-	if len(b) == 0 || depth == 0 {
+// skipValue gives what follows the first value of b. The value may nest so deep.
+func skipValue(data []byte, depth int) ([]byte, error) {
+	if len(data) == 0 || depth == 0 {
 		return nil, ErrMalformed
 	}
-	code, rest := b[0], b[1:]
+	code, rest := data[0], data[1:]
 	switch {
 	case code <= 0x7f || code >= 0xe0 || code == 0xc0 || code == 0xc2 || code == 0xc3:
 		return rest, nil // a small number, nil, false or true
@@ -105,7 +105,7 @@
 }
 
 // skipSized skips a text, list or map whose size follows its code.
-func skipSized(code byte, b []byte, depth int) ([]byte, error) {
+func skipSized(code byte, data []byte, depth int) ([]byte, error) {
 	var width int
 	switch code {
 	case 0xd9, 0xda, 0xdb: // texts
@@ -117,14 +117,14 @@
 	default:
 		return nil, ErrMalformed // binary and extension types are not ours
 	}
-	if len(b) < width {
+	if len(data) < width {
 		return nil, ErrMalformed
 	}
 	size := 0
-	for _, x := range b[:width] {
-		size = size<<8 | int(x)
+	for _, octet := range data[:width] {
+		size = size<<8 | int(octet)
 	}
-	rest := b[width:]
+	rest := data[width:]
 	switch {
 	case code <= 0xdb:
 		return skipBytes(rest, size)
@@ -134,26 +134,26 @@
 	return skipItems(rest, 2*size, depth-1)
 }
 
-func skipBytes(b []byte, n int) ([]byte, error) {
-	if n < 0 || len(b) < n {
+func skipBytes(data []byte, n int) ([]byte, error) {
+	if n < 0 || len(data) < n {
 		return nil, ErrMalformed
 	}
-	return b[n:], nil
+	return data[n:], nil
 }
 
 // skipItems skips so many values. Each takes a byte at least: a count beyond that
 // is refused before any is looked at.
-func skipItems(b []byte, n, depth int) ([]byte, error) {
-	if n > len(b) {
+func skipItems(data []byte, count, depth int) ([]byte, error) {
+	if count > len(data) {
 		return nil, ErrMalformed
 	}
 	var err error
-	for range n {
-		if b, err = skip(b, depth); err != nil {
+	for range count {
+		if data, err = skipValue(data, depth); err != nil {
 			return nil, err
 		}
 	}
-	return b, nil
+	return data, nil
 }
 
 // JSONSize is the size of a value in its JSON form, which size limits count.
@@ -186,29 +186,29 @@
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (c Count) EncodeMsgpack(e *msgpack.Encoder) error { return e.EncodeUint(uint64(c)) }
 
-func asCount(v any) (uint64, bool) {
-	switch x := v.(type) {
+func asCount(value any) (uint64, bool) {
+	switch number := value.(type) {
 	case int8:
-		return uint64(x), x >= 0
+		return uint64(number), number >= 0
 	case int16:
-		return uint64(x), x >= 0
+		return uint64(number), number >= 0
 	case int32:
-		return uint64(x), x >= 0
+		return uint64(number), number >= 0
 	case int64:
-		return uint64(x), x >= 0
+		return uint64(number), number >= 0
 	case uint8:
-		return uint64(x), true
+		return uint64(number), true
 	case uint16:
-		return uint64(x), true
+		return uint64(number), true
 	case uint32:
-		return uint64(x), true
+		return uint64(number), true
 	case uint64:
-		return x, true
+		return number, true
 	case float32:
-		return asCount(float64(x))
+		return asCount(float64(number))
 	case float64:
-		if x >= 0 && x < 1<<53 && x == math.Trunc(x) {
-			return uint64(x), true
+		if number >= 0 && number < 1<<53 && number == math.Trunc(number) {
+			return uint64(number), true
 		}
 	}
 	return 0, false
--- a/wire/job.go
+++ b/wire/job.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Kind is the shape of a job.
-type Kind string
+// JobKind is the shape of a job.
+type JobKind string
 
 // The kinds of job.
 const (
-	Array   Kind = "batch"
-	Gang    Kind = "ensemble"
-	Service Kind = "daemon"
+	JobArray JobKind = "batch"
+	Gang     JobKind = "ensemble"
+	Service  JobKind = "daemon"
 )
 
 // Priority is a job's rank for preemption.
@@ -58,38 +58,38 @@
 
 // Job is a submission.
 type Job struct {
-	ID          string   `msgpack:"nameId" json:"nameId"`
-	Class       string   `msgpack:"jobclass" json:"jobclass"`
-	Team        string   `msgpack:"outfit" json:"outfit"`
-	Kind        Kind     `msgpack:"shape" json:"shape"`
-	Priority    Priority `msgpack:"rank" json:"rank"`
-	Tasks       int      `msgpack:"pieces" json:"pieces"`
-	CPUs        float64  `msgpack:"vcpus" json:"vcpus"`
-	GPUs        float64  `msgpack:"gpus" json:"gpus"`
-	MemoryGB    float64  `msgpack:"ramGb" json:"ramGb"`
-	Image       string   `msgpack:"bundle" json:"bundle"`
-	ImageGB     float64  `msgpack:"pullGb" json:"pullGb"`
-	Types       []string `msgpack:"rigs" json:"rigs"`
-	Zone        *string  `msgpack:"yard" json:"yard"`
-	OneZone     bool     `msgpack:"oneZone" json:"oneZone"`
-	Spread      bool     `msgpack:"scatter" json:"scatter"`
-	Spot        bool     `msgpack:"loaners" json:"loaners"`
-	EstimateS   float64  `msgpack:"guessS" json:"guessS"`
-	CheckpointS float64  `msgpack:"bookmarkS" json:"bookmarkS"`
-	SaveS       float64  `msgpack:"stashS" json:"stashS"`
-	DeadlineS   *float64 `msgpack:"dueS" json:"dueS"`
-	Needs       []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`     // jobs that must be done before any task starts
-	NeedsIn     int      `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"` // the store's record only: so many further keys hold more of them
-	SubmittedAt int64    `msgpack:"at,omitempty" json:"at,omitempty"`             // wall clock, microseconds; the store's record only
+	ID                  string   `msgpack:"nameId" json:"nameId"`
+	Class               string   `msgpack:"jobclass" json:"jobclass"`
+	Team                string   `msgpack:"outfit" json:"outfit"`
+	Kind                JobKind  `msgpack:"shape" json:"shape"`
+	Priority            Priority `msgpack:"rank" json:"rank"`
+	Tasks               int      `msgpack:"pieces" json:"pieces"`
+	CPUs                float64  `msgpack:"vcpus" json:"vcpus"`
+	GPUs                float64  `msgpack:"gpus" json:"gpus"`
+	MemoryGB            float64  `msgpack:"ramGb" json:"ramGb"`
+	Image               string   `msgpack:"bundle" json:"bundle"`
+	ImageGB             float64  `msgpack:"pullGb" json:"pullGb"`
+	Types               []string `msgpack:"rigs" json:"rigs"`
+	Zone                *string  `msgpack:"yard" json:"yard"`
+	OneZone             bool     `msgpack:"oneZone" json:"oneZone"`
+	Spread              bool     `msgpack:"scatter" json:"scatter"`
+	Spot                bool     `msgpack:"loaners" json:"loaners"`
+	EstimateS           float64  `msgpack:"guessS" json:"guessS"`
+	CheckpointIntervalS float64  `msgpack:"bookmarkS" json:"bookmarkS"`
+	CheckpointDurationS float64  `msgpack:"stashS" json:"stashS"`
+	DeadlineS           *float64 `msgpack:"dueS" json:"dueS"`
+	Dependencies        []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`     // jobs that must be done before any task starts
+	DependencyChunks    int      `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"` // the store's record only: so many further keys hold more of them
+	SubmittedAt         int64    `msgpack:"at,omitempty" json:"at,omitempty"`             // wall clock, microseconds; the store's record only
 }
 
 // JobStatus answers a submission, a poll or a withdrawal.
 type JobStatus struct {
-	ID      string   `msgpack:"nameId" json:"nameId"`
-	State   JobState `msgpack:"status" json:"status"`
-	Done    int      `msgpack:"done" json:"done"`
-	Running int      `msgpack:"running" json:"running"`
-	Needs   []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"` // some of the jobs that it still waits for
+	ID           string   `msgpack:"nameId" json:"nameId"`
+	State        JobState `msgpack:"status" json:"status"`
+	Done         int      `msgpack:"done" json:"done"`
+	Running      int      `msgpack:"running" json:"running"`
+	Dependencies []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"` // some of the jobs that it still waits for
 }
 
 // ValidJobID reports whether id has the form of a job's id.
@@ -118,31 +118,31 @@
 	if values == nil {
 		return nil, ErrMalformed
 	}
-	f := &fields{values: values}
+	reader := &fieldReader{values: values}
 	job := &Job{
-		ID: f.text("nameId"), Class: f.text("jobclass"), Team: f.text("outfit"),
-		Kind: Kind(f.text("shape")), Priority: Priority(f.text("rank")),
-		CPUs: f.amount("vcpus"), GPUs: f.amount("gpus"), MemoryGB: f.amount("ramGb"),
-		Image: f.text("bundle"), ImageGB: f.amount("pullGb"),
-		OneZone: f.flag("oneZone"), Spread: f.flag("scatter"), Spot: f.flag("loaners"),
-		EstimateS: f.amount("guessS"), CheckpointS: f.amount("bookmarkS"), SaveS: f.amount("stashS"),
-		Tasks: f.tasks("pieces"), Types: f.optionalTexts("rigs"), Zone: f.optionalText("yard"),
-		DeadlineS: f.optionalAmount("dueS"), Needs: f.optionalJobs("awaits"),
+		ID: reader.text("nameId"), Class: reader.text("jobclass"), Team: reader.text("outfit"),
+		Kind: JobKind(reader.text("shape")), Priority: Priority(reader.text("rank")),
+		CPUs: reader.amount("vcpus"), GPUs: reader.amount("gpus"), MemoryGB: reader.amount("ramGb"),
+		Image: reader.text("bundle"), ImageGB: reader.amount("pullGb"),
+		OneZone: reader.flag("oneZone"), Spread: reader.flag("scatter"), Spot: reader.flag("loaners"),
+		EstimateS: reader.amount("guessS"), CheckpointIntervalS: reader.amount("bookmarkS"), CheckpointDurationS: reader.amount("stashS"),
+		Tasks: reader.taskCount("pieces"), Types: reader.optionalTexts("rigs"), Zone: reader.optionalText("yard"),
+		DeadlineS: reader.optionalAmount("dueS"), Dependencies: reader.optionalJobIDs("awaits"),
 	}
-	f.checkNames(job)
-	if f.bad != "" {
-		return nil, fmt.Errorf("%w: field %q is missing or invalid", ErrMalformed, f.bad)
+	reader.checkIdentifiers(job)
+	if reader.firstInvalid != "" {
+		return nil, fmt.Errorf("%w: field %q is missing or invalid", ErrMalformed, reader.firstInvalid)
 	}
 	return job, nil
 }
 
-// checkNames fails the job's id, kind and priority if they are none.
-func (f *fields) checkNames(job *Job) {
+// checkIdentifiers fails the job's id, kind and priority if they are none.
+func (f *fieldReader) checkIdentifiers(job *Job) {
 	if !ValidJobID(job.ID) {
 		f.fail("nameId")
 	}
 	switch job.Kind {
-	case Array, Gang, Service:
+	case JobArray, Gang, Service:
 	default:
 		f.fail("shape")
 	}
@@ -153,19 +153,19 @@
 	}
 }
 
-// fields reads typed fields and remembers the first that is missing or wrong.
-type fields struct {
-	values map[string]any
-	bad    string // the first of them; "": none
+// fieldReader reads typed fields and remembers the first that is missing or wrong.
+type fieldReader struct {
+	values       map[string]any
+	firstInvalid string // the first of them; "": none
 }
 
-func (f *fields) fail(name string) {
-	if f.bad == "" {
-		f.bad = name
+func (f *fieldReader) fail(name string) {
+	if f.firstInvalid == "" {
+		f.firstInvalid = name
 	}
 }
 
-func (f *fields) text(name string) string {
+func (f *fieldReader) text(name string) string {
 	s, ok := f.values[name].(string)
 	if !ok {
 		f.fail(name)
@@ -173,7 +173,7 @@
 	return s
 }
 
-func (f *fields) amount(name string) float64 {
+func (f *fieldReader) amount(name string) float64 {
 	x, ok := asAmount(f.values[name])
 	if !ok {
 		f.fail(name)
@@ -181,7 +181,7 @@
 	return x
 }
 
-func (f *fields) flag(name string) bool {
+func (f *fieldReader) flag(name string) bool {
 	b, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name)
@@ -189,7 +189,7 @@
 	return b
 }
 
-func (f *fields) tasks(name string) int {
+func (f *fieldReader) taskCount(name string) int {
 	n, ok := asCount(f.values[name])
 	if !ok || n < 1 || n > MaxTasks {
 		f.fail(name)
@@ -197,7 +197,7 @@
 	return int(n)
 }
 
-func (f *fields) optionalText(name string) *string {
+func (f *fieldReader) optionalText(name string) *string {
 	if f.values[name] == nil {
 		return nil
 	}
@@ -205,7 +205,7 @@
 	return &s
 }
 
-func (f *fields) optionalAmount(name string) *float64 {
+func (f *fieldReader) optionalAmount(name string) *float64 {
 	if f.values[name] == nil {
 		return nil
 	}
@@ -214,7 +214,7 @@
 }
 
 // optionalList gives nil where the field is missing, or no list and so wrong.
-func (f *fields) optionalList(name string) []any {
+func (f *fieldReader) optionalList(name string) []any {
 	value := f.values[name]
 	if value == nil {
 		return nil
@@ -226,29 +226,29 @@
 	return list
 }
 
-func (f *fields) optionalTexts(name string) []string {
+func (f *fieldReader) optionalTexts(name string) []string {
 	if f.values[name] == nil {
 		return nil
 	}
 	list := f.optionalList(name)
 	texts := make([]string, 0, len(list))
-	for _, x := range list {
-		s, ok := x.(string)
+	for _, item := range list {
+		text, ok := item.(string)
 		if !ok {
 			f.fail(name)
 		}
-		texts = append(texts, s)
+		texts = append(texts, text)
 	}
 	return texts
 }
 
-// optionalJobs reads a list of jobs' ids, each of which counts once.
-func (f *fields) optionalJobs(name string) []string {
+// optionalJobIDs reads a list of jobs' ids, each of which counts once.
+func (f *fieldReader) optionalJobIDs(name string) []string {
 	var ids []string
 	list := f.optionalList(name)
 	seen := make(map[string]bool, len(list))
-	for _, x := range list {
-		id, ok := x.(string)
+	for _, item := range list {
+		id, ok := item.(string)
 		if !ok || !ValidJobID(id) {
 			f.fail(name)
 			break
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,8 +2,8 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Guard is a condition of a transaction: the key has this version (0: none).
-type Guard struct {
+// Precondition is a condition of a transaction: the key has this version (0: none).
+type Precondition struct {
 	Key     string `msgpack:"key"`
 	Version Count  `msgpack:"stamp"`
 }
@@ -16,14 +16,14 @@
 	Delete string `msgpack:"delete,omitempty"`
 }
 
-// Txn is an atomic transaction on the state service.
-type Txn struct {
-	If   []Guard  `msgpack:"guards"`
-	Then []Change `msgpack:"then"`
+// Transaction is an atomic transaction on the state service.
+type Transaction struct {
+	If   []Precondition `msgpack:"guards"`
+	Then []Change       `msgpack:"then"`
 }
 
-// TxnResult answers a transaction.
-type TxnResult struct {
+// TransactionResult answers a transaction.
+type TransactionResult struct {
 	Revision Count    `msgpack:"epoch"`
 	Failed   []string `msgpack:"failed"`
 	Error    string   `msgpack:"error"`
