--- a/cmd/standins/main.go
+++ b/cmd/devcluster/main.go
@@ -1,4 +1,4 @@
-// Command standins serves stand-ins for the state service, the cloud and the
+// Command devcluster emulates the state service, the cloud and the
 // workers on loopback, so that a node can be tried without a site. They are for
 // trying and testing only: nothing is kept, and tasks only pretend to run.
 package main
@@ -43,7 +43,7 @@
 
 func main() {
 	var flags cli
-	kong.Parse(&flags, kong.Name("standins"))
+	kong.Parse(&flags, kong.Name("devcluster"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	dev := &devCluster{flags, fake.NewStore(), fake.NewCloud(8, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 40,
@@ -52,7 +52,7 @@
 	for addr, handler := range map[string]fasthttp.RequestHandler{flags.State: dev.store.Handle, flags.Cloud: dev.cloud.Handle} {
 		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "standins:", err)
+			fmt.Fprintln(os.Stderr, "devcluster:", err)
 			os.Exit(1)
 		}
 		group.Go(func() error { return fasthttp.Serve(listener, handler) })
@@ -87,7 +87,7 @@
 	time.Sleep(time.Second) // it boots
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "standins:", err)
+		fmt.Fprintln(os.Stderr, "devcluster:", err)
 		return
 	}
 	defer listener.Close()
--- a/cmd/notchmux/shard.go
+++ b/cmd/notchmux/shard.go
@@ -11,7 +11,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -43,36 +43,36 @@
 
 // Run lists the shares.
 func (*shardListCmd) Run(c *cli) error {
-	return c.Share.send(share.Command{Operation: share.OperationList})
+	return c.Share.send(shard.Command{Operation: shard.OperationList})
 }
 
 // Run shows one share.
 func (s *shardShowCmd) Run(c *cli) error {
-	return c.Share.send(share.Command{Operation: share.OperationShow, Shard: s.Name})
+	return c.Share.send(shard.Command{Operation: shard.OperationShow, Shard: s.Name})
 }
 
 // Run moves a share.
 func (s *shardMoveCmd) Run(c *cli) error {
-	return c.Share.send(share.Command{Operation: share.OperationMove, Shard: s.Name, Target: s.To})
+	return c.Share.send(shard.Command{Operation: shard.OperationMove, Shard: s.Name, Target: s.To})
 }
 
 // Run cancels a move.
 func (s *shardCancelCmd) Run(c *cli) error {
-	return c.Share.send(share.Command{Operation: share.OperationCancel, Shard: s.Name})
+	return c.Share.send(shard.Command{Operation: shard.OperationCancel, Shard: s.Name})
 }
 
 // commandTimeout is how long a controller may take over a command.
 const commandTimeout = 5 * micro.Second
 
 // send gives a command to a controller and prints what came of it.
-func (c *shardCmd) send(command share.Command) error {
+func (c *shardCmd) send(command shard.Command) error {
 	const node = "controller"
 	client := peer.NewClient(map[string]string{node: c.Peer})
 	status, body, err := client.Call(context.Background(), node, peer.ShardAdmin, wire.MustMarshal(command), commandTimeout)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Peer, err)
 	}
-	var reply share.CommandReply
+	var reply shard.CommandReply
 	if status != 200 || wire.Unmarshal(body, &reply) != nil {
 		return fmt.Errorf("%s: no leader acts now (status %d): try again", c.Peer, status)
 	}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (c *shardCmd) print(reply *share.CommandReply, out io.Writer) error {
+func (c *shardCmd) print(reply *shard.CommandReply, out io.Writer) error {
 	if c.JSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
@@ -95,7 +95,7 @@
 		fmt.Fprintf(out, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node), row.Record.Selector)
 		fmt.Fprintf(out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", row.MachineCount, row.IdleMachines, row.AssignedJobs, row.PendingTasks,
 			row.Record.OwnerChanges, time.UnixMicro(row.Record.ChangedAt).UTC().Format(time.RFC3339))
-		if row.Record.State == share.Moving {
+		if row.Record.State == shard.Moving {
 			fmt.Fprintf(out, "  to %s\n", nodeOrLeader(row.Record.Target.Node))
 		}
 		if row.BlockedReason != "" {
--- a/internal/scale/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -1,13 +1,13 @@
-package scale
+package autoscaler
 
 import (
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -17,7 +17,7 @@
 	*Planner
 	bootTime  func(n int) (after micro.Time, comes bool)
 	requested int
-	upAt      map[*model.Machine]micro.Time
+	upAt      map[*cluster.Machine]micro.Time
 }
 
 func (r *bootSimulation) step(now micro.Time) {
@@ -34,7 +34,7 @@
 	}
 	for machine, at := range r.upAt {
 		if now >= at {
-			r.Cluster.TransitionMachine(machine, model.Up, "reports")
+			r.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 		}
 	}
 }
@@ -44,12 +44,12 @@
 // and not before the first had its time.
 func TestReplacementIsRequestedBeforeTheWorkMissesItsObjective(t *testing.T) {
 	const boot, objective = 30 * micro.Second, 110 * micro.Second
-	sim := &bootSimulation{Planner: newTestPlanner(), upAt: map[*model.Machine]micro.Time{}}
-	sim.Objectives = sched.NewObjectives([]config.Objective{{Kind: "wait", Class: "c", WithinS: objective.Seconds()}})
+	sim := &bootSimulation{Planner: newTestPlanner(), upAt: map[*cluster.Machine]micro.Time{}}
+	sim.Objectives = scheduler.NewObjectives([]config.Objective{{Kind: "wait", Class: "c", WithinS: objective.Seconds()}})
 	sim.bootTime = func(n int) (micro.Time, bool) { return boot * 3 / 2, n > 0 }
 	job := sim.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 100}, now, now)
 	properties := config.Defaults()
-	sched := &sched.Scheduler{Cluster: sim.Cluster, Objectives: sim.Objectives, Properties: &properties}
+	sched := &scheduler.Scheduler{Cluster: sim.Cluster, Objectives: sim.Objectives, Properties: &properties}
 	var secondRequestedAt micro.Time
 	for at := now; job.AllocationCount == 0; at += micro.Second {
 		if at > now+objective {
@@ -95,7 +95,7 @@
 			planner.Cluster.DescribeMachine(machine, cheap.Type, cheap.Zone, cheap.Spot)
 			machine.RequestedAt = now - micro.Minute
 			if i >= test.late {
-				planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+				planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 				planner.Cluster.Allocate(busy, i-test.late, machine, 1, 4, now)
 			}
 		}
@@ -114,7 +114,7 @@
 			t.Errorf("%s: asked for %v, want %v", test.name, got, test.want)
 		}
 		for _, machine := range planner.Cluster.SortedMachines() { // all late ones are returned
-			if machine.State == model.Registering {
+			if machine.State == cluster.Registering {
 				planner.Cluster.RemoveMachine(machine, now)
 			}
 		}
--- a/internal/scale/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -1,19 +1,19 @@
-package scale
+package autoscaler
 
 import (
 	"maps"
 	"math"
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
 // bin is a machine's free room in a plan.
 type bin struct {
-	typ           *model.MachineType
+	typ           *cluster.MachineType
 	zone          string
 	spot          bool
 	cpu, gpu, mem float64
@@ -41,7 +41,7 @@
 }
 
 func (b *bin) countFitting(spec *wire.Job) int {
-	if !sched.Allowed(spec, b.typ, b.zone, b.spot) {
+	if !scheduler.Allowed(spec, b.typ, b.zone, b.spot) {
 		return 0
 	}
 	return b.countRoom(spec)
@@ -55,19 +55,19 @@
 			count = min(count, int(free/need+1e-9))
 		}
 	}
-	limit(b.cpu, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs)))
+	limit(b.cpu, max(spec.CPUs, scheduler.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs)))
 	limit(b.gpu, spec.GPUs)
 	limit(b.mem, spec.MemoryGB)
 	return max(count, 0)
 }
 
 func (b *bin) reserve(spec *wire.Job, n int) {
-	b.cpu -= float64(n) * max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs))
+	b.cpu -= float64(n) * max(spec.CPUs, scheduler.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs))
 	b.gpu -= float64(n) * spec.GPUs
 	b.mem -= float64(n) * spec.MemoryGB
 }
 
-func newBin(typ *model.MachineType, zone string, spot bool) *bin {
+func newBin(typ *cluster.MachineType, zone string, spot bool) *bin {
 	return &bin{typ: typ, zone: zone, spot: spot, cpu: typ.CPUs, gpu: typ.GPUs, mem: typ.MemoryGB}
 }
 
@@ -78,7 +78,7 @@
 // offerCapacity is the room of machines of one offer that are expected to come up.
 type offerCapacity struct {
 	InstanceOffer
-	typ             *model.MachineType
+	typ             *cluster.MachineType
 	machines        int        // all its machines
 	emptyMachines   int        // whole machines that the plan has put nothing on
 	partialMachines []*bin     // those that it has put something on
@@ -91,7 +91,7 @@
 	byOffer map[InstanceOffer]*offerCapacity
 }
 
-func (c *capacity) groupFor(offer InstanceOffer, typ *model.MachineType) *offerCapacity {
+func (c *capacity) groupFor(offer InstanceOffer, typ *cluster.MachineType) *offerCapacity {
 	group := c.byOffer[offer]
 	if group == nil {
 		group = &offerCapacity{InstanceOffer: offer, typ: typ}
@@ -137,7 +137,7 @@
 	if d.job == nil || d.spec.Kind == wire.Service {
 		return serviceOccupancy
 	}
-	return sched.EstimatedRuntime(d.job) + micro.FromSeconds(d.spec.ImageGB)
+	return scheduler.EstimatedRuntime(d.job) + micro.FromSeconds(d.spec.ImageGB)
 }
 
 // serviceOccupancy stands for the time that a service takes.
@@ -234,7 +234,7 @@
 
 // bootOverdue reports whether a machine takes longer to come up than it may to count as
 // room to come.
-func bootOverdue(m *model.Machine, now micro.Time) bool {
+func bootOverdue(m *cluster.Machine, now micro.Time) bool {
 	return now-m.RequestedAt > micro.Time(float64(micro.FromSeconds(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
 }
 
@@ -256,9 +256,9 @@
 		offer := InstanceOffer{machine.TypeName, machine.Zone, machine.Spot}
 		switch {
 		case machine.Type == nil:
-		case machine.State == model.Up:
+		case machine.State == cluster.Up:
 			upCount[offer]++
-		case machine.State == model.Registering && len(machine.Allocations) == 0 && bootOverdue(machine, now):
+		case machine.State == cluster.Registering && len(machine.Allocations) == 0 && bootOverdue(machine, now):
 			overdue[offer]++
 		}
 	}
@@ -274,7 +274,7 @@
 func (p *Planner) expectedCapacity(now micro.Time) *capacity {
 	expected := &capacity{byOffer: map[InstanceOffer]*offerCapacity{}}
 	for _, machine := range p.Cluster.SortedMachines() {
-		if machine.State != model.Registering || machine.Type == nil || machine.CloudState == wire.MachineFailed || len(machine.Allocations) > 0 {
+		if machine.State != cluster.Registering || machine.Type == nil || machine.CloudState == wire.MachineFailed || len(machine.Allocations) > 0 {
 			continue
 		}
 		if bootOverdue(machine, now) {
@@ -314,7 +314,7 @@
 			}
 			end := now
 			if !allocation.Stopping {
-				estimate := sched.EstimatedRuntime(job)
+				estimate := scheduler.EstimatedRuntime(job)
 				end = now + estimate + micro.FromSeconds(job.Spec.ImageGB/machine.Type.FetchGBPerS)
 				if allocation.RunningSince > 0 {
 					end = max(allocation.RunningSince+estimate, now+estimate/4)
--- a/internal/scale/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -1,11 +1,11 @@
-package scale
+package autoscaler
 
 import (
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -21,7 +21,7 @@
 )
 
 // planCordons says which machines are to take nothing more, and which again.
-func (p *Planner) planCordons(demands []taskDemand, now micro.Time) (cordon, uncordon []*model.Machine) {
+func (p *Planner) planCordons(demands []taskDemand, now micro.Time) (cordon, uncordon []*cluster.Machine) {
 	hasShortage := !p.limitsCost()
 	for i := range demands {
 		hasShortage = hasShortage || demands[i].job != nil
@@ -41,19 +41,19 @@
 	if now-p.noBacklogSince < cordonDelay {
 		return nil, nil
 	}
-	var used, available model.Resources
-	var candidates []*model.Machine
+	var used, available cluster.Resources
+	var candidates []*cluster.Machine
 	for _, machine := range p.Cluster.SortedMachines() {
 		if !machine.Schedulable(now) {
 			continue
 		}
-		free, usedByArrays, hasOtherWork := model.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}, model.Resources{}, false
+		free, usedByArrays, hasOtherWork := cluster.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}, cluster.Resources{}, false
 		for _, allocation := range machine.Allocations {
 			if allocation.Job == nil {
 				continue
 			}
 			spec := &allocation.Job.Spec
-			request := model.Resources{CPU: spec.CPUs, MemoryGB: spec.MemoryGB}
+			request := cluster.Resources{CPU: spec.CPUs, MemoryGB: spec.MemoryGB}
 			if spec.Kind == wire.JobArray {
 				usedByArrays.Add(request, 1)
 			} else {
@@ -81,18 +81,18 @@
 
 // usableForGPUWork reports whether a class that needs GPUs may use a machine: such
 // machines are few, slow to get ready, and go back when idle.
-func (p *Planner) usableForGPUWork(m *model.Machine) bool {
+func (p *Planner) usableForGPUWork(m *cluster.Machine) bool {
 	if m.Type.GPUs == 0 {
 		return false
 	}
 	for _, class := range p.Cluster.Classes {
-		if spec := class.LastJob; spec != nil && spec.GPUs > 0 && sched.Allowed(spec, m.Type, m.Zone, m.Spot) {
+		if spec := class.LastJob; spec != nil && spec.GPUs > 0 && scheduler.Allowed(spec, m.Type, m.Zone, m.Spot) {
 			return true
 		}
 	}
 	return false
 }
 
-func pricePerCPU(m *model.Machine) float64 {
+func pricePerCPU(m *cluster.Machine) float64 {
 	return priceOf(InstanceOffer{Spot: m.Spot}, m.Type) / m.Type.CPUs
 }
--- a/internal/scale/demand.go
+++ b/internal/autoscaler/demand.go
@@ -1,18 +1,18 @@
-package scale
+package autoscaler
 
 import (
 	"math"
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
 // taskDemand is a number of like tasks that need room.
 type taskDemand struct {
-	job           *model.Job // nil: headroom
+	job           *cluster.Job // nil: headroom
 	spec          *wire.Job
 	tasks         int
 	latestStart   micro.Time
@@ -22,14 +22,14 @@
 }
 
 // allows reports whether a machine of an offer could run the demand's tasks.
-func (d *taskDemand) allows(typ *model.MachineType, zone string, spot bool) bool {
-	return sched.Allowed(d.spec, typ, zone, spot) && (d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
+func (d *taskDemand) allows(typ *cluster.MachineType, zone string, spot bool) bool {
+	return scheduler.Allowed(d.spec, typ, zone, spot) && (d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
 }
 
 // eligibleOffers tells the offers that help a job: those of shares only if it can still be
 // assigned to one as a whole. A service with one replica in place once had machines
 // rented into a share, again and again, for the other.
-func (p *Planner) eligibleOffers(job *model.Job) func(InstanceOffer) bool {
+func (p *Planner) eligibleOffers(job *cluster.Job) func(InstanceOffer) bool {
 	if job.NeverAllocated() {
 		return nil
 	}
@@ -39,7 +39,7 @@
 // ShardDemand is a number of tasks that wait for room in a share of the machines, which
 // another controller owns.
 type ShardDemand struct {
-	Job     *model.Job
+	Job     *cluster.Job
 	Tasks   int
 	InShard func(InstanceOffer) bool // the offers whose machines are in the share
 }
@@ -47,9 +47,9 @@
 // demands lists the tasks that found no room, and the headroom that is short.
 func (p *Planner) demands(now micro.Time) []taskDemand {
 	var demands []taskDemand
-	topPriorityTasks := map[*model.Class]int{} // tasks of the first rank that wait
-	quotaPlanned := map[*model.Team][2]float64{}
-	jobs := make([]*model.Job, 0, len(p.Cluster.PendingJobs))
+	topPriorityTasks := map[*cluster.Class]int{} // tasks of the first rank that wait
+	quotaPlanned := map[*cluster.Team][2]float64{}
+	jobs := make([]*cluster.Job, 0, len(p.Cluster.PendingJobs))
 	for job := range p.Cluster.PendingJobs {
 		jobs = append(jobs, job)
 	}
@@ -107,7 +107,7 @@
 // long as they should, and with spares the quickest of them are enough.
 const bootSpareFactor = 0.5
 
-func (p *Planner) bootSpares(topPriorityTasks map[*model.Class]int, now micro.Time) []taskDemand {
+func (p *Planner) bootSpares(topPriorityTasks map[*cluster.Class]int, now micro.Time) []taskDemand {
 	var demands []taskDemand
 	for class, tasks := range topPriorityTasks {
 		startObjective, boot := p.Objectives.StartObjective(class.Name), p.minBootTime(class.LastJob)
@@ -124,7 +124,7 @@
 // before room is rented for it.
 const scaleOutDelay = 8 * micro.Second
 
-func (p *Planner) isUrgent(job *model.Job, latestStart, now micro.Time) bool {
+func (p *Planner) isUrgent(job *cluster.Job, latestStart, now micro.Time) bool {
 	if now-job.EligibleSince > scaleOutDelay {
 		return true
 	}
@@ -137,7 +137,7 @@
 	best := micro.Time(math.MaxInt64 / 4)
 	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
-			if sched.Allowed(spec, typ, z, false) {
+			if scheduler.Allowed(spec, typ, z, false) {
 				best = min(best, micro.FromSeconds(typ.BootS))
 			}
 		}
@@ -159,11 +159,11 @@
 }
 
 // minFetchTime is how long a class's images take where they are fetched fastest.
-func (p *Planner) minFetchTime(class *model.Class) micro.Time {
+func (p *Planner) minFetchTime(class *cluster.Class) micro.Time {
 	best := math.Inf(1)
 	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
-			if sched.Allowed(class.LastJob, typ, z, true) && typ.FetchGBPerS > 0 {
+			if scheduler.Allowed(class.LastJob, typ, z, true) && typ.FetchGBPerS > 0 {
 				best = min(best, class.MeanImageGB/typ.FetchGBPerS)
 			}
 		}
--- a/internal/scale/failing_jobs_test.go
+++ b/internal/autoscaler/failing_jobs_test.go
@@ -1,9 +1,9 @@
-package scale
+package autoscaler
 
 import (
 	"testing"
 
-	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/cluster"
 )
 
 func countMachines(scaleOuts []ScaleOut) int {
@@ -43,7 +43,7 @@
 	job := planner.submit("j-1", 5000, 1, false)
 	machine := planner.Cluster.EnsureMachine("i-1", now)
 	planner.Cluster.DescribeMachine(machine, "small", "a", false)
-	planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+	planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 	for i := 0; job.SchedulableTasks(now) > 0; i++ {
 		planner.Cluster.Allocate(job, i, machine, 1, 1, now)
 	}
--- a/internal/scale/planner.go
+++ b/internal/autoscaler/planner.go
@@ -1,12 +1,12 @@
-// Package scale decides what to rent and what to return, from the queue, the
+// Package autoscaler decides what to rent and what to return, from the queue, the
 // objectives and the prices. It reads no clock and does no I/O.
-package scale
+package autoscaler
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 )
 
 // InstanceOffer is what the cloud rents: a type in a zone, spot or ordinary.
@@ -26,8 +26,8 @@
 
 // Planner remembers what the cloud refused and what is under way.
 type Planner struct {
-	Cluster             *model.State
-	Objectives          *sched.Objectives
+	Cluster             *cluster.State
+	Objectives          *scheduler.Objectives
 	Properties          *config.Properties
 	RefusedUntil        map[InstanceOffer]micro.Time // until when not to ask again
 	ConsecutiveRefusals map[InstanceOffer]int        // refusals in a row
@@ -41,7 +41,7 @@
 
 	excludedUntil map[InstanceOffer]micro.Time // until when offers are left out whose machines did not come up
 
-	backlogs map[*model.Class]*classBacklog // how much waits, and waited
+	backlogs map[*cluster.Class]*classBacklog // how much waits, and waited
 }
 
 // maxMachinesPerPlan bounds what one plan rents, maxMachinesPerRequest what one request does, and maxMachinesPerOffer
@@ -74,7 +74,7 @@
 }
 
 // Plan says what to rent and which machines to return for being idle.
-func (p *Planner) Plan(now micro.Time) (scaleOuts []ScaleOut, idle []*model.Machine) {
+func (p *Planner) Plan(now micro.Time) (scaleOuts []ScaleOut, idle []*cluster.Machine) {
 	p.permanentFleet = p.hasPermanentMachines()
 	p.unreachableZones = p.listUnreachableZones()
 	p.trackBacklog(now)
@@ -131,14 +131,14 @@
 const permanentFleetIdleFactor = 6
 
 // IdleMachines lists rented machines that nobody has needed for a while.
-func (p *Planner) IdleMachines(now micro.Time) []*model.Machine {
-	var idle []*model.Machine
+func (p *Planner) IdleMachines(now micro.Time) []*cluster.Machine {
+	var idle []*cluster.Machine
 	idleTimeout := p.Properties.IdleTerminateAfter
 	if !p.limitsCost() {
 		idleTimeout *= permanentFleetIdleFactor
 	}
 	for _, machine := range p.Cluster.SortedMachines() {
-		if machine.State != model.Up || machine.OwnedElsewhere || machine.Permanent || len(machine.Allocations) > 0 || machine.ReservedFor != nil || machine.PreemptionAt != 0 {
+		if machine.State != cluster.Up || machine.OwnedElsewhere || machine.Permanent || len(machine.Allocations) > 0 || machine.ReservedFor != nil || machine.PreemptionAt != 0 {
 			continue
 		}
 		if machine.Cordoned {
--- a/internal/scale/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -1,35 +1,35 @@
-package scale
+package autoscaler
 
 import (
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
-type discardEffects struct{ model.Effects }
+type discardEffects struct{ cluster.Effects }
 
-func (discardEffects) ScheduleSoon()                {}
-func (discardEffects) ChunkDirty(*model.TaskChunk)  {}
-func (discardEffects) ChunkUrgent(*model.TaskChunk) {}
-func (discardEffects) Log(string, ...any)           {}
+func (discardEffects) ScheduleSoon()                  {}
+func (discardEffects) ChunkDirty(*cluster.TaskChunk)  {}
+func (discardEffects) ChunkUrgent(*cluster.TaskChunk) {}
+func (discardEffects) Log(string, ...any)             {}
 
 const now = 1000 * micro.Second
 
 func newTestPlanner() *Planner {
-	state := model.New(discardEffects{})
+	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 30, FetchGBPerS: 1, Zones: []string{"a", "b"}},
 		{Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 96, Price: 60, SpotPrice: 50, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
 	}})
 	properties := config.Defaults()
-	return &Planner{Cluster: state, Objectives: sched.NewObjectives(nil), Properties: &properties, RefusedUntil: map[InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[InstanceOffer]int{}, PendingRequests: map[string]ScaleOut{}}
+	return &Planner{Cluster: state, Objectives: scheduler.NewObjectives(nil), Properties: &properties, RefusedUntil: map[InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[InstanceOffer]int{}, PendingRequests: map[string]ScaleOut{}}
 }
 
-func (p *Planner) submit(id string, tasks int, cpus float64, spot bool) *model.Job {
+func (p *Planner) submit(id string, tasks int, cpus float64, spot bool) *cluster.Job {
 	return p.Cluster.AddJob(wire.Job{ID: id, Class: id, Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Spot: spot, EstimateS: 100}, now-micro.Minute, now)
 }
 
@@ -85,7 +85,7 @@
 	for _, name := range []string{"rented", "own"} {
 		m := planner.Cluster.EnsureMachine(name, now)
 		planner.Cluster.DescribeMachine(m, "small", "a", false)
-		planner.Cluster.TransitionMachine(m, model.Up, "reports")
+		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
 		m.IdleSince = now - 5*micro.Minute
 		m.Permanent = name == "own"
 	}
@@ -100,13 +100,13 @@
 	for range 50 {
 		arrivals = append(arrivals, now-100*micro.Second)
 	}
-	if rate := (&model.Class{Arrivals: arrivals}).ArrivalRate(now); rate != 0 {
+	if rate := (&cluster.Class{Arrivals: arrivals}).ArrivalRate(now); rate != 0 {
 		t.Errorf("rate %v after one burst", rate)
 	}
 	for i := range 12 {
 		arrivals = append(arrivals, now-micro.Time(i)*10*micro.Second)
 	}
-	if rate := (&model.Class{Arrivals: arrivals}).ArrivalRate(now); rate < 0.09 || rate > 0.11 {
+	if rate := (&cluster.Class{Arrivals: arrivals}).ArrivalRate(now); rate < 0.09 || rate > 0.11 {
 		t.Errorf("rate %v, want 0.1", rate)
 	}
 }
@@ -122,7 +122,7 @@
 			typ = "gpu"
 		}
 		planner.Cluster.DescribeMachine(machine, typ, "a", false)
-		planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+		planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 	}
 	job := planner.submit("j-1", 2, 1, false)
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-gpu"], 1, 1, now)
@@ -149,7 +149,7 @@
 	for _, name := range []string{"i-1", "i-2"} {
 		m := planner.Cluster.EnsureMachine(name, now)
 		planner.Cluster.DescribeMachine(m, "small", "a", false)
-		planner.Cluster.TransitionMachine(m, model.Up, "reports")
+		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
 	}
 	job := planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Service, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1, Spread: true}, now-micro.Minute, now)
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 1, now)
@@ -165,7 +165,7 @@
 	for _, name := range []string{"i-1", "i-2"} {
 		m := planner.Cluster.EnsureMachine(name, now)
 		planner.Cluster.DescribeMachine(m, "small", map[string]string{"i-1": "a", "i-2": "b"}[name], false)
-		planner.Cluster.TransitionMachine(m, model.Up, "reports")
+		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
 	}
 	job := planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 2, CPUs: 4, MemoryGB: 1, OneZone: true, EstimateS: 100}, now-micro.Minute, now)
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 4, now)
@@ -181,7 +181,7 @@
 	planner := newTestPlanner()
 	machine := planner.Cluster.EnsureMachine("i-1", now)
 	planner.Cluster.DescribeMachine(machine, "small", "a", false)
-	planner.Cluster.TransitionMachine(machine, model.Up, "reports")
+	planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 	planner.Cluster.SetCordoned(machine, true)
 	planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 10}, now, now)
 	planner.Plan(now + micro.Second)
@@ -202,7 +202,7 @@
 		planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
 		machine := planner.Cluster.EnsureMachine("i-1", now)
 		planner.Cluster.DescribeMachine(machine, "small", "a", false)
-		machine.State, machine.LastHeartbeat = model.Suspect, lastHeartbeat
+		machine.State, machine.LastHeartbeat = cluster.Suspect, lastHeartbeat
 		job := planner.submit("j-1", 4, 1, false)
 		if zone := "a"; bound {
 			job.Spec.Zone = &zone
--- a/internal/scale/price.go
+++ b/internal/autoscaler/price.go
@@ -1,11 +1,11 @@
-package scale
+package autoscaler
 
 import (
 	"math"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -18,12 +18,12 @@
 
 // meetsObjective reports whether a machine rented now would let a demand meet an
 // objective. Work that has waited very long gets one in any case.
-func (p *Planner) meetsObjective(demand *taskDemand, typ *model.MachineType, now micro.Time) bool {
+func (p *Planner) meetsObjective(demand *taskDemand, typ *cluster.MachineType, now micro.Time) bool {
 	if demand.job != nil && now-demand.job.EligibleSince > maxExpensiveDelay {
 		return true
 	}
 	ready := now + micro.FromSeconds(slowBootFactor*typ.BootS+demand.spec.ImageGB/typ.FetchGBPerS)
-	return demand.latestStart >= ready && demand.latestStart < now+sched.PlanningHorizon/2
+	return demand.latestStart >= ready && demand.latestStart < now+scheduler.PlanningHorizon/2
 }
 
 // classBacklog is how many of a class's tasks wait, now and a while ago.
@@ -46,7 +46,7 @@
 // trackBacklog keeps count of what waits.
 func (p *Planner) trackBacklog(now micro.Time) {
 	if p.backlogs == nil {
-		p.backlogs = map[*model.Class]*classBacklog{}
+		p.backlogs = map[*cluster.Class]*classBacklog{}
 	}
 	for _, backlog := range p.backlogs {
 		backlog.pendingTasks = 0
@@ -88,7 +88,7 @@
 	return max(len(p.Cluster.Machines)/expensiveFleetDivisor, 1)
 }
 
-func priceOf(offer InstanceOffer, typ *model.MachineType) float64 {
+func priceOf(offer InstanceOffer, typ *cluster.MachineType) float64 {
 	if offer.Spot {
 		return typ.SpotPrice
 	}
@@ -111,7 +111,7 @@
 	best := micro.Time(math.MaxInt64 / 4)
 	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
-			if sched.Allowed(spec, typ, z, false) {
+			if scheduler.Allowed(spec, typ, z, false) {
 				best = min(best, micro.FromSeconds(typ.BootS+spec.ImageGB/typ.FetchGBPerS))
 			}
 		}
@@ -156,7 +156,7 @@
 // WithinPrice reports whether work that needs no GPU may sit on a machine with
 // GPUs. Most are dear, and work that sits on one keeps it from being returned: a
 // service for as long as it lives.
-func (p *Planner) WithinPrice(job *model.Job, typ *model.MachineType, spot bool, now micro.Time) bool {
+func (p *Planner) WithinPrice(job *cluster.Job, typ *cluster.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
 	if spec.GPUs > 0 || typ.GPUs == 0 || !p.limitsCost() {
 		return true
@@ -166,7 +166,7 @@
 
 // occupancyPriceRatio is the most that the room of a machine may cost, over the cheapest
 // ordinary room, for a job to sit there without need.
-func (p *Planner) occupancyPriceRatio(job *model.Job, now micro.Time) float64 {
+func (p *Planner) occupancyPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
 	}
@@ -178,7 +178,7 @@
 // thousands of such tasks had hundreds of ordinary GPU machines rented, and kept
 // those that other work had needed from being returned. A job none of whose tasks
 // found a place for maxExpensiveDelay takes what there is.
-func (p *Planner) onlyCostMatters(job *model.Job, now micro.Time) bool {
+func (p *Planner) onlyCostMatters(job *cluster.Job, now micro.Time) bool {
 	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) && now-job.WaitingSince <= maxExpensiveDelay
 }
 
@@ -187,7 +187,7 @@
 
 // isExpensive reports whether a machine's room costs more than so many times the
 // cheapest ordinary room, for tasks like this.
-func (p *Planner) isExpensive(spec *wire.Job, typ *model.MachineType, spot bool, ratio float64) bool {
+func (p *Planner) isExpensive(spec *wire.Job, typ *cluster.MachineType, spot bool, ratio float64) bool {
 	k := newBin(typ, "", false).countRoom(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
@@ -195,7 +195,7 @@
 // maxPriceRatio is the most that room for a job's tasks may cost, over the cheapest
 // ordinary room. Work that has waited long and would soon be late may cost more:
 // then the cheap room has run out.
-func (p *Planner) maxPriceRatio(job *model.Job, now micro.Time) float64 {
+func (p *Planner) maxPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
 	}
@@ -232,7 +232,7 @@
 				if p.RefusedUntil[offer] > now || excluded[offer] > now || !demand.allows(typ, zone, spot) {
 					continue
 				}
-				if demand.job != nil && !sched.ZoneAllowed(demand.job, zone, tasksByZone) {
+				if demand.job != nil && !scheduler.ZoneAllowed(demand.job, zone, tasksByZone) {
 					continue
 				}
 				candidate := newBin(typ, zone, spot)
--- a/internal/scale/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -1,4 +1,4 @@
-package scale
+package autoscaler
 
 import "notchmux.dev/notchmux/internal/micro"
 
--- a/internal/model/assignment_test.go
+++ b/internal/cluster/assignment_test.go
@@ -1,10 +1,10 @@
-package model_test
+package cluster_test
 
 import (
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -19,7 +19,7 @@
 	agent.FencingToken = minToken - 1 // the other owner's
 	agent.Tasks[fake.AttemptKey{Task: "j-1/0", Attempt: 1}] = &wire.TaskStatus{Task: "j-1/0", Attempt: 1, State: wire.TaskRunning}
 	tc.cluster.RaiseMinFencingToken(minToken)
-	machine, _ := tc.cluster.Reconcile(agent.Heartbeat(), model.FromHeartbeat, tc.now)
+	machine, _ := tc.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, tc.now)
 	allocations := machine.SortedAllocations()
 	if len(allocations) != 1 || !allocations[0].Stopping || allocations[0].DispatchToken != minToken-1 {
 		t.Fatalf("%+v", allocations)
@@ -40,7 +40,7 @@
 		t.Fatalf("%d tasks of the array, %v CPUs", tasks, team.UsedCPU)
 	}
 	gang := tc.submit("j-3", wire.Gang, 2, 1)
-	if tasks := tc.cluster.Assign(gang, "east"); tasks != 0 || gang.State != model.Active {
+	if tasks := tc.cluster.Assign(gang, "east"); tasks != 0 || gang.State != cluster.Active {
 		t.Errorf("%d tasks of a gang beyond the limit", tasks)
 	}
 	tc.cluster.ReleaseQuota(array, 7) // it needs more than it has
@@ -52,13 +52,13 @@
 		t.Errorf("%d more, %v CPUs", tasks, team.UsedCPU)
 	}
 	tc.cluster.Unassign(service, tc.now)
-	if team.UsedCPU != 7 || service.State != model.Active || service.Shard != "" {
+	if team.UsedCPU != 7 || service.State != cluster.Active || service.Shard != "" {
 		t.Errorf("%v CPUs, %v in %q", team.UsedCPU, service.State, service.Shard)
 	}
 	tc.cluster.FinishAssigned(array)
 	tc.cluster.FinalizeJob(array, false, tc.now)
 	tc.cluster.Unassign(array, tc.now)
-	if team.UsedCPU != 0 || array.State != model.Done {
+	if team.UsedCPU != 0 || array.State != cluster.Done {
 		t.Errorf("%v CPUs, %v", team.UsedCPU, array.State)
 	}
 	if !tc.cluster.PendingJobs[service] {
--- a/internal/model/compact_test.go
+++ b/internal/cluster/compact_test.go
@@ -1,12 +1,12 @@
-package model_test
+package cluster_test
 
 import (
 	"fmt"
 	"sort"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -14,10 +14,10 @@
 // are as long here as they get in a few days.
 func TestCompactRecordFitsTheSmallestValueWhateverItsTasksDo(t *testing.T) {
 	for _, bytes := range []int{1 << 10, 2 << 10, 4 << 10, 16 << 10} {
-		tasks := model.TasksPerCompactChunk(bytes)
-		record := model.ChunkRecord{Done: [][2]int{}, Attempts: [][2]int{}}
+		tasks := cluster.TasksPerCompactChunk(bytes)
+		record := cluster.ChunkRecord{Done: [][2]int{}, Attempts: [][2]int{}}
 		for i := range tasks {
-			record.Allocations = append(record.Allocations, model.AllocationRecord{Index: 9000 + i, Attempt: 3, Machine: fmt.Sprintf("i-%06d", 100000+i), Session: 2, Zone: []string{"a-long-zones-name", "another-long-name"}[i%2]})
+			record.Allocations = append(record.Allocations, cluster.AllocationRecord{Index: 9000 + i, Attempt: 3, Machine: fmt.Sprintf("i-%06d", 100000+i), Session: 2, Zone: []string{"a-long-zones-name", "another-long-name"}[i%2]})
 		}
 		if size := wire.JSONSize(record.Compact()); size > bytes {
 			t.Errorf("%d tasks take %d bytes of %d", tasks, size, bytes)
@@ -28,14 +28,14 @@
 			t.Errorf("read back: %v", expanded.Allocations)
 		}
 	}
-	invalid := model.CompactRecord{Zones: []string{"a"}, Machines: []string{"i-1"}, MachineZones: []int{1}, Allocations: [][4]wire.Count{{0, 1, 0, 1}}}
+	invalid := cluster.CompactRecord{Zones: []string{"a"}, Machines: []string{"i-1"}, MachineZones: []int{1}, Allocations: [][4]wire.Count{{0, 1, 0, 1}}}
 	if _, ok := invalid.Expand(); ok {
 		t.Error("a zone that the record lacks")
 	}
 }
 
 // describeAllocations lists what a model holds, in a fixed order.
-func describeAllocations(state *model.State) []string {
+func describeAllocations(state *cluster.State) []string {
 	var lines []string
 	for _, job := range state.Jobs {
 		for _, allocation := range job.Allocations() {
@@ -53,12 +53,12 @@
 
 // jobStore is what the store holds of one job's tasks.
 type jobStore struct {
-	legacy  map[int]model.ChunkRecord
-	compact map[int]model.CompactRecord
+	legacy  map[int]cluster.ChunkRecord
+	compact map[int]cluster.CompactRecord
 }
 
-func (s *jobStore) failOver(spec wire.Job, tasks int, now micro.Time, effects model.Effects) *model.State {
-	state := model.New(effects)
+func (s *jobStore) failOver(spec wire.Job, tasks int, now micro.Time, effects cluster.Effects) *cluster.State {
+	state := cluster.New(effects)
 	state.MinFencingToken = 2 << 24
 	state.EnableCompactRecords(tasks)
 	job := state.AddJob(spec, now, now)
@@ -76,7 +76,7 @@
 func TestMigrationToCompactRecordsRestoresAfterEachStep(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
-	stored := jobStore{legacy: map[int]model.ChunkRecord{}, compact: map[int]model.CompactRecord{}}
+	stored := jobStore{legacy: map[int]cluster.ChunkRecord{}, compact: map[int]cluster.CompactRecord{}}
 	spec := wire.Job{ID: "j-1", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 200, CPUs: 0.01, MemoryGB: 0.01, EstimateS: 10}
 	agent := tc.addAgent("i-1", "a")
 	tc.addAgent("i-2", "b")
--- a/internal/model/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -1,11 +1,11 @@
-package model_test
+package cluster_test
 
 import (
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -13,7 +13,7 @@
 	return wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Dependencies: needs}
 }
 
-func (tc *testCluster) submitSpec(spec wire.Job) *model.Job {
+func (tc *testCluster) submitSpec(spec wire.Job) *cluster.Job {
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
 
@@ -30,11 +30,11 @@
 	agent.ExitTask("j-1/0", 1, wire.CauseDone)
 	agent.ExitTask("j-2/0", 1, wire.CauseDone)
 	tc.heartbeat(agent)
-	if first.State != model.Finishing || second.State != model.Finishing {
+	if first.State != cluster.Finishing || second.State != cluster.Finishing {
 		t.Fatalf("%v, %v", first.State, second.State)
 	}
 	tc.expectScheduled(0)
-	if dependent.State != model.Blocked || dependent.AllocationCount > 0 || dependent.Status().State != wire.JobPending {
+	if dependent.State != cluster.Blocked || dependent.AllocationCount > 0 || dependent.Status().State != wire.JobPending {
 		t.Fatalf("it goes by what is not stored: %v with %d places", dependent.State, dependent.AllocationCount)
 	}
 	tc.cluster.FinalizeJob(first, false, tc.now)
@@ -57,10 +57,10 @@
 	tc.addAgent("i-1", "a")
 	job := tc.submitSpec(pipelineJob("j-2", "j-1"))
 	tc.expectScheduled(0)
-	if job.State != model.Blocked || len(tc.unknownDependencies) != 1 || tc.unknownDependencies[0] != "j-1" {
+	if job.State != cluster.Blocked || len(tc.unknownDependencies) != 1 || tc.unknownDependencies[0] != "j-1" {
 		t.Fatalf("%v, looked up: %v", job.State, tc.unknownDependencies)
 	}
-	tc.cluster.ApplyFinalStatus("j-1", model.FinalStatus{Aborted: true, EndedAt: tc.now}, tc.now)
+	tc.cluster.ApplyFinalStatus("j-1", cluster.FinalStatus{Aborted: true, EndedAt: tc.now}, tc.now)
 	tc.expectScheduled(0)
 	if job.AllocationCount > 0 || job.Status().State != wire.JobAborted {
 		t.Fatalf("%v with %d places", job.Status().State, job.AllocationCount)
@@ -83,13 +83,13 @@
 	if len(tc.dependencyAborted) != 20 || both.Status().State != wire.JobAborted {
 		t.Fatalf("%d fell, the last is %v", len(tc.dependencyAborted), both.Status().State)
 	}
-	if other.State != model.Active {
+	if other.State != cluster.Active {
 		t.Fatalf("%v: nobody cancelled it", other.State)
 	}
-	if late := tc.submitSpec(pipelineJob("j-102", "j-101")); late.Status().State != wire.JobAborted || late.State != model.Aborting {
+	if late := tc.submitSpec(pipelineJob("j-102", "j-101")); late.Status().State != wire.JobAborted || late.State != cluster.Aborting {
 		t.Fatalf("submitted later: %v", late.State)
 	}
-	if done := tc.submitSpec(pipelineJob("j-103", "j-100")); done.State != model.Blocked {
+	if done := tc.submitSpec(pipelineJob("j-103", "j-100")); done.State != cluster.Blocked {
 		t.Fatalf("%v", done.State)
 	}
 }
@@ -101,7 +101,7 @@
 	dependent := tc.submitSpec(pipelineJob("j-2", "j-1"))
 	tc.cluster.BeginAbort(dependency)
 	tc.cluster.FinalizeJob(dependency, false, tc.now) // its last task had won
-	if dependent.State != model.Active {
+	if dependent.State != cluster.Active {
 		t.Fatalf("%v", dependent.State)
 	}
 }
@@ -109,14 +109,14 @@
 // A new leader finds one level aborted and stored, the next not yet.
 func TestFailoverBetweenTwoLevelsFinishesTheCascade(t *testing.T) {
 	tc := newTestCluster(t)
-	tc.cluster.FinalStatuses["j-1"] = model.FinalStatus{Aborted: true}
-	tc.cluster.FinalStatuses["j-5"] = model.FinalStatus{EndedAt: tc.now - 9*micro.Second}
+	tc.cluster.FinalStatuses["j-1"] = cluster.FinalStatus{Aborted: true}
+	tc.cluster.FinalStatuses["j-5"] = cluster.FinalStatus{EndedAt: tc.now - 9*micro.Second}
 	third, second := tc.submitSpec(pipelineJob("j-3", "j-2")), tc.submitSpec(pipelineJob("j-2", "j-1")) // read in any order
 	if second.Status().State != wire.JobAborted || third.Status().State != wire.JobAborted || len(tc.dependencyAborted) != 2 {
 		t.Fatalf("%v, %v", second.Status().State, third.Status().State)
 	}
 	tc.now += 5 * micro.Second
-	if job := tc.cluster.AddJob(pipelineJob("j-6", "j-5"), tc.now-60*micro.Second, tc.now); job.State != model.Active || job.EligibleSince != tc.now-14*micro.Second {
+	if job := tc.cluster.AddJob(pipelineJob("j-6", "j-5"), tc.now-60*micro.Second, tc.now); job.State != cluster.Active || job.EligibleSince != tc.now-14*micro.Second {
 		t.Fatalf("%v, its clocks from %v s ago", job.State, (tc.now - job.EligibleSince).Seconds())
 	}
 }
--- a/internal/model/images_test.go
+++ b/internal/cluster/images_test.go
@@ -1,10 +1,10 @@
-package model_test
+package cluster_test
 
 import (
 	"strconv"
 	"testing"
 
-	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -51,5 +51,5 @@
 	if machine := tc.cluster.Machines["m10"]; !machine.HasImage("image-0") || machine.HasImage("image-1") {
 		t.Fatal("the record does not say what the machine has")
 	}
-	tc.cluster.RestoreImages(model.ImageRecord{Names: []string{"x"}, Machines: map[string][]int{"m10": {7}}}, tc.now)
+	tc.cluster.RestoreImages(cluster.ImageRecord{Names: []string{"x"}, Machines: map[string][]int{"m10": {7}}}, tc.now)
 }
--- a/internal/model/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -1,11 +1,11 @@
-package model_test
+package cluster_test
 
 import (
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -50,7 +50,7 @@
 
 // heartbeatWithResponseLost is a report whose answer does not arrive.
 func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
-	if machine, outcome := tc.cluster.Reconcile(agent.Heartbeat(), model.FromHeartbeat, tc.now); outcome == model.Applied {
+	if machine, outcome := tc.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, tc.now); outcome == cluster.Applied {
 		tc.cluster.ResponseSent(machine, tc.token)
 	}
 }
@@ -70,7 +70,7 @@
 	machine := tc.cluster.Machines["m1"]
 	lastHeartbeat := machine.LastHeartbeat
 	tc.now += 20 * micro.Second // the machine died
-	if _, outcome := tc.cluster.Reconcile(received, model.FromHeartbeat, tc.now); outcome != model.Stale {
+	if _, outcome := tc.cluster.Reconcile(received, cluster.FromHeartbeat, tc.now); outcome != cluster.Stale {
 		t.Fatalf("verdict %v", outcome)
 	}
 	if machine.LastHeartbeat != lastHeartbeat {
@@ -80,9 +80,9 @@
 		t.Fatal("the worker may have taken the answer to the copy: its lease counts from it")
 	}
 	machine.RequiredFencingToken = tc.token + 1
-	tc.cluster.TransitionMachine(machine, model.Suspect, "no reports")
-	tc.cluster.Reconcile(lost, model.FromHeartbeat, tc.now)
-	if machine.State != model.Suspect {
+	tc.cluster.TransitionMachine(machine, cluster.Suspect, "no reports")
+	tc.cluster.Reconcile(lost, cluster.FromHeartbeat, tc.now)
+	if machine.State != cluster.Suspect {
 		t.Fatal("a copy of a lost report revived a silent machine")
 	}
 	tc.expectAllocations(job, 1)
@@ -92,7 +92,7 @@
 	tc.token++
 	tc.heartbeat(agent) // it lives after all
 	tc.heartbeat(agent)
-	if machine.State != model.Up {
+	if machine.State != cluster.Up {
 		t.Fatal("its echo of the new token is proof of life")
 	}
 }
@@ -113,9 +113,9 @@
 	}
 	tc.failOver(2)
 	job := tc.cluster.Jobs["j-1"]
-	tc.cluster.Reconcile(terminatedCopy, model.FromHeartbeat, tc.now)
-	tc.cluster.Reconcile(before, model.FromHeartbeat, tc.now)
-	if tc.cluster.Machines["m0"].State == model.Up {
+	tc.cluster.Reconcile(terminatedCopy, cluster.FromHeartbeat, tc.now)
+	tc.cluster.Reconcile(before, cluster.FromHeartbeat, tc.now)
+	if tc.cluster.Machines["m0"].State == cluster.Up {
 		t.Fatal("a late copy revived a machine")
 	}
 	tc.expectAllocations(job, 1) // the copy lacks the task, which frees nothing
@@ -141,7 +141,7 @@
 		tc.heartbeat(agent)
 		machine := tc.cluster.Machines["m1"]
 		machine.RequiredFencingToken = tc.token + 1
-		tc.cluster.TransitionMachine(machine, model.Suspect, "no reports")
+		tc.cluster.TransitionMachine(machine, cluster.Suspect, "no reports")
 		tc.token++
 		if newEpoch {
 			agent.Epoch, agent.Sequence = agent.Epoch+1, 0
@@ -155,7 +155,7 @@
 		}
 		tc.expectAllocations(job, want)
 		tc.expectScheduled(1 - want)
-		if machine.State != model.Up || len(machine.Allocations) != 1 {
+		if machine.State != cluster.Up || len(machine.Allocations) != 1 {
 			t.Fatalf("next session %v: %v with %d places", newEpoch, machine.State, len(machine.Allocations))
 		}
 	}
--- a/internal/model/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -1,11 +1,11 @@
-package model_test
+package cluster_test
 
 import (
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -135,7 +135,7 @@
 	tc.failOver(2)
 	tc.cancel("j-1")
 	tc.expectQuotaUsed(4)
-	if machine, outcome := tc.cluster.Reconcile(agent.Heartbeat(), model.FromHeartbeat, tc.now); outcome != model.Applied || machine.State == model.Up {
+	if machine, outcome := tc.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, tc.now); outcome != cluster.Applied || machine.State == cluster.Up {
 		t.Fatalf("verdict %v, %v: a report that may be a late copy", outcome, machine.State)
 	}
 	tc.expectQuotaUsed(4) // absent, and the start may still run
--- a/internal/model/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -1,4 +1,4 @@
-package model
+package cluster
 
 import (
 	"notchmux.dev/notchmux/internal/micro"
--- a/internal/model/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -1,15 +1,15 @@
-package model_test
+package cluster_test
 
 import (
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
-func alwaysSettled(*model.Job) bool { return true }
+func alwaysSettled(*cluster.Job) bool { return true }
 
 // A leader of a fleet that runs for months kept each job that it ever saw.
 func TestRetainedEntriesDoNotGrowWithTheAgeOfATerm(t *testing.T) {
@@ -49,7 +49,7 @@
 	tc.cluster.FinalizeJob(unwritten, false, tc.now)
 	blocked := tc.submitSpec(pipelineJob("j-5", "j-2", "j-99"))
 	tc.now += 2 * 60 * micro.Minute
-	tc.cluster.Prune(tc.now, func(job *model.Job) bool { return job != unwritten })
+	tc.cluster.Prune(tc.now, func(job *cluster.Job) bool { return job != unwritten })
 	if tc.cluster.Jobs["j-1"] == nil {
 		t.Error("a job with a place that is not proven free was forgotten")
 	}
@@ -71,7 +71,7 @@
 // fleet were not known to the next leader.
 func TestImagesOfAFleetOfThousandsAreKnownToTheNextLeader(t *testing.T) {
 	tc := newTestCluster(t)
-	record := model.ImageRecord{Names: []string{"image-1", "image-2"}, GB: []float64{4, 5}, Machines: map[string][]int{}}
+	record := cluster.ImageRecord{Names: []string{"image-1", "image-2"}, GB: []float64{4, 5}, Machines: map[string][]int{}}
 	const machines = 4000
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
--- a/internal/model/scenario_test.go
+++ b/internal/cluster/scenario_test.go
@@ -1,15 +1,15 @@
-package model_test
+package cluster_test
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -19,55 +19,55 @@
 // store would.
 type testCluster struct {
 	t             *testing.T
-	cluster       *model.State
-	scheduler     *sched.Scheduler
+	cluster       *cluster.State
+	scheduler     *scheduler.Scheduler
 	now           micro.Time
 	token         uint64
-	dirtyChunks   map[*model.TaskChunk]bool
-	storedRecords map[string]map[int]model.ChunkRecord
+	dirtyChunks   map[*cluster.TaskChunk]bool
+	storedRecords map[string]map[int]cluster.ChunkRecord
 	jobs          []wire.Job
 	finishedJobs  []string
 
 	dependencyAborted, unknownDependencies []string
-	supersededRecords                      []*model.LegacyRecord
+	supersededRecords                      []*cluster.LegacyRecord
 }
 
-func (tc *testCluster) ChunkDirty(chunk *model.TaskChunk) { tc.dirtyChunks[chunk] = true }
-func (tc *testCluster) ChunkUrgent(*model.TaskChunk)      {}
-func (tc *testCluster) DispatchSoon(*model.Machine)       {}
-func (tc *testCluster) JobFinished(job *model.Job) {
+func (tc *testCluster) ChunkDirty(chunk *cluster.TaskChunk) { tc.dirtyChunks[chunk] = true }
+func (tc *testCluster) ChunkUrgent(*cluster.TaskChunk)      {}
+func (tc *testCluster) DispatchSoon(*cluster.Machine)       {}
+func (tc *testCluster) JobFinished(job *cluster.Job) {
 	tc.finishedJobs = append(tc.finishedJobs, job.Spec.ID)
 }
-func (tc *testCluster) DependencyAborted(job *model.Job) {
+func (tc *testCluster) DependencyAborted(job *cluster.Job) {
 	tc.dependencyAborted = append(tc.dependencyAborted, job.Spec.ID)
 }
 func (tc *testCluster) DependencyUnknown(id string) {
 	tc.unknownDependencies = append(tc.unknownDependencies, id)
 }
-func (tc *testCluster) ChunkMigrated(*model.TaskChunk, *model.LegacyRecord) {}
-func (tc *testCluster) LegacyRecordSuperseded(legacy *model.LegacyRecord) {
+func (tc *testCluster) ChunkMigrated(*cluster.TaskChunk, *cluster.LegacyRecord) {}
+func (tc *testCluster) LegacyRecordSuperseded(legacy *cluster.LegacyRecord) {
 	tc.supersededRecords = append(tc.supersededRecords, legacy)
 }
-func (tc *testCluster) AttemptCompleted(*model.Allocation, micro.Time) {}
-func (tc *testCluster) ScheduleSoon()                                  {}
-func (tc *testCluster) Log(event string, args ...any)                  {}
+func (tc *testCluster) AttemptCompleted(*cluster.Allocation, micro.Time) {}
+func (tc *testCluster) ScheduleSoon()                                    {}
+func (tc *testCluster) Log(event string, args ...any)                    {}
 
 func newTestCluster(t *testing.T) *testCluster {
-	tc := &testCluster{t: t, now: 100 * micro.Second, storedRecords: map[string]map[int]model.ChunkRecord{}}
+	tc := &testCluster{t: t, now: 100 * micro.Second, storedRecords: map[string]map[int]cluster.ChunkRecord{}}
 	tc.startTerm(1)
 	return tc
 }
 
 // startTerm starts a term with an empty model, as a new leader has.
 func (tc *testCluster) startTerm(revision uint64) {
-	tc.dirtyChunks = map[*model.TaskChunk]bool{}
+	tc.dirtyChunks = map[*cluster.TaskChunk]bool{}
 	tc.token = revision << 24
-	tc.cluster = model.New(tc)
+	tc.cluster = cluster.New(tc)
 	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt, tc.cluster.LeaseDuration = tc.token, tc.now, leaseDuration+micro.Second
 	tc.cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}}})
-	tc.cluster.Teams["team"] = &model.Team{Name: "team", CPULimit: 8}
+	tc.cluster.Teams["team"] = &cluster.Team{Name: "team", CPULimit: 8}
 	props := config.Defaults()
-	tc.scheduler = &sched.Scheduler{Cluster: tc.cluster, Objectives: sched.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1))}
+	tc.scheduler = &scheduler.Scheduler{Cluster: tc.cluster, Objectives: scheduler.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1))}
 }
 
 // failOver is lead after a crash: the records are read.
@@ -82,7 +82,7 @@
 	tc.cluster.FinishRestore(tc.now)
 }
 
-func (tc *testCluster) submit(id string, kind wire.JobKind, tasks int, cpus float64) *model.Job {
+func (tc *testCluster) submit(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
 	spec := wire.Job{ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1}
 	tc.jobs = append(tc.jobs, spec)
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
@@ -93,7 +93,7 @@
 	for chunk := range tc.dirtyChunks {
 		id := chunk.Job.Spec.ID
 		if tc.storedRecords[id] == nil {
-			tc.storedRecords[id] = map[int]model.ChunkRecord{}
+			tc.storedRecords[id] = map[int]cluster.ChunkRecord{}
 		}
 		tc.storedRecords[id][chunk.Index] = chunk.Record()
 		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
@@ -105,8 +105,8 @@
 func (tc *testCluster) heartbeat(agent *fake.Agent) { tc.reconcile(agent, agent.Heartbeat()) }
 
 func (tc *testCluster) reconcile(agent *fake.Agent, heartbeat *wire.Heartbeat) {
-	machine, outcome := tc.cluster.Reconcile(heartbeat, model.FromHeartbeat, tc.now)
-	if outcome == model.Applied {
+	machine, outcome := tc.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, tc.now)
+	if outcome == cluster.Applied {
 		agent.HandleResponse(wire.Commands{FencingToken: wire.Count(tc.token), Items: tc.cluster.Commands(machine, tc.token, false, tc.now)}, tc.now)
 	}
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-func (tc *testCluster) expectAllocations(job *model.Job, want int) {
+func (tc *testCluster) expectAllocations(job *cluster.Job, want int) {
 	tc.t.Helper()
 	if job.AllocationCount != want {
 		tc.t.Fatalf("%d places are held, want %d", job.AllocationCount, want)
@@ -275,7 +275,7 @@
 	tc.persist()
 	commands := tc.dispatchCommands(agent)
 	heartbeat, _ := agent.HandleDispatch(commands)
-	tc.cluster.Reconcile(heartbeat, model.FromDispatchResponse, tc.now)
+	tc.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, tc.now)
 	agent.ExitTask("j-1/0", 1, wire.CauseDone)
 	tc.heartbeat(agent)
 	tc.persist()
@@ -331,7 +331,7 @@
 	tc.persist()
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
-	if _, outcome := tc.cluster.Reconcile(stale, model.FromHeartbeat, tc.now); outcome != model.Stale {
+	if _, outcome := tc.cluster.Reconcile(stale, cluster.FromHeartbeat, tc.now); outcome != cluster.Stale {
 		t.Fatalf("verdict %v", outcome)
 	}
 	tc.expectAllocations(job, 1)
@@ -373,7 +373,7 @@
 	delayed := agent.Heartbeat() // sent before the cut, delivered after it
 	tc.now += leaseDuration + 2*micro.Second
 	tc.cluster.ExpireMachine(tc.cluster.Machines["m1"], tc.now)
-	if _, outcome := tc.cluster.Reconcile(delayed, model.FromHeartbeat, tc.now); outcome != model.Refused {
+	if _, outcome := tc.cluster.Reconcile(delayed, cluster.FromHeartbeat, tc.now); outcome != cluster.Refused {
 		t.Fatalf("verdict %v", outcome)
 	}
 }
@@ -550,7 +550,7 @@
 	}
 	tc.token++
 	heartbeat, _ := agent.HandleDispatch(wire.Commands{FencingToken: wire.Count(tc.token), AgentEpoch: 2})
-	tc.cluster.Reconcile(heartbeat, model.FromDispatchResponse, tc.now)
+	tc.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, tc.now)
 	job := tc.submit("j-1", wire.JobArray, 1, 1)
 	tc.expectScheduled(1)
 	tc.persist()
--- a/internal/model/state.go
+++ b/internal/cluster/state.go
@@ -1,9 +1,9 @@
-// Package model holds the leader's picture of the cluster: jobs, tasks, gangs,
+// Package cluster holds the leader's picture of the cluster: jobs, tasks, gangs,
 // machines and the places that tasks take on them. It does no I/O and reads no
 // clock; one goroutine owns it.
 //
 // A place stays taken until it is proven free. See Cluster.free for the proofs.
-package model
+package cluster
 
 import (
 	"math"
--- a/internal/model/wait_test.go
+++ b/internal/cluster/wait_test.go
@@ -1,4 +1,4 @@
-package model_test
+package cluster_test
 
 import (
 	"fmt"
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -11,7 +11,7 @@
 
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/policy"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 )
 
 // Features are the parts of the service that are off unless their file is given.
@@ -31,7 +31,7 @@
 // DeclaredShard is a share that the leader forms if it does not exist.
 type DeclaredShard struct {
 	Name     string
-	Selector share.Selector
+	Selector shard.Selector
 	Teams    []string
 	Owner    string // its first owner; "": the controller with the fewest shares
 }
@@ -116,9 +116,9 @@
 	switch {
 	case kind == "shares":
 		return p.parseGeneral(key, value)
-	case kind == "share" && share.ValidName(name):
+	case kind == "share" && shard.ValidName(name):
 		return p.parseShard(name, field, value)
-	case kind == "policy" && share.ValidName(name):
+	case kind == "policy" && shard.ValidName(name):
 		return p.parsePolicy(name, field, value)
 	case kind == "share" || kind == "policy":
 		return "names are made of small letters, digits and hyphens, 40 at the most"
@@ -164,8 +164,8 @@
 	case "zone":
 		declared.Selector.Zone = value
 	case "kind":
-		switch kind := share.InstanceKind(value); kind {
-		case share.AnyKind, share.SpotOnly, share.OnDemandOnly:
+		switch kind := shard.InstanceKind(value); kind {
+		case shard.AnyKind, shard.SpotOnly, shard.OnDemandOnly:
 			declared.Selector.Kind = kind
 		default:
 			return strconv.Quote(value) + " is not spot or ordinary"
@@ -218,11 +218,11 @@
 	for _, name := range sortedNames(p.shards) {
 		declared := p.shards[name]
 		if declared.Selector.Empty() {
-			return nil, fmt.Errorf("%s: key %q: %w", p.path, "share."+name, share.ErrSelectsAll)
+			return nil, fmt.Errorf("%s: key %q: %w", p.path, "share."+name, shard.ErrSelectsAll)
 		}
 		for _, other := range p.result.Declared {
 			if other.Selector.Overlaps(declared.Selector) {
-				return nil, fmt.Errorf("%s: key %q: %w: %q", p.path, "share."+name, share.ErrOverlap, other.Name)
+				return nil, fmt.Errorf("%s: key %q: %w: %q", p.path, "share."+name, shard.ErrOverlap, other.Name)
 			}
 		}
 		p.result.Declared = append(p.result.Declared, *declared)
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -2,14 +2,14 @@
 
 import (
 	"context"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"strconv"
 	"time"
 
-	"notchmux.dev/notchmux/internal/front"
-	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/peer"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -17,10 +17,10 @@
 // rejection is the answer to a submission that is not taken; false if it may be. A
 // repeat of an accepted one is known whatever has changed since, so before
 // anything is refused for good the store is asked for it.
-func (n *Node) rejection(job *wire.Job, relay bool) (front.Reply, bool) {
+func (n *Node) rejection(job *wire.Job, relay bool) (httpapi.Reply, bool) {
 	catalog := n.catalog.Load()
 	if catalog == nil {
-		return front.RetryReply(503, 1), true
+		return httpapi.RetryReply(503, 1), true
 	}
 	reason, status := n.infeasibleReason(job, catalog), 422
 	if reason == "" && wire.JSONSize(withoutDependencies(job)) > n.maxValueBytes()-specMargin {
@@ -29,25 +29,25 @@
 	if reason == "" && len(job.Dependencies) > 0 {
 		if !n.FormatOpen() {
 			// A node of the earlier version may still lead, and would not wait.
-			return n.existingStatusOr(job.ID, relay, front.RetryReply(503, 2)), true
+			return n.existingStatusOr(job.ID, relay, httpapi.RetryReply(503, 2)), true
 		}
 		missing, err := n.unknownDependency(job.Dependencies, job.ID, relay)
 		switch {
 		case err != nil:
-			return front.RetryReply(503, 1), true
+			return httpapi.RetryReply(503, 1), true
 		case missing != "":
 			reason = "awaits " + missing + ", which was never accepted"
 		}
 	}
 	if reason != "" {
-		return n.existingStatusOr(job.ID, relay, front.ErrorReply(status, reason)), true
+		return n.existingStatusOr(job.ID, relay, httpapi.ErrorReply(status, reason)), true
 	}
 	if l := n.activeLeader(); l != nil && int(l.pendingTasks.Load()) > n.Cfg.MaxPendingTasks {
 		if _, ok := l.knownJobs.Load(job.ID); !ok {
-			return front.RetryReply(429, 5), true
+			return httpapi.RetryReply(429, 5), true
 		}
 	}
-	return front.Reply{}, false
+	return httpapi.Reply{}, false
 }
 
 // specMargin is kept in the description's value for what the service adds.
@@ -62,14 +62,14 @@
 
 // existingStatusOr answers a repeat of an accepted submission, and gives the other reply if
 // it is none.
-func (n *Node) existingStatusOr(id string, relay bool, otherwise front.Reply) front.Reply {
-	var reply front.Reply
+func (n *Node) existingStatusOr(id string, relay bool, otherwise httpapi.Reply) httpapi.Reply {
+	var reply httpapi.Reply
 	if relay {
 		reply = n.repeatedSubmissionStatus(id)
 	} else if stored, err := n.readStatus(id, store.Routine); err == nil {
 		reply = stored
 	} else {
-		reply = front.RetryReply(503, 1)
+		reply = httpapi.RetryReply(503, 1)
 	}
 	switch reply.Status {
 	case 404:
@@ -77,7 +77,7 @@
 	case 200:
 		return reply
 	}
-	return front.RetryReply(503, 1)
+	return httpapi.RetryReply(503, 1)
 }
 
 // unknownDependency finds a job among those awaited that was never accepted, "" if there is
@@ -97,7 +97,7 @@
 			unknown = append(unknown, id)
 		}
 	}
-	maxIDs := writer.PreconditionsPerChange * n.Cfg.MaxTxnOps()
+	maxIDs := statestore.PreconditionsPerChange * n.Cfg.MaxTxnOps()
 	for len(unknown) > 0 {
 		batch := unknown[:min(len(unknown), maxIDs)]
 		unknown = unknown[len(batch):]
@@ -220,9 +220,9 @@
 	}
 	fits := false
 	for i := range catalog.Types {
-		machineType := &model.MachineType{MachineType: catalog.Types[i]}
+		machineType := &cluster.MachineType{MachineType: catalog.Types[i]}
 		for _, zone := range machineType.Zones {
-			fits = fits || sched.Allowed(job, machineType, zone, false)
+			fits = fits || scheduler.Allowed(job, machineType, zone, false)
 		}
 	}
 	if !fits {
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -746,7 +746,7 @@
 		free := leader.recovered
 		for _, job := range jobs {
 			x := leader.cluster.Jobs[job.id]
-			free = free && (x == nil || x.State != model.Active && x.AllocationCount == 0)
+			free = free && (x == nil || x.State != cluster.Active && x.AllocationCount == 0)
 		}
 		ch <- free
 	})
--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -41,9 +41,9 @@
 }
 
 func (h *history) answers(id string, knowledge userKnowledge, status int, s wire.JobState) {
-	r := front.Reply{Status: status, Body: wire.JobStatus{ID: id, State: s}}
+	r := httpapi.Reply{Status: status, Body: wire.JobStatus{ID: id, State: s}}
 	if status >= 400 {
-		r = front.Reply{Status: status}
+		r = httpapi.Reply{Status: status}
 	}
 	h.checkAnswer(id, "n-0", knowledge, r)
 }
@@ -152,8 +152,8 @@
 				history.answers("j-1", accepted, 200, wire.JobAborted)
 			}},
 		{"retry_after",
-			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, front.Reply{Status: 503}) },
-			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, front.RetryReply(503, 1)) }},
+			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, httpapi.Reply{Status: 503}) },
+			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, httpapi.RetryReply(503, 1)) }},
 	} {
 		history := newHistory()
 		test.broken(history)
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -5,7 +5,7 @@
 	"sort"
 	"sync"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -233,7 +233,7 @@
 }
 
 // checkAnswer holds an answer of a node against what the user knew.
-func (c *checker) checkAnswer(id, by string, knowledge userKnowledge, reply front.Reply) {
+func (c *checker) checkAnswer(id, by string, knowledge userKnowledge, reply httpapi.Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answerCount++
--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -1,17 +1,17 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
 // The model's effects.
 
 // ChunkDirty notes that a chunk must be written.
-func (l *Leader) ChunkDirty(chunk *model.TaskChunk) {
+func (l *Leader) ChunkDirty(chunk *cluster.TaskChunk) {
 	if chunk.Job.IsTerminal() && (l.owner != nil || len(chunk.Allocations) > 0) {
 		return // goes once its last place is free; in a share, once its assignment has gone
 	}
@@ -26,23 +26,23 @@
 		record.Defer(l.node.Now())
 		return
 	}
-	record.MarkDirty(l.node.Now(), writer.PriorityLow)
+	record.MarkDirty(l.node.Now(), statestore.PriorityLow)
 }
 
 // ChunkUrgent notes that a start waits for a chunk.
-func (l *Leader) ChunkUrgent(chunk *model.TaskChunk) {
-	priority := writer.PriorityHigh
+func (l *Leader) ChunkUrgent(chunk *cluster.TaskChunk) {
+	priority := statestore.PriorityHigh
 	if chunk.Job.PriorityLevel == 0 {
-		priority = writer.PriorityUrgent
+		priority = statestore.PriorityUrgent
 	}
 	l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), priority)
 }
 
 // DispatchSoon notes that a machine has orders worth sending directly.
-func (l *Leader) DispatchSoon(m *model.Machine) { l.pendingDispatch[m] = true }
+func (l *Leader) DispatchSoon(m *cluster.Machine) { l.pendingDispatch[m] = true }
 
 // JobFinished writes the end of a job whose tasks are all done.
-func (l *Leader) JobFinished(j *model.Job) {
+func (l *Leader) JobFinished(j *cluster.Job) {
 	if l.owner != nil {
 		l.jobFinishedInShard(j)
 		return
@@ -51,9 +51,9 @@
 }
 
 // AttemptCompleted learns from a completed run.
-func (l *Leader) AttemptCompleted(p *model.Allocation, took micro.Time) {
+func (l *Leader) AttemptCompleted(p *cluster.Allocation, took micro.Time) {
 	j := p.Job
-	p.Machine.RecordRunTime(took, sched.EstimatedRuntime(j))
+	p.Machine.RecordRunTime(took, scheduler.EstimatedRuntime(j))
 	if j.Spec.EstimateS > 1 && j.Spec.CheckpointIntervalS == 0 || j.Spec.Kind == wire.JobArray && p.Attempt == 1 {
 		if j.Spec.EstimateS > 1 {
 			j.Class.UpdateEstimateBias(took.Seconds() / j.Spec.EstimateS)
@@ -72,15 +72,15 @@
 
 // ChunkMigrated notes that a chunk's record in the first form stands for chunks of the
 // later one until they are stored.
-func (l *Leader) ChunkMigrated(ch *model.TaskChunk, o *model.LegacyRecord) {
+func (l *Leader) ChunkMigrated(ch *cluster.TaskChunk, o *cluster.LegacyRecord) {
 	l.records.retireLegacy(ch, o)
 }
 
 // LegacyRecordSuperseded deletes a record in the first form once nothing depends on it.
-func (l *Leader) LegacyRecordSuperseded(o *model.LegacyRecord) { l.records.deleteLegacy(o) }
+func (l *Leader) LegacyRecordSuperseded(o *cluster.LegacyRecord) { l.records.deleteLegacy(o) }
 
 // DependencyAborted writes the end of a job that needs an aborted one.
-func (l *Leader) DependencyAborted(j *model.Job) {
+func (l *Leader) DependencyAborted(j *cluster.Job) {
 	l.log.Info("job falls with another", "job", j.Spec.ID)
 	l.records.writeJobEnd(j, wire.JobAborted)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"notchmux.dev/notchmux/internal/agent"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -360,12 +360,12 @@
 // that was gone looked like their own.
 func TestOwnMachinesAreThoseCreatedBeforeTheFirstInstanceRequest(t *testing.T) {
 	l := &Leader{}
-	if !l.isOperatorOwned(&model.Machine{Name: "i-000007"}) || l.isOperatorOwned(&model.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
+	if !l.isOperatorOwned(&cluster.Machine{Name: "i-000007"}) || l.isOperatorOwned(&cluster.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
 		t.Error("before any rental is answered, what was not rented is their own")
 	}
 	l.firstProvisioned = "i-000024"
 	for name, want := range map[string]bool{"i-000023": true, "i-000024": false, "i-000100": false, "i-1000000": false} {
-		if l.isOperatorOwned(&model.Machine{Name: name}) != want {
+		if l.isOperatorOwned(&cluster.Machine{Name: name}) != want {
 			t.Errorf("%s: own is %v", name, !want)
 		}
 	}
@@ -379,7 +379,7 @@
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	var then []wire.Change
 	for i := range 1563 {
-		then = append(then, wire.Change{Put: runKey("j-1", i), Value: model.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}})
+		then = append(then, wire.Change{Put: runKey("j-1", i), Value: cluster.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}})
 	}
 	then = append(then, wire.Change{Put: specKey("j-1"), Value: wire.Job{ID: "j-1", Team: "team", Tasks: 100_000, CPUs: 1}})
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
--- a/internal/controller/dependency_lookup.go
+++ b/internal/controller/dependency_lookup.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -46,7 +46,7 @@
 					if end.EndedAt == 0 {
 						endedAt = now
 					}
-					l.cluster.ApplyFinalStatus(id, model.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: endedAt}, now)
+					l.cluster.ApplyFinalStatus(id, cluster.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: endedAt}, now)
 				} else if job, ok := snapshot.specs[id]; ok && snapshot.completeDependencies(&job) {
 					delete(l.dependencyLookups, id)
 					l.addJob(job)
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -1,9 +1,9 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -49,10 +49,10 @@
 			summary.zones[machine.Zone] = zone
 		}
 		sinceHeartbeat := l.sinceHeartbeat(machine, now)
-		if machine.State == model.Up && sinceHeartbeat > l.node.Cfg.SuspectAfter {
+		if machine.State == cluster.Up && sinceHeartbeat > l.node.Cfg.SuspectAfter {
 			// Only what proves to have been sent from now on is a sign of life.
 			machine.RequiredFencingToken = l.fencingToken + 1
-			l.cluster.TransitionMachine(machine, model.Suspect, "no reports")
+			l.cluster.TransitionMachine(machine, cluster.Suspect, "no reports")
 		}
 		if l.heartbeatExpected(machine, sinceHeartbeat, now) {
 			l.countHeartbeat(machine, zone, summary, sinceHeartbeat)
@@ -63,14 +63,14 @@
 
 // heartbeatExpected reports whether a machine's silence says anything: not if it never
 // came up, is on its way back, or has been silent for so long that it is surely lost.
-func (l *Leader) heartbeatExpected(m *model.Machine, sinceHeartbeat, now micro.Time) bool {
-	if m.State == model.Registering && len(m.Allocations) == 0 || m.State == model.Terminating {
+func (l *Leader) heartbeatExpected(m *cluster.Machine, sinceHeartbeat, now micro.Time) bool {
+	if m.State == cluster.Registering && len(m.Allocations) == 0 || m.State == cluster.Terminating {
 		return false
 	}
 	return sinceHeartbeat <= 2*l.cluster.LeaseDuration || !l.cluster.LeaseExpired(m, now)
 }
 
-func (l *Leader) countHeartbeat(machine *model.Machine, zone *zoneHeartbeats, summary *heartbeatSummary, sinceHeartbeat micro.Time) {
+func (l *Leader) countHeartbeat(machine *cluster.Machine, zone *zoneHeartbeats, summary *heartbeatSummary, sinceHeartbeat micro.Time) {
 	zone.expected++
 	// A machine is missing once a report is overdue, well before it counts as
 	// silent: in a cut, the first to be called silent must not look alone.
@@ -78,14 +78,14 @@
 		zone.missing++
 	}
 	switch machine.State {
-	case model.Up:
+	case cluster.Up:
 		summary.up++
 		if machine.ResponsesLikelyLost() {
 			summary.responsesLost++
 		}
-	case model.Suspect:
+	case cluster.Suspect:
 		summary.suspect++
-	case model.Registering:
+	case cluster.Registering:
 		if len(machine.Allocations) > 0 && sinceHeartbeat > l.node.Cfg.SuspectAfter {
 			summary.suspect++ // not one report since the takeover
 		}
@@ -104,22 +104,22 @@
 
 // evaluateMachine frees what a machine surely lost and has it returned if it is of no more
 // use.
-func (l *Leader) evaluateMachine(machine *model.Machine, summary *heartbeatSummary, now micro.Time) {
+func (l *Leader) evaluateMachine(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) {
 	if machine.OwnedElsewhere {
 		l.evaluateOwnedElsewhere(machine, now)
 		return
 	}
-	if len(machine.Allocations) > 0 && machine.State != model.Up && l.cluster.LeaseExpired(machine, now) {
+	if len(machine.Allocations) > 0 && machine.State != cluster.Up && l.cluster.LeaseExpired(machine, now) {
 		l.cluster.ExpireMachine(machine, now)
 	}
 	switch machine.State {
-	case model.Registering:
+	case cluster.Registering:
 		if reason := l.registrationFailure(machine, summary, now); reason != "" {
 			l.terminate(machine, reason)
 		}
-	case model.Up:
+	case cluster.Up:
 		l.checkResponsesLost(machine, summary, now)
-	case model.Suspect:
+	case cluster.Suspect:
 		noticeExpired := machine.PreemptionAt != 0 && now > machine.PreemptionAt+2*micro.Second
 		// Just after a lapse of the right nothing has been heard for long: that
 		// says nothing of a zone that was silent before. A thousand machines
@@ -127,7 +127,7 @@
 		if l.missingFromInventory(machine) || noticeExpired || l.sinceHeartbeat(machine, now) > l.node.Cfg.SuspectAfter && l.machinesLookDead(machine.Zone, summary, now) {
 			l.terminate(machine, "silent")
 		}
-	case model.Expired:
+	case cluster.Expired:
 		if l.missingFromInventory(machine) || now-machine.LastHeartbeat > 2*l.cluster.LeaseDuration {
 			l.terminate(machine, "lost")
 		}
@@ -136,8 +136,8 @@
 
 // evaluateOwnedElsewhere gives a machine of another controller's share up that never came up, as
 // far as the list tells. All else is for the share's owner to find.
-func (l *Leader) evaluateOwnedElsewhere(m *model.Machine, now micro.Time) {
-	if m.State != model.Registering || !l.shardMachinesKnown(m, now) {
+func (l *Leader) evaluateOwnedElsewhere(m *cluster.Machine, now micro.Time) {
+	if m.State != cluster.Registering || !l.shardMachinesKnown(m, now) {
 		return
 	}
 	if l.missingFromInventory(m) || m.CloudState == wire.MachineBooting && now-m.LastListed < maxInventoryAge && now-m.RequestedAt > l.bootTimeout(m) {
@@ -148,7 +148,7 @@
 // shardMachinesKnown reports whether this leader would know by now that a machine of another
 // controller's share is up: the share's owner has told it of all that report, and each
 // had time to. Without that, a leader that had just taken over returned machines at work.
-func (l *Leader) shardMachinesKnown(m *model.Machine, now micro.Time) bool {
+func (l *Leader) shardMachinesKnown(m *cluster.Machine, now micro.Time) bool {
 	e, ok := l.shardTable().ShardOf(machineAttributes(m.TypeName, m.Zone, m.Spot))
 	if !ok || !e.OwnedElsewhere() {
 		return false
@@ -159,7 +159,7 @@
 }
 
 // bootTimeout is after how long a machine that is booting is given up.
-func (l *Leader) bootTimeout(m *model.Machine) micro.Time {
+func (l *Leader) bootTimeout(m *cluster.Machine) micro.Time {
 	bootTime := defaultBootTime
 	if m.Type != nil {
 		bootTime = micro.FromSeconds(m.Type.BootS)
@@ -169,7 +169,7 @@
 
 // missingFromInventory reports whether a machine that was listed is no longer, for longer than
 // the list lags.
-func (l *Leader) missingFromInventory(m *model.Machine) bool {
+func (l *Leader) missingFromInventory(m *cluster.Machine) bool {
 	lag := micro.FromSeconds(l.node.Cfg.Facts.Cloud.ListLagS)
 	return m.LastListed > 0 && l.inventoryAt-m.LastListed > 2*lag
 }
@@ -179,7 +179,7 @@
 
 // registrationFailure says why a machine that was never heard of in this term is given up,
 // "" if it is not.
-func (l *Leader) registrationFailure(machine *model.Machine, summary *heartbeatSummary, now micro.Time) string {
+func (l *Leader) registrationFailure(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) string {
 	cfg := l.node.Cfg
 	bootTime := defaultBootTime
 	if machine.Type != nil {
@@ -206,13 +206,13 @@
 
 // registrationRoundOver reports whether a machine has had time to find this leader: few of its
 // zone are missing, or each worker has surely tried all nodes.
-func (l *Leader) registrationRoundOver(m *model.Machine, summary *heartbeatSummary, waited micro.Time) bool {
+func (l *Leader) registrationRoundOver(m *cluster.Machine, summary *heartbeatSummary, waited micro.Time) bool {
 	zone := summary.zones[m.Zone]
 	return zone.missing*fewMissingDivisor <= zone.expected || waited > l.node.Cfg.RegistrationWindow()
 }
 
 // checkResponsesLost watches a machine that reports but may hear nothing.
-func (l *Leader) checkResponsesLost(m *model.Machine, summary *heartbeatSummary, now micro.Time) {
+func (l *Leader) checkResponsesLost(m *cluster.Machine, summary *heartbeatSummary, now micro.Time) {
 	// If many seem to hear nothing, the fault is this node's.
 	if m.ResponsesLikelyLost() && !m.ResponsesLost && summary.responsesLost*3 <= summary.up {
 		l.cluster.SetResponsesLost(m, true, now)
@@ -227,10 +227,10 @@
 	machines := l.cluster.SortedMachines()
 	for range (len(machines) + overrunSlices - 1) / overrunSlices {
 		l.overrunCursor = (l.overrunCursor + 1) % len(machines)
-		if m := machines[l.overrunCursor]; m.State == model.Up {
+		if m := machines[l.overrunCursor]; m.State == cluster.Up {
 			for _, p := range m.Allocations {
 				if p.Job != nil {
-					l.cluster.CheckOverrun(p, sched.EstimatedRuntime(p.Job), now)
+					l.cluster.CheckOverrun(p, scheduler.EstimatedRuntime(p.Job), now)
 				}
 			}
 		}
@@ -244,7 +244,7 @@
 // while its right had lapsed, it turned every worker away. Counted from the last
 // report alone, an outage of the store once had eleven live machines returned in
 // the moment it ended.
-func (l *Leader) sinceHeartbeat(m *model.Machine, now micro.Time) micro.Time {
+func (l *Leader) sinceHeartbeat(m *cluster.Machine, now micro.Time) micro.Time {
 	return now - max(m.LastHeartbeat, l.cluster.TermStartedAt, l.resumedAt)
 }
 
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -7,12 +7,12 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/agent"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -78,8 +78,8 @@
 	if err != nil {
 		panic(err)
 	}
-	m, verdict := h.leader.cluster.Reconcile(r, model.FromHeartbeat, h.now)
-	if verdict != model.Applied {
+	m, verdict := h.leader.cluster.Reconcile(r, cluster.FromHeartbeat, h.now)
+	if verdict != cluster.Applied {
 		panic("not taken")
 	}
 	o := wire.Commands{FencingToken: wire.Count(h.leader.fencingToken), Items: h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now)}
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -26,9 +26,9 @@
 		w.t.Error(err)
 	}
 	for _, item := range page.Items {
-		var rec model.ChunkRecord
+		var rec cluster.ChunkRecord
 		if strings.HasPrefix(item.Key, "run/"+id+"/"+compactMark) {
-			var c model.CompactRecord
+			var c cluster.CompactRecord
 			if wire.Unmarshal(item.Value, &c) == nil {
 				rec, _ = c.Expand()
 			}
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -101,7 +101,7 @@
 }
 
 // withLeaderState reads the leader's model from within its loop.
-func (f *largeFleet) withLeaderState(read func(c *model.State, l *Leader)) {
+func (f *largeFleet) withLeaderState(read func(c *cluster.State, l *Leader)) {
 	f.t.Helper()
 	currentLeader := f.waitForLeader().runningNode().activeLeader()
 	done := make(chan struct{})
@@ -181,7 +181,7 @@
 	if most := int64(f.machines) / 10; reads > most {
 		f.t.Errorf("the takeover and a minute took %d reads, %d at the most", reads, most)
 	}
-	f.withLeaderState(func(c *model.State, leader *Leader) {
+	f.withLeaderState(func(c *cluster.State, leader *Leader) {
 		if len(c.Machines) > f.machines+f.machines/10 || len(leader.events) > f.machines {
 			f.t.Errorf("%d machines and %d events in the leader", len(c.Machines), len(leader.events))
 		}
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"time"
 
 	"notchmux.dev/notchmux/internal/micro"
@@ -182,7 +182,7 @@
 // raiseFormat writes fleet/format. From then on, and not before, the new forms are used.
 func (l *Leader) raiseFormat() {
 	if !l.cluster.CompactRecords && l.recovered && !l.records.format.Dirty() && !l.records.format.Uncertain() {
-		l.records.format.MarkDirty(l.node.Now(), writer.PriorityHigh)
+		l.records.format.MarkDirty(l.node.Now(), statestore.PriorityHigh)
 	}
 }
 
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,9 +1,9 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -13,15 +13,15 @@
 // endUncertain reports whether the end of a job, or of one that it needs, may be in the
 // store without this leader knowing: its write went out, and has no answer yet.
 // Another node may have read it there, and told the user.
-func (l *Leader) endUncertain(job *model.Job) bool {
+func (l *Leader) endUncertain(job *cluster.Job) bool {
 	if l.records.endUncertain(job.Spec.ID) {
 		return true
 	}
-	if job.State != model.Blocked {
+	if job.State != cluster.Blocked {
 		return false
 	}
-	visited := map[*model.Job]bool{job: true}
-	for queue := []*model.Job{job}; len(queue) > 0; {
+	visited := map[*cluster.Job]bool{job: true}
+	for queue := []*cluster.Job{job}; len(queue) > 0; {
 		current := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
 		for _, id := range current.Spec.Dependencies {
@@ -40,16 +40,16 @@
 }
 
 // cancelJob cancels a job: its end is created before anyone is told.
-func (l *Leader) cancelJob(id string) front.Reply {
-	response, ok := l.callLoop(l.events, 1500*micro.Millisecond, func(reply func(front.Reply)) {
+func (l *Leader) cancelJob(id string) httpapi.Reply {
+	response, ok := l.callLoop(l.events, 1500*micro.Millisecond, func(reply func(httpapi.Reply)) {
 		job := l.cluster.Jobs[id]
 		switch {
 		case job == nil:
-			reply(front.Reply{Status: 404})
-		case job.State == model.Done || job.State == model.Aborted:
-			reply(front.Reply{Status: 200, Body: job.Status()})
+			reply(httpapi.Reply{Status: 404})
+		case job.State == cluster.Done || job.State == cluster.Aborted:
+			reply(httpapi.Reply{Status: 200, Body: job.Status()})
 		default:
-			replies := make(chan front.Reply, 1)
+			replies := make(chan httpapi.Reply, 1)
 			l.cancellationWaiters[id] = append(l.cancellationWaiters[id], replies)
 			go func() {
 				select {
@@ -59,21 +59,21 @@
 				}
 			}()
 			switch job.State {
-			case model.Active, model.Blocked:
+			case cluster.Active, cluster.Blocked:
 				l.beginCancellation(job)
-			case model.Assigned:
+			case cluster.Assigned:
 				l.beginShardCancellation(job)
 			}
 		}
 	})
 	if !ok {
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
 	return response
 }
 
 // jobEnded settles a job whose end is in the store.
-func (l *Leader) jobEnded(job *model.Job, state wire.JobState) {
+func (l *Leader) jobEnded(job *cluster.Job, state wire.JobState) {
 	now := l.node.Now()
 	l.cluster.FinalizeJob(job, state == wire.JobAborted, now)
 	if state == wire.JobDone && len(l.cluster.CatalogOrder) > 0 {
@@ -89,7 +89,7 @@
 		l.ChunkDirty(ch)
 	}
 	for _, ch := range l.cancellationWaiters[job.Spec.ID] {
-		ch <- front.Reply{Status: 200, Body: job.Status()}
+		ch <- httpapi.Reply{Status: 200, Body: job.Status()}
 	}
 	delete(l.cancellationWaiters, job.Spec.ID)
 }
@@ -98,19 +98,19 @@
 const maxCommands = 400
 
 // handleHeartbeat answers a worker's report.
-func (l *Leader) handleHeartbeat(heartbeat *wire.Heartbeat) front.Reply {
+func (l *Leader) handleHeartbeat(heartbeat *wire.Heartbeat) httpapi.Reply {
 	receivedAt := l.node.Now()
-	response, ok := l.callLoop(l.events, 2*micro.Second, func(reply func(front.Reply)) {
+	response, ok := l.callLoop(l.events, 2*micro.Second, func(reply func(httpapi.Reply)) {
 		now := l.node.Now()
 		if !l.holdsLease() || l.refusesHeartbeat(heartbeat) {
-			reply(front.RetryReply(503, 1))
+			reply(httpapi.RetryReply(503, 1))
 			return
 		}
 		l.heartbeatsReceived++
 		l.observeQueueDelay(now-receivedAt, now)
-		machine, outcome := l.cluster.Reconcile(heartbeat, model.FromHeartbeat, now)
-		if machine == nil || outcome == model.Refused || outcome == model.Stale && uint64(heartbeat.AgentEpoch) != machine.AgentEpoch {
-			reply(front.RetryReply(503, 1))
+		machine, outcome := l.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, now)
+		if machine == nil || outcome == cluster.Refused || outcome == cluster.Stale && uint64(heartbeat.AgentEpoch) != machine.AgentEpoch {
+			reply(httpapi.RetryReply(503, 1))
 			return
 		}
 		if machine.WouldProveAlive(l.fencingToken) {
@@ -125,10 +125,10 @@
 		} else {
 			l.cluster.ResponseSent(machine, 0) // the worker may have given up waiting
 		}
-		reply(front.Reply{Status: 200, Body: wire.Commands{FencingToken: wire.Count(l.fencingToken), Items: commands}})
+		reply(httpapi.Reply{Status: 200, Body: wire.Commands{FencingToken: wire.Count(l.fencingToken), Items: commands}})
 	})
 	if !ok {
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
 	return response
 }
@@ -138,9 +138,9 @@
 const promptResponseLimit = micro.Second
 
 // dispatch sends a machine its orders without waiting for its next report.
-func (l *Leader) dispatch(machine *model.Machine, now micro.Time) {
+func (l *Leader) dispatch(machine *cluster.Machine, now micro.Time) {
 	unproven := machine.WouldProveAlive(l.fencingToken)
-	if machine.State != model.Up && !unproven || machine.Addr == "" {
+	if machine.State != cluster.Up && !unproven || machine.Addr == "" {
 		return
 	}
 	if machine.DispatchInFlight {
@@ -182,7 +182,7 @@
 				return
 			}
 			if heartbeat.Machine == machine.Name {
-				l.cluster.Reconcile(heartbeat, model.FromDispatchResponse, now)
+				l.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, now)
 			}
 			if machine.DispatchPending || !executed {
 				l.pendingDispatch[machine] = true
--- a/internal/controller/image_records.go
+++ b/internal/controller/image_records.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"strconv"
 	"strings"
 
@@ -25,13 +25,13 @@
 // record and one of the others in turn, so that the cost does not grow with the fleet.
 type imageWriter struct {
 	records     *recordStore
-	firstPage   *writer.Record
-	pages       map[int]*writer.Record // the further records that the store may hold
-	lastWritten int                    // the further record that was written last
+	firstPage   *statestore.Record
+	pages       map[int]*statestore.Record // the further records that the store may hold
+	lastWritten int                        // the further record that was written last
 }
 
 func newImageWriter(w *recordStore) *imageWriter {
-	iw := &imageWriter{records: w, firstPage: w.Record(imageKey), pages: map[int]*writer.Record{}}
+	iw := &imageWriter{records: w, firstPage: w.Record(imageKey), pages: map[int]*statestore.Record{}}
 	iw.firstPage.Build = func() (any, uint64) { return w.leader.cluster.ImagePages(iw.maxRecordSize())[0], 0 }
 	return iw
 }
@@ -52,7 +52,7 @@
 
 // pageRecord finds or makes the entry of a further record. A record that is needed no more
 // is deleted.
-func (iw *imageWriter) pageRecord(page int) *writer.Record {
+func (iw *imageWriter) pageRecord(page int) *statestore.Record {
 	record := iw.pages[page]
 	if record != nil {
 		return record
@@ -71,7 +71,7 @@
 
 // writeNext writes the first record, and one of the others.
 func (iw *imageWriter) writeNext(now micro.Time) {
-	iw.firstPage.MarkDirty(now, writer.PriorityLow)
+	iw.firstPage.MarkDirty(now, statestore.PriorityLow)
 	if !iw.records.leader.cluster.CompactRecords {
 		return // the version before would not delete them
 	}
@@ -83,5 +83,5 @@
 		return
 	}
 	iw.lastWritten = iw.lastWritten%last + 1
-	iw.pageRecord(iw.lastWritten).MarkDirty(now, writer.PriorityLow)
+	iw.pageRecord(iw.lastWritten).MarkDirty(now, statestore.PriorityLow)
 }
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -4,15 +4,15 @@
 	"context"
 	"errors"
 	"fmt"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"slices"
 	"sort"
 	"time"
 
+	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cloud"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/scale"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -62,7 +62,7 @@
 	requestedAt   micro.Time
 	maybeSent     bool // the cloud may know of it
 	priorityLevel int  // the rank of the work that asked for it
-	storeRecord   *writer.Record
+	storeRecord   *statestore.Record
 
 	recordVersion uint64 // of the record, counted up with each machine to be returned
 	storedVersion uint64 // the latest of them that is known to be in the store
@@ -82,15 +82,15 @@
 		l.sendQueuedRequests(request.requestedAt)
 	case InstanceRequestFulfilled:
 		delete(l.planner.PendingRequests, request.record.Request.RequestID)
-		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
+		request.storeRecord.MarkDirty(l.node.Now(), statestore.PriorityLow)
 	case InstanceRequestClosed:
 		delete(l.planner.PendingRequests, request.record.Request.RequestID)
 		delete(l.instanceRequests, request.record.Request.RequestID)
-		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
+		request.storeRecord.MarkDirty(l.node.Now(), statestore.PriorityLow)
 	}
 }
 
-func (l *Leader) newRequestRecord(request *instanceRequest) *writer.Record {
+func (l *Leader) newRequestRecord(request *instanceRequest) *statestore.Record {
 	record := l.records.Record(instanceRequestPrefix + request.record.Request.RequestID)
 	record.Build = func() (any, uint64) {
 		if request.state == InstanceRequestClosed {
@@ -121,7 +121,7 @@
 	l.newRequestRecord(request).SetVersion(uint64(item.Version))
 	if !record.Answered {
 		request.maybeSent = true // perhaps: only the same name again can tell
-		l.planner.PendingRequests[record.Request.RequestID] = scale.ScaleOut{InstanceOffer: scale.InstanceOffer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
+		l.planner.PendingRequests[record.Request.RequestID] = autoscaler.ScaleOut{InstanceOffer: autoscaler.InstanceOffer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
 		l.setRequestState(request, InstanceRequestPending)
 		return
 	}
@@ -156,9 +156,9 @@
 			RequestID: fmt.Sprintf("r-%d-%d", l.term.FencingRevision, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
 		l.instanceRequests[request.record.Request.RequestID] = request
 		l.planner.PendingRequests[request.record.Request.RequestID] = scaleOut
-		priority := writer.PriorityHigh
+		priority := statestore.PriorityHigh
 		if scaleOut.PriorityLevel == 0 {
-			priority = writer.PriorityUrgent
+			priority = statestore.PriorityUrgent
 		}
 		l.newRequestRecord(request).MarkDirty(now, priority)
 		l.log.Info("rent", "request", request.record.Request.RequestID, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class)
@@ -179,7 +179,7 @@
 		request := l.requestQueue[0]
 		l.requestQueue = l.requestQueue[1:]
 		wireRequest := request.record.Request
-		if !request.maybeSent && l.planner.RefusedUntil[scale.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}] > now {
+		if !request.maybeSent && l.planner.RefusedUntil[autoscaler.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}] > now {
 			l.setRequestState(request, InstanceRequestClosed)
 			continue
 		}
@@ -225,7 +225,7 @@
 	l.log.Info("rented", "request", wireRequest.RequestID, "type", wireRequest.Type, "zone", wireRequest.Zone, "spot", wireRequest.Spot, "asked", wireRequest.Count, "got", len(names))
 	l.requestsInFlight--
 	defer l.sendQueuedRequests(now)
-	l.planner.RecordAnswer(scale.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
+	l.planner.RecordAnswer(autoscaler.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
 	if len(names) < wireRequest.Count {
 		for job := range l.cluster.PendingJobs {
 			if job.PriorityLevel == 0 {
@@ -243,7 +243,7 @@
 	for _, name := range names {
 		if l.firstProvisioned == "" || createdBefore(name, l.firstProvisioned) {
 			l.firstProvisioned = name
-			l.records.firstProvisioned.MarkDirty(now, writer.PriorityHigh)
+			l.records.firstProvisioned.MarkDirty(now, statestore.PriorityHigh)
 		}
 		l.addInstance(request, name, request.requestedAt, now)
 	}
@@ -255,8 +255,8 @@
 // for a machine that holds places does not wait: it was given up for its silence, and
 // only the cloud's answer frees them. Behind the writes of a busy hour the tasks of
 // dead machines were placed again 14 s later.
-func (l *Leader) terminate(machine *model.Machine, reason string) {
-	if !l.cluster.TransitionMachine(machine, model.Terminating, reason) {
+func (l *Leader) terminate(machine *cluster.Machine, reason string) {
+	if !l.cluster.TransitionMachine(machine, cluster.Terminating, reason) {
 		return
 	}
 	if l.owner != nil {
@@ -272,22 +272,22 @@
 	request.record.Terminating = append(slices.Clone(request.record.Terminating), machine.Name)
 	request.recordVersion++
 	if len(machine.Allocations) > 0 {
-		request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityLow)
+		request.storeRecord.MarkDirty(l.node.Now(), statestore.PriorityLow)
 		return
 	}
 	l.pendingTerminations[machine] = request.recordVersion
-	request.storeRecord.MarkDirty(l.node.Now(), writer.PriorityHigh)
+	request.storeRecord.MarkDirty(l.node.Now(), statestore.PriorityHigh)
 }
 
 // terminationRecorded reports whether the store knows that a machine is to be returned.
-func (l *Leader) terminationRecorded(m *model.Machine) bool {
+func (l *Leader) terminationRecorded(m *cluster.Machine) bool {
 	request := l.instanceRequests[m.InstanceRequestID]
 	return request == nil || l.pendingTerminations[m] <= request.storedVersion
 }
 
 // sendTerminations returns the marked machines, many in one call.
 func (l *Leader) sendTerminations() {
-	var machines []*model.Machine
+	var machines []*cluster.Machine
 	for machine := range l.pendingTerminations {
 		if l.terminationRecorded(machine) {
 			machines = append(machines, machine)
@@ -324,15 +324,15 @@
 	}()
 }
 
-func (l *Leader) retryTerminations(machines []*model.Machine) {
+func (l *Leader) retryTerminations(machines []*cluster.Machine) {
 	for _, m := range machines {
-		if m.State == model.Terminating {
+		if m.State == cluster.Terminating {
 			l.pendingTerminations[m] = 0 // its mark is in the store
 		}
 	}
 }
 
-func (l *Leader) instanceTerminated(m *model.Machine) {
+func (l *Leader) instanceTerminated(m *cluster.Machine) {
 	l.cluster.RemoveMachine(m, l.node.Now())
 	if request := l.instanceRequests[m.InstanceRequestID]; request != nil {
 		request.record.Machines = withoutName(request.record.Machines, m.Name)
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -79,7 +79,7 @@
 // one that the service ever rented. Ages do not tell: an own GPU machine once
 // looked a few milliseconds too young and was returned for being idle, and a
 // returned machine that a lagging list still showed once looked like an own one.
-func (l *Leader) isOperatorOwned(m *model.Machine) bool {
+func (l *Leader) isOperatorOwned(m *cluster.Machine) bool {
 	if l.firstProvisioned == "" {
 		return m.InstanceRequestID == ""
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -32,12 +32,12 @@
 func runKey(id string, n int) string { return "run/" + id + "/" + strconv.Itoa(n) }
 
 // Submit accepts a job: 201 only after its description is in the store.
-func (n *Node) Submit(body []byte) front.Reply { return n.submit(body, true) }
+func (n *Node) Submit(body []byte) httpapi.Reply { return n.submit(body, true) }
 
-func (n *Node) submit(body []byte, relay bool) front.Reply {
+func (n *Node) submit(body []byte, relay bool) httpapi.Reply {
 	job, err := wire.DecodeJob(body)
 	if err != nil {
-		return front.ErrorReply(400, err.Error())
+		return httpapi.ErrorReply(400, err.Error())
 	}
 	if reply, ok := n.rejection(job, relay); ok {
 		return reply
@@ -52,37 +52,37 @@
 	switch {
 	case err == nil:
 		n.notifyAccepted(job)
-		return front.Reply{Status: 201, Body: wire.JobStatus{ID: job.ID, State: wire.JobPending}}
+		return httpapi.Reply{Status: 201, Body: wire.JobStatus{ID: job.ID, State: wire.JobPending}}
 	case errors.Is(err, store.ErrConflict):
 		// Known already: a repeat, or a write whose answer was lost.
 		return n.repeatedSubmissionStatus(job.ID)
 	case errors.Is(err, store.ErrMalformed):
 		n.Log.Error("description not taken by the store", "job", job.ID, "bytes", wire.JSONSize(job))
-		return front.RetryReply(503, 2)
+		return httpapi.RetryReply(503, 2)
 	}
 	n.Log.Debug("submission not stored", "job", job.ID, "err", err)
 	if reply, ok := n.relayedReply(attempt, relay); ok {
 		return reply
 	}
 	if errors.Is(err, store.ErrBudgetExhausted) || errors.Is(err, store.ErrRateLimited) {
-		return front.RetryReply(429, 1)
+		return httpapi.RetryReply(429, 1)
 	}
-	return front.RetryReply(503, 1)
+	return httpapi.RetryReply(503, 1)
 }
 
 // storeAttempt is an attempt to store the description of a job.
 type storeAttempt struct {
 	body         []byte
-	stored       chan error       // what came of this node's own write
-	relayed      chan front.Reply // the answer of a peer that was asked as well
-	relayStarted bool             // a peer was asked
+	stored       chan error         // what came of this node's own write
+	relayed      chan httpapi.Reply // the answer of a peer that was asked as well
+	relayStarted bool               // a peer was asked
 }
 
 // storeSubmission begins to store a description. If that takes long, it asks a peer
 // as well: the store may be out of this node's reach alone. Whichever way is first
 // creates the key; the other finds it.
 func (n *Node) storeSubmission(job *wire.Job, body []byte, relay bool) *storeAttempt {
-	attempt := &storeAttempt{body: body, stored: make(chan error, 1), relayed: make(chan front.Reply, 1)}
+	attempt := &storeAttempt{body: body, stored: make(chan error, 1), relayed: make(chan httpapi.Reply, 1)}
 	go func() { attempt.stored <- n.storeSpec(job) }()
 	if !relay {
 		return attempt
@@ -109,10 +109,10 @@
 
 // relayedReply is a peer's answer to a submission that this node could not store:
 // the store may refuse this node alone.
-func (n *Node) relayedReply(attempt *storeAttempt, relay bool) (front.Reply, bool) {
+func (n *Node) relayedReply(attempt *storeAttempt, relay bool) (httpapi.Reply, bool) {
 	if !attempt.relayStarted {
 		if !relay {
-			return front.Reply{}, false
+			return httpapi.Reply{}, false
 		}
 		return n.relay(peer.Submit, attempt.body)
 	}
@@ -120,7 +120,7 @@
 	case r := <-attempt.relayed:
 		return r, true
 	case <-time.After(peerCallTimeout.Duration()):
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 }
 
@@ -153,9 +153,9 @@
 
 // Status answers a poll: the leader from its memory, else the store's truth, within
 // the budget that polls have.
-func (n *Node) Status(id string) front.Reply {
+func (n *Node) Status(id string) httpapi.Reply {
 	if !wire.ValidJobID(id) {
-		return front.ErrorReply(404, "no such job")
+		return httpapi.ErrorReply(404, "no such job")
 	}
 	reply, ok := n.statusWithoutLeader(id)
 	if !ok {
@@ -172,22 +172,22 @@
 
 // statusWithoutLeader answers a poll without the leader, while that answers too late: as far
 // as the polls' part of the store's budget goes. The others wait for the leader.
-func (n *Node) statusWithoutLeader(id string) (front.Reply, bool) {
+func (n *Node) statusWithoutLeader(id string) (httpapi.Reply, bool) {
 	if n.activeLeader() != nil || !n.statusBatcher.backingOff(n.Now()) {
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 	if s, ok := n.finalStatuses.get(id); ok {
-		return front.Reply{Status: 200, Body: s}, true
+		return httpapi.Reply{Status: 200, Body: s}, true
 	}
 	if _, accepted := n.acceptedIDs.Load(id); !accepted {
-		return front.Reply{}, false // it is asked for together with others
+		return httpapi.Reply{}, false // it is asked for together with others
 	}
 	r := n.lookUpStatus(id)
 	return r, r.Status == 200 || r.Status == 404
 }
 
 // repeatedSubmissionStatus answers a repeated submission, which goes before polls.
-func (n *Node) repeatedSubmissionStatus(id string) front.Reply {
+func (n *Node) repeatedSubmissionStatus(id string) httpapi.Reply {
 	if r, ok := n.statusFromMemory(id); ok {
 		return r
 	}
@@ -195,14 +195,14 @@
 }
 
 // statusFromMemory answers for a job from this node's or the leader's memory.
-func (n *Node) statusFromMemory(id string) (front.Reply, bool) {
+func (n *Node) statusFromMemory(id string) (httpapi.Reply, bool) {
 	if status, ok := n.finalStatuses.get(id); ok {
-		return front.Reply{Status: 200, Body: status}, true
+		return httpapi.Reply{Status: 200, Body: status}, true
 	}
 	if l := n.activeLeader(); l != nil {
 		if status, ok := l.status(id); ok {
 			n.finalStatuses.put(status)
-			return front.Reply{Status: 200, Body: status}, true
+			return httpapi.Reply{Status: 200, Body: status}, true
 		}
 	} else if leader := n.election.Leader(); leader != "" && leader != n.Cfg.Node {
 		if reply, ok := n.queryLeader(leader, id); ok {
@@ -210,13 +210,13 @@
 			return reply, true
 		}
 	}
-	return front.Reply{}, false
+	return httpapi.Reply{}, false
 }
 
 // Cancel cancels a job; only the leader can.
-func (n *Node) Cancel(id string) front.Reply {
+func (n *Node) Cancel(id string) httpapi.Reply {
 	if final, ok := n.finalStatuses.get(id); ok {
-		return front.Reply{Status: 200, Body: final}
+		return httpapi.Reply{Status: 200, Body: final}
 	}
 	if l := n.activeLeader(); l != nil {
 		return n.cancelAsLeader(l, id)
@@ -232,21 +232,21 @@
 			}
 		}
 	}
-	return front.RetryReply(503, 1)
+	return httpapi.RetryReply(503, 1)
 }
 
-func (n *Node) cancelAsLeader(leader *Leader, id string) front.Reply {
+func (n *Node) cancelAsLeader(leader *Leader, id string) httpapi.Reply {
 	reply := leader.cancelJob(id)
 	if reply.Status == 404 {
 		// Not in memory yet, perhaps: the store decides.
 		stored, err := n.readStatus(id, store.Routine)
 		if err != nil {
-			return front.RetryReply(503, 1)
+			return httpapi.RetryReply(503, 1)
 		}
 		if status, ok := stored.Body.(wire.JobStatus); ok && stored.Status == 200 && status.State.Final() || stored.Status == 404 {
 			return stored
 		}
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
 	if status, ok := reply.Body.(wire.JobStatus); ok {
 		n.finalStatuses.put(status)
@@ -256,7 +256,7 @@
 
 // Heartbeat answers a worker's report. Only the leader may, and with shares their owners; the
 // others say whom to ask.
-func (n *Node) Heartbeat(body []byte) front.Reply {
+func (n *Node) Heartbeat(body []byte) httpapi.Reply {
 	if n.shards != nil {
 		return n.heartbeatWithShards(body)
 	}
@@ -265,23 +265,23 @@
 		return n.heartbeatAsFollower(body)
 	}
 	if len(body) > wire.MaxBody {
-		return front.ErrorReply(400, "too large")
+		return httpapi.ErrorReply(400, "too large")
 	}
 	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
-		return front.ErrorReply(400, err.Error())
+		return httpapi.ErrorReply(400, err.Error())
 	}
 	return l.handleHeartbeat(heartbeat)
 }
 
 // heartbeatAsFollower answers a report that is the leader's to answer, at another node.
-func (n *Node) heartbeatAsFollower(body []byte) front.Reply {
+func (n *Node) heartbeatAsFollower(body []byte) httpapi.Reply {
 	if r, ok := n.proxyHeartbeat(body); ok {
 		return r
 	}
 	leader := n.election.Leader()
 	if leader == "" || leader == n.Cfg.Node || n.leaderUnreachable(leader) {
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
-	return front.Reply{Status: 421, Body: wire.NotLeader{LeaderHint: leader}}
+	return httpapi.Reply{Status: 421, Body: wire.NotLeader{LeaderHint: leader}}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -5,19 +5,19 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"notchmux.dev/notchmux/internal/autoscaler"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
-	"notchmux.dev/notchmux/internal/front"
-	"notchmux.dev/notchmux/internal/keep"
+	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/scale"
-	"notchmux.dev/notchmux/internal/sched"
+	"notchmux.dev/notchmux/internal/scheduler"
 )
 
 // tokenBits are the low bits of a token, which the leader may count up; the
@@ -49,17 +49,17 @@
 	serving      atomic.Bool // the takeover is over: known holds all jobs that it read
 
 	// Owned by the loop.
-	cluster                  *model.State
-	scheduler                *sched.Scheduler
-	planner                  *scale.Planner
-	speeds                   *sched.SpeedEstimator
-	objectives               *sched.Objectives
+	cluster                  *cluster.State
+	scheduler                *scheduler.Scheduler
+	planner                  *autoscaler.Planner
+	speeds                   *scheduler.SpeedEstimator
+	objectives               *scheduler.Objectives
 	records                  *recordStore
 	fencingToken             uint64
 	nextTokenCheck           micro.Time // no look for what waits for a newer token before
 	tokenRaisedAt            micro.Time
 	schedulePending          bool
-	pendingDispatch          map[*model.Machine]bool
+	pendingDispatch          map[*cluster.Machine]bool
 	lastSchedule             micro.Time
 	scheduleInterval         micro.Time // least time between passes, by what the last one took
 	overrunCursor            int        // next machine to look over for overrunning tasks
@@ -72,16 +72,16 @@
 	lastPrune                micro.Time
 	instanceRequests         map[string]*instanceRequest
 	instanceRequestCount     int
-	requestQueue             []*instanceRequest        // rentals whose turn is to come
-	requestsInFlight         int                       // rentals under way
-	firstProvisioned         string                    // the first machine that the service ever rented
-	inventoryAt              micro.Time                // when the list that was read last was asked for
-	pendingTerminations      map[*model.Machine]uint64 // machines to be returned, with the version of their rental's record that must be stored before
-	renewalBound             *keep.RenewalBound
+	requestQueue             []*instanceRequest          // rentals whose turn is to come
+	requestsInFlight         int                         // rentals under way
+	firstProvisioned         string                      // the first machine that the service ever rented
+	inventoryAt              micro.Time                  // when the list that was read last was asked for
+	pendingTerminations      map[*cluster.Machine]uint64 // machines to be returned, with the version of their rental's record that must be stored before
+	renewalBound             *leasekeeper.RenewalBound
 	fencedZones              atomic.Pointer[map[string]bool] // zones whose keepers are not answered; nil: all
 	suspectedZones           map[string]micro.Time           // when a zone was last missing too much to be taken for dead machines
-	pendingCancellations     map[*model.Job]bool             // withdrawn jobs whose users are not told yet
-	unconfirmedCancellations map[*model.Job]bool             // those whose users were told, with places not proven free
+	pendingCancellations     map[*cluster.Job]bool           // withdrawn jobs whose users are not told yet
+	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with places not proven free
 	leaseLapsed              bool
 	resumedAt                micro.Time // when this node last came to listen again
 	lastTick                 micro.Time
@@ -89,7 +89,7 @@
 	heartbeatsReceived       uint64       // reports heard from workers
 	heartbeatGap             heartbeatGap // how long none has come
 	overload                 overloadDetector
-	cancellationWaiters      map[string][]chan front.Reply
+	cancellationWaiters      map[string][]chan httpapi.Reply
 	dependencyLookups        map[string]bool // awaited jobs to be looked up in the store
 	format                   FormatRecord
 	recovered                bool // the takeover has read everything
@@ -107,9 +107,9 @@
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
 	}
-	l.renewalBound = keep.NewRenewalBound(t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone)
+	l.renewalBound = leasekeeper.NewRenewalBound(t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone)
 	for _, t := range n.Cfg.Facts.Teams {
-		l.cluster.Teams[t.Name] = &model.Team{Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax}
+		l.cluster.Teams[t.Name] = &cluster.Team{Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax}
 	}
 	l.initCoordinator()
 	return l
@@ -119,21 +119,21 @@
 func newEventLoop(node *Node, term *election.Term, firstToken uint64, log *slog.Logger) *Leader {
 	l := &Leader{
 		node: node, term: term, log: log, events: make(chan func(), eventQueueSize), queries: make(chan func(), queryQueueSize), done: make(chan struct{}),
-		fencingToken: firstToken, pendingDispatch: map[*model.Machine]bool{}, instanceRequests: map[string]*instanceRequest{},
-		pendingTerminations: map[*model.Machine]uint64{}, cancellationWaiters: map[string][]chan front.Reply{},
+		fencingToken: firstToken, pendingDispatch: map[*cluster.Machine]bool{}, instanceRequests: map[string]*instanceRequest{},
+		pendingTerminations: map[*cluster.Machine]uint64{}, cancellationWaiters: map[string][]chan httpapi.Reply{},
 		dependencyLookups: map[string]bool{}, suspectedZones: map[string]micro.Time{},
-		pendingCancellations: map[*model.Job]bool{}, unconfirmedCancellations: map[*model.Job]bool{},
+		pendingCancellations: map[*cluster.Job]bool{}, unconfirmedCancellations: map[*cluster.Job]bool{},
 	}
-	l.cluster = model.New(l)
+	l.cluster = cluster.New(l)
 	l.cluster.MinFencingToken = l.fencingToken
 	l.cluster.TermStartedAt = node.Now()
 	l.cluster.LeaseDuration = node.Cfg.LeaseExpiredAfter()
 	l.cluster.QuarantineThreshold = node.Cfg.QuarantineFailedJobs
 	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
-	l.objectives = sched.NewObjectives(node.Cfg.Facts.Objectives)
-	l.speeds = sched.NewSpeedEstimator()
-	l.scheduler = &sched.Scheduler{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.FencingRevision, 1))}
-	l.planner = &scale.Planner{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, RefusedUntil: map[scale.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[scale.InstanceOffer]int{}, PendingRequests: map[string]scale.ScaleOut{}}
+	l.objectives = scheduler.NewObjectives(node.Cfg.Facts.Objectives)
+	l.speeds = scheduler.NewSpeedEstimator()
+	l.scheduler = &scheduler.Scheduler{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.FencingRevision, 1))}
+	l.planner = &autoscaler.Planner{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, RefusedUntil: map[autoscaler.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[autoscaler.InstanceOffer]int{}, PendingRequests: map[string]autoscaler.ScaleOut{}}
 	l.scheduler.WithinPrice = l.planner.WithinPrice
 	l.records = newRecordStore(l)
 	return l
@@ -166,11 +166,11 @@
 
 // callLoop runs f in the loop and waits for its reply, but not for long. Reports and
 // withdrawals go before questions.
-func (l *Leader) callLoop(queue chan func(), timeout micro.Time, f func(reply func(front.Reply))) (front.Reply, bool) {
-	replies := make(chan front.Reply, 1)
+func (l *Leader) callLoop(queue chan func(), timeout micro.Time, f func(reply func(httpapi.Reply))) (httpapi.Reply, bool) {
+	replies := make(chan httpapi.Reply, 1)
 	timer := time.NewTimer(timeout.Duration())
 	select {
-	case queue <- func() { f(func(response front.Reply) { replies <- response }) }:
+	case queue <- func() { f(func(response httpapi.Reply) { replies <- response }) }:
 	case <-l.done:
 	case <-timer.C:
 	}
@@ -182,7 +182,7 @@
 	case <-l.done:
 	case <-timer.C:
 	}
-	return front.Reply{}, false
+	return httpapi.Reply{}, false
 }
 
 // run is the leader's loop: it takes over what the store holds, then serves events.
@@ -314,7 +314,7 @@
 			for _, machineType := range l.cluster.CatalogOrder {
 				l.log.Debug("speed", "type", machineType.Name, "k", machineType.SpeedFactor, "learnt", l.speeds.Record().Speeds[machineType.Name])
 			}
-			l.records.speeds.MarkDirty(now, writer.PriorityLow)
+			l.records.speeds.MarkDirty(now, statestore.PriorityLow)
 		}
 	}
 	l.checkToken(now)
@@ -365,7 +365,7 @@
 
 func (l *Leader) newTokenNeeded() bool {
 	for _, m := range l.cluster.Machines {
-		if (m.State == model.Up || m.LastHeartbeat > 0) && m.State != model.Terminating && m.NeedsNewerToken(l.fencingToken) {
+		if (m.State == cluster.Up || m.LastHeartbeat > 0) && m.State != cluster.Terminating && m.NeedsNewerToken(l.fencingToken) {
 			return true
 		}
 	}
@@ -416,7 +416,7 @@
 		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
 	}
 	l.log.Info("leading", "live", len(l.cluster.ActiveJobs), "awaiting", l.cluster.BlockedJobs, "pending", len(l.cluster.PendingJobs), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
-		"writes_first", l.records.Queued(writer.PriorityUrgent), "writes_soon", l.records.Queued(writer.PriorityHigh), "writes_lazy", l.records.Queued(writer.PriorityLow), "writes_idle", l.records.Queued(writer.PriorityBackground), "written", l.records.ChangeCounts(),
+		"writes_first", l.records.Queued(statestore.PriorityUrgent), "writes_soon", l.records.Queued(statestore.PriorityHigh), "writes_lazy", l.records.Queued(statestore.PriorityLow), "writes_idle", l.records.Queued(statestore.PriorityBackground), "written", l.records.ChangeCounts(),
 		"pass_gap_ms", int64(l.scheduleInterval/micro.Millisecond), "events", len(l.events), "asks", len(l.queries), "directs", l.dispatchesInFlight, "kicked", len(l.pendingDispatch), "rentals_waiting", len(l.requestQueue), "fleet", fleet.String())
 }
 
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -6,11 +6,11 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
-	"notchmux.dev/notchmux/internal/front"
-	"notchmux.dev/notchmux/internal/keep"
+	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/wire"
 )
@@ -22,7 +22,7 @@
 		n.contactLeader(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(keep.RequestInterval.Duration()):
+		case <-time.After(leasekeeper.RequestInterval.Duration()):
 		}
 	}
 	return nil
@@ -39,9 +39,9 @@
 	if leader != "" && leader != n.Cfg.Node {
 		sentAt := n.Now()
 		body := wire.MustMarshal(n.leaseProxy.Request(sentAt))
-		status, reply, err := n.Peers.Call(ctx, leader, peer.LeaseProxy, body, keep.ResponseTimeout)
+		status, reply, err := n.Peers.Call(ctx, leader, peer.LeaseProxy, body, leasekeeper.ResponseTimeout)
 		answered = err == nil && status != 421 // it leads, even if it grants nothing now
-		var timestamp keep.LeaderTimestamp
+		var timestamp leasekeeper.LeaderTimestamp
 		if err == nil && status == 200 && wire.Unmarshal(reply, &timestamp) == nil {
 			n.leaseProxy.HandleResponse(sentAt, n.Now(), timestamp)
 		}
@@ -102,10 +102,10 @@
 // proxyHeartbeat answers a report of this zone's worker in place of the leader, if
 // the zone is cut off: its lease goes on, and it is told to do nothing. The
 // worker's own token is as good as any to it; no other node gives one out here.
-func (n *Node) proxyHeartbeat(body []byte) (front.Reply, bool) {
+func (n *Node) proxyHeartbeat(body []byte) (httpapi.Reply, bool) {
 	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil || !n.proxiesLease(heartbeat) {
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 	return leaseProxyReply(heartbeat), true
 }
@@ -115,8 +115,8 @@
 	return heartbeat.FencingToken != 0 && heartbeat.Zone == n.Cfg.Zone && n.leaseProxy.TryRenew(n.Now())
 }
 
-func leaseProxyReply(heartbeat *wire.Heartbeat) front.Reply {
-	return front.Reply{Status: 200, Body: wire.Commands{FencingToken: heartbeat.FencingToken, Items: []wire.Command{}}}
+func leaseProxyReply(heartbeat *wire.Heartbeat) httpapi.Reply {
+	return httpapi.Reply{Status: 200, Body: wire.Commands{FencingToken: heartbeat.FencingToken, Items: []wire.Command{}}}
 }
 
 // handleLeaseProxy answers another node's keeper, while this node leads.
@@ -125,7 +125,7 @@
 	if l == nil {
 		return 421, nil
 	}
-	var request keep.Request
+	var request leasekeeper.Request
 	if wire.Unmarshal(body, &request) != nil {
 		return 400, nil
 	}
@@ -192,7 +192,7 @@
 
 // beginCancellation begins a withdrawal: the tasks are stopped first, and the user is told
 // once they are gone, or will be in time whatever keepers do.
-func (l *Leader) beginCancellation(j *model.Job) {
+func (l *Leader) beginCancellation(j *cluster.Job) {
 	now := l.node.Now()
 	l.cluster.BeginAbort(j)
 	for _, p := range j.Allocations() {
@@ -203,7 +203,7 @@
 }
 
 // completeCancellation writes the end of a withdrawn job as soon as its user may be told.
-func (l *Leader) completeCancellation(job *model.Job, now micro.Time) {
+func (l *Leader) completeCancellation(job *cluster.Job, now micro.Time) {
 	if job.AllocationCount > 0 {
 		if l.node.Cfg.MustProveTermination() {
 			return // without any order, its tasks could outlive the time for that
@@ -224,7 +224,7 @@
 		l.updateFencedZones()
 	}
 	delete(l.pendingCancellations, job)
-	if job.State == model.Aborting {
+	if job.State == cluster.Aborting {
 		l.records.writeJobEnd(job, wire.JobAborted)
 	}
 }
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -4,11 +4,11 @@
 	"context"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
-	"notchmux.dev/notchmux/internal/keep"
+	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/wire"
 )
@@ -185,7 +185,7 @@
 	fleet := newFleet(t, 2)
 	cfg := fleet.leader.node.Cfg
 	cfg.Facts.Workers.CancelS, cfg.Facts.Zones = 50, []string{"a", "b"}
-	fleet.leader.renewalBound = keep.NewRenewalBound(7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
+	fleet.leader.renewalBound = leasekeeper.NewRenewalBound(7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
 	if fleet.leader.zoneFenced("a") {
@@ -246,14 +246,14 @@
 	for range 20 {
 		second("a")
 	}
-	if fleet.machinesInState(model.Suspect) != 20 {
-		t.Fatalf("%d machines are silent, want those of the zone that was cut off", fleet.machinesInState(model.Suspect))
+	if fleet.machinesInState(cluster.Suspect) != 20 {
+		t.Fatalf("%d machines are silent, want those of the zone that was cut off", fleet.machinesInState(cluster.Suspect))
 	}
 	fleet.now += 15 * micro.Second // the outage: no report was answered
 	for range 3 {
 		second("a")
 	}
-	if n := fleet.machinesInState(model.Terminating); n > 0 {
+	if n := fleet.machinesInState(cluster.Terminating); n > 0 {
 		t.Fatalf("%d machines of a zone that was cut off are returned", n)
 	}
 }
@@ -278,12 +278,12 @@
 	for range 3 {
 		second(func(i int, z string) bool { return z == "a" || i >= 10 })
 	}
-	if n := fleet.machinesInState(model.Terminating); n > 0 {
+	if n := fleet.machinesInState(cluster.Terminating); n > 0 {
 		t.Fatalf("%d machines whose next report is on its way are returned", n)
 	}
 }
 
-func (h *fleet) machinesInState(s model.MachineState) int {
+func (h *fleet) machinesInState(s cluster.MachineState) int {
 	n := 0
 	for _, m := range h.leader.cluster.Machines {
 		if m.State == s {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -5,14 +5,14 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"strings"
 	"sync"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -31,12 +31,12 @@
 func TestLimitsAreLoweredWithoutNoticeAndNothingIsRefused(t *testing.T) {
 	env := newTestCluster(t)
 	env.cloud = fake.NewCloud(40, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"}})
-	var places []model.AllocationRecord
+	var places []cluster.AllocationRecord
 	for i := range 120 {
-		places = append(places, model.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
+		places = append(places, cluster.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
 	}
 	env.storeVersion1Job(t, places...)
-	if size := wire.JSONSize(model.ChunkRecord{Allocations: places}); size <= nextLimits.ValueBytes {
+	if size := wire.JSONSize(cluster.ChunkRecord{Allocations: places}); size <= nextLimits.ValueBytes {
 		t.Fatalf("%d bytes are no large record", size)
 	}
 	node, kill := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
@@ -98,7 +98,7 @@
 		leader.post(func() {
 			e := leader.records.Record(key)
 			e.Build = func() (any, uint64) { return strings.Repeat("x", bytes), 0 }
-			e.MarkDirty(node.Now(), writer.PriorityHigh)
+			e.MarkDirty(node.Now(), statestore.PriorityHigh)
 		})
 	}
 	put("job/j-1/end", 1<<11) // the limits as known allow it
@@ -153,12 +153,12 @@
 	rec := instanceRequestRecord{Request: wire.InstanceRequest{RequestID: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50}, Answered: true, CreatedAt: int64(micro.WallNow())}
 	for i := range 300 {
 		machine := leader.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), 0)
-		machine.Type = &model.MachineType{MachineType: wire.MachineType{CacheGB: 100}}
+		machine.Type = &cluster.MachineType{MachineType: wire.MachineType{CacheGB: 100}}
 		if len(rec.Machines) < 50 {
 			rec.Machines = append(rec.Machines, machine.Name)
 		}
 	}
-	im := model.ImageRecord{Names: []string{"a", "b"}, GB: []float64{7, 8}, Machines: map[string][]int{}}
+	im := cluster.ImageRecord{Names: []string{"a", "b"}, GB: []float64{7, 8}, Machines: map[string][]int{}}
 	for name := range leader.cluster.Machines {
 		im.Machines[name] = []int{0, 1}
 	}
@@ -171,7 +171,7 @@
 			t.Errorf("%T takes %d bytes", value, size)
 		}
 	}
-	if got := images.(model.ImageRecord); len(got.Machines) < 20 {
+	if got := images.(cluster.ImageRecord); len(got.Machines) < 20 {
 		t.Errorf("images of %d machines are kept", len(got.Machines))
 	}
 }
@@ -209,7 +209,7 @@
 		leader.post(func() {
 			e := leader.records.Record(key)
 			e.Build = func() (any, uint64) { return value, 0 }
-			e.MarkDirty(node.Now(), writer.PriorityHigh)
+			e.MarkDirty(node.Now(), statestore.PriorityHigh)
 		})
 	}
 	written := func(key, value string) func() bool {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -18,8 +18,8 @@
 	"notchmux.dev/notchmux/internal/cloud"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
-	"notchmux.dev/notchmux/internal/front"
-	"notchmux.dev/notchmux/internal/keep"
+	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -49,7 +49,7 @@
 	finalStatuses    finalStatusCache
 	peerBackoffUntil sync.Map // node: time until which it is not asked
 	health           healthMonitor
-	leaseProxy       keep.Proxy
+	leaseProxy       leasekeeper.Proxy
 	formatGate       atomic.Int32 // a GateState
 	lastHandover     atomic.Pointer[leadershipHandover]
 	acceptedIDs      sync.Map // ids of jobs known to have been accepted
@@ -110,7 +110,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	n.election.OnStartedLeading = func(t *election.Term) { n.startLeader(ctx, t) }
 	n.election.OnStoppedLeading = n.stopLeader
-	server := &front.Server{Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets, HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS)}
+	server := &httpapi.Server{Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets, HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS)}
 	group.Go(func() error { return server.Serve(ctx, public) })
 	group.Go(func() error {
 		return peer.Serve(ctx, peers, n.handlePeerCall, func(w io.Writer) { n.Metrics.Write(w) })
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 )
 
 // Where the leader's processor is used up, reports wait for the loop, and polls, peers
@@ -50,12 +50,12 @@
 // shouldDispatch reports whether a machine's orders go out at once: always while there is
 // processor time, else those that start work of the first priority or prove that the
 // machine lives.
-func (l *Leader) shouldDispatch(m *model.Machine) bool {
+func (l *Leader) shouldDispatch(m *cluster.Machine) bool {
 	if !l.overload.active || m.WouldProveAlive(l.fencingToken) {
 		return true
 	}
 	for _, p := range m.Allocations {
-		if p.State == model.Starting && !p.Observed && p.Job != nil && p.Job.PriorityLevel == 0 {
+		if p.State == cluster.Starting && !p.Observed && p.Job != nil && p.Job.PriorityLevel == 0 {
 			return true
 		}
 	}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -33,7 +33,7 @@
 	machines := currentLeader.cluster.SortedMachines()
 	normal, service := machines[0], machines[1]
 	currentLeader.addJob(wire.Job{ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
-	starts := func(machine *model.Machine, job *model.Job) {
+	starts := func(machine *cluster.Machine, job *cluster.Job) {
 		allocation := currentLeader.cluster.Allocate(job, job.NextTasks(fleet.now, 1)[0], machine, 1, 1, fleet.now)
 		currentLeader.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -38,7 +38,7 @@
 }
 
 // relay hands a request to another node, the leader first.
-func (n *Node) relay(call string, body []byte) (front.Reply, bool) {
+func (n *Node) relay(call string, body []byte) (httpapi.Reply, bool) {
 	for _, node := range n.peersLeaderFirst() {
 		status, out, err := n.callPeer(node, call, body, peerCallTimeout)
 		if err != nil || status >= 500 || status == 429 || status == 421 {
@@ -48,18 +48,18 @@
 			return r, true
 		}
 	}
-	return front.Reply{}, false
+	return httpapi.Reply{}, false
 }
 
-func decodeReply(status int, out []byte) (front.Reply, bool) {
+func decodeReply(status int, out []byte) (httpapi.Reply, bool) {
 	if status != 200 && status != 201 {
-		return front.ErrorReply(status, "refused"), status == 400 || status == 404 || status == 422
+		return httpapi.ErrorReply(status, "refused"), status == 400 || status == 404 || status == 422
 	}
 	var jobStatus wire.JobStatus
 	if wire.Unmarshal(out, &jobStatus) != nil {
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
-	return front.Reply{Status: status, Body: jobStatus}, true
+	return httpapi.Reply{Status: status, Body: jobStatus}, true
 }
 
 // handlePeerCall answers another node.
@@ -109,7 +109,7 @@
 	}
 }
 
-func encodeReply(r front.Reply) (int, []byte) {
+func encodeReply(r httpapi.Reply) (int, []byte) {
 	out, err := wire.Marshal(r.Body)
 	if err != nil {
 		return 500, nil
@@ -160,7 +160,7 @@
 	if !ok {
 		return 503, nil // the asker reads the store
 	}
-	return encodeReply(front.Reply{Status: 200, Body: s})
+	return encodeReply(httpapi.Reply{Status: 200, Body: s})
 }
 
 // handleNotify takes in a job that another node accepted.
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 )
 
 // Operators are told why a job waits once it has for explainAfter, of at most
@@ -27,11 +27,11 @@
 }
 
 // needsExplanation reports whether a job waits long and nobody was told of this wait.
-func needsExplanation(j *model.Job, now micro.Time) bool {
+func needsExplanation(j *cluster.Job, now micro.Time) bool {
 	return now-j.WaitingSince >= explainAfter && j.WaitReasonLoggedAt <= j.WaitingSince
 }
 
-func (l *Leader) logWaitReason(j *model.Job, now micro.Time) {
+func (l *Leader) logWaitReason(j *cluster.Job, now micro.Time) {
 	j.WaitReasonLoggedAt = now
 	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "why", l.scheduler.ExplainPending(j, now).String())
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -186,7 +186,7 @@
 		return err != nil
 	})
 	// Stored by the old leader as its last deed.
-	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{{Put: endKey("j-0"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}}); err != nil {
+	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{{Put: endKey("j-0"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}}}); err != nil {
 		t.Fatal(err)
 	}
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
@@ -345,7 +345,7 @@
 	kill()
 	env.store.HoldCommits(1)
 	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{If: []wire.Precondition{guard, {Key: endKey("j-1")}},
-		Then: []wire.Change{{Put: endKey("j-1"), Value: model.FinalStatusRecord{State: wire.JobAborted}}}})
+		Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}}})
 	next, _ := env.startLeaderWithGateOpen("n-1", func(*Node) {})
 	stop := make(chan struct{})
 	defer close(stop)
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -171,7 +171,7 @@
 			runScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 				withShard(sim)
 				// Not a whole zone: services that are spread over both would find no room.
-				sim.config.Shards.Declared[0].Selector = share.Selector{Kind: []share.InstanceKind{share.SpotOnly, share.OnDemandOnly}[seed%2]}
+				sim.config.Shards.Declared[0].Selector = shard.Selector{Kind: []shard.InstanceKind{shard.SpotOnly, shard.OnDemandOnly}[seed%2]}
 				sim.fastBoot = seed%4 == 0
 				sim.cloud.bootFailureRatio = []float64{0, 0.1}[seed%2]
 				if seed%5 == 0 {
@@ -189,9 +189,9 @@
 func (w *simCluster) moveShardRandomly() {
 	for w.ctx.Err() == nil && w.now() < 260*micro.Second { // then all must be served
 		time.Sleep(w.randomDuration(micro.Second, 12*micro.Second))
-		c := share.Command{Operation: share.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name}
+		c := shard.Command{Operation: shard.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name}
 		if w.randomChance(0.15) {
-			c.Operation = share.OperationCancel
+			c.Operation = shard.OperationCancel
 		}
 		if controller := w.randomUserNode(); controller != nil {
 			if n := controller.runningNode(); n != nil {
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -1,10 +1,10 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -19,13 +19,13 @@
 
 // recordStore are the keys that the leader keeps in the store, by what they are for.
 type recordStore struct {
-	*writer.Writer
+	*statestore.Writer
 	leader           *Leader
-	chunks           map[*model.TaskChunk]*writer.Record
-	legacyRecords    map[*model.LegacyRecord]*writer.Record
-	speeds           *writer.Record
-	firstProvisioned *writer.Record
-	format           *writer.Record
+	chunks           map[*cluster.TaskChunk]*statestore.Record
+	legacyRecords    map[*cluster.LegacyRecord]*statestore.Record
+	speeds           *statestore.Record
+	firstProvisioned *statestore.Record
+	format           *statestore.Record
 	images           *imageWriter
 }
 
@@ -34,7 +34,7 @@
 }
 
 func newRecordStore(l *Leader) *recordStore {
-	records := &recordStore{Writer: writer.New(l, l.node.Store, l.log), leader: l, chunks: map[*model.TaskChunk]*writer.Record{}, legacyRecords: map[*model.LegacyRecord]*writer.Record{}}
+	records := &recordStore{Writer: statestore.New(l, l.node.Store, l.log), leader: l, chunks: map[*cluster.TaskChunk]*statestore.Record{}, legacyRecords: map[*cluster.LegacyRecord]*statestore.Record{}}
 	records.speeds = records.Record(speedKey)
 	records.speeds.Build = func() (any, uint64) { return l.speeds.Record(), 0 }
 	records.firstProvisioned = records.Record(firstProvisionedKey)
@@ -43,7 +43,7 @@
 	records.format = records.Record(formatKey)
 	records.format.Build = func() (any, uint64) {
 		_, safe := l.node.Cfg.MaxValueBytes()
-		return FormatRecord{Version: FormatVersion, TasksPerChunk: model.TasksPerCompactChunk(safe - valueMargin)}, 0
+		return FormatRecord{Version: FormatVersion, TasksPerChunk: cluster.TasksPerCompactChunk(safe - valueMargin)}, 0
 	}
 	records.format.OnCommitted = func(uint64) {
 		l.formatRaised()
@@ -93,11 +93,11 @@
 func (l *Leader) ObserveCommit(took micro.Time) { l.node.Metrics.Observe("commit", took) }
 
 // chunkKey is the key of a chunk's record.
-func (l *Leader) chunkKey(ch *model.TaskChunk) string {
+func (l *Leader) chunkKey(ch *cluster.TaskChunk) string {
 	id := ch.Job.Spec.ID
 	switch {
 	case l.owner != nil:
-		return share.AllocationKey(l.owner.name, id, ch.Index)
+		return shard.AllocationKey(l.owner.name, id, ch.Index)
 	case l.cluster.CompactRecords:
 		return compactKey(id, ch.Index)
 	}
@@ -105,7 +105,7 @@
 }
 
 // chunkRecord finds or makes the entry of a chunk's record.
-func (w *recordStore) chunkRecord(chunk *model.TaskChunk) *writer.Record {
+func (w *recordStore) chunkRecord(chunk *cluster.TaskChunk) *statestore.Record {
 	record := w.chunks[chunk]
 	if record == nil {
 		key := w.leader.chunkKey(chunk)
@@ -131,7 +131,7 @@
 // retireLegacy turns the entry of a chunk's record in the first form into one that only
 // deletes it, in its time. A write of it may be under way: whatever comes of
 // that, the record stays until its time has come.
-func (w *recordStore) retireLegacy(chunk *model.TaskChunk, legacy *model.LegacyRecord) {
+func (w *recordStore) retireLegacy(chunk *cluster.TaskChunk, legacy *cluster.LegacyRecord) {
 	record := w.chunks[chunk]
 	delete(w.chunks, chunk)
 	if record == nil {
@@ -146,7 +146,7 @@
 	record.OnCommitted = func(uint64) {}
 	record.Build = func() (any, uint64) {
 		if !legacy.Obsolete() {
-			return writer.NotReady, 0
+			return statestore.NotReady, 0
 		}
 		return nil, 0
 	}
@@ -155,7 +155,7 @@
 
 // deleteLegacy deletes a record in the first form when there is time, if nothing
 // depends on it any more.
-func (w *recordStore) deleteLegacy(legacy *model.LegacyRecord) {
+func (w *recordStore) deleteLegacy(legacy *cluster.LegacyRecord) {
 	if legacy == nil {
 		return
 	}
@@ -166,25 +166,25 @@
 		w.legacyRecords[legacy] = record
 		record.Build = func() (any, uint64) {
 			if !legacy.Obsolete() {
-				return writer.NotReady, 0
+				return statestore.NotReady, 0
 			}
 			return nil, 0
 		}
 	}
 	if legacy.Obsolete() {
-		record.MarkDirty(w.leader.node.Now(), writer.PriorityBackground)
+		record.MarkDirty(w.leader.node.Now(), statestore.PriorityBackground)
 	}
 }
 
 // writeJobEnd writes the end of a job. The first end wins: if another is found, that
 // one is the truth.
-func (w *recordStore) writeJobEnd(job *model.Job, state wire.JobState) {
+func (w *recordStore) writeJobEnd(job *cluster.Job, state wire.JobState) {
 	record := w.Record(endKey(job.Spec.ID))
 	at := int64(w.leader.node.Wall())
-	record.Build = func() (any, uint64) { return model.FinalStatusRecord{State: state, EndedAt: at}, 0 }
+	record.Build = func() (any, uint64) { return cluster.FinalStatusRecord{State: state, EndedAt: at}, 0 }
 	record.OnCommitted = func(uint64) { w.Drop(record); w.leader.jobEnded(job, state) }
 	record.ResolveUncertain = func(item wire.Item) bool {
-		var stored model.FinalStatusRecord
+		var stored cluster.FinalStatusRecord
 		if wire.Unmarshal(item.Value, &stored) != nil {
 			return false
 		}
@@ -192,9 +192,9 @@
 		w.leader.jobEnded(job, stored.State)
 		return true
 	}
-	priority := writer.PriorityHigh
+	priority := statestore.PriorityHigh
 	if state == wire.JobAborted {
-		priority = writer.PriorityUrgent
+		priority = statestore.PriorityUrgent
 	}
 	record.MarkDirty(w.leader.node.Now(), priority)
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -5,10 +5,10 @@
 	"errors"
 	"strings"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -92,7 +92,7 @@
 func (l *Leader) restoreFleet(item wire.Item) {
 	switch item.Key {
 	case speedKey:
-		var record sched.SpeedRecord
+		var record scheduler.SpeedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.speeds.Restore(record)
 			l.records.speeds.SetVersion(uint64(item.Version))
@@ -107,7 +107,7 @@
 		if l.restoreFormat(item) {
 			l.formatRaised()
 		}
-	case share.MarkerKey:
+	case shard.MarkerKey:
 		l.observeShardMarker(item)
 	}
 }
@@ -115,7 +115,7 @@
 // restoreImages reads which machines had which images; it comes after the machines.
 func (l *Leader) restoreImages(items []wire.Item, now micro.Time) {
 	for _, item := range items {
-		var record model.ImageRecord
+		var record cluster.ImageRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.cluster.RestoreImages(record, now)
 		}
@@ -133,7 +133,7 @@
 	}
 	l.cluster.FinishRestore(now)
 	for _, job := range l.cluster.Jobs {
-		if job.State == model.Aborted && job.AllocationCount > 0 {
+		if job.State == cluster.Aborted && job.AllocationCount > 0 {
 			l.unconfirmedCancellations[job] = true
 		}
 	}
@@ -148,7 +148,7 @@
 		if end.EndedAt > 0 {
 			at -= max(wall-micro.Time(end.EndedAt), 0)
 		}
-		l.cluster.FinalStatuses[id] = model.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: at}
+		l.cluster.FinalStatuses[id] = cluster.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: at}
 	}
 	for id, spec := range snapshot.specs {
 		end, over := snapshot.ends[id]
@@ -168,13 +168,13 @@
 			l.cluster.FinalizeJob(job, end.State == wire.JobAborted, now)
 		}
 		for _, stored := range snapshot.compactChunks[id] {
-			var record model.CompactRecord
+			var record cluster.CompactRecord
 			if wire.Unmarshal(stored.item.Value, &record) == nil {
 				l.cluster.RestoreCompactChunk(job, stored.index, &record, uint64(stored.item.Version), now)
 			}
 		}
 		for _, stored := range snapshot.legacyChunks[id] {
-			var record model.ChunkRecord
+			var record cluster.ChunkRecord
 			if wire.Unmarshal(stored.item.Value, &record) == nil {
 				l.cluster.RestoreChunk(job, stored.index, &record, uint64(stored.item.Version), now)
 			}
@@ -184,7 +184,7 @@
 }
 
 // finalStatus is what polls are told of a job whose end is in the store.
-func finalStatus(id string, end model.FinalStatusRecord, tasks int) wire.JobStatus {
+func finalStatus(id string, end cluster.FinalStatusRecord, tasks int) wire.JobStatus {
 	s := wire.JobStatus{ID: id, State: end.State}
 	if s.State == wire.JobDone {
 		s.Done = tasks
@@ -193,7 +193,7 @@
 }
 
 // insertJob adds a job to the model.
-func (l *Leader) insertJob(spec wire.Job, now, wall micro.Time) *model.Job {
+func (l *Leader) insertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
 	l.knownJobs.Store(spec.ID, true)
 	age := max(wall-micro.Time(spec.SubmittedAt), 0)
 	job := l.cluster.AddJob(spec, now-age, now)
--- a/internal/controller/recovery_snapshot.go
+++ b/internal/controller/recovery_snapshot.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -12,7 +12,7 @@
 // jobSnapshot is what the store holds of jobs.
 type jobSnapshot struct {
 	specs         map[string]wire.Job
-	ends          map[string]model.FinalStatusRecord
+	ends          map[string]cluster.FinalStatusRecord
 	dependencies  map[string]map[int][]string
 	legacyChunks  map[string][]storedChunk // in the first form
 	compactChunks map[string][]storedChunk
@@ -21,7 +21,7 @@
 }
 
 func newJobSnapshot() jobSnapshot {
-	return jobSnapshot{specs: map[string]wire.Job{}, ends: map[string]model.FinalStatusRecord{}, dependencies: map[string]map[int][]string{},
+	return jobSnapshot{specs: map[string]wire.Job{}, ends: map[string]cluster.FinalStatusRecord{}, dependencies: map[string]map[int][]string{},
 		legacyChunks: map[string][]storedChunk{}, compactChunks: map[string][]storedChunk{}}
 }
 
@@ -40,7 +40,7 @@
 			k.specs[id] = job
 		}
 	case rest == "end":
-		var end model.FinalStatusRecord
+		var end cluster.FinalStatusRecord
 		if wire.Unmarshal(item.Value, &end) == nil {
 			k.ends[id] = end
 		}
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -92,7 +92,7 @@
 	usable := func() bool {
 		up := make(chan bool, 1)
 		leader := node.activeLeader()
-		leader.post(func() { up <- leader.cluster.Machines["i-9"].State == model.Up })
+		leader.post(func() { up <- leader.cluster.Machines["i-9"].State == cluster.Up })
 		return <-up
 	}
 	waitUntil(t, "up without another report", usable)
@@ -125,7 +125,7 @@
 	}
 	n.Store = endDuringReadStore{n.Store, func() {
 		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
-			Then: []wire.Change{{Put: endKey("j-1"), Value: model.FinalStatusRecord{State: wire.JobDone}}}})
+			Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobDone}}}})
 	}}
 	if got := jobState(n, "j-1"); got != wire.JobDone {
 		t.Fatalf("it is %q", got)
--- a/internal/controller/retention.go
+++ b/internal/controller/retention.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 )
 
 // pruneInterval is how often the leader forgets what has been over for long.
@@ -20,7 +20,7 @@
 
 // jobFlushed reports whether nothing of a job that is over has still to be written, or
 // may yet be carried out.
-func (w *recordStore) jobFlushed(j *model.Job) bool {
+func (w *recordStore) jobFlushed(j *cluster.Job) bool {
 	if w.Lookup(endKey(j.Spec.ID)) != nil || j.Shard != "" {
 		return false
 	}
@@ -36,7 +36,7 @@
 }
 
 // dropJob drops what is kept of a job's records.
-func (w *recordStore) dropJob(j *model.Job) {
+func (w *recordStore) dropJob(j *cluster.Job) {
 	for _, ch := range j.Chunks {
 		delete(w.chunks, ch)
 	}
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -1,11 +1,11 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -89,7 +89,7 @@
 func TestImageRecordsOfALargeFleetAreWrittenInTurn(t *testing.T) {
 	fleet := newFleet(t, 4)
 	fleet.leader.cluster.EnableCompactRecords(64)
-	has := model.ImageRecord{Names: []string{"x"}, GB: []float64{9}, Machines: map[string][]int{}}
+	has := cluster.ImageRecord{Names: []string{"x"}, GB: []float64{9}, Machines: map[string][]int{}}
 	for i := range 4000 {
 		has.Machines[fleet.leader.cluster.EnsureMachine(wire.TaskName("i", i), fleet.now).Name] = []int{0}
 	}
@@ -114,7 +114,7 @@
 	for range n {
 		h.leader.records.images.writeNext(h.now)
 		changes := 0
-		h.leader.records.Each(func(e *writer.Record) {
+		h.leader.records.Each(func(e *statestore.Record) {
 			if !e.Dirty() || !isImageKey(e.Key) {
 				return
 			}
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -15,12 +15,12 @@
 
 // handleAdmin answers an operator's command at any node: the leader carries it out.
 func (n *Node) handleAdmin(body []byte) (int, []byte) {
-	var command share.Command
+	var command shard.Command
 	if wire.Unmarshal(body, &command) != nil {
 		return 400, nil
 	}
 	if n.shards == nil {
-		return 200, wire.MustMarshal(share.CommandReply{RefusalReason: "this controller runs without shares (serve --feature)"})
+		return 200, wire.MustMarshal(shard.CommandReply{RefusalReason: "this controller runs without shares (serve --feature)"})
 	}
 	if l := n.activeLeader(); l != nil {
 		return 200, wire.MustMarshal(l.runAdminCommand(&command))
@@ -37,23 +37,23 @@
 }
 
 // runAdminCommand carries out an operator's command.
-func (l *Leader) runAdminCommand(command *share.Command) share.CommandReply {
-	r, ok := l.callLoop(l.events, adminTimeout, func(reply func(front.Reply)) {
-		l.executeAdminCommand(command, func(r share.CommandReply) { reply(front.Reply{Body: r}) })
+func (l *Leader) runAdminCommand(command *shard.Command) shard.CommandReply {
+	r, ok := l.callLoop(l.events, adminTimeout, func(reply func(httpapi.Reply)) {
+		l.executeAdminCommand(command, func(r shard.CommandReply) { reply(httpapi.Reply{Body: r}) })
 	})
 	if !ok {
-		return share.CommandReply{RefusalReason: "the leader does not act now: try again"}
+		return shard.CommandReply{RefusalReason: "the leader does not act now: try again"}
 	}
-	return r.Body.(share.CommandReply)
+	return r.Body.(shard.CommandReply)
 }
 
-func (l *Leader) executeAdminCommand(command *share.Command, reply func(share.CommandReply)) {
-	if command.Operation == share.OperationList {
-		reply(share.CommandReply{Shards: l.shardStatuses("")})
+func (l *Leader) executeAdminCommand(command *shard.Command, reply func(shard.CommandReply)) {
+	if command.Operation == shard.OperationList {
+		reply(shard.CommandReply{Shards: l.shardStatuses("")})
 		return
 	}
 	respond := func(refused string) {
-		reply(share.CommandReply{RefusalReason: refused, Shards: l.shardStatuses(command.Shard)})
+		reply(shard.CommandReply{RefusalReason: refused, Shards: l.shardStatuses(command.Shard)})
 	}
 	entry, ok := l.shardTable().Get(command.Shard)
 	if !ok {
@@ -61,16 +61,16 @@
 		return
 	}
 	switch command.Operation {
-	case share.OperationShow:
+	case shard.OperationShow:
 		respond("")
-	case share.OperationMove:
+	case shard.OperationMove:
 		target, ok := l.coordinator.sessions.Controller(command.Target)
 		if !ok {
-			respond(fmt.Sprintf("%q: %v", command.Target, share.ErrTargetWithoutSession))
+			respond(fmt.Sprintf("%q: %v", command.Target, shard.ErrTargetWithoutSession))
 			return
 		}
-		l.changeShardByAdmin(entry, func(wall int64) (share.Record, error) { return entry.Record.Move(target, wall) }, respond)
-	case share.OperationCancel:
+		l.changeShardByAdmin(entry, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) }, respond)
+	case shard.OperationCancel:
 		l.changeShardByAdmin(entry, entry.Record.CancelMove, respond)
 	default:
 		respond(fmt.Sprintf("there is no operation %q", command.Operation))
@@ -78,7 +78,7 @@
 }
 
 // changeShardByAdmin changes a share's record for an operator, who is told once it is stored.
-func (l *Leader) changeShardByAdmin(entry share.Entry, change func(wall int64) (share.Record, error), respond func(refused string)) {
+func (l *Leader) changeShardByAdmin(entry shard.Entry, change func(wall int64) (shard.Record, error), respond func(refused string)) {
 	if l.coordinator.commitsInFlight[entry.Name] {
 		respond("another change of the share is under way: try again")
 		return
@@ -96,13 +96,13 @@
 }
 
 // shardStatuses tells of one share, or of all.
-func (l *Leader) shardStatuses(only string) []share.Status {
+func (l *Leader) shardStatuses(only string) []shard.Status {
 	jobs := map[string]int{}
 	for _, assigned := range l.coordinator.assignedJobs {
 		jobs[assigned.shardName]++
 	}
-	var statuses []share.Status
-	l.shardTable().Each(func(entry share.Entry) bool {
+	var statuses []shard.Status
+	l.shardTable().Each(func(entry shard.Entry) bool {
 		if only == "" || entry.Name == only {
 			statuses = append(statuses, l.shardStatus(entry, jobs[entry.Name]))
 		}
@@ -111,9 +111,9 @@
 	return statuses
 }
 
-func (l *Leader) shardStatus(entry share.Entry, jobs int) share.Status {
+func (l *Leader) shardStatus(entry shard.Entry, jobs int) shard.Status {
 	view := l.viewOf(entry.Name)
-	status := share.Status{Name: entry.Name, Record: entry.Record, Version: entry.Version, MachineCount: view.machineCount, IdleMachines: view.idleMachines, PendingTasks: view.pendingTasks, AssignedJobs: jobs,
+	status := shard.Status{Name: entry.Name, Record: entry.Record, Version: entry.Version, MachineCount: view.machineCount, IdleMachines: view.idleMachines, PendingTasks: view.pendingTasks, AssignedJobs: jobs,
 		OwnerSessionLost: entry.OwnerSessionLost(l.coordinator.sessions), LastUpdateAgeS: -1}
 	if view.capacityAt > 0 {
 		status.LastUpdateAgeS = int((l.node.Now() - view.capacityAt) / micro.Second)
@@ -123,17 +123,17 @@
 }
 
 // shardNote says what holds a share's next change up.
-func (l *Leader) shardNote(entry share.Entry, status *share.Status) string {
+func (l *Leader) shardNote(entry shard.Entry, status *shard.Status) string {
 	switch {
-	case entry.Record.State == share.Forming && !l.allRegistered():
+	case entry.Record.State == shard.Forming && !l.allRegistered():
 		return "waits for all controllers to run with the feature"
-	case entry.Record.State == share.Forming:
+	case entry.Record.State == shard.Forming:
 		return fmt.Sprintf("waits for %d tasks on its machines to end", l.allocationsIn(entry))
 	case status.OwnerSessionLost:
 		return "its owner has lost its session: another gets it"
-	case entry.Record.State == share.Moving:
+	case entry.Record.State == shard.Moving:
 		return "waits for its owner to settle what it wrote, and to hand over"
-	case entry.Record.State == share.Released:
+	case entry.Record.State == shard.Released:
 		return "the leader takes its work back"
 	}
 	return ""
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -7,13 +7,13 @@
 	"slices"
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/sched"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
-	"notchmux.dev/notchmux/internal/writer"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -32,9 +32,9 @@
 // assignJobs gives jobs that wait to shares that have room for them.
 func (l *Leader) assignJobs(now micro.Time) {
 	remaining := maxAssignmentsPerRound
-	var open []share.Entry
-	l.shardTable().Each(func(entry share.Entry) bool {
-		if view := l.viewOf(entry.Name); entry.Record.State == share.Owned && now-view.capacityAt < maxCapacityAge && len(view.freeCapacity) > 0 {
+	var open []shard.Entry
+	l.shardTable().Each(func(entry shard.Entry) bool {
+		if view := l.viewOf(entry.Name); entry.Record.State == shard.Owned && now-view.capacityAt < maxCapacityAge && len(view.freeCapacity) > 0 {
 			open = append(open, entry)
 		}
 		return true
@@ -53,10 +53,10 @@
 }
 
 // assignableJobs lists the jobs that may be assigned, in the order in which they get room.
-func (l *Leader) assignableJobs() []*model.Job {
-	var jobs []*model.Job
+func (l *Leader) assignableJobs() []*cluster.Job {
+	var jobs []*cluster.Job
 	for job := range l.cluster.PendingJobs {
-		if job.State == model.Active && job.NeverAllocated() {
+		if job.State == cluster.Active && job.NeverAllocated() {
 			jobs = append(jobs, job)
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // assignToShard assigns a job to a share if that has room for it.
-func (l *Leader) assignToShard(entry share.Entry, job *model.Job, now micro.Time) bool {
+func (l *Leader) assignToShard(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
 	waited := now - job.WaitingSince
 	if !slices.Contains(entry.Record.Teams, job.Spec.Team) && (len(entry.Record.Teams) > 0 || waited < assignDelay) {
 		return false
@@ -86,7 +86,7 @@
 	if fitting < total && !partial {
 		return false
 	}
-	assignment := share.Assignment{Job: job.Spec, AssignedAt: int64(l.node.Wall())}
+	assignment := shard.Assignment{Job: job.Spec, AssignedAt: int64(l.node.Wall())}
 	if wire.JSONSize(assignment) > l.MaxValueBytes() {
 		return false
 	}
@@ -97,12 +97,12 @@
 	l.deductCapacity(view, &job.Spec, min(assigned, fitting))
 	assignment.MaxAllocations = assigned
 	l.log.Info("job assigned", "job", job.Spec.ID, "share", entry.Name, "owner", entry.Record.Owner.Node, "tasks", total, "at_once", assigned)
-	l.storeAssignment(entry.Name, job, assignment).storeRecord.MarkDirty(now, writer.PriorityHigh)
+	l.storeAssignment(entry.Name, job, assignment).storeRecord.MarkDirty(now, statestore.PriorityHigh)
 	return true
 }
 
 // tasksThatFit is how many of a job's tasks fit the room as it is, by its rules on zones.
-func (l *Leader) tasksThatFit(capacity []share.FreeCapacity, spec *wire.Job) int {
+func (l *Leader) tasksThatFit(capacity []shard.FreeCapacity, spec *wire.Job) int {
 	zones := map[string]int{}
 	for i := range capacity {
 		zones[capacity[i].Zone] += capacity[i].Count * l.tasksPerMachine(&capacity[i], spec)
@@ -121,13 +121,13 @@
 }
 
 // tasksPerMachine is how many of a job's tasks one machine of a kind of room takes.
-func (l *Leader) tasksPerMachine(capacity *share.FreeCapacity, spec *wire.Job) int {
+func (l *Leader) tasksPerMachine(capacity *shard.FreeCapacity, spec *wire.Job) int {
 	machineType := l.cluster.Types[capacity.Type]
-	if machineType == nil || !sched.Allowed(spec, machineType, capacity.Zone, capacity.Spot) {
+	if machineType == nil || !scheduler.Allowed(spec, machineType, capacity.Zone, capacity.Spot) {
 		return 0
 	}
 	count := math.MaxInt32
-	for _, x := range []struct{ free, need float64 }{{capacity.CPU, max(spec.CPUs, sched.ScaledCPUs(spec.CPUs, machineType.SpeedFactor, machineType.CPUs))}, {capacity.GPU, spec.GPUs}, {capacity.Mem, spec.MemoryGB}} {
+	for _, x := range []struct{ free, need float64 }{{capacity.CPU, max(spec.CPUs, scheduler.ScaledCPUs(spec.CPUs, machineType.SpeedFactor, machineType.CPUs))}, {capacity.GPU, spec.GPUs}, {capacity.Mem, spec.MemoryGB}} {
 		if x.need > 0 {
 			count = min(count, int(x.free/x.need+1e-9))
 		}
@@ -152,8 +152,8 @@
 }
 
 // storeAssignment keeps the record of an assignment.
-func (l *Leader) storeAssignment(shardName string, job *model.Job, assignment share.Assignment) *assignedJob {
-	assigned := &assignedJob{job: job, shardName: shardName, assignment: assignment, storeRecord: l.records.Record(share.AssignmentKey(shardName, job.Spec.ID))}
+func (l *Leader) storeAssignment(shardName string, job *cluster.Job, assignment shard.Assignment) *assignedJob {
+	assigned := &assignedJob{job: job, shardName: shardName, assignment: assignment, storeRecord: l.records.Record(shard.AssignmentKey(shardName, job.Spec.ID))}
 	l.coordinator.assignedJobs[job.Spec.ID] = assigned
 	assigned.storeRecord.Preconditions = func() []wire.Precondition { return l.assignmentPreconditions(assigned) }
 	assigned.storeRecord.Build = func() (any, uint64) {
@@ -161,7 +161,7 @@
 			return assigned.assignment, 0
 		}
 		l.assignmentDeleted(assigned)
-		return writer.NotReady, 0
+		return statestore.NotReady, 0
 	}
 	assigned.storeRecord.OnCommitted = func(uint64) {
 		assigned.stored = true
@@ -247,7 +247,7 @@
 	l.records.Drop(assigned.storeRecord)
 	assigned.storeRecord.ClearDirty()
 	l.cluster.Unassign(assigned.job, l.node.Now())
-	if assigned.cancelling && !assigned.endRequested && assigned.job.State == model.Aborting {
+	if assigned.cancelling && !assigned.endRequested && assigned.job.State == cluster.Aborting {
 		l.pendingCancellations[assigned.job] = true // nothing of it is anywhere: its user may be told
 	}
 }
@@ -258,7 +258,7 @@
 		if event.Delete == "" {
 			continue
 		}
-		_, id, ok := share.ParseAssignmentKey(event.Delete)
+		_, id, ok := shard.ParseAssignmentKey(event.Delete)
 		if assigned := l.coordinator.assignedJobs[id]; ok && assigned != nil && assigned.storeRecord.Key == event.Delete && uint64(event.Version) > assigned.storeRecord.Version() && (assigned.stored || assigned.storeRecord.Version() > 0) {
 			assigned.storeRecord.SetVersion(0)
 			assigned.stored = true
@@ -269,7 +269,7 @@
 
 // beginShardCancellation begins the withdrawal of a job that was assigned. That its tasks are to be
 // stopped is stored first, for whoever owns the share by then.
-func (l *Leader) beginShardCancellation(j *model.Job) {
+func (l *Leader) beginShardCancellation(j *cluster.Job) {
 	assigned := l.coordinator.assignedJobs[j.Spec.ID]
 	if assigned == nil || assigned.cancelling {
 		return
@@ -277,13 +277,13 @@
 	l.cluster.BeginAbort(j)
 	assigned.cancelling = true
 	assigned.assignment.StopRequested = true
-	assigned.storeRecord.MarkDirty(l.node.Now(), writer.PriorityUrgent)
+	assigned.storeRecord.MarkDirty(l.node.Now(), statestore.PriorityUrgent)
 }
 
 // shardCancellationProgress takes in that the owner starts no task of a withdrawn job any more, and
 // tells those that run to stop. Whoever owns the share later reads the same from the
 // store; so the user may be told once the tasks are gone, or surely will be in time.
-func (l *Leader) shardCancellationProgress(shardName string, stopping share.StoppingJob, now micro.Time) {
+func (l *Leader) shardCancellationProgress(shardName string, stopping shard.StoppingJob, now micro.Time) {
 	assigned := l.coordinator.assignedJobs[stopping.Job]
 	if assigned == nil || assigned.shardName != shardName || !assigned.cancelling {
 		return
@@ -298,7 +298,7 @@
 		assigned.fencedZones = stopping.Zones
 		l.updateFencedZones() // keepers there must not keep the tasks alive any longer
 	}
-	if assigned.job.State == model.Aborting {
+	if assigned.job.State == cluster.Aborting {
 		l.records.writeJobEnd(assigned.job, wire.JobAborted)
 	}
 }
@@ -331,7 +331,7 @@
 
 // adjustShardReservation fits what a job takes of its team's limits to what its tasks still need:
 // less as they end, and more, up to all of them, where the limits leave room.
-func (l *Leader) adjustShardReservation(j *model.Job, needed int) {
+func (l *Leader) adjustShardReservation(j *cluster.Job, needed int) {
 	assigned := l.coordinator.assignedJobs[j.Spec.ID]
 	if needed < 0 || assigned == nil || assigned.cancelling {
 		return
@@ -339,6 +339,6 @@
 	l.cluster.ReleaseQuota(j, needed)
 	if more := l.cluster.ReserveQuota(j, needed-assigned.assignment.MaxAllocations); more > 0 {
 		assigned.assignment.MaxAllocations += more // counted first, and used only once it is stored
-		assigned.storeRecord.MarkDirty(l.node.Now(), writer.PriorityHigh)
+		assigned.storeRecord.MarkDirty(l.node.Now(), statestore.PriorityHigh)
 	}
 }
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -5,12 +5,12 @@
 	"slices"
 	"time"
 
+	"notchmux.dev/notchmux/internal/autoscaler"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/scale"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
-	"notchmux.dev/notchmux/internal/writer"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -20,7 +20,7 @@
 // repeated one does nothing.
 type shardCoordinator struct {
 	views        map[string]*shardView
-	sessions     share.Sessions
+	sessions     shard.Sessions
 	sessionsRead bool // the sessions were read in this term
 
 	commitsInFlight          map[string]bool // shares with a transaction under way
@@ -32,12 +32,12 @@
 	policiesEvaluatedAt      micro.Time
 	policyEvaluationInFlight bool
 	movedAt                  map[string]micro.Time // when each share was last told to move
-	marker                   *writer.Record
+	marker                   *statestore.Record
 }
 
 // shardView is what the leader knows of a share beside its record.
 type shardView struct {
-	freeCapacity       []share.FreeCapacity // free for jobs, less what was assigned since
+	freeCapacity       []shard.FreeCapacity // free for jobs, less what was assigned since
 	capacityAt         micro.Time
 	seenRevision       uint64 // revision up to which the owner has read assignments
 	assignedRevision   uint64 // revision of the last assignment that was stored
@@ -48,15 +48,15 @@
 	allMachinesKnownAt micro.Time // since when this leader knows of all machines that report to the owner; 0: not yet
 	handovers          int        // moves in a row because no worker reached the owner
 	handedOverAt       micro.Time // the last of them
-	demand             []share.Demand
+	demand             []shard.Demand
 }
 
 // assignedJob is a job that was assigned to a share.
 type assignedJob struct {
-	job          *model.Job
+	job          *cluster.Job
 	shardName    string
-	assignment   share.Assignment
-	storeRecord  *writer.Record
+	assignment   shard.Assignment
+	storeRecord  *statestore.Record
 	stored       bool     // the record is in the store
 	cancelling   bool     // its withdrawal is under way
 	endRequested bool     // the end of the withdrawal is being written
@@ -74,7 +74,7 @@
 	}
 	l.coordinator = &shardCoordinator{views: map[string]*shardView{}, commitsInFlight: map[string]bool{}, assignedJobs: map[string]*assignedJob{},
 		reclaims: map[string]*shardReclaim{}, movedAt: map[string]micro.Time{}}
-	l.coordinator.marker = l.records.Record(share.MarkerKey)
+	l.coordinator.marker = l.records.Record(shard.MarkerKey)
 	l.coordinator.marker.Build = func() (any, uint64) {
 		if l.node.shards.table.Snapshot().Len() == 0 && len(l.node.Cfg.Shards.Declared) == 0 {
 			return nil, 0
@@ -83,25 +83,25 @@
 	}
 	l.cluster.Ownership = l.classifyMachine
 	l.planner.ShardDemands = l.shardDemands
-	l.planner.OwnsOffer = func(offer scale.InstanceOffer) bool {
+	l.planner.OwnsOffer = func(offer autoscaler.InstanceOffer) bool {
 		_, shared := l.shardTable().ShardOf(machineAttributes(offer.Type, offer.Zone, offer.Spot))
 		return !shared
 	}
 }
 
 // shardDemands lists what waits for room in shares: their owners rent nothing.
-func (l *Leader) shardDemands() []scale.ShardDemand {
-	var demands []scale.ShardDemand
-	l.shardTable().Each(func(entry share.Entry) bool {
+func (l *Leader) shardDemands() []autoscaler.ShardDemand {
+	var demands []autoscaler.ShardDemand
+	l.shardTable().Each(func(entry shard.Entry) bool {
 		if !entry.OwnedElsewhere() {
 			return true
 		}
 		for _, demand := range l.viewOf(entry.Name).demand {
-			inShard := func(offer scale.InstanceOffer) bool {
+			inShard := func(offer autoscaler.InstanceOffer) bool {
 				return entry.Record.Selector.Matches(machineAttributes(offer.Type, offer.Zone, offer.Spot)) && (len(demand.Zones) == 0 || slices.Contains(demand.Zones, offer.Zone))
 			}
-			if job := l.cluster.Jobs[demand.Job]; job != nil && job.State == model.Assigned && job.Shard == entry.Name {
-				demands = append(demands, scale.ShardDemand{Job: job, Tasks: demand.Tasks, InShard: inShard})
+			if job := l.cluster.Jobs[demand.Job]; job != nil && job.State == cluster.Assigned && job.Shard == entry.Name {
+				demands = append(demands, autoscaler.ShardDemand{Job: job, Tasks: demand.Tasks, InShard: inShard})
 			}
 		}
 		return true
@@ -110,15 +110,15 @@
 }
 
 // shardTable is the table of shares as it is now.
-func (l *Leader) shardTable() share.Snapshot { return l.node.shards.table.Snapshot() }
+func (l *Leader) shardTable() shard.Snapshot { return l.node.shards.table.Snapshot() }
 
 // classifyMachine says whether another controller owns a machine, and whether it is to.
-func (l *Leader) classifyMachine(m *model.Machine) (ownedElsewhere, clearing bool) {
+func (l *Leader) classifyMachine(m *cluster.Machine) (ownedElsewhere, clearing bool) {
 	entry, ok := l.shardTable().ShardOf(machineAttributes(m.TypeName, m.Zone, m.Spot))
 	if !ok {
 		return false, false
 	}
-	return l.shardOwnedElsewhere(entry), entry.Record.State == share.Forming
+	return l.shardOwnedElsewhere(entry), entry.Record.State == shard.Forming
 }
 
 // refusesHeartbeat reports whether a report comes from a machine that is not the leader's to
@@ -133,9 +133,9 @@
 }
 
 // shardOwnedElsewhere reports whether the machines of a share are not the leader's.
-func (l *Leader) shardOwnedElsewhere(entry share.Entry) bool {
+func (l *Leader) shardOwnedElsewhere(entry shard.Entry) bool {
 	reclaim := l.coordinator.reclaims[entry.Name]
-	return entry.Record.State != share.Forming && (reclaim == nil || !reclaim.reclaimed)
+	return entry.Record.State != shard.Forming && (reclaim == nil || !reclaim.reclaimed)
 }
 
 func (l *Leader) viewOf(name string) *shardView {
@@ -176,7 +176,7 @@
 	if !l.node.shards.tableRead.Load() || !l.coordinator.sessionsRead {
 		return
 	}
-	l.shardTable().Each(func(entry share.Entry) bool {
+	l.shardTable().Each(func(entry shard.Entry) bool {
 		if !l.coordinator.commitsInFlight[entry.Name] {
 			l.reconcileShard(entry, now)
 		}
@@ -197,28 +197,28 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
 		defer cancel()
-		page, err := l.node.Store.Range(ctx, store.Routine, share.SessionPrefix, "", 1000)
+		page, err := l.node.Store.Range(ctx, store.Routine, shard.SessionPrefix, "", 1000)
 		l.post(func() {
 			l.coordinator.sessionReadInFlight = false
 			if err != nil {
 				return
 			}
 			l.coordinator.sessionsRead = true
-			l.coordinator.sessions = share.Sessions{}
+			l.coordinator.sessions = shard.Sessions{}
 			for _, item := range page.Items {
-				l.coordinator.sessions[item.Key[len(share.SessionPrefix):]] = item.Version
+				l.coordinator.sessions[item.Key[len(shard.SessionPrefix):]] = item.Version
 			}
 		})
 	}()
 }
 
 // reconcileShard does what a share's record calls for.
-func (l *Leader) reconcileShard(entry share.Entry, now micro.Time) {
+func (l *Leader) reconcileShard(entry shard.Entry, now micro.Time) {
 	wall := int64(l.node.Wall())
 	switch {
-	case entry.Record.State == share.Forming:
+	case entry.Record.State == shard.Forming:
 		l.reconcileForming(entry, wall)
-	case entry.Record.State == share.Released:
+	case entry.Record.State == shard.Released:
 		l.reclaimShard(entry, now)
 	case entry.OwnerSessionLost(l.coordinator.sessions):
 		successor, ok := entry.Successor(l.coordinator.sessions, l.shardTable())
@@ -229,11 +229,11 @@
 			l.log.Info("share taken from an owner that is gone", "share", entry.Name, "owner", entry.Record.Owner.Node, "to", successor.Node)
 			l.commitShard(entry.Name, transaction)
 		}
-	case entry.Record.State == share.Moving && entry.Record.Target.Node != "" && !l.coordinator.sessions.Has(entry.Record.Target):
+	case entry.Record.State == shard.Moving && entry.Record.Target.Node != "" && !l.coordinator.sessions.Has(entry.Record.Target):
 		l.changeShard(entry, "move cancelled: its target is gone", entry.Record.CancelMove)
-	case l.node.Cfg.Shards.Dissolve && entry.Record.State == share.Owned:
-		l.changeShard(entry, "share to be dissolved", func(wall int64) (share.Record, error) { return entry.Record.Move(share.Controller{}, wall) })
-	case entry.Record.State == share.Owned && l.viewOf(entry.Name).unreachable:
+	case l.node.Cfg.Shards.Dissolve && entry.Record.State == shard.Owned:
+		l.changeShard(entry, "share to be dissolved", func(wall int64) (shard.Record, error) { return entry.Record.Move(shard.Controller{}, wall) })
+	case entry.Record.State == shard.Owned && l.viewOf(entry.Name).unreachable:
 		l.moveUnreachableShard(entry, now)
 	}
 }
@@ -245,12 +245,12 @@
 const moveCooldown = 3 * micro.Minute
 
 // moveUnreachableShard moves a share whose owner no worker reaches.
-func (l *Leader) moveUnreachableShard(entry share.Entry, now micro.Time) {
+func (l *Leader) moveUnreachableShard(entry shard.Entry, now micro.Time) {
 	view := l.viewOf(entry.Name)
 	if view.unreachable = false; view.handovers >= maxHandovers && now-view.handedOverAt < moveCooldown {
 		return
 	}
-	others := share.Sessions{}
+	others := shard.Sessions{}
 	for node, version := range l.coordinator.sessions {
 		if node != entry.Record.Owner.Node {
 			others[node] = version
@@ -261,11 +261,11 @@
 		return
 	}
 	view.handovers, view.handedOverAt = view.handovers+1, now
-	l.changeShard(entry, "no worker reaches the owner", func(wall int64) (share.Record, error) { return entry.Record.Move(target, wall) })
+	l.changeShard(entry, "no worker reaches the owner", func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) })
 }
 
 // changeShard writes a change of a share's record.
-func (l *Leader) changeShard(entry share.Entry, reason string, change func(wall int64) (share.Record, error)) {
+func (l *Leader) changeShard(entry shard.Entry, reason string, change func(wall int64) (shard.Record, error)) {
 	if err := l.changeShardThen(entry, reason, change, func(error) {}); err != nil {
 		l.log.Info("share not changed", "share", entry.Name, "why", err)
 	}
@@ -273,7 +273,7 @@
 
 // changeShardThen does the same, and tells what came of the write; it returns why the
 // change is refused.
-func (l *Leader) changeShardThen(entry share.Entry, reason string, change func(wall int64) (share.Record, error), done func(error)) error {
+func (l *Leader) changeShardThen(entry shard.Entry, reason string, change func(wall int64) (shard.Record, error), done func(error)) error {
 	changed, err := change(int64(l.node.Wall()))
 	if err != nil {
 		return err
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/policy"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -32,7 +32,7 @@
 	w.t.Helper()
 	w.waitUntil("the share is owned again", 3*micro.Minute, func() bool {
 		entry, ok := w.shardRecord()
-		if !ok || entry.Record.State != share.Owned {
+		if !ok || entry.Record.State != shard.Owned {
 			return false
 		}
 		node := w.controllerNamed(entry.Record.Owner.Node).runningNode()
@@ -50,8 +50,8 @@
 func (w *simCluster) requestMove(to string) {
 	w.t.Helper()
 	w.waitUntil("the move is taken", micro.Minute, func() bool {
-		r := w.shardCommand(share.Command{Operation: share.OperationMove, Shard: "east", Target: to})
-		return r.RefusalReason == "" || strings.Contains(r.RefusalReason, share.ErrAlreadyMoving.Error()) || strings.Contains(r.RefusalReason, share.ErrSameOwner.Error())
+		r := w.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: to})
+		return r.RefusalReason == "" || strings.Contains(r.RefusalReason, shard.ErrAlreadyMoving.Error()) || strings.Contains(r.RefusalReason, shard.ErrSameOwner.Error())
 	})
 }
 
@@ -68,7 +68,7 @@
 			runShardScenario(t, 11, 3, func(sim *simCluster) {
 				service := sim.startShardWorkload()
 				owner, met := sim.controllerNamed("n-2"), false
-				sim.onCommit(owner, share.AllocationPrefix, func(n int, _ wire.Change) fake.CommitFault {
+				sim.onCommit(owner, shard.AllocationPrefix, func(n int, _ wire.Change) fake.CommitFault {
 					if n > 2 {
 						return fake.CommitFault{}
 					}
@@ -184,7 +184,7 @@
 			runShardScenario(t, 14, 3, func(sim *simCluster) {
 				service := sim.startShardWorkload()
 				tries := 0
-				sim.onCommit(sim.controllerNamed("n-2"), share.RecordPrefix, func(n int, _ wire.Change) fake.CommitFault {
+				sim.onCommit(sim.controllerNamed("n-2"), shard.RecordPrefix, func(n int, _ wire.Change) fake.CommitFault {
 					tries = n
 					if n <= 2 {
 						return fate
@@ -258,14 +258,14 @@
 	runShardScenario(t, 36, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
 		for _, test := range []struct {
-			command share.Command
+			command shard.Command
 			says    string
 		}{
-			{share.Command{Operation: share.OperationMove, Shard: "east", Target: "n-2"}, share.ErrSameOwner.Error()},
-			{share.Command{Operation: share.OperationMove, Shard: "east", Target: "n-9"}, share.ErrTargetWithoutSession.Error()},
-			{share.Command{Operation: share.OperationMove, Shard: "west", Target: "n-0"}, "no share"},
-			{share.Command{Operation: share.OperationCancel, Shard: "east"}, share.ErrNotMoving.Error()},
-			{share.Command{Operation: "melt", Shard: "east"}, "no operation"},
+			{shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-2"}, shard.ErrSameOwner.Error()},
+			{shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-9"}, shard.ErrTargetWithoutSession.Error()},
+			{shard.Command{Operation: shard.OperationMove, Shard: "west", Target: "n-0"}, "no share"},
+			{shard.Command{Operation: shard.OperationCancel, Shard: "east"}, shard.ErrNotMoving.Error()},
+			{shard.Command{Operation: "melt", Shard: "east"}, "no operation"},
 		} {
 			if reply := sim.shardCommand(test.command); !strings.Contains(reply.RefusalReason, test.says) {
 				sim.t.Errorf("%+v: %q, not %q", test.command, reply.RefusalReason, test.says)
@@ -273,7 +273,7 @@
 		}
 		sim.killController(sim.controllerNamed("n-0"))
 		sim.waitUntil("its session is over", micro.Minute, func() bool {
-			return strings.Contains(sim.shardCommand(share.Command{Operation: share.OperationMove, Shard: "east", Target: "n-0"}).RefusalReason, share.ErrTargetWithoutSession.Error())
+			return strings.Contains(sim.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-0"}).RefusalReason, shard.ErrTargetWithoutSession.Error())
 		})
 		sim.waitShardSettled(service, 3)
 	})
@@ -339,7 +339,7 @@
 // shardKeys lists the keys of shares in the store, sessions excepted.
 func (w *simCluster) shardKeys() []string {
 	var out []string
-	for _, prefix := range []string{share.RecordPrefix, share.AssignmentPrefix, share.AllocationPrefix, share.MarkerKey} {
+	for _, prefix := range []string{shard.RecordPrefix, shard.AssignmentPrefix, shard.AllocationPrefix, shard.MarkerKey} {
 		page, err := w.store.Range(w.ctx, store.Routine, prefix, "", 1000)
 		if err != nil {
 			return []string{err.Error()}
@@ -381,11 +381,11 @@
 		if keys := sim.shardKeys(); len(keys) > 0 {
 			sim.t.Errorf("stored: %v", keys)
 		}
-		page, err := sim.store.Range(sim.ctx, store.Routine, share.SessionPrefix, "", 1000)
+		page, err := sim.store.Range(sim.ctx, store.Routine, shard.SessionPrefix, "", 1000)
 		if err != nil || len(page.Items) > 0 {
 			sim.t.Errorf("%d sessions, %v", len(page.Items), err)
 		}
-		status, _ := sim.randomUserNode().runningNode().handleAdmin(wire.MustMarshal(share.Command{Operation: share.OperationList}))
+		status, _ := sim.randomUserNode().runningNode().handleAdmin(wire.MustMarshal(shard.Command{Operation: shard.OperationList}))
 		if status != 200 {
 			sim.t.Errorf("status %d", status)
 		}
--- a/internal/controller/shard_form.go
+++ b/internal/controller/shard_form.go
@@ -1,9 +1,9 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -31,22 +31,22 @@
 			continue
 		}
 		if other, ok := l.shardTable().Overlapping(declared.Selector); ok {
-			l.log.Debug("share not formed", "share", declared.Name, "why", share.ErrOverlap, "other", other.Name)
+			l.log.Debug("share not formed", "share", declared.Name, "why", shard.ErrOverlap, "other", other.Name)
 			continue
 		}
 		if l.coordinator.marker.Version() == 0 {
-			l.coordinator.marker.MarkDirty(l.node.Now(), writer.PriorityHigh) // before the first share
+			l.coordinator.marker.MarkDirty(l.node.Now(), statestore.PriorityHigh) // before the first share
 			return
 		}
 		l.log.Info("share formed", "share", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams)
-		entry := share.Entry{Name: declared.Name}
-		l.commitShard(declared.Name, entry.Update(share.NewRecord(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Precondition()))
+		entry := shard.Entry{Name: declared.Name}
+		l.commitShard(declared.Name, entry.Update(shard.NewRecord(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Precondition()))
 	}
 }
 
 // reconcileForming clears the machines of a share that is being formed, and gives it to its
 // first owner once none of them holds a task.
-func (l *Leader) reconcileForming(entry share.Entry, wall int64) {
+func (l *Leader) reconcileForming(entry shard.Entry, wall int64) {
 	if l.node.Cfg.Shards.Dissolve {
 		l.deleteShard(entry)
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-func (l *Leader) initialOwner(name string) (share.Controller, bool) {
+func (l *Leader) initialOwner(name string) (shard.Controller, bool) {
 	for _, d := range l.node.Cfg.Shards.Declared {
 		if d.Name == name && d.Owner != "" {
 			return l.coordinator.sessions.Controller(d.Owner)
@@ -81,7 +81,7 @@
 // of which it is not known yet whether they are in it: read from the records, a machine
 // has no type until it reports. Given away with such a place on it, a machine was never
 // proven free of it.
-func (l *Leader) allocationsIn(e share.Entry) int {
+func (l *Leader) allocationsIn(e shard.Entry) int {
 	held := 0
 	for _, m := range l.cluster.SortedMachines() {
 		if m.Type == nil || m.TransferPending && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
@@ -92,8 +92,8 @@
 }
 
 // formingMachines lists the machines of a share that is being formed.
-func (l *Leader) formingMachines(e share.Entry) []*model.Machine {
-	var out []*model.Machine
+func (l *Leader) formingMachines(e shard.Entry) []*cluster.Machine {
+	var out []*cluster.Machine
 	for _, m := range l.cluster.SortedMachines() {
 		if m.TransferPending && e.Record.Selector.Matches(machineAttributes(m.TypeName, m.Zone, m.Spot)) {
 			out = append(out, m)
@@ -104,10 +104,10 @@
 
 // drainReplicas has the replicas on a share's machines stopped, a few at a time: other
 // tasks end by themselves.
-func (l *Leader) drainReplicas(entry share.Entry) {
+func (l *Leader) drainReplicas(entry shard.Entry) {
 	now := l.node.Now()
 	stopping := 0
-	var replicas []*model.Allocation
+	var replicas []*cluster.Allocation
 	for _, machine := range l.formingMachines(entry) {
 		for _, allocation := range machine.SortedAllocations() {
 			switch {
@@ -126,10 +126,10 @@
 
 // deleteShard deletes the record of a share that has nothing left. The last one takes
 // the marker along.
-func (l *Leader) deleteShard(e share.Entry) {
+func (l *Leader) deleteShard(e shard.Entry) {
 	transaction := wire.Transaction{If: []wire.Precondition{l.term.Precondition(), e.Precondition()}, Then: []wire.Change{{Delete: e.Key()}}}
 	if l.shardTable().Len() == 1 {
-		transaction.Then = append(transaction.Then, wire.Change{Delete: share.MarkerKey})
+		transaction.Then = append(transaction.Then, wire.Change{Delete: shard.MarkerKey})
 		l.coordinator.marker.SetVersion(0)
 	}
 	l.log.Info("share deleted", "share", e.Name)
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -26,7 +26,7 @@
 			var used usage
 			runScenario(t, 50, 3, func(sim *simCluster) {
 				withShard(sim)
-				sim.config.Shards.Declared[0] = config.DeclaredShard{Name: "east", Selector: share.Selector{Zone: "b"}, Owner: "n-2"}
+				sim.config.Shards.Declared[0] = config.DeclaredShard{Name: "east", Selector: shard.Selector{Zone: "b"}, Owner: "n-2"}
 				sim.cloud.Capacity = machines + 20
 				sim.config.Facts.Teams[0].CPUsMax = 0
 				delete(sim.checker.cpuLimits, "team")
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"notchmux.dev/notchmux/internal/election"
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -21,7 +21,7 @@
 // nodeShards is a node's part in the shares of the machines: its session as an owner, the
 // table, and the loops of the shares that it owns.
 type nodeShards struct {
-	table     share.Table
+	table     shard.Table
 	tableRead atomic.Bool // the table was read since the start
 	session   *election.Election
 	term      atomic.Pointer[election.Term] // of the session; nil: none
@@ -47,7 +47,7 @@
 	}
 	n.shards = &nodeShards{owners: map[string]*Leader{}}
 	n.shards.session = &election.Election{
-		Key: share.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
+		Key: shard.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
 		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenewInterval, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
 		OnStartedLeading: n.sessionStarted, OnStoppedLeading: n.sessionEnded,
 	}
@@ -127,10 +127,10 @@
 
 // readShardTable reads all records.
 func (n *Node) readShardTable(ctx context.Context) (revision uint64, err error) {
-	var entries []share.Entry
+	var entries []shard.Entry
 	after := ""
 	for {
-		page, err := n.Store.Range(ctx, store.Leadership, share.RecordPrefix, after, 1000)
+		page, err := n.Store.Range(ctx, store.Leadership, shard.RecordPrefix, after, 1000)
 		if err != nil {
 			return 0, err
 		}
@@ -153,15 +153,15 @@
 	return revision, nil
 }
 
-func parseShardRecord(key string, value []byte, version uint64) (share.Entry, bool) {
-	e := share.Entry{Name: key[len(share.RecordPrefix):], Version: version}
+func parseShardRecord(key string, value []byte, version uint64) (shard.Entry, bool) {
+	e := shard.Entry{Name: key[len(shard.RecordPrefix):], Version: version}
 	return e, wire.Unmarshal(value, &e.Record) == nil
 }
 
 // watchShardTable takes in changes, until they cannot be followed.
 func (n *Node) watchShardTable(ctx context.Context, revision uint64) error {
 	for ctx.Err() == nil {
-		events, err := n.Store.Watch(ctx, share.RecordPrefix, revision, tableWatchTimeout)
+		events, err := n.Store.Watch(ctx, shard.RecordPrefix, revision, tableWatchTimeout)
 		if errors.Is(err, store.ErrCompacted) {
 			return err
 		}
@@ -181,7 +181,7 @@
 
 func (n *Node) applyTableEvent(event wire.Event) {
 	if event.Delete != "" {
-		n.shards.table.Delete(event.Delete[len(share.RecordPrefix):], uint64(event.Version))
+		n.shards.table.Delete(event.Delete[len(shard.RecordPrefix):], uint64(event.Version))
 		return
 	}
 	if entry, ok := parseShardRecord(event.Put, event.Value, uint64(event.Version)); ok {
@@ -216,8 +216,8 @@
 	if term == nil || shards.ctx == nil || n.catalog.Load() == nil {
 		return
 	}
-	self := share.Controller{Node: n.Cfg.Node, SessionVersion: wire.Count(term.FencingRevision)}
-	table.Each(func(entry share.Entry) bool {
+	self := shard.Controller{Node: n.Cfg.Node, SessionVersion: wire.Count(term.FencingRevision)}
+	table.Each(func(entry shard.Entry) bool {
 		if shards.owners[entry.Name] == nil && entry.OwnedElsewhere() && entry.Record.Owner == self {
 			shards.owners[entry.Name] = n.startShardOwner(shards.ctx, entry, term, self)
 		}
@@ -233,13 +233,13 @@
 }
 
 // heartbeatWithShards answers a report, whoever's machine it comes from.
-func (n *Node) heartbeatWithShards(body []byte) front.Reply {
+func (n *Node) heartbeatWithShards(body []byte) httpapi.Reply {
 	if len(body) > wire.MaxBody {
-		return front.ErrorReply(400, "too large")
+		return httpapi.ErrorReply(400, "too large")
 	}
 	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
-		return front.ErrorReply(400, err.Error())
+		return httpapi.ErrorReply(400, err.Error())
 	}
 	if reply, ok := n.routeShardHeartbeat(heartbeat); ok {
 		return reply
@@ -252,27 +252,27 @@
 
 // routeShardHeartbeat answers a report of a machine that is in a share; false if it is in none,
 // and so the leader's to answer.
-func (n *Node) routeShardHeartbeat(heartbeat *wire.Heartbeat) (front.Reply, bool) {
+func (n *Node) routeShardHeartbeat(heartbeat *wire.Heartbeat) (httpapi.Reply, bool) {
 	if !n.shards.tableRead.Load() {
-		return front.RetryReply(503, 1), true // whose it is is not known yet
+		return httpapi.RetryReply(503, 1), true // whose it is is not known yet
 	}
 	entry, ok := n.shards.table.Snapshot().ShardOf(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
 	if !ok || !entry.OwnedElsewhere() {
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 	node := entry.Record.Owner.Node
 	if node != n.Cfg.Node {
 		if n.activeLeader() == nil && n.proxiesLease(heartbeat) {
 			return leaseProxyReply(heartbeat), true
 		}
-		return front.Reply{Status: 421, Body: wire.NotLeader{LeaderHint: node}}, true
+		return httpapi.Reply{Status: 421, Body: wire.NotLeader{LeaderHint: node}}, true
 	}
 	if owner := n.shards.ownerOf(entry.Name); owner != nil && owner.serving.Load() && owner.holdsLease() {
 		return owner.handleHeartbeat(heartbeat), true
 	}
-	return front.RetryReply(503, 1), true
+	return httpapi.RetryReply(503, 1), true
 }
 
-func machineAttributes(typ, zone string, spot bool) share.Attributes {
-	return share.Attributes{Type: typ, Zone: zone, Spot: spot}
+func machineAttributes(typ, zone string, spot bool) shard.Attributes {
+	return shard.Attributes{Type: typ, Zone: zone, Spot: spot}
 }
