--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
-	"notchmux.dev/notchmux/internal/writer"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -17,16 +17,16 @@
 // places the jobs that were assigned to the share on the share's machines, under
 // conditions and tokens of its own; it accepts, ends and rents nothing.
 type ownedShard struct {
-	*share.Owner
+	*shard.Owner
 	name string
 
-	assignments         map[string]*writer.Record // of the jobs that were assigned, by job
-	assignedAt          map[string]micro.Time     // by the wall clock: a new owner does not wait anew
-	assignmentRevision  uint64                    // revision up to which assignments were read
-	finished            map[*model.Job]bool       // jobs all of whose tasks are done
-	cancelling          map[*model.Job]bool       // jobs that are being withdrawn
-	pendingTerminations map[*model.Machine]bool   // machines to be returned
-	unreachable         bool                      // no worker reaches this node
+	assignments         map[string]*statestore.Record // of the jobs that were assigned, by job
+	assignedAt          map[string]micro.Time         // by the wall clock: a new owner does not wait anew
+	assignmentRevision  uint64                        // revision up to which assignments were read
+	finished            map[*cluster.Job]bool         // jobs all of whose tasks are done
+	cancelling          map[*cluster.Job]bool         // jobs that are being withdrawn
+	pendingTerminations map[*cluster.Machine]bool     // machines to be returned
+	unreachable         bool                          // no worker reaches this node
 
 	leaderTerm       uint64                // of the leader whose answer came last
 	reportedMachines map[string]bool       // machines that it was told are up
@@ -41,15 +41,15 @@
 func (l *Leader) mayPlace() bool { return l.owner == nil || l.owner.MayAllocate() }
 
 // startShardOwner begins the loop of a share that this incarnation owns.
-func (n *Node) startShardOwner(ctx context.Context, e share.Entry, term *election.Term, self share.Controller) *Leader {
+func (n *Node) startShardOwner(ctx context.Context, e shard.Entry, term *election.Term, self shard.Controller) *Leader {
 	log := n.Log.With("share", e.Name, "version", e.Version)
-	owner := share.NewOwner(e, term, self, log.Info)
+	owner := shard.NewOwner(e, term, self, log.Info)
 	l := newEventLoop(n, term, owner.FirstFencingToken(), log)
-	l.owner = &ownedShard{Owner: owner, name: e.Name, assignments: map[string]*writer.Record{}, assignedAt: map[string]micro.Time{}, finished: map[*model.Job]bool{},
-		cancelling: map[*model.Job]bool{}, pendingTerminations: map[*model.Machine]bool{}, reportedMachines: map[string]bool{}}
+	l.owner = &ownedShard{Owner: owner, name: e.Name, assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{}, finished: map[*cluster.Job]bool{},
+		cancelling: map[*cluster.Job]bool{}, pendingTerminations: map[*cluster.Machine]bool{}, reportedMachines: map[string]bool{}}
 	for _, t := range n.Cfg.Facts.Teams {
 		// The leader has counted all that is assigned against the limits.
-		l.cluster.Teams[t.Name] = &model.Team{Name: t.Name}
+		l.cluster.Teams[t.Name] = &cluster.Team{Name: t.Name}
 	}
 	l.cluster.SetCatalog(n.catalog.Load())
 	go l.runShardOwner(ctx)
@@ -96,7 +96,7 @@
 }
 
 // observeShardRecord takes in what the share's record says now; there is none if it is gone.
-func (l *Leader) observeShardRecord(e share.Entry, exists bool) {
+func (l *Leader) observeShardRecord(e shard.Entry, exists bool) {
 	if exists {
 		l.owner.Observe(e)
 	} else {
@@ -109,7 +109,7 @@
 // and whether it is over.
 func (l *Leader) applyOwnerState() {
 	l.responsesBlocked.Store(!l.owner.MayRespond())
-	if l.owner.State() == share.Relinquished {
+	if l.owner.State() == shard.Relinquished {
 		l.stop()
 	}
 }
@@ -117,11 +117,11 @@
 // reconcileTransfer brings a move on.
 func (l *Leader) reconcileTransfer(now micro.Time) {
 	switch l.owner.State() {
-	case share.Draining:
+	case shard.Draining:
 		if l.holdsLease() && !l.owner.transferInFlight && l.drainForTransfer(now) {
 			l.transferShard()
 		}
-	case share.Uncertain:
+	case shard.Uncertain:
 		if !l.owner.transferInFlight {
 			l.resolveTransfer()
 		}
@@ -133,7 +133,7 @@
 func (l *Leader) drainForTransfer(now micro.Time) bool {
 	for _, m := range l.cluster.SortedMachines() {
 		for _, p := range m.SortedAllocations() {
-			if p.State == model.Planned {
+			if p.State == cluster.Planned {
 				l.cluster.StopAllocation(p, "the share moves", 0, now)
 			}
 		}
@@ -212,7 +212,7 @@
 }
 
 // requestTermination marks a machine of the share to be returned: the leader has its rental.
-func (l *Leader) requestTermination(m *model.Machine) {
+func (l *Leader) requestTermination(m *cluster.Machine) {
 	l.owner.pendingTerminations[m] = true
 	l.owner.reportUrgent = true
 }
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -4,18 +4,18 @@
 	"context"
 	"errors"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
-	"notchmux.dev/notchmux/internal/writer"
 	"notchmux.dev/notchmux/wire"
 )
 
 // shardAllocation is the record of a chunk of a job's tasks in a share, as it was read.
 type shardAllocation struct {
 	chunkIndex int
-	record     model.CompactRecord
+	record     cluster.CompactRecord
 	version    uint64
 }
 
@@ -32,7 +32,7 @@
 	}
 	now := l.node.Now()
 	var assignments []wire.Item
-	revision, ok := l.readAll(ctx, share.AssignmentPrefixFor(l.owner.name), func(item wire.Item) { assignments = append(assignments, item) })
+	revision, ok := l.readAll(ctx, shard.AssignmentPrefixFor(l.owner.name), func(item wire.Item) { assignments = append(assignments, item) })
 	if !ok {
 		return false
 	}
@@ -40,7 +40,7 @@
 	for _, item := range assignments {
 		l.applyAssignment(item.Key, item.Value, uint64(item.Version))
 	}
-	_, ok = l.readAll(ctx, share.AllocationPrefixFor(l.owner.name), func(item wire.Item) { l.restoreAllocation(item, now) })
+	_, ok = l.readAll(ctx, shard.AllocationPrefixFor(l.owner.name), func(item wire.Item) { l.restoreAllocation(item, now) })
 	if !ok {
 		return false
 	}
@@ -55,7 +55,7 @@
 
 // parseAllocation reads a record of places in a share.
 func parseAllocation(item wire.Item) (job string, allocation shardAllocation, ok bool) {
-	_, job, chunk, ok := share.ParseAllocationKey(item.Key)
+	_, job, chunk, ok := shard.ParseAllocationKey(item.Key)
 	allocation = shardAllocation{chunkIndex: chunk, version: uint64(item.Version)}
 	return job, allocation, ok && wire.Unmarshal(item.Value, &allocation.record) == nil
 }
@@ -77,13 +77,13 @@
 	record := l.records.Record(item.Key)
 	record.SetVersion(uint64(item.Version))
 	record.Build = func() (any, uint64) { return nil, 0 }
-	record.MarkDirty(l.node.Now(), writer.PriorityBackground)
+	record.MarkDirty(l.node.Now(), statestore.PriorityBackground)
 }
 
 // applyAssignment takes in a job that the leader assigned, or what became of it.
 func (l *Leader) applyAssignment(key string, value []byte, version uint64) {
-	var assignment share.Assignment
-	_, id, ok := share.ParseAssignmentKey(key)
+	var assignment shard.Assignment
+	_, id, ok := shard.ParseAssignmentKey(key)
 	if !ok || wire.Unmarshal(value, &assignment) != nil || assignment.Job.Tasks < 1 {
 		l.log.Error("assignment not understood", "key", key)
 		return
@@ -114,7 +114,7 @@
 
 // cancelAssigned stops the tasks of a job that is being withdrawn. The leader is told at
 // once: its user waits.
-func (l *Leader) cancelAssigned(j *model.Job) {
+func (l *Leader) cancelAssigned(j *cluster.Job) {
 	if l.owner.cancelling[j] || j.IsTerminal() {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // stopAllocations tells all tasks of a withdrawn job to stop.
-func (l *Leader) stopAllocations(j *model.Job, now micro.Time) {
+func (l *Leader) stopAllocations(j *cluster.Job, now micro.Time) {
 	for _, p := range j.Allocations() {
 		l.cluster.StopAllocation(p, "withdrawn", 0, now)
 	}
@@ -133,7 +133,7 @@
 
 // watchAssignments follows the share's assignments.
 func (l *Leader) watchAssignments(ctx context.Context, revision uint64) {
-	prefix := share.AssignmentPrefixFor(l.owner.name)
+	prefix := shard.AssignmentPrefixFor(l.owner.name)
 	for {
 		events, err := l.node.Store.Watch(ctx, prefix, revision, tableWatchTimeout)
 		switch {
@@ -175,13 +175,13 @@
 			continue
 		}
 		over := job.IsTerminal() && job.AllocationCount == 0
-		unplaced := job.State == model.Active && job.NeverAllocated() && l.node.Wall()-l.owner.assignedAt[id] > handBackTimeout
+		unplaced := job.State == cluster.Active && job.NeverAllocated() && l.node.Wall()-l.owner.assignedAt[id] > handBackTimeout
 		if unplaced {
 			l.log.Info("job handed back", "job", id)
 			l.cluster.PrepareTransfer(job)
 		}
 		if over || unplaced {
-			record.MarkDirty(now, writer.PriorityHigh)
+			record.MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	l.knownJobs.Delete(id)
 	if job.IsTerminal() {
 		for _, chunk := range job.Chunks {
-			l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), writer.PriorityLow)
+			l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), statestore.PriorityLow)
 		}
 	}
 	l.records.dropJob(job)
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -6,12 +6,12 @@
 	"slices"
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
-	"notchmux.dev/notchmux/internal/sched"
-	"notchmux.dev/notchmux/internal/share"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -28,19 +28,19 @@
 
 // jobFinishedInShard notes a job all of whose tasks are done. The leader writes its end,
 // once its records say so.
-func (l *Leader) jobFinishedInShard(j *model.Job) {
+func (l *Leader) jobFinishedInShard(j *cluster.Job) {
 	l.owner.finished[j] = true
 	l.owner.reportUrgent = true
 	now := l.node.Now()
 	for _, ch := range j.Chunks {
 		if ch.MemoryVersion > ch.StoredVersion {
-			l.records.chunkRecord(ch).MarkDirty(now, writer.PriorityHigh)
+			l.records.chunkRecord(ch).MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 }
 
 // recorded reports whether all that is known of a job's tasks is in the store.
-func fullyRecorded(j *model.Job) bool {
+func fullyRecorded(j *cluster.Job) bool {
 	for _, ch := range j.Chunks {
 		if ch.MemoryVersion > ch.StoredVersion {
 			return false
@@ -55,7 +55,7 @@
 		return
 	}
 	l.owner.reportInFlight, l.owner.reportUrgent, l.owner.reportedAt = true, false, now
-	update := share.StatusUpdate{Node: l.node.Cfg.Node, SessionVersion: l.term.FencingRevision, Term: l.owner.leaderTerm, Shards: []share.ShardUpdate{l.buildShardUpdate(now)}}
+	update := shard.StatusUpdate{Node: l.node.Cfg.Node, SessionVersion: l.term.FencingRevision, Term: l.owner.leaderTerm, Shards: []shard.ShardUpdate{l.buildShardUpdate(now)}}
 	body := wire.MustMarshal(update)
 	go func() {
 		reply, ok := l.node.deliverStatusUpdate(body)
@@ -69,7 +69,7 @@
 }
 
 // deliverStatusUpdate brings a touch to the leader.
-func (n *Node) deliverStatusUpdate(body []byte) (reply share.UpdateReply, ok bool) {
+func (n *Node) deliverStatusUpdate(body []byte) (reply shard.UpdateReply, ok bool) {
 	if l := n.activeLeader(); l != nil {
 		return l.receiveStatusUpdate(body)
 	}
@@ -82,8 +82,8 @@
 }
 
 // buildShardUpdate puts together what the leader is told. The caller has the right to act.
-func (l *Leader) buildShardUpdate(now micro.Time) share.ShardUpdate {
-	update := share.ShardUpdate{Name: l.owner.name, AssignmentRevision: l.owner.assignmentRevision, FreeCapacity: l.freeCapacity(now), Unreachable: l.owner.unreachable}
+func (l *Leader) buildShardUpdate(now micro.Time) shard.ShardUpdate {
+	update := shard.ShardUpdate{Name: l.owner.name, AssignmentRevision: l.owner.assignmentRevision, FreeCapacity: l.freeCapacity(now), Unreachable: l.owner.unreachable}
 	l.owner.unreachable = false // unless the next look finds it so again
 	for job := range l.owner.finished {
 		if len(update.FinishedJobs) < maxStatusItems && fullyRecorded(job) {
@@ -105,8 +105,8 @@
 	return update
 }
 
-func cancellationProgress(j *model.Job) share.StoppingJob {
-	progress := share.StoppingJob{Job: j.Spec.ID, UnreleasedAllocations: j.AllocationCount}
+func cancellationProgress(j *cluster.Job) shard.StoppingJob {
+	progress := shard.StoppingJob{Job: j.Spec.ID, UnreleasedAllocations: j.AllocationCount}
 	zones := map[string]bool{}
 	for _, p := range j.Allocations() {
 		zones[p.Machine.Zone] = true
@@ -117,9 +117,9 @@
 
 // reportMachines counts the machines that are up, and names those that the leader has not
 // been told of.
-func (l *Leader) reportMachines(update *share.ShardUpdate) {
+func (l *Leader) reportMachines(update *shard.ShardUpdate) {
 	for _, m := range l.cluster.SortedMachines() {
-		if m.State != model.Up {
+		if m.State != cluster.Up {
 			continue
 		}
 		update.MachineCount++
@@ -132,22 +132,22 @@
 	}
 }
 
-func (l *Leader) reportProgress(update *share.ShardUpdate) {
+func (l *Leader) reportProgress(update *shard.ShardUpdate) {
 	now := l.node.Now()
 	for job := range l.cluster.ActiveJobs {
 		update.PendingTasks += job.PendingTasks()
 		if schedulable := min(job.Demand(now), job.SchedulableTasks(now)); schedulable > 0 && len(update.Demand) < maxStatusItems {
-			update.Demand = append(update.Demand, share.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)})
+			update.Demand = append(update.Demand, shard.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)})
 		}
 		if len(update.Progress) < maxStatusItems && job.DoneTasks+job.RunningTasks > 0 {
-			update.Progress = append(update.Progress, share.Progress{Job: job.Spec.ID, Done: job.DoneTasks, Running: job.RunningTasks, AllocationsNeeded: allocationsNeeded(job)})
+			update.Progress = append(update.Progress, shard.Progress{Job: job.Spec.ID, Done: job.DoneTasks, Running: job.RunningTasks, AllocationsNeeded: allocationsNeeded(job)})
 		}
 	}
 }
 
 // allocationsNeeded is how many places a job's tasks may have at once from now on, by what
 // the records say: whoever owns the share next knows no more.
-func allocationsNeeded(job *model.Job) int {
+func allocationsNeeded(job *cluster.Job) int {
 	if !fullyRecorded(job) {
 		return -1
 	}
@@ -164,13 +164,13 @@
 }
 
 // schedulableZones lists the zones where more of a job's tasks may go, by its rules on zones.
-func (l *Leader) schedulableZones(j *model.Job) []string {
+func (l *Leader) schedulableZones(j *cluster.Job) []string {
 	if !j.Spec.Spread && (!j.Spec.OneZone || j.AllocationCount == 0) {
 		return nil
 	}
 	var open []string
 	for _, zone := range l.node.Cfg.Facts.Zones {
-		if sched.ZoneAllowed(j, zone, nil) {
+		if scheduler.ZoneAllowed(j, zone, nil) {
 			open = append(open, zone)
 		}
 	}
@@ -179,7 +179,7 @@
 
 // capacityKey is what makes machines' room alike.
 type capacityKey struct {
-	pool *model.MachinePool
+	pool *cluster.MachinePool
 	cpu  int
 	gpu  int
 	mem  int
@@ -187,7 +187,7 @@
 
 // freeCapacity lists what is free, by like machines, the largest first. What waits for room
 // in the share comes before jobs that are yet to be assigned: while any does, none is.
-func (l *Leader) freeCapacity(now micro.Time) []share.FreeCapacity {
+func (l *Leader) freeCapacity(now micro.Time) []shard.FreeCapacity {
 	for job := range l.cluster.PendingJobs {
 		if job.PendingTasks() > 0 && !job.InBackoff(now) {
 			return nil
@@ -205,10 +205,10 @@
 			}
 		}
 	}
-	capacity := make([]share.FreeCapacity, 0, len(counts))
+	capacity := make([]shard.FreeCapacity, 0, len(counts))
 	for key, count := range counts {
 		if key.cpu > 0 {
-			capacity = append(capacity, share.FreeCapacity{Type: key.pool.Type.Name, Zone: key.pool.Zone, Spot: key.pool.Spot, Count: count,
+			capacity = append(capacity, shard.FreeCapacity{Type: key.pool.Type.Name, Zone: key.pool.Zone, Spot: key.pool.Spot, Count: count,
 				CPU: float64(key.cpu), GPU: float64(key.gpu), Mem: float64(key.mem)})
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // hasMoreCapacity orders kinds of room; the order of equal ones is fixed, so that runs repeat.
-func hasMoreCapacity(a, b share.FreeCapacity) bool {
+func hasMoreCapacity(a, b shard.FreeCapacity) bool {
 	switch {
 	case a.GPU != b.GPU:
 		return a.GPU > b.GPU
@@ -234,7 +234,7 @@
 }
 
 // statusUpdateAnswered takes in the leader's answer to a touch that was sent at a time.
-func (l *Leader) statusUpdateAnswered(update *share.ShardUpdate, reply *share.UpdateReply, sentAt micro.Time) {
+func (l *Leader) statusUpdateAnswered(update *shard.ShardUpdate, reply *shard.UpdateReply, sentAt micro.Time) {
 	if reply.Term != l.owner.leaderTerm {
 		l.owner.leaderTerm = reply.Term
 		clear(l.owner.reportedMachines) // a new leader knows of no machine here
@@ -262,7 +262,7 @@
 }
 
 // endJobInShard settles a job whose end is in the store.
-func (l *Leader) endJobInShard(j *model.Job, state wire.JobState, now micro.Time) {
+func (l *Leader) endJobInShard(j *cluster.Job, state wire.JobState, now micro.Time) {
 	l.cluster.FinalizeJob(j, state == wire.JobAborted, now)
 	delete(l.owner.finished, j)
 	delete(l.owner.cancelling, j)
@@ -274,7 +274,7 @@
 
 // applyLeaderBound notes until when keepers may have renewed leases, by this node's clock, as of
 // the leader's answer: that was given after the touch was sent.
-func (l *Leader) applyLeaderBound(reply *share.UpdateReply, sentAt, now micro.Time) {
+func (l *Leader) applyLeaderBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
 	l.owner.renewedUntil = map[string]micro.Time{}
 	for zone, age := range reply.ProxyRenewalAge {
 		l.owner.renewedUntil[zone] = now - max(micro.Time(age)-(now-sentAt), 0)
--- a/internal/controller/shard_policy.go
+++ b/internal/controller/shard_policy.go
@@ -6,7 +6,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/policy"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 )
 
 // policyInterval is how often the operators' policies are looked at.
@@ -74,17 +74,17 @@
 		}
 		target, ok := l.coordinator.sessions.Controller(movePolicy.Owner)
 		if !ok {
-			l.log.Info("policy not followed", "policy", movePolicy.Name, "why", share.ErrTargetWithoutSession)
+			l.log.Info("policy not followed", "policy", movePolicy.Name, "why", shard.ErrTargetWithoutSession)
 			continue
 		}
 		moving += l.viewOf(entry.Name).machineCount
-		l.changeShard(entry, "policy "+movePolicy.Name, func(wall int64) (share.Record, error) { return entry.Record.Move(target, wall) })
+		l.changeShard(entry, "policy "+movePolicy.Name, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) })
 	}
 }
 
 // mayMoveShard reports whether a policy may move a share now.
-func (l *Leader) mayMoveShard(e share.Entry, p config.MovePolicy, moving int) bool {
-	if e.Record.State != share.Owned || e.Record.Owner.Node == p.Owner || l.coordinator.commitsInFlight[e.Name] {
+func (l *Leader) mayMoveShard(e shard.Entry, p config.MovePolicy, moving int) bool {
+	if e.Record.State != shard.Owned || e.Record.Owner.Node == p.Owner || l.coordinator.commitsInFlight[e.Name] {
 		return false
 	}
 	if l.node.Wall()-micro.Time(e.Record.ChangedAt) < l.node.Cfg.Shards.MinMoveInterval {
@@ -96,8 +96,8 @@
 // machinesMoving counts the machines of the shares that are moving.
 func (l *Leader) machinesMoving() int {
 	n := 0
-	l.shardTable().Each(func(e share.Entry) bool {
-		if e.Record.State == share.Moving {
+	l.shardTable().Each(func(e shard.Entry) bool {
+		if e.Record.State == shard.Moving {
 			n += max(l.viewOf(e.Name).machineCount, 1)
 		}
 		return true
--- a/internal/controller/shard_reclaim.go
+++ b/internal/controller/shard_reclaim.go
@@ -4,27 +4,27 @@
 	"context"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
-	"notchmux.dev/notchmux/internal/writer"
 	"notchmux.dev/notchmux/wire"
 )
 
 // shardReclaim is how far the leader is with taking back a share that its owner released.
 type shardReclaim struct {
 	readInFlight   bool
-	reclaimed      bool                      // its machines and jobs are the leader's
-	pendingDeletes map[string]*writer.Record // allocations that are still to be deleted
+	reclaimed      bool                          // its machines and jobs are the leader's
+	pendingDeletes map[string]*statestore.Record // allocations that are still to be deleted
 }
 
 // reclaimShard takes back a released share: first what the store holds of it is read, then
 // its jobs and machines join the leader's, then its records are deleted.
-func (l *Leader) reclaimShard(entry share.Entry, now micro.Time) {
+func (l *Leader) reclaimShard(entry shard.Entry, now micro.Time) {
 	reclaim := l.coordinator.reclaims[entry.Name]
 	if reclaim == nil {
-		reclaim = &shardReclaim{pendingDeletes: map[string]*writer.Record{}}
+		reclaim = &shardReclaim{pendingDeletes: map[string]*statestore.Record{}}
 		l.coordinator.reclaims[entry.Name] = reclaim
 	}
 	switch {
@@ -41,12 +41,12 @@
 }
 
 // readReleasedShard reads the allocations of a released share.
-func (l *Leader) readReleasedShard(entry share.Entry, reclaim *shardReclaim) {
+func (l *Leader) readReleasedShard(entry shard.Entry, reclaim *shardReclaim) {
 	var items []wire.Item
 	after, ok := "", true
 	for more := true; more && ok; {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		page, err := l.node.Store.Range(ctx, store.Routine, share.AllocationPrefixFor(entry.Name), after, 1000)
+		page, err := l.node.Store.Range(ctx, store.Routine, shard.AllocationPrefixFor(entry.Name), after, 1000)
 		cancel()
 		if ok = err == nil; ok {
 			for _, item := range page.Items {
@@ -66,7 +66,7 @@
 
 // restoreReleasedShard joins a released share's machines and jobs to the leader's. Its last
 // owner gave out tokens above those of this term, perhaps: the leader's go above them.
-func (l *Leader) restoreReleasedShard(entry share.Entry, reclaim *shardReclaim, items []wire.Item) {
+func (l *Leader) restoreReleasedShard(entry shard.Entry, reclaim *shardReclaim, items []wire.Item) {
 	now := l.node.Now()
 	firstToken := entry.Version << tokenBits
 	l.fencingToken = max(l.fencingToken, firstToken)
@@ -101,7 +101,7 @@
 	if assigned.fencedZones = nil; job.IsTerminal() && job.AllocationCount > 0 {
 		l.unconfirmedCancellations[job] = true
 	}
-	if assigned.cancelling && !assigned.endRequested && job.State == model.Aborting {
+	if assigned.cancelling && !assigned.endRequested && job.State == cluster.Aborting {
 		assigned.endRequested = true // the usual way, from here on
 		l.stopAllocations(job, now)
 		l.pendingCancellations[job] = true
@@ -116,17 +116,17 @@
 	record.SetVersion(uint64(item.Version))
 	reclaim.pendingDeletes[item.Key] = record
 	job := l.cluster.Jobs[id]
-	var chunk *model.TaskChunk
+	var chunk *cluster.TaskChunk
 	if ok && job != nil && allocation.chunkIndex < len(job.Chunks) {
 		chunk = job.Chunks[allocation.chunkIndex]
 		if !chunk.Stored { // else an earlier leader has moved it
 			l.cluster.ReclaimChunk(job, allocation.chunkIndex, &allocation.record, now)
-			l.records.chunkRecord(chunk).MarkDirty(now, writer.PriorityHigh)
+			l.records.chunkRecord(chunk).MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 	record.Build = func() (any, uint64) {
 		if chunk != nil && !chunk.Stored && !(job.IsTerminal() && job.AllocationCount == 0) {
-			return writer.NotReady, 0
+			return statestore.NotReady, 0
 		}
 		return nil, 0
 	}
@@ -136,7 +136,7 @@
 // deleteShardRecords deletes what is left of a share that was taken back.
 func (l *Leader) deleteShardRecords(shardName string, reclaim *shardReclaim, now micro.Time) {
 	for _, record := range reclaim.pendingDeletes {
-		record.MarkDirty(now, writer.PriorityHigh)
+		record.MarkDirty(now, statestore.PriorityHigh)
 	}
 	if len(reclaim.pendingDeletes) > 0 {
 		return // a next leader needs them to know where the allocations belong
@@ -147,7 +147,7 @@
 		}
 		assigned.storeRecord.Build = func() (any, uint64) { return nil, 0 }
 		assigned.storeRecord.OnCommitted = func(uint64) { l.dropAssignment(assigned) }
-		assigned.storeRecord.MarkDirty(now, writer.PriorityHigh)
+		assigned.storeRecord.MarkDirty(now, statestore.PriorityHigh)
 	}
 }
 
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -4,8 +4,8 @@
 	"context"
 	"errors"
 
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -13,7 +13,7 @@
 // storedAssignment is an assignment as a takeover reads it.
 type storedAssignment struct {
 	shardName  string
-	assignment share.Assignment
+	assignment shard.Assignment
 	version    uint64
 }
 
@@ -29,8 +29,8 @@
 		}
 	}
 	snapshot.assignments = map[string]*storedAssignment{}
-	revision, ok := l.readAll(ctx, share.AssignmentPrefix, func(item wire.Item) {
-		shardName, id, ok := share.ParseAssignmentKey(item.Key)
+	revision, ok := l.readAll(ctx, shard.AssignmentPrefix, func(item wire.Item) {
+		shardName, id, ok := shard.ParseAssignmentKey(item.Key)
 		stored := &storedAssignment{shardName: shardName, version: uint64(item.Version)}
 		if ok && wire.Unmarshal(item.Value, &stored.assignment) == nil {
 			snapshot.assignments[id] = stored
@@ -41,7 +41,7 @@
 	}
 	// The table is as new as the assignments: a share that was formed since holds none.
 	if _, err := l.node.readShardTable(ctx); err != nil {
-		l.log.Info("takeover read failed", "prefix", share.RecordPrefix, "err", err)
+		l.log.Info("takeover read failed", "prefix", shard.RecordPrefix, "err", err)
 		return l.sleep(tableReadRetry) && l.recoverAssignments(ctx, snapshot)
 	}
 	go l.watchAssignmentDeletions(ctx, revision)
@@ -49,7 +49,7 @@
 }
 
 // restoreAssignment notes that a job was assigned when this leader took over.
-func (l *Leader) restoreAssignment(j *model.Job, stored *storedAssignment) {
+func (l *Leader) restoreAssignment(j *cluster.Job, stored *storedAssignment) {
 	if stored == nil {
 		return
 	}
@@ -65,11 +65,11 @@
 		return
 	}
 	for _, assigned := range l.coordinator.assignedJobs {
-		if assigned.assignment.StopRequested && assigned.job.State == model.Assigned {
+		if assigned.assignment.StopRequested && assigned.job.State == cluster.Assigned {
 			assigned.cancelling = true
 			l.cluster.BeginAbort(assigned.job)
 		}
-		if assigned.job.State == model.Aborted {
+		if assigned.job.State == cluster.Aborted {
 			// Its user was told, and where its tasks run is not known yet.
 			assigned.cancelling, assigned.endRequested, assigned.fencedZones = true, true, l.node.Cfg.Facts.Zones
 		}
@@ -80,7 +80,7 @@
 // watchAssignmentDeletions finds the assignments that owners delete.
 func (l *Leader) watchAssignmentDeletions(ctx context.Context, revision uint64) {
 	for {
-		events, err := l.node.Store.Watch(ctx, share.AssignmentPrefix, revision, tableWatchTimeout)
+		events, err := l.node.Store.Watch(ctx, shard.AssignmentPrefix, revision, tableWatchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			l.resign("the store's history is too short to follow")
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -5,7 +5,7 @@
 
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -15,7 +15,7 @@
 // withShard declares a share of zone b, owned by n-2 at first.
 func withShard(sim *simCluster) {
 	sim.config.Shards = &config.Shards{MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000,
-		Declared: []config.DeclaredShard{{Name: "east", Selector: share.Selector{Zone: "b"}, Owner: "n-2"}}}
+		Declared: []config.DeclaredShard{{Name: "east", Selector: shard.Selector{Zone: "b"}, Owner: "n-2"}}}
 }
 
 // runShardScenario plays a scenario on a cluster with a share.
@@ -25,10 +25,10 @@
 }
 
 // shardRecord reads the record of the share from the store.
-func (w *simCluster) shardRecord() (share.Entry, bool) {
-	it, err := w.store.Get(w.ctx, store.Routine, share.RecordKey("east"))
+func (w *simCluster) shardRecord() (shard.Entry, bool) {
+	it, err := w.store.Get(w.ctx, store.Routine, shard.RecordKey("east"))
 	if err != nil {
-		return share.Entry{}, false
+		return shard.Entry{}, false
 	}
 	return parseShardRecord(it.Key, it.Value, uint64(it.Version))
 }
@@ -38,7 +38,7 @@
 	w.t.Helper()
 	w.waitUntil("the share is "+by+"'s", most, func() bool {
 		e, ok := w.shardRecord()
-		if !ok || e.Record.State != share.Owned || e.Record.Owner.Node != by {
+		if !ok || e.Record.State != shard.Owned || e.Record.Owner.Node != by {
 			return false
 		}
 		n := w.controllerNamed(by).runningNode()
@@ -61,7 +61,7 @@
 }
 
 // shardCommand gives an operator's command to some node until it is carried out or refused.
-func (w *simCluster) shardCommand(c share.Command) (reply share.CommandReply) {
+func (w *simCluster) shardCommand(c shard.Command) (reply shard.CommandReply) {
 	w.t.Helper()
 	w.waitUntil("the command is answered", micro.Minute, func() bool {
 		controller := w.randomUserNode()
@@ -91,7 +91,7 @@
 			sim.waitRunning(service, 3)
 			sim.waitRunning(other, 2)
 			sim.waitUntil("the owner tells of its machines and its job", micro.Minute, func() bool {
-				reply := sim.shardCommand(share.Command{Operation: share.OperationShow, Shard: "east"})
+				reply := sim.shardCommand(shard.Command{Operation: shard.OperationShow, Shard: "east"})
 				return len(reply.Shards) == 1 && reply.Shards[0].AssignedJobs == 1 && reply.Shards[0].MachineCount > 0
 			})
 			array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, runTime: 20 * micro.Second, runTimeStep: 5 * micro.Second, zone: "b"}).submit()
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -1,10 +1,10 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -20,24 +20,24 @@
 }
 
 // receiveStatusUpdate takes in what an owner tells, and answers it.
-func (l *Leader) receiveStatusUpdate(body []byte) (share.UpdateReply, bool) {
-	var update share.StatusUpdate
+func (l *Leader) receiveStatusUpdate(body []byte) (shard.UpdateReply, bool) {
+	var update shard.StatusUpdate
 	if l.coordinator == nil || wire.Unmarshal(body, &update) != nil {
-		return share.UpdateReply{}, false
+		return shard.UpdateReply{}, false
 	}
-	response, ok := l.callLoop(l.events, statusUpdateTimeout, func(reply func(front.Reply)) {
-		reply(front.Reply{Body: l.applyStatusUpdate(&update, l.node.Now())})
+	response, ok := l.callLoop(l.events, statusUpdateTimeout, func(reply func(httpapi.Reply)) {
+		reply(httpapi.Reply{Body: l.applyStatusUpdate(&update, l.node.Now())})
 	})
 	if !ok {
-		return share.UpdateReply{}, false
+		return shard.UpdateReply{}, false
 	}
-	return response.Body.(share.UpdateReply), true
+	return response.Body.(shard.UpdateReply), true
 }
 
 // applyStatusUpdate is touched, in the loop.
-func (l *Leader) applyStatusUpdate(update *share.StatusUpdate, now micro.Time) share.UpdateReply {
-	reply := share.UpdateReply{Term: l.term.FencingRevision, FinalStates: map[string]string{}, ProxyRenewalAge: map[string]int64{}}
-	owner := share.Controller{Node: update.Node, SessionVersion: wire.Count(update.SessionVersion)}
+func (l *Leader) applyStatusUpdate(update *shard.StatusUpdate, now micro.Time) shard.UpdateReply {
+	reply := shard.UpdateReply{Term: l.term.FencingRevision, FinalStates: map[string]string{}, ProxyRenewalAge: map[string]int64{}}
+	owner := shard.Controller{Node: update.Node, SessionVersion: wire.Count(update.SessionVersion)}
 	for i := range update.Shards {
 		shardUpdate := &update.Shards[i]
 		entry, ok := l.shardTable().Get(shardUpdate.Name)
@@ -58,7 +58,7 @@
 }
 
 // applyShardUpdate takes in what the owner of a share tells of it.
-func (l *Leader) applyShardUpdate(entry share.Entry, update *share.ShardUpdate, term uint64, now micro.Time) {
+func (l *Leader) applyShardUpdate(entry shard.Entry, update *shard.ShardUpdate, term uint64, now micro.Time) {
 	view := l.viewOf(entry.Name)
 	view.machineCount, view.idleMachines, view.pendingTasks = update.MachineCount, update.IdleMachines, update.PendingTasks
 	view.unreachable, view.demand = update.Unreachable, update.Demand
@@ -78,7 +78,7 @@
 		l.shardCancellationProgress(entry.Name, stopping, now)
 	}
 	for _, progress := range update.Progress {
-		if job := l.cluster.Jobs[progress.Job]; job != nil && job.Shard == entry.Name && job.State == model.Assigned {
+		if job := l.cluster.Jobs[progress.Job]; job != nil && job.Shard == entry.Name && job.State == cluster.Assigned {
 			job.ShardDoneTasks, job.ShardRunningTasks = progress.Done, progress.Running
 			l.adjustShardReservation(job, progress.AllocationsNeeded)
 		}
@@ -103,12 +103,12 @@
 // machineUpInShard notes a machine that reports to the owner of its share.
 func (l *Leader) machineUpInShard(name string) {
 	if m := l.cluster.Machines[name]; m != nil && m.OwnedElsewhere {
-		l.cluster.TransitionMachine(m, model.Up, "its share's owner says so")
+		l.cluster.TransitionMachine(m, cluster.Up, "its share's owner says so")
 	}
 }
 
 // acknowledgeStatus answers for the jobs and machines that an owner named, whoever owns them now.
-func (l *Leader) acknowledgeStatus(update *share.ShardUpdate, reply *share.UpdateReply) {
+func (l *Leader) acknowledgeStatus(update *shard.ShardUpdate, reply *shard.UpdateReply) {
 	for _, id := range update.FinishedJobs {
 		l.acknowledgeEnd(id, reply)
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func (l *Leader) acknowledgeEnd(id string, reply *share.UpdateReply) {
+func (l *Leader) acknowledgeEnd(id string, reply *shard.UpdateReply) {
 	end, over := l.cluster.FinalStatuses[id]
 	switch {
 	case !over:
--- a/internal/controller/simulation_machines_test.go
+++ b/internal/controller/simulation_machines_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"notchmux.dev/notchmux/internal/fake"
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -223,12 +223,12 @@
 	h.mu.Lock()
 	to := sim.controllers[h.controllerIndex]
 	h.mu.Unlock()
-	var got front.Reply
+	var got httpapi.Reply
 	ok := false
 	if h.heartbeatsLost() || sim.isPartitioned(h.agent.Zone, to.zone) {
 		time.Sleep(4 * time.Second)
 	} else {
-		got, ok = sim.callNode(to, "workers", 4*time.Second, func(node *Node) front.Reply {
+		got, ok = sim.callNode(to, "workers", 4*time.Second, func(node *Node) httpapi.Reply {
 			sim.waitAgentLatency()
 			defer sim.waitAgentLatency()
 			return node.Heartbeat(body)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -24,7 +24,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -402,16 +402,16 @@
 }
 
 // callNode asks a process, as one that waits for so long.
-func (w *simCluster) callNode(controller *controllerProcess, from string, wait time.Duration, ask func(*Node) front.Reply) (front.Reply, bool) {
+func (w *simCluster) callNode(controller *controllerProcess, from string, wait time.Duration, ask func(*Node) httpapi.Reply) (httpapi.Reply, bool) {
 	node := controller.runningNode()
 	if node == nil {
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 	if controller.partitionedFrom(from) {
 		time.Sleep(wait)
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
-	ch := make(chan front.Reply, 1)
+	ch := make(chan httpapi.Reply, 1)
 	go func() {
 		controller.waitWhileFrozen()
 		if controller.runningNode() == node {
@@ -426,11 +426,11 @@
 	case reply := <-ch:
 		if controller.runningNode() != node || controller.partitionedFrom(from) {
 			<-t.C
-			return front.Reply{}, false
+			return httpapi.Reply{}, false
 		}
 		return reply, true
 	case <-t.C:
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 }
 
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -85,34 +85,34 @@
 }
 
 // request sends one request to one node.
-func (j *userJob) request(controller *controllerProcess, wait time.Duration, ask func(*Node) front.Reply) front.Reply {
+func (j *userJob) request(controller *controllerProcess, wait time.Duration, ask func(*Node) httpapi.Reply) httpapi.Reply {
 	if controller == nil {
-		return front.Reply{}
+		return httpapi.Reply{}
 	}
 	knowledge := j.sim.checker.knowledgeOf(j.id)
 	r, ok := j.sim.callNode(controller, "users", wait, ask)
 	if !ok {
-		return front.Reply{}
+		return httpapi.Reply{}
 	}
 	j.sim.checker.checkAnswer(j.id, controller.name, knowledge, r)
 	return r
 }
 
-func (j *userJob) submitOnce(controller *controllerProcess) front.Reply {
-	return j.request(controller, 5*time.Second, func(n *Node) front.Reply { return n.Submit(j.body) })
+func (j *userJob) submitOnce(controller *controllerProcess) httpapi.Reply {
+	return j.request(controller, 5*time.Second, func(n *Node) httpapi.Reply { return n.Submit(j.body) })
 }
 
-func (j *userJob) queryStatus(controller *controllerProcess) front.Reply {
-	return j.request(controller, 2*time.Second, func(n *Node) front.Reply { return n.Status(j.id) })
+func (j *userJob) queryStatus(controller *controllerProcess) httpapi.Reply {
+	return j.request(controller, 2*time.Second, func(n *Node) httpapi.Reply { return n.Status(j.id) })
 }
 
-func (j *userJob) cancelOnce(controller *controllerProcess) front.Reply {
+func (j *userJob) cancelOnce(controller *controllerProcess) httpapi.Reply {
 	j.sim.checker.requestCancel(j.id)
-	return j.request(controller, 5*time.Second, func(n *Node) front.Reply { return n.Cancel(j.id) })
+	return j.request(controller, 5*time.Second, func(n *Node) httpapi.Reply { return n.Cancel(j.id) })
 }
 
 // state is what the answer says, "" if it says nothing.
-func replyState(r front.Reply) wire.JobState {
+func replyState(r httpapi.Reply) wire.JobState {
 	if s, ok := r.Body.(wire.JobStatus); ok && (r.Status == 200 || r.Status == 201) {
 		return s.State
 	}
--- a/internal/controller/status_batcher.go
+++ b/internal/controller/status_batcher.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/wire"
@@ -61,11 +61,11 @@
 type statusQuery struct {
 	leader string // as it was known when the poll came
 	id     string
-	reply  chan front.Reply // what the leader said; closed without a word: nothing
+	reply  chan httpapi.Reply // what the leader said; closed without a word: nothing
 }
 
 // queryLeader asks the leader for a job.
-func (n *Node) queryLeader(leader, id string) (front.Reply, bool) {
+func (n *Node) queryLeader(leader, id string) (httpapi.Reply, bool) {
 	batcher := &n.statusBatcher
 	now := n.Now()
 	batcher.mu.Lock()
@@ -80,7 +80,7 @@
 		defer func() { go n.sendBatches() }()
 		return n.queryLeaderForOne(leader, id)
 	}
-	query := &statusQuery{leader: leader, id: id, reply: make(chan front.Reply, 1)}
+	query := &statusQuery{leader: leader, id: id, reply: make(chan httpapi.Reply, 1)}
 	batcher.pending = append(batcher.pending, query)
 	if free {
 		batcher.callsInFlight++
@@ -93,25 +93,25 @@
 }
 
 // wait is what the leader says within a time.
-func (p *statusQuery) wait(timeout micro.Time) (front.Reply, bool) {
+func (p *statusQuery) wait(timeout micro.Time) (httpapi.Reply, bool) {
 	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
 	case r, ok := <-p.reply:
 		return r, ok
 	case <-timer.C:
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 }
 
 // queryLeaderForOne asks the leader for one job.
-func (n *Node) queryLeaderForOne(leader, id string) (front.Reply, bool) {
+func (n *Node) queryLeaderForOne(leader, id string) (httpapi.Reply, bool) {
 	status, out, err := n.callPeer(leader, peer.Status, []byte(id), peerCallTimeout)
 	if err != nil {
 		n.statusBatcher.backOff(n.Now())
 	}
 	if err != nil || status != 200 {
-		return front.Reply{}, false
+		return httpapi.Reply{}, false
 	}
 	return decodeReply(status, out)
 }
@@ -145,7 +145,7 @@
 	answers := n.queryLeaderForMany(batch[len(batch)-1].leader, batch)
 	for _, query := range batch {
 		if s, ok := answers[query.id]; ok {
-			query.reply <- front.Reply{Status: 200, Body: s}
+			query.reply <- httpapi.Reply{Status: 200, Body: s}
 		}
 		close(query.reply)
 	}
@@ -218,7 +218,7 @@
 	if len(known) == 0 {
 		return nil
 	}
-	result, ok := l.callLoop(l.queries, 400*micro.Millisecond, func(reply func(front.Reply)) {
+	result, ok := l.callLoop(l.queries, 400*micro.Millisecond, func(reply func(httpapi.Reply)) {
 		found := make([]wire.JobStatus, 0, len(known))
 		for _, id := range known {
 			if job := l.cluster.Jobs[id]; job != nil && !l.endUncertain(job) {
@@ -227,7 +227,7 @@
 				found = append(found, status)
 			}
 		}
-		reply(front.Reply{Body: found})
+		reply(httpapi.Reply{Body: found})
 	})
 	if !ok {
 		return nil
--- a/internal/controller/status_lookup.go
+++ b/internal/controller/status_lookup.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"errors"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"sync"
 	"time"
 
 	"golang.org/x/time/rate"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -97,25 +97,25 @@
 // not serve here.
 type statusLookup struct {
 	done  chan struct{}
-	reply front.Reply // valid once done is closed
+	reply httpapi.Reply // valid once done is closed
 }
 
 func newStatusLookup() *statusLookup { return &statusLookup{done: make(chan struct{})} }
 
-func (u *statusLookup) finish(r front.Reply) {
+func (u *statusLookup) finish(r httpapi.Reply) {
 	u.reply = r
 	close(u.done)
 }
 
 // wait is the answer for one poll.
-func (u *statusLookup) wait() front.Reply {
+func (u *statusLookup) wait() httpapi.Reply {
 	t := time.NewTimer(lookupTimeout.Duration())
 	defer t.Stop()
 	select {
 	case <-u.done:
 		return u.reply
 	case <-t.C:
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
 }
 
@@ -135,13 +135,13 @@
 }
 
 // lookUpStatus answers a poll that the leader's memory did not answer.
-func (n *Node) lookUpStatus(id string) front.Reply {
+func (n *Node) lookUpStatus(id string) httpapi.Reply {
 	if _, accepted := n.acceptedIDs.Load(id); accepted {
 		return n.joinRead(id).wait()
 	}
 	lookup, ok := n.joinBatch(id)
 	if !ok {
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
 	return lookup.wait()
 }
@@ -183,7 +183,7 @@
 // readWithinBudget reads a job if the budget allows. While the budget is short, jobs
 // that were answered lately leave it to the others: drawn by chance, some would
 // get no answer for too long.
-func (n *Node) readWithinBudget(id string) front.Reply {
+func (n *Node) readWithinBudget(id string) httpapi.Reply {
 	lookups, now := &n.statusLookups, n.Now()
 	lookups.mu.Lock()
 	answeredAt, answered := lookups.lastAnswered[id]
@@ -193,7 +193,7 @@
 		spare = requestsPerRead
 	}
 	if !n.lookupBudget.admit(requestsPerRead, spare) {
-		return front.RetryReply(503, 1)
+		return httpapi.RetryReply(503, 1)
 	}
 	reply := n.readAnywhere(id, store.StatusQuery)
 	if reply.Status == 200 {
@@ -215,7 +215,7 @@
 	defer lookups.mu.Unlock()
 	lookup := lookups.nextBatch[id]
 	if lookup == nil {
-		if len(lookups.nextBatch) >= writer.PreconditionsPerChange*n.Cfg.MaxTxnOps() {
+		if len(lookups.nextBatch) >= statestore.PreconditionsPerChange*n.Cfg.MaxTxnOps() {
 			return nil, false
 		}
 		lookup = newStatusLookup()
@@ -267,7 +267,7 @@
 
 func failBatch(batch map[string]*statusLookup) {
 	for _, lookup := range batch {
-		lookup.finish(front.RetryReply(503, 1))
+		lookup.finish(httpapi.RetryReply(503, 1))
 	}
 }
 
@@ -294,9 +294,9 @@
 			read := n.joinRead(id)
 			go func() { lookup.finish(read.wait()) }()
 		case err != nil:
-			lookup.finish(front.RetryReply(503, 1))
+			lookup.finish(httpapi.RetryReply(503, 1))
 		default:
-			lookup.finish(front.ErrorReply(404, "no such job"))
+			lookup.finish(httpapi.ErrorReply(404, "no such job"))
 		}
 	}
 }
@@ -344,7 +344,7 @@
 // accepted.
 func (n *Node) handleAccepted(body []byte) (int, []byte) {
 	var ids []string
-	if wire.Unmarshal(body, &ids) != nil || len(ids) > writer.PreconditionsPerChange*n.Cfg.MaxTxnOps() {
+	if wire.Unmarshal(body, &ids) != nil || len(ids) > statestore.PreconditionsPerChange*n.Cfg.MaxTxnOps() {
 		return 400, nil
 	}
 	if !n.lookupBudget.admit(1, requestsPerRead) {
@@ -385,7 +385,7 @@
 // readAnywhere reads a job's state from the store, or has a peer read it that
 // reaches the store. What is over the budget is not handed on: the other nodes'
 // budgets are for their own polls.
-func (n *Node) readAnywhere(id string, class store.Class) front.Reply {
+func (n *Node) readAnywhere(id string, class store.Class) httpapi.Reply {
 	storeUnreachable := n.Isolated()
 	if storeUnreachable { // the store is not worth waiting for before others were asked
 		if reply, ok := n.readByPeers(id); ok {
@@ -401,7 +401,7 @@
 			return reply
 		}
 	}
-	return front.RetryReply(503, 1)
+	return httpapi.RetryReply(503, 1)
 }
 
 // isRateLimited reports whether a request was refused for its rate, by this node or
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -14,7 +14,7 @@
 
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -188,7 +188,7 @@
 	id := fmt.Sprintf("j-%d", unknownIDBase+s.sent)
 	s.mu.Unlock()
 	from := time.Now()
-	reply, ok := s.sim.callNode(controller, "users", 2*time.Second, func(node *Node) front.Reply { return node.Status(id) })
+	reply, ok := s.sim.callNode(controller, "users", 2*time.Second, func(node *Node) httpapi.Reply { return node.Status(id) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ok {
@@ -306,8 +306,8 @@
 }
 
 // queryUnknown asks for an id that the checker does not know.
-func (j *userJob) queryUnknown(controller *controllerProcess) front.Reply {
-	r, _ := j.sim.callNode(controller, "users", 2*time.Second, func(n *Node) front.Reply { return n.Status(j.id) })
+func (j *userJob) queryUnknown(controller *controllerProcess) httpapi.Reply {
+	r, _ := j.sim.callNode(controller, "users", 2*time.Second, func(n *Node) httpapi.Reply { return n.Status(j.id) })
 	return r
 }
 
@@ -570,7 +570,7 @@
 func TestStatusQuerySharesNoLookupBegunBeforeTheJobWasAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env, node, _, gate := startGatedNode(t)
-		before, after := make(chan front.Reply, 1), make(chan front.Reply, 1)
+		before, after := make(chan httpapi.Reply, 1), make(chan httpapi.Reply, 1)
 		go func() { before <- node.Status("j-000001") }()
 		time.Sleep(2 * storeLatency.Duration()) // the store has answered, the node has not heard it
 		env.storeFinishedJob("j-000001")
@@ -595,7 +595,7 @@
 			t.Fatal(err)
 		}
 		node.rememberAccepted("j-000001")
-		before, after := make(chan front.Reply, 1), make(chan front.Reply, 1)
+		before, after := make(chan httpapi.Reply, 1), make(chan httpapi.Reply, 1)
 		go func() { before <- node.Status("j-000001") }()
 		time.Sleep(2 * storeLatency.Duration())
 		gate.release <- struct{}{}              // the records of its tasks
--- a/internal/controller/status_read.go
+++ b/internal/controller/status_read.go
@@ -5,16 +5,16 @@
 	"strings"
 	"time"
 
-	"notchmux.dev/notchmux/internal/front"
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
 
 // readByPeers asks the other nodes for what they read from the store.
-func (n *Node) readByPeers(id string) (front.Reply, bool) {
+func (n *Node) readByPeers(id string) (httpapi.Reply, bool) {
 	reply, ok := n.relay(peer.StoredStatus, []byte(id))
 	if status, isStatus := reply.Body.(wire.JobStatus); ok && isStatus {
 		n.finalStatuses.put(status)
@@ -31,32 +31,32 @@
 // a slow answer without one is none: while the store was slow, a user was told
 // that a job was done, and then, by a read begun before, that it was pending.
 // Polls have taken what it usually costs from their budget before.
-func (n *Node) readStatus(id string, class store.Class) (front.Reply, error) {
+func (n *Node) readStatus(id string, class store.Class) (httpapi.Reply, error) {
 	status := wire.JobStatus{ID: id, State: wire.JobPending}
-	var tally model.TaskCounter
+	var tally cluster.TaskCounter
 	err := n.readPrefix(class, "run/"+id+"/", func(rest string, value []byte) error { return tally.Add(rest, compactMark, value) })
 	if err != nil {
-		return front.Reply{}, err
+		return httpapi.Reply{}, err
 	}
 	status.Done, status.Running = tally.Count()
 	snapshot := newJobSnapshot()
 	readAt := n.Now()
 	if err = n.readJob(class, id, &snapshot); err != nil {
-		return front.Reply{}, err
+		return httpapi.Reply{}, err
 	}
 	spec, accepted := snapshot.specs[id]
 	end, over := snapshot.ends[id]
 	if !accepted && !over {
-		return front.ErrorReply(404, "no such job"), nil
+		return httpapi.ErrorReply(404, "no such job"), nil
 	}
 	if over {
 		status.State = end.State
 	} else if !snapshot.completeDependencies(&spec) {
-		return front.Reply{}, store.ErrUncertain
+		return httpapi.Reply{}, store.ErrUncertain
 	} else if len(spec.Dependencies) > 0 && status.Done+status.Running == 0 {
 		unmet, aborted, err := n.dependencyStatus(spec.Dependencies, class)
 		if err != nil {
-			return front.Reply{}, err
+			return httpapi.Reply{}, err
 		}
 		status.Dependencies = unmet
 		if aborted {
@@ -69,15 +69,15 @@
 			status.Done = spec.Tasks
 		}
 		n.finalStatuses.put(status)
-		return front.Reply{Status: 200, Body: status}, nil
+		return httpapi.Reply{Status: 200, Body: status}, nil
 	}
 	if n.Now()-readAt > maxReadAge {
-		return front.Reply{}, store.ErrUncertain
+		return httpapi.Reply{}, store.ErrUncertain
 	}
 	if status.Running > 0 {
 		status.State = wire.JobRunning
 	}
-	return front.Reply{Status: 200, Body: status}, nil
+	return httpapi.Reply{Status: 200, Body: status}, nil
 }
 
 // dependencyStatus reports whether a job that is needed, directly or through others, is
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -175,7 +175,7 @@
 						go job.cancel()
 					}
 					sim.waitUntil("the end told", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
-					if s := leader.jobStateInMemory(job.id); s != model.Done.String() && s != model.Aborted.String() {
+					if s := leader.jobStateInMemory(job.id); s != cluster.Done.String() && s != cluster.Aborted.String() {
 						met++
 					}
 					job.queryAllFor(1500 * micro.Millisecond)
@@ -211,7 +211,7 @@
 			})
 			sim.waitUntil("the end told", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
 			mu.Lock()
-			if s := leader.jobStateInMemory(job.id); tries < 2 || s != model.Finishing.String() {
+			if s := leader.jobStateInMemory(job.id); tries < 2 || s != cluster.Finishing.String() {
 				sim.t.Errorf("%d tries, the leader has %s", tries, s)
 			}
 			mu.Unlock()
@@ -225,9 +225,9 @@
 // allocationsIn is how many places a record names.
 func allocationsIn(c wire.Change) int {
 	switch r := c.Value.(type) {
-	case model.ChunkRecord:
+	case cluster.ChunkRecord:
 		return len(r.Allocations)
-	case model.CompactRecord:
+	case cluster.CompactRecord:
 		return len(r.Allocations)
 	}
 	return 0
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -4,16 +4,16 @@
 	"context"
 	"encoding/hex"
 	"fmt"
-	"notchmux.dev/notchmux/internal/writer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"reflect"
 	"testing"
 	"time"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
-	"notchmux.dev/notchmux/internal/keep"
+	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -47,14 +47,14 @@
 	due, zone := 900.0, "east"
 	return map[string]any{
 		v1Spec:              wire.Job{ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25, MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true, EstimateS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000},
-		v1Chunk:             model.ChunkRecord{Allocations: []model.AllocationRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Attempts: [][2]int{{135, 4}}},
-		v1End:               model.FinalStatusRecord{State: wire.JobAborted},
+		v1Chunk:             cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Attempts: [][2]int{{135, 4}}},
+		v1End:               cluster.FinalStatusRecord{State: wire.JobAborted},
 		v1InstanceRequest:   instanceRequestRecord{Request: wire.InstanceRequest{RequestID: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2}, Machines: []string{"i-000231", "i-000232"}, Answered: true, CreatedAt: 1700000000000000},
 		v1First:             firstProvisionedRecord{"i-000231"},
 		v1Leader:            election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
-		v1Images:            model.ImageRecord{Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}}},
-		v1LeaseProxyRequest: keep.Request{Node: "n-1", RenewedLeases: true, Echo: keep.LeaderTimestamp{Term: 7, At: 12345}},
-		v1LeaseProxyEcho:    keep.LeaderTimestamp{Term: 7, At: 12345},
+		v1Images:            cluster.ImageRecord{Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}}},
+		v1LeaseProxyRequest: leasekeeper.Request{Node: "n-1", RenewedLeases: true, Echo: leasekeeper.LeaderTimestamp{Term: 7, At: 12345}},
+		v1LeaseProxyEcho:    leasekeeper.LeaderTimestamp{Term: 7, At: 12345},
 		v1Status:            wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2},
 	}
 }
@@ -76,7 +76,7 @@
 // A size is measured in the form that the store counts: what it decodes, as JSON.
 func TestSizesAreMeasuredAsTheStoreCountsThem(t *testing.T) {
 	all := version1Values()
-	all["compact"] = (&model.ChunkRecord{Allocations: []model.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
+	all["compact"] = (&cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
 	all["format"], all["node"], all["needs"] = FormatRecord{2, 64}, nodeRecord{2}, dependencyRecord{[]string{"j-1", "j-2"}}
 	for _, value := range all {
 		var counted any
@@ -85,7 +85,7 @@
 		}
 		got, want := wire.JSONSize(value), wire.JSONSize(counted)
 		switch value.(type) {
-		case keep.Request, keep.LeaderTimestamp:
+		case leasekeeper.Request, leasekeeper.LeaderTimestamp:
 			continue // between nodes only
 		}
 		if _, user := value.(wire.Job); user && got >= want {
@@ -112,7 +112,7 @@
 
 func TestEarlierVersionReadsPastWhatWasAdded(t *testing.T) {
 	var e v1EndRecord
-	if err := wire.Unmarshal(wire.MustMarshal(model.FinalStatusRecord{State: wire.JobDone, EndedAt: 1700000000000000}), &e); err != nil || e.State != wire.JobDone {
+	if err := wire.Unmarshal(wire.MustMarshal(cluster.FinalStatusRecord{State: wire.JobDone, EndedAt: 1700000000000000}), &e); err != nil || e.State != wire.JobDone {
 		t.Errorf("%+v, %v", e, err)
 	}
 	var j v1Job
@@ -122,11 +122,11 @@
 }
 
 // storeVersion1Job leaves what a leader of the earlier version wrote of a job that runs.
-func (b *testCluster) storeVersion1Job(t *testing.T, places ...model.AllocationRecord) {
+func (b *testCluster) storeVersion1Job(t *testing.T, places ...cluster.AllocationRecord) {
 	t.Helper()
 	spec := wire.Job{ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: len(places), CPUs: 0.01, MemoryGB: 0.01, SubmittedAt: int64(micro.WallNow())}
 	_, err := b.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{
-		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: model.ChunkRecord{Allocations: places}}}})
+		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: cluster.ChunkRecord{Allocations: places}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,9 +135,9 @@
 // A place that one version misses in the other's records runs twice.
 func TestRunningTasksOfTheEarlierVersionAreKnownBeforeAndAfterTheGateOpens(t *testing.T) {
 	env := newTestCluster(t)
-	var places []model.AllocationRecord
+	var places []cluster.AllocationRecord
 	for i := range 100 {
-		places = append(places, model.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
+		places = append(places, cluster.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
 	}
 	env.storeVersion1Job(t, places...)
 	for _, open := range []bool{false, true, true} {
@@ -170,9 +170,9 @@
 			leader.post(func() {
 				for _, ch := range leader.cluster.Jobs["j-9"].Chunks {
 					leader.records.deleteLegacy(ch.Legacy)
-					leader.records.legacyRecords[ch.Legacy].MarkDirty(node.Now(), writer.PriorityHigh)
+					leader.records.legacyRecords[ch.Legacy].MarkDirty(node.Now(), statestore.PriorityHigh)
 				}
-				leader.records.firstProvisioned.MarkDirty(node.Now(), writer.PriorityHigh)
+				leader.records.firstProvisioned.MarkDirty(node.Now(), statestore.PriorityHigh)
 			})
 			waitUntil(t, "later writes done", func() bool {
 				_, err := env.store.Get(context.Background(), store.Routine, firstProvisionedKey)
--- a/internal/front/front.go
+++ b/internal/httpapi/server.go
@@ -1,5 +1,5 @@
-// Package front is the public address: users, health checks and workers.
-package front
+// Package httpapi is the public address: users, health checks and workers.
+package httpapi
 
 import (
 	"context"
--- a/internal/front/front_test.go
+++ b/internal/httpapi/server_test.go
@@ -1,4 +1,4 @@
-package front
+package httpapi
 
 import (
 	"context"
--- a/internal/keep/leasekeeper_test.go
+++ b/internal/leasekeeper/leasekeeper_test.go
@@ -1,4 +1,4 @@
-package keep
+package leasekeeper
 
 import (
 	"math/rand/v2"
--- a/internal/keep/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -1,4 +1,4 @@
-// Package keep lets the controllers inside a zone that is cut off from
+// Package leasekeeper lets the controllers inside a zone that is cut off from
 // everything keep the leases of that zone's workers alive for a while, so that
 // what runs there goes on. A keeper gives no orders and tells no user anything:
 // it only answers reports.
@@ -8,7 +8,7 @@
 // span from when it *sent* the last request that was answered in time, and only
 // after it has been out of touch for a while; and it confesses to having kept.
 // Ledger is the leader's side, which bounds what keepers may have done.
-package keep
+package leasekeeper
 
 import (
 	"sync"
--- a/internal/keep/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -1,4 +1,4 @@
-package keep
+package leasekeeper
 
 import (
 	"sync"
--- a/internal/sched/best_effort_test.go
+++ b/internal/scheduler/best_effort_test.go
@@ -1,11 +1,11 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -14,9 +14,9 @@
 // tasks, and ten of each of some other classes, all of the last rank.
 type bestEffortScenario struct {
 	*simulation
-	hugeArray   *model.Job
-	smallArrays []*model.Job
-	singleTasks []*model.Job
+	hugeArray   *cluster.Job
+	smallArrays []*cluster.Job
+	singleTasks []*cluster.Job
 
 	otherTeamDone int // tasks of the other teams
 	maxReserved   int // machines that were gathered at a time
@@ -33,10 +33,10 @@
 		configure(scenario.scheduler)
 	}
 	totalCPUs := float64(8 * bestEffortMachines)
-	scenario.cluster.Teams["host"] = &model.Team{Name: "host", GuaranteedCPUs: totalCPUs}
-	scenario.cluster.Teams["guest"] = &model.Team{Name: "guest", CPULimit: totalCPUs / 2}
+	scenario.cluster.Teams["host"] = &cluster.Team{Name: "host", GuaranteedCPUs: totalCPUs}
+	scenario.cluster.Teams["guest"] = &cluster.Team{Name: "guest", CPULimit: totalCPUs / 2}
 	submitted := 0
-	submit := func(team, class string, priority wire.Priority, tasks int) *model.Job {
+	submit := func(team, class string, priority wire.Priority, tasks int) *cluster.Job {
 		submitted++
 		return scenario.cluster.AddJob(wire.Job{ID: fmt.Sprint(healthyJobs, 10000+submitted), Team: team, Class: class, Kind: wire.JobArray, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1,
 			EstimateS: simulatedRun.Seconds()}, scenario.now, scenario.now)
@@ -89,7 +89,7 @@
 
 // countStartedWithin counts the jobs whose first task began to run within a time of their
 // submission.
-func (b *bestEffortScenario) countStartedWithin(jobs []*model.Job, limit micro.Time) int {
+func (b *bestEffortScenario) countStartedWithin(jobs []*cluster.Job, limit micro.Time) int {
 	count := 0
 	for _, job := range jobs {
 		for i := range job.Tasks {
@@ -109,7 +109,7 @@
 func TestTeamWithoutGuaranteeIsServedByStarvationReservations(t *testing.T) {
 	const limit = 4 * micro.Minute
 	scenario := runBestEffortScenario(t, bestEffortDuration, 0, nil)
-	for class, jobs := range map[string][]*model.Job{"tagging": {scenario.hugeArray}, "crawl": scenario.smallArrays, "spellcheck": scenario.singleTasks} {
+	for class, jobs := range map[string][]*cluster.Job{"tagging": {scenario.hugeArray}, "crawl": scenario.smallArrays, "spellcheck": scenario.singleTasks} {
 		started := scenario.countStartedWithin(jobs, limit)
 		t.Logf("%s: %d of %d began within four minutes", class, started, len(jobs))
 		if 2*started < len(jobs) {
--- a/internal/sched/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"strings"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -25,15 +25,15 @@
 
 // simulation is a cluster whose tasks run in simulated time.
 type simulation struct {
-	model.Effects   // what the model asks for beyond the methods below is an error
+	cluster.Effects // what the model asks for beyond the methods below is an error
 	t               *testing.T
-	cluster         *model.State
+	cluster         *cluster.State
 	scheduler       *Scheduler
 	agents          []*fake.Agent
 	now             micro.Time
 	token           uint64
 	schedulePending bool
-	dirtyChunks     map[*model.TaskChunk]bool
+	dirtyChunks     map[*cluster.TaskChunk]bool
 	stateSince      map[string]micro.Time // when a task on a worker began its present state
 	failsAfter      micro.Time            // for so long a task runs that fails
 	afterStep       func()                // called after each step
@@ -53,9 +53,9 @@
 )
 
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
-	sim := &simulation{t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*model.TaskChunk]bool{}, stateSince: map[string]micro.Time{}, failsAfter: micro.Second,
+	sim := &simulation{t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*cluster.TaskChunk]bool{}, stateSince: map[string]micro.Time{}, failsAfter: micro.Second,
 		starts: map[string]int{}, writes: map[string]int{}, lastStartedAt: map[string]micro.Time{}, quarantineTime: map[string]micro.Time{}}
-	sim.cluster = model.New(sim)
+	sim.cluster = cluster.New(sim)
 	sim.cluster.LeaseDuration = 30 * micro.Second
 	sim.cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 64, FetchGBPerS: 1}}})
 	properties := config.Defaults()
@@ -74,15 +74,15 @@
 	return sim
 }
 
-func (s *simulation) ChunkDirty(chunk *model.TaskChunk)              { s.dirtyChunks[chunk] = true }
-func (s *simulation) ChunkUrgent(chunk *model.TaskChunk)             { s.dirtyChunks[chunk] = true }
-func (s *simulation) DispatchSoon(*model.Machine)                    {}
-func (s *simulation) ScheduleSoon()                                  { s.schedulePending = true }
-func (s *simulation) Log(string, ...any)                             {}
-func (s *simulation) JobFinished(job *model.Job)                     { s.cluster.FinalizeJob(job, false, s.now) }
-func (s *simulation) AttemptCompleted(*model.Allocation, micro.Time) { s.completedRuns++ }
+func (s *simulation) ChunkDirty(chunk *cluster.TaskChunk)              { s.dirtyChunks[chunk] = true }
+func (s *simulation) ChunkUrgent(chunk *cluster.TaskChunk)             { s.dirtyChunks[chunk] = true }
+func (s *simulation) DispatchSoon(*cluster.Machine)                    {}
+func (s *simulation) ScheduleSoon()                                    { s.schedulePending = true }
+func (s *simulation) Log(string, ...any)                               {}
+func (s *simulation) JobFinished(job *cluster.Job)                     { s.cluster.FinalizeJob(job, false, s.now) }
+func (s *simulation) AttemptCompleted(*cluster.Allocation, micro.Time) { s.completedRuns++ }
 
-func (s *simulation) submitArray(id string, tasks int) *model.Job {
+func (s *simulation) submitArray(id string, tasks int) *cluster.Job {
 	return s.cluster.AddJob(wire.Job{ID: id, Class: id[:len(failingJobs)], Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds()}, s.now, s.now)
 }
 
@@ -149,8 +149,8 @@
 }
 
 func (s *simulation) heartbeat(agent *fake.Agent) {
-	m, outcome := s.cluster.Reconcile(agent.Heartbeat(), model.FromHeartbeat, s.now)
-	if outcome != model.Applied {
+	m, outcome := s.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, s.now)
+	if outcome != cluster.Applied {
 		s.t.Fatalf("%s: not taken", agent.Name)
 	}
 	commands := wire.Commands{FencingToken: wire.Count(s.token), Items: s.cluster.Commands(m, s.token, false, s.now)}
@@ -209,7 +209,7 @@
 	for _, id := range ids {
 		for i := range 8 {
 			startedAt, ok := s.lastStartedAt[wire.TaskName(id, i)]
-			if !ok || s.cluster.Jobs[id].State != model.Done {
+			if !ok || s.cluster.Jobs[id].State != cluster.Done {
 				s.t.Errorf("%s was not served: %d of 8 tasks done", id, s.cluster.Jobs[id].DoneTasks)
 				break
 			}
@@ -399,7 +399,7 @@
 		sim.cluster.FinalizeJob(job, true, sim.now)
 	}
 	sim.runFor(3 * micro.Second)
-	var jobs []*model.Job
+	var jobs []*cluster.Job
 	for i := range 2 {
 		jobs = append(jobs, sim.submitArray(fmt.Sprint(healthyJobs, 100+i), 1))
 	}
--- a/internal/sched/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -1,8 +1,8 @@
-package sched
+package scheduler
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 )
 
 // Work that can save may use machines with GPUs while these are idle. Stopping it
@@ -17,7 +17,7 @@
 // gpuHeadroom counts the machines that can take a task of a class of GPU jobs as they
 // are.
 type gpuHeadroom struct {
-	class     *model.Class
+	class     *cluster.Class
 	available int
 	target    int
 }
@@ -39,7 +39,7 @@
 
 // effectiveStartObjective is within how long jobs of a class should start, by its own objective
 // or by the teams' guarantees; 0 if nothing is said.
-func (s *Scheduler) effectiveStartObjective(class *model.Class) micro.Time {
+func (s *Scheduler) effectiveStartObjective(class *cluster.Class) micro.Time {
 	startObjective := s.Objectives.StartObjective(class.Name)
 	if guaranteed := s.Objectives.GuaranteedStart(); guaranteed > 0 && s.guaranteesGPUs() && (startObjective == 0 || guaranteed < startObjective) {
 		startObjective = guaranteed
@@ -56,7 +56,7 @@
 	return false
 }
 
-func (s *Scheduler) countFittingMachines(class *model.Class) int {
+func (s *Scheduler) countFittingMachines(class *cluster.Class) int {
 	count := 0
 	for _, pool := range s.Cluster.Pools {
 		if pool.MachineCount == 0 || !Allowed(class.LastJob, pool.Type, pool.Zone, pool.Spot) {
@@ -77,7 +77,7 @@
 // isHeadroom reports whether a machine is kept clear for a class of GPU jobs: it is
 // clear, no more are than tasks are about to arrive, and their start cannot wait
 // until a task of the given job has saved.
-func (s *Scheduler) isHeadroom(job *model.Job, m *model.Machine, class *model.Class) bool {
+func (s *Scheduler) isHeadroom(job *cluster.Job, m *cluster.Machine, class *cluster.Class) bool {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
 		if entry.class != class || entry.available > entry.target || m.Type.FetchGBPerS <= 0 {
@@ -92,7 +92,7 @@
 
 // updateHeadroom keeps the count of clear machines while a pass places tasks; it is told
 // before a task takes its place on a machine.
-func (s *Scheduler) updateHeadroom(job *model.Job, m *model.Machine) {
+func (s *Scheduler) updateHeadroom(job *cluster.Job, m *cluster.Machine) {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
 		spec := entry.class.LastJob
--- a/internal/sched/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -1,13 +1,13 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
 	"strconv"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -20,15 +20,15 @@
 
 // newGPUCluster is a site of GPU machines whose GPU jobs arrive one a second, with images
 // that take 14 s, and an idle array that could fill all machines.
-func newGPUCluster(t *testing.T, objectives ...config.Objective) (*Scheduler, *model.Job) {
+func newGPUCluster(t *testing.T, objectives ...config.Objective) (*Scheduler, *cluster.Job) {
 	t.Helper()
-	state := model.New(discardEffects{})
+	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 0.5, Zones: []string{"a"}}}})
-	state.Teams["team"] = &model.Team{Name: "team", GuaranteedGPUs: 100}
+	state.Teams["team"] = &cluster.Team{Name: "team", GuaranteedGPUs: 100}
 	for i := range gpuMachines {
 		machine := state.EnsureMachine("i-"+strconv.Itoa(1000+i), 1)
 		state.DescribeMachine(machine, "gpu", "a", false)
-		state.TransitionMachine(machine, model.Up, "reports")
+		state.TransitionMachine(machine, cluster.Up, "reports")
 	}
 	gang := state.AddJob(wire.Job{ID: "j-gang", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 1, CPUs: 24 - cpusBesideGPUTask, GPUs: 4, MemoryGB: 150, ImageGB: 7}, testNow, testNow)
 	for at := testNow - 2*micro.Minute; at < testNow; at += micro.Second {
--- a/internal/sched/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -1,13 +1,13 @@
-package sched
+package scheduler
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
 // Allowed reports whether the job may use machines of a type, zone and kind.
-func Allowed(spec *wire.Job, typ *model.MachineType, zone string, spot bool) bool {
+func Allowed(spec *wire.Job, typ *cluster.MachineType, zone string, spot bool) bool {
 	if spot && !spec.Spot || spec.Zone != nil && *spec.Zone != zone {
 		return false
 	}
@@ -26,7 +26,7 @@
 }
 
 // ZoneAllowed checks one-zone and spread rules against every place still taken.
-func ZoneAllowed(job *model.Job, zone string, tasksByZone map[string]int) bool {
+func ZoneAllowed(job *cluster.Job, zone string, tasksByZone map[string]int) bool {
 	if job.Spec.OneZone {
 		for z, n := range job.AllocationsByZone {
 			if n > 0 && z != zone { // also where the zone is not known
@@ -45,7 +45,7 @@
 
 // fits checks the scaled request, which guides, and the raw one, which the
 // worker enforces.
-func fits(request resources, m *model.Machine, taken *resources, freed resources) bool {
+func fits(request resources, m *cluster.Machine, taken *resources, freed resources) bool {
 	var planned resources
 	if taken != nil {
 		planned = *taken
@@ -64,7 +64,7 @@
 // GPU jobs seen so far: a GPU that lacks CPUs beside it serves nobody. Work that
 // can save, and yields to the GPU jobs' rank well within the time they have to
 // start, may use the room meanwhile.
-func (s *Scheduler) keepsGPUHeadroom(job *model.Job, machine *model.Machine) bool {
+func (s *Scheduler) keepsGPUHeadroom(job *cluster.Job, machine *cluster.Machine) bool {
 	if job.Spec.GPUs > 0 || machine.Type.GPUs == 0 {
 		return true
 	}
@@ -100,7 +100,7 @@
 	return r.score > other.score
 }
 
-func (s *Scheduler) rankPool(spec *wire.Job, pool *model.MachinePool, preferOnDemand bool) poolRank {
+func (s *Scheduler) rankPool(spec *wire.Job, pool *cluster.MachinePool, preferOnDemand bool) poolRank {
 	rank := poolRank{score: Score(spec.CPUs, pool.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2)}
 	if rank.score == 0 {
 		rank.tier += 8
@@ -119,13 +119,13 @@
 // lost before, or could not be done twice in time. Tasks that were lost went back
 // to spot machines and were lost again, and with them arrays of a hundred tasks
 // were late.
-func (s *Scheduler) prefersOnDemand(job *model.Job, i int, now micro.Time) bool {
+func (s *Scheduler) prefersOnDemand(job *cluster.Job, i int, now micro.Time) bool {
 	return job.Spec.Spot && job.Spec.CheckpointIntervalS == 0 && (job.Tasks[i].Attempt > 0 || !s.Objectives.CanRunTwice(job, now))
 }
 
 // candidate is the best machine so far.
 type candidate struct {
-	machine      *model.Machine
+	machine      *cluster.Machine
 	remainingCPU float64
 	hasImage     bool
 	wholeMachine bool // the task takes a whole machine, and its image takes long
@@ -136,7 +136,7 @@
 
 // takesWholeMachine reports whether a task takes all GPUs of a machine, so that how
 // tightly it fits is of no use to anyone, while its image would take long.
-func takesWholeMachine(spec *wire.Job, t *model.MachineType) bool {
+func takesWholeMachine(spec *wire.Job, t *cluster.MachineType) bool {
 	return spec.GPUs > 0 && spec.GPUs >= t.GPUs-eps && spec.ImageGB > longImageFetch.Seconds()*t.FetchGBPerS
 }
 
@@ -163,7 +163,7 @@
 // score 0 last. The score is the same for all machines of a pool, whose rows
 // are in order of room: the first row that has a machine with room holds the
 // pool's tightest fit.
-func (s *Scheduler) bestMachine(job *model.Job, planned map[*model.Machine]*resources, tasksByZone map[string]int, zone string, limitPrice, preferOnDemand bool, now micro.Time) *model.Machine {
+func (s *Scheduler) bestMachine(job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, limitPrice, preferOnDemand bool, now micro.Time) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
 	for _, pool := range s.Cluster.Pools {
@@ -194,12 +194,12 @@
 	return best.machine
 }
 
-func (s *Scheduler) evaluate(job *model.Job, m *model.Machine, request resources, taken float64) candidate {
+func (s *Scheduler) evaluate(job *cluster.Job, m *cluster.Machine, request resources, taken float64) candidate {
 	return candidate{m, m.Type.CPUs - m.UsedScaledCPU - taken - request.ScaledCPU, m.HasImage(job.Spec.Image), takesWholeMachine(&job.Spec, m.Type)}
 }
 
 // tightestFit finds the machine of a pool with the least room left.
-func (s *Scheduler) tightestFit(job *model.Job, pool *model.MachinePool, request resources, firstRow int, planned map[*model.Machine]*resources, now micro.Time) candidate {
+func (s *Scheduler) tightestFit(job *cluster.Job, pool *cluster.MachinePool, request resources, firstRow int, planned map[*cluster.Machine]*resources, now micro.Time) candidate {
 	var best candidate
 	for row := firstRow; row < pool.Rows(); row++ {
 		machines := pool.Row(row)
@@ -227,7 +227,7 @@
 }
 
 // mayUse reports whether a machine of a suitable pool may take the job's tasks.
-func (s *Scheduler) mayUse(job *model.Job, m *model.Machine, now micro.Time) bool {
+func (s *Scheduler) mayUse(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return s.Cluster.MachineReachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) && (s.relaxation >= relaxReservations || s.keepsGPUHeadroom(job, m))
 }
 
@@ -235,7 +235,7 @@
 // are others. As a last resort it is tried again, but not soon after it last
 // failed, and by one job first: one that is really faulty would fail the tasks of
 // all that wait.
-func (s *Scheduler) excludes(job *model.Job, m *model.Machine, now micro.Time) bool {
+func (s *Scheduler) excludes(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	if s.relaxation >= relaxQuarantine {
 		return m.LastFaultAt > 0 && (now-m.LastFaultAt < overdueAfter || onProbation(job, m, now))
 	}
@@ -248,7 +248,7 @@
 
 // onProbation reports whether another job tries an avoided machine, and has not done so
 // for long enough to tell.
-func onProbation(job *model.Job, m *model.Machine, now micro.Time) bool {
+func onProbation(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	tried := false
 	for _, allocation := range m.Allocations {
 		if !allocation.LastResort || allocation.Job == job {
@@ -264,16 +264,16 @@
 
 // reservedForOther reports whether a machine is kept for another job. Reservations follow
 // one another; room that none of them used for long is open to late work.
-func (s *Scheduler) reservedForOther(job *model.Job, m *model.Machine, now micro.Time) bool {
+func (s *Scheduler) reservedForOther(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) && (s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
 }
 
 // reservationBlocks reports whether a machine reserved for another job is closed to this
 // one: one that is being cleared by preemption to its rank and those below, one
 // that is gathered for work that waited long to all but the first rank.
-func reservationBlocks(m *model.Machine, job *model.Job) bool {
+func reservationBlocks(m *cluster.Machine, job *cluster.Job) bool {
 	holder := m.ReservedFor
-	if holder.State != model.Active {
+	if holder.State != cluster.Active {
 		return false
 	}
 	return holder.PriorityLevel <= job.PriorityLevel || m.StarvationReservation && job.PriorityLevel > 0
--- a/internal/sched/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -1,9 +1,9 @@
-package sched
+package scheduler
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 )
 
 // Objectives are the objectives by class.
@@ -44,7 +44,7 @@
 }
 
 // AppliesTo reports whether any objective says when a job should start or end.
-func (o *Objectives) AppliesTo(job *model.Job) bool {
+func (o *Objectives) AppliesTo(job *cluster.Job) bool {
 	class := job.Spec.Class
 	return len(o.startWithin[class]) > 0 || len(o.finishWithin[class]) > 0 || len(o.deadlineFactors[class]) > 0 || job.DeadlineSource != nil
 }
@@ -55,7 +55,7 @@
 
 // EstimatedRuntime is how long a task of the job is expected to run, from its owner's
 // estimate and what its class has shown.
-func EstimatedRuntime(job *model.Job) micro.Time {
+func EstimatedRuntime(job *cluster.Job) micro.Time {
 	return micro.Time(float64(micro.FromSeconds(job.Spec.EstimateS)) * job.Class.EstimateBias)
 }
 
@@ -65,7 +65,7 @@
 // LatestStart is the latest time at which the job's tasks can start and still
 // meet the nearest objective that can be met; a job past them all comes later
 // than any that is not.
-func (o *Objectives) LatestStart(job *model.Job, now micro.Time) micro.Time {
+func (o *Objectives) LatestStart(job *cluster.Job, now micro.Time) micro.Time {
 	runtime := EstimatedRuntime(job) + micro.FromSeconds(job.Spec.ImageGB)
 	latest := PlanningHorizon + job.EligibleSince
 	consider := func(start micro.Time) {
@@ -87,7 +87,7 @@
 
 // eachDeadline gives the times by which deadlines ask a job to be done: its own, or that
 // of the job whose deadline it inherits, less what comes after it.
-func (o *Objectives) eachDeadline(job *model.Job, visit func(micro.Time)) {
+func (o *Objectives) eachDeadline(job *cluster.Job, visit func(micro.Time)) {
 	source := job.DeadlineSource
 	if source == nil {
 		return
@@ -104,7 +104,7 @@
 // CanRunTwice reports whether a job's tasks could run twice in a row, begun now, and
 // still meet an objective on finishing that they can meet at all; also if there
 // is none.
-func (o *Objectives) CanRunTwice(job *model.Job, now micro.Time) bool {
+func (o *Objectives) CanRunTwice(job *cluster.Job, now micro.Time) bool {
 	runtime := EstimatedRuntime(job) + micro.FromSeconds(job.Spec.ImageGB)
 	nearest := micro.Time(0) // the nearest that can be met
 	consider := func(due micro.Time) {
--- a/internal/sched/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -1,8 +1,8 @@
-package sched
+package scheduler
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -35,7 +35,7 @@
 // ExplainPending says why a job with tasks to place has not been given room. It looks at the
 // machines that have room for one of its tasks, so it costs about as much as a try
 // to place that.
-func (s *Scheduler) ExplainPending(job *model.Job, now micro.Time) PendingReason {
+func (s *Scheduler) ExplainPending(job *cluster.Job, now micro.Time) PendingReason {
 	needed := minAllocations(job)
 	switch {
 	case job.GangStopping || job.Spec.Kind == wire.Gang && job.AllocationCount > 0:
@@ -68,7 +68,7 @@
 }
 
 // explainMachine says what keeps a job from a machine that has room.
-func (s *Scheduler) explainMachine(job *model.Job, pool *model.MachinePool, machine *model.Machine, now micro.Time) PendingReason {
+func (s *Scheduler) explainMachine(job *cluster.Job, pool *cluster.MachinePool, machine *cluster.Machine, now micro.Time) PendingReason {
 	switch {
 	case !ZoneAllowed(job, pool.Zone, nil):
 		return ReasonZoneConstraint
--- a/internal/sched/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,10 +1,10 @@
-package sched
+package scheduler
 
 import (
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -33,9 +33,9 @@
 )
 
 // reserveMachine reserves a machine for a job.
-func (s *Scheduler) reserveMachine(m *model.Machine, job *model.Job, starvationReservation bool, now micro.Time) {
+func (s *Scheduler) reserveMachine(m *cluster.Machine, job *cluster.Job, starvationReservation bool, now micro.Time) {
 	if s.reservedMachines == nil {
-		s.reservedMachines = map[*model.Machine]bool{}
+		s.reservedMachines = map[*cluster.Machine]bool{}
 	}
 	if m.UnusedReservationSince == 0 || now-m.UnusedReservationEndedAt > reservationGap {
 		m.UnusedReservationSince = now
@@ -47,7 +47,7 @@
 // expireReservations gives up reservations that are used, over or too old.
 func (s *Scheduler) expireReservations(now micro.Time) {
 	for _, team := range s.Cluster.Teams {
-		if job := team.QuotaReservedFor; job != nil && (job.State != model.Active || job.PendingTasks() == 0 || job.AllocationCount > 0 || now-team.QuotaReservedAt > starvationReservationTTL) {
+		if job := team.QuotaReservedFor; job != nil && (job.State != cluster.Active || job.PendingTasks() == 0 || job.AllocationCount > 0 || now-team.QuotaReservedAt > starvationReservationTTL) {
 			team.QuotaReservedFor, team.QuotaReservableAfter = nil, now+quotaReservationBackoff
 		}
 	}
@@ -56,7 +56,7 @@
 		if machine.StarvationReservation {
 			ttl = starvationReservationTTL
 		}
-		if holder != nil && (holder.State != model.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl || !machine.Schedulable(now)) {
+		if holder != nil && (holder.State != cluster.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl || !machine.Schedulable(now)) {
 			machine.ReservedFor, machine.UnusedReservationEndedAt = nil, now
 		}
 		if machine.ReservedFor == nil {
@@ -67,7 +67,7 @@
 }
 
 // countReserved is how many machines are reserved for a job.
-func (s *Scheduler) countReserved(job *model.Job) int {
+func (s *Scheduler) countReserved(job *cluster.Job) int {
 	count := 0
 	for m := range s.reservedMachines {
 		if m.ReservedFor == job {
@@ -80,7 +80,7 @@
 // preempt stops work of lower rank so that the given tasks fit, if that is
 // possible for all of them (for an array: for some), and reports whether room is
 // coming.
-func (s *Scheduler) preempt(job *model.Job, idx []int, zone string, now micro.Time) bool {
+func (s *Scheduler) preempt(job *cluster.Job, idx []int, zone string, now micro.Time) bool {
 	reserved := s.countReserved(job)
 	gang := job.Spec.Kind == wire.Gang
 	if reserved >= len(idx) || !gang && reserved > 0 {
@@ -93,10 +93,10 @@
 		}
 		idx = idx[:min(len(idx), limit)]
 	}
-	planned, tasksByZone := map[*model.Machine]*resources{}, map[string]int{}
-	freed := map[*model.Machine]*resources{}
-	chosen := map[*model.Allocation]bool{}
-	var targets []*model.Machine
+	planned, tasksByZone := map[*cluster.Machine]*resources{}, map[string]int{}
+	freed := map[*cluster.Machine]*resources{}
+	chosen := map[*cluster.Allocation]bool{}
+	var targets []*cluster.Machine
 	for range idx {
 		machine, victims := s.victims(job, planned, tasksByZone, freed, chosen, zone, now)
 		if machine == nil {
@@ -142,16 +142,16 @@
 	return true
 }
 
-func allocatedResources(allocation *model.Allocation) resources {
+func allocatedResources(allocation *cluster.Allocation) resources {
 	spec := &allocation.Job.Spec
 	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: allocation.ScaledCPU}
 }
 
 // victims finds the machine where making room for one task loses least, among a
 // sample of those that could make it.
-func (s *Scheduler) victims(job *model.Job, planned map[*model.Machine]*resources, tasksByZone map[string]int, freed map[*model.Machine]*resources, chosen map[*model.Allocation]bool, zone string, now micro.Time) (*model.Machine, []*model.Allocation) {
-	var best *model.Machine
-	var bestVictims []*model.Allocation
+func (s *Scheduler) victims(job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, freed map[*cluster.Machine]*resources, chosen map[*cluster.Allocation]bool, zone string, now micro.Time) (*cluster.Machine, []*cluster.Allocation) {
+	var best *cluster.Machine
+	var bestVictims []*cluster.Allocation
 	bestCost, examined := 0.0, 0
 	for _, pool := range s.Cluster.Pools {
 		if pool.MachineCount == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, tasksByZone) || s.rejectsPrice(job, pool, now) {
@@ -184,18 +184,18 @@
 // rejectsPrice reports whether room is dear for a job that would not take it once it
 // is cleared. Machines that stood empty were reserved for such jobs, again and
 // again, and closed to all others.
-func (s *Scheduler) rejectsPrice(job *model.Job, pool *model.MachinePool, now micro.Time) bool {
+func (s *Scheduler) rejectsPrice(job *cluster.Job, pool *cluster.MachinePool, now micro.Time) bool {
 	return (job.PriorityLevel > 0 || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now)
 }
 
 // victimsOn lists what must go from a machine for a task to fit.
-func (s *Scheduler) victimsOn(job *model.Job, machine *model.Machine, request resources, planned, freed *resources, chosen map[*model.Allocation]bool, now micro.Time) (victims []*model.Allocation, cost float64, ok bool) {
+func (s *Scheduler) victimsOn(job *cluster.Job, machine *cluster.Machine, request resources, planned, freed *resources, chosen map[*cluster.Allocation]bool, now micro.Time) (victims []*cluster.Allocation, cost float64, ok bool) {
 	var freedTotal resources
 	if freed != nil {
 		freedTotal = *freed
 	}
 	type cand struct {
-		v    *model.Allocation
+		v    *cluster.Allocation
 		loss float64
 	}
 	var options []cand
@@ -227,7 +227,7 @@
 }
 
 // preemptionCost is what stopping a place costs: work that is not saved, weighted by rank.
-func (s *Scheduler) preemptionCost(allocation *model.Allocation, now micro.Time) float64 {
+func (s *Scheduler) preemptionCost(allocation *cluster.Allocation, now micro.Time) float64 {
 	cost := 1.0
 	if allocation.RunningSince > 0 {
 		unsaved := (now - allocation.RunningSince).Seconds()
--- a/internal/sched/relaxation.go
+++ b/internal/scheduler/relaxation.go
@@ -1,8 +1,8 @@
-package sched
+package scheduler
 
 import (
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 )
 
 // The ordinary rules leave room unused for good reasons: machines that are
@@ -16,7 +16,7 @@
 const overdueAfter = micro.Minute
 
 // isOverdue reports whether the ordinary rules give way for a job.
-func isOverdue(job *model.Job, now micro.Time) bool { return now-job.WaitingSince >= overdueAfter }
+func isOverdue(job *cluster.Job, now micro.Time) bool { return now-job.WaitingSince >= overdueAfter }
 
 // relaxation says which of the ordinary rules give way.
 type relaxation uint8
@@ -31,7 +31,7 @@
 // fallbackMachine chooses a machine for a late job's task once nothing was found by the
 // ordinary rules. It looks at all machines: samples may miss the only one with
 // room.
-func (s *Scheduler) fallbackMachine(job *model.Job, planned map[*model.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time) *model.Machine {
+func (s *Scheduler) fallbackMachine(job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time) *cluster.Machine {
 	sampling := s.sampling
 	defer func() { s.relaxation, s.sampling = relaxNone, sampling }()
 	s.sampling = false
--- a/internal/sched/relaxation_test.go
+++ b/internal/scheduler/relaxation_test.go
@@ -1,13 +1,13 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
 	"strconv"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -17,32 +17,32 @@
 // testCluster is a cluster that tests put machines and jobs into.
 type testCluster struct {
 	*testing.T
-	cluster   *model.State
+	cluster   *cluster.State
 	scheduler *Scheduler
 }
 
 func newTestCluster(t *testing.T) *testCluster {
-	state := model.New(discardEffects{})
+	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 64}}})
 	properties := config.Defaults()
 	return &testCluster{t, state, &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}}
 }
 
-func (tc *testCluster) addMachine(name, typ, zone string) *model.Machine {
+func (tc *testCluster) addMachine(name, typ, zone string) *cluster.Machine {
 	m := tc.cluster.EnsureMachine(name, 1)
 	tc.cluster.DescribeMachine(m, typ, zone, false)
-	tc.cluster.TransitionMachine(m, model.Up, "reports")
+	tc.cluster.TransitionMachine(m, cluster.Up, "reports")
 	return m
 }
 
 // submitArray submits a job at a time.
-func (tc *testCluster) submitArray(id string, tasks int, cpus float64, at micro.Time) *model.Job {
+func (tc *testCluster) submitArray(id string, tasks int, cpus float64, at micro.Time) *cluster.Job {
 	return tc.cluster.AddJob(wire.Job{ID: id, Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateS: 10}, at, at)
 }
 
 // runUntilAllocated lets passes go by, one a second, and says when the job had so many
 // places, and where the first is.
-func (tc *testCluster) runUntilAllocated(job *model.Job, want int, from micro.Time, each func(now micro.Time)) (micro.Time, string) {
+func (tc *testCluster) runUntilAllocated(job *cluster.Job, want int, from micro.Time, each func(now micro.Time)) (micro.Time, string) {
 	tc.Helper()
 	for now := from; now < from+20*micro.Minute; now += micro.Second {
 		if each != nil {
@@ -79,7 +79,7 @@
 	for _, kind := range []wire.JobKind{wire.JobArray, wire.Gang} {
 		tc := newTestCluster(t)
 		tc.addMachine("gpu-1", "gpu", "a")
-		tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
+		tc.scheduler.WithinPrice = func(*cluster.Job, *cluster.MachineType, bool, micro.Time) bool { return false }
 		job := tc.cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: 2, CPUs: 1}, micro.Second, micro.Second)
 		at, _ := tc.runUntilAllocated(job, 2, micro.Second, nil)
 		tc.checkOverdueWait("dear room, "+string(kind), at-micro.Second)
@@ -94,7 +94,7 @@
 	fail := func(now micro.Time) { machine.QuarantinedUntil, machine.LastFaultAt = now+10*micro.Minute, now }
 	fail(micro.Second)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.scheduler.WithinPrice = func(_ *model.Job, typ *model.MachineType, _ bool, _ micro.Time) bool { return typ.GPUs == 0 }
+	tc.scheduler.WithinPrice = func(_ *cluster.Job, typ *cluster.MachineType, _ bool, _ micro.Time) bool { return typ.GPUs == 0 }
 	if _, machineName := tc.runUntilAllocated(tc.submitArray("j-1", 1, 4, micro.Second), 1, micro.Second, nil); machineName != "gpu-1" {
 		t.Fatalf("on %s, though other room was left", machineName)
 	}
@@ -174,11 +174,11 @@
 // it: the rest of the limit lay idle.
 func TestUnusedQuotaReservationIsOpenToTheTeamsOtherJobs(t *testing.T) {
 	tc := newTestCluster(t)
-	tc.cluster.Teams["team"] = &model.Team{Name: "team", CPULimit: 8}
+	tc.cluster.Teams["team"] = &cluster.Team{Name: "team", CPULimit: 8}
 	for i := range 3 {
 		tc.addMachine("i-"+strconv.Itoa(1+i), "small", "a")
 	}
-	submit := func(id string, kind wire.JobKind, tasks int, at micro.Time) *model.Job {
+	submit := func(id string, kind wire.JobKind, tasks int, at micro.Time) *cluster.Job {
 		return tc.cluster.AddJob(wire.Job{ID: id, Team: "team", Class: id, Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: 4}, at, at)
 	}
 	submit("j-1", wire.Service, 1, 0)
@@ -205,7 +205,7 @@
 	tc := newTestCluster(t)
 	tc.addMachine("i-1", "small", "a")
 	tc.addMachine("i-2", "small", "b")
-	gang := func(id string, oneZone bool) *model.Job {
+	gang := func(id string, oneZone bool) *cluster.Job {
 		return tc.cluster.AddJob(wire.Job{ID: id, Class: "c", Kind: wire.Gang, Priority: wire.Normal, Tasks: 2, CPUs: 4, OneZone: oneZone}, 0, 0)
 	}
 	gang("j-1", true)
@@ -220,7 +220,7 @@
 func TestUnschedulableNewJobDoesNotBlockAnOverdueOne(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
+	tc.scheduler.WithinPrice = func(*cluster.Job, *cluster.MachineType, bool, micro.Time) bool { return false }
 	due := 500.0
 	tc.cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, DeadlineS: &due}, 60*micro.Second, 60*micro.Second) // before the other in each pass
 	job := tc.submitArray("j-2", 1, 1, 10*micro.Second)
@@ -283,7 +283,7 @@
 		tc := newTestCluster(t)
 		machine := tc.addMachine("gpu-1", "gpu", "a")
 		if expensive {
-			tc.scheduler.WithinPrice = func(*model.Job, *model.MachineType, bool, micro.Time) bool { return false }
+			tc.scheduler.WithinPrice = func(*cluster.Job, *cluster.MachineType, bool, micro.Time) bool { return false }
 		} else {
 			tc.cluster.EnsureClass("g").LastJob = &wire.Job{GPUs: 4, CPUs: 8, MemoryGB: 64, Priority: wire.High}
 		}
--- a/internal/sched/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -1,33 +1,33 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
 	"strconv"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
-type discardEffects struct{ model.Effects }
+type discardEffects struct{ cluster.Effects }
 
-func (discardEffects) ScheduleSoon()                 {}
-func (discardEffects) Log(string, ...any)            {}
-func (discardEffects) ChunkDirty(*model.TaskChunk)   {}
-func (discardEffects) ChunkUrgent(*model.TaskChunk)  {}
-func (discardEffects) DispatchSoon(m *model.Machine) {}
+func (discardEffects) ScheduleSoon()                   {}
+func (discardEffects) Log(string, ...any)              {}
+func (discardEffects) ChunkDirty(*cluster.TaskChunk)   {}
+func (discardEffects) ChunkUrgent(*cluster.TaskChunk)  {}
+func (discardEffects) DispatchSoon(m *cluster.Machine) {}
 
 // newLargeCluster is a cluster with a job of the most tasks and more machines than a
 // sample holds.
 func newLargeCluster(machines int) *Scheduler {
-	state := model.New(discardEffects{})
+	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range machines {
 		m := state.EnsureMachine("i-"+strconv.Itoa(1000+i), 1)
 		state.DescribeMachine(m, "small", "a", false)
-		state.TransitionMachine(m, model.Up, "reports")
+		state.TransitionMachine(m, cluster.Up, "reports")
 	}
 	job := state.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0)
 	job.DoneTasks = 1 // it is known not to fail everywhere, see model.Job.Openings
@@ -56,11 +56,11 @@
 }
 
 // fullSearch is the design's choice by a full search over all machines.
-func fullSearch(scheduler *Scheduler, job *model.Job, now micro.Time) *model.Machine {
+func fullSearch(scheduler *Scheduler, job *cluster.Job, now micro.Time) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
 	for _, machine := range scheduler.Cluster.SortedMachines() {
-		pool := &model.MachinePool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+		pool := &cluster.MachinePool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 		request := requestOn(&job.Spec, machine.Type)
 		if !machine.Schedulable(now) || !Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) || !ZoneAllowed(job, machine.Zone, nil) || !fits(request, machine, nil, resources{}) || !scheduler.mayUse(job, machine, now) {
 			continue
@@ -78,16 +78,16 @@
 func TestPoolRowsMatchAFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		state := model.New(discardEffects{})
+		state := cluster.New(discardEffects{})
 		state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
 			{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "large", CPUs: 32, MemoryGB: 100}, {Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 1}}})
 		state.Types["large"].SpeedFactor, state.Types["gpu"].SpeedFactor = 0.5+rng.Float64(), 0.5+rng.Float64()
 		names := []string{"small", "large", "gpu"}
-		images, index := model.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{0}
+		images, index := cluster.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{0}
 		for i := range 60 {
 			machine := state.EnsureMachine("i-"+strconv.Itoa(100+i), 1)
 			state.DescribeMachine(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
-			state.TransitionMachine(machine, model.Up, "reports")
+			state.TransitionMachine(machine, cluster.Up, "reports")
 			if rng.IntN(4) == 0 {
 				images.Machines[machine.Name] = index
 			}
@@ -95,7 +95,7 @@
 		state.RestoreImages(images, 1)
 		properties := config.Defaults()
 		scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rng}
-		var allocations []*model.Allocation
+		var allocations []*cluster.Allocation
 		found := 0
 		for step := range 400 {
 			now := micro.Time(step) * micro.Second
@@ -119,7 +119,7 @@
 				allocations = append(allocations[:released], allocations[released+1:]...)
 			}
 			if machine := state.SortedMachines()[rng.IntN(60)]; rng.IntN(5) == 0 {
-				state.TransitionMachine(machine, map[model.MachineState]model.MachineState{model.Up: model.Suspect, model.Suspect: model.Up}[machine.State], "test")
+				state.TransitionMachine(machine, map[cluster.MachineState]cluster.MachineState{cluster.Up: cluster.Suspect, cluster.Suspect: cluster.Up}[machine.State], "test")
 			}
 		}
 		if found < 50 {
@@ -147,12 +147,12 @@
 // and were lost again: an array of a hundred tasks of 100 s was late more often
 // than not.
 func TestWorkThatCannotBeRerunInTimePrefersOnDemandMachines(t *testing.T) {
-	state := model.New(discardEffects{})
+	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range 20 {
 		machine := state.EnsureMachine("i-"+strconv.Itoa(10+i), 1)
 		state.DescribeMachine(machine, "small", "a", i%2 == 0)
-		state.TransitionMachine(machine, model.Up, "reports")
+		state.TransitionMachine(machine, cluster.Up, "reports")
 	}
 	properties := config.Defaults()
 	scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives([]config.Objective{{Kind: "finished", Class: "c", WithinS: 250}}), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
--- a/internal/sched/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -1,16 +1,16 @@
-package sched
+package scheduler
 
 import (
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
 // queuedJob is a job in the order of a pass.
 type queuedJob struct {
-	job             *model.Job
+	job             *cluster.Job
 	withinGuarantee bool
 	canStartInTime  bool // it can still start in time, or its class is not overloaded
 	latestStart     micro.Time
@@ -49,10 +49,10 @@
 	s.sampling = s.Overloaded && waiting > s.Properties.SampleAbovePending
 	rejected := unschedulable{}
 	placed := 0
-	var starved []*model.Job
+	var starved []*cluster.Job
 	for _, entry := range queue {
 		job := entry.job
-		if job.State != model.Active || job.InBackoff(now) || job.GangStopping {
+		if job.State != cluster.Active || job.InBackoff(now) || job.GangStopping {
 			continue
 		}
 		if s.starved(job, now) {
@@ -97,8 +97,8 @@
 // work first, most start in time. Those that can no longer come after those that can,
 // whatever their guarantee: when all teams ask for theirs at once, there may be
 // more guaranteed than there is.
-func (s *Scheduler) overloadedClasses() map[*model.Class]micro.Time {
-	byClass := map[*model.Class]micro.Time{}
+func (s *Scheduler) overloadedClasses() map[*cluster.Class]micro.Time {
+	byClass := map[*cluster.Class]micro.Time{}
 	for job := range s.Cluster.PendingJobs {
 		if job.Spec.Kind == wire.Gang {
 			byClass[job.Class] += EstimatedRuntime(job) * micro.Time(job.PendingTasks())
@@ -166,7 +166,7 @@
 	tasks         int
 }
 
-func unschedulableKeyOf(job *model.Job, overdue bool) (unschedulableKey, unschedulableRequest) {
+func unschedulableKeyOf(job *cluster.Job, overdue bool) (unschedulableKey, unschedulableRequest) {
 	spec := &job.Spec
 	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointIntervalS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.PriorityLevel}
 	if spec.Zone != nil {
@@ -182,7 +182,7 @@
 	return key, request
 }
 
-func (u unschedulable) covers(job *model.Job, overdue bool) bool {
+func (u unschedulable) covers(job *cluster.Job, overdue bool) bool {
 	// Each job of the first rank is tried by itself: one for which room is being
 	// cleared must not keep the next from having room cleared too.
 	if len(u) == 0 || job.PriorityLevel == 0 || (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 {
--- a/internal/sched/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,24 +1,24 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
 // Scheduler places tasks on machines.
 type Scheduler struct {
-	Cluster    *model.State
+	Cluster    *cluster.State
 	Objectives *Objectives
 	Properties *config.Properties
 	Rand       *rand.Rand
 	// Affordable says whether a job may sit on machines of a type and kind;
 	// nil: always.
-	WithinPrice func(job *model.Job, t *model.MachineType, spot bool, now micro.Time) bool
+	WithinPrice func(job *cluster.Job, t *cluster.MachineType, spot bool, now micro.Time) bool
 	// Busy is set while passes take too long. With many tasks waiting, each row
 	// of like machines is then looked at in samples.
 	Overloaded bool
@@ -26,20 +26,20 @@
 	MachinesExamined int // machines looked at, for tests and metrics
 	sampling         bool
 	relaxation       relaxation
-	reservedMachines map[*model.Machine]bool
-	reservations     map[*model.Job]zoneReservation
+	reservedMachines map[*cluster.Machine]bool
+	reservations     map[*cluster.Job]zoneReservation
 	maxTasksByClass  map[string]int // the most tasks that a class's jobs have
 	headroom         []gpuHeadroom  // machines kept clear for GPU jobs, as this pass finds them
 }
 
 // resources is what a plan has taken of a machine beyond what places hold.
-type resources = model.Resources
+type resources = cluster.Resources
 
-func requestOn(spec *wire.Job, t *model.MachineType) resources {
+func requestOn(spec *wire.Job, t *cluster.MachineType) resources {
 	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: ScaledCPUs(spec.CPUs, t.SpeedFactor, t.CPUs)}
 }
 
-func (u unschedulable) add(job *model.Job, overdue bool) {
+func (u unschedulable) add(job *cluster.Job, overdue bool) {
 	if (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 || len(job.FailedOn) > 0 {
 		return // it alone may have found no room
 	}
@@ -49,7 +49,7 @@
 
 // allocateTasks places a job's independent tasks one by one. Late ones take what room
 // there is.
-func (s *Scheduler) allocateTasks(job *model.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
+func (s *Scheduler) allocateTasks(job *cluster.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
 	for {
 		schedulable := job.SchedulableTasks(now)
 		job.Throttled = schedulable == 0 && s.hasCapacity(job, now)
@@ -82,13 +82,13 @@
 }
 
 // hasCapacity reports whether there is room for one more of the job's tasks.
-func (s *Scheduler) hasCapacity(job *model.Job, now micro.Time) bool {
+func (s *Scheduler) hasCapacity(job *cluster.Job, now micro.Time) bool {
 	return withinQuota(job, 1) && s.bestMachine(job, nil, nil, "", true, false, now) != nil
 }
 
 // withinQuota reports whether the team's limits leave room for n more of a job's
 // tasks, and are not being saved up for another of its jobs.
-func withinQuota(job *model.Job, tasks int) bool {
+func withinQuota(job *cluster.Job, tasks int) bool {
 	team := job.Team
 	if team == nil {
 		return true
@@ -102,7 +102,7 @@
 // allocationBatch is how many tasks of a job are looked at together.
 const allocationBatch = 32
 
-func (s *Scheduler) allocate(job *model.Job, i int, machine *model.Machine, attempt uint32, now micro.Time) {
+func (s *Scheduler) allocate(job *cluster.Job, i int, machine *cluster.Machine, attempt uint32, now micro.Time) {
 	scaled := ScaledCPUs(job.Spec.CPUs, machine.Type.SpeedFactor, machine.Type.CPUs)
 	starvationReservation, since := machine.ReservedFor == job && machine.StarvationReservation, machine.ReservedAt
 	s.updateHeadroom(job, machine)
@@ -122,7 +122,7 @@
 }
 
 // allocateGang places all of a gang's tasks or none.
-func (s *Scheduler) allocateGang(job *model.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
+func (s *Scheduler) allocateGang(job *cluster.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
 	size := len(job.Tasks)
 	if job.AllocationCount > 0 || job.PendingTasks() < size {
 		return 0, false
@@ -159,10 +159,10 @@
 }
 
 // machinesForGang chooses machines for n tasks at once, in one of the zones.
-func (s *Scheduler) machinesForGang(job *model.Job, count int, zones []string, overdue bool, now micro.Time) []*model.Machine {
+func (s *Scheduler) machinesForGang(job *cluster.Job, count int, zones []string, overdue bool, now micro.Time) []*cluster.Machine {
 	for _, zone := range zones {
-		planned, tasksByZone := map[*model.Machine]*resources{}, map[string]int{}
-		chosen := make([]*model.Machine, 0, count)
+		planned, tasksByZone := map[*cluster.Machine]*resources{}, map[string]int{}
+		chosen := make([]*cluster.Machine, 0, count)
 		for len(chosen) < count {
 			machine := s.bestMachine(job, planned, tasksByZone, zone, true, false, now)
 			if machine == nil && overdue {
@@ -182,7 +182,7 @@
 }
 
 // candidateZones lists the zones to try one by one, "" for all at once.
-func (s *Scheduler) candidateZones(job *model.Job) []string {
+func (s *Scheduler) candidateZones(job *cluster.Job) []string {
 	if !job.Spec.OneZone {
 		return []string{""}
 	}
@@ -198,7 +198,7 @@
 	return zones
 }
 
-func (s *Scheduler) planAllocation(planned map[*model.Machine]*resources, tasksByZone map[string]int, job *model.Job, m *model.Machine) {
+func (s *Scheduler) planAllocation(planned map[*cluster.Machine]*resources, tasksByZone map[string]int, job *cluster.Job, m *cluster.Machine) {
 	taken := planned[m]
 	if taken == nil {
 		taken = &resources{}
--- a/internal/sched/score.go
+++ b/internal/scheduler/score.go
@@ -1,11 +1,11 @@
-// Package sched decides what runs where: the design's speed estimate and score,
+// Package scheduler decides what runs where: the design's speed estimate and score,
 // placement, quota and preemption. It reads no clock and does no I/O.
-package sched
+package scheduler
 
 import (
 	"math"
 
-	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/cluster"
 )
 
 // ScaledCPUs is a request's CPUs on a machine of speed k, capped at its CPUs. The
@@ -120,7 +120,7 @@
 // Apply sets each type's k from what was learnt, where it differs by more than
 // the threshold (the paper's formula 4): smaller differences are noise, and
 // every scaled request pays for them in room.
-func (e *SpeedEstimator) Apply(state *model.State) {
+func (e *SpeedEstimator) Apply(state *cluster.State) {
 	for name, m := range e.ratiosByType {
 		t := state.Types[name]
 		if t == nil || m.count < minTypeWeight || t.Index == 0 {
--- a/internal/sched/score_test.go
+++ b/internal/scheduler/score_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import "testing"
 
--- a/internal/sched/speeds_test.go
+++ b/internal/scheduler/speeds_test.go
@@ -1,16 +1,16 @@
-package sched
+package scheduler
 
 import (
 	"testing"
 
-	"notchmux.dev/notchmux/internal/model"
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/wire"
 )
 
-type noEffects struct{ model.Effects }
+type noEffects struct{ cluster.Effects }
 
-func newTwoTypeCluster() *model.State {
-	state := model.New(noEffects{})
+func newTwoTypeCluster() *cluster.State {
+	state := cluster.New(noEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "ref", CPUs: 4}, {Name: "other", CPUs: 4}}})
 	return state
 }
--- a/internal/sched/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -1,10 +1,10 @@
-package sched
+package scheduler
 
 import (
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -28,7 +28,7 @@
 // starved reports whether an old job will not be reached in its turn: the
 // largest, which what comes free is seldom enough for, and those of a class or a
 // team none of whose tasks has been placed for long.
-func (s *Scheduler) starved(job *model.Job, now micro.Time) bool {
+func (s *Scheduler) starved(job *cluster.Job, now micro.Time) bool {
 	if !s.waitedTooLong(job, now) {
 		return false
 	}
@@ -49,9 +49,9 @@
 
 // fillReservations reserves what came free for the jobs that room is gathered for.
 func (s *Scheduler) fillReservations(now micro.Time) {
-	jobs := make([]*model.Job, 0, len(s.reservations))
+	jobs := make([]*cluster.Job, 0, len(s.reservations))
 	for job := range s.reservations {
-		if job.State != model.Active || job.PendingTasks() == 0 || job.Spec.Kind == wire.Gang && job.AllocationCount > 0 {
+		if job.State != cluster.Active || job.PendingTasks() == 0 || job.Spec.Kind == wire.Gang && job.AllocationCount > 0 {
 			delete(s.reservations, job)
 			continue
 		}
@@ -87,7 +87,7 @@
 }
 
 // minAllocations is how many places a job needs at once.
-func minAllocations(job *model.Job) int {
+func minAllocations(job *cluster.Job) int {
 	if job.Spec.Kind == wire.Gang {
 		return len(job.Tasks)
 	}
@@ -95,7 +95,7 @@
 }
 
 // startReservations begins to gather room for the oldest jobs that still wait.
-func (s *Scheduler) startReservations(starved []*model.Job, overloaded bool, now micro.Time) {
+func (s *Scheduler) startReservations(starved []*cluster.Job, overloaded bool, now micro.Time) {
 	limit := min(maxReservingJobs, max(len(s.Cluster.Machines)/reservedFleetDivisor, 1))
 	if overloaded {
 		// What comes free soon is enough for one at a time, and all else waits
@@ -106,7 +106,7 @@
 		return
 	}
 	if s.reservations == nil {
-		s.reservations = map[*model.Job]zoneReservation{}
+		s.reservations = map[*cluster.Job]zoneReservation{}
 	}
 	sort.Slice(starved, func(a, b int) bool {
 		sinceA, sinceB := starved[a].EligibleSince, starved[b].EligibleSince
@@ -122,7 +122,7 @@
 		if len(s.reservations) >= limit {
 			return
 		}
-		if _, ok := s.reservations[job]; ok || job.State != model.Active || job.PendingTasks() == 0 {
+		if _, ok := s.reservations[job]; ok || job.State != cluster.Active || job.PendingTasks() == 0 {
 			continue
 		}
 		if team := job.Team; team != nil && !team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
@@ -142,7 +142,7 @@
 
 // reservationZone is the zone with most machines for the job, over what is being
 // gathered there already.
-func (s *Scheduler) reservationZone(job *model.Job) (zone string, ok bool) {
+func (s *Scheduler) reservationZone(job *cluster.Job) (zone string, ok bool) {
 	best := 0.0
 	for _, option := range s.candidateZones(job) {
 		machines := 0
@@ -165,14 +165,14 @@
 }
 
 // hasReservation reports whether machines are reserved for the job.
-func (s *Scheduler) hasReservation(job *model.Job) bool { return s.countReserved(job) > 0 }
+func (s *Scheduler) hasReservation(job *cluster.Job) bool { return s.countReserved(job) > 0 }
 
 // transferReservation keeps a machine that was gathered for a job for the next of its class and
 // team that none was placed of, as long as it would have been kept for the first: a
 // swarm of single tasks got no more than one of them through at a time, once in a
 // minute and a half. None is handed on while one machine to reservedFleetDivisor is held
 // already.
-func (s *Scheduler) transferReservation(machine *model.Machine, previous *model.Job, since, now micro.Time) {
+func (s *Scheduler) transferReservation(machine *cluster.Machine, previous *cluster.Job, since, now micro.Time) {
 	reservedCount := 0
 	for other := range s.reservedMachines {
 		if other.StarvationReservation && other.ReservedFor != nil {
@@ -182,7 +182,7 @@
 	if reservedCount >= max(len(s.Cluster.Machines)/reservedFleetDivisor, 1) {
 		return
 	}
-	var next *model.Job
+	var next *cluster.Job
 	for job := range s.Cluster.PendingJobs {
 		if job.Class != previous.Class || job.Team != previous.Team || job.Spec.Kind == wire.Gang || job.Started || job.AllocationCount > 0 || job.InBackoff(now) || s.countReserved(job) > 0 ||
 			!Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) {
@@ -199,7 +199,7 @@
 }
 
 // amongLargest reports whether a job is among the largest of its class.
-func (s *Scheduler) amongLargest(job *model.Job) bool {
+func (s *Scheduler) amongLargest(job *cluster.Job) bool {
 	if s.maxTasksByClass == nil {
 		s.maxTasksByClass = map[string]int{}
 	}
@@ -211,7 +211,7 @@
 }
 
 // waitedTooLong reports whether a job has waited too long; the largest wait half as long.
-func (s *Scheduler) waitedTooLong(job *model.Job, now micro.Time) bool {
+func (s *Scheduler) waitedTooLong(job *cluster.Job, now micro.Time) bool {
 	waitLimit := s.Properties.StarvationAfter
 	if s.amongLargest(job) && !job.Started {
 		waitLimit /= 2
@@ -222,9 +222,9 @@
 // reserveSoonestFree reserves the machines that are soonest free for a job that waited long
 // and that nothing came free for,
 // enough for a gang in one zone, or for one task of another job.
-func (s *Scheduler) reserveSoonestFree(job *model.Job, tasks int, now micro.Time) {
+func (s *Scheduler) reserveSoonestFree(job *cluster.Job, tasks int, now micro.Time) {
 	type spot struct {
-		m    *model.Machine
+		m    *cluster.Machine
 		n    int // tasks it could hold
 		free micro.Time
 	}
@@ -269,7 +269,7 @@
 
 // freeAt is when a machine is expected to be clear of all but services, and how
 // many tasks fit then.
-func (s *Scheduler) freeAt(request resources, machine *model.Machine, now micro.Time) (micro.Time, int) {
+func (s *Scheduler) freeAt(request resources, machine *cluster.Machine, now micro.Time) (micro.Time, int) {
 	at := now
 	var remaining resources
 	for _, allocation := range machine.Allocations {
--- a/internal/sched/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -1,39 +1,39 @@
-package sched
+package scheduler
 
 import (
 	"math/rand/v2"
 	"strconv"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/model"
 	"notchmux.dev/notchmux/wire"
 )
 
 // contendedCluster is a full cluster that other work keeps coming to.
 type contendedCluster struct {
 	t         *testing.T
-	cluster   *model.State
+	cluster   *cluster.State
 	scheduler *Scheduler
 	submitted int
-	startedAt map[*model.Job]micro.Time
+	startedAt map[*cluster.Job]micro.Time
 }
 
 func newContendedCluster(t *testing.T, machines int) *contendedCluster {
-	state := model.New(discardEffects{})
+	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 16}}})
 	for i := range machines {
 		m := state.EnsureMachine("i-"+strconv.Itoa(10+i), 1)
 		state.DescribeMachine(m, "gpu", []string{"a", "b"}[i%2], false)
-		state.TransitionMachine(m, model.Up, "reports")
+		state.TransitionMachine(m, cluster.Up, "reports")
 	}
-	state.Teams["team"] = &model.Team{Name: "team", GPULimit: float64(4 * machines)}
+	state.Teams["team"] = &cluster.Team{Name: "team", GPULimit: float64(4 * machines)}
 	properties := config.Defaults()
-	return &contendedCluster{t: t, cluster: state, scheduler: &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}, startedAt: map[*model.Job]micro.Time{}}
+	return &contendedCluster{t: t, cluster: state, scheduler: &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}, startedAt: map[*cluster.Job]micro.Time{}}
 }
 
-func (cc *contendedCluster) submit(kind wire.JobKind, priority wire.Priority, tasks int, now micro.Time) *model.Job {
+func (cc *contendedCluster) submit(kind wire.JobKind, priority wire.Priority, tasks int, now micro.Time) *cluster.Job {
 	cc.submitted++
 	spec := wire.Job{ID: "j-" + strconv.Itoa(cc.submitted), Team: "team", Class: "c" + string(priority), Kind: kind, Priority: priority, Tasks: tasks, CPUs: 8, EstimateS: 4, OneZone: kind == wire.Gang}
 	if kind == wire.Gang {
@@ -45,7 +45,7 @@
 // runUntilAllocated lets more work come than there is room for, until the job holds its
 // places, and says how long that took; 0 if it never did. The other work takes
 // some seconds each, so that machines come free one by one.
-func (cc *contendedCluster) runUntilAllocated(job *model.Job, want int, submitMore func(now micro.Time)) micro.Time {
+func (cc *contendedCluster) runUntilAllocated(job *cluster.Job, want int, submitMore func(now micro.Time)) micro.Time {
 	for now := micro.Second; now < 10*micro.Minute; now += micro.Second {
 		submitMore(now)
 		for other, started := range cc.startedAt {
@@ -117,7 +117,7 @@
 func TestOverloadedClassStartsTheShortestFirst(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	contended.scheduler.Objectives = NewObjectives([]config.Objective{{Kind: "wait", Class: "c" + string(wire.High), WithinS: 60}})
-	var jobs []*model.Job
+	var jobs []*cluster.Job
 	for i := range 12 {
 		job := contended.submit(wire.Gang, wire.High, 1, micro.Time(i)*micro.Second)
 		job.Spec.EstimateS = float64(200 - 10*i)
--- a/internal/share/loopback_test.go
+++ b/internal/shard/loopback_test.go
@@ -1,4 +1,4 @@
-package share_test
+package shard_test
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -145,7 +145,7 @@
 	mu     sync.Mutex // one goroutine at a time answers, or changes an owner's state
 	frozen bool
 	term   *election.Term
-	owners map[string]*share.Owner
+	owners map[string]*shard.Owner
 	stop   context.CancelFunc
 }
 
@@ -193,8 +193,8 @@
 // start starts a process of the controller.
 func (c *loopbackController) start(ctx context.Context) {
 	ctx, c.stop = context.WithCancel(ctx)
-	c.owners, c.term = map[string]*share.Owner{}, nil
-	campaign := &election.Election{Key: share.SessionKey(c.name), Node: c.name, Nonce: fmt.Sprint(rand.Uint64()), Store: c.store,
+	c.owners, c.term = map[string]*shard.Owner{}, nil
+	campaign := &election.Election{Key: shard.SessionKey(c.name), Node: c.name, Nonce: fmt.Sprint(rand.Uint64()), Store: c.store,
 		TTL: loopbackSessionTTL, RenewInterval: loopbackSessionTTL / 5, Log: discard, Now: micro.Now,
 		OnStartedLeading: func(t *election.Term) { c.setSession(ctx, t) },
 		OnStoppedLeading: func(*election.Term) {}}
@@ -220,7 +220,7 @@
 func (c *loopbackController) restartAfter(ctx context.Context, after time.Duration) {
 	c.stop()
 	c.mu.Lock()
-	c.owners, c.term = map[string]*share.Owner{}, nil
+	c.owners, c.term = map[string]*shard.Owner{}, nil
 	c.mu.Unlock()
 	time.AfterFunc(after, func() {
 		if ctx.Err() == nil {
@@ -256,17 +256,17 @@
 }
 
 // observe takes in a record, and tells what to send for it.
-func (c *loopbackController) observe(ctx context.Context, entry share.Entry) (txn wire.Transaction, shouldSend, resolving bool) {
+func (c *loopbackController) observe(ctx context.Context, entry shard.Entry) (txn wire.Transaction, shouldSend, resolving bool) {
 	if ctx.Err() != nil || c.frozen || c.term == nil {
 		return txn, false, false
 	}
-	self := share.Controller{Node: c.name, SessionVersion: wire.Count(c.term.FencingRevision)}
+	self := shard.Controller{Node: c.name, SessionVersion: wire.Count(c.term.FencingRevision)}
 	owner := c.owners[entry.Name]
 	if owner != nil {
 		owner.Observe(entry)
 	}
-	if (owner == nil || owner.State() == share.Relinquished) && entry.OwnedElsewhere() && entry.Record.Owner == self {
-		owner = share.NewOwner(entry, c.term, self, func(string, ...any) {})
+	if (owner == nil || owner.State() == shard.Relinquished) && entry.OwnedElsewhere() && entry.Record.Owner == self {
+		owner = shard.NewOwner(entry, c.term, self, func(string, ...any) {})
 		c.owners[entry.Name] = owner
 	}
 	if owner == nil {
@@ -300,14 +300,14 @@
 	ctx.SetBody(wire.MustMarshal(wire.Commands{FencingToken: wire.Count(owner.FirstFencingToken()), Items: []wire.Command{}}))
 }
 
-func readShards(ctx context.Context, s store.Store) ([]share.Entry, error) {
-	page, err := s.Range(ctx, store.Routine, share.RecordPrefix, "", 1000)
+func readShards(ctx context.Context, s store.Store) ([]shard.Entry, error) {
+	page, err := s.Range(ctx, store.Routine, shard.RecordPrefix, "", 1000)
 	if err != nil {
 		return nil, err
 	}
-	var out []share.Entry
+	var out []shard.Entry
 	for _, item := range page.Items {
-		entry := share.Entry{Name: item.Key[len(share.RecordPrefix):], Version: uint64(item.Version)}
+		entry := shard.Entry{Name: item.Key[len(shard.RecordPrefix):], Version: uint64(item.Version)}
 		if err := wire.Unmarshal(item.Value, &entry.Record); err != nil {
 			return nil, err
 		}
@@ -369,9 +369,9 @@
 }
 
 // nextTransaction is what the leader does with a share.
-func (c *loopbackCluster) nextTransaction(entry share.Entry, sessions share.Sessions) (wire.Transaction, bool) {
+func (c *loopbackCluster) nextTransaction(entry shard.Entry, sessions shard.Sessions) (wire.Transaction, bool) {
 	if entry.OwnerSessionLost(sessions) {
-		to, ok := entry.Successor(sessions, share.Snapshot{})
+		to, ok := entry.Successor(sessions, shard.Snapshot{})
 		if !ok {
 			return wire.Transaction{}, false
 		}
@@ -381,7 +381,7 @@
 	to, ok := sessions.Controller(controllers[rand.IntN(len(controllers))])
 	next, err := entry.Record.Move(to, 0)
 	if !ok || err != nil {
-		if errors.Is(err, share.ErrAlreadyMoving) && !sessions.Has(entry.Record.Target) {
+		if errors.Is(err, shard.ErrAlreadyMoving) && !sessions.Has(entry.Record.Target) {
 			next, err = entry.Record.CancelMove(0)
 			return entry.Update(next, leaderKey), err == nil
 		}
@@ -390,11 +390,11 @@
 	return entry.Update(next, leaderKey), true
 }
 
-func readSessions(ctx context.Context, st store.Store) (share.Sessions, error) {
-	page, err := st.Range(ctx, store.Routine, share.SessionPrefix, "", 1000)
-	out := share.Sessions{}
+func readSessions(ctx context.Context, st store.Store) (shard.Sessions, error) {
+	page, err := st.Range(ctx, store.Routine, shard.SessionPrefix, "", 1000)
+	out := shard.Sessions{}
 	for _, item := range page.Items {
-		out[item.Key[len(share.SessionPrefix):]] = item.Version
+		out[item.Key[len(shard.SessionPrefix):]] = item.Version
 	}
 	return out, err
 }
@@ -433,9 +433,9 @@
 	loopback.ignoresLease = ignoresLease
 	for i := range loopbackShards {
 		name := fmt.Sprintf("zone-%d", i)
-		record := share.NewRecord(share.Selector{Zone: name}, nil, 0)
-		record.State = share.Owned // by nobody: the leader gives it to the first that is there
-		if _, err := loopback.backing.Commit(ctx, store.Urgent, wire.Transaction{Then: []wire.Change{{Put: share.RecordKey(name), Value: record}}}); err != nil {
+		record := shard.NewRecord(shard.Selector{Zone: name}, nil, 0)
+		record.State = shard.Owned // by nobody: the leader gives it to the first that is there
+		if _, err := loopback.backing.Commit(ctx, store.Urgent, wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(name), Value: record}}}); err != nil {
 			t.Fatal(err)
 		}
 		for agent := range loopbackAgentsPerShard {
@@ -455,13 +455,13 @@
 // revisionsWithoutOwner counts revisions of a share's record that name no owner after one did.
 func (c *loopbackCluster) revisionsWithoutOwner(t *testing.T) int {
 	t.Helper()
-	events, err := c.backing.Watch(context.Background(), share.RecordPrefix, 0, 0)
+	events, err := c.backing.Watch(context.Background(), shard.RecordPrefix, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	owned, withoutOwner := map[string]bool{}, 0
 	for _, event := range events.Events {
-		var record share.Record
+		var record shard.Record
 		if event.Delete != "" || wire.Unmarshal(event.Value, &record) != nil || record.Owner.Node == "" && owned[event.Put] {
 			withoutOwner++
 		}
--- a/internal/share/main_test.go
+++ b/internal/shard/main_test.go
@@ -1,4 +1,4 @@
-package share_test
+package shard_test
 
 import (
 	"flag"
--- a/internal/share/messages.go
+++ b/internal/shard/messages.go
@@ -1,4 +1,4 @@
-package share
+package shard
 
 // StatusUpdate is what an owner tells the leader, every second and when something presses.
 type StatusUpdate struct {
--- a/internal/share/owner.go
+++ b/internal/shard/owner.go
@@ -1,4 +1,4 @@
-package share
+package shard
 
 import (
 	"errors"
--- a/internal/share/property_test.go
+++ b/internal/shard/property_test.go
@@ -1,4 +1,4 @@
-package share_test
+package shard_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/share"
+	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -35,11 +35,11 @@
 
 // simulatedController is a controller as an owner.
 type simulatedController struct {
-	self                 share.Controller
+	self                 shard.Controller
 	lease                uint64
 	session              *election.Term
 	sessionUntil         micro.Time
-	owner                *share.Owner
+	owner                *shard.Owner
 	token                uint64
 	allocations          map[string]string // machine of each task that the records name
 	uncertainAllocations []string          // tasks whose record has no answer
@@ -84,12 +84,12 @@
 	for _, node := range controllers {
 		sim.register(node)
 	}
-	rec := share.NewRecord(share.Selector{Zone: "a"}, nil, 0)
+	rec := shard.NewRecord(shard.Selector{Zone: "a"}, nil, 0)
 	rec, err := rec.Grant(sim.controllers["n-0"].self, 0)
 	if err != nil {
 		sim.fail("%v", err)
 	}
-	sim.commit(wire.Transaction{Then: []wire.Change{{Put: share.RecordKey(shardName), Value: rec}}})
+	sim.commit(wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(shardName), Value: rec}}})
 	return sim
 }
 
@@ -107,14 +107,14 @@
 	if err != nil {
 		s.fail("%v", err)
 	}
-	version, err := s.commit(wire.Transaction{If: []wire.Precondition{{Key: share.SessionKey(node)}},
-		Then: []wire.Change{{Put: share.SessionKey(node), Value: node, Lease: wire.Count(lease)}}})
+	version, err := s.commit(wire.Transaction{If: []wire.Precondition{{Key: shard.SessionKey(node)}},
+		Then: []wire.Change{{Put: shard.SessionKey(node), Value: node, Lease: wire.Count(lease)}}})
 	if err != nil {
 		s.fail("%v", err)
 	}
 	until := sent + sessionTTL - sessionMargin
-	s.controllers[node] = &simulatedController{self: share.Controller{Node: node, SessionVersion: wire.Count(version)}, lease: lease, sessionUntil: until,
-		session: election.NewTermForKey(share.SessionKey(node), version, until)}
+	s.controllers[node] = &simulatedController{self: shard.Controller{Node: node, SessionVersion: wire.Count(version)}, lease: lease, sessionUntil: until,
+		session: election.NewTermForKey(shard.SessionKey(node), version, until)}
 }
 
 // renew renews a session if it is still there.
@@ -130,7 +130,7 @@
 }
 
 // entry reads the share's record.
-func (s *simulation) entry() share.Entry {
+func (s *simulation) entry() shard.Entry {
 	all, err := readShards(context.Background(), s.store)
 	if err != nil || len(all) != 1 {
 		s.fail("%d records, %v", len(all), err)
@@ -143,12 +143,12 @@
 	entry := s.entry()
 	if controller.owner != nil {
 		controller.owner.Observe(entry)
-		if controller.owner.State() == share.Relinquished {
+		if controller.owner.State() == shard.Relinquished {
 			controller.owner = nil
 		}
 	}
 	if controller.owner == nil && entry.OwnedElsewhere() && entry.Record.Owner == controller.self {
-		controller.owner = share.NewOwner(entry, controller.session, controller.self, func(string, ...any) {})
+		controller.owner = shard.NewOwner(entry, controller.session, controller.self, func(string, ...any) {})
 		controller.token, controller.uncertainAllocations = controller.owner.FirstFencingToken(), nil
 		controller.allocations = s.allocations()
 	}
@@ -156,7 +156,7 @@
 
 // allocations reads which machine each task was placed on.
 func (s *simulation) allocations() map[string]string {
-	page, err := s.store.Range(context.Background(), store.Routine, share.AllocationPrefixFor(shardName), "", 1000)
+	page, err := s.store.Range(context.Background(), store.Routine, shard.AllocationPrefixFor(shardName), "", 1000)
 	if err != nil {
 		s.fail("%v", err)
 	}
@@ -218,7 +218,7 @@
 	}
 	task := fmt.Sprintf("j-%d/0", s.allocatedTasks%4+1)
 	s.allocatedTasks++
-	key := share.AllocationKey(shardName, task[:3], 0)
+	key := shard.AllocationKey(shardName, task[:3], 0)
 	if controller.allocations[key] != "" || slices.Contains(controller.uncertainAllocations, key) {
 		return
 	}
@@ -298,14 +298,14 @@
 		unresolved = append(unresolved, key)
 	}
 	controller.uncertainAllocations = unresolved
-	if len(unresolved) > 0 && controller.owner.State() == share.Draining {
+	if len(unresolved) > 0 && controller.owner.State() == shard.Draining {
 		// The move has changed the record: what was sent before fails for good.
 		controller.uncertainAllocations = nil
 	}
 }
 
 // sessions reads who has a session.
-func (s *simulation) sessions() share.Sessions {
+func (s *simulation) sessions() shard.Sessions {
 	out, err := readSessions(context.Background(), s.store)
 	if err != nil {
 		s.fail("%v", err)
@@ -317,7 +317,7 @@
 func (s *simulation) leaderAction(action, target, outcome string) {
 	entry, sessions := s.entry(), s.sessions()
 	if entry.OwnerSessionLost(sessions) {
-		if to, ok := entry.Successor(sessions, share.Snapshot{}); ok {
+		if to, ok := entry.Successor(sessions, shard.Snapshot{}); ok {
 			if txn, err := entry.Reassign(to, sessions, 0, leaderKey); err == nil {
 				_, _ = s.send(txn, outcome)
 			}
--- a/internal/share/record.go
+++ b/internal/shard/record.go
@@ -1,4 +1,4 @@
-// Package share divides the machines among the controllers. A share is a named set of
+// Package shard divides the machines among the controllers. A share is a named set of
 // machines with one owner, the controller that answers their reports, places tasks on
 // them and commands them. All other machines belong to whoever leads.
 //
@@ -6,7 +6,7 @@
 // one owner at the most, and every write of an owner carries the record's version, so
 // that what an earlier owner sent changes nothing. The package does no I/O: it says
 // which transaction comes next, and takes in what came of it.
-package share
+package shard
 
 import (
 	"errors"
--- a/internal/writer/commit.go
+++ b/internal/statestore/commit.go
@@ -1,4 +1,4 @@
-package writer
+package statestore
 
 import (
 	"context"
--- a/internal/writer/flush.go
+++ b/internal/statestore/flush.go
@@ -1,4 +1,4 @@
-package writer
+package statestore
 
 import (
 	"notchmux.dev/notchmux/internal/micro"
--- a/internal/writer/writer.go
+++ b/internal/statestore/writer.go
@@ -1,11 +1,11 @@
-// Package writer batches the changes that one controller makes to the keys that it
+// Package statestore batches the changes that one controller makes to the keys that it
 // alone writes. Each transaction carries the conditions of its host, such as the
 // version of the leader's key, and the last known version of each key, so that a
 // deposed controller, and a late copy of an earlier write, change nothing. A write
 // without an answer is followed by a read of its keys before the next one.
 //
 // A writer is owned by one goroutine, the loop of its host.
-package writer
+package statestore
 
 import (
 	"sort"
