--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -46,8 +46,10 @@
 	kong.Parse(&flags, kong.Name("devcluster"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	dev := &devCluster{flags, fake.NewStore(), fake.NewCloud(8, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 40,
-		FetchGBPerS: 1, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: []string{"east", "west"}})}
+	dev := &devCluster{flags, fake.NewStore(), fake.NewCloud(8, wire.MachineType{
+		Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 40,
+		FetchGBPerS: 1, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: []string{"east", "west"},
+	})}
 	group, ctx := errgroup.WithContext(ctx)
 	for addr, handler := range map[string]fasthttp.RequestHandler{flags.State: dev.store.Handle, flags.Cloud: dev.cloud.Handle} {
 		listener, err := net.Listen("tcp4", addr)
@@ -60,7 +62,9 @@
 	group.Go(func() error { dev.startAgents(ctx); return context.Canceled })
 	if flags.LowerAfter > 0 {
 		time.AfterFunc(flags.LowerAfter, func() {
-			dev.store.SetLimits(fake.Limits{ValueBytes: int(flags.ValueKB * 1024), TxnOps: flags.TxnOps, WriteRPS: flags.WriteRPS})
+			dev.store.SetLimits(
+				fake.Limits{ValueBytes: int(flags.ValueKB * 1024), TxnOps: flags.TxnOps, WriteRPS: flags.WriteRPS},
+			)
 			fmt.Println("the state service has lowered its limits")
 		})
 	}
@@ -131,22 +135,29 @@
 		}
 		body := wire.MustMarshal(nextHeartbeat())
 		mu.Unlock()
-		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		req.Header.SetMethod("POST")
-		req.SetRequestURI("http://" + b.Node + "/agent/beat")
-		req.SetBody(body)
-		var commands wire.Commands
-		if fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == 200 && wire.Unmarshal(resp.Body(), &commands) == nil {
+		if commands, ok := b.postHeartbeat(body); ok {
 			mu.Lock()
 			agent.HandleResponse(commands, sent)
 			mu.Unlock()
 		}
-		fasthttp.ReleaseRequest(req)
-		fasthttp.ReleaseResponse(resp)
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
+// postHeartbeat sends a heartbeat to the node; false if it gave no commands in answer.
+func (b *devCluster) postHeartbeat(body []byte) (wire.Commands, bool) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.Header.SetMethod("POST")
+	req.SetRequestURI("http://" + b.Node + "/agent/beat")
+	req.SetBody(body)
+	var commands wire.Commands
+	ok := fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == 200 &&
+		wire.Unmarshal(resp.Body(), &commands) == nil
+	return commands, ok
+}
+
 func (b *devCluster) isRunning(name string) bool {
 	for _, machine := range b.cloud.Instances() {
 		if machine.Name == name {
--- a/cmd/notchmux/main.go
+++ b/cmd/notchmux/main.go
@@ -103,7 +103,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("node %s in %s: %d peers, %d teams, %d objectives\n", cfg.Node, cfg.Zone, len(cfg.Peers), len(cfg.Facts.Teams), len(cfg.Facts.Objectives))
+	fmt.Printf(
+		"node %s in %s: %d peers, %d teams, %d objectives\n", cfg.Node, cfg.Zone, len(cfg.Peers), len(cfg.Facts.Teams),
+		len(cfg.Facts.Objectives),
+	)
 	describeShards(cfg.Shards)
 	config.Describe(func(key string, def, least, most float64, help string) {
 		fmt.Printf("%-22s default %g, %g to %g: %s\n", key, def, least, most, help)
--- a/cmd/notchmux/shard.go
+++ b/cmd/notchmux/shard.go
@@ -68,7 +68,9 @@
 func (c *shardCmd) send(command shard.Command) error {
 	const node = "controller"
 	client := peer.NewClient(map[string]string{node: c.Peer})
-	status, body, err := client.Call(context.Background(), node, peer.ShardAdmin, wire.MustMarshal(command), commandTimeout)
+	status, body, err := client.Call(
+		context.Background(), node, peer.ShardAdmin, wire.MustMarshal(command), commandTimeout,
+	)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Peer, err)
 	}
@@ -92,9 +94,15 @@
 		return encoder.Encode(reply.Shards)
 	}
 	for _, row := range reply.Shards {
-		fmt.Fprintf(out, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node), row.Record.Selector)
-		fmt.Fprintf(out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", row.MachineCount, row.IdleMachines, row.AssignedJobs, row.PendingTasks,
-			row.Record.OwnerChanges, time.UnixMicro(row.Record.ChangedAt).UTC().Format(time.RFC3339))
+		fmt.Fprintf(
+			out, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node),
+			row.Record.Selector,
+		)
+		fmt.Fprintf(
+			out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", row.MachineCount,
+			row.IdleMachines, row.AssignedJobs, row.PendingTasks, row.Record.OwnerChanges,
+			time.UnixMicro(row.Record.ChangedAt).UTC().Format(time.RFC3339),
+		)
 		if row.Record.State == shard.Moving {
 			fmt.Fprintf(out, "  to %s\n", nodeOrLeader(row.Record.Target.Node))
 		}
@@ -117,8 +125,10 @@
 	if s == nil {
 		return
 	}
-	fmt.Printf("shares: %d declared, %d policies, at least %v s between moves by policies, %d machines at most at a time, dissolve %v\n",
-		len(s.Declared), len(s.Policies), s.MinMoveInterval.Seconds(), s.MaxMachinesMoving, s.Dissolve)
+	fmt.Printf(
+		"shares: %d declared, %d policies, at least %v s between moves by policies, %d machines at most at a time, dissolve %v\n",
+		len(s.Declared), len(s.Policies), s.MinMoveInterval.Seconds(), s.MaxMachinesMoving, s.Dissolve,
+	)
 	for _, d := range s.Declared {
 		fmt.Printf("share %s: %s, teams %v, first owner %q\n", d.Name, d.Selector, d.Teams, d.Owner)
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -49,10 +49,13 @@
 			clear(c.hostClients)
 		}
 		client = &fasthttp.HostClient{
-			Addr: addr, MaxConns: 2, MaxIdleConnDuration: 300 * time.Millisecond, MaxIdemponentCallAttempts: 1,
-			NoDefaultUserAgentHeader: true,
-			RetryIfErr:               func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-			Dial:                     func(hostAddr string) (net.Conn, error) { return fasthttp.DialTimeout(hostAddr, time.Second) },
+			Addr:                      addr,
+			MaxConns:                  2,
+			MaxIdleConnDuration:       300 * time.Millisecond,
+			MaxIdemponentCallAttempts: 1,
+			NoDefaultUserAgentHeader:  true,
+			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
+			Dial:                      func(hostAddr string) (net.Conn, error) { return fasthttp.DialTimeout(hostAddr, time.Second) },
 		}
 		c.hostClients[addr] = client
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -34,7 +34,8 @@
 func agentHandler(fakeAgent *fake.Agent) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		var commands wire.Commands
-		if string(ctx.Method()) != "POST" || string(ctx.Path()) != "/orders" || wire.Unmarshal(ctx.PostBody(), &commands) != nil {
+		if string(ctx.Method()) != "POST" || string(ctx.Path()) != "/orders" ||
+			wire.Unmarshal(ctx.PostBody(), &commands) != nil {
 			ctx.SetStatusCode(400)
 			return
 		}
@@ -47,8 +48,10 @@
 }
 
 func startCommand(token, epoch uint64) wire.Commands {
-	return wire.Commands{FencingToken: wire.Count(token), AgentEpoch: wire.Count(epoch),
-		Items: []wire.Command{{Kind: wire.CommandStart, Task: "j-1/0", Attempt: 1}}}
+	return wire.Commands{
+		FencingToken: wire.Count(token), AgentEpoch: wire.Count(epoch),
+		Items: []wire.Command{{Kind: wire.CommandStart, Task: "j-1/0", Attempt: 1}},
+	}
 }
 
 func TestAgentExecutesOrRefusesCommands(t *testing.T) {
@@ -147,7 +150,8 @@
 	}
 	missing := listener.Addr().String()
 	_ = listener.Close()
-	if _, executed, err := NewClient(ampleTimeout).Send(missing, startCommand(1, 1)); !errors.Is(err, ErrUncertain) || executed {
+	if _, executed, err := NewClient(ampleTimeout).Send(missing, startCommand(1, 1)); !errors.Is(err, ErrUncertain) ||
+		executed {
 		t.Errorf("missing: executed %v, %v", executed, err)
 	}
 }
--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -47,7 +47,13 @@
 	sim := &bootSimulation{Planner: newTestPlanner(), upAt: map[*cluster.Machine]micro.Time{}}
 	sim.Objectives = scheduler.NewObjectives([]config.Objective{{Kind: "wait", Class: "c", WithinS: objective.Seconds()}})
 	sim.bootTime = func(n int) (micro.Time, bool) { return boot * 3 / 2, n > 0 }
-	job := sim.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 100}, now, now)
+	job := sim.Cluster.AddJob(
+		wire.Job{
+			ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 100,
+		},
+		now,
+		now,
+	)
 	properties := config.Defaults()
 	sched := &scheduler.Scheduler{Cluster: sim.Cluster, Objectives: sim.Objectives, Properties: &properties}
 	var secondRequestedAt micro.Time
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -112,14 +112,17 @@
 
 // reserve puts up to n of a demand's tasks into the stock of the zones that are cut off,
 // or of the others, and says how many fit.
-func (c *capacity) reserve(demand *taskDemand, tasks int, tasksByZone map[string]int, unreachable map[string]bool, inUnreachable bool) int {
+func (c *capacity) reserve(
+	demand *taskDemand, tasks int, tasksByZone map[string]int, unreachable map[string]bool, inUnreachable bool,
+) int {
 	occupancy := demand.occupancy()
 	reserved := 0
 	for _, group := range c.groups {
 		if reserved == tasks {
 			break
 		}
-		if unreachable[group.Zone] != inUnreachable || group.emptyMachines == 0 && len(group.partialMachines) == 0 || !demand.allows(group.typ, group.Zone, group.Spot) {
+		if unreachable[group.Zone] != inUnreachable || group.emptyMachines == 0 && len(group.partialMachines) == 0 ||
+			!demand.allows(group.typ, group.Zone, group.Spot) {
 			continue
 		}
 		fitting := group.reserve(demand.spec, min(tasks-reserved, zoneAllowance(demand, group.Zone, tasksByZone)))
@@ -146,7 +149,9 @@
 // reserveTurnover is how many of n tasks the machines of the stock could start by a
 // time, after what the plan has put on them, on room that is not dear. It takes
 // what it counts.
-func (c *capacity) reserveTurnover(demand *taskDemand, tasks int, now, deadline micro.Time, expensive func(*offerCapacity) bool) int {
+func (c *capacity) reserveTurnover(
+	demand *taskDemand, tasks int, now, deadline micro.Time, expensive func(*offerCapacity) bool,
+) int {
 	occupancy := demand.occupancy()
 	reserved := 0
 	for _, group := range c.groups {
@@ -209,7 +214,10 @@
 			continue
 		}
 		later := free.availableAt(at)
-		if fitting := min(tasks-reserved, later.countFitting(demand.spec), zoneAllowance(demand, free.zone, tasksByZone)-reservedByZone[free.zone]); fitting > 0 {
+		if fitting := min(
+			tasks-reserved, later.countFitting(demand.spec),
+			zoneAllowance(demand, free.zone, tasksByZone)-reservedByZone[free.zone],
+		); fitting > 0 {
 			free.reserve(demand.spec, fitting)
 			reservedByZone[free.zone] += fitting
 			reserved += fitting
@@ -274,7 +282,8 @@
 func (p *Planner) expectedCapacity(now micro.Time) *capacity {
 	expected := &capacity{byOffer: map[InstanceOffer]*offerCapacity{}}
 	for _, machine := range p.Cluster.SortedMachines() {
-		if machine.State != cluster.Registering || machine.Type == nil || machine.CloudState == wire.MachineFailed || len(machine.Allocations) > 0 {
+		if machine.State != cluster.Registering || machine.Type == nil || machine.CloudState == wire.MachineFailed ||
+			len(machine.Allocations) > 0 {
 			continue
 		}
 		if bootOverdue(machine, now) {
@@ -320,7 +329,9 @@
 					end = max(allocation.RunningSince+estimate, now+estimate/4)
 				}
 			}
-			free.releases = append(free.releases, release{end, max(job.Spec.CPUs, allocation.ScaledCPU), job.Spec.GPUs, job.Spec.MemoryGB})
+			free.releases = append(
+				free.releases, release{end, max(job.Spec.CPUs, allocation.ScaledCPU), job.Spec.GPUs, job.Spec.MemoryGB},
+			)
 		}
 		bins = append(bins, free)
 	}
--- a/internal/autoscaler/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -47,7 +47,9 @@
 		if !machine.Schedulable(now) {
 			continue
 		}
-		free, usedByArrays, hasOtherWork := cluster.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}, cluster.Resources{}, false
+		free, usedByArrays, hasOtherWork := cluster.Resources{
+			CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB,
+		}, cluster.Resources{}, false
 		for _, allocation := range machine.Allocations {
 			if allocation.Job == nil {
 				continue
@@ -63,7 +65,8 @@
 		}
 		used.Add(usedByArrays, 1)
 		available.Add(free, 1)
-		if !hasOtherWork && !machine.Permanent && !p.usableForGPUWork(machine) && machine.ReservedFor == nil && now-machine.LastNeededForHeadroom > 5*micro.Second {
+		if !hasOtherWork && !machine.Permanent && !p.usableForGPUWork(machine) && machine.ReservedFor == nil &&
+			now-machine.LastNeededForHeadroom > 5*micro.Second {
 			candidates = append(candidates, machine)
 		}
 	}
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -23,7 +23,8 @@
 
 // allows reports whether a machine of an offer could run the demand's tasks.
 func (d *taskDemand) allows(typ *cluster.MachineType, zone string, spot bool) bool {
-	return scheduler.Allowed(d.spec, typ, zone, spot) && (d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
+	return scheduler.Allowed(d.spec, typ, zone, spot) &&
+		(d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
 }
 
 // eligibleOffers tells the offers that help a job: those of shares only if it can still be
@@ -81,16 +82,15 @@
 		if !p.isUrgent(job, latestStart, now) {
 			continue
 		}
-		demands = append(demands, taskDemand{job: job, spec: &job.Spec, tasks: tasks, latestStart: latestStart, priorityLevel: job.PriorityLevel, eligible: p.eligibleOffers(job)})
+		demands = append(demands, taskDemand{
+			job: job, spec: &job.Spec, tasks: tasks, latestStart: latestStart, priorityLevel: job.PriorityLevel,
+			eligible: p.eligibleOffers(job),
+		})
 		if job.PriorityLevel == 0 {
 			topPriorityTasks[job.Class] += tasks
 		}
 	}
-	if p.ShardDemands != nil {
-		for _, shard := range p.ShardDemands() {
-			demands = append(demands, taskDemand{job: shard.Job, spec: &shard.Job.Spec, tasks: shard.Tasks, latestStart: p.Objectives.LatestStart(shard.Job, now), priorityLevel: shard.Job.PriorityLevel, eligible: shard.InShard})
-		}
-	}
+	demands = append(demands, p.shardDemands(now)...)
 	demands = append(demands, p.bootSpares(topPriorityTasks, now)...)
 	demands = append(demands, p.headroom(now)...)
 	sort.SliceStable(demands, func(a, b int) bool {
@@ -102,6 +102,23 @@
 	return demands
 }
 
+// shardDemands lists the tasks that wait for room in shards: their owners request no
+// instances.
+func (p *Planner) shardDemands(now micro.Time) []taskDemand {
+	if p.ShardDemands == nil {
+		return nil
+	}
+	var demands []taskDemand
+	for _, shard := range p.ShardDemands() {
+		demands = append(demands, taskDemand{
+			job: shard.Job, spec: &shard.Job.Spec, tasks: shard.Tasks,
+			latestStart:   p.Objectives.LatestStart(shard.Job, now),
+			priorityLevel: shard.Job.PriorityLevel, eligible: shard.InShard,
+		})
+	}
+	return demands
+}
+
 // bootSpareFactor is how much more room than it needs is rented for work of the first
 // rank that is wanted sooner than machines boot: boots take 0.6 to 1.5 times as
 // long as they should, and with spares the quickest of them are enough.
@@ -113,7 +130,13 @@
 		startObjective, boot := p.Objectives.StartObjective(class.Name), p.minBootTime(class.LastJob)
 		if startObjective > 0 && startObjective < boot {
 			spec := *class.LastJob
-			demands = append(demands, taskDemand{spec: &spec, tasks: int(math.Ceil(bootSpareFactor * float64(tasks))), latestStart: now + boot, eligible: p.OwnsOffer})
+			demands = append(
+				demands,
+				taskDemand{
+					spec: &spec, tasks: int(math.Ceil(bootSpareFactor * float64(tasks))), latestStart: now + boot,
+					eligible: p.OwnsOffer,
+				},
+			)
 		}
 	}
 	sort.Slice(demands, func(a, b int) bool { return demands[a].spec.Class < demands[b].spec.Class })
@@ -174,6 +197,22 @@
 	return micro.FromSeconds(best)
 }
 
+// freeWithPreemption is what is free on a machine for work of a priority level, which
+// may preempt lower ones.
+func freeWithPreemption(machine *cluster.Machine, level int) bin {
+	preemptible := machine.Preemptible(level)
+	unscaled := machine.Type.CPUs - machine.UsedCPU + preemptible.CPU
+	scaled := machine.Type.CPUs - machine.UsedScaledCPU + preemptible.ScaledCPU
+	return bin{
+		typ:  machine.Type,
+		zone: machine.Zone,
+		spot: machine.Spot,
+		cpu:  min(scaled, unscaled),
+		gpu:  machine.Type.GPUs - machine.UsedGPU + preemptible.GPU,
+		mem:  machine.Type.MemoryGB - machine.UsedMemoryGB + preemptible.MemoryGB,
+	}
+}
+
 // headroom asks for room for the starts expected of classes whose starts are
 // wanted sooner than a slowly booting machine is ready. Room that lower ranks hold counts: they
 // can be preempted.
@@ -210,13 +249,12 @@
 			if have >= want {
 				break
 			}
-			if !machine.Schedulable(now) || p.limitsCost() && class.LastJob.GPUs == 0 && machine.Type.GPUs > 0 && p.isExpensive(class.LastJob, machine.Type, machine.Spot, maxRatio) {
+			if !machine.Schedulable(now) ||
+				p.limitsCost() && class.LastJob.GPUs == 0 && machine.Type.GPUs > 0 &&
+					p.isExpensive(class.LastJob, machine.Type, machine.Spot, maxRatio) {
 				continue // counted on, it would never be returned
 			}
-			preemptible := machine.Preemptible(level)
-			free := bin{typ: machine.Type, zone: machine.Zone, spot: machine.Spot,
-				cpu: min(machine.Type.CPUs-machine.UsedScaledCPU+preemptible.ScaledCPU, machine.Type.CPUs-machine.UsedCPU+preemptible.CPU),
-				gpu: machine.Type.GPUs - machine.UsedGPU + preemptible.GPU, mem: machine.Type.MemoryGB - machine.UsedMemoryGB + preemptible.MemoryGB}
+			free := freeWithPreemption(machine, level)
 			if fitting := free.countFitting(class.LastJob); fitting > 0 {
 				have += fitting
 				machine.LastNeededForHeadroom = now
@@ -224,7 +262,9 @@
 		}
 		if have < want {
 			spec := *class.LastJob
-			demands = append(demands, taskDemand{spec: &spec, tasks: want - have, latestStart: now + boot, priorityLevel: level, eligible: p.OwnsOffer})
+			demands = append(demands, taskDemand{
+				spec: &spec, tasks: want - have, latestStart: now + boot, priorityLevel: level, eligible: p.OwnsOffer,
+			})
 		}
 	}
 	return demands
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -138,7 +138,9 @@
 		idleTimeout *= permanentFleetIdleFactor
 	}
 	for _, machine := range p.Cluster.SortedMachines() {
-		if machine.State != cluster.Up || machine.OwnedElsewhere || machine.Permanent || len(machine.Allocations) > 0 || machine.ReservedFor != nil || machine.PreemptionAt != 0 {
+		if machine.State != cluster.Up || machine.OwnedElsewhere || machine.Permanent || len(machine.Allocations) > 0 ||
+			machine.ReservedFor != nil ||
+			machine.PreemptionAt != 0 {
 			continue
 		}
 		if machine.Cordoned {
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -22,15 +22,31 @@
 func newTestPlanner() *Planner {
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
-		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 30, FetchGBPerS: 1, Zones: []string{"a", "b"}},
-		{Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 96, Price: 60, SpotPrice: 50, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
+		{
+			Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 30, FetchGBPerS: 1, Zones: []string{"a", "b"},
+		},
+		{
+			Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 96, Price: 60, SpotPrice: 50, BootS: 30, FetchGBPerS: 1,
+			Zones: []string{"a"},
+		},
 	}})
 	properties := config.Defaults()
-	return &Planner{Cluster: state, Objectives: scheduler.NewObjectives(nil), Properties: &properties, RefusedUntil: map[InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[InstanceOffer]int{}, PendingRequests: map[string]ScaleOut{}}
+	return &Planner{
+		Cluster: state, Objectives: scheduler.NewObjectives(nil), Properties: &properties,
+		RefusedUntil: map[InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[InstanceOffer]int{},
+		PendingRequests: map[string]ScaleOut{},
+	}
 }
 
 func (p *Planner) submit(id string, tasks int, cpus float64, spot bool) *cluster.Job {
-	return p.Cluster.AddJob(wire.Job{ID: id, Class: id, Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Spot: spot, EstimateS: 100}, now-micro.Minute, now)
+	return p.Cluster.AddJob(
+		wire.Job{
+			ID: id, Class: id, Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Spot: spot,
+			EstimateS: 100,
+		},
+		now-micro.Minute,
+		now,
+	)
 }
 
 func TestScaleOutTakesTheCheapestOfferThatFits(t *testing.T) {
@@ -151,7 +167,13 @@
 		planner.Cluster.DescribeMachine(m, "small", "a", false)
 		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
 	}
-	job := planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.Service, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1, Spread: true}, now-micro.Minute, now)
+	job := planner.Cluster.AddJob(
+		wire.Job{
+			ID: "j-1", Class: "c", Kind: wire.Service, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1, Spread: true,
+		},
+		now-micro.Minute,
+		now,
+	)
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 1, now)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "b" {
@@ -167,7 +189,14 @@
 		planner.Cluster.DescribeMachine(m, "small", map[string]string{"i-1": "a", "i-2": "b"}[name], false)
 		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
 	}
-	job := planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 2, CPUs: 4, MemoryGB: 1, OneZone: true, EstimateS: 100}, now-micro.Minute, now)
+	job := planner.Cluster.AddJob(
+		wire.Job{
+			ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 2, CPUs: 4, MemoryGB: 1, OneZone: true,
+			EstimateS: 100,
+		},
+		now-micro.Minute,
+		now,
+	)
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 4, now)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "a" {
@@ -183,7 +212,9 @@
 	planner.Cluster.DescribeMachine(machine, "small", "a", false)
 	planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 	planner.Cluster.SetCordoned(machine, true)
-	planner.Cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 10}, now, now)
+	planner.Cluster.AddJob(
+		wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 10}, now, now,
+	)
 	planner.Plan(now + micro.Second)
 	if !machine.Cordoned {
 		t.Fatal("taken back at once")
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -81,7 +81,9 @@
 		return 0
 	}
 	backlog := p.backlogs[demand.job.Class]
-	if backlog == nil || backlog.pendingBefore == 0 || now-backlog.measuredAt < backlogInterval/2 || 10*backlog.pendingTasks < 9*backlog.pendingBefore || now-backlog.lastExpensiveAt < expensiveInterval {
+	if backlog == nil || backlog.pendingBefore == 0 || now-backlog.measuredAt < backlogInterval/2 ||
+		10*backlog.pendingTasks < 9*backlog.pendingBefore ||
+		now-backlog.lastExpensiveAt < expensiveInterval {
 		return 0
 	}
 	backlog.lastExpensiveAt = now
@@ -179,7 +181,8 @@
 // those that other work had needed from being returned. A job none of whose tasks
 // found a place for maxExpensiveDelay takes what there is.
 func (p *Planner) onlyCostMatters(job *cluster.Job, now micro.Time) bool {
-	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) && now-job.WaitingSince <= maxExpensiveDelay
+	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) &&
+		now-job.WaitingSince <= maxExpensiveDelay
 }
 
 // lowestPriorityLevel is the rank of idle work.
@@ -210,15 +213,21 @@
 
 // chooseOffer finds the offer that costs least per task, first among those whose
 // machines come up; in a zone that is cut off only if there is no other.
-func (p *Planner) chooseOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, now micro.Time) *bin {
-	if best := p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, p.excludedUntil, now); best != nil || len(p.excludedUntil) == 0 {
+func (p *Planner) chooseOffer(
+	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, now micro.Time,
+) *bin {
+	if best := p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, p.excludedUntil, now); best != nil ||
+		len(p.excludedUntil) == 0 {
 		return best
 	}
 	return p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, nil, now)
 }
 
 // cheapestOffer finds the offer that costs least per task, but for those left out.
-func (p *Planner) cheapestOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, excluded map[InstanceOffer]micro.Time, now micro.Time) *bin {
+func (p *Planner) cheapestOffer(
+	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, excluded map[InstanceOffer]micro.Time,
+	now micro.Time,
+) *bin {
 	var best *bin
 	bestCost := 0.0
 	priceLimit := math.Inf(1)
--- a/internal/autoscaler/price_test.go
+++ b/internal/autoscaler/price_test.go
@@ -18,9 +18,13 @@
 	planner.Cluster = cluster.New(discardEffects{})
 	planner.Cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.9, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
-		{Name: "gpu", CPUs: 8, GPUs: 1, MemoryGB: 32, Price: 6, SpotPrice: 6, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"}},
+		{
+			Name: "gpu", CPUs: 8, GPUs: 1, MemoryGB: 32, Price: 6, SpotPrice: 6, BootS: 30, FetchGBPerS: 1, Zones: []string{"a"},
+		},
 	}})
-	planner.Objectives = scheduler.NewObjectives([]config.Objective{{Kind: "finished", Class: "promised", WithinS: 1000, Share: 0.9}})
+	planner.Objectives = scheduler.NewObjectives(
+		[]config.Objective{{Kind: "finished", Class: "promised", WithinS: 1000, Share: 0.9}},
+	)
 	for _, spot := range []bool{false, true} {
 		planner.RefusedUntil[InstanceOffer{"small", "a", spot}] = now + 60*micro.Minute
 	}
@@ -28,7 +32,14 @@
 }
 
 func (p *Planner) submitWithPriority(class string, priority wire.Priority) *cluster.Job {
-	return p.Cluster.AddJob(wire.Job{ID: "j-" + class, Class: class, Kind: wire.JobArray, Priority: priority, Tasks: 4000, CPUs: 1, MemoryGB: 1, Spot: true, EstimateS: 300}, now-maxExpensiveDelay-micro.Second, now)
+	return p.Cluster.AddJob(
+		wire.Job{
+			ID: "j-" + class, Class: class, Kind: wire.JobArray, Priority: priority, Tasks: 4000, CPUs: 1, MemoryGB: 1,
+			Spot: true, EstimateS: 300,
+		},
+		now-maxExpensiveDelay-micro.Second,
+		now,
+	)
 }
 
 func (p *Planner) requestsMachines() bool { scaleOuts, _ := p.Plan(now); return len(scaleOuts) > 0 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -84,7 +84,8 @@
 	if best == nil {
 		return false
 	}
-	if short.unplaced <= short.freedInTime && priceOf(best.offer, best.typ) > plan.planner.Properties.NegligibleCostShare*plan.hourlyCost {
+	if short.unplaced <= short.freedInTime &&
+		priceOf(best.offer, best.typ) > plan.planner.Properties.NegligibleCostShare*plan.hourlyCost {
 		return false
 	}
 	if !plan.allowExpensive(short, best) {
@@ -128,7 +129,8 @@
 // what it cannot help, nor for what can start in time on room that comes free.
 func (plan *scaleOutPlan) allowExpensive(short *shortage, best *bin) bool {
 	planner := plan.planner
-	if short.expensiveAllowed || !plan.limitsCost || short.priorityLevel == 0 || !planner.isExpensive(short.spec, best.typ, best.spot, planner.Properties.HighPriceRatio) {
+	if short.expensiveAllowed || !plan.limitsCost || short.priorityLevel == 0 ||
+		!planner.isExpensive(short.spec, best.typ, best.spot, planner.Properties.HighPriceRatio) {
 		return true
 	}
 	if n := planner.persistentShortage(short.taskDemand, plan.now); n > 0 {
@@ -150,10 +152,18 @@
 	short.turnoverCounted = true
 	planner, now := plan.planner, plan.now
 	deadline := max(min(short.latestStart, now+maxExpensiveDelay), now+planner.minReadyTime(short.spec)/2)
-	short.freedInTime += reserveReleased(plan.runningCapacity(), short.taskDemand, short.unplaced-short.freedInTime, short.tasksByZone, deadline)
-	short.freedInTime += plan.expected.reserveTurnover(short.taskDemand, short.unplaced-short.freedInTime, now, deadline, func(group *offerCapacity) bool {
-		return planner.isExpensive(short.spec, group.typ, group.Spot, planner.Properties.HighPriceRatio)
-	})
+	short.freedInTime += reserveReleased(
+		plan.runningCapacity(), short.taskDemand, short.unplaced-short.freedInTime, short.tasksByZone, deadline,
+	)
+	short.freedInTime += plan.expected.reserveTurnover(
+		short.taskDemand,
+		short.unplaced-short.freedInTime,
+		now,
+		deadline,
+		func(group *offerCapacity) bool {
+			return planner.isExpensive(short.spec, group.typ, group.Spot, planner.Properties.HighPriceRatio)
+		},
+	)
 }
 
 // machineCount is how many machines of an offer are rented at a time for so many tasks.
--- a/internal/ci/known_red_test.go
+++ b/internal/ci/known_red_test.go
@@ -64,8 +64,10 @@
 		says            []string
 	}{
 		{"nothing listed", "", "", false, []string{"--- FAIL: TestBroken "}},
-		{"all that fail are listed", two + "\nTestMended was red, issue 3\n\n", "", true,
-			[]string{"known red: TestBroken failed", "known red: TestTorn failed", "known red: TestMended passed", "ok  \ttiny/internal/x"}},
+		{
+			"all that fail are listed", two + "\nTestMended was red, issue 3\n\n", "", true,
+			[]string{"known red: TestBroken failed", "known red: TestTorn failed", "known red: TestMended passed", "ok  \ttiny/internal/x"},
+		},
 		{"another fails", two + "\n", "OTHER_FAILS=1", false, []string{"known red: TestTorn failed", "--- FAIL: TestBrokenNoMore "}},
 		{"one that fails is not listed", "TestTorn panics, issue 2\n", "", false, []string{"--- FAIL: TestBroken "}},
 		{"no such test", "TestBroke breaks, issue 1\n", "", false, []string{"no such test: TestBroke"}},
--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -95,7 +95,9 @@
 }
 
 // Allocate takes a place for a task. The caller has checked that it may.
-func (s *State) Allocate(job *Job, index int, machine *Machine, attempt uint32, scaledCPU float64, now micro.Time) *Allocation {
+func (s *State) Allocate(
+	job *Job, index int, machine *Machine, attempt uint32, scaledCPU float64, now micro.Time,
+) *Allocation {
 	s.dequeue(job, index)
 	task := &job.Tasks[index]
 	task.Attempt = attempt
@@ -238,7 +240,10 @@
 		allocation.Machine.account(allocation, 1)
 	}
 	if s.Verbose {
-		s.Log("stop", "task", allocation.TaskName, "try", allocation.Attempt, "machine", allocation.Machine.Name, "why", reason, "grace_s", graceS)
+		s.Log(
+			"stop", "task", allocation.TaskName, "try", allocation.Attempt, "machine", allocation.Machine.Name, "why", reason,
+			"grace_s", graceS,
+		)
 	}
 	s.DispatchSoon(allocation.Machine)
 }
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -115,7 +115,9 @@
 	for _, entry := range expanded.Allocations {
 		s.AcquireMachine(s.EnsureMachine(entry.Machine, now), now)
 	}
-	s.restoreTasks(job, &expanded, func(i int) bool { return i >= 0 && i < len(job.Tasks) && i/job.tasksPerChunk == index }, now)
+	s.restoreTasks(
+		job, &expanded, func(i int) bool { return i >= 0 && i < len(job.Tasks) && i/job.tasksPerChunk == index }, now,
+	)
 	job.Chunks[index].MemoryVersion++
 }
 
--- a/internal/cluster/assignment_test.go
+++ b/internal/cluster/assignment_test.go
@@ -17,7 +17,9 @@
 	agent := tc.addAgent("i-1", "a")
 	minToken := tc.token + 1000
 	agent.FencingToken = minToken - 1 // the other owner's
-	agent.Tasks[fake.AttemptKey{Task: "j-1/0", Attempt: 1}] = &wire.TaskStatus{Task: "j-1/0", Attempt: 1, State: wire.TaskRunning}
+	agent.Tasks[fake.AttemptKey{Task: "j-1/0", Attempt: 1}] = &wire.TaskStatus{
+		Task: "j-1/0", Attempt: 1, State: wire.TaskRunning,
+	}
 	tc.cluster.RaiseMinFencingToken(minToken)
 	machine, _ := tc.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, tc.now)
 	allocations := machine.SortedAllocations()
--- a/internal/cluster/compact.go
+++ b/internal/cluster/compact.go
@@ -22,7 +22,10 @@
 
 // Compact puts a record into the later form.
 func (r *ChunkRecord) Compact() CompactRecord {
-	out := CompactRecord{Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{}, Done: r.Done, Attempts: r.Attempts}
+	out := CompactRecord{
+		Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{}, Done: r.Done,
+		Attempts: r.Attempts,
+	}
 	zones, machines := map[string]int{}, map[string]int{}
 	for _, allocation := range r.Allocations {
 		machineIndex, ok := machines[allocation.Machine]
@@ -38,7 +41,10 @@
 			out.Machines = append(out.Machines, allocation.Machine)
 			out.MachineZones = append(out.MachineZones, zoneIndex)
 		}
-		out.Allocations = append(out.Allocations, [4]wire.Count{wire.Count(machineIndex), allocation.Session, wire.Count(allocation.Index), allocation.Attempt})
+		out.Allocations = append(
+			out.Allocations,
+			[4]wire.Count{wire.Count(machineIndex), allocation.Session, wire.Count(allocation.Index), allocation.Attempt},
+		)
 	}
 	return out
 }
@@ -57,7 +63,13 @@
 		if zoneIndex < 0 || zoneIndex >= len(r.Zones) {
 			return out, false
 		}
-		out.Allocations = append(out.Allocations, AllocationRecord{Index: int(allocation[2]), Attempt: allocation[3], Machine: r.Machines[allocation[0]], Session: allocation[1], Zone: r.Zones[zoneIndex]})
+		out.Allocations = append(
+			out.Allocations,
+			AllocationRecord{
+				Index: int(allocation[2]), Attempt: allocation[3], Machine: r.Machines[allocation[0]], Session: allocation[1],
+				Zone: r.Zones[zoneIndex],
+			},
+		)
 	}
 	return out, true
 }
@@ -107,7 +119,9 @@
 	}
 	chunk := job.Chunks[index]
 	chunk.KeyRevision = keyRevision
-	s.restoreTasks(job, &expanded, func(i int) bool { return i >= 0 && i < len(job.Tasks) && i/job.tasksPerChunk == index }, now)
+	s.restoreTasks(
+		job, &expanded, func(i int) bool { return i >= 0 && i < len(job.Tasks) && i/job.tasksPerChunk == index }, now,
+	)
 	chunk.Stored = true
 }
 
--- a/internal/cluster/compact_test.go
+++ b/internal/cluster/compact_test.go
@@ -17,7 +17,13 @@
 		tasks := cluster.TasksPerCompactChunk(bytes)
 		record := cluster.ChunkRecord{Done: [][2]int{}, Attempts: [][2]int{}}
 		for i := range tasks {
-			record.Allocations = append(record.Allocations, cluster.AllocationRecord{Index: 9000 + i, Attempt: 3, Machine: fmt.Sprintf("i-%06d", 100000+i), Session: 2, Zone: []string{"a-long-zones-name", "another-long-name"}[i%2]})
+			record.Allocations = append(
+				record.Allocations,
+				cluster.AllocationRecord{
+					Index: 9000 + i, Attempt: 3, Machine: fmt.Sprintf("i-%06d", 100000+i), Session: 2,
+					Zone: []string{"a-long-zones-name", "another-long-name"}[i%2],
+				},
+			)
 		}
 		if size := wire.JSONSize(record.Compact()); size > bytes {
 			t.Errorf("%d tasks take %d bytes of %d", tasks, size, bytes)
@@ -28,7 +34,9 @@
 			t.Errorf("read back: %v", expanded.Allocations)
 		}
 	}
-	invalid := cluster.CompactRecord{Zones: []string{"a"}, Machines: []string{"i-1"}, MachineZones: []int{1}, Allocations: [][4]wire.Count{{0, 1, 0, 1}}}
+	invalid := cluster.CompactRecord{
+		Zones: []string{"a"}, Machines: []string{"i-1"}, MachineZones: []int{1}, Allocations: [][4]wire.Count{{0, 1, 0, 1}},
+	}
 	if _, ok := invalid.Expand(); ok {
 		t.Error("a zone that the record lacks")
 	}
@@ -39,7 +47,13 @@
 	var lines []string
 	for _, job := range state.Jobs {
 		for _, allocation := range job.Allocations() {
-			lines = append(lines, fmt.Sprint(allocation.TaskName, " try ", allocation.Attempt, " on ", allocation.Machine.Name, " session ", allocation.AgentEpoch, " in ", allocation.Machine.Zone))
+			lines = append(
+				lines,
+				fmt.Sprint(
+					allocation.TaskName, " try ", allocation.Attempt, " on ", allocation.Machine.Name, " session ",
+					allocation.AgentEpoch, " in ", allocation.Machine.Zone,
+				),
+			)
 		}
 		for i := range job.Tasks {
 			if job.Tasks[i].Done {
@@ -77,7 +91,10 @@
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
 	stored := jobStore{legacy: map[int]cluster.ChunkRecord{}, compact: map[int]cluster.CompactRecord{}}
-	spec := wire.Job{ID: "j-1", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 200, CPUs: 0.01, MemoryGB: 0.01, EstimateS: 10}
+	spec := wire.Job{
+		ID: "j-1", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 200, CPUs: 0.01,
+		MemoryGB: 0.01, EstimateS: 10,
+	}
 	agent := tc.addAgent("i-1", "a")
 	tc.addAgent("i-2", "b")
 	job := tc.submitSpec(spec)
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -124,7 +124,8 @@
 		}
 		level = min(level, dependent.PriorityLevel)
 		if dependent.DeadlineSource != nil {
-			if deadline := dependent.effectiveDeadline() - dependent.expectedDuration(); deadlineSource == nil || deadline < earliest {
+			if deadline := dependent.effectiveDeadline() - dependent.expectedDuration(); deadlineSource == nil ||
+				deadline < earliest {
 				deadlineSource, criticalPath, earliest = dependent.DeadlineSource, dependent.CriticalPath+dependent.expectedDuration(), deadline
 			}
 		}
--- a/internal/cluster/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -10,7 +10,10 @@
 )
 
 func pipelineJob(id string, needs ...string) wire.Job {
-	return wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Dependencies: needs}
+	return wire.Job{
+		ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1,
+		EstimateS: 10, Dependencies: needs,
+	}
 }
 
 func (tc *testCluster) submitSpec(spec wire.Job) *cluster.Job {
@@ -86,7 +89,8 @@
 	if other.State != cluster.Active {
 		t.Fatalf("%v: nobody cancelled it", other.State)
 	}
-	if late := tc.submitSpec(pipelineJob("j-102", "j-101")); late.Status().State != wire.JobAborted || late.State != cluster.Aborting {
+	if late := tc.submitSpec(pipelineJob("j-102", "j-101")); late.Status().State != wire.JobAborted ||
+		late.State != cluster.Aborting {
 		t.Fatalf("submitted later: %v", late.State)
 	}
 	if done := tc.submitSpec(pipelineJob("j-103", "j-100")); done.State != cluster.Blocked {
@@ -111,12 +115,16 @@
 	tc := newTestCluster(t)
 	tc.cluster.FinalStatuses["j-1"] = cluster.FinalStatus{Aborted: true}
 	tc.cluster.FinalStatuses["j-5"] = cluster.FinalStatus{EndedAt: tc.now - 9*micro.Second}
-	third, second := tc.submitSpec(pipelineJob("j-3", "j-2")), tc.submitSpec(pipelineJob("j-2", "j-1")) // read in any order
-	if second.Status().State != wire.JobAborted || third.Status().State != wire.JobAborted || len(tc.dependencyAborted) != 2 {
+	third, second := tc.submitSpec(pipelineJob("j-3", "j-2")), tc.submitSpec(
+		pipelineJob("j-2", "j-1"),
+	) // read in any order
+	if second.Status().State != wire.JobAborted || third.Status().State != wire.JobAborted ||
+		len(tc.dependencyAborted) != 2 {
 		t.Fatalf("%v, %v", second.Status().State, third.Status().State)
 	}
 	tc.now += 5 * micro.Second
-	if job := tc.cluster.AddJob(pipelineJob("j-6", "j-5"), tc.now-60*micro.Second, tc.now); job.State != cluster.Active || job.EligibleSince != tc.now-14*micro.Second {
+	if job := tc.cluster.AddJob(pipelineJob("j-6", "j-5"), tc.now-60*micro.Second, tc.now); job.State != cluster.Active ||
+		job.EligibleSince != tc.now-14*micro.Second {
 		t.Fatalf("%v, its clocks from %v s ago", job.State, (tc.now - job.EligibleSince).Seconds())
 	}
 }
@@ -130,7 +138,8 @@
 	tc.submitSpec(big)
 	later := tc.submitSpec(pipelineJob("j-3"))
 	tc.cluster.MarkGuarantees()
-	if !later.WithinGuarantee || tc.cluster.PendingJobs[tc.cluster.Jobs["j-2"]] || tc.cluster.ActiveJobs[tc.cluster.Jobs["j-2"]] {
+	if !later.WithinGuarantee || tc.cluster.PendingJobs[tc.cluster.Jobs["j-2"]] ||
+		tc.cluster.ActiveJobs[tc.cluster.Jobs["j-2"]] {
 		t.Fatal("a job that can't start yet counts")
 	}
 	tc.now += 300 * micro.Second
@@ -150,8 +159,13 @@
 	deadlineS := 100.0
 	spec.Priority, spec.DeadlineS = wire.High, &deadlineS
 	third := tc.submitSpec(spec)
-	if first.PriorityLevel != 1 || second.PriorityLevel != 1 || first.DeadlineSource != third || second.CriticalPath >= first.CriticalPath || second.CriticalPath == 0 {
-		t.Fatalf("ranks %d, %d; %v after the first, %v after the second", first.PriorityLevel, second.PriorityLevel, first.CriticalPath, second.CriticalPath)
+	if first.PriorityLevel != 1 || second.PriorityLevel != 1 || first.DeadlineSource != third ||
+		second.CriticalPath >= first.CriticalPath ||
+		second.CriticalPath == 0 {
+		t.Fatalf(
+			"ranks %d, %d; %v after the first, %v after the second", first.PriorityLevel, second.PriorityLevel,
+			first.CriticalPath, second.CriticalPath,
+		)
 	}
 	machine := tc.cluster.Machines["i-1"]
 	if machine.Preemptible(1).CPU != 0 || machine.Preemptible(0).CPU != 1 {
@@ -159,7 +173,8 @@
 	}
 	tc.cluster.BeginAbort(third)
 	tc.cluster.FinalizeJob(third, true, tc.now)
-	if first.PriorityLevel != 3 || first.DeadlineSource != nil || second.PriorityLevel != 3 || machine.Preemptible(1).CPU != 1 {
+	if first.PriorityLevel != 3 || first.DeadlineSource != nil || second.PriorityLevel != 3 ||
+		machine.Preemptible(1).CPU != 1 {
 		t.Fatalf("the job that asked for it is gone: rank %d", first.PriorityLevel)
 	}
 }
--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -29,7 +29,8 @@
 	for totalGB > m.Type.CacheGB && len(m.images) > 1 {
 		oldest := ""
 		for candidate, cached := range m.images {
-			if candidate != name && (oldest == "" || cached.lastUsed < m.images[oldest].lastUsed || cached.lastUsed == m.images[oldest].lastUsed && candidate < oldest) {
+			if candidate != name &&
+				(oldest == "" || cached.lastUsed < m.images[oldest].lastUsed || cached.lastUsed == m.images[oldest].lastUsed && candidate < oldest) {
 				oldest = candidate
 			}
 		}
@@ -126,7 +127,10 @@
 }
 
 func newImagePage(size int) *imagePage {
-	return &imagePage{record: ImageRecord{Names: []string{}, GB: []float64{}, Machines: map[string][]int{}}, index: map[string]int{}, remaining: size}
+	return &imagePage{
+		record: ImageRecord{Names: []string{}, GB: []float64{}, Machines: map[string][]int{}}, index: map[string]int{},
+		remaining: size,
+	}
 }
 
 // add takes a machine into the record; false if there is no room for it.
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -210,7 +210,8 @@
 			remaining := float64(len(job.Tasks) - job.DoneTasks)
 			cpus += remaining * job.Spec.CPUs
 			gpus += remaining * job.Spec.GPUs
-			job.WithinGuarantee = (team.GuaranteedCPUs <= 0 || cpus <= team.GuaranteedCPUs) && (team.GuaranteedGPUs <= 0 || gpus <= team.GuaranteedGPUs)
+			job.WithinGuarantee = (team.GuaranteedCPUs <= 0 || cpus <= team.GuaranteedCPUs) &&
+				(team.GuaranteedGPUs <= 0 || gpus <= team.GuaranteedGPUs)
 		}
 	}
 }
@@ -347,7 +348,10 @@
 
 // Status is what a user is told.
 func (j *Job) Status() wire.JobStatus {
-	status := wire.JobStatus{ID: j.Spec.ID, State: wire.JobPending, Done: j.DoneTasks + j.ShardDoneTasks, Running: j.RunningTasks + j.ShardRunningTasks}
+	status := wire.JobStatus{
+		ID: j.Spec.ID, State: wire.JobPending, Done: j.DoneTasks + j.ShardDoneTasks,
+		Running: j.RunningTasks + j.ShardRunningTasks,
+	}
 	switch {
 	case j.State == Assigned && j.ShardRunningTasks > 0:
 		status.State = wire.JobRunning
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -50,7 +50,9 @@
 
 // heartbeatWithResponseLost is a report whose answer does not arrive.
 func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
-	if machine, outcome := tc.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, tc.now); outcome == cluster.Applied {
+	if machine, outcome := tc.cluster.Reconcile(
+		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
+	); outcome == cluster.Applied {
 		tc.cluster.ResponseSent(machine, tc.token)
 	}
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -113,7 +113,10 @@
 	}
 	for _, allowed := range machineTransitions[machine.State] {
 		if allowed == to {
-			s.Log("machine", "machine", machine.Name, "type", machine.TypeName, "spot", machine.Spot, "was", machine.State.String(), "is", to.String(), "why", reason)
+			s.Log(
+				"machine", "machine", machine.Name, "type", machine.TypeName, "spot", machine.Spot, "was", machine.State.String(),
+				"is", to.String(), "why", reason,
+			)
 			machine.State = to
 			s.updatePool(machine)
 			s.ScheduleSoon()
@@ -128,8 +131,14 @@
 	machine := s.Machines[name]
 	if machine == nil {
 		machine = &Machine{
-			Name: name, Allocations: map[AllocationKey]*Allocation{}, exitedAttempts: map[AllocationKey]*exitedAttempt{},
-			images: s.takeImageHint(name), JobFailures: map[string]micro.Time{}, RequestedAt: now, IdleSince: now, RequiredFencingToken: s.MinFencingToken,
+			Name:                 name,
+			Allocations:          map[AllocationKey]*Allocation{},
+			exitedAttempts:       map[AllocationKey]*exitedAttempt{},
+			images:               s.takeImageHint(name),
+			JobFailures:          map[string]micro.Time{},
+			RequestedAt:          now,
+			IdleSince:            now,
+			RequiredFencingToken: s.MinFencingToken,
 		}
 		s.Machines[name] = machine
 		s.sortedMachines = nil
@@ -196,7 +205,9 @@
 
 // Schedulable reports whether new tasks may be placed on the machine.
 func (m *Machine) Schedulable(now micro.Time) bool {
-	return m.State == Up && m.Type != nil && !m.ResponsesLost && !m.Cordoned && !m.OwnedElsewhere && !m.TransferPending && m.PreemptionAt == 0 && m.QuarantinedUntil <= now
+	return m.State == Up && m.Type != nil && !m.ResponsesLost && !m.Cordoned && !m.OwnedElsewhere && !m.TransferPending &&
+		m.PreemptionAt == 0 &&
+		m.QuarantinedUntil <= now
 }
 
 // MachineReachable reports whether orders are likely to arrive: not on a machine that
@@ -254,7 +265,9 @@
 // WouldProveAlive reports whether a machine was heard, but has yet to show a token that
 // proves it alive, and the given one would.
 func (m *Machine) WouldProveAlive(token uint64) bool {
-	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LastHeartbeat > 0 && m.FencingToken < m.RequiredFencingToken && m.RequiredFencingToken <= token
+	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LastHeartbeat > 0 &&
+		m.FencingToken < m.RequiredFencingToken &&
+		m.RequiredFencingToken <= token
 }
 
 // responsesLostAfter is how many reports in a row show that answers do not arrive.
@@ -370,7 +383,8 @@
 // those that overran move. This is the exception to the design's assumption
 // that a type's speed is its machines' speed.
 func (s *State) CheckOverrun(allocation *Allocation, expected, now micro.Time) {
-	if allocation.State != Running || allocation.RunningSince == 0 || allocation.Stopping || expected < 5*micro.Second || allocation.Job.Spec.Kind == wire.Service {
+	if allocation.State != Running || allocation.RunningSince == 0 || allocation.Stopping || expected < 5*micro.Second ||
+		allocation.Job.Spec.Kind == wire.Service {
 		return
 	}
 	if now-allocation.RunningSince < micro.Time(overrunFactor*float64(expected))+5*micro.Second {
--- a/internal/cluster/quarantine.go
+++ b/internal/cluster/quarantine.go
@@ -195,7 +195,9 @@
 	if machine.QuarantinedForFailures && machine.QuarantinedUntil >= lastFailure+failureQuarantine {
 		return
 	}
-	machine.QuarantinedUntil, machine.LastFaultAt, machine.QuarantinedForFailures = max(machine.QuarantinedUntil, lastFailure+failureQuarantine), max(machine.LastFaultAt, lastFailure), true
+	machine.QuarantinedUntil, machine.LastFaultAt, machine.QuarantinedForFailures = max(
+		machine.QuarantinedUntil, lastFailure+failureQuarantine,
+	), max(machine.LastFaultAt, lastFailure), true
 	s.Log("machine avoided", "machine", machine.Name, "why", "several jobs failed on it")
 }
 
--- a/internal/cluster/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -135,7 +135,10 @@
 	tc.failOver(2)
 	tc.cancel("j-1")
 	tc.expectQuotaUsed(4)
-	if machine, outcome := tc.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, tc.now); outcome != cluster.Applied || machine.State == cluster.Up {
+	if machine, outcome := tc.cluster.Reconcile(
+		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
+	); outcome != cluster.Applied ||
+		machine.State == cluster.Up {
 		t.Fatalf("verdict %v, %v: a report that may be a late copy", outcome, machine.State)
 	}
 	tc.expectQuotaUsed(4) // absent, and the start may still run
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -114,7 +114,9 @@
 }
 
 // reconcileTasks reads the tasks of a report, and tells which attempts it names.
-func (s *State) reconcileTasks(machine *Machine, heartbeat *wire.Heartbeat, now micro.Time) (reported map[AllocationKey]bool) {
+func (s *State) reconcileTasks(
+	machine *Machine, heartbeat *wire.Heartbeat, now micro.Time,
+) (reported map[AllocationKey]bool) {
 	reported = make(map[AllocationKey]bool, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
@@ -180,7 +182,10 @@
 // adoptAttempt makes a place for a task that a worker has and the records lack. It
 // holds its room until it is gone.
 func (s *State) adoptAttempt(machine *Machine, key AllocationKey) *Allocation {
-	allocation := &Allocation{TaskName: key.Task, Attempt: key.Attempt, Machine: machine, AgentEpoch: machine.AgentEpoch, State: Starting, DispatchToken: s.MinFencingToken - 1}
+	allocation := &Allocation{
+		TaskName: key.Task, Attempt: key.Attempt, Machine: machine, AgentEpoch: machine.AgentEpoch, State: Starting,
+		DispatchToken: s.MinFencingToken - 1,
+	}
 	if id, index, ok := wire.ParseTaskName(key.Task); ok {
 		if job := s.Jobs[id]; job != nil && index < len(job.Tasks) {
 			allocation.Job, allocation.Index, allocation.taskKnown = job, index, true
@@ -248,7 +253,10 @@
 	job := allocation.Job
 	task := &job.Tasks[allocation.Index]
 	if s.Verbose && (!allocation.Stopping || status.Cause != wire.CauseStopped) || status.Cause == wire.CauseError {
-		s.Log("exit", "task", allocation.TaskName, "try", allocation.Attempt, "machine", machine.Name, "cause", string(status.Cause))
+		s.Log(
+			"exit", "task", allocation.TaskName, "try", allocation.Attempt, "machine", machine.Name, "cause",
+			string(status.Cause),
+		)
 	}
 	switch status.Cause {
 	case wire.CauseError:
@@ -291,20 +299,30 @@
 		switch {
 		case allocation.Stopping && (allocation.Observed || allocation.State != Planned):
 			grace := allocation.GraceS
-			commands = append(commands, wire.Command{Kind: wire.CommandStop, Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt), GracePeriodS: &grace})
+			commands = append(
+				commands,
+				wire.Command{
+					Kind: wire.CommandStop, Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt), GracePeriodS: &grace,
+				},
+			)
 		case allocation.State == Starting && !allocation.Observed && !allocation.Restored && allocation.AgentEpoch == machine.AgentEpoch:
 			if dispatched {
 				allocation.DispatchToken = max(allocation.DispatchToken, token)
 			}
-			commands = append(commands, wire.Command{Kind: wire.CommandStart, Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt)})
+			commands = append(
+				commands, wire.Command{Kind: wire.CommandStart, Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt)},
+			)
 		}
 	}
 	if !dispatched {
 		for key, exited := range machine.exitedAttempts {
 			// A late copy of a direct start would run the attempt again after
 			// it was forgotten: the worker must have seen a newer token first.
-			if machine.FencingToken > exited.dispatchToken && (exited.chunk == nil || exited.chunk.StoredVersion >= exited.chunkVersion || exited.chunk.Job.IsTerminal()) {
-				commands = append(commands, wire.Command{Kind: wire.CommandForget, Task: key.Task, Attempt: wire.Count(key.Attempt)})
+			if machine.FencingToken > exited.dispatchToken &&
+				(exited.chunk == nil || exited.chunk.StoredVersion >= exited.chunkVersion || exited.chunk.Job.IsTerminal()) {
+				commands = append(
+					commands, wire.Command{Kind: wire.CommandForget, Task: key.Task, Attempt: wire.Count(key.Attempt)},
+				)
 			}
 		}
 	}
--- a/internal/cluster/record.go
+++ b/internal/cluster/record.go
@@ -45,9 +45,17 @@
 	allocated := map[int]bool{}
 	for _, allocation := range c.Allocations {
 		allocated[allocation.Index] = true
-		record.Allocations = append(record.Allocations, AllocationRecord{Index: allocation.Index, Attempt: wire.Count(allocation.Attempt), Machine: allocation.Machine.Name, Session: wire.Count(allocation.AgentEpoch), Zone: allocation.Machine.Zone})
+		record.Allocations = append(
+			record.Allocations,
+			AllocationRecord{
+				Index: allocation.Index, Attempt: wire.Count(allocation.Attempt), Machine: allocation.Machine.Name,
+				Session: wire.Count(allocation.AgentEpoch), Zone: allocation.Machine.Zone,
+			},
+		)
 	}
-	sort.Slice(record.Allocations, func(a, b int) bool { return record.Allocations[a].Index < record.Allocations[b].Index })
+	sort.Slice(
+		record.Allocations, func(a, b int) bool { return record.Allocations[a].Index < record.Allocations[b].Index },
+	)
 	first := c.Index * c.Job.tasksPerChunk
 	for i := first; i < min(first+c.Job.tasksPerChunk, len(c.Job.Tasks)); i++ {
 		task := &c.Job.Tasks[i]
--- a/internal/cluster/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -29,7 +29,10 @@
 		t.Errorf("%d jobs are kept, %d at the most", len(tc.cluster.Jobs), limit)
 	}
 	if limit := 61 * perMinute; len(tc.cluster.FinalStatuses) > limit || len(tc.cluster.TerminatedAt) > limit {
-		t.Errorf("%d ends and %d departed machines are kept, %d at the most", len(tc.cluster.FinalStatuses), len(tc.cluster.TerminatedAt), limit)
+		t.Errorf(
+			"%d ends and %d departed machines are kept, %d at the most", len(tc.cluster.FinalStatuses),
+			len(tc.cluster.TerminatedAt), limit,
+		)
 	}
 }
 
--- a/internal/cluster/scenario_test.go
+++ b/internal/cluster/scenario_test.go
@@ -38,9 +38,11 @@
 func (tc *testCluster) JobFinished(job *cluster.Job) {
 	tc.finishedJobs = append(tc.finishedJobs, job.Spec.ID)
 }
+
 func (tc *testCluster) DependencyAborted(job *cluster.Job) {
 	tc.dependencyAborted = append(tc.dependencyAborted, job.Spec.ID)
 }
+
 func (tc *testCluster) DependencyUnknown(id string) {
 	tc.unknownDependencies = append(tc.unknownDependencies, id)
 }
@@ -64,10 +66,16 @@
 	tc.token = revision << 24
 	tc.cluster = cluster.New(tc)
 	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt, tc.cluster.LeaseDuration = tc.token, tc.now, leaseDuration+micro.Second
-	tc.cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}}})
+	tc.cluster.SetCatalog(
+		&wire.Catalog{
+			Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}},
+		},
+	)
 	tc.cluster.Teams["team"] = &cluster.Team{Name: "team", CPULimit: 8}
 	props := config.Defaults()
-	tc.scheduler = &scheduler.Scheduler{Cluster: tc.cluster, Objectives: scheduler.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1))}
+	tc.scheduler = &scheduler.Scheduler{
+		Cluster: tc.cluster, Objectives: scheduler.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1)),
+	}
 }
 
 // failOver is lead after a crash: the records are read.
@@ -83,7 +91,9 @@
 }
 
 func (tc *testCluster) submit(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
-	spec := wire.Job{ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1}
+	spec := wire.Job{
+		ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1,
+	}
 	tc.jobs = append(tc.jobs, spec)
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
@@ -107,14 +117,20 @@
 func (tc *testCluster) reconcile(agent *fake.Agent, heartbeat *wire.Heartbeat) {
 	machine, outcome := tc.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, tc.now)
 	if outcome == cluster.Applied {
-		agent.HandleResponse(wire.Commands{FencingToken: wire.Count(tc.token), Items: tc.cluster.Commands(machine, tc.token, false, tc.now)}, tc.now)
+		agent.HandleResponse(
+			wire.Commands{FencingToken: wire.Count(tc.token), Items: tc.cluster.Commands(machine, tc.token, false, tc.now)},
+			tc.now,
+		)
 	}
 }
 
 // dispatchCommands builds the direct orders to a worker.
 func (tc *testCluster) dispatchCommands(agent *fake.Agent) wire.Commands {
 	machine := tc.cluster.Machines[agent.Name]
-	return wire.Commands{FencingToken: wire.Count(tc.token), AgentEpoch: wire.Count(machine.AgentEpoch), Items: tc.cluster.Commands(machine, tc.token, true, tc.now)}
+	return wire.Commands{
+		FencingToken: wire.Count(tc.token), AgentEpoch: wire.Count(machine.AgentEpoch),
+		Items: tc.cluster.Commands(machine, tc.token, true, tc.now),
+	}
 }
 
 func (tc *testCluster) addAgent(name, zone string) *fake.Agent {
@@ -465,7 +481,9 @@
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	job := tc.submit("j-1", wire.JobArray, 1, 4)
-	agent.Tasks[fake.AttemptKey{Task: "j-1/0", Attempt: 7}] = &wire.TaskStatus{Task: "j-1/0", Attempt: 7, State: wire.TaskRunning}
+	agent.Tasks[fake.AttemptKey{Task: "j-1/0", Attempt: 7}] = &wire.TaskStatus{
+		Task: "j-1/0", Attempt: 7, State: wire.TaskRunning,
+	}
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if job.Tasks[0].Attempt < 7 {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -140,11 +140,24 @@
 // New makes an empty picture.
 func New(effects Effects) *State {
 	return &State{
-		Effects: effects, Jobs: map[string]*Job{}, Machines: map[string]*Machine{}, Teams: map[string]*Team{},
-		Types: map[string]*MachineType{}, Classes: map[string]*Class{}, TerminatedAt: map[string]micro.Time{}, ProxyRenewedUntil: map[string]micro.Time{}, ZoneUnreachableSince: map[string]micro.Time{},
-		PendingJobs: map[*Job]bool{}, ActiveJobs: map[*Job]bool{}, QuarantineThreshold: 2,
-		FinalStatuses: map[string]FinalStatus{}, TasksPerChunk: LegacyTasksPerChunk, dependents: map[string][]*Job{},
-		imageHints: map[string]map[string]cachedImage{}, poolIndex: map[poolKey]*MachinePool{}, quarantineCandidates: map[*Machine]bool{},
+		Effects:              effects,
+		Jobs:                 map[string]*Job{},
+		Machines:             map[string]*Machine{},
+		Teams:                map[string]*Team{},
+		Types:                map[string]*MachineType{},
+		Classes:              map[string]*Class{},
+		TerminatedAt:         map[string]micro.Time{},
+		ProxyRenewedUntil:    map[string]micro.Time{},
+		ZoneUnreachableSince: map[string]micro.Time{},
+		PendingJobs:          map[*Job]bool{},
+		ActiveJobs:           map[*Job]bool{},
+		QuarantineThreshold:  2,
+		FinalStatuses:        map[string]FinalStatus{},
+		TasksPerChunk:        LegacyTasksPerChunk,
+		dependents:           map[string][]*Job{},
+		imageHints:           map[string]map[string]cachedImage{},
+		poolIndex:            map[poolKey]*MachinePool{},
+		quarantineCandidates: map[*Machine]bool{},
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -140,12 +140,16 @@
 	maxLeaderLease := c.CancelTimeout() - c.LeaseExpiredAfter() - CancelSlack
 	if maxLeaderLease >= Defaults().LeaderLease {
 		// It is the operators' own value that breaks the bound.
-		return fmt.Errorf("%s: key %q: must be at most %v: after a cancellation the leader's lease and then the workers' must be over within facts.workers.cancel_s",
-			propertiesPath, "leader.lease.s", maxLeaderLease.Seconds())
+		return fmt.Errorf(
+			"%s: key %q: must be at most %v: after a cancellation the leader's lease and then the workers' must be over within facts.workers.cancel_s",
+			propertiesPath, "leader.lease.s", maxLeaderLease.Seconds(),
+		)
 	}
 	if c.LeaseExpiredAfter()+CancelSlack > cancelRetryWindow {
-		return fmt.Errorf("%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, and users repeat a withdrawal for too short a time to wait for that",
-			path, "facts.workers.cancel_s", c.MaxCancelledTaskLife().Seconds())
+		return fmt.Errorf(
+			"%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, and users repeat a withdrawal for too short a time to wait for that",
+			path, "facts.workers.cancel_s", c.MaxCancelledTaskLife().Seconds(),
+		)
 	}
 	return nil
 }
@@ -295,8 +299,10 @@
 
 func (p *Platform) checkAddresses() error {
 	for _, a := range []struct{ key, addr string }{
-		{"public_addr", p.PublicAddr}, {"peer_listen", p.PeerListen},
-		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
+		{"public_addr", p.PublicAddr},
+		{"peer_listen", p.PeerListen},
+		{"external.cloud", p.External.Cloud},
+		{"external.state", p.External.State},
 	} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
 			return invalidKey(a.key, notAnAddress)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -73,7 +73,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.SuspectAfter != 12*micro.Second || c.ScoreL1 != 70 || c.ScoreL2 != 30 || c.Team("t").GPUsMax != 16 || c.Peers[0].Addr != "127.0.0.2:8081" {
+	if c.SuspectAfter != 12*micro.Second || c.ScoreL1 != 70 || c.ScoreL2 != 30 || c.Team("t").GPUsMax != 16 ||
+		c.Peers[0].Addr != "127.0.0.2:8081" {
 		t.Fatalf("%+v", c)
 	}
 }
@@ -103,7 +104,9 @@
 // A worker's lease runs out after 31.06 s at the latest, 3 s are slack.
 func TestSettingsThatBreakTheCancelTimeoutAreRefused(t *testing.T) {
 	workers := func(lease, cancel string) string {
-		return strings.NewReplacer("lease_s = 30.0", "lease_s = "+lease, "cancel_s = 50.0", "cancel_s = "+cancel).Replace(settings)
+		return strings.NewReplacer("lease_s = 30.0", "lease_s = "+lease, "cancel_s = 50.0", "cancel_s = "+cancel).Replace(
+			settings,
+		)
 	}
 	for _, tc := range []struct {
 		lease, cancel, props string
@@ -141,17 +144,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != current || cfg.MaxTxnOps() != 24 || cfg.NextWriteRPS() != 30 {
+	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != current || cfg.MaxTxnOps() != 24 ||
+		cfg.NextWriteRPS() != 30 {
 		t.Errorf("without limits to come: %d, %d, %d, %v", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
 	}
-	withNext := strings.Replace(settings, "txn_ops = 24\n", "txn_ops = 24\n[facts.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 1)
+	withNext := strings.Replace(
+		settings, "txn_ops = 24\n", "txn_ops = 24\n[facts.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 1,
+	)
 	if cfg, err = loadConfig(t, withNext, ""); err != nil {
 		t.Fatal(err)
 	}
-	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != 2<<10 || cfg.MaxTxnOps() != 8 || cfg.NextWriteRPS() != 21 {
+	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != 2<<10 || cfg.MaxTxnOps() != 8 ||
+		cfg.NextWriteRPS() != 21 {
 		t.Errorf("with them: %d, %d, %d, %v", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
 	}
-	if _, err = loadConfig(t, strings.Replace(withNext, "value_kb = 2.0", "value_kb = -2.0", 1), ""); err == nil || !strings.Contains(err.Error(), "facts.state.next.value_kb") {
+	if _, err = loadConfig(t, strings.Replace(withNext, "value_kb = 2.0", "value_kb = -2.0", 1), ""); err == nil ||
+		!strings.Contains(err.Error(), "facts.state.next.value_kb") {
 		t.Errorf("negative: %v", err)
 	}
 }
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -84,8 +84,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	parser := shardParser{path: path, nodes: nodes, shards: map[string]*DeclaredShard{}, policies: map[string]*MovePolicy{},
-		result: Shards{MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000}}
+	parser := shardParser{
+		path: path, nodes: nodes, shards: map[string]*DeclaredShard{}, policies: map[string]*MovePolicy{},
+		result: Shards{MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000},
+	}
 	values := file.Map()
 	keys := make([]string, 0, len(values))
 	for key := range values {
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -38,10 +38,13 @@
 		t.Fatal(err)
 	}
 	shards := features.Shards
-	if len(shards.Declared) != 2 || shards.Declared[1].Name != "gpu" || shards.Declared[1].Owner != "n-1" || len(shards.Declared[1].Teams) != 2 {
+	if len(shards.Declared) != 2 || shards.Declared[1].Name != "gpu" || shards.Declared[1].Owner != "n-1" ||
+		len(shards.Declared[1].Teams) != 2 {
 		t.Errorf("%+v", shards.Declared)
 	}
-	if len(shards.Policies) != 2 || shards.Policies[0].Name != "1-morning" || shards.MinMoveInterval != 90*micro.Second || shards.MaxMachinesMoving != 100 || shards.Dissolve {
+	if len(shards.Policies) != 2 || shards.Policies[0].Name != "1-morning" || shards.MinMoveInterval != 90*micro.Second ||
+		shards.MaxMachinesMoving != 100 ||
+		shards.Dissolve {
 		t.Errorf("%+v", shards)
 	}
 }
@@ -68,11 +71,13 @@
 		"share.a.type=x\nshare.b.zone=z":                           "another share selects",
 	} {
 		_, err := loadFeatureText(t, text)
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "shares.properties") {
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") ||
+			!strings.Contains(err.Error(), "shares.properties") {
 			t.Errorf("%q: %v, nothing said of %q", text, err, want)
 		}
 	}
-	if _, err := LoadFeatures([]string{"/nowhere/melting.properties"}, "n-0", nil); err == nil || !strings.Contains(err.Error(), `no feature "melting"`) {
+	if _, err := LoadFeatures([]string{"/nowhere/melting.properties"}, "n-0", nil); err == nil ||
+		!strings.Contains(err.Error(), `no feature "melting"`) {
 		t.Errorf("%v", err)
 	}
 	if _, err := LoadFeatures([]string{"/nowhere/shares.properties"}, "n-0", nil); err == nil {
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -46,25 +46,81 @@
 }
 
 var knownProperties = []property{
-	{"leader.lease.s", 3.5, 1, 60, "life of the leader's lease", setSeconds(func(p *Properties) *micro.Time { return &p.LeaderLease })},
-	{"leader.renew.s", 0.8, 0.1, 30, "time between renewals; under a third of the lease", setSeconds(func(p *Properties) *micro.Time { return &p.LeaderRenewInterval })},
-	{"machine.silent.s", 0, 0, 120, "a machine unheard of for so long counts as silent; 0: a late report and one lost answer", setSeconds(func(p *Properties) *micro.Time { return &p.SuspectAfter })},
-	{"scale.idle.s", 45, 0, 86400, "an idle rented machine is returned after this", setSeconds(func(p *Properties) *micro.Time { return &p.IdleTerminateAfter })},
-	{"scale.boot.patience", 4, 1.6, 100, "a booting machine is given up after this many times its type's boot time", func(p *Properties, v float64) { p.BootTimeoutFactor = v }},
-	{"scale.price.ratio", 3.3, 1, 1000, "dearest room rented for work below the first rank, over the cheapest ordinary room", func(p *Properties, v float64) { p.MaxPriceRatio = v }},
-	{"scale.dear.ratio", 1.8, 1, 1000, "room dearer than so many times the cheapest ordinary room is rented only for work that could not start in time on room that comes free", func(p *Properties, v float64) { p.HighPriceRatio = v }},
-	{"scale.small.share", 0.04, 0, 1, "share of the hourly bill up to which a machine is rented without asking whether room comes free soon", func(p *Properties, v float64) { p.NegligibleCostShare = v }},
-	{"scale.headroom", 1.5, 0, 20, "room kept for quick starts, times the expected arrivals", func(p *Properties, v float64) { p.Headroom = v }},
-	{"speed.write.s", 10, 10, 3600, "least time between writes of the learnt speeds", setSeconds(func(p *Properties) *micro.Time { return &p.SpeedWriteInterval })},
+	{
+		"leader.lease.s", 3.5, 1, 60, "life of the leader's lease",
+		setSeconds(func(p *Properties) *micro.Time { return &p.LeaderLease }),
+	},
+	{
+		"leader.renew.s", 0.8, 0.1, 30, "time between renewals; under a third of the lease",
+		setSeconds(func(p *Properties) *micro.Time { return &p.LeaderRenewInterval }),
+	},
+	{
+		"machine.silent.s", 0, 0, 120,
+		"a machine unheard of for so long counts as silent; 0: a late report and one lost answer",
+		setSeconds(func(p *Properties) *micro.Time { return &p.SuspectAfter }),
+	},
+	{
+		"scale.idle.s", 45, 0, 86400, "an idle rented machine is returned after this",
+		setSeconds(func(p *Properties) *micro.Time { return &p.IdleTerminateAfter }),
+	},
+	{
+		"scale.boot.patience", 4, 1.6, 100, "a booting machine is given up after this many times its type's boot time",
+		func(p *Properties, v float64) { p.BootTimeoutFactor = v },
+	},
+	{
+		"scale.price.ratio", 3.3, 1, 1000,
+		"dearest room rented for work below the first rank, over the cheapest ordinary room",
+		func(p *Properties, v float64) { p.MaxPriceRatio = v },
+	},
+	{
+		"scale.dear.ratio", 1.8, 1, 1000,
+		"room dearer than so many times the cheapest ordinary room is rented only for work that could not start in time on room that comes free",
+		func(p *Properties, v float64) { p.HighPriceRatio = v },
+	},
+	{
+		"scale.small.share", 0.04, 0, 1,
+		"share of the hourly bill up to which a machine is rented without asking whether room comes free soon",
+		func(p *Properties, v float64) { p.NegligibleCostShare = v },
+	},
+	{
+		"scale.headroom", 1.5, 0, 20, "room kept for quick starts, times the expected arrivals",
+		func(p *Properties, v float64) { p.Headroom = v },
+	},
+	{
+		"speed.write.s", 10, 10, 3600, "least time between writes of the learnt speeds",
+		setSeconds(func(p *Properties) *micro.Time { return &p.SpeedWriteInterval }),
+	},
 	{"score.l1", 60, 1, 99, "score L1 of the design", func(p *Properties, v float64) { p.ScoreL1 = v }},
 	{"score.l2", 30, 1, 99, "score L2 of the design; under L1", func(p *Properties, v float64) { p.ScoreL2 = v }},
-	{"sched.age.s", 180, 10, 86400, "room is gathered for work that has waited so long, for the largest after half of it", setSeconds(func(p *Properties) *micro.Time { return &p.StarvationAfter })},
-	{"sched.sample.above", 2000, 0, 1e9, "pending tasks above which machines are sampled", func(p *Properties, v float64) { p.SampleAbovePending = int(v) }},
-	{"sched.sample.size", 16, 2, 1e4, "machines sampled per task then", func(p *Properties, v float64) { p.SampleSize = int(v) }},
-	{"sched.sample.pass.ms", 30, 0, 1e5, "machines are sampled only after a placement pass that took longer than this", func(p *Properties, v float64) { p.SampleAbovePassTime = micro.Time(v * float64(micro.Millisecond)) }},
-	{"sched.max.pending", 1e6, 1, 1e9, "pending tasks above which new jobs are told to come back", func(p *Properties, v float64) { p.MaxPendingTasks = int(v) }},
-	{"zone.keep.leases", 1.5, 0, 10, "how long the controllers of a zone that is cut off keep its workers' leases alive, in leases; the same on all nodes", func(p *Properties, v float64) { p.LeaseProxyFactor = v }},
-	{"machine.error.jobs", 2, 1, 100, "different jobs failing on a machine before it is avoided", func(p *Properties, v float64) { p.QuarantineFailedJobs = int(v) }},
+	{
+		"sched.age.s", 180, 10, 86400, "room is gathered for work that has waited so long, for the largest after half of it",
+		setSeconds(func(p *Properties) *micro.Time { return &p.StarvationAfter }),
+	},
+	{
+		"sched.sample.above", 2000, 0, 1e9, "pending tasks above which machines are sampled",
+		func(p *Properties, v float64) { p.SampleAbovePending = int(v) },
+	},
+	{
+		"sched.sample.size", 16, 2, 1e4, "machines sampled per task then",
+		func(p *Properties, v float64) { p.SampleSize = int(v) },
+	},
+	{
+		"sched.sample.pass.ms", 30, 0, 1e5, "machines are sampled only after a placement pass that took longer than this",
+		func(p *Properties, v float64) { p.SampleAbovePassTime = micro.Time(v * float64(micro.Millisecond)) },
+	},
+	{
+		"sched.max.pending", 1e6, 1, 1e9, "pending tasks above which new jobs are told to come back",
+		func(p *Properties, v float64) { p.MaxPendingTasks = int(v) },
+	},
+	{
+		"zone.keep.leases", 1.5, 0, 10,
+		"how long the controllers of a zone that is cut off keep its workers' leases alive, in leases; the same on all nodes",
+		func(p *Properties, v float64) { p.LeaseProxyFactor = v },
+	},
+	{
+		"machine.error.jobs", 2, 1, 100, "different jobs failing on a machine before it is avoided",
+		func(p *Properties, v float64) { p.QuarantineFailedJobs = int(v) },
+	},
 }
 
 // Describe lists every property: key, default, least, most and meaning.
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"notchmux.dev/notchmux/internal/statestore"
 	"strconv"
 	"time"
 
@@ -10,6 +9,7 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -201,7 +201,9 @@
 		batch := parts[:min(len(parts), n.Cfg.MaxTxnOps())]
 		parts = parts[len(batch):]
 		// A repeat carries the same list, and writes the same.
-		if _, err := n.Store.Commit(ctx, class, wire.Transaction{If: []wire.Precondition{{Key: specKey(job.ID)}}, Then: batch}); err != nil {
+		if _, err := n.Store.Commit(
+			ctx, class, wire.Transaction{If: []wire.Precondition{{Key: specKey(job.ID)}}, Then: batch},
+		); err != nil {
 			return err
 		}
 	}
--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -30,7 +30,10 @@
 		}
 		return node
 	}
-	return map[string]*Node{"leader": leader, "follower": beside("n-1", false), "refused by the store": beside("n-2", true)}
+	return map[string]*Node{
+		"leader": leader, "follower": beside("n-1", false),
+		"refused by the store": beside("n-2", true),
+	}
 }
 
 // submissionWith is a submission of a gang with a field changed, or left out.
@@ -51,7 +54,10 @@
 
 // malformedSubmissions are submissions that are malformed whatever the state of the site.
 func malformedSubmissions() map[string][]byte {
-	out := map[string][]byte{"empty": {}, "text": []byte("hello"), "not a map": wire.MustMarshal([]any{1}), "cut off": submission("j-1", wire.Gang)[:30]}
+	out := map[string][]byte{
+		"empty": {}, "text": []byte("hello"), "not a map": wire.MustMarshal([]any{1}),
+		"cut off": submission("j-1", wire.Gang)[:30],
+	}
 	add := func(field string, values map[string]any) {
 		for why, value := range values {
 			out[field+" "+why] = submissionWith("j-1", field, value)
@@ -64,13 +70,22 @@
 	add("shape", map[string]any{"unknown": "pile"})
 	add("rank", map[string]any{"unknown": "first"})
 	for _, f := range []string{"pieces", "vcpus", "gpus", "ramGb", "pullGb", "guessS", "bookmarkS", "stashS"} {
-		add(f, map[string]any{"missing": absentField, "null": nil, "text": "1", "negative": -1, "no number": math.NaN(), "without end": math.Inf(1), "a flag": true})
+		add(
+			f,
+			map[string]any{
+				"missing": absentField, "null": nil, "text": "1", "negative": -1, "no number": math.NaN(),
+				"without end": math.Inf(1), "a flag": true,
+			},
+		)
 	}
 	add("pieces", map[string]any{"zero": 0, "a fraction": 1.5, "too many": wire.MaxTasks + 1})
 	for _, f := range []string{"oneZone", "scatter", "loaners"} {
 		add(f, map[string]any{"missing": absentField, "null": nil, "a number": 1, "text": "true"})
 	}
-	add("rigs", map[string]any{"text": "small", "of numbers": []any{1}, "with null": []any{"small", nil}, "a map": map[string]any{}})
+	add(
+		"rigs",
+		map[string]any{"text": "small", "of numbers": []any{1}, "with null": []any{"small", nil}, "a map": map[string]any{}},
+	)
 	add("yard", map[string]any{"a number": 1, "a list": []any{"a"}})
 	add("dueS", map[string]any{"text": "1", "negative": -1, "no number": math.NaN()})
 	add("awaits", map[string]any{"text": "j-2", "of numbers": []any{2}})
@@ -80,9 +95,14 @@
 // infeasibleSubmissions are well-formed submissions of jobs that can never run.
 func infeasibleSubmissions() map[string][]byte {
 	return map[string][]byte{
-		"unknown team": submissionWith("j-1", "outfit", "nobody"), "too large": submissionWith("j-1", "vcpus", 5), "no such zone": submissionWith("j-1", "yard", "mars"),
-		"no such type": submissionWith("j-1", "rigs", []any{"none"}), "no type": submissionWith("j-1", "rigs", []any{}),
-		"over the limit": submissionWith("j-1", "pieces", 17), "awaits what nobody submitted": submissionWith("j-1", "awaits", []any{"j-404"}), "awaits itself": submissionWith("j-1", "awaits", []any{"j-1"}),
+		"unknown team":                 submissionWith("j-1", "outfit", "nobody"),
+		"too large":                    submissionWith("j-1", "vcpus", 5),
+		"no such zone":                 submissionWith("j-1", "yard", "mars"),
+		"no such type":                 submissionWith("j-1", "rigs", []any{"none"}),
+		"no type":                      submissionWith("j-1", "rigs", []any{}),
+		"over the limit":               submissionWith("j-1", "pieces", 17),
+		"awaits what nobody submitted": submissionWith("j-1", "awaits", []any{"j-404"}),
+		"awaits itself":                submissionWith("j-1", "awaits", []any{"j-1"}),
 	}
 }
 
@@ -181,7 +201,9 @@
 			t.Fatalf("%+v", reply)
 		}
 	}
-	waitUntil(t, "the second", func() bool { return nodes["leader"].Submit(dependentSubmission("j-2", "j-1")).Status == 200 })
+	waitUntil(
+		t, "the second", func() bool { return nodes["leader"].Submit(dependentSubmission("j-2", "j-1")).Status == 200 },
+	)
 	for _, change := range []struct {
 		what string
 		do   func(*Node)
--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -34,7 +34,9 @@
 					}
 				}
 				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 2, runTime: 3 * micro.Second}).submit()
-				sim.waitUntil("done", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+				sim.waitUntil(
+					"done", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+				)
 				sim.mu.Lock()
 				sim.cloud.terminationDelay = micro.Minute
 				sim.mu.Unlock()
@@ -60,7 +62,10 @@
 				sim.waitUntil("another leads", micro.Minute, func() bool { x := sim.leader(); return x != nil && x != leader })
 				sim.sleep(3 * micro.Second) // its workers report to it
 				next := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 3 * micro.Second}).submit()
-				sim.waitUntil("done on another machine", micro.Minute, func() bool { return replyState(next.queryStatus(sim.randomUserNode())) == wire.JobDone })
+				sim.waitUntil(
+					"done on another machine", micro.Minute,
+					func() bool { return replyState(next.queryStatus(sim.randomUserNode())) == wire.JobDone },
+				)
 				sim.sleep(2 * micro.Minute)
 				for _, machine := range sim.liveMachines() {
 					if at, ok := sim.terminationRequestedAt(machine.agent.Name); ok && sim.now()-at > 90*micro.Second {
@@ -78,12 +83,18 @@
 func TestOnlyTheTerminationOfAMachineWithoutTasksWaitsForItsRecord(t *testing.T) {
 	runScenario(t, 5, 3, func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 		leader, _ := sim.waitForRestoredLeader()
-		sim.waitUntil("the forms of this version in use", micro.Minute, func() bool { return leader.runningNode().activeLeader().cluster.CompactRecords })
+		sim.waitUntil(
+			"the forms of this version in use", micro.Minute,
+			func() bool { return leader.runningNode().activeLeader().cluster.CompactRecords },
+		)
 		long := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 3 * micro.Minute}).submit()
 		short := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 20 * micro.Second}).submit()
 		sim.waitUntil("both run", micro.Minute, func() bool { return long.runningTasks() == 1 && short.runningTasks() == 1 })
 		busy, idle := long.machines()[0].agent.Name, short.machines()[0].agent.Name
-		sim.waitUntil("one is done", micro.Minute, func() bool { return replyState(short.queryStatus(sim.randomUserNode())) == wire.JobDone })
+		sim.waitUntil(
+			"one is done", micro.Minute,
+			func() bool { return replyState(short.queryStatus(sim.randomUserNode())) == wire.JobDone },
+		)
 		sim.sleep(micro.Second)
 		currentLeader := sim.leader().runningNode().activeLeader()
 		waits := make(chan map[string]bool, 1)
@@ -147,7 +158,9 @@
 				sim.cloud.bootFailureRatio = 0
 				all := len(sim.machines)
 				sim.mu.Unlock()
-				sim.waitUntil("done", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+				sim.waitUntil(
+					"done", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+				)
 				sim.sleep(3 * micro.Minute)
 				left := len(sim.cloud.Instances())
 				charged := sim.cloud.billedTime()
@@ -178,8 +191,14 @@
 		sim.waitForRestoredLeader()
 		for i := range 6 {
 			at := sim.now()
-			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 12, runTime: 10 * micro.Second, team: []string{"team", "other"}[i%2], spot: i%3 == 0}).submit()
-			sim.waitUntil("done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			job := sim.newJob(
+				jobRequest{
+					kind: wire.JobArray, tasks: 12, runTime: 10 * micro.Second, team: []string{"team", "other"}[i%2], spot: i%3 == 0,
+				},
+			).submit()
+			sim.waitUntil(
+				"done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 			t.Logf("done after %.0f s", (sim.now() - at).Seconds())
 		}
 	})
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -68,7 +68,9 @@
 	for _, job := range jobs {
 		at, _, _, ok := job.abortReport()
 		if !ok || from-at > maxDelay || from+outageSpan < at+cancelSpan+micro.Second {
-			w.t.Fatalf("%s: told at %v (%v), the outage lasts from %v to %v: they don't meet", job.id, at, ok, from, from+outageSpan)
+			w.t.Fatalf(
+				"%s: told at %v (%v), the outage lasts from %v to %v: they don't meet", job.id, at, ok, from, from+outageSpan,
+			)
 		}
 		// Without keepers the bound is a narrower one: see the design, "The bound
 		// for cancellations".
@@ -82,9 +84,15 @@
 			}
 			w.sleep(100 * micro.Millisecond)
 		}
-		w.t.Logf("%s: its tasks went %.1f s after its user was told, at most %.1f s are allowed", job.id, (last - at).Seconds(), bound.Seconds())
+		w.t.Logf(
+			"%s: its tasks went %.1f s after its user was told, at most %.1f s are allowed", job.id, (last - at).Seconds(),
+			bound.Seconds(),
+		)
 		if last > at+bound {
-			w.t.Errorf("%s: tasks were there %.1f s after its user was told, at most %.1f s are allowed", job.id, (last - at).Seconds(), bound.Seconds())
+			w.t.Errorf(
+				"%s: tasks were there %.1f s after its user was told, at most %.1f s are allowed", job.id, (last - at).Seconds(),
+				bound.Seconds(),
+			)
 		}
 	}
 }
@@ -93,7 +101,9 @@
 func (w *simCluster) checkRecovery() {
 	w.t.Helper()
 	w.waitUntil("calm", 5*micro.Minute, w.noActiveFaults)
-	job := w.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 2 * micro.Second, priority: wire.Production}).submit()
+	job := w.newJob(
+		jobRequest{kind: wire.JobArray, tasks: 1, runTime: 2 * micro.Second, priority: wire.Production},
+	).submit()
 	go job.watchUntilFinal()
 	w.waitUntil("served again", 90*micro.Second, func() bool { return job.knowledge().done })
 }
@@ -113,7 +123,9 @@
 // right lapsed, the tasks would have run on through the whole outage. Where a zone
 // has no keepers the end is written while the tasks run; else they are gone before.
 func TestCancelledByTheNextLeaderBeforeAnOutage(t *testing.T) {
-	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{kind: wire.JobArray, tasks: 3, runTime: endlessRun}
+	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{
+		kind: wire.JobArray, tasks: 3, runTime: endlessRun,
+	}
 	gang := jobRequest{kind: wire.Gang, tasks: 3, runTime: endlessRun}
 	inB := func(request jobRequest) jobRequest { request.zone = "b"; return request }
 	const within, after = "within", "after"
@@ -190,8 +202,11 @@
 				}
 				sim.waitUntil("told", 70*micro.Second, func() bool { return job.knowledge().aborted })
 				at, by, remaining, _ := job.abortReport()
-				if at < led-50*micro.Millisecond || !next.holdsLease() || test.left == none && remaining > 0 || test.left == some && remaining == 0 {
-					t.Fatalf("another led at %v; told at %v by %s with %d tasks, which was to be with %s", led, at, by, remaining, test.left)
+				if at < led-50*micro.Millisecond || !next.holdsLease() || test.left == none && remaining > 0 ||
+					test.left == some && remaining == 0 {
+					t.Fatalf(
+						"another led at %v; told at %v by %s with %d tasks, which was to be with %s", led, at, by, remaining, test.left,
+					)
 				}
 				sim.sleep(sim.randomTime(0, micro.Second))
 				sim.outlastCancelSpan(1500*micro.Millisecond, job)
@@ -201,6 +216,52 @@
 	}
 }
 
+// storeRefusalCases are the ways in which a refusal of the leader by the store ends.
+var storeRefusalCases = []struct {
+	name    string
+	nodes   int
+	keepers bool
+	refused micro.Time
+	same    bool // the same term goes on
+	slow    micro.Time
+	lost    float64
+	trouble func(sim *simCluster, machine *fakeMachine)
+	met     []string // what came about in one of the simulations at least
+}{
+	{"short refusal", 3, false, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
+	{"short refusal, keepers", 4, true, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
+	{"long refusal", 3, false, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
+	{"long refusal, keepers", 5, true, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
+	{"machines deaf", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+		machine.loseResponses(sim.randomTime(5*micro.Second, 75*micro.Second))
+	}, []string{"told", "running"}},
+	{"machines mute", 3, false, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+		machine.loseHeartbeats(sim.randomTime(5*micro.Second, 75*micro.Second))
+	}, []string{"told"}},
+	{"machines hung", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+		machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
+	}, []string{"told", "running"}},
+	{"machines hung, keepers", 4, true, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+		machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
+	}, []string{"not told"}},
+	{
+		"a renewal is answered after the refusal",
+		3,
+		false,
+		100 * micro.Second,
+		false,
+		600 * micro.Millisecond,
+		0,
+		func(sim *simCluster, machine *fakeMachine) {
+			machine.loseResponses(sim.randomTime(5*micro.Second, 20*micro.Second))
+		},
+		[]string{"told", "running", "renewed"},
+	},
+	{"answers lost", 3, false, 2 * micro.Second, true, 0, 0.7, func(sim *simCluster, machine *fakeMachine) {
+		machine.loseResponses(sim.randomTime(5*micro.Second, 20*micro.Second))
+	}, []string{"told", "running", "told by another"}},
+}
+
 // Jobs were cancelled at the very moment at which the state service refused the
 // leader alone, and a second later it was out for all. Some users were told in
 // between, before another could lead. Where the refusal is shorter than the
@@ -208,40 +269,7 @@
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestCancelledAsTheStoreRefusesTheLeader(t *testing.T) {
-	for _, test := range []struct {
-		name    string
-		nodes   int
-		keepers bool
-		refused micro.Time
-		same    bool // the same term goes on
-		slow    micro.Time
-		lost    float64
-		trouble func(sim *simCluster, machine *fakeMachine)
-		met     []string // what came about in one of the simulations at least
-	}{
-		{"short refusal", 3, false, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
-		{"short refusal, keepers", 4, true, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
-		{"long refusal", 3, false, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
-		{"long refusal, keepers", 5, true, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
-		{"machines deaf", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
-			machine.loseResponses(sim.randomTime(5*micro.Second, 75*micro.Second))
-		}, []string{"told", "running"}},
-		{"machines mute", 3, false, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
-			machine.loseHeartbeats(sim.randomTime(5*micro.Second, 75*micro.Second))
-		}, []string{"told"}},
-		{"machines hung", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
-			machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
-		}, []string{"told", "running"}},
-		{"machines hung, keepers", 4, true, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
-			machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
-		}, []string{"not told"}},
-		{"a renewal is answered after the refusal", 3, false, 100 * micro.Second, false, 600 * micro.Millisecond, 0, func(sim *simCluster, machine *fakeMachine) {
-			machine.loseResponses(sim.randomTime(5*micro.Second, 20*micro.Second))
-		}, []string{"told", "running", "renewed"}},
-		{"answers lost", 3, false, 2 * micro.Second, true, 0, 0.7, func(sim *simCluster, machine *fakeMachine) {
-			machine.loseResponses(sim.randomTime(5*micro.Second, 20*micro.Second))
-		}, []string{"told", "running", "told by another"}},
-	} {
+	for _, test := range storeRefusalCases {
 		outcomes := newOutcomeCounts(t)
 		runSeedsOfRow(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
@@ -252,7 +280,12 @@
 				outcomes.record(simulationRan)
 				var jobs []*userJob
 				for i := range 6 {
-					jobs = append(jobs, sim.submitAndWaitRunning([]jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}}[i%3]))
+					jobs = append(
+						jobs,
+						sim.submitAndWaitRunning(
+							[]jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}}[i%3],
+						),
+					)
 				}
 				old := sim.leader()
 				term := old.runningNode().activeLeader().term
@@ -398,7 +431,12 @@
 				job := sim.submitAndWaitRunning(request)
 				jobs := []*userJob{job}
 				if test.awaited {
-					jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second, dependencies: []string{job.id}}).submit())
+					jobs = append(
+						jobs,
+						sim.newJob(
+							jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second, dependencies: []string{job.id}},
+						).submit(),
+					)
 				}
 				sim.sleep(sim.randomTime(3*micro.Second, 6*micro.Second))
 				old := sim.leader()
@@ -594,7 +632,8 @@
 				}
 				// A leader whom no worker reports to hands over: so it may where all
 				// machines hang.
-				if test.trouble == nil && reported == 0 || test.trouble == nil && !test.far && !next.holdsLease() || old.holdsLease() {
+				if test.trouble == nil && reported == 0 || test.trouble == nil && !test.far && !next.holdsLease() ||
+					old.holdsLease() {
 					t.Errorf("%d told, the next one leads: %v", reported, next.holdsLease())
 				}
 				for _, job := range jobs {
@@ -670,10 +709,15 @@
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
-				team, other := sim.fillTeamLimit("team", teamMaxCPUs, jobRequest{tasks: 2}), sim.fillTeamLimit("other", teamMaxCPUs, jobRequest{tasks: 4})
+				team, other := sim.fillTeamLimit("team", teamMaxCPUs, jobRequest{tasks: 2}), sim.fillTeamLimit(
+					"other", teamMaxCPUs, jobRequest{tasks: 4},
+				)
 				var waiting []*userJob
 				for range 4 {
-					waiting = append(waiting, sim.newJob(jobRequest{kind: wire.Service, tasks: 2}).submit(), sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 3 * micro.Second, team: "other"}).submit())
+					waiting = append(
+						waiting, sim.newJob(jobRequest{kind: wire.Service, tasks: 2}).submit(),
+						sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 3 * micro.Second, team: "other"}).submit(),
+					)
 				}
 				sim.sleep(3 * micro.Second)
 				cancelled := []*userJob{team[0], team[1], team[2], other[0], other[1]}
@@ -842,7 +886,10 @@
 				sim.waitUntil("proven free", 2*micro.Minute, func() bool { return sim.allAllocationsReleased(cancelled) })
 				from := sim.now()
 				sim.waitUntil("the room is used", 10*micro.Second, func() bool { return waiting.runningTasks() == 2 })
-				t.Logf("used %.1f s after the proof, %.1f s after the spell began", (sim.now() - from).Seconds(), (from - began).Seconds())
+				t.Logf(
+					"used %.1f s after the proof, %.1f s after the spell began", (sim.now() - from).Seconds(),
+					(from - began).Seconds(),
+				)
 				sim.waitUntil("told", micro.Minute, func() bool { return cancelled.knowledge().aborted })
 				sim.sleep(cancelSpan + micro.Second)
 			})
@@ -930,7 +977,8 @@
 				var led micro.Time
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
 					for _, controller := range sim.controllers {
-						if x := controller.runningNode(); x != nil && x.activeLeader() != nil && x.activeLeader().term.FencingRevision > was.FencingRevision {
+						if x := controller.runningNode(); x != nil && x.activeLeader() != nil &&
+							x.activeLeader().term.FencingRevision > was.FencingRevision {
 							led = sim.now()
 						}
 					}
@@ -985,7 +1033,11 @@
 	} {
 		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
-				jobs := []*userJob{sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2}), sim.submitAndWaitRunning(jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}), sim.submitAndWaitRunning(jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun})}
+				jobs := []*userJob{
+					sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2}),
+					sim.submitAndWaitRunning(jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}),
+					sim.submitAndWaitRunning(jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun}),
+				}
 				sim.sleep(3 * micro.Second)
 				l := sim.waitForLeader()
 				was := l.runningNode().activeLeader().term
@@ -1042,9 +1094,11 @@
 				_, err := sim.store.Get(sim.ctx, store.Urgent, endKey(job.id))
 				in := err == nil
 				sim.sleep(13 * micro.Second) // the write is carried out
-				if _, err := sim.store.Get(sim.ctx, store.Urgent, endKey(job.id)); !in && err == nil && !job.knowledge().aborted && job.runningTasks() > 0 {
+				if _, err := sim.store.Get(sim.ctx, store.Urgent, endKey(job.id)); !in && err == nil && !job.knowledge().aborted &&
+					job.runningTasks() > 0 {
 					t.Errorf("the job's end came into the store behind the back of %s", next.name)
-				} else if !in && err != nil {
+				} else if !in &&
+					err != nil {
 					outcomes.record("refused by its guard")
 				}
 				for _, controller := range sim.controllers {
--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -48,122 +48,156 @@
 	h.checkAnswer(id, "n-0", knowledge, r)
 }
 
-// Each rule has a history that breaks it and a like one that does not: a checker
-// that finds nothing proves nothing.
+// What a user knows of a job.
+var (
+	knowsAccepted = userKnowledge{accepted: true}
+	knowsDone     = userKnowledge{accepted: true, done: true}
+	knowsAborted  = userKnowledge{accepted: true, aborted: true}
+)
+
+// ruleHistories holds, for each rule, a history that breaks it and a like one that keeps it.
+var ruleHistories = []struct {
+	rule         string
+	broken, kept func(h *history)
+}{
+	{
+		"ran_twice",
+		func(h *history) { h.runs("m1", "a", "j-1/0"); h.runs("m2", "a", "j-1/0") },
+		func(h *history) {
+			h.runs("m1", "a", "j-1/0")
+			h.runs("m1", "a")
+			h.runs("m2", "a", "j-1/0")
+		},
+	},
+	{
+		"quota",
+		func(h *history) { h.runs("m1", "a", "j-2/0", "j-2/1"); h.runs("m2", "a", "j-1/0") },
+		func(h *history) {
+			h.runs("m1", "a", "j-2/0", "j-2/1")
+			h.runs("m1", "a", "j-2/0")
+			h.runs("m2", "a", "j-1/0")
+		},
+	},
+	{
+		"wrong_place", // spread
+		func(h *history) { h.runs("m1", "a", "j-3/0", "j-3/1", "j-3/2") },
+		func(h *history) { h.runs("m1", "a", "j-3/0", "j-3/1"); h.runs("m2", "b", "j-3/2") },
+	},
+	{
+		"wrong_place", // one zone
+		func(h *history) { h.runs("m1", "a", "j-4/0"); h.runs("m2", "b", "j-4/1") },
+		func(h *history) { h.runs("m1", "a", "j-4/0"); h.runs("m2", "a", "j-4/1") },
+	},
+	{
+		"wrong_place", // type, zone and kind
+		func(h *history) {
+			h.observeTasks("m1", "small", "a", false, map[string]bool{"j-5/0": true})
+		},
+		func(h *history) {
+			h.observeTasks("m1", "large", "a", false, map[string]bool{"j-5/0": true})
+		},
+	},
+	{
+		"wrong_place",
+		func(h *history) {
+			h.observeTasks("m1", "large", "b", false, map[string]bool{"j-5/0": true})
+		},
+		func(h *history) {},
+	},
+	{
+		"wrong_place",
+		func(h *history) { h.observeTasks("m1", "large", "a", true, map[string]bool{"j-5/0": true}) },
+		func(h *history) {},
+	},
+	{
+		"ran_cancelled", // still there
+		func(h *history) {
+			h.runs("m1", "a", "j-1/0")
+			h.requestCancel("j-1")
+			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.clock += 51 * micro.Second
+			h.checkCancelled()
+		},
+		func(h *history) {
+			h.runs("m1", "a", "j-1/0")
+			h.requestCancel("j-1")
+			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.clock += 49 * micro.Second
+			h.checkCancelled()
+			h.runs("m1", "a")
+			h.clock += 10 * micro.Second
+			h.checkCancelled()
+		},
+	},
+	{
+		"ran_cancelled", // begins
+		func(h *history) {
+			h.requestCancel("j-1")
+			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.clock += 51 * micro.Second
+			h.runs("m1", "a", "j-1/0")
+		},
+		func(h *history) {},
+	},
+	{
+		"forgotten", func(h *history) { h.answers("j-1", knowsAccepted, 404, "") },
+		func(h *history) { h.answers("j-1", userKnowledge{}, 404, "") },
+	},
+	{
+		"forgotten", func(h *history) { h.answers("j-1", knowsAccepted, 422, "") },
+		func(h *history) { h.answers("j-1", userKnowledge{}, 422, "") },
+	},
+	{
+		"invented", func(h *history) { h.answers("j-9", userKnowledge{}, 200, wire.JobPending) },
+		func(h *history) { h.answers("j-9", userKnowledge{}, 404, "") },
+	},
+	{"invented", func(h *history) { h.runs("m1", "a", "j-9/0") }, func(h *history) {}},
+	{
+		"not_done",
+		func(h *history) {
+			h.taskCompleted("j-1", 0)
+			h.answers("j-1", knowsAccepted, 200, wire.JobDone)
+		},
+		func(h *history) {
+			h.taskCompleted("j-1", 0)
+			h.taskCompleted("j-1", 1)
+			h.answers("j-1", knowsAccepted, 200, wire.JobDone)
+		},
+	},
+	{
+		"went_back", func(h *history) { h.answers("j-1", knowsDone, 200, wire.JobRunning) },
+		func(h *history) { h.answers("j-1", knowsAccepted, 200, wire.JobRunning) },
+	},
+	{
+		"went_back", func(h *history) { h.answers("j-1", knowsAborted, 201, wire.JobPending) },
+		func(h *history) { h.answers("j-1", knowsAccepted, 201, wire.JobPending) },
+	},
+	{
+		"went_back", // cancelled by nobody
+		func(h *history) { h.answers("j-1", knowsAccepted, 200, wire.JobAborted) },
+		func(h *history) {
+			h.requestCancel("j-1")
+			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+		},
+	},
+	{
+		"retry_after", func(h *history) { h.checkAnswer("j-1", "n-0", knowsAccepted, httpapi.Reply{Status: 503}) },
+		func(h *history) { h.checkAnswer("j-1", "n-0", knowsAccepted, httpapi.RetryReply(503, 1)) },
+	},
+}
+
+// A checker that finds nothing proves nothing.
 func TestCheckerCatchesEachRule(t *testing.T) {
-	accepted, done, aborted := userKnowledge{accepted: true}, userKnowledge{accepted: true, done: true}, userKnowledge{accepted: true, aborted: true}
-	for _, test := range []struct {
-		rule         string
-		broken, kept func(history *history)
-	}{
-		{"ran_twice",
-			func(history *history) { history.runs("m1", "a", "j-1/0"); history.runs("m2", "a", "j-1/0") },
-			func(history *history) {
-				history.runs("m1", "a", "j-1/0")
-				history.runs("m1", "a")
-				history.runs("m2", "a", "j-1/0")
-			}},
-		{"quota",
-			func(history *history) { history.runs("m1", "a", "j-2/0", "j-2/1"); history.runs("m2", "a", "j-1/0") },
-			func(history *history) {
-				history.runs("m1", "a", "j-2/0", "j-2/1")
-				history.runs("m1", "a", "j-2/0")
-				history.runs("m2", "a", "j-1/0")
-			}},
-		{"wrong_place", // spread
-			func(history *history) { history.runs("m1", "a", "j-3/0", "j-3/1", "j-3/2") },
-			func(history *history) { history.runs("m1", "a", "j-3/0", "j-3/1"); history.runs("m2", "b", "j-3/2") }},
-		{"wrong_place", // one zone
-			func(history *history) { history.runs("m1", "a", "j-4/0"); history.runs("m2", "b", "j-4/1") },
-			func(history *history) { history.runs("m1", "a", "j-4/0"); history.runs("m2", "a", "j-4/1") }},
-		{"wrong_place", // type, zone and kind
-			func(history *history) {
-				history.observeTasks("m1", "small", "a", false, map[string]bool{"j-5/0": true})
-			},
-			func(history *history) {
-				history.observeTasks("m1", "large", "a", false, map[string]bool{"j-5/0": true})
-			}},
-		{"wrong_place",
-			func(history *history) {
-				history.observeTasks("m1", "large", "b", false, map[string]bool{"j-5/0": true})
-			},
-			func(history *history) {}},
-		{"wrong_place",
-			func(history *history) { history.observeTasks("m1", "large", "a", true, map[string]bool{"j-5/0": true}) },
-			func(history *history) {}},
-		{"ran_cancelled", // still there
-			func(history *history) {
-				history.runs("m1", "a", "j-1/0")
-				history.requestCancel("j-1")
-				history.answers("j-1", accepted, 200, wire.JobAborted)
-				history.clock += 51 * micro.Second
-				history.checkCancelled()
-			},
-			func(history *history) {
-				history.runs("m1", "a", "j-1/0")
-				history.requestCancel("j-1")
-				history.answers("j-1", accepted, 200, wire.JobAborted)
-				history.clock += 49 * micro.Second
-				history.checkCancelled()
-				history.runs("m1", "a")
-				history.clock += 10 * micro.Second
-				history.checkCancelled()
-			}},
-		{"ran_cancelled", // begins
-			func(history *history) {
-				history.requestCancel("j-1")
-				history.answers("j-1", accepted, 200, wire.JobAborted)
-				history.clock += 51 * micro.Second
-				history.runs("m1", "a", "j-1/0")
-			},
-			func(history *history) {}},
-		{"forgotten",
-			func(history *history) { history.answers("j-1", accepted, 404, "") },
-			func(history *history) { history.answers("j-1", userKnowledge{}, 404, "") }},
-		{"forgotten",
-			func(history *history) { history.answers("j-1", accepted, 422, "") },
-			func(history *history) { history.answers("j-1", userKnowledge{}, 422, "") }},
-		{"invented",
-			func(history *history) { history.answers("j-9", userKnowledge{}, 200, wire.JobPending) },
-			func(history *history) { history.answers("j-9", userKnowledge{}, 404, "") }},
-		{"invented",
-			func(history *history) { history.runs("m1", "a", "j-9/0") },
-			func(history *history) {}},
-		{"not_done",
-			func(history *history) {
-				history.taskCompleted("j-1", 0)
-				history.answers("j-1", accepted, 200, wire.JobDone)
-			},
-			func(history *history) {
-				history.taskCompleted("j-1", 0)
-				history.taskCompleted("j-1", 1)
-				history.answers("j-1", accepted, 200, wire.JobDone)
-			}},
-		{"went_back",
-			func(history *history) { history.answers("j-1", done, 200, wire.JobRunning) },
-			func(history *history) { history.answers("j-1", accepted, 200, wire.JobRunning) }},
-		{"went_back",
-			func(history *history) { history.answers("j-1", aborted, 201, wire.JobPending) },
-			func(history *history) { history.answers("j-1", accepted, 201, wire.JobPending) }},
-		{"went_back", // cancelled by nobody
-			func(history *history) { history.answers("j-1", accepted, 200, wire.JobAborted) },
-			func(history *history) {
-				history.requestCancel("j-1")
-				history.answers("j-1", accepted, 200, wire.JobAborted)
-			}},
-		{"retry_after",
-			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, httpapi.Reply{Status: 503}) },
-			func(history *history) { history.checkAnswer("j-1", "n-0", accepted, httpapi.RetryReply(503, 1)) }},
-	} {
-		history := newHistory()
-		test.broken(history)
-		if len(history.violations) == 0 || !strings.Contains(history.violations[0], test.rule) {
-			t.Errorf("%s: not caught: %v", test.rule, history.violations)
+	for _, test := range ruleHistories {
+		h := newHistory()
+		test.broken(h)
+		if len(h.violations) == 0 || !strings.Contains(h.violations[0], test.rule) {
+			t.Errorf("%s: not caught: %v", test.rule, h.violations)
 		}
-		history = newHistory()
-		test.kept(history)
-		if len(history.violations) > 0 {
-			t.Errorf("%s: caught where nothing is broken: %v", test.rule, history.violations)
+		h = newHistory()
+		test.kept(h)
+		if len(h.violations) > 0 {
+			t.Errorf("%s: caught where nothing is broken: %v", test.rule, h.violations)
 		}
 	}
 }
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -50,8 +50,11 @@
 type userKnowledge struct{ accepted, done, aborted bool }
 
 func newChecker(now func() micro.Time, cancel micro.Time) *checker {
-	return &checker{now: now, cancelLimit: cancel, cpuLimits: map[string]float64{}, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*jobRecord{},
-		machinesByTask: map[string]map[string]string{}, tasksByMachine: map[string]map[string]bool{}, cpusInUse: map[string]float64{}, reported: map[string]bool{}}
+	return &checker{
+		now: now, cancelLimit: cancel, cpuLimits: map[string]float64{}, machineTypes: map[string]wire.MachineType{},
+		jobs: map[string]*jobRecord{}, machinesByTask: map[string]map[string]string{},
+		tasksByMachine: map[string]map[string]bool{}, cpusInUse: map[string]float64{}, reported: map[string]bool{},
+	}
 }
 
 func (c *checker) violate(rule, format string, args ...any) {
@@ -261,13 +264,16 @@
 		return
 	}
 	record.accepted = true
-	if knowledge.done && status.State != wire.JobDone || knowledge.aborted && status.State != wire.JobAborted || reply.Status == 201 && (knowledge.done || knowledge.aborted) {
+	if knowledge.done && status.State != wire.JobDone || knowledge.aborted && status.State != wire.JobAborted ||
+		reply.Status == 201 && (knowledge.done || knowledge.aborted) {
 		c.violate("went_back", "%s was over (%+v), %s says %d %s", id, knowledge, by, reply.Status, status.State)
 	}
 	switch status.State {
 	case wire.JobDone:
 		if len(record.completedTasks) < record.spec.Tasks {
-			c.violate("not_done", "%s is called done by %s with %d of %d tasks", id, by, len(record.completedTasks), record.spec.Tasks)
+			c.violate(
+				"not_done", "%s is called done by %s with %d of %d tasks", id, by, len(record.completedTasks), record.spec.Tasks,
+			)
 		}
 		record.done = true
 	case wire.JobAborted:
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -47,8 +47,17 @@
 }
 
 func newTestCluster(t *testing.T) *testCluster {
-	return &testCluster{t: t, store: fake.NewStore(), agents: &fakeAgents{byMachine: map[string]*fake.Agent{}},
-		cloud: fake.NewCloud(2, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"}})}
+	return &testCluster{
+		t:      t,
+		store:  fake.NewStore(),
+		agents: &fakeAgents{byMachine: map[string]*fake.Agent{}},
+		cloud: fake.NewCloud(
+			2,
+			wire.MachineType{
+				Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"},
+			},
+		),
+	}
 }
 
 // startNode makes a node; its process is dead once the returned function was called.
@@ -65,8 +74,10 @@
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
 	// Nothing waits for room to come free: machines are rented at once.
 	cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
-	node := &Node{Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(), Now: micro.Now, Wall: micro.WallNow}
+	node := &Node{
+		Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(), Now: micro.Now, Wall: micro.WallNow,
+	}
 	node.Init()
 	set(node)
 	cat, _ := b.cloud.Catalog(context.Background())
@@ -110,9 +121,11 @@
 }
 
 func submission(id string, kind wire.JobKind) []byte {
-	return wire.MustMarshal(map[string]any{"nameId": id, "jobclass": "c", "outfit": "team", "shape": string(kind), "rank": "standard",
-		"pieces": 2, "vcpus": 1, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false, "scatter": false, "loaners": false,
-		"guessS": 10, "bookmarkS": 0, "stashS": 0})
+	return wire.MustMarshal(map[string]any{
+		"nameId": id, "jobclass": "c", "outfit": "team", "shape": string(kind), "rank": "standard",
+		"pieces": 2, "vcpus": 1, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false,
+		"scatter": false, "loaners": false, "guessS": 10, "bookmarkS": 0, "stashS": 0,
+	})
 }
 
 // runAgents lets the rented machines report until stopped.
@@ -167,7 +180,8 @@
 	kill()
 	restarted, _ := env.startNode("n-0")
 	waitUntil(t, "its state from the store", func() bool { return jobState(restarted, "j-1") == wire.JobDone })
-	if reply := restarted.Submit(submission("j-1", wire.JobArray)); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
+	if reply := restarted.Submit(submission("j-1", wire.JobArray)); reply.Status != 200 ||
+		reply.Body.(wire.JobStatus).State != wire.JobDone {
 		t.Fatalf("a late repeat got %+v", reply)
 	}
 	if reply := restarted.Cancel("j-1"); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
@@ -265,7 +279,9 @@
 	leader := node.activeLeader()
 	env.store.SetOutage(true)
 	waitUntil(t, "silent", func() bool { return node.activeLeader() == nil })
-	if reply := node.Heartbeat(wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1})); reply.Status != 503 {
+	if reply := node.Heartbeat(
+		wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1}),
+	); reply.Status != 503 {
 		t.Fatalf("a worker got %+v", reply)
 	}
 	if reply := node.Status("j-1"); reply.Status != 503 || reply.RetryAfter == 0 {
@@ -289,7 +305,10 @@
 	}
 	old := n0.activeLeader().term
 	env.store.HoldCommits(1)
-	_, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{If: []wire.Precondition{old.Precondition()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}})
+	_, err := env.store.Commit(
+		context.Background(), store.Urgent,
+		wire.Transaction{If: []wire.Precondition{old.Precondition()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}},
+	)
 	if err == nil {
 		t.Fatal("not held back")
 	}
@@ -360,7 +379,8 @@
 // that was gone looked like their own.
 func TestOwnMachinesAreThoseCreatedBeforeTheFirstInstanceRequest(t *testing.T) {
 	l := &Leader{}
-	if !l.isOperatorOwned(&cluster.Machine{Name: "i-000007"}) || l.isOperatorOwned(&cluster.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
+	if !l.isOperatorOwned(&cluster.Machine{Name: "i-000007"}) ||
+		l.isOperatorOwned(&cluster.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
 		t.Error("before any rental is answered, what was not rented is their own")
 	}
 	l.firstProvisioned = "i-000024"
@@ -379,9 +399,13 @@
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	var then []wire.Change
 	for i := range 1563 {
-		then = append(then, wire.Change{Put: runKey("j-1", i), Value: cluster.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}})
+		then = append(
+			then, wire.Change{Put: runKey("j-1", i), Value: cluster.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}},
+		)
 	}
-	then = append(then, wire.Change{Put: specKey("j-1"), Value: wire.Job{ID: "j-1", Team: "team", Tasks: 100_000, CPUs: 1}})
+	then = append(
+		then, wire.Change{Put: specKey("j-1"), Value: wire.Job{ID: "j-1", Team: "team", Tasks: 100_000, CPUs: 1}},
+	)
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -53,7 +53,9 @@
 		sim.waitForRestoredLeader()
 		var bad []*userJob
 		for range singles {
-			bad = append(bad, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 10 * micro.Second, alwaysFails: true}))
+			bad = append(
+				bad, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 10 * micro.Second, alwaysFails: true}),
+			)
 		}
 		huge := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 3000, runTime: 10 * micro.Second, alwaysFails: true})
 		bad = append(bad, huge)
@@ -65,7 +67,10 @@
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, runTime: 5 * micro.Second, team: "other"})
 			at := sim.now()
 			go job.submit()
-			sim.waitUntil(job.id+" done beside the jobs that fail", micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			sim.waitUntil(
+				job.id+" done beside the jobs that fail", micro.Minute,
+				func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 			slowest = max(slowest, sim.now()-at)
 		}
 		machines, _ := sim.instanceCounts()
@@ -81,8 +86,18 @@
 		hugeStarts := starts[huge.id]
 		mu.Unlock()
 		records, hugeRecords := sim.changeCount("run/"), sim.changeCount("run/"+huge.id+"/")
-		t.Logf("%d starts of %d jobs, %d at most of one, %d of the huge one; %d changes of records, %d of the huge one's; %d machines rented, %d passes; good work took %.1f s at most",
-			all, singles, most, hugeStarts, records, hugeRecords, machines, passes, slowest.Seconds())
+		t.Logf(
+			"%d starts of %d jobs, %d at most of one, %d of the huge one; %d changes of records, %d of the huge one's; %d machines rented, %d passes; good work took %.1f s at most",
+			all,
+			singles,
+			most,
+			hugeStarts,
+			records,
+			hugeRecords,
+			machines,
+			passes,
+			slowest.Seconds(),
+		)
 		if most > 20 || hugeStarts > 80 {
 			t.Errorf("%d starts of one job, %d of the huge one", most, hugeStarts)
 		}
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -70,7 +70,9 @@
 	return sinceHeartbeat <= 2*l.cluster.LeaseDuration || !l.cluster.LeaseExpired(m, now)
 }
 
-func (l *Leader) countHeartbeat(machine *cluster.Machine, zone *zoneHeartbeats, summary *heartbeatSummary, sinceHeartbeat micro.Time) {
+func (l *Leader) countHeartbeat(
+	machine *cluster.Machine, zone *zoneHeartbeats, summary *heartbeatSummary, sinceHeartbeat micro.Time,
+) {
 	zone.expected++
 	// A machine is missing once a report is overdue, well before it counts as
 	// silent: in a cut, the first to be called silent must not look alone.
@@ -124,7 +126,8 @@
 		// Just after a lapse of the right nothing has been heard for long: that
 		// says nothing of a zone that was silent before. A thousand machines
 		// beyond a cut were once returned in the moment an outage ended.
-		if l.missingFromInventory(machine) || noticeExpired || l.sinceHeartbeat(machine, now) > l.node.Cfg.SuspectAfter && l.machinesLookDead(machine.Zone, summary, now) {
+		if l.missingFromInventory(machine) || noticeExpired ||
+			l.sinceHeartbeat(machine, now) > l.node.Cfg.SuspectAfter && l.machinesLookDead(machine.Zone, summary, now) {
 			l.terminate(machine, "silent")
 		}
 	case cluster.Expired:
@@ -140,7 +143,8 @@
 	if m.State != cluster.Registering || !l.shardMachinesKnown(m, now) {
 		return
 	}
-	if l.missingFromInventory(m) || m.CloudState == wire.MachineBooting && now-m.LastListed < maxInventoryAge && now-m.RequestedAt > l.bootTimeout(m) {
+	if l.missingFromInventory(m) ||
+		m.CloudState == wire.MachineBooting && now-m.LastListed < maxInventoryAge && now-m.RequestedAt > l.bootTimeout(m) {
 		l.terminate(m, "did not come up in its share")
 	}
 }
@@ -155,7 +159,8 @@
 	}
 	settleTime := l.node.Cfg.RegistrationWindow() + l.node.Cfg.SuspectAfter
 	view := l.viewOf(e.Name)
-	return view.allMachinesKnownAt > 0 && now-view.allMachinesKnownAt > settleTime && l.node.Wall()-micro.Time(e.Record.ChangedAt) > settleTime
+	return view.allMachinesKnownAt > 0 && now-view.allMachinesKnownAt > settleTime &&
+		l.node.Wall()-micro.Time(e.Record.ChangedAt) > settleTime
 }
 
 // bootTimeout is after how long a machine that is booting is given up.
--- a/internal/controller/final_status_cache_test.go
+++ b/internal/controller/final_status_cache_test.go
@@ -15,7 +15,9 @@
 	rangeCount *int
 }
 
-func (s rangeCountingStore) Range(ctx context.Context, c store.Class, prefix, after string, limit int) (wire.Page, error) {
+func (s rangeCountingStore) Range(
+	ctx context.Context, c store.Class, prefix, after string, limit int,
+) (wire.Page, error) {
 	*s.rangeCount++
 	return s.Store.Range(ctx, c, prefix, after, limit)
 }
@@ -30,7 +32,10 @@
 	node.Store = rangeCountingStore{env.store, &reads}
 	var then []wire.Change
 	for _, id := range []string{"j-1", "j-2"} {
-		then = append(then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}, wire.Change{Put: endKey(id), Value: map[string]any{"state": "done"}})
+		then = append(
+			then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}},
+			wire.Change{Put: endKey(id), Value: map[string]any{"state": "done"}},
+		)
 	}
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -39,12 +39,21 @@
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
 	cfg.Facts.Teams = []config.Team{{Name: "team"}}
 	cfg.DeriveDefaults()
-	node := &Node{Cfg: cfg, Store: fake.NewStore(), Cloud: fake.NewCloud(0), Agent: unansweredDispatch{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Metrics: metrics.New(), Now: func() micro.Time { return fleet.now }, Wall: func() micro.Time { return fleet.now }}
+	node := &Node{
+		Cfg: cfg, Store: fake.NewStore(), Cloud: fake.NewCloud(0), Agent: unansweredDispatch{},
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(),
+		Now: func() micro.Time { return fleet.now }, Wall: func() micro.Time { return fleet.now },
+	}
 	node.Init()
 	cat := &wire.Catalog{}
 	for i := range 4 {
-		cat.Types = append(cat.Types, wire.MachineType{Name: fmt.Sprint("t", i), CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 0.3, BootS: 30, FetchGBPerS: 1, Zones: []string{"a", "b"}})
+		cat.Types = append(
+			cat.Types,
+			wire.MachineType{
+				Name: fmt.Sprint("t", i), CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 0.3, BootS: 30, FetchGBPerS: 1,
+				Zones: []string{"a", "b"},
+			},
+		)
 	}
 	node.catalog.Store(cat)
 	fleet.leader = newLeader(node, election.NewTerm(7, 1<<60))
@@ -56,7 +65,12 @@
 		fleet.heartbeat(fakeAgent)
 	}
 	for i := 0; i < machines*6; i += 60 {
-		fleet.leader.addJob(wire.Job{ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i"})
+		fleet.leader.addJob(
+			wire.Job{
+				ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 60,
+				CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i",
+			},
+		)
 	}
 	fleet.leader.scheduler.Schedule(fleet.now)
 	for _, machine := range fleet.leader.cluster.SortedMachines() {
@@ -82,7 +96,10 @@
 	if verdict != cluster.Applied {
 		panic("not taken")
 	}
-	o := wire.Commands{FencingToken: wire.Count(h.leader.fencingToken), Items: h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now)}
+	o := wire.Commands{
+		FencingToken: wire.Count(h.leader.fencingToken),
+		Items:        h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now),
+	}
 	h.leader.cluster.ResponseSent(m, h.leader.fencingToken)
 	_ = wire.MustMarshal(o)
 	w.HandleResponse(o, h.now)
@@ -126,7 +143,12 @@
 	for _, n := range []int{290, 2900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
-			fleet.leader.addJob(wire.Job{ID: "j-99999999", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 9, MemoryGB: 1, EstimateS: 50, Image: "i"})
+			fleet.leader.addJob(
+				wire.Job{
+					ID: "j-99999999", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 9,
+					MemoryGB: 1, EstimateS: 50, Image: "i",
+				},
+			)
 			for b.Loop() {
 				fleet.leader.planner.Plan(fleet.now)
 			}
@@ -139,7 +161,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i"})
+				fleet.leader.addJob(
+					wire.Job{
+						ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600,
+						CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i",
+					},
+				)
 			}
 			for b.Loop() {
 				fleet.leader.scheduler.Schedule(fleet.now)
@@ -154,7 +181,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(wire.Job{ID: fmt.Sprint("j-9999", i), Class: fmt.Sprint("c", i), Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 2, MemoryGB: 60, EstimateS: 50, Image: "i"})
+				fleet.leader.addJob(
+					wire.Job{
+						ID: fmt.Sprint("j-9999", i), Class: fmt.Sprint("c", i), Team: "team", Kind: wire.JobArray, Priority: wire.Normal,
+						Tasks: 600, CPUs: 2, MemoryGB: 60, EstimateS: 50, Image: "i",
+					},
+				)
 			}
 			fleet.now += 2 * micro.Minute
 			for b.Loop() {
@@ -171,8 +203,10 @@
 		ids = append(ids, id)
 	}
 	for i := range n {
-		h.leader.addJob(wire.Job{ID: fmt.Sprintf("j-5%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1,
-			EstimateS: 20, Image: "i", Dependencies: []string{ids[i%len(ids)], ids[(i*7+1)%len(ids)]}})
+		h.leader.addJob(wire.Job{
+			ID: fmt.Sprintf("j-5%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1,
+			MemoryGB: 1, EstimateS: 20, Image: "i", Dependencies: []string{ids[i%len(ids)], ids[(i*7+1)%len(ids)]},
+		})
 	}
 }
 
@@ -197,8 +231,21 @@
 			fleet.addWaitingJobs(n)
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("j-8", i)
-				j := fleet.leader.cluster.AddJob(wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20}, fleet.now, fleet.now)
-				fleet.leader.cluster.AddJob(wire.Job{ID: id + "1", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20, Dependencies: []string{id}}, fleet.now, fleet.now)
+				j := fleet.leader.cluster.AddJob(
+					wire.Job{
+						ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20,
+					},
+					fleet.now,
+					fleet.now,
+				)
+				fleet.leader.cluster.AddJob(
+					wire.Job{
+						ID: id + "1", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 20,
+						Dependencies: []string{id},
+					},
+					fleet.now,
+					fleet.now,
+				)
 				fleet.leader.cluster.FinalizeJob(j, false, fleet.now)
 			}
 		})
@@ -212,7 +259,9 @@
 			snapshot := newJobSnapshot()
 			for i := range n {
 				id := fmt.Sprintf("j-%06d", i)
-				snapshot.specs[id] = wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1}
+				snapshot.specs[id] = wire.Job{
+					ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1,
+				}
 				if i >= 100 {
 					job := snapshot.specs[id]
 					job.Dependencies = []string{fmt.Sprintf("j-%06d", i-100), fmt.Sprintf("j-%06d", i/2)}
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -144,7 +144,15 @@
 					met := test.lag(sim, leader)
 					var jobs []*userJob
 					for i := range 6 {
-						jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 50 * micro.Second, priority: wire.Production, team: []string{"team", "other"}[i%2]}).submit())
+						jobs = append(
+							jobs,
+							sim.newJob(
+								jobRequest{
+									kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 50 * micro.Second, priority: wire.Production,
+									team: []string{"team", "other"}[i%2],
+								},
+							).submit(),
+						)
 					}
 					sim.waitUntil("the meeting", 30*micro.Second, met)
 					if !strings.HasSuffix(test.name, "handed over") {
@@ -168,7 +176,10 @@
 						sim.t.Errorf("seed %d: %d machines were rented for 6 tasks, %d returned", seed, all, back)
 					}
 					for _, job := range jobs {
-						sim.waitUntil(job.id+" done", 3*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+						sim.waitUntil(
+							job.id+" done", 3*micro.Minute,
+							func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+						)
 					}
 					if all, _ := sim.instanceCounts(); all > 9 {
 						sim.t.Errorf("seed %d: %d machines were rented for 6 tasks", seed, all)
@@ -204,7 +215,15 @@
 				sim.slowAgents(600*micro.Millisecond, 4*micro.Minute)
 				var jobs []*userJob
 				for i := range 8 {
-					jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 25 * micro.Second, priority: []wire.Priority{wire.Low, wire.Normal}[i%2], team: []string{"team", "other"}[i%2]}).submit())
+					jobs = append(
+						jobs,
+						sim.newJob(
+							jobRequest{
+								kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 25 * micro.Second,
+								priority: []wire.Priority{wire.Low, wire.Normal}[i%2], team: []string{"team", "other"}[i%2],
+							},
+						).submit(),
+					)
 				}
 				full := func() bool {
 					n := 0
@@ -216,15 +235,25 @@
 				sim.waitUntil("no room left", micro.Minute, full)
 				var urgent []*userJob
 				for i := range 4 {
-					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 2, runTime: 15 * micro.Second, priority: wire.Production, team: []string{"team", "other"}[i%2]}).submit()
+					job := sim.newJob(
+						jobRequest{
+							kind: wire.JobArray, tasks: 2, cpus: 2, runTime: 15 * micro.Second, priority: wire.Production,
+							team: []string{"team", "other"}[i%2],
+						},
+					).submit()
 					urgent = append(urgent, job)
 					asked := sim.now()
-					sim.waitUntil("the urgent one runs", 30*micro.Second, func() bool { return job.runningTasks() > 0 || job.knowledge().done })
+					sim.waitUntil(
+						"the urgent one runs", 30*micro.Second, func() bool { return job.runningTasks() > 0 || job.knowledge().done },
+					)
 					sim.t.Logf("%s began %.1f s after it was accepted", job.id, (sim.now() - asked).Seconds())
 					sim.sleep(10 * micro.Second)
 				}
 				for _, job := range append(urgent, jobs...) {
-					sim.waitUntil(job.id+" done", 12*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+					sim.waitUntil(
+						job.id+" done", 12*micro.Minute,
+						func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+					)
 				}
 			})
 		})
@@ -260,7 +289,11 @@
 			}
 		}
 		for from := sim.now(); sim.now() < from+stream; sim.sleep(250 * micro.Millisecond) {
-			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 0.5, runTime: 3 * micro.Second, team: []string{"team", "other"}[len(jobs)%2]})
+			job := sim.newJob(
+				jobRequest{
+					kind: wire.JobArray, tasks: 1, cpus: 0.5, runTime: 3 * micro.Second, team: []string{"team", "other"}[len(jobs)%2],
+				},
+			)
 			jobs = append(jobs, job)
 			cancel, after := len(jobs)%4 == 0, sim.randomDuration(0, 6*micro.Second)
 			go func() {
@@ -310,15 +343,26 @@
 			by[kind]++
 		}
 		n := float64(len(jobs))
-		sim.t.Logf("%d jobs: %v changes, %.2f a job in all; %d of %d polls not answered; %d cancelled, the slowest told after %.2f s; %d times over the store's rate",
-			len(jobs), by, float64(len(events.Events))/n, failed, asked, cancels, slowest.Seconds(), sim.store.RateLimitedCount)
+		sim.t.Logf(
+			"%d jobs: %v changes, %.2f a job in all; %d of %d polls not answered; %d cancelled, the slowest told after %.2f s; %d times over the store's rate",
+			len(jobs),
+			by,
+			float64(len(events.Events))/n,
+			failed,
+			asked,
+			cancels,
+			slowest.Seconds(),
+			sim.store.RateLimitedCount,
+		)
 		for kind, most := range map[string]float64{"spec": 1, "end": 1, "run": 1.3, "run deleted": 1} {
 			if got := float64(by[kind]) / n; got > most {
 				sim.t.Errorf("%.2f changes a job are for %q, at most %.1f", got, kind, most)
 			}
 		}
 		if cancels < len(jobs)/4 || slowest > 2*micro.Second {
-			sim.t.Errorf("%d of %d cancellations were answered, the slowest after %.1f s", cancels, len(jobs)/4, slowest.Seconds())
+			sim.t.Errorf(
+				"%d of %d cancellations were answered, the slowest after %.1f s", cancels, len(jobs)/4, slowest.Seconds(),
+			)
 		}
 		if asked < len(jobs) || failed*50 > asked {
 			sim.t.Errorf("%d of %d polls were not answered", failed, asked)
@@ -339,11 +383,19 @@
 				sim.waitForRestoredLeader()
 				jobs := []*userJob{
 					sim.newJob(jobRequest{kind: wire.JobArray, tasks: 8, cpus: 2, runTime: 20 * micro.Second, zone: "a"}).submit(),
-					sim.newJob(jobRequest{kind: wire.JobArray, tasks: 6, cpus: 2, runTime: 20 * micro.Second, oneZone: true, team: "other"}).submit(),
-					sim.newJob(jobRequest{kind: wire.Gang, tasks: 3, cpus: 2, runTime: 20 * micro.Second, oneZone: true, priority: wire.High}).submit(),
-					sim.newJob(jobRequest{kind: wire.Gang, tasks: 2, cpus: 2, runTime: 20 * micro.Second, zone: "b", team: "other"}).submit(),
+					sim.newJob(
+						jobRequest{kind: wire.JobArray, tasks: 6, cpus: 2, runTime: 20 * micro.Second, oneZone: true, team: "other"},
+					).submit(),
+					sim.newJob(
+						jobRequest{kind: wire.Gang, tasks: 3, cpus: 2, runTime: 20 * micro.Second, oneZone: true, priority: wire.High},
+					).submit(),
+					sim.newJob(
+						jobRequest{kind: wire.Gang, tasks: 2, cpus: 2, runTime: 20 * micro.Second, zone: "b", team: "other"},
+					).submit(),
 				}
-				sim.waitUntil("work runs", micro.Minute, func() bool { return jobs[0].runningTasks() > 0 && jobs[1].runningTasks() > 0 })
+				sim.waitUntil(
+					"work runs", micro.Minute, func() bool { return jobs[0].runningTasks() > 0 && jobs[1].runningTasks() > 0 },
+				)
 				lost := 0
 				for i := range 5 {
 					sim.sleep(7 * micro.Second)
@@ -363,7 +415,10 @@
 					sim.t.Errorf("%d machines were lost", lost)
 				}
 				for _, job := range jobs {
-					sim.waitUntil(job.id+" done", 6*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+					sim.waitUntil(
+						job.id+" done", 6*micro.Minute,
+						func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+					)
 				}
 			})
 		})
@@ -379,15 +434,28 @@
 			sim.waitForRestoredLeader()
 			var jobs []*userJob
 			for i := range 4 {
-				jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 4, runTime: 30 * micro.Second, zone: []string{"a", "b"}[i%2], team: []string{"team", "other"}[i%2]}).submit())
+				jobs = append(
+					jobs,
+					sim.newJob(
+						jobRequest{
+							kind: wire.JobArray, tasks: 2, cpus: 4, runTime: 30 * micro.Second, zone: []string{"a", "b"}[i%2],
+							team: []string{"team", "other"}[i%2],
+						},
+					).submit(),
+				)
 			}
-			sim.waitUntil("four run", micro.Minute, func() bool { return len(sim.liveMachines()) >= 4 && sim.checker.startsSoFar() >= 4 })
+			sim.waitUntil(
+				"four run", micro.Minute, func() bool { return len(sim.liveMachines()) >= 4 && sim.checker.startsSoFar() >= 4 },
+			)
 			for _, machine := range sim.liveMachines() {
 				machine.terminate()
 			}
 			died := sim.now()
 			for _, job := range jobs {
-				sim.waitUntil(job.id+" done", 5*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+				sim.waitUntil(
+					job.id+" done", 5*micro.Minute,
+					func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+				)
 			}
 			sim.t.Logf("seed %d: all done %.0f s after", seed, (sim.now() - died).Seconds())
 		})
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -37,13 +37,17 @@
 }
 
 // Range reads keys in order.
-func (m usageCountingStore) Range(ctx context.Context, class store.Class, prefix, after string, limit int) (wire.Page, error) {
+func (m usageCountingStore) Range(
+	ctx context.Context, class store.Class, prefix, after string, limit int,
+) (wire.Page, error) {
 	m.usage.reads.Add(1)
 	return m.Store.Range(ctx, class, prefix, after, limit)
 }
 
 // ExistingKeys says which keys there are.
-func (m usageCountingStore) ExistingKeys(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
+func (m usageCountingStore) ExistingKeys(
+	ctx context.Context, class store.Class, keys []string,
+) (map[string]bool, error) {
 	m.usage.reads.Add(1)
 	return m.Store.ExistingKeys(ctx, class, keys)
 }
@@ -134,7 +138,10 @@
 	from := f.now()
 	reads, commits, changes := f.storeUsageOf(f.fill)
 	all, _ := f.instanceCounts()
-	f.t.Logf("cold start: %d machines rented, %d reads, %d transactions, %d changes, %v", all, reads, commits, changes, f.now()-from)
+	f.t.Logf(
+		"cold start: %d machines rented, %d reads, %d transactions, %d changes, %v", all, reads, commits, changes,
+		f.now()-from,
+	)
 	if all > f.machines+f.machines/10 {
 		f.t.Errorf("%d machines rented for work that fills %d", all, f.machines)
 	}
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 	"errors"
-	"notchmux.dev/notchmux/internal/statestore"
 	"time"
 
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -96,7 +96,8 @@
 		n.setGateState(GateOpen)
 		return
 	}
-	if leader := n.activeLeader(); leader != nil && errors.Is(err, store.ErrNotFound) && GateState(n.formatGate.Load()) == GateAnnounced {
+	if leader := n.activeLeader(); leader != nil && errors.Is(err, store.ErrNotFound) &&
+		GateState(n.formatGate.Load()) == GateAnnounced {
 		if missing := n.unannouncedNodes(ctx); len(missing) == 0 {
 			leader.post(leader.raiseFormat)
 		} else {
@@ -113,7 +114,8 @@
 		return true
 	}
 	for _, p := range n.peersLeaderFirst() {
-		if status, _, err := n.callPeer(p, peer.AnnounceVersion, wire.MustMarshal(n.Cfg.Node), peerCallTimeout); err == nil && status == 200 {
+		if status, _, err := n.callPeer(p, peer.AnnounceVersion, wire.MustMarshal(n.Cfg.Node), peerCallTimeout); err == nil &&
+			status == 200 {
 			return true
 		}
 	}
@@ -131,7 +133,10 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
-	_, err = n.Store.Commit(ctx, store.Routine, wire.Transaction{If: []wire.Precondition{}, Then: []wire.Change{{Put: key, Value: nodeRecord{FormatVersion}}}})
+	_, err = n.Store.Commit(
+		ctx, store.Routine,
+		wire.Transaction{If: []wire.Precondition{}, Then: []wire.Change{{Put: key, Value: nodeRecord{FormatVersion}}}},
+	)
 	return err == nil
 }
 
@@ -189,7 +194,9 @@
 // restoreFormat takes in the value of fleet/format; false if it raises nothing.
 func (l *Leader) restoreFormat(item wire.Item) bool {
 	var record FormatRecord
-	if wire.Unmarshal(item.Value, &record) != nil || record.Version < FormatVersion || record.TasksPerChunk < 1 || record.TasksPerChunk > 128 || 128%record.TasksPerChunk != 0 {
+	if wire.Unmarshal(item.Value, &record) != nil || record.Version < FormatVersion || record.TasksPerChunk < 1 ||
+		record.TasksPerChunk > 128 ||
+		128%record.TasksPerChunk != 0 {
 		return false
 	}
 	l.records.format.SetVersion(uint64(item.Version))
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -6,7 +6,9 @@
 )
 
 func TestNodeIsUnhealthyOnlyIfItAloneIsPartitionedAndDoesNotFlap(t *testing.T) {
-	silent, refused, stored, peered := probeResult{}, probeResult{storeRefused: true}, probeResult{storeReached: true}, probeResult{peerReached: true}
+	silent, refused, stored, peered := probeResult{}, probeResult{storeRefused: true}, probeResult{
+		storeReached: true,
+	}, probeResult{peerReached: true}
 	for _, test := range []struct {
 		name  string
 		looks []probeResult
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -84,7 +84,10 @@
 	if job.AllocationCount > 0 && state == wire.JobAborted {
 		l.unconfirmedCancellations[job] = true
 	}
-	l.log.Info("job over", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s", (now - job.EligibleSince).Seconds())
+	l.log.Info(
+		"job over", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s",
+		(now - job.EligibleSince).Seconds(),
+	)
 	for _, ch := range job.Chunks {
 		l.ChunkDirty(ch)
 	}
@@ -109,7 +112,8 @@
 		l.heartbeatsReceived++
 		l.observeQueueDelay(now-receivedAt, now)
 		machine, outcome := l.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, now)
-		if machine == nil || outcome == cluster.Refused || outcome == cluster.Stale && uint64(heartbeat.AgentEpoch) != machine.AgentEpoch {
+		if machine == nil || outcome == cluster.Refused ||
+			outcome == cluster.Stale && uint64(heartbeat.AgentEpoch) != machine.AgentEpoch {
 			reply(httpapi.RetryReply(503, 1))
 			return
 		}
@@ -164,7 +168,9 @@
 	}
 	machine.DispatchInFlight, machine.DispatchPending = true, false
 	l.dispatchesInFlight++
-	message := wire.Commands{FencingToken: wire.Count(l.fencingToken), AgentEpoch: wire.Count(machine.AgentEpoch), Items: commands}
+	message := wire.Commands{
+		FencingToken: wire.Count(l.fencingToken), AgentEpoch: wire.Count(machine.AgentEpoch), Items: commands,
+	}
 	addr := machine.Addr
 	go func() {
 		if !l.holdsLease() {
--- a/internal/controller/image_records.go
+++ b/internal/controller/image_records.go
@@ -1,11 +1,11 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/statestore"
 	"strconv"
 	"strings"
 
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"notchmux.dev/notchmux/internal/statestore"
 	"slices"
 	"sort"
 	"time"
@@ -13,6 +12,7 @@
 	"notchmux.dev/notchmux/internal/cloud"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -77,7 +77,9 @@
 	switch to {
 	case InstanceRequestPending:
 		request.requestedAt = l.node.Now()
-		index := sort.Search(len(l.requestQueue), func(i int) bool { return l.requestQueue[i].priorityLevel > request.priorityLevel })
+		index := sort.Search(
+			len(l.requestQueue), func(i int) bool { return l.requestQueue[i].priorityLevel > request.priorityLevel },
+		)
 		l.requestQueue = slices.Insert(l.requestQueue, index, request)
 		l.sendQueuedRequests(request.requestedAt)
 	case InstanceRequestFulfilled:
@@ -121,7 +123,12 @@
 	l.newRequestRecord(request).SetVersion(uint64(item.Version))
 	if !record.Answered {
 		request.maybeSent = true // perhaps: only the same name again can tell
-		l.planner.PendingRequests[record.Request.RequestID] = autoscaler.ScaleOut{InstanceOffer: autoscaler.InstanceOffer{Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot}, Count: record.Request.Count}
+		l.planner.PendingRequests[record.Request.RequestID] = autoscaler.ScaleOut{
+			InstanceOffer: autoscaler.InstanceOffer{
+				Type: record.Request.Type, Zone: record.Request.Zone, Spot: record.Request.Spot,
+			},
+			Count: record.Request.Count,
+		}
 		l.setRequestState(request, InstanceRequestPending)
 		return
 	}
@@ -152,8 +159,13 @@
 	scaleOuts, idle := l.planner.Plan(now)
 	for _, scaleOut := range scaleOuts { // each at most what one call rents
 		l.instanceRequestCount++
-		request := &instanceRequest{priorityLevel: scaleOut.PriorityLevel, record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.InstanceRequest{
-			RequestID: fmt.Sprintf("r-%d-%d", l.term.FencingRevision, l.instanceRequestCount), Type: scaleOut.Type, Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count}}}
+		request := &instanceRequest{
+			priorityLevel: scaleOut.PriorityLevel,
+			record: instanceRequestRecord{CreatedAt: int64(l.node.Wall()), Request: wire.InstanceRequest{
+				RequestID: fmt.Sprintf("r-%d-%d", l.term.FencingRevision, l.instanceRequestCount), Type: scaleOut.Type,
+				Zone: scaleOut.Zone, Spot: scaleOut.Spot, Count: scaleOut.Count,
+			}},
+		}
 		l.instanceRequests[request.record.Request.RequestID] = request
 		l.planner.PendingRequests[request.record.Request.RequestID] = scaleOut
 		priority := statestore.PriorityHigh
@@ -161,7 +173,10 @@
 			priority = statestore.PriorityUrgent
 		}
 		l.newRequestRecord(request).MarkDirty(now, priority)
-		l.log.Info("rent", "request", request.record.Request.RequestID, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot", scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class)
+		l.log.Info(
+			"rent", "request", request.record.Request.RequestID, "type", scaleOut.Type, "zone", scaleOut.Zone, "spot",
+			scaleOut.Spot, "count", scaleOut.Count, "for", scaleOut.Class,
+		)
 	}
 	for _, machine := range idle {
 		l.terminate(machine, "idle")
@@ -179,7 +194,8 @@
 		request := l.requestQueue[0]
 		l.requestQueue = l.requestQueue[1:]
 		wireRequest := request.record.Request
-		if !request.maybeSent && l.planner.RefusedUntil[autoscaler.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}] > now {
+		if !request.maybeSent &&
+			l.planner.RefusedUntil[autoscaler.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}] > now {
 			l.setRequestState(request, InstanceRequestClosed)
 			continue
 		}
@@ -222,10 +238,16 @@
 func (l *Leader) instanceRequestAnswered(request *instanceRequest, names []string) {
 	now := l.node.Now()
 	wireRequest := request.record.Request
-	l.log.Info("rented", "request", wireRequest.RequestID, "type", wireRequest.Type, "zone", wireRequest.Zone, "spot", wireRequest.Spot, "asked", wireRequest.Count, "got", len(names))
+	l.log.Info(
+		"rented", "request", wireRequest.RequestID, "type", wireRequest.Type, "zone", wireRequest.Zone, "spot",
+		wireRequest.Spot, "asked", wireRequest.Count, "got", len(names),
+	)
 	l.requestsInFlight--
 	defer l.sendQueuedRequests(now)
-	l.planner.RecordAnswer(autoscaler.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count, len(names), now)
+	l.planner.RecordAnswer(
+		autoscaler.InstanceOffer{Type: wireRequest.Type, Zone: wireRequest.Zone, Spot: wireRequest.Spot}, wireRequest.Count,
+		len(names), now,
+	)
 	if len(names) < wireRequest.Count {
 		for job := range l.cluster.PendingJobs {
 			if job.PriorityLevel == 0 {
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -60,7 +60,9 @@
 	if cloudRPS <= 0 {
 		return inventoryInterval
 	}
-	return min(max(inventoryInterval, micro.FromSeconds(float64(pages)/(cloudRPS*inventoryRateFraction))), maxInventoryPause)
+	return min(
+		max(inventoryInterval, micro.FromSeconds(float64(pages)/(cloudRPS*inventoryRateFraction))), maxInventoryPause,
+	)
 }
 
 // maxInventoryAge is how old a list may be by which machines are returned.
--- a/internal/controller/isolation_test.go
+++ b/internal/controller/isolation_test.go
@@ -53,7 +53,10 @@
 // waitAnsweredBy waits until a poll of the job gets an answer from this node.
 func (w *simCluster) waitAnsweredBy(job *userJob, controller *controllerProcess, most micro.Time) {
 	w.t.Helper()
-	w.waitUntil(fmt.Sprintf("%s answers for %s", controller.name, job.id), most, func() bool { return replyState(job.queryStatus(controller)) != "" })
+	w.waitUntil(
+		fmt.Sprintf("%s answers for %s", controller.name, job.id), most,
+		func() bool { return replyState(job.queryStatus(controller)) != "" },
+	)
 }
 
 // checkServing checks that submissions, polls and starts work through these nodes, each
@@ -66,11 +69,16 @@
 		doneWithin     = 45 * micro.Second // a machine may have to be rented
 	)
 	for _, controller := range nodes {
-		job := w.submitThrough([]*controllerProcess{controller}, acceptedWithin, jobRequest{kind: wire.JobArray, tasks: 1, cpus: 1, runTime: 2 * micro.Second, team: "other"})
+		job := w.submitThrough(
+			[]*controllerProcess{controller}, acceptedWithin,
+			jobRequest{kind: wire.JobArray, tasks: 1, cpus: 1, runTime: 2 * micro.Second, team: "other"},
+		)
 		for _, other := range nodes {
 			w.waitAnsweredBy(job, other, answeredWithin)
 		}
-		w.waitUntil(job.id+" is done", doneWithin, func() bool { return replyState(job.queryStatus(controller)) == wire.JobDone })
+		w.waitUntil(
+			job.id+" is done", doneWithin, func() bool { return replyState(job.queryStatus(controller)) == wire.JobDone },
+		)
 	}
 }
 
@@ -87,7 +95,10 @@
 		for _, controller := range cut {
 			sim.partitionNode(controller, 3*micro.Minute, "workers")
 		}
-		sim.waitUntil("the node that workers reach leads", 2*sim.handoverBound()+micro.Second, func() bool { return sim.leader() == reached })
+		sim.waitUntil(
+			"the node that workers reach leads", 2*sim.handoverBound()+micro.Second,
+			func() bool { return sim.leader() == reached },
+		)
 		sim.t.Logf("%s was cut, %s leads after %.1f s", leader.name, reached.name, (sim.now() - from).Seconds())
 		sim.checkServing(sim.controllers)
 		sim.waitRunning(job, 4)
@@ -122,16 +133,25 @@
 					leader, followers := sim.waitForRestoredLeader()
 					silent := append([]*controllerProcess{leader}, followers[:test.silent-1]...)
 					rest := sim.otherControllers(silent...)
-					ends := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, cpus: 1, runTime: 25 * micro.Second, team: "other"}).submit()
+					ends := sim.newJob(
+						jobRequest{kind: wire.JobArray, tasks: 1, cpus: 1, runTime: 25 * micro.Second, team: "other"},
+					).submit()
 					called := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 1}).submit()
-					sim.waitUntil("the leader knows both", 30*micro.Second, func() bool { return leader.jobStateInMemory(called.id) != "" && ends.runningTasks() == 1 })
+					sim.waitUntil(
+						"the leader knows both", 30*micro.Second,
+						func() bool { return leader.jobStateInMemory(called.id) != "" && ends.runningTasks() == 1 },
+					)
 					from := sim.now()
 					for _, controller := range silent {
 						silence(sim, controller)
 					}
 					sim.waitUntil("another leads", 10*micro.Second, func() bool { l := sim.leader(); return l != nil && l != leader })
-					sim.waitUntil("cancelled", 60*micro.Second, func() bool { return replyState(called.cancelOnce(rest[0])) == wire.JobAborted })
-					sim.waitUntil("done", 60*micro.Second, func() bool { return replyState(ends.queryStatus(rest[0])) == wire.JobDone })
+					sim.waitUntil(
+						"cancelled", 60*micro.Second, func() bool { return replyState(called.cancelOnce(rest[0])) == wire.JobAborted },
+					)
+					sim.waitUntil(
+						"done", 60*micro.Second, func() bool { return replyState(ends.queryStatus(rest[0])) == wire.JobDone },
+					)
 					sim.checkServing(rest)
 					if sim.now() > from+silentFor {
 						sim.t.Fatalf("what goes on took %v s, longer than the silence", (sim.now() - from).Seconds())
@@ -169,9 +189,16 @@
 				refused, followers := sim.waitForRestoredLeader()
 				from := sim.now()
 				sim.refuseNode(refused, refusedFor)
-				sim.waitUntil("another leads", 8*micro.Second, func() bool { leader := sim.leader(); return leader != nil && leader != refused })
-				called := sim.submitThrough([]*controllerProcess{refused}, 10*micro.Second, jobRequest{kind: wire.Service, tasks: 1, cpus: 1})
-				sim.waitUntil("cancelled", 60*micro.Second, func() bool { return replyState(called.cancelOnce(followers[0])) == wire.JobAborted })
+				sim.waitUntil(
+					"another leads", 8*micro.Second, func() bool { leader := sim.leader(); return leader != nil && leader != refused },
+				)
+				called := sim.submitThrough(
+					[]*controllerProcess{refused}, 10*micro.Second, jobRequest{kind: wire.Service, tasks: 1, cpus: 1},
+				)
+				sim.waitUntil(
+					"cancelled", 60*micro.Second,
+					func() bool { return replyState(called.cancelOnce(followers[0])) == wire.JobAborted },
+				)
 				sim.checkServing(append([]*controllerProcess{refused}, followers[:1]...))
 				sim.sleep(from + refusedFor - 5*micro.Second - sim.now())
 				sim.waitAnsweredBy(called, refused, 2*micro.Second)
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -243,7 +243,8 @@
 		if err != nil {
 			return httpapi.RetryReply(503, 1)
 		}
-		if status, ok := stored.Body.(wire.JobStatus); ok && stored.Status == 200 && status.State.Final() || stored.Status == 404 {
+		if status, ok := stored.Body.(wire.JobStatus); ok && stored.Status == 200 && status.State.Final() ||
+			stored.Status == 404 {
 			return stored
 		}
 		return httpapi.RetryReply(503, 1)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"notchmux.dev/notchmux/internal/statestore"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -18,6 +17,7 @@
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/statestore"
 )
 
 // tokenBits are the low bits of a token, which the leader may count up; the
@@ -107,9 +107,13 @@
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
 	}
-	l.renewalBound = leasekeeper.NewRenewalBound(t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone)
+	l.renewalBound = leasekeeper.NewRenewalBound(
+		t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone,
+	)
 	for _, t := range n.Cfg.Facts.Teams {
-		l.cluster.Teams[t.Name] = &cluster.Team{Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax}
+		l.cluster.Teams[t.Name] = &cluster.Team{
+			Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax,
+		}
 	}
 	l.initCoordinator()
 	return l
@@ -118,11 +122,21 @@
 // newEventLoop makes a loop that gives out tokens from the first one on.
 func newEventLoop(node *Node, term *election.Term, firstToken uint64, log *slog.Logger) *Leader {
 	l := &Leader{
-		node: node, term: term, log: log, events: make(chan func(), eventQueueSize), queries: make(chan func(), queryQueueSize), done: make(chan struct{}),
-		fencingToken: firstToken, pendingDispatch: map[*cluster.Machine]bool{}, instanceRequests: map[string]*instanceRequest{},
-		pendingTerminations: map[*cluster.Machine]uint64{}, cancellationWaiters: map[string][]chan httpapi.Reply{},
-		dependencyLookups: map[string]bool{}, suspectedZones: map[string]micro.Time{},
-		pendingCancellations: map[*cluster.Job]bool{}, unconfirmedCancellations: map[*cluster.Job]bool{},
+		node:                     node,
+		term:                     term,
+		log:                      log,
+		events:                   make(chan func(), eventQueueSize),
+		queries:                  make(chan func(), queryQueueSize),
+		done:                     make(chan struct{}),
+		fencingToken:             firstToken,
+		pendingDispatch:          map[*cluster.Machine]bool{},
+		instanceRequests:         map[string]*instanceRequest{},
+		pendingTerminations:      map[*cluster.Machine]uint64{},
+		cancellationWaiters:      map[string][]chan httpapi.Reply{},
+		dependencyLookups:        map[string]bool{},
+		suspectedZones:           map[string]micro.Time{},
+		pendingCancellations:     map[*cluster.Job]bool{},
+		unconfirmedCancellations: map[*cluster.Job]bool{},
 	}
 	l.cluster = cluster.New(l)
 	l.cluster.MinFencingToken = l.fencingToken
@@ -132,8 +146,15 @@
 	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
 	l.objectives = scheduler.NewObjectives(node.Cfg.Facts.Objectives)
 	l.speeds = scheduler.NewSpeedEstimator()
-	l.scheduler = &scheduler.Scheduler{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, Rand: rand.New(rand.NewPCG(term.FencingRevision, 1))}
-	l.planner = &autoscaler.Planner{Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties, RefusedUntil: map[autoscaler.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[autoscaler.InstanceOffer]int{}, PendingRequests: map[string]autoscaler.ScaleOut{}}
+	l.scheduler = &scheduler.Scheduler{
+		Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties,
+		Rand: rand.New(rand.NewPCG(term.FencingRevision, 1)),
+	}
+	l.planner = &autoscaler.Planner{
+		Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties,
+		RefusedUntil: map[autoscaler.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[autoscaler.InstanceOffer]int{},
+		PendingRequests: map[string]autoscaler.ScaleOut{},
+	}
 	l.scheduler.WithinPrice = l.planner.WithinPrice
 	l.records = newRecordStore(l)
 	return l
@@ -166,7 +187,9 @@
 
 // callLoop runs f in the loop and waits for its reply, but not for long. Reports and
 // withdrawals go before questions.
-func (l *Leader) callLoop(queue chan func(), timeout micro.Time, f func(reply func(httpapi.Reply))) (httpapi.Reply, bool) {
+func (l *Leader) callLoop(
+	queue chan func(), timeout micro.Time, f func(reply func(httpapi.Reply)),
+) (httpapi.Reply, bool) {
 	replies := make(chan httpapi.Reply, 1)
 	timer := time.NewTimer(timeout.Duration())
 	select {
@@ -194,7 +217,10 @@
 		return
 	}
 	l.serving.Store(true)
-	l.log.Info("took over", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms", int64((l.node.Now()-from)/micro.Millisecond))
+	l.log.Info(
+		"took over", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
+		int64((l.node.Now()-from)/micro.Millisecond),
+	)
 	go l.watchSubmissions(ctx, rev)
 	go l.pollInventory(ctx)
 	l.serve(l.tick)
@@ -312,7 +338,10 @@
 		if l.speeds.TakeDirty() {
 			l.speeds.Apply(l.cluster)
 			for _, machineType := range l.cluster.CatalogOrder {
-				l.log.Debug("speed", "type", machineType.Name, "k", machineType.SpeedFactor, "learnt", l.speeds.Record().Speeds[machineType.Name])
+				l.log.Debug(
+					"speed", "type", machineType.Name, "k", machineType.SpeedFactor, "learnt",
+					l.speeds.Record().Speeds[machineType.Name],
+				)
 			}
 			l.records.speeds.MarkDirty(now, statestore.PriorityLow)
 		}
@@ -365,7 +394,8 @@
 
 func (l *Leader) newTokenNeeded() bool {
 	for _, m := range l.cluster.Machines {
-		if (m.State == cluster.Up || m.LastHeartbeat > 0) && m.State != cluster.Terminating && m.NeedsNewerToken(l.fencingToken) {
+		if (m.State == cluster.Up || m.LastHeartbeat > 0) && m.State != cluster.Terminating &&
+			m.NeedsNewerToken(l.fencingToken) {
 			return true
 		}
 	}
@@ -415,9 +445,16 @@
 		}
 		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
 	}
-	l.log.Info("leading", "live", len(l.cluster.ActiveJobs), "awaiting", l.cluster.BlockedJobs, "pending", len(l.cluster.PendingJobs), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
-		"writes_first", l.records.Queued(statestore.PriorityUrgent), "writes_soon", l.records.Queued(statestore.PriorityHigh), "writes_lazy", l.records.Queued(statestore.PriorityLow), "writes_idle", l.records.Queued(statestore.PriorityBackground), "written", l.records.ChangeCounts(),
-		"pass_gap_ms", int64(l.scheduleInterval/micro.Millisecond), "events", len(l.events), "asks", len(l.queries), "directs", l.dispatchesInFlight, "kicked", len(l.pendingDispatch), "rentals_waiting", len(l.requestQueue), "fleet", fleet.String())
+	l.log.Info(
+		"leading", "live", len(l.cluster.ActiveJobs), "awaiting", l.cluster.BlockedJobs, "pending",
+		len(l.cluster.PendingJobs), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
+		"writes_first", l.records.Queued(statestore.PriorityUrgent), "writes_soon", l.records.Queued(statestore.PriorityHigh),
+		"writes_lazy", l.records.Queued(statestore.PriorityLow), "writes_idle",
+		l.records.Queued(statestore.PriorityBackground), "written", l.records.ChangeCounts(), "pass_gap_ms",
+		int64(l.scheduleInterval/micro.Millisecond), "events", len(l.events), "asks", len(l.queries), "directs",
+		l.dispatchesInFlight, "kicked", len(l.pendingDispatch), "rentals_waiting", len(l.requestQueue), "fleet",
+		fleet.String(),
+	)
 }
 
 func (l *Leader) resign(reason string) {
--- a/internal/controller/leader_faults_test.go
+++ b/internal/controller/leader_faults_test.go
@@ -57,7 +57,10 @@
 		job.cancel()
 	}
 	for _, machine := range out {
-		w.waitUntil("empty", 30*micro.Second, func() bool { machine.mu.Lock(); defer machine.mu.Unlock(); return len(machine.agent.Tasks) == 0 })
+		w.waitUntil(
+			"empty", 30*micro.Second,
+			func() bool { machine.mu.Lock(); defer machine.mu.Unlock(); return len(machine.agent.Tasks) == 0 },
+		)
 	}
 	return out
 }
@@ -257,7 +260,10 @@
 			runScenario(t, 1, 3, nil, func(sim *simCluster) {
 				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 6, runTime: 20 * micro.Second, cpus: 4}).submit()
 				sim.waitRunning(job, 4)
-				sim.waitUntil("soon over", 30*micro.Second, func() bool { return len(sim.tasksRunningFor(job, 20*micro.Second-before*micro.Millisecond)) > 0 })
+				sim.waitUntil(
+					"soon over", 30*micro.Second,
+					func() bool { return len(sim.tasksRunningFor(job, 20*micro.Second-before*micro.Millisecond)) > 0 },
+				)
 				leader, was := sim.leader(), sim.currentTerm()
 				sim.refuseNode(leader, 8*micro.Second)
 				sim.waitUntil("one ended", 5*micro.Second, func() bool { return job.runningTasks() < 4 })
@@ -265,7 +271,9 @@
 					sim.t.Fatal("it leads no more: it would have started nothing anyway")
 				}
 				sim.waitUntil("another leader", 20*micro.Second, func() bool { x := sim.leader(); return x != nil && x != leader })
-				sim.waitUntil("done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done })
+				sim.waitUntil(
+					"done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done },
+				)
 				if job.startCount() != 6 {
 					sim.t.Errorf("%d starts of 6 tasks", job.startCount())
 				}
@@ -298,7 +306,10 @@
 			sim.t.Fatalf("%d terms in %v s", len(terms), (sim.now() - from).Seconds())
 		}
 		for _, job := range jobs {
-			sim.waitUntil(job.id+" is done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done })
+			sim.waitUntil(
+				job.id+" is done", 90*micro.Second,
+				func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done },
+			)
 			if job.startCount() != 2 {
 				sim.t.Errorf("%s: %d starts of 2 tasks", job.id, job.startCount())
 			}
@@ -345,14 +356,20 @@
 			t.Run(fmt.Sprintf("%d tasks, %d ms", tasks, after), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 1, 3, nil, func(sim *simCluster) {
-					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: tasks, runTime: 5 * micro.Second, runTimeStep: 25 * micro.Second, cpus: 1}).submit()
-					sim.waitUntil("one ended", 60*micro.Second, func() bool { return job.startCount() == tasks && job.runningTasks() == tasks-1 })
+					job := sim.newJob(
+						jobRequest{kind: wire.JobArray, tasks: tasks, runTime: 5 * micro.Second, runTimeStep: 25 * micro.Second, cpus: 1},
+					).submit()
+					sim.waitUntil(
+						"one ended", 60*micro.Second, func() bool { return job.startCount() == tasks && job.runningTasks() == tasks-1 },
+					)
 					sim.sleep(after * micro.Millisecond)
 					sim.replaceLeader(micro.Second)
 					if job.runningTasks() != tasks-1 {
 						sim.t.Fatal("the others were to run on")
 					}
-					sim.waitUntil("done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done })
+					sim.waitUntil(
+						"done", 90*micro.Second, func() bool { job.queryStatus(sim.randomUserNode()); return job.knowledge().done },
+					)
 					if job.startCount() != tasks {
 						sim.t.Errorf("%d starts of %d tasks", job.startCount(), tasks)
 					}
@@ -442,7 +459,10 @@
 				machine := job.machines()[0]
 				sim.sleep(5 * micro.Second)
 				machine.isolate(60 * micro.Second)
-				sim.waitUntil("another attempt", 60*micro.Second, func() bool { return job.startCount() == 2 && job.runningTasks() == 1 && job.machines()[0] != machine })
+				sim.waitUntil(
+					"another attempt", 60*micro.Second,
+					func() bool { return job.startCount() == 2 && job.runningTasks() == 1 && job.machines()[0] != machine },
+				)
 				if changes {
 					sim.replaceLeader(5 * micro.Second)
 				}
@@ -487,7 +507,9 @@
 		sim.sleep(10 * micro.Second)
 		var again []*userJob
 		for range 4 { // so many that the machines of before are used again
-			again = append(again, sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b", team: "other"}).submit())
+			again = append(
+				again, sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b", team: "other"}).submit(),
+			)
 		}
 		for _, x := range again {
 			sim.waitRunning(x, 1)
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -34,7 +34,8 @@
 		fakeAgent := fake.NewAgent("i-9", "small", zone, 30*micro.Second)
 		fakeAgent.FencingToken = 77
 		reply := inside.Heartbeat(wire.MustMarshal(fakeAgent.Heartbeat()))
-		if commands, ok := reply.Body.(wire.Commands); ok && (commands.FencingToken != 77 || commands.Items == nil || len(commands.Items) != 0) {
+		if commands, ok := reply.Body.(wire.Commands); ok &&
+			(commands.FencingToken != 77 || commands.Items == nil || len(commands.Items) != 0) {
 			t.Fatalf("a keeper may only renew: %+v", commands)
 		}
 		return reply.Status
@@ -141,13 +142,21 @@
 			fleet.heartbeat(fakeAgent)
 			fleet.heartbeat(fakeAgent)
 		}
-		leader.addJob(wire.Job{ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
+		leader.addJob(
+			wire.Job{
+				ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1,
+				Image: "i",
+			},
+		)
 		fleet.now += micro.Second
 		leader.scheduler.Schedule(fleet.now)
 		job := leader.cluster.Jobs["j-9"]
 		leader.cluster.ChunkPersisted(job.Chunk(0), 1<<40)
 		allocation := job.Allocations()[0]
-		late := wire.Commands{FencingToken: wire.Count(leader.fencingToken), AgentEpoch: wire.Count(allocation.Machine.AgentEpoch), Items: leader.cluster.Commands(allocation.Machine, leader.fencingToken, true, fleet.now)}
+		late := wire.Commands{
+			FencingToken: wire.Count(leader.fencingToken), AgentEpoch: wire.Count(allocation.Machine.AgentEpoch),
+			Items: leader.cluster.Commands(allocation.Machine, leader.fencingToken, true, fleet.now),
+		}
 		var fakeAgent *fake.Agent
 		for _, x := range fleet.agents {
 			if x.Name == allocation.Machine.Name {
@@ -185,7 +194,9 @@
 	fleet := newFleet(t, 2)
 	cfg := fleet.leader.node.Cfg
 	cfg.Facts.Workers.CancelS, cfg.Facts.Zones = 50, []string{"a", "b"}
-	fleet.leader.renewalBound = leasekeeper.NewRenewalBound(7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c")
+	fleet.leader.renewalBound = leasekeeper.NewRenewalBound(
+		7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c",
+	)
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
 	if fleet.leader.zoneFenced("a") {
@@ -302,7 +313,9 @@
 	neighbor, _ := env.startNodeWith("n-2", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	now := micro.Minute
 	node, _ := env.startNodeWith("n-1", func(node *Node) {
-		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{{Node: "n-0", Zone: "b"}, {Node: "n-2", Zone: "b"}, {Node: "n-3", Zone: "a"}}
+		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{
+			{Node: "n-0", Zone: "b"}, {Node: "n-2", Zone: "b"}, {Node: "n-3", Zone: "a"},
+		}
 		node.Init()
 		node.election.SuspendCampaign(10 * micro.Minute)
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader), "n-2": env.servePeer(neighbor)})
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"notchmux.dev/notchmux/internal/statestore"
 	"strings"
 	"sync"
 	"testing"
@@ -13,6 +12,7 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -30,10 +30,17 @@
 // earlier version, with records far over the new limit, still runs.
 func TestLimitsAreLoweredWithoutNoticeAndNothingIsRefused(t *testing.T) {
 	env := newTestCluster(t)
-	env.cloud = fake.NewCloud(40, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"}})
+	env.cloud = fake.NewCloud(
+		40,
+		wire.MachineType{
+			Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 1, FetchGBPerS: 1, Zones: []string{"a"},
+		},
+	)
 	var places []cluster.AllocationRecord
 	for i := range 120 {
-		places = append(places, cluster.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
+		places = append(
+			places, cluster.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"},
+		)
 	}
 	env.storeVersion1Job(t, places...)
 	if size := wire.JSONSize(cluster.ChunkRecord{Allocations: places}); size <= nextLimits.ValueBytes {
@@ -135,7 +142,10 @@
 	for i := range 50 {
 		id := fmt.Sprint("j-", 100+i)
 		needs = append(needs, id)
-		if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}}); err != nil {
+		if _, err := env.store.Commit(
+			context.Background(), store.Urgent,
+			wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}},
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -150,7 +160,13 @@
 	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
 	leader := newLeader(node, node.activeLeader().term)
 	leader.cluster.EnableCompactRecords(64)
-	rec := instanceRequestRecord{Request: wire.InstanceRequest{RequestID: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50}, Answered: true, CreatedAt: int64(micro.WallNow())}
+	rec := instanceRequestRecord{
+		Request: wire.InstanceRequest{
+			RequestID: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50,
+		},
+		Answered:  true,
+		CreatedAt: int64(micro.WallNow()),
+	}
 	for i := range 300 {
 		machine := leader.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), 0)
 		machine.Type = &cluster.MachineType{MachineType: wire.MachineType{CacheGB: 100}}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -86,7 +86,10 @@
 // Init completes a node whose parts were given.
 func (n *Node) Init() {
 	n.finalStatuses.byID = map[string]wire.JobStatus{}
-	n.statusLookups = statusLookups{readsInFlight: map[string]bool{}, nextReads: map[string]*statusLookup{}, lastAnswered: map[string]micro.Time{}, nextBatch: map[string]*statusLookup{}}
+	n.statusLookups = statusLookups{
+		readsInFlight: map[string]bool{}, nextReads: map[string]*statusLookup{}, lastAnswered: map[string]micro.Time{},
+		nextBatch: map[string]*statusLookup{},
+	}
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
 	n.health.log = n.Log.Info
@@ -110,7 +113,10 @@
 	group, ctx := errgroup.WithContext(ctx)
 	n.election.OnStartedLeading = func(t *election.Term) { n.startLeader(ctx, t) }
 	n.election.OnStoppedLeading = n.stopLeader
-	server := &httpapi.Server{Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets, HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS)}
+	server := &httpapi.Server{
+		Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets,
+		HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS),
+	}
 	group.Go(func() error { return server.Serve(ctx, public) })
 	group.Go(func() error {
 		return peer.Serve(ctx, peers, n.handlePeerCall, func(w io.Writer) { n.Metrics.Write(w) })
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -32,7 +32,12 @@
 	currentLeader := fleet.leader
 	machines := currentLeader.cluster.SortedMachines()
 	normal, service := machines[0], machines[1]
-	currentLeader.addJob(wire.Job{ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
+	currentLeader.addJob(
+		wire.Job{
+			ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1,
+			MemoryGB: 1, Image: "i",
+		},
+	)
 	starts := func(machine *cluster.Machine, job *cluster.Job) {
 		allocation := currentLeader.cluster.Allocate(job, job.NextTasks(fleet.now, 1)[0], machine, 1, 1, fleet.now)
 		currentLeader.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
@@ -45,7 +50,10 @@
 		currentLeader.observeQueueDelay(300*micro.Millisecond, fleet.now)
 	}
 	if currentLeader.shouldDispatch(normal) || !currentLeader.shouldDispatch(service) {
-		t.Errorf("direct in overload: other work %v, first priority %v", currentLeader.shouldDispatch(normal), currentLeader.shouldDispatch(service))
+		t.Errorf(
+			"direct in overload: other work %v, first priority %v", currentLeader.shouldDispatch(normal),
+			currentLeader.shouldDispatch(service),
+		)
 	}
 	for range 1000 {
 		currentLeader.observeQueueDelay(0, fleet.now+micro.Second)
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -33,5 +33,8 @@
 
 func (l *Leader) logWaitReason(j *cluster.Job, now micro.Time) {
 	j.WaitReasonLoggedAt = now
-	l.log.Info("job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "why", l.scheduler.ExplainPending(j, now).String())
+	l.log.Info(
+		"job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "why",
+		l.scheduler.ExplainPending(j, now).String(),
+	)
 }
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -112,9 +112,11 @@
 func (refusingStore) ExistingKeys(context.Context, store.Class, []string) (map[string]bool, error) {
 	return nil, store.ErrRefused
 }
+
 func (refusingStore) Commit(context.Context, store.Class, wire.Transaction) (uint64, error) {
 	return 0, store.ErrRefused
 }
+
 func (refusingStore) Range(context.Context, store.Class, string, string, int) (wire.Page, error) {
 	return wire.Page{}, store.ErrRefused
 }
@@ -133,7 +135,15 @@
 	for i := range 700 {
 		id := fmt.Sprintf("j-%06d", 1000+i)
 		ids = append(ids, id)
-		then = append(then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1}})
+		then = append(
+			then,
+			wire.Change{
+				Put: specKey(id),
+				Value: wire.Job{
+					ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1,
+				},
+			},
+		)
 	}
 	for ; len(then) > 0; then = then[4:] {
 		if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: then[:4]}); err != nil {
@@ -186,7 +196,10 @@
 		return err != nil
 	})
 	// Stored by the old leader as its last deed.
-	if _, err := env.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{{Put: endKey("j-0"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}}}); err != nil {
+	if _, err := env.store.Commit(
+		context.Background(), store.Urgent,
+		wire.Transaction{Then: []wire.Change{{Put: endKey("j-0"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}}},
+	); err != nil {
 		t.Fatal(err)
 	}
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
@@ -303,7 +316,9 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go env.runAgents(node, stop)
-	waitUntil(t, "looked for, and tried again", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return *d.rejectedCommits > 0 })
+	waitUntil(
+		t, "looked for, and tried again", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return *d.rejectedCommits > 0 },
+	)
 	if _, err := env.store.Commit(context.Background(), store.Urgent, (*d.heldTransactions)[0]); err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +334,9 @@
 // The same of a withdrawal, and of what needs the withdrawn job.
 func TestLeaderDoesNotCallPendingWhatAnEndInFlightAborts(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startLeaderWithGateOpen("n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, endKey("j-1")} })
+	node, _ := env.startLeaderWithGateOpen(
+		"n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, endKey("j-1")} },
+	)
 	node.Submit(submission("j-1", wire.Service))
 	node.Submit(dependentSubmission("j-2", "j-1"))
 	node.Submit(dependentSubmission("j-3", "j-2"))
@@ -344,8 +361,10 @@
 	guard := node.activeLeader().term.Precondition()
 	kill()
 	env.store.HoldCommits(1)
-	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{If: []wire.Precondition{guard, {Key: endKey("j-1")}},
-		Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}}})
+	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
+		If:   []wire.Precondition{guard, {Key: endKey("j-1")}},
+		Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}},
+	})
 	next, _ := env.startLeaderWithGateOpen("n-1", func(*Node) {})
 	stop := make(chan struct{})
 	defer close(stop)
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -56,7 +56,8 @@
 		time.Sleep(sim.randomDuration(micro.Second, 6*micro.Second))
 		request := sim.randomJobRequest()
 		if n := len(jobs); n > 0 && sim.randomChance(0.15) { // a pipeline
-			if x := sim.checker.jobNamed(jobs[sim.randomInt(n)].id); x.accepted && x.spec.Kind != wire.Service && !x.alwaysFails {
+			if x := sim.checker.jobNamed(jobs[sim.randomInt(n)].id); x.accepted && x.spec.Kind != wire.Service &&
+				!x.alwaysFails {
 				request.dependencies = []string{x.spec.ID}
 			}
 		}
@@ -114,7 +115,8 @@
 		// Whoever runs for ever makes room for the rest by and by.
 		if sim.now() > calmSince+30*micro.Second {
 			for _, job := range jobs {
-				if jd := sim.checker.jobNamed(job.id); jd.accepted && !jd.cancelRequested && (jd.alwaysFails || jd.spec.Kind == wire.Service && job.satisfied()) {
+				if jd := sim.checker.jobNamed(job.id); jd.accepted && !jd.cancelRequested &&
+					(jd.alwaysFails || jd.spec.Kind == wire.Service && job.satisfied()) {
 					go job.cancel()
 				}
 			}
@@ -125,7 +127,10 @@
 			job.queryStatus(controller)
 		}
 	}
-	sim.t.Logf("%d jobs, %d tasks began, %d of them after a confirmed cancellation, %d answers, %.0f s", len(jobs), sim.checker.startCount, sim.checker.lateStartCount, sim.checker.answerCount, sim.now().Seconds())
+	sim.t.Logf(
+		"%d jobs, %d tasks began, %d of them after a confirmed cancellation, %d answers, %.0f s", len(jobs),
+		sim.checker.startCount, sim.checker.lateStartCount, sim.checker.answerCount, sim.now().Seconds(),
+	)
 	if sim.checker.startCount == 0 {
 		sim.t.Error("nothing ran")
 	}
@@ -133,7 +138,10 @@
 
 // randomJobRequest draws a job.
 func (w *simCluster) randomJobRequest() jobRequest {
-	request := jobRequest{tasks: 1 + w.randomInt(6), runTime: micro.Time(1+w.randomInt(30)) * micro.Second, cpus: float64(1 + w.randomInt(2)), team: []string{"team", "other"}[w.randomInt(2)]}
+	request := jobRequest{
+		tasks: 1 + w.randomInt(6), runTime: micro.Time(1+w.randomInt(30)) * micro.Second, cpus: float64(1 + w.randomInt(2)),
+		team: []string{"team", "other"}[w.randomInt(2)],
+	}
 	request.priority = []wire.Priority{wire.Production, wire.High, wire.Normal, wire.Low}[w.randomInt(4)]
 	request.spot = w.randomChance(0.4)
 	request.alwaysFails = w.randomChance(0.05)
@@ -171,7 +179,9 @@
 			runScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 				withShard(sim)
 				// Not a whole zone: services that are spread over both would find no room.
-				sim.config.Shards.Declared[0].Selector = shard.Selector{Kind: []shard.InstanceKind{shard.SpotOnly, shard.OnDemandOnly}[seed%2]}
+				sim.config.Shards.Declared[0].Selector = shard.Selector{
+					Kind: []shard.InstanceKind{shard.SpotOnly, shard.OnDemandOnly}[seed%2],
+				}
 				sim.fastBoot = seed%4 == 0
 				sim.cloud.bootFailureRatio = []float64{0, 0.1}[seed%2]
 				if seed%5 == 0 {
@@ -189,7 +199,9 @@
 func (w *simCluster) moveShardRandomly() {
 	for w.ctx.Err() == nil && w.now() < 260*micro.Second { // then all must be served
 		time.Sleep(w.randomDuration(micro.Second, 12*micro.Second))
-		c := shard.Command{Operation: shard.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name}
+		c := shard.Command{
+			Operation: shard.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name,
+		}
 		if w.randomChance(0.15) {
 			c.Operation = shard.OperationCancel
 		}
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -70,13 +70,18 @@
 		runScenario(t, seed, 3, func(sim *simCluster) {
 			sim.fastBoot = true
 			// Room for one task on each machine.
-			tiny := wire.MachineType{Name: "tiny", CPUs: cpus, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 5, FetchGBPerS: 1, Zones: []string{"a", "b"}}
+			tiny := wire.MachineType{
+				Name: "tiny", CPUs: cpus, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 5, FetchGBPerS: 1,
+				Zones: []string{"a", "b"},
+			}
 			sim.machineTypes = []wire.MachineType{tiny}
 			sim.checker.machineTypes[tiny.Name] = tiny
 			sim.cloud.Types, sim.cloud.Capacity = sim.machineTypes, 2*tasks
 		}, func(sim *simCluster) {
 			sim.waitForRestoredLeader()
-			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: tasks, cpus: cpus, runTime: 5 * micro.Minute, team: "team"}).submit()
+			job := sim.newJob(
+				jobRequest{kind: wire.JobArray, tasks: tasks, cpus: cpus, runTime: 5 * micro.Minute, team: "team"},
+			).submit()
 			sim.waitUntil("all run", 2*micro.Minute, func() bool { return job.runningTasks() == tasks })
 			sim.sleep(10 * micro.Second)
 			leader := sim.leader()
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -34,7 +34,10 @@
 }
 
 func newRecordStore(l *Leader) *recordStore {
-	records := &recordStore{Writer: statestore.New(l, l.node.Store, l.log), leader: l, chunks: map[*cluster.TaskChunk]*statestore.Record{}, legacyRecords: map[*cluster.LegacyRecord]*statestore.Record{}}
+	records := &recordStore{
+		Writer: statestore.New(l, l.node.Store, l.log), leader: l, chunks: map[*cluster.TaskChunk]*statestore.Record{},
+		legacyRecords: map[*cluster.LegacyRecord]*statestore.Record{},
+	}
 	records.speeds = records.Record(speedKey)
 	records.speeds.Build = func() (any, uint64) { return l.speeds.Record(), 0 }
 	records.firstProvisioned = records.Record(firstProvisionedKey)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -43,7 +43,9 @@
 		return 0, false
 	}
 	l.restoreJobs(&snapshot, now, wall)
-	if _, ok = l.readAll(ctx, instanceRequestPrefix, func(item wire.Item) { l.restoreInstanceRequest(item, now, wall) }); !ok {
+	if _, ok = l.readAll(
+		ctx, instanceRequestPrefix, func(item wire.Item) { l.restoreInstanceRequest(item, now, wall) },
+	); !ok {
 		return 0, false
 	}
 	l.restoreImages(images, now)
@@ -152,7 +154,8 @@
 	}
 	for id, spec := range snapshot.specs {
 		end, over := snapshot.ends[id]
-		if over && len(snapshot.legacyChunks[id]) == 0 && len(snapshot.compactChunks[id]) == 0 && snapshot.assignments[id] == nil {
+		if over && len(snapshot.legacyChunks[id]) == 0 && len(snapshot.compactChunks[id]) == 0 &&
+			snapshot.assignments[id] == nil {
 			// Over, and none of its tasks holds a place. Polls need not read the store.
 			l.node.finalStatuses.put(finalStatus(id, end, spec.Tasks))
 			continue
@@ -213,7 +216,10 @@
 		return
 	}
 	job := l.insertJob(spec, l.node.Now(), l.node.Wall())
-	l.log.Info("job", "job", spec.ID, "class", spec.Class, "kind", string(spec.Kind), "tasks", spec.Tasks, "state", job.State.String(), "awaits", spec.Dependencies, "unmet", job.UnmetDependencies)
+	l.log.Info(
+		"job", "job", spec.ID, "class", spec.Class, "kind", string(spec.Kind), "tasks", spec.Tasks, "state",
+		job.State.String(), "awaits", spec.Dependencies, "unmet", job.UnmetDependencies,
+	)
 }
 
 // watchSubmissions finds jobs that other nodes accepted.
--- a/internal/controller/recovery_snapshot.go
+++ b/internal/controller/recovery_snapshot.go
@@ -21,8 +21,11 @@
 }
 
 func newJobSnapshot() jobSnapshot {
-	return jobSnapshot{specs: map[string]wire.Job{}, ends: map[string]cluster.FinalStatusRecord{}, dependencies: map[string]map[int][]string{},
-		legacyChunks: map[string][]storedChunk{}, compactChunks: map[string][]storedChunk{}}
+	return jobSnapshot{
+		specs: map[string]wire.Job{}, ends: map[string]cluster.FinalStatusRecord{},
+		dependencies: map[string]map[int][]string{}, legacyChunks: map[string][]storedChunk{},
+		compactChunks: map[string][]storedChunk{},
+	}
 }
 
 type storedChunk struct {
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -107,7 +107,9 @@
 	endJob func()
 }
 
-func (s endDuringReadStore) Range(ctx context.Context, c store.Class, prefix, after string, limit int) (wire.Page, error) {
+func (s endDuringReadStore) Range(
+	ctx context.Context, c store.Class, prefix, after string, limit int,
+) (wire.Page, error) {
 	p, err := s.Store.Range(ctx, c, prefix, after, limit)
 	if strings.HasPrefix(prefix, "run/") {
 		s.endJob()
@@ -125,7 +127,8 @@
 	}
 	n.Store = endDuringReadStore{n.Store, func() {
 		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
-			Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobDone}}}})
+			Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobDone}}},
+		})
 	}}
 	if got := jobState(n, "j-1"); got != wire.JobDone {
 		t.Fatalf("it is %q", got)
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -1,11 +1,11 @@
 package controller
 
 import (
-	"notchmux.dev/notchmux/internal/statestore"
 	"testing"
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -15,7 +15,9 @@
 	runScenario(t, 4, 3, nil, func(sim *simCluster) {
 		job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, runTime: 3 * micro.Second}).submit()
 		other := sim.newJob(jobRequest{kind: wire.Service, tasks: 1}).submit()
-		sim.waitUntil("done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+		sim.waitUntil(
+			"done", 2*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+		)
 		sim.waitRunning(other, 1)
 		knows := func() (known bool) {
 			currentLeader := sim.waitForLeader().runningNode().activeLeader()
@@ -140,7 +142,8 @@
 	for _, machines := range []int{40, 2000, 4000, 6000, 20000} {
 		pages := (machines + 499) / 500
 		pause := inventoryPause(pages, 4)
-		if pause < inventoryInterval || pause > maxInventoryPause || pause+micro.Time(pages)*300*micro.Millisecond > maxInventoryAge+maxInventoryPause {
+		if pause < inventoryInterval || pause > maxInventoryPause ||
+			pause+micro.Time(pages)*300*micro.Millisecond > maxInventoryAge+maxInventoryPause {
 			t.Errorf("%d machines: a pause of %v", machines, pause)
 		}
 		if rate := float64(pages) / pause.Seconds(); machines <= 4000 && rate > 1 {
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -20,7 +20,9 @@
 		return 400, nil
 	}
 	if n.shards == nil {
-		return 200, wire.MustMarshal(shard.CommandReply{RefusalReason: "this controller runs without shares (serve --feature)"})
+		return 200, wire.MustMarshal(
+			shard.CommandReply{RefusalReason: "this controller runs without shares (serve --feature)"},
+		)
 	}
 	if l := n.activeLeader(); l != nil {
 		return 200, wire.MustMarshal(l.runAdminCommand(&command))
@@ -69,7 +71,9 @@
 			respond(fmt.Sprintf("%q: %v", command.Target, shard.ErrTargetWithoutSession))
 			return
 		}
-		l.changeShardByAdmin(entry, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) }, respond)
+		l.changeShardByAdmin(
+			entry, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) }, respond,
+		)
 	case shard.OperationCancel:
 		l.changeShardByAdmin(entry, entry.Record.CancelMove, respond)
 	default:
@@ -78,7 +82,9 @@
 }
 
 // changeShardByAdmin changes a share's record for an operator, who is told once it is stored.
-func (l *Leader) changeShardByAdmin(entry shard.Entry, change func(wall int64) (shard.Record, error), respond func(refused string)) {
+func (l *Leader) changeShardByAdmin(
+	entry shard.Entry, change func(wall int64) (shard.Record, error), respond func(refused string),
+) {
 	if l.coordinator.commitsInFlight[entry.Name] {
 		respond("another change of the share is under way: try again")
 		return
@@ -113,8 +119,11 @@
 
 func (l *Leader) shardStatus(entry shard.Entry, jobs int) shard.Status {
 	view := l.viewOf(entry.Name)
-	status := shard.Status{Name: entry.Name, Record: entry.Record, Version: entry.Version, MachineCount: view.machineCount, IdleMachines: view.idleMachines, PendingTasks: view.pendingTasks, AssignedJobs: jobs,
-		OwnerSessionLost: entry.OwnerSessionLost(l.coordinator.sessions), LastUpdateAgeS: -1}
+	status := shard.Status{
+		Name: entry.Name, Record: entry.Record, Version: entry.Version, MachineCount: view.machineCount,
+		IdleMachines: view.idleMachines, PendingTasks: view.pendingTasks, AssignedJobs: jobs,
+		OwnerSessionLost: entry.OwnerSessionLost(l.coordinator.sessions), LastUpdateAgeS: -1,
+	}
 	if view.capacityAt > 0 {
 		status.LastUpdateAgeS = int((l.node.Now() - view.capacityAt) / micro.Second)
 	}
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -34,7 +34,8 @@
 	remaining := maxAssignmentsPerRound
 	var open []shard.Entry
 	l.shardTable().Each(func(entry shard.Entry) bool {
-		if view := l.viewOf(entry.Name); entry.Record.State == shard.Owned && now-view.capacityAt < maxCapacityAge && len(view.freeCapacity) > 0 {
+		if view := l.viewOf(entry.Name); entry.Record.State == shard.Owned && now-view.capacityAt < maxCapacityAge &&
+			len(view.freeCapacity) > 0 {
 			open = append(open, entry)
 		}
 		return true
@@ -96,7 +97,10 @@
 	}
 	l.deductCapacity(view, &job.Spec, min(assigned, fitting))
 	assignment.MaxAllocations = assigned
-	l.log.Info("job assigned", "job", job.Spec.ID, "share", entry.Name, "owner", entry.Record.Owner.Node, "tasks", total, "at_once", assigned)
+	l.log.Info(
+		"job assigned", "job", job.Spec.ID, "share", entry.Name, "owner", entry.Record.Owner.Node, "tasks", total, "at_once",
+		assigned,
+	)
 	l.storeAssignment(entry.Name, job, assignment).storeRecord.MarkDirty(now, statestore.PriorityHigh)
 	return true
 }
@@ -153,7 +157,10 @@
 
 // storeAssignment keeps the record of an assignment.
 func (l *Leader) storeAssignment(shardName string, job *cluster.Job, assignment shard.Assignment) *assignedJob {
-	assigned := &assignedJob{job: job, shardName: shardName, assignment: assignment, storeRecord: l.records.Record(shard.AssignmentKey(shardName, job.Spec.ID))}
+	assigned := &assignedJob{
+		job: job, shardName: shardName, assignment: assignment,
+		storeRecord: l.records.Record(shard.AssignmentKey(shardName, job.Spec.ID)),
+	}
 	l.coordinator.assignedJobs[job.Spec.ID] = assigned
 	assigned.storeRecord.Preconditions = func() []wire.Precondition { return l.assignmentPreconditions(assigned) }
 	assigned.storeRecord.Build = func() (any, uint64) {
@@ -259,7 +266,9 @@
 			continue
 		}
 		_, id, ok := shard.ParseAssignmentKey(event.Delete)
-		if assigned := l.coordinator.assignedJobs[id]; ok && assigned != nil && assigned.storeRecord.Key == event.Delete && uint64(event.Version) > assigned.storeRecord.Version() && (assigned.stored || assigned.storeRecord.Version() > 0) {
+		if assigned := l.coordinator.assignedJobs[id]; ok && assigned != nil && assigned.storeRecord.Key == event.Delete &&
+			uint64(event.Version) > assigned.storeRecord.Version() &&
+			(assigned.stored || assigned.storeRecord.Version() > 0) {
 			assigned.storeRecord.SetVersion(0)
 			assigned.stored = true
 			l.assignmentDeleted(assigned)
@@ -310,7 +319,8 @@
 		return false
 	}
 	for _, zone := range zones {
-		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 && limit+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelTimeout() {
+		if limit := l.renewalBound.RenewalLimit(zone, now); limit > 0 &&
+			limit+l.cluster.LeaseDuration+config.CancelSlack > now+l.node.Cfg.CancelTimeout() {
 			return false
 		}
 	}
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -72,8 +72,10 @@
 	if l.node.shards == nil {
 		return
 	}
-	l.coordinator = &shardCoordinator{views: map[string]*shardView{}, commitsInFlight: map[string]bool{}, assignedJobs: map[string]*assignedJob{},
-		reclaims: map[string]*shardReclaim{}, movedAt: map[string]micro.Time{}}
+	l.coordinator = &shardCoordinator{
+		views: map[string]*shardView{}, commitsInFlight: map[string]bool{}, assignedJobs: map[string]*assignedJob{},
+		reclaims: map[string]*shardReclaim{}, movedAt: map[string]micro.Time{},
+	}
 	l.coordinator.marker = l.records.Record(shard.MarkerKey)
 	l.coordinator.marker.Build = func() (any, uint64) {
 		if l.node.shards.table.Snapshot().Len() == 0 && len(l.node.Cfg.Shards.Declared) == 0 {
@@ -98,7 +100,8 @@
 		}
 		for _, demand := range l.viewOf(entry.Name).demand {
 			inShard := func(offer autoscaler.InstanceOffer) bool {
-				return entry.Record.Selector.Matches(machineAttributes(offer.Type, offer.Zone, offer.Spot)) && (len(demand.Zones) == 0 || slices.Contains(demand.Zones, offer.Zone))
+				return entry.Record.Selector.Matches(machineAttributes(offer.Type, offer.Zone, offer.Spot)) &&
+					(len(demand.Zones) == 0 || slices.Contains(demand.Zones, offer.Zone))
 			}
 			if job := l.cluster.Jobs[demand.Job]; job != nil && job.State == cluster.Assigned && job.Shard == entry.Name {
 				demands = append(demands, autoscaler.ShardDemand{Job: job, Tasks: demand.Tasks, InShard: inShard})
@@ -226,13 +229,19 @@
 			return
 		}
 		if transaction, err := entry.Reassign(successor, l.coordinator.sessions, wall, l.term.Precondition()); err == nil {
-			l.log.Info("share taken from an owner that is gone", "share", entry.Name, "owner", entry.Record.Owner.Node, "to", successor.Node)
+			l.log.Info(
+				"share taken from an owner that is gone", "share", entry.Name, "owner", entry.Record.Owner.Node, "to",
+				successor.Node,
+			)
 			l.commitShard(entry.Name, transaction)
 		}
 	case entry.Record.State == shard.Moving && entry.Record.Target.Node != "" && !l.coordinator.sessions.Has(entry.Record.Target):
 		l.changeShard(entry, "move cancelled: its target is gone", entry.Record.CancelMove)
 	case l.node.Cfg.Shards.Dissolve && entry.Record.State == shard.Owned:
-		l.changeShard(entry, "share to be dissolved", func(wall int64) (shard.Record, error) { return entry.Record.Move(shard.Controller{}, wall) })
+		l.changeShard(
+			entry, "share to be dissolved",
+			func(wall int64) (shard.Record, error) { return entry.Record.Move(shard.Controller{}, wall) },
+		)
 	case entry.Record.State == shard.Owned && l.viewOf(entry.Name).unreachable:
 		l.moveUnreachableShard(entry, now)
 	}
@@ -261,7 +270,10 @@
 		return
 	}
 	view.handovers, view.handedOverAt = view.handovers+1, now
-	l.changeShard(entry, "no worker reaches the owner", func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) })
+	l.changeShard(
+		entry, "no worker reaches the owner",
+		func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) },
+	)
 }
 
 // changeShard writes a change of a share's record.
@@ -273,12 +285,17 @@
 
 // changeShardThen does the same, and tells what came of the write; it returns why the
 // change is refused.
-func (l *Leader) changeShardThen(entry shard.Entry, reason string, change func(wall int64) (shard.Record, error), done func(error)) error {
+func (l *Leader) changeShardThen(
+	entry shard.Entry, reason string, change func(wall int64) (shard.Record, error), done func(error),
+) error {
 	changed, err := change(int64(l.node.Wall()))
 	if err != nil {
 		return err
 	}
-	l.log.Info("share", "share", entry.Name, "was", string(entry.Record.State), "is", string(changed.State), "owner", changed.Owner.Node, "target", changed.Target.Node, "why", reason)
+	l.log.Info(
+		"share", "share", entry.Name, "was", string(entry.Record.State), "is", string(changed.State), "owner",
+		changed.Owner.Node, "target", changed.Target.Node, "why", reason,
+	)
 	l.commitShardThen(entry.Name, entry.Update(changed, l.term.Precondition()), done)
 	return nil
 }
