--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -51,7 +51,8 @@
 	w.t.Helper()
 	w.waitUntil("the move is taken", micro.Minute, func() bool {
 		r := w.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: to})
-		return r.RefusalReason == "" || strings.Contains(r.RefusalReason, shard.ErrAlreadyMoving.Error()) || strings.Contains(r.RefusalReason, shard.ErrSameOwner.Error())
+		return r.RefusalReason == "" || strings.Contains(r.RefusalReason, shard.ErrAlreadyMoving.Error()) ||
+			strings.Contains(r.RefusalReason, shard.ErrSameOwner.Error())
 	})
 }
 
@@ -79,7 +80,9 @@
 					return fate
 				})
 				array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 3, runTime: 5 * micro.Second, zone: "b"}).submit()
-				sim.waitUntil("done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone })
+				sim.waitUntil(
+					"done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone },
+				)
 				if !met {
 					sim.t.Error("the move met no placement")
 				}
@@ -236,7 +239,10 @@
 			if got := full.cancel(); got != wire.JobAborted {
 				sim.t.Errorf("cancelled during a move: %s", got)
 			}
-			sim.waitUntil("the next job is done", 4*micro.Minute, func() bool { return replyState(next.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			sim.waitUntil(
+				"the next job is done", 4*micro.Minute,
+				func() bool { return replyState(next.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 		})
 	}
 }
@@ -249,7 +255,9 @@
 		sim.waitUntil("the gang runs", 2*micro.Minute, func() bool { return gang.runningTasks() == 3 })
 		sim.requestMove("n-1")
 		gang.machines()[0].terminate()
-		sim.waitUntil("done", 5*micro.Minute, func() bool { return replyState(gang.queryStatus(sim.randomUserNode())) == wire.JobDone })
+		sim.waitUntil(
+			"done", 5*micro.Minute, func() bool { return replyState(gang.queryStatus(sim.randomUserNode())) == wire.JobDone },
+		)
 	})
 }
 
@@ -273,7 +281,10 @@
 		}
 		sim.killController(sim.controllerNamed("n-0"))
 		sim.waitUntil("its session is over", micro.Minute, func() bool {
-			return strings.Contains(sim.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-0"}).RefusalReason, shard.ErrTargetWithoutSession.Error())
+			return strings.Contains(
+				sim.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-0"}).RefusalReason,
+				shard.ErrTargetWithoutSession.Error(),
+			)
 		})
 		sim.waitShardSettled(service, 3)
 	})
@@ -318,9 +329,14 @@
 			sim.reconfigure(nil)
 			sim.sleep(40 * micro.Second)
 			if service.startCount() != 3 || service.runningTasks() != 3 || array.startCount() != 2 {
-				sim.t.Errorf("%d starts of 3 replicas, %d run, %d starts of 2 tasks", service.startCount(), service.runningTasks(), array.startCount())
+				sim.t.Errorf(
+					"%d starts of 3 replicas, %d run, %d starts of 2 tasks", service.startCount(), service.runningTasks(),
+					array.startCount(),
+				)
 			}
-			sim.waitUntil("done", 5*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			sim.waitUntil(
+				"done", 5*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 		})
 	}
 }
@@ -385,7 +401,9 @@
 		if err != nil || len(page.Items) > 0 {
 			sim.t.Errorf("%d sessions, %v", len(page.Items), err)
 		}
-		status, _ := sim.randomUserNode().runningNode().handleAdmin(wire.MustMarshal(shard.Command{Operation: shard.OperationList}))
+		status, _ := sim.randomUserNode().runningNode().handleAdmin(
+			wire.MustMarshal(shard.Command{Operation: shard.OperationList}),
+		)
 		if status != 200 {
 			sim.t.Errorf("status %d", status)
 		}
@@ -410,7 +428,10 @@
 			{Name: "2-always", Shard: "east", Owner: "n-1", When: condition(`machines["east"] >= 0`)},
 		}
 	}, func(sim *simCluster) {
-		sim.waitUntil("the share is owned", 2*micro.Minute, func() bool { entry, ok := sim.shardRecord(); return ok && entry.OwnedElsewhere() })
+		sim.waitUntil(
+			"the share is owned", 2*micro.Minute,
+			func() bool { entry, ok := sim.shardRecord(); return ok && entry.OwnedElsewhere() },
+		)
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 3, cpus: 2, zone: "b"}).submit()
 		sim.waitRunning(service, 3)
 		from, _ := sim.shardRecord()
--- a/internal/controller/shard_form.go
+++ b/internal/controller/shard_form.go
@@ -40,7 +40,10 @@
 		}
 		l.log.Info("share formed", "share", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams)
 		entry := shard.Entry{Name: declared.Name}
-		l.commitShard(declared.Name, entry.Update(shard.NewRecord(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Precondition()))
+		l.commitShard(
+			declared.Name,
+			entry.Update(shard.NewRecord(declared.Selector, declared.Teams, int64(l.node.Wall())), l.term.Precondition()),
+		)
 	}
 }
 
@@ -127,7 +130,9 @@
 // deleteShard deletes the record of a share that has nothing left. The last one takes
 // the marker along.
 func (l *Leader) deleteShard(e shard.Entry) {
-	transaction := wire.Transaction{If: []wire.Precondition{l.term.Precondition(), e.Precondition()}, Then: []wire.Change{{Delete: e.Key()}}}
+	transaction := wire.Transaction{
+		If: []wire.Precondition{l.term.Precondition(), e.Precondition()}, Then: []wire.Change{{Delete: e.Key()}},
+	}
 	if l.shardTable().Len() == 1 {
 		transaction.Then = append(transaction.Then, wire.Change{Delete: shard.MarkerKey})
 		l.coordinator.marker.SetVersion(0)
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -26,7 +26,9 @@
 			var used usage
 			runScenario(t, 50, 3, func(sim *simCluster) {
 				withShard(sim)
-				sim.config.Shards.Declared[0] = config.DeclaredShard{Name: "east", Selector: shard.Selector{Zone: "b"}, Owner: "n-2"}
+				sim.config.Shards.Declared[0] = config.DeclaredShard{
+					Name: "east", Selector: shard.Selector{Zone: "b"}, Owner: "n-2",
+				}
 				sim.cloud.Capacity = machines + 20
 				sim.config.Facts.Teams[0].CPUsMax = 0
 				delete(sim.checker.cpuLimits, "team")
@@ -53,8 +55,17 @@
 		silent, whole, answered = append(silent, m.ownerless), append(whole, m.total), append(answered, m.untilFirstAnswer)
 		requests += m.requests
 	}
-	w.t.Logf("%d machines, %d moves: no owner speaks for %s; from the command to the next owner %s; to its first answer %s; %.1f requests to the store a move, %d starts of %d replicas",
-		machines, moves, percentiles(silent), percentiles(whole), percentiles(answered), float64(requests)/float64(moves), service.startCount(), machines)
+	w.t.Logf(
+		"%d machines, %d moves: no owner speaks for %s; from the command to the next owner %s; to its first answer %s; %.1f requests to the store a move, %d starts of %d replicas",
+		machines,
+		moves,
+		percentiles(silent),
+		percentiles(whole),
+		percentiles(answered),
+		float64(requests)/float64(moves),
+		service.startCount(),
+		machines,
+	)
 	if service.startCount() != machines {
 		w.t.Errorf("%d starts of %d replicas", service.startCount(), machines)
 	}
@@ -95,5 +106,7 @@
 func percentiles(all []micro.Time) string {
 	slices.Sort(all)
 	ms := func(t micro.Time) int64 { return int64(t / micro.Millisecond) }
-	return fmt.Sprintf("%d ms (median), %d (95%%), %d (longest)", ms(all[len(all)/2]), ms(all[len(all)*95/100]), ms(all[len(all)-1]))
+	return fmt.Sprintf(
+		"%d ms (median), %d (95%%), %d (longest)", ms(all[len(all)/2]), ms(all[len(all)*95/100]), ms(all[len(all)-1]),
+	)
 }
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -45,8 +45,11 @@
 	log := n.Log.With("share", e.Name, "version", e.Version)
 	owner := shard.NewOwner(e, term, self, log.Info)
 	l := newEventLoop(n, term, owner.FirstFencingToken(), log)
-	l.owner = &ownedShard{Owner: owner, name: e.Name, assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{}, finished: map[*cluster.Job]bool{},
-		cancelling: map[*cluster.Job]bool{}, pendingTerminations: map[*cluster.Machine]bool{}, reportedMachines: map[string]bool{}}
+	l.owner = &ownedShard{
+		Owner: owner, name: e.Name, assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{},
+		finished: map[*cluster.Job]bool{}, cancelling: map[*cluster.Job]bool{},
+		pendingTerminations: map[*cluster.Machine]bool{}, reportedMachines: map[string]bool{},
+	}
 	for _, t := range n.Cfg.Facts.Teams {
 		// The leader has counted all that is assigned against the limits.
 		l.cluster.Teams[t.Name] = &cluster.Team{Name: t.Name}
@@ -67,7 +70,10 @@
 		return
 	}
 	l.serving.Store(true)
-	l.log.Info("took over share", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms", int64((l.node.Now()-from)/micro.Millisecond))
+	l.log.Info(
+		"took over share", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
+		int64((l.node.Now()-from)/micro.Millisecond),
+	)
 	go l.watchAssignments(ctx, l.owner.assignmentRevision)
 	l.serve(l.tickShardOwner)
 }
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -32,7 +32,9 @@
 	}
 	now := l.node.Now()
 	var assignments []wire.Item
-	revision, ok := l.readAll(ctx, shard.AssignmentPrefixFor(l.owner.name), func(item wire.Item) { assignments = append(assignments, item) })
+	revision, ok := l.readAll(
+		ctx, shard.AssignmentPrefixFor(l.owner.name), func(item wire.Item) { assignments = append(assignments, item) },
+	)
 	if !ok {
 		return false
 	}
@@ -40,7 +42,9 @@
 	for _, item := range assignments {
 		l.applyAssignment(item.Key, item.Value, uint64(item.Version))
 	}
-	_, ok = l.readAll(ctx, shard.AllocationPrefixFor(l.owner.name), func(item wire.Item) { l.restoreAllocation(item, now) })
+	_, ok = l.readAll(
+		ctx, shard.AllocationPrefixFor(l.owner.name), func(item wire.Item) { l.restoreAllocation(item, now) },
+	)
 	if !ok {
 		return false
 	}
@@ -101,7 +105,10 @@
 		assignment.Job.Dependencies, assignment.Job.DependencyChunks = nil, 0 // all of them are done
 		job = l.insertJob(assignment.Job, l.node.Now(), l.node.Wall())
 		l.owner.assignedAt[id] = micro.Time(assignment.AssignedAt)
-		l.log.Info("job assigned", "job", id, "class", assignment.Job.Class, "tasks", assignment.Job.Tasks, "at_once", assignment.MaxAllocations)
+		l.log.Info(
+			"job assigned", "job", id, "class", assignment.Job.Class, "tasks", assignment.Job.Tasks, "at_once",
+			assignment.MaxAllocations,
+		)
 	}
 	if assignment.MaxAllocations > job.MaxAllocations {
 		job.MaxAllocations = assignment.MaxAllocations
@@ -175,7 +182,8 @@
 			continue
 		}
 		over := job.IsTerminal() && job.AllocationCount == 0
-		unplaced := job.State == cluster.Active && job.NeverAllocated() && l.node.Wall()-l.owner.assignedAt[id] > handBackTimeout
+		unplaced := job.State == cluster.Active && job.NeverAllocated() &&
+			l.node.Wall()-l.owner.assignedAt[id] > handBackTimeout
 		if unplaced {
 			l.log.Info("job handed back", "job", id)
 			l.cluster.PrepareTransfer(job)
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -55,7 +55,10 @@
 		return
 	}
 	l.owner.reportInFlight, l.owner.reportUrgent, l.owner.reportedAt = true, false, now
-	update := shard.StatusUpdate{Node: l.node.Cfg.Node, SessionVersion: l.term.FencingRevision, Term: l.owner.leaderTerm, Shards: []shard.ShardUpdate{l.buildShardUpdate(now)}}
+	update := shard.StatusUpdate{
+		Node: l.node.Cfg.Node, SessionVersion: l.term.FencingRevision, Term: l.owner.leaderTerm,
+		Shards: []shard.ShardUpdate{l.buildShardUpdate(now)},
+	}
 	body := wire.MustMarshal(update)
 	go func() {
 		reply, ok := l.node.deliverStatusUpdate(body)
@@ -83,7 +86,10 @@
 
 // buildShardUpdate puts together what the leader is told. The caller has the right to act.
 func (l *Leader) buildShardUpdate(now micro.Time) shard.ShardUpdate {
-	update := shard.ShardUpdate{Name: l.owner.name, AssignmentRevision: l.owner.assignmentRevision, FreeCapacity: l.freeCapacity(now), Unreachable: l.owner.unreachable}
+	update := shard.ShardUpdate{
+		Name: l.owner.name, AssignmentRevision: l.owner.assignmentRevision, FreeCapacity: l.freeCapacity(now),
+		Unreachable: l.owner.unreachable,
+	}
 	l.owner.unreachable = false // unless the next look finds it so again
 	for job := range l.owner.finished {
 		if len(update.FinishedJobs) < maxStatusItems && fullyRecorded(job) {
@@ -136,11 +142,19 @@
 	now := l.node.Now()
 	for job := range l.cluster.ActiveJobs {
 		update.PendingTasks += job.PendingTasks()
-		if schedulable := min(job.Demand(now), job.SchedulableTasks(now)); schedulable > 0 && len(update.Demand) < maxStatusItems {
-			update.Demand = append(update.Demand, shard.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)})
+		if schedulable := min(job.Demand(now), job.SchedulableTasks(now)); schedulable > 0 &&
+			len(update.Demand) < maxStatusItems {
+			update.Demand = append(
+				update.Demand, shard.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)},
+			)
 		}
 		if len(update.Progress) < maxStatusItems && job.DoneTasks+job.RunningTasks > 0 {
-			update.Progress = append(update.Progress, shard.Progress{Job: job.Spec.ID, Done: job.DoneTasks, Running: job.RunningTasks, AllocationsNeeded: allocationsNeeded(job)})
+			update.Progress = append(
+				update.Progress,
+				shard.Progress{
+					Job: job.Spec.ID, Done: job.DoneTasks, Running: job.RunningTasks, AllocationsNeeded: allocationsNeeded(job),
+				},
+			)
 		}
 	}
 }
@@ -208,8 +222,10 @@
 	capacity := make([]shard.FreeCapacity, 0, len(counts))
 	for key, count := range counts {
 		if key.cpu > 0 {
-			capacity = append(capacity, shard.FreeCapacity{Type: key.pool.Type.Name, Zone: key.pool.Zone, Spot: key.pool.Spot, Count: count,
-				CPU: float64(key.cpu), GPU: float64(key.gpu), Mem: float64(key.mem)})
+			capacity = append(capacity, shard.FreeCapacity{
+				Type: key.pool.Type.Name, Zone: key.pool.Zone, Spot: key.pool.Spot, Count: count,
+				CPU: float64(key.cpu), GPU: float64(key.gpu), Mem: float64(key.mem),
+			})
 		}
 	}
 	sort.Slice(capacity, func(a, b int) bool { return hasMoreCapacity(capacity[a], capacity[b]) })
--- a/internal/controller/shard_policy.go
+++ b/internal/controller/shard_policy.go
@@ -16,7 +16,8 @@
 // loop, on facts that do not change: however long they take, no tick waits.
 func (l *Leader) evaluatePolicies(now micro.Time) {
 	policies := l.node.Cfg.Shards.Policies
-	if l.node.Cfg.Shards.Dissolve || len(policies) == 0 || l.coordinator.policyEvaluationInFlight || now-l.coordinator.policiesEvaluatedAt < policyInterval {
+	if l.node.Cfg.Shards.Dissolve || len(policies) == 0 || l.coordinator.policyEvaluationInFlight ||
+		now-l.coordinator.policiesEvaluatedAt < policyInterval {
 		return
 	}
 	l.coordinator.policyEvaluationInFlight, l.coordinator.policiesEvaluatedAt = true, now
@@ -41,7 +42,9 @@
 
 // policyFacts are what the policies may ask about, as it is now.
 func (l *Leader) policyFacts() policy.Facts {
-	facts := policy.Facts{Waiting: map[string]int{}, Guaranteed: map[string]int{}, Free: map[string]int{}, Machines: map[string]int{}}
+	facts := policy.Facts{
+		Waiting: map[string]int{}, Guaranteed: map[string]int{}, Free: map[string]int{}, Machines: map[string]int{},
+	}
 	facts.SetTime(time.UnixMicro(int64(l.node.Wall())))
 	l.cluster.MarkGuarantees()
 	for job := range l.cluster.PendingJobs {
@@ -78,7 +81,9 @@
 			continue
 		}
 		moving += l.viewOf(entry.Name).machineCount
-		l.changeShard(entry, "policy "+movePolicy.Name, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) })
+		l.changeShard(
+			entry, "policy "+movePolicy.Name, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) },
+		)
 	}
 }
 
--- a/internal/controller/shard_reclaim.go
+++ b/internal/controller/shard_reclaim.go
@@ -73,7 +73,8 @@
 	l.cluster.RaiseMinFencingToken(firstToken)
 	reclaim.reclaimed = true
 	for _, machine := range l.cluster.SortedMachines() {
-		if machine.OwnedElsewhere && entry.Record.Selector.Matches(machineAttributes(machine.TypeName, machine.Zone, machine.Spot)) {
+		if machine.OwnedElsewhere &&
+			entry.Record.Selector.Matches(machineAttributes(machine.TypeName, machine.Zone, machine.Spot)) {
 			l.cluster.AcquireMachine(machine, now)
 		}
 	}
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -14,8 +14,10 @@
 
 // withShard declares a share of zone b, owned by n-2 at first.
 func withShard(sim *simCluster) {
-	sim.config.Shards = &config.Shards{MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000,
-		Declared: []config.DeclaredShard{{Name: "east", Selector: shard.Selector{Zone: "b"}, Owner: "n-2"}}}
+	sim.config.Shards = &config.Shards{
+		MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000,
+		Declared: []config.DeclaredShard{{Name: "east", Selector: shard.Selector{Zone: "b"}, Owner: "n-2"}},
+	}
 }
 
 // runShardScenario plays a scenario on a cluster with a share.
@@ -94,14 +96,21 @@
 				reply := sim.shardCommand(shard.Command{Operation: shard.OperationShow, Shard: "east"})
 				return len(reply.Shards) == 1 && reply.Shards[0].AssignedJobs == 1 && reply.Shards[0].MachineCount > 0
 			})
-			array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, runTime: 20 * micro.Second, runTimeStep: 5 * micro.Second, zone: "b"}).submit()
+			array := sim.newJob(
+				jobRequest{kind: wire.JobArray, tasks: 4, runTime: 20 * micro.Second, runTimeStep: 5 * micro.Second, zone: "b"},
+			).submit()
 			for _, to := range []string{"n-0", "n-1", "n-2", "n-0"} {
 				sim.moveShard(to)
 				sim.sleep(4 * micro.Second)
 			}
-			sim.waitUntil("done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			sim.waitUntil(
+				"done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 			if service.startCount() != 3 || service.runningTasks() != 3 || array.startCount() != 4 {
-				sim.t.Errorf("%d starts of 3 replicas, %d run; %d starts of 4 tasks", service.startCount(), service.runningTasks(), array.startCount())
+				sim.t.Errorf(
+					"%d starts of 3 replicas, %d run; %d starts of 4 tasks", service.startCount(), service.runningTasks(),
+					array.startCount(),
+				)
 			}
 			service.cancel()
 			sim.waitUntil("the replicas are gone", micro.Minute, func() bool { return service.runningTasks() == 0 })
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -36,7 +36,9 @@
 
 // applyStatusUpdate is touched, in the loop.
 func (l *Leader) applyStatusUpdate(update *shard.StatusUpdate, now micro.Time) shard.UpdateReply {
-	reply := shard.UpdateReply{Term: l.term.FencingRevision, FinalStates: map[string]string{}, ProxyRenewalAge: map[string]int64{}}
+	reply := shard.UpdateReply{
+		Term: l.term.FencingRevision, FinalStates: map[string]string{}, ProxyRenewalAge: map[string]int64{},
+	}
 	owner := shard.Controller{Node: update.Node, SessionVersion: wire.Count(update.SessionVersion)}
 	for i := range update.Shards {
 		shardUpdate := &update.Shards[i]
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -53,7 +53,9 @@
 
 // partitionNode keeps some of its surroundings from a node for a while.
 func (w *simCluster) partitionNode(controller *controllerProcess, d micro.Time, what ...string) {
-	w.injectFault(d, func() { controller.setPartitioned(true, what...) }, func() { controller.setPartitioned(false, what...) })
+	w.injectFault(
+		d, func() { controller.setPartitioned(true, what...) }, func() { controller.setPartitioned(false, what...) },
+	)
 }
 
 // partitionZone keeps a zone's nodes and workers from everything outside.
@@ -95,7 +97,9 @@
 
 // onCommit says what befalls the commits of one process that put a key of a prefix:
 // the first of them, the second, and so on.
-func (w *simCluster) onCommit(controller *controllerProcess, prefix string, fate func(n int, c wire.Change) fake.CommitFault) {
+func (w *simCluster) onCommit(
+	controller *controllerProcess, prefix string, fate func(n int, c wire.Change) fake.CommitFault,
+) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
 	n := 0
@@ -291,7 +295,10 @@
 		case 5:
 			w.partitionNode(controller, duration, "state", "peers")
 		case 6:
-			w.partitionNode(controller, duration, [][]string{{"workers"}, {"peers"}, {"state"}, {"state", "peers", "workers", "users", "cloud"}}[w.randomInt(4)]...)
+			w.partitionNode(
+				controller,
+				duration,
+				[][]string{{"workers"}, {"peers"}, {"state"}, {"state", "peers", "workers", "users", "cloud"}}[w.randomInt(4)]...)
 		case 7:
 			w.partitionZone([]string{"a", "b"}[w.randomInt(2)], duration)
 		case 8:
--- a/internal/controller/simulation_machines_test.go
+++ b/internal/controller/simulation_machines_test.go
@@ -246,7 +246,9 @@
 	defer h.mu.Unlock()
 	now := sim.now()
 	h.sending = false
-	wait := micro.FromSeconds(heartbeatS*0.75) + micro.Time(sim.randomDuration(0, micro.FromSeconds(heartbeatS/2.))/time.Microsecond)
+	wait := micro.FromSeconds(heartbeatS*0.75) + micro.Time(
+		sim.randomDuration(0, micro.FromSeconds(heartbeatS/2.))/time.Microsecond,
+	)
 	h.nextHeartbeat = now + wait
 	if h.terminated {
 		return
@@ -328,7 +330,10 @@
 		machine.mu.Lock()
 		for key, task := range machine.agent.Tasks {
 			id, index, _ := wire.ParseTaskName(key.Task)
-			if record := w.checker.jobNamed(id); record != nil && record.spec.Kind == wire.Gang && (task.State == wire.TaskWaitingForGang || task.State == wire.TaskRunning) && now >= machine.hungUntil {
+			if record := w.checker.jobNamed(
+				id,
+			); record != nil && record.spec.Kind == wire.Gang && (task.State == wire.TaskWaitingForGang || task.State == wire.TaskRunning) &&
+				now >= machine.hungUntil {
 				all[attempt{id, key.Attempt}] = append(all[attempt{id, key.Attempt}], member{machine, key, index})
 			}
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -127,13 +127,22 @@
 }
 
 func newSimCluster(t testing.TB, ctx context.Context, seed uint64) *simCluster {
-	sim := &simCluster{t: t, rand: rand.New(rand.NewPCG(seed, 17)), startedAt: time.Now(), store: fake.NewStore(), machines: map[string]*fakeMachine{}, partitionedZones: map[string]bool{}, ctx: ctx}
+	sim := &simCluster{
+		t: t, rand: rand.New(rand.NewPCG(seed, 17)), startedAt: time.Now(), store: fake.NewStore(),
+		machines: map[string]*fakeMachine{}, partitionedZones: map[string]bool{}, ctx: ctx,
+	}
 	sim.store.Now = sim.now
 	sim.machineTypes = []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 5, FetchGBPerS: 1, Zones: []string{"a", "b"}},
-		{Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64, Price: 3, SpotPrice: 1, BootS: 8, FetchGBPerS: 1, Zones: []string{"a", "b"}},
+		{
+			Name: "large", CPUs: 8, GPUs: 2, MemoryGB: 64, Price: 3, SpotPrice: 1, BootS: 8, FetchGBPerS: 1,
+			Zones: []string{"a", "b"},
+		},
+	}
+	sim.cloud = &fakeCloud{
+		sim: sim, Cloud: fake.NewCloud(16, sim.machineTypes...), terminationRequested: map[string]micro.Time{},
+		startedAt: map[string]micro.Time{}, terminatedAt: map[string]micro.Time{},
 	}
-	sim.cloud = &fakeCloud{sim: sim, Cloud: fake.NewCloud(16, sim.machineTypes...), terminationRequested: map[string]micro.Time{}, startedAt: map[string]micro.Time{}, terminatedAt: map[string]micro.Time{}}
 	sim.checker = newChecker(sim.now, cancelS*micro.Second)
 	sim.config = config.Config{Properties: config.Defaults()}
 	f := &sim.config.Facts
@@ -154,12 +163,17 @@
 	if *simulationLog != "" {
 		sim.logs = &logBuffer{}
 		sim.newLogger = func(node string) *slog.Logger {
-			return slog.New(slog.NewTextHandler(sim.logs, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
-				if a.Key == slog.TimeKey {
-					return slog.Float64("at", sim.now().Seconds())
-				}
-				return a
-			}})).With("node", node)
+			return slog.New(
+				slog.NewTextHandler(
+					sim.logs,
+					&slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
+						if a.Key == slog.TimeKey {
+							return slog.Float64("at", sim.now().Seconds())
+						}
+						return a
+					}},
+				),
+			).With("node", node)
 		}
 	}
 	return sim
@@ -234,7 +248,10 @@
 }
 
 func (w *simCluster) addController(name, zone string, all int) *controllerProcess {
-	controller := &controllerProcess{sim: w, name: name, zone: zone, drift: 1 + float64(w.randomInt(50))/1e5, offset: micro.Time(w.randomInt(3_600_000_000)), partitions: map[string]bool{}}
+	controller := &controllerProcess{
+		sim: w, name: name, zone: zone, drift: 1 + float64(w.randomInt(50))/1e5,
+		offset: micro.Time(w.randomInt(3_600_000_000)), partitions: map[string]bool{},
+	}
 	w.controllers = append(w.controllers, controller)
 	return controller
 }
@@ -258,11 +275,19 @@
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	began := w.now()
-	node := &Node{Cfg: &cfg, Store: link, Cloud: &cloudClient{w.cloud, controller, link}, Agent: &dispatchSender{controller, link}, Peers: &peerCaller{controller, link}, Log: w.newLogger(controller.name), Metrics: metrics.New(),
+	node := &Node{
+		Cfg:     &cfg,
+		Store:   link,
+		Cloud:   &cloudClient{w.cloud, controller, link},
+		Agent:   &dispatchSender{controller, link},
+		Peers:   &peerCaller{controller, link},
+		Log:     w.newLogger(controller.name),
+		Metrics: metrics.New(),
 		Now: func() micro.Time {
 			return controller.offset + micro.Time(float64(w.now()-began)*controller.drift) + micro.Second
 		},
-		Wall: micro.WallNow}
+		Wall: micro.WallNow,
+	}
 	if w.wrapStore != nil {
 		node.Store = w.wrapStore(link)
 	}
@@ -402,7 +427,9 @@
 }
 
 // callNode asks a process, as one that waits for so long.
-func (w *simCluster) callNode(controller *controllerProcess, from string, wait time.Duration, ask func(*Node) httpapi.Reply) (httpapi.Reply, bool) {
+func (w *simCluster) callNode(
+	controller *controllerProcess, from string, wait time.Duration, ask func(*Node) httpapi.Reply,
+) (httpapi.Reply, bool) {
 	node := controller.runningNode()
 	if node == nil {
 		return httpapi.Reply{}, false
@@ -458,7 +485,8 @@
 		if n == nil {
 			return 0, nil, peer.ErrUnreachable
 		}
-		if other.partitionedFrom("peers") || c.process.partitionedFrom("peers") || c.process.runningNode() == nil || c.process.sim.isPartitioned(other.zone, c.process.zone) {
+		if other.partitionedFrom("peers") || c.process.partitionedFrom("peers") || c.process.runningNode() == nil ||
+			c.process.sim.isPartitioned(other.zone, c.process.zone) {
 			break
 		}
 		go func() {
@@ -502,7 +530,8 @@
 	if machine != nil && machine.interceptDispatch(commands) {
 		machine = nil
 	}
-	if machine != nil && !s.process.partitionedFrom("workers") && !sim.isPartitioned(machine.agent.Zone, s.process.zone) && !machine.responsesLost() {
+	if machine != nil && !s.process.partitionedFrom("workers") && !sim.isPartitioned(machine.agent.Zone, s.process.zone) &&
+		!machine.responsesLost() {
 		go func() {
 			sim.waitAgentLatency()
 			machine.waitWhileHung()
@@ -692,7 +721,9 @@
 	fw := fake.NewAgent(name, request.Type, request.Zone, leaseS*micro.Second)
 	fw.Spot = request.Spot
 	fw.InitialState = wire.TaskFetching
-	machine := &fakeMachine{sim: w, agent: fw, stateSince: map[fake.AttemptKey]micro.Time{}, controllerIndex: w.rand.IntN(len(w.controllers))}
+	machine := &fakeMachine{
+		sim: w, agent: fw, stateSince: map[fake.AttemptKey]micro.Time{}, controllerIndex: w.rand.IntN(len(w.controllers)),
+	}
 	w.machines[name] = machine
 	w.cloud.startedAt[name] = w.now()
 	if w.rand.Float64() < w.cloud.bootFailureRatio || w.cloud.failsBoot != nil && w.cloud.failsBoot(request) {
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -27,9 +27,12 @@
 }
 
 func (o jobRequest) body(id string) []byte {
-	m := map[string]any{"nameId": id, "jobclass": "c", "outfit": o.team, "shape": string(o.kind), "rank": string(o.priority),
-		"pieces": o.tasks, "vcpus": o.cpus, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": o.oneZone, "scatter": o.spread, "loaners": o.spot,
-		"guessS": (o.runTime + micro.Time(o.tasks-1)*o.runTimeStep).Seconds(), "bookmarkS": 0, "stashS": 0}
+	m := map[string]any{
+		"nameId": id, "jobclass": "c", "outfit": o.team, "shape": string(o.kind), "rank": string(o.priority),
+		"pieces": o.tasks, "vcpus": o.cpus, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1,
+		"oneZone": o.oneZone, "scatter": o.spread, "loaners": o.spot,
+		"guessS": (o.runTime + micro.Time(o.tasks-1)*o.runTimeStep).Seconds(), "bookmarkS": 0, "stashS": 0,
+	}
 	if o.kind == wire.Service {
 		m["guessS"] = 0
 	}
@@ -77,7 +80,8 @@
 // randomUserNode draws a node that takes users, nil if there is none.
 func (w *simCluster) randomUserNode() *controllerProcess {
 	for range 8 {
-		if controller := w.controllers[w.randomInt(len(w.controllers))]; controller.isAlive() && !controller.partitionedFrom("users") {
+		if controller := w.controllers[w.randomInt(len(w.controllers))]; controller.isAlive() &&
+			!controller.partitionedFrom("users") {
 			return controller
 		}
 	}
@@ -85,7 +89,9 @@
 }
 
 // request sends one request to one node.
-func (j *userJob) request(controller *controllerProcess, wait time.Duration, ask func(*Node) httpapi.Reply) httpapi.Reply {
+func (j *userJob) request(
+	controller *controllerProcess, wait time.Duration, ask func(*Node) httpapi.Reply,
+) httpapi.Reply {
 	if controller == nil {
 		return httpapi.Reply{}
 	}
@@ -205,7 +211,8 @@
 	for _, machine := range w.liveMachines() {
 		machine.mu.Lock()
 		for key, t := range machine.agent.Tasks {
-			if id, _, _ := wire.ParseTaskName(key.Task); id == job.id && t.State == wire.TaskRunning && w.now()-machine.stateSince[key] >= d {
+			if id, _, _ := wire.ParseTaskName(key.Task); id == job.id && t.State == wire.TaskRunning &&
+				w.now()-machine.stateSince[key] >= d {
 				out = append(out, key.Task)
 			}
 		}
--- a/internal/controller/status_batcher_test.go
+++ b/internal/controller/status_batcher_test.go
@@ -43,7 +43,10 @@
 	over := map[string]wire.JobState{"j-000001": wire.JobDone, "j-000002": wire.JobAborted}
 	var then []wire.Change
 	for id, state := range over {
-		then = append(then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 3}}, wire.Change{Put: endKey(id), Value: map[string]any{"state": string(state)}})
+		then = append(
+			then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 3}},
+			wire.Change{Put: endKey(id), Value: map[string]any{"state": string(state)}},
+		)
 	}
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
@@ -51,7 +54,10 @@
 	reads := 0
 	node, stop := env.startNodeWith("n-0", func(node *Node) { node.Store = rangeCountingStore{env.store, &reads} })
 	defer stop()
-	waitUntil(t, "a leader that has taken over", func() bool { leader := node.activeLeader(); return leader != nil && leader.serving.Load() })
+	waitUntil(
+		t, "a leader that has taken over",
+		func() bool { leader := node.activeLeader(); return leader != nil && leader.serving.Load() },
+	)
 	before := reads
 	for id, state := range over {
 		status, out := node.handlePeerCall(context.Background(), peer.Status, []byte(id))
@@ -151,7 +157,10 @@
 	polls.Wait()
 	synctest.Wait()
 	if node.statusBatcher.callsInFlight != 0 || len(node.statusBatcher.pending) != 0 {
-		t.Errorf("%d calls under way and %d polls waiting at the end", node.statusBatcher.callsInFlight, len(node.statusBatcher.pending))
+		t.Errorf(
+			"%d calls under way and %d polls waiting at the end", node.statusBatcher.callsInFlight,
+			len(node.statusBatcher.pending),
+		)
 	}
 	return answers
 }
@@ -169,7 +178,9 @@
 		}
 		answers := queryWhileLeaderIsSlow(t, leader, jobs)
 		if !maps.Equal(answers, leader.states) {
-			t.Errorf("%d polls answered of the %d jobs that the leader knows, or with another's state", len(answers), len(leader.states))
+			t.Errorf(
+				"%d polls answered of the %d jobs that the leader knows, or with another's state", len(answers), len(leader.states),
+			)
 		}
 		want := 4 + (jobs-4+maxStatusesPerCall-1)/maxStatusesPerCall
 		if got := leader.callsMade(); len(got) != want {
@@ -182,7 +193,9 @@
 // get their answers from the store until the next poll, then singly.
 func TestLeaderWithoutTheBatchCallIsQueriedSingly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leader := &slowLeader{release: make(chan struct{}), legacy: true, states: map[string]wire.JobState{"j-0": wire.JobRunning}}
+		leader := &slowLeader{
+			release: make(chan struct{}), legacy: true, states: map[string]wire.JobState{"j-0": wire.JobRunning},
+		}
 		node := &Node{Cfg: &config.Config{}, Peers: leader, Now: func() micro.Time { return micro.Minute }}
 		node.election = &election.Election{}
 		close(leader.release)
--- a/internal/controller/status_lookup.go
+++ b/internal/controller/status_lookup.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"notchmux.dev/notchmux/internal/statestore"
 	"sync"
 	"time"
 
@@ -12,6 +11,7 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -98,7 +98,9 @@
 	return s.Link.Get(ctx, c, key)
 }
 
-func (s *rateLimitedStore) Range(ctx context.Context, c store.Class, prefix, after string, limit int) (wire.Page, error) {
+func (s *rateLimitedStore) Range(
+	ctx context.Context, c store.Class, prefix, after string, limit int,
+) (wire.Page, error) {
 	if err := s.admit(c); err != nil {
 		return wire.Page{}, err
 	}
@@ -133,7 +135,9 @@
 	return s.Link.Renew(ctx, lease)
 }
 
-func (s *rateLimitedStore) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
+func (s *rateLimitedStore) Watch(
+	ctx context.Context, prefix string, after uint64, wait micro.Time,
+) (wire.Events, error) {
 	if err := s.admit(store.Leadership); err != nil {
 		return wire.Events{}, err
 	}
@@ -188,7 +192,9 @@
 	id := fmt.Sprintf("j-%d", unknownIDBase+s.sent)
 	s.mu.Unlock()
 	from := time.Now()
-	reply, ok := s.sim.callNode(controller, "users", 2*time.Second, func(node *Node) httpapi.Reply { return node.Status(id) })
+	reply, ok := s.sim.callNode(
+		controller, "users", 2*time.Second, func(node *Node) httpapi.Reply { return node.Status(id) },
+	)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ok {
@@ -245,7 +251,10 @@
 						if node := controller.runningNode(); node == nil || node.catalog.Load() == nil {
 							continue // it takes no submission yet
 						}
-						if reply := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second}).submitOnce(controller); reply.Status != 201 && reply.Status != 200 {
+						if reply := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second}).submitOnce(
+							controller,
+						); reply.Status != 201 &&
+							reply.Status != 200 {
 							t.Errorf("%.1f s: a submission to %s got %d", sim.now().Seconds(), controller.name, reply.Status)
 						}
 					}
@@ -272,7 +281,10 @@
 					t.Errorf("%d requests for polls in %.0f s, more than %d", after-before, took, most)
 				}
 				storm.mu.Lock()
-				t.Logf("%d polls: %d denied, %d told to come back, the slowest after %v; %d requests for them", storm.sent, storm.notFound, storm.retryLater, storm.slowest, after-before)
+				t.Logf(
+					"%d polls: %d denied, %d told to come back, the slowest after %v; %d requests for them", storm.sent,
+					storm.notFound, storm.retryLater, storm.slowest, after-before,
+				)
 				if storm.notFound == 0 || storm.slowest > 2*time.Second {
 					t.Errorf("%d of %d were answered, the slowest after %v", storm.notFound, storm.sent, storm.slowest)
 				}
@@ -293,7 +305,9 @@
 		others[0].setRefused(true)
 		sim.partitionNode(leader, 5*micro.Second, "peers") // the other one has only the store to ask
 		sim.sleep(micro.Second)
-		if reply := (&userJob{sim: sim, id: fmt.Sprintf("j-%d", unknownIDBase)}).queryUnknown(others[0]); reply.Status != 404 {
+		if reply := (&userJob{sim: sim, id: fmt.Sprintf("j-%d", unknownIDBase)}).queryUnknown(
+			others[0],
+		); reply.Status != 404 {
 			t.Errorf("an unknown id: %d", reply.Status)
 		}
 		if state := replyState(job.queryStatus(others[0])); state != wire.JobRunning {
@@ -397,7 +411,10 @@
 			jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second}).submit())
 		}
 		for _, job := range jobs {
-			sim.waitUntil(job.id+" done", 3*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			sim.waitUntil(
+				job.id+" done", 3*micro.Minute,
+				func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 		}
 		sim.sleep(20 * micro.Second) // their records are deleted
 		for _, controller := range sim.controllers {
@@ -488,7 +505,10 @@
 		draw := rand.New(rand.NewPCG(2, 2))
 		for i := range jobs {
 			id := fmt.Sprintf("j-%06d", i+1)
-			if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}}); err != nil {
+			if _, err := env.store.Commit(
+				context.Background(), store.Routine,
+				wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}},
+			); err != nil {
 				t.Fatal(err)
 			}
 			first := time.Duration(draw.Int64N(int64(every)))
@@ -528,7 +548,8 @@
 func (b *testCluster) storeFinishedJob(id string) {
 	b.t.Helper()
 	_, err := b.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: []wire.Change{
-		{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}, {Put: endKey(id), Value: map[string]any{"state": "done"}}}})
+		{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}, {Put: endKey(id), Value: map[string]any{"state": "done"}},
+	}})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -556,7 +577,10 @@
 func startGatedNode(t *testing.T) (*testCluster, *Node, *requestMeter, gatedStore) {
 	env := newTestCluster(t)
 	meter := newRequestMeter(0)
-	gate := gatedStore{rateLimitedStore: meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1)))).(*rateLimitedStore), release: make(chan struct{})}
+	gate := gatedStore{
+		rateLimitedStore: meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1)))).(*rateLimitedStore),
+		release:          make(chan struct{}),
+	}
 	n, stop := env.startNodeWith("n-0", func(n *Node) {
 		n.election.SuspendCampaign(1 << 50)
 		n.Store = gate
@@ -591,7 +615,10 @@
 func TestStatusQuerySharesNoReadBegunBeforeTheJobWasOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env, node, _, gate := startGatedNode(t)
-		if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: []wire.Change{{Put: specKey("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}}); err != nil {
+		if _, err := env.store.Commit(
+			context.Background(), store.Routine,
+			wire.Transaction{Then: []wire.Change{{Put: specKey("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}},
+		); err != nil {
 			t.Fatal(err)
 		}
 		node.rememberAccepted("j-000001")
@@ -631,7 +658,10 @@
 				env, node, meter, gate := startGatedNode(t)
 				if test.accepted {
 					// Not over: a final state would be remembered, and read once.
-					if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: []wire.Change{{Put: specKey("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}}); err != nil {
+					if _, err := env.store.Commit(
+						context.Background(), store.Routine,
+						wire.Transaction{Then: []wire.Change{{Put: specKey("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}},
+					); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/controller/status_read.go
+++ b/internal/controller/status_read.go
@@ -34,7 +34,9 @@
 func (n *Node) readStatus(id string, class store.Class) (httpapi.Reply, error) {
 	status := wire.JobStatus{ID: id, State: wire.JobPending}
 	var tally cluster.TaskCounter
-	err := n.readPrefix(class, "run/"+id+"/", func(rest string, value []byte) error { return tally.Add(rest, compactMark, value) })
+	err := n.readPrefix(
+		class, "run/"+id+"/", func(rest string, value []byte) error { return tally.Add(rest, compactMark, value) },
+	)
 	if err != nil {
 		return httpapi.Reply{}, err
 	}
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -144,7 +144,10 @@
 			return next != nil
 		})
 		for _, job := range jobs {
-			sim.waitUntil("cancelled through the next", micro.Minute, func() bool { return replyState(job.cancelOnce(next)) == wire.JobAborted })
+			sim.waitUntil(
+				"cancelled through the next", micro.Minute,
+				func() bool { return replyState(job.cancelOnce(next)) == wire.JobAborted },
+			)
 			if !old.partitionedFrom("state") {
 				sim.t.Error("the cut is over")
 			}
@@ -170,7 +173,10 @@
 				met := 0
 				for range 4 {
 					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second}).submit()
-					sim.onCommit(leader, endKey(job.id), func(n int, _ wire.Change) fake.CommitFault { return fake.CommitFault{Unanswered: n == 1} })
+					sim.onCommit(
+						leader, endKey(job.id),
+						func(n int, _ wire.Change) fake.CommitFault { return fake.CommitFault{Unanswered: n == 1} },
+					)
 					if withdrawn {
 						go job.cancel()
 					}
@@ -268,7 +274,9 @@
 			}
 			sim.sleep(500 * micro.Millisecond)
 			sim.restartController(leader, 5*micro.Second)
-			sim.waitUntil("done", 8*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone })
+			sim.waitUntil(
+				"done", 8*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+			)
 		})
 	}
 	if met < 2 {
@@ -289,7 +297,9 @@
 		for i := range 12 {
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 4 * micro.Second}).submit()
 			jobs = append(jobs, job)
-			sim.slowStoreFor([]*controllerProcess{reader}, []micro.Time{350 * micro.Millisecond, 700 * micro.Millisecond}[i%2], 14*micro.Second)
+			sim.slowStoreFor(
+				[]*controllerProcess{reader}, []micro.Time{350 * micro.Millisecond, 700 * micro.Millisecond}[i%2], 14*micro.Second,
+			)
 			var mu sync.Mutex
 			reportedAt := micro.Time(0)
 			if i%4 > 1 {
@@ -327,7 +337,10 @@
 			sim.waitUntil(job.id+" over", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
 			job.checkFinalStatus()
 		}
-		sim.t.Logf("%d answers read in time, %d reads under way when the end was told, the oldest told %.3f s after it", answers, across, late.Seconds())
+		sim.t.Logf(
+			"%d answers read in time, %d reads under way when the end was told, the oldest told %.3f s after it", answers,
+			across, late.Seconds(),
+		)
 		if answers == 0 || across == 0 {
 			sim.t.Error("no answer was read in time, or no read was under way at the end")
 		}
@@ -348,7 +361,9 @@
 		var jobs []*userJob
 		var wg sync.WaitGroup
 		for i := range 60 {
-			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second, cpus: 1, team: []string{"team", "other"}[i%2]}).submit()
+			job := sim.newJob(
+				jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second, cpus: 1, team: []string{"team", "other"}[i%2]},
+			).submit()
 			jobs = append(jobs, job)
 			wg.Add(1)
 			before := sim.randomDuration(0, 600*micro.Millisecond)
@@ -408,7 +423,9 @@
 				var wg sync.WaitGroup
 				var jobs []*userJob
 				for i := range 30 {
-					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1 + i%2, runTime: 2 * micro.Second, team: []string{"team", "other"}[i%2]})
+					job := sim.newJob(
+						jobRequest{kind: wire.JobArray, tasks: 1 + i%2, runTime: 2 * micro.Second, team: []string{"team", "other"}[i%2]},
+					)
 					jobs = append(jobs, job)
 					wg.Add(1)
 					go func() {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/hex"
 	"fmt"
-	"notchmux.dev/notchmux/internal/statestore"
 	"reflect"
 	"testing"
 	"time"
@@ -15,6 +14,7 @@
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -46,16 +46,34 @@
 func version1Values() map[string]any {
 	due, zone := 900.0, "east"
 	return map[string]any{
-		v1Spec:              wire.Job{ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25, MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true, EstimateS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000},
-		v1Chunk:             cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"}, {Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"}}, Done: [][2]int{{128, 129}, {140, 199}}, Attempts: [][2]int{{135, 4}}},
-		v1End:               cluster.FinalStatusRecord{State: wire.JobAborted},
-		v1InstanceRequest:   instanceRequestRecord{Request: wire.InstanceRequest{RequestID: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2}, Machines: []string{"i-000231", "i-000232"}, Answered: true, CreatedAt: 1700000000000000},
-		v1First:             firstProvisionedRecord{"i-000231"},
-		v1Leader:            election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
-		v1Images:            cluster.ImageRecord{Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}}},
-		v1LeaseProxyRequest: leasekeeper.Request{Node: "n-1", RenewedLeases: true, Echo: leasekeeper.LeaderTimestamp{Term: 7, At: 12345}},
-		v1LeaseProxyEcho:    leasekeeper.LeaderTimestamp{Term: 7, At: 12345},
-		v1Status:            wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2},
+		v1Spec: wire.Job{
+			ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25,
+			MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true,
+			EstimateS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000,
+		},
+		v1Chunk: cluster.ChunkRecord{
+			Allocations: []cluster.AllocationRecord{
+				{Index: 130, Attempt: 2, Machine: "i-000231", Session: 3, Zone: "east"},
+				{Index: 131, Attempt: 1, Machine: "i-000232", Session: 1, Zone: "west"},
+			},
+			Done:     [][2]int{{128, 129}, {140, 199}},
+			Attempts: [][2]int{{135, 4}},
+		},
+		v1End: cluster.FinalStatusRecord{State: wire.JobAborted},
+		v1InstanceRequest: instanceRequestRecord{
+			Request:  wire.InstanceRequest{RequestID: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2},
+			Machines: []string{"i-000231", "i-000232"}, Answered: true, CreatedAt: 1700000000000000,
+		},
+		v1First:  firstProvisionedRecord{"i-000231"},
+		v1Leader: election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
+		v1Images: cluster.ImageRecord{
+			Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}},
+		},
+		v1LeaseProxyRequest: leasekeeper.Request{
+			Node: "n-1", RenewedLeases: true, Echo: leasekeeper.LeaderTimestamp{Term: 7, At: 12345},
+		},
+		v1LeaseProxyEcho: leasekeeper.LeaderTimestamp{Term: 7, At: 12345},
+		v1Status:         wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2},
 	}
 }
 
@@ -64,7 +82,10 @@
 func TestFormsOfTheEarlierVersionAreReadAndWrittenAsTheyWere(t *testing.T) {
 	for bytes, want := range version1Values() {
 		got := reflect.New(reflect.TypeOf(want))
-		if err := wire.Unmarshal(decodeVersion1(t, bytes), got.Interface()); err != nil || fmt.Sprint(got.Elem().Interface()) == "" || !reflect.DeepEqual(got.Elem().Interface(), want) {
+		if err := wire.Unmarshal(
+			decodeVersion1(t, bytes), got.Interface(),
+		); err != nil || fmt.Sprint(got.Elem().Interface()) == "" ||
+			!reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%T read as %+v, %v", want, got.Elem().Interface(), err)
 		}
 		if out := hex.EncodeToString(wire.MustMarshal(want)); out != bytes {
@@ -112,11 +133,18 @@
 
 func TestEarlierVersionReadsPastWhatWasAdded(t *testing.T) {
 	var e v1EndRecord
-	if err := wire.Unmarshal(wire.MustMarshal(cluster.FinalStatusRecord{State: wire.JobDone, EndedAt: 1700000000000000}), &e); err != nil || e.State != wire.JobDone {
+	if err := wire.Unmarshal(
+		wire.MustMarshal(cluster.FinalStatusRecord{State: wire.JobDone, EndedAt: 1700000000000000}), &e,
+	); err != nil ||
+		e.State != wire.JobDone {
 		t.Errorf("%+v, %v", e, err)
 	}
 	var j v1Job
-	if err := wire.Unmarshal(wire.MustMarshal(wire.Job{ID: "j-1", Tasks: 3, SubmittedAt: 5, Dependencies: []string{"j-0"}, DependencyChunks: 2}), &j); err != nil || j.ID != "j-1" || j.Tasks != 3 || j.SubmittedAt != 5 {
+	if err := wire.Unmarshal(
+		wire.MustMarshal(wire.Job{ID: "j-1", Tasks: 3, SubmittedAt: 5, Dependencies: []string{"j-0"}, DependencyChunks: 2}),
+		&j,
+	); err != nil || j.ID != "j-1" || j.Tasks != 3 ||
+		j.SubmittedAt != 5 {
 		t.Errorf("%+v, %v", j, err)
 	}
 }
@@ -124,9 +152,13 @@
 // storeVersion1Job leaves what a leader of the earlier version wrote of a job that runs.
 func (b *testCluster) storeVersion1Job(t *testing.T, places ...cluster.AllocationRecord) {
 	t.Helper()
-	spec := wire.Job{ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: len(places), CPUs: 0.01, MemoryGB: 0.01, SubmittedAt: int64(micro.WallNow())}
+	spec := wire.Job{
+		ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: len(places), CPUs: 0.01,
+		MemoryGB: 0.01, SubmittedAt: int64(micro.WallNow()),
+	}
 	_, err := b.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{
-		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: cluster.ChunkRecord{Allocations: places}}}})
+		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: cluster.ChunkRecord{Allocations: places}},
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +169,9 @@
 	env := newTestCluster(t)
 	var places []cluster.AllocationRecord
 	for i := range 100 {
-		places = append(places, cluster.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"})
+		places = append(
+			places, cluster.AllocationRecord{Index: i, Attempt: 1, Machine: fmt.Sprintf("i-9%05d", i), Session: 1, Zone: "a"},
+		)
 	}
 	env.storeVersion1Job(t, places...)
 	for _, open := range []bool{false, true, true} {
@@ -207,7 +241,9 @@
 	if reply := leader.Submit(piped); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Fatalf("a leader of the earlier version would not wait: %+v", reply)
 	}
-	other, _ := env.startNodeWith("n-1", func(node *Node) { pair("n-0")(node); node.election.SuspendCampaign(10 * micro.Minute) })
+	other, _ := env.startNodeWith(
+		"n-1", func(node *Node) { pair("n-0")(node); node.election.SuspendCampaign(10 * micro.Minute) },
+	)
 	env.store.SetOutage(true)
 	other.checkGate(context.Background())
 	env.store.SetOutage(false)
@@ -265,7 +301,8 @@
 	waitUntil(t, "known", func() bool { return node.election.Leader() == "n-1" })
 	node.Peers = peer.NewClient(map[string]string{"n-1": env.servePeer(leader)})
 	node.Cfg.Peers = []config.Peer{{Node: "n-1"}}
-	if status, _, err := node.Peers.Call(context.Background(), "n-1", "/peer/later", nil, peerCallTimeout); err != nil || status != 404 {
+	if status, _, err := node.Peers.Call(context.Background(), "n-1", "/peer/later", nil, peerCallTimeout); err != nil ||
+		status != 404 {
 		t.Fatalf("status %d, %v", status, err)
 	}
 	node.Submit(submission("j-1", wire.JobArray))
--- a/internal/controller/zone_cut_test.go
+++ b/internal/controller/zone_cut_test.go
@@ -120,7 +120,10 @@
 	if job.runningTasks() != 4 || job.startCount() != 4 {
 		sim.t.Errorf("within the keepers' span %d tasks run, %d starts", job.runningTasks(), job.startCount())
 	}
-	sim.waitUntil("killed in the zone", from+sim.renewalBound()+2*micro.Second-sim.now(), func() bool { return job.runningTasks() == job.runningOutside(zone) })
+	sim.waitUntil(
+		"killed in the zone", from+sim.renewalBound()+2*micro.Second-sim.now(),
+		func() bool { return job.runningTasks() == job.runningOutside(zone) },
+	)
 	sim.waitUntil("placed again elsewhere", from+most-sim.now(), func() bool { return job.runningOutside(zone) == 4 })
 	sim.t.Logf("placed again %.1f s after the cut began", (sim.now() - from).Seconds())
 	sim.checkServing(sim.controllersOutside(zone))
@@ -163,13 +166,19 @@
 					}
 					took := sim.now()
 					// It competes for the team's room, which is not free.
-					waiting := sim.submitThrough(sim.otherControllers(), micro.Minute, jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 2 * micro.Second})
+					waiting := sim.submitThrough(
+						sim.otherControllers(), micro.Minute,
+						jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 2 * micro.Second},
+					)
 					if test.again == 0 {
 						sim.waitUntil("the cut is over", 2*micro.Minute, sim.noActiveFaults)
 						sim.sleep(20 * micro.Second)
 					} else {
 						most := sim.controllers[0].runningNode().Cfg.LeaseProxyDuration() + leaseS*micro.Second + sim.rescheduleBound()
-						sim.waitUntil("placed again elsewhere", took+most-sim.now(), func() bool { return job.runningOutside(zone)+waiting.runningTasks() == 4 })
+						sim.waitUntil(
+							"placed again elsewhere", took+most-sim.now(),
+							func() bool { return job.runningOutside(zone)+waiting.runningTasks() == 4 },
+						)
 						sim.t.Logf("placed again %.1f s after the cut began", (sim.now() - from).Seconds())
 						sim.waitUntil("the cut is over", 2*micro.Minute, sim.noActiveFaults)
 						sim.sleep(20 * micro.Second)
@@ -178,7 +187,10 @@
 						sim.t.Errorf("%d of its tasks run, %d starts", job.runningTasks(), job.startCount())
 					}
 					go job.cancel()
-					sim.waitUntil("the job that waited is done", micro.Minute, func() bool { return replyState(waiting.queryStatus(sim.randomUserNode())) == wire.JobDone })
+					sim.waitUntil(
+						"the job that waited is done", micro.Minute,
+						func() bool { return replyState(waiting.queryStatus(sim.randomUserNode())) == wire.JobDone },
+					)
 					sim.checkServing(sim.controllers)
 				})
 			})
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -248,8 +248,10 @@
 		return false
 	}
 	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Transaction{
-		If:   []wire.Precondition{{Key: e.key()}},
-		Then: []wire.Change{{Put: e.key(), Value: Record{Node: e.Node, Nonce: e.Nonce, Lease: wire.Count(lease)}, Lease: wire.Count(lease)}},
+		If: []wire.Precondition{{Key: e.key()}},
+		Then: []wire.Change{
+			{Put: e.key(), Value: Record{Node: e.Node, Nonce: e.Nonce, Lease: wire.Count(lease)}, Lease: wire.Count(lease)},
+		},
 	})
 	if err != nil {
 		if !errors.Is(err, store.ErrConflict) {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -240,7 +240,8 @@
 		}
 		earlier := Record{Node: "n-0", Nonce: "before", Lease: wire.Count(lease)}
 		if _, err := cluster.store.Commit(ctx, store.Leadership, wire.Transaction{
-			Then: []wire.Change{{Put: LeaderKey, Value: earlier, Lease: wire.Count(lease)}}}); err != nil {
+			Then: []wire.Change{{Put: LeaderKey, Value: earlier, Lease: wire.Count(lease)}},
+		}); err != nil {
 			t.Fatal(err)
 		}
 		other := cluster.startNode("n-1", 0)
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -31,14 +31,18 @@
 
 // NewAgent makes a worker in its first session.
 func NewAgent(name, machineType, zone string, lease micro.Time) *Agent {
-	return &Agent{Name: name, Type: machineType, Zone: zone, Epoch: 1, LeaseDuration: lease, Tasks: map[AttemptKey]*wire.TaskStatus{}}
+	return &Agent{
+		Name: name, Type: machineType, Zone: zone, Epoch: 1, LeaseDuration: lease, Tasks: map[AttemptKey]*wire.TaskStatus{},
+	}
 }
 
 // Heartbeat builds the next report.
 func (w *Agent) Heartbeat() *wire.Heartbeat {
 	w.Sequence++
-	heartbeat := &wire.Heartbeat{Machine: w.Name, Addr: w.Name + ":9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		AgentEpoch: wire.Count(w.Epoch), Sequence: wire.Count(w.Sequence), FencingToken: wire.Count(w.FencingToken)}
+	heartbeat := &wire.Heartbeat{
+		Machine: w.Name, Addr: w.Name + ":9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		AgentEpoch: wire.Count(w.Epoch), Sequence: wire.Count(w.Sequence), FencingToken: wire.Count(w.FencingToken),
+	}
 	for _, task := range w.Tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, *task)
 	}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -22,7 +22,10 @@
 
 // NewCloud makes a cloud with room for so many machines.
 func NewCloud(capacity int, types ...wire.MachineType) *Cloud {
-	return &Cloud{Types: types, Capacity: capacity, answered: map[string][]string{}, machines: map[string]wire.ListedMachine{}, RequestCounts: map[string]int{}}
+	return &Cloud{
+		Types: types, Capacity: capacity, answered: map[string][]string{}, machines: map[string]wire.ListedMachine{},
+		RequestCounts: map[string]int{},
+	}
 }
 
 // Catalog lists the types.
@@ -45,7 +48,10 @@
 		}
 		c.lastMachineID++
 		name := fmt.Sprintf("i-%06d", c.lastMachineID)
-		c.machines[name] = wire.ListedMachine{Name: name, Addr: name + ":9000", Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineBooting}
+		c.machines[name] = wire.ListedMachine{
+			Name: name, Addr: name + ":9000", Type: request.Type, Zone: request.Zone, Spot: request.Spot,
+			State: wire.MachineBooting,
+		}
 		names = append(names, name)
 	}
 	if len(names) == 0 {
--- a/internal/fake/serve.go
+++ b/internal/fake/serve.go
@@ -69,11 +69,11 @@
 		}
 		txn := wire.Transaction{If: request.If}
 		for _, change := range request.Then {
-			txn.Then = append(txn.Then, wire.Change{Put: change.Put, Value: change.Value, Lease: change.Lease, Delete: change.Delete})
+			put := wire.Change{Put: change.Put, Value: change.Value, Lease: change.Lease, Delete: change.Delete}
+			txn.Then = append(txn.Then, put)
 		}
 		if len(txn.Then) == 0 { // only compares: what failed is asked for
-			failed := s.failedPreconditions(txn.If)
-			if len(failed) > 0 {
+			if failed := s.failedPreconditions(txn.If); len(failed) > 0 {
 				respond(ctx, 409, wire.TransactionResult{Failed: failed})
 				return
 			}
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -23,13 +23,17 @@
 func TestMoreAgentsThanSocketsAllGetResponses(t *testing.T) {
 	const sockets, agents = 100, 400
 	listener := fasthttputil.NewInmemoryListener()
-	server := &Server{Service: healthyService{}, Metrics: metrics.New(), MaxSockets: sockets, HeartbeatInterval: micro.Second}
+	server := &Server{
+		Service: healthyService{}, Metrics: metrics.New(), MaxSockets: sockets, HeartbeatInterval: micro.Second,
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ctx, listener) }()
 	clients := make([]*fasthttp.HostClient, agents)
 	for i := range clients {
-		clients[i] = &fasthttp.HostClient{Addr: "n-0", MaxConns: 1, Dial: func(string) (net.Conn, error) { return listener.Dial() }}
+		clients[i] = &fasthttp.HostClient{
+			Addr: "n-0", MaxConns: 1, Dial: func(string) (net.Conn, error) { return listener.Dial() },
+		}
 	}
 	keptAlive := 0
 	for round := range 3 {
--- a/internal/leasekeeper/leasekeeper_test.go
+++ b/internal/leasekeeper/leasekeeper_test.go
@@ -81,7 +81,9 @@
 	if proxy.TryRenew(6 * micro.Second) {
 		t.Error("a fresh process was never answered, and renews")
 	}
-	if bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "a"}, "a"); bound.RenewedUntil("b", micro.Minute) != 0 {
+	if bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "a"}, "a"); bound.RenewedUntil(
+		"b", micro.Minute,
+	) != 0 {
 		t.Error("a zone of one node has no keeper to wait for")
 	}
 }
@@ -122,7 +124,9 @@
 		}
 		var network []msg
 		var latestLease micro.Time // true time until which some worker's lease may run
-		partitionedAt, partitionedFor := micro.Time(random.Int64N(int64(30*micro.Second))), micro.Time(random.Int64N(int64(90*micro.Second)))
+		partitionedAt, partitionedFor := micro.Time(random.Int64N(int64(30*micro.Second))), micro.Time(
+			random.Int64N(int64(90*micro.Second)),
+		)
 		partitioned := func(now micro.Time) bool { return now > partitionedAt && now < partitionedAt+partitionedFor }
 		delay := func(now micro.Time) micro.Time {
 			latency := micro.Time(random.Int64N(int64(700 * micro.Millisecond)))
@@ -165,7 +169,9 @@
 					proxies[packet.k].HandleResponse(packet.sent, clock(clockRates[packet.k], now), packet.echo)
 				case random.IntN(10) > 0: // else lost
 					timestamp := bound.HandleRequest(packet.req, clock(leaderClockRate, now))
-					undelivered = append(undelivered, msg{at: delay(now), sent: packet.sent, k: packet.k, echo: timestamp, answer: true})
+					undelivered = append(
+						undelivered, msg{at: delay(now), sent: packet.sent, k: packet.k, echo: timestamp, answer: true},
+					)
 				}
 			}
 			network = undelivered
@@ -187,7 +193,9 @@
 // nodes, and took the zone for one in reach.
 func TestZoneNeverConnectedIsDisconnectedAfterTheGrace(t *testing.T) {
 	const termStart = micro.Minute
-	bound := NewRenewalBound(7, termStart, 45*micro.Second, map[string]string{"n-1": "a", "n-2": "a", "n-3": "b", "n-4": "c"}, "c")
+	bound := NewRenewalBound(
+		7, termStart, 45*micro.Second, map[string]string{"n-1": "a", "n-2": "a", "n-3": "b", "n-4": "c"}, "c",
+	)
 	if bound.ZoneDisconnected("a", termStart+contactGrace) {
 		t.Error("its nodes had no time to ask yet")
 	}
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -82,7 +82,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastRequest = now
-	return Request{Node: p.Node, Echo: p.lastTimestamp, RenewedLeases: p.lastRenewal > 0 && p.lastRenewal >= p.lastAnswered}
+	return Request{
+		Node: p.Node, Echo: p.lastTimestamp, RenewedLeases: p.lastRenewal > 0 && p.lastRenewal >= p.lastAnswered,
+	}
 }
 
 // HandleResponse takes in the leader's answer to a request that was sent at a time.
@@ -127,7 +129,8 @@
 
 func (p *Proxy) stateAt(now micro.Time) State {
 	since := now - p.lastAnswered
-	if p.lastAnswered > 0 && since >= renewAfter && since < p.RenewalWindow && p.zonePartitioned && now-p.lastProbe < probeMaxAge {
+	if p.lastAnswered > 0 && since >= renewAfter && since < p.RenewalWindow && p.zonePartitioned &&
+		now-p.lastProbe < probeMaxAge {
 		return Renewing
 	}
 	return Isolated
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -28,8 +28,12 @@
 // NewRenewalBound starts a term: answers of earlier terms went out before. Nodes lists the zone of every other node, self is the
 // leader's own zone. A zone of one node has no keeper: a node cut off by itself
 // and a zone cut off look alike to it.
-func NewRenewalBound(term uint64, termStart, window micro.Time, nodes map[string]string, leaderZone string) *RenewalBound {
-	bound := &RenewalBound{term: term, termStart: termStart, window: window, zones: map[string][]string{}, contacts: map[string]*nodeContact{}}
+func NewRenewalBound(
+	term uint64, termStart, window micro.Time, nodes map[string]string, leaderZone string,
+) *RenewalBound {
+	bound := &RenewalBound{
+		term: term, termStart: termStart, window: window, zones: map[string][]string{}, contacts: map[string]*nodeContact{},
+	}
 	if window == 0 {
 		return bound
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -54,7 +54,10 @@
 	sort.Strings(names)
 	for _, name := range names {
 		histogram := s.histograms[name]
-		fmt.Fprintf(w, "%s count=%d p50_us=%d p99_us=%d max_us=%d\n", name, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max())
+		fmt.Fprintf(
+			w, "%s count=%d p50_us=%d p99_us=%d max_us=%d\n", name, histogram.TotalCount(), histogram.ValueAtQuantile(50),
+			histogram.ValueAtQuantile(99), histogram.Max(),
+		)
 	}
 	names = names[:0]
 	for name := range s.counters {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -121,7 +121,9 @@
 	mux.HandleFunc("GET "+Metrics, func(w http.ResponseWriter, _ *http.Request) { metrics(w) })
 	versions := protocols()
 	versions.SetHTTP1(true) // operators read the metrics with any client
-	server := &http.Server{Handler: mux, Protocols: versions, IdleTimeout: 2 * time.Minute, ReadHeaderTimeout: 5 * time.Second}
+	server := &http.Server{
+		Handler: mux, Protocols: versions, IdleTimeout: 2 * time.Minute, ReadHeaderTimeout: 5 * time.Second,
+	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -54,7 +54,8 @@
 			t.Errorf("%s: %d %q %v", call, status, out, err)
 		}
 	}
-	if status, _, err := client.Call(t.Context(), "n-1", "/peer/other", nil, ampleTimeout); err != nil || status != http.StatusNotFound {
+	if status, _, err := client.Call(t.Context(), "n-1", "/peer/other", nil, ampleTimeout); err != nil ||
+		status != http.StatusNotFound {
 		t.Errorf("unknown call: %d %v", status, err)
 	}
 }
@@ -79,7 +80,10 @@
 	_ = listener.Close()
 	client := NewClient(map[string]string{"n-2": missing})
 	for _, node := range []string{"n-1", "n-2"} {
-		if status, out, err := client.Call(t.Context(), node, Ping, nil, ampleTimeout); !errors.Is(err, ErrUnreachable) || status != 0 || out != nil {
+		if status, out, err := client.Call(
+			t.Context(), node, Ping, nil, ampleTimeout,
+		); !errors.Is(err, ErrUnreachable) || status != 0 ||
+			out != nil {
 			t.Errorf("%s: %d %q %v", node, status, out, err)
 		}
 	}
@@ -103,7 +107,9 @@
 
 func TestCallEndsAtItsTimeout(t *testing.T) {
 	client, _ := serve(t, blockingHandler(func() {}, func(error) {}))
-	if status, _, err := client.Call(t.Context(), "n-1", Status, nil, 20*micro.Millisecond); !errors.Is(err, ErrUnreachable) {
+	if status, _, err := client.Call(t.Context(), "n-1", Status, nil, 20*micro.Millisecond); !errors.Is(
+		err, ErrUnreachable,
+	) {
 		t.Errorf("%d %v", status, err)
 	}
 }
--- a/internal/scheduler/best_effort_test.go
+++ b/internal/scheduler/best_effort_test.go
@@ -27,7 +27,9 @@
 	bestEffortDuration = 10 * micro.Minute
 )
 
-func runBestEffortScenario(t *testing.T, span micro.Time, otherClasses int, configure func(*Scheduler)) *bestEffortScenario {
+func runBestEffortScenario(
+	t *testing.T, span micro.Time, otherClasses int, configure func(*Scheduler),
+) *bestEffortScenario {
 	scenario := &bestEffortScenario{simulation: newSimulation(t, bestEffortMachines, 0)}
 	if configure != nil {
 		configure(scenario.scheduler)
@@ -38,8 +40,10 @@
 	submitted := 0
 	submit := func(team, class string, priority wire.Priority, tasks int) *cluster.Job {
 		submitted++
-		return scenario.cluster.AddJob(wire.Job{ID: fmt.Sprint(healthyJobs, 10000+submitted), Team: team, Class: class, Kind: wire.JobArray, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1,
-			EstimateS: simulatedRun.Seconds()}, scenario.now, scenario.now)
+		return scenario.cluster.AddJob(wire.Job{
+			ID: fmt.Sprint(healthyJobs, 10000+submitted), Team: team, Class: class, Kind: wire.JobArray, Priority: priority,
+			Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds(),
+		}, scenario.now, scenario.now)
 	}
 	keepBusy := func() { // there is always more of the others' work than room
 		waiting := 0
@@ -121,7 +125,9 @@
 		t.Errorf("%d tasks of the huge array are done", scenario.hugeArray.DoneTasks)
 	}
 	// The room of all machines for all the time, less a tenth and the fetches.
-	if all := 8 * bestEffortMachines * int(bestEffortDuration/(simulatedRun+simulatedFetch+2*micro.Second)); scenario.otherTeamDone < all*9/10 {
+	if all := 8 * bestEffortMachines * int(
+		bestEffortDuration/(simulatedRun+simulatedFetch+2*micro.Second),
+	); scenario.otherTeamDone < all*9/10 {
 		t.Errorf("the others got %d tasks done, of %d at the most", scenario.otherTeamDone, all)
 	}
 }
@@ -129,14 +135,21 @@
 // However many classes starve, one machine in sixteen is held for them at most beside
 // those, as many again, that are being gathered.
 func TestReservedMachinesAreBoundedForManyStarvedClasses(t *testing.T) {
-	if scenario := runBestEffortScenario(t, 5*micro.Minute, 4, nil); scenario.maxReserved == 0 || scenario.maxReserved > 2*bestEffortMachines/reservedFleetDivisor {
+	if scenario := runBestEffortScenario(t, 5*micro.Minute, 4, nil); scenario.maxReserved == 0 ||
+		scenario.maxReserved > 2*bestEffortMachines/reservedFleetDivisor {
 		t.Errorf("%d machines were held at a time", scenario.maxReserved)
 	}
 }
 
 func TestTeamWithoutGuaranteeGetsNothingWithoutStarvationReservations(t *testing.T) {
-	scenario := runBestEffortScenario(t, 5*micro.Minute, 0, func(scheduler *Scheduler) { scheduler.Properties.StarvationAfter = PlanningHorizon })
-	if n := scenario.hugeArray.AllocationCount + scenario.countStartedWithin(append(append(scenario.smallArrays, scenario.singleTasks...), scenario.hugeArray), PlanningHorizon); n > 0 {
-		t.Errorf("%d of the guest's jobs began: other room than what is gathered is left, and the test before shows nothing", n)
+	scenario := runBestEffortScenario(
+		t, 5*micro.Minute, 0, func(scheduler *Scheduler) { scheduler.Properties.StarvationAfter = PlanningHorizon },
+	)
+	if n := scenario.hugeArray.AllocationCount + scenario.countStartedWithin(
+		append(append(scenario.smallArrays, scenario.singleTasks...), scenario.hugeArray), PlanningHorizon,
+	); n > 0 {
+		t.Errorf(
+			"%d of the guest's jobs began: other room than what is gathered is left, and the test before shows nothing", n,
+		)
 	}
 }
--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -53,13 +53,20 @@
 )
 
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
-	sim := &simulation{t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*cluster.TaskChunk]bool{}, stateSince: map[string]micro.Time{}, failsAfter: micro.Second,
-		starts: map[string]int{}, writes: map[string]int{}, lastStartedAt: map[string]micro.Time{}, quarantineTime: map[string]micro.Time{}}
+	sim := &simulation{
+		t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*cluster.TaskChunk]bool{},
+		stateSince: map[string]micro.Time{}, failsAfter: micro.Second, starts: map[string]int{}, writes: map[string]int{},
+		lastStartedAt: map[string]micro.Time{}, quarantineTime: map[string]micro.Time{},
+	}
 	sim.cluster = cluster.New(sim)
 	sim.cluster.LeaseDuration = 30 * micro.Second
-	sim.cluster.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 64, FetchGBPerS: 1}}})
+	sim.cluster.SetCatalog(
+		&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 64, FetchGBPerS: 1}}},
+	)
 	properties := config.Defaults()
-	sim.scheduler = &Scheduler{Cluster: sim.cluster, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
+	sim.scheduler = &Scheduler{
+		Cluster: sim.cluster, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
+	}
 	for i := range machines {
 		name := fmt.Sprint(healthyMachines, 100+i)
 		if i < faulty {
@@ -74,7 +81,8 @@
 	return sim
 }
 
-func (s *simulation) ChunkDirty(chunk *cluster.TaskChunk)              { s.dirtyChunks[chunk] = true }
+func (s *simulation) ChunkDirty(chunk *cluster.TaskChunk) { s.dirtyChunks[chunk] = true }
+
 func (s *simulation) ChunkUrgent(chunk *cluster.TaskChunk)             { s.dirtyChunks[chunk] = true }
 func (s *simulation) DispatchSoon(*cluster.Machine)                    {}
 func (s *simulation) ScheduleSoon()                                    { s.schedulePending = true }
@@ -83,7 +91,14 @@
 func (s *simulation) AttemptCompleted(*cluster.Allocation, micro.Time) { s.completedRuns++ }
 
 func (s *simulation) submitArray(id string, tasks int) *cluster.Job {
-	return s.cluster.AddJob(wire.Job{ID: id, Class: id[:len(failingJobs)], Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds()}, s.now, s.now)
+	return s.cluster.AddJob(
+		wire.Job{
+			ID: id, Class: id[:len(failingJobs)], Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: 1, MemoryGB: 1,
+			EstimateS: simulatedRun.Seconds(),
+		},
+		s.now,
+		s.now,
+	)
 }
 
 // step lets half a second go by: tasks go on, half of the workers report, what
@@ -238,7 +253,11 @@
 		}
 	})
 	starts, writes := sumByPrefix(sim.starts, failingJobs), sumByPrefix(sim.writes, failingJobs)
-	t.Logf("%d starts, %d writes, %d passes (%d without them); sound machines avoided for %v s, the faulty one for %v s", starts, writes, sim.schedulingPasses, baseline.schedulingPasses, sim.quarantinedFor(healthyMachines).Seconds(), sim.quarantinedFor(faultyMachines).Seconds())
+	t.Logf(
+		"%d starts, %d writes, %d passes (%d without them); sound machines avoided for %v s, the faulty one for %v s", starts,
+		writes, sim.schedulingPasses, baseline.schedulingPasses, sim.quarantinedFor(healthyMachines).Seconds(),
+		sim.quarantinedFor(faultyMachines).Seconds(),
+	)
 	// In five minutes: three tries at once, then pauses of 8, 16 and 32 s.
 	for id, count := range sim.starts {
 		if strings.HasPrefix(id, failingJobs) && (count > 14 || count < 4) {
@@ -259,7 +278,9 @@
 		t.Errorf("the faulty machine was avoided for %v s", got.Seconds())
 	}
 	if sim.completedRuns != baseline.completedRuns {
-		t.Errorf("speeds are learnt from %d runs, without the jobs that fail from %d", sim.completedRuns, baseline.completedRuns)
+		t.Errorf(
+			"speeds are learnt from %d runs, without the jobs that fail from %d", sim.completedRuns, baseline.completedRuns,
+		)
 	}
 	for id, baselineDelay := range baselineDelays {
 		if delays[id] > baselineDelay+8*micro.Second {
@@ -290,7 +311,10 @@
 			atFirst := sim.starts[job.Spec.ID]
 			sim.runFor(5 * micro.Minute)
 			after := sim.starts[job.Spec.ID] - atFirst
-			t.Logf("%d tasks that fail after %v s: %d starts until it counts as failing everywhere, %d in five minutes after that, %d writes", tasks, failsAfter.Seconds(), atFirst, after, sim.writes[job.Spec.ID])
+			t.Logf(
+				"%d tasks that fail after %v s: %d starts until it counts as failing everywhere, %d in five minutes after that, %d writes",
+				tasks, failsAfter.Seconds(), atFirst, after, sim.writes[job.Spec.ID],
+			)
 			if atFirst > maxStartsAtFirst || after > maxStartsAfter {
 				t.Errorf("%d tasks: %d starts at first, %d in five minutes after that", tasks, atFirst, after)
 			}
@@ -308,7 +332,10 @@
 			starts := sim.starts[job.Spec.ID]
 			sim.runFor(micro.Minute)
 			if job.AllocationCount > 0 || sim.starts[job.Spec.ID] > starts {
-				t.Errorf("%d tasks: cancelled, and %d places held, %d more starts", tasks, job.AllocationCount, sim.starts[job.Spec.ID]-starts)
+				t.Errorf(
+					"%d tasks: cancelled, and %d places held, %d more starts", tasks, job.AllocationCount,
+					sim.starts[job.Spec.ID]-starts,
+				)
 			}
 		}
 	}
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -41,7 +41,8 @@
 // or by the teams' guarantees; 0 if nothing is said.
 func (s *Scheduler) effectiveStartObjective(class *cluster.Class) micro.Time {
 	startObjective := s.Objectives.StartObjective(class.Name)
-	if guaranteed := s.Objectives.GuaranteedStart(); guaranteed > 0 && s.guaranteesGPUs() && (startObjective == 0 || guaranteed < startObjective) {
+	if guaranteed := s.Objectives.GuaranteedStart(); guaranteed > 0 && s.guaranteesGPUs() &&
+		(startObjective == 0 || guaranteed < startObjective) {
 		startObjective = guaranteed
 	}
 	return startObjective
@@ -84,7 +85,9 @@
 			continue
 		}
 		fetch := micro.FromSeconds(class.MeanImageGB / m.Type.FetchGBPerS)
-		urgent := s.effectiveStartObjective(class)-fetch <= checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS)
+		urgent := s.effectiveStartObjective(class)-fetch <= checkpointTimeFactor*micro.FromSeconds(
+			job.Spec.CheckpointDurationS,
+		)
 		return urgent && fits(requestOn(class.LastJob, m.Type), m, nil, resources{})
 	}
 	return false
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -35,7 +35,8 @@
 		}
 	}
 	// A place in a zone that is not known may be in this one.
-	if job.Spec.Spread && job.AllocationsByZone[zone]+job.AllocationsByZone[""]+tasksByZone[zone]+1 > (len(job.Tasks)+1)/2 {
+	if job.Spec.Spread &&
+		job.AllocationsByZone[zone]+job.AllocationsByZone[""]+tasksByZone[zone]+1 > (len(job.Tasks)+1)/2 {
 		return false
 	}
 	return true
@@ -74,12 +75,14 @@
 			continue
 		}
 		startObjective := s.Objectives.StartObjective(class.Name)
-		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointIntervalS > 0 && (startObjective == 0 || startObjective > checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS))
+		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointIntervalS > 0 &&
+			(startObjective == 0 || startObjective > checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS))
 		if preemptible && !s.isHeadroom(job, machine, class) {
 			continue
 		}
 		gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / spec.GPUs))
-		if gpuTasks > 0 && (machine.Type.CPUs-machine.UsedCPU-job.Spec.CPUs < gpuTasks*spec.CPUs-eps || machine.Type.MemoryGB-machine.UsedMemoryGB-job.Spec.MemoryGB < gpuTasks*spec.MemoryGB-eps) {
+		if gpuTasks > 0 &&
+			(machine.Type.CPUs-machine.UsedCPU-job.Spec.CPUs < gpuTasks*spec.CPUs-eps || machine.Type.MemoryGB-machine.UsedMemoryGB-job.Spec.MemoryGB < gpuTasks*spec.MemoryGB-eps) {
 			return false
 		}
 	}
@@ -120,7 +123,8 @@
 // to spot machines and were lost again, and with them arrays of a hundred tasks
 // were late.
 func (s *Scheduler) prefersOnDemand(job *cluster.Job, i int, now micro.Time) bool {
-	return job.Spec.Spot && job.Spec.CheckpointIntervalS == 0 && (job.Tasks[i].Attempt > 0 || !s.Objectives.CanRunTwice(job, now))
+	return job.Spec.Spot && job.Spec.CheckpointIntervalS == 0 &&
+		(job.Tasks[i].Attempt > 0 || !s.Objectives.CanRunTwice(job, now))
 }
 
 // candidate is the best machine so far.
@@ -163,25 +167,32 @@
 // score 0 last. The score is the same for all machines of a pool, whose rows
 // are in order of room: the first row that has a machine with room holds the
 // pool's tightest fit.
-func (s *Scheduler) bestMachine(job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, limitPrice, preferOnDemand bool, now micro.Time) *cluster.Machine {
+func (s *Scheduler) bestMachine(
+	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string,
+	limitPrice, preferOnDemand bool, now micro.Time,
+) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
 	for _, pool := range s.Cluster.Pools {
 		request := requestOn(&job.Spec, pool.Type)
 		firstRow := int(request.ScaledCPU - eps)
-		if pool.MachineCount == 0 || firstRow >= pool.Rows() || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if pool.MachineCount == 0 || firstRow >= pool.Rows() || zone != "" && pool.Zone != zone ||
+			!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
 		rank := s.rankPool(&job.Spec, pool, preferOnDemand)
 		if best.machine != nil && bestRank.betterThan(rank) {
 			continue
 		}
-		if !ZoneAllowed(job, pool.Zone, tasksByZone) || limitPrice && s.relaxation == relaxNone && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now) {
+		if !ZoneAllowed(job, pool.Zone, tasksByZone) ||
+			limitPrice && s.relaxation == relaxNone && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now) {
 			continue
 		}
 		poolBest := s.tightestFit(job, pool, request, firstRow, planned, now)
 		for machine, taken := range planned { // their rows do not know what the plan took
-			if machine.Type == pool.Type && machine.Zone == pool.Zone && machine.Spot == pool.Spot && s.mayUse(job, machine, now) && fits(request, machine, taken, resources{}) {
+			if machine.Type == pool.Type && machine.Zone == pool.Zone && machine.Spot == pool.Spot &&
+				s.mayUse(job, machine, now) &&
+				fits(request, machine, taken, resources{}) {
 				if contender := s.evaluate(job, machine, request, taken.ScaledCPU); contender.betterThan(&poolBest) {
 					poolBest = contender
 				}
@@ -195,11 +206,17 @@
 }
 
 func (s *Scheduler) evaluate(job *cluster.Job, m *cluster.Machine, request resources, taken float64) candidate {
-	return candidate{m, m.Type.CPUs - m.UsedScaledCPU - taken - request.ScaledCPU, m.HasImage(job.Spec.Image), takesWholeMachine(&job.Spec, m.Type)}
+	return candidate{
+		m, m.Type.CPUs - m.UsedScaledCPU - taken - request.ScaledCPU, m.HasImage(job.Spec.Image),
+		takesWholeMachine(&job.Spec, m.Type),
+	}
 }
 
 // tightestFit finds the machine of a pool with the least room left.
-func (s *Scheduler) tightestFit(job *cluster.Job, pool *cluster.MachinePool, request resources, firstRow int, planned map[*cluster.Machine]*resources, now micro.Time) candidate {
+func (s *Scheduler) tightestFit(
+	job *cluster.Job, pool *cluster.MachinePool, request resources, firstRow int, planned map[*cluster.Machine]*resources,
+	now micro.Time,
+) candidate {
 	var best candidate
 	for row := firstRow; row < pool.Rows(); row++ {
 		machines := pool.Row(row)
@@ -212,7 +229,8 @@
 		for k := range count {
 			machine := machines[(offset+k)%len(machines)]
 			s.MachinesExamined++
-			if !fits(request, machine, nil, resources{}) || len(planned) > 0 && planned[machine] != nil || !s.mayUse(job, machine, now) {
+			if !fits(request, machine, nil, resources{}) || len(planned) > 0 && planned[machine] != nil ||
+				!s.mayUse(job, machine, now) {
 				continue
 			}
 			if contender := s.evaluate(job, machine, request, 0); contender.betterThan(&best) {
@@ -228,7 +246,8 @@
 
 // mayUse reports whether a machine of a suitable pool may take the job's tasks.
 func (s *Scheduler) mayUse(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
-	return s.Cluster.MachineReachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) && (s.relaxation >= relaxReservations || s.keepsGPUHeadroom(job, m))
+	return s.Cluster.MachineReachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) &&
+		(s.relaxation >= relaxReservations || s.keepsGPUHeadroom(job, m))
 }
 
 // excludes reports whether a machine is avoided, or the job failed on it and there
@@ -265,7 +284,8 @@
 // reservedForOther reports whether a machine is kept for another job. Reservations follow
 // one another; room that none of them used for long is open to late work.
 func (s *Scheduler) reservedForOther(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
-	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) && (s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
+	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) &&
+		(s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
 }
 
 // reservationBlocks reports whether a machine reserved for another job is closed to this
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -16,17 +16,26 @@
 
 // NewObjectives reads the settings' objectives.
 func NewObjectives(configured []config.Objective) *Objectives {
-	objectives := &Objectives{startWithin: map[string][]micro.Time{}, finishWithin: map[string][]micro.Time{}, deadlineFactors: map[string][]float64{}}
+	objectives := &Objectives{
+		startWithin: map[string][]micro.Time{}, finishWithin: map[string][]micro.Time{},
+		deadlineFactors: map[string][]float64{},
+	}
 	for _, objective := range configured {
 		switch objective.Kind {
 		case "wait":
-			objectives.startWithin[objective.Class] = append(objectives.startWithin[objective.Class], micro.FromSeconds(objective.WithinS))
+			objectives.startWithin[objective.Class] = append(
+				objectives.startWithin[objective.Class], micro.FromSeconds(objective.WithinS),
+			)
 		case "finished":
-			objectives.finishWithin[objective.Class] = append(objectives.finishWithin[objective.Class], micro.FromSeconds(objective.WithinS))
+			objectives.finishWithin[objective.Class] = append(
+				objectives.finishWithin[objective.Class], micro.FromSeconds(objective.WithinS),
+			)
 		case "guarantee":
 			objectives.guaranteedStart = micro.FromSeconds(objective.WithinS)
 		case "deadline":
-			objectives.deadlineFactors[objective.Class] = append(objectives.deadlineFactors[objective.Class], max(objective.Times, 1))
+			objectives.deadlineFactors[objective.Class] = append(
+				objectives.deadlineFactors[objective.Class], max(objective.Times, 1),
+			)
 		}
 	}
 	return objectives
@@ -46,7 +55,8 @@
 // AppliesTo reports whether any objective says when a job should start or end.
 func (o *Objectives) AppliesTo(job *cluster.Job) bool {
 	class := job.Spec.Class
-	return len(o.startWithin[class]) > 0 || len(o.finishWithin[class]) > 0 || len(o.deadlineFactors[class]) > 0 || job.DeadlineSource != nil
+	return len(o.startWithin[class]) > 0 || len(o.finishWithin[class]) > 0 || len(o.deadlineFactors[class]) > 0 ||
+		job.DeadlineSource != nil
 }
 
 // GuaranteedStart is within how long work within a guarantee should start, 0 if nothing
--- a/internal/scheduler/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -28,8 +28,10 @@
 )
 
 func (r PendingReason) String() string {
-	return [...]string{"in turn", "room for a part", "room kept for GPUs", "dear room", "gathered room", "avoided machines", "unreachable machines",
-		"zone rule", "no room", "limit", "limit saved up", "backoff", "gang winding down"}[r]
+	return [...]string{
+		"in turn", "room for a part", "room kept for GPUs", "dear room", "gathered room", "avoided machines", "unreachable machines",
+		"zone rule", "no room", "limit", "limit saved up", "backoff", "gang winding down",
+	}[r]
 }
 
 // ExplainPending says why a job with tasks to place has not been given room. It looks at the
@@ -68,7 +70,9 @@
 }
 
 // explainMachine says what keeps a job from a machine that has room.
-func (s *Scheduler) explainMachine(job *cluster.Job, pool *cluster.MachinePool, machine *cluster.Machine, now micro.Time) PendingReason {
+func (s *Scheduler) explainMachine(
+	job *cluster.Job, pool *cluster.MachinePool, machine *cluster.Machine, now micro.Time,
+) PendingReason {
 	switch {
 	case !ZoneAllowed(job, pool.Zone, nil):
 		return ReasonZoneConstraint
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -47,7 +47,8 @@
 // expireReservations gives up reservations that are used, over or too old.
 func (s *Scheduler) expireReservations(now micro.Time) {
 	for _, team := range s.Cluster.Teams {
-		if job := team.QuotaReservedFor; job != nil && (job.State != cluster.Active || job.PendingTasks() == 0 || job.AllocationCount > 0 || now-team.QuotaReservedAt > starvationReservationTTL) {
+		if job := team.QuotaReservedFor; job != nil &&
+			(job.State != cluster.Active || job.PendingTasks() == 0 || job.AllocationCount > 0 || now-team.QuotaReservedAt > starvationReservationTTL) {
 			team.QuotaReservedFor, team.QuotaReservableAfter = nil, now+quotaReservationBackoff
 		}
 	}
@@ -56,7 +57,8 @@
 		if machine.StarvationReservation {
 			ttl = starvationReservationTTL
 		}
-		if holder != nil && (holder.State != cluster.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl || !machine.Schedulable(now)) {
+		if holder != nil &&
+			(holder.State != cluster.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl || !machine.Schedulable(now)) {
 			machine.ReservedFor, machine.UnusedReservationEndedAt = nil, now
 		}
 		if machine.ReservedFor == nil {
@@ -149,12 +151,18 @@
 
 // victims finds the machine where making room for one task loses least, among a
 // sample of those that could make it.
-func (s *Scheduler) victims(job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, freed map[*cluster.Machine]*resources, chosen map[*cluster.Allocation]bool, zone string, now micro.Time) (*cluster.Machine, []*cluster.Allocation) {
+func (s *Scheduler) victims(
+	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int,
+	freed map[*cluster.Machine]*resources, chosen map[*cluster.Allocation]bool, zone string, now micro.Time,
+) (*cluster.Machine, []*cluster.Allocation) {
 	var best *cluster.Machine
 	var bestVictims []*cluster.Allocation
 	bestCost, examined := 0.0, 0
 	for _, pool := range s.Cluster.Pools {
-		if pool.MachineCount == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, tasksByZone) || s.rejectsPrice(job, pool, now) {
+		if pool.MachineCount == 0 || zone != "" && pool.Zone != zone ||
+			!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) ||
+			!ZoneAllowed(job, pool.Zone, tasksByZone) ||
+			s.rejectsPrice(job, pool, now) {
 			continue
 		}
 		request := requestOn(&job.Spec, pool.Type)
@@ -164,7 +172,11 @@
 				if examined >= victimSample {
 					return best, bestVictims
 				}
-				if !fits(request, machine, planned[machine], machine.Preemptible(job.PriorityLevel)) || machine.ReservedFor != nil && machine.ReservedFor != job || machine.QuarantinedUntil > now || !s.Cluster.MachineReachable(machine) || job.FailedOn[machine.Name] {
+				if !fits(request, machine, planned[machine], machine.Preemptible(job.PriorityLevel)) ||
+					machine.ReservedFor != nil && machine.ReservedFor != job ||
+					machine.QuarantinedUntil > now ||
+					!s.Cluster.MachineReachable(machine) ||
+					job.FailedOn[machine.Name] {
 					continue
 				}
 				if fits(request, machine, planned[machine], resources{}) && !s.mayUse(job, machine, now) {
@@ -185,11 +197,15 @@
 // is cleared. Machines that stood empty were reserved for such jobs, again and
 // again, and closed to all others.
 func (s *Scheduler) rejectsPrice(job *cluster.Job, pool *cluster.MachinePool, now micro.Time) bool {
-	return (job.PriorityLevel > 0 || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now)
+	return (job.PriorityLevel > 0 || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil &&
+		!s.WithinPrice(job, pool.Type, pool.Spot, now)
 }
 
 // victimsOn lists what must go from a machine for a task to fit.
-func (s *Scheduler) victimsOn(job *cluster.Job, machine *cluster.Machine, request resources, planned, freed *resources, chosen map[*cluster.Allocation]bool, now micro.Time) (victims []*cluster.Allocation, cost float64, ok bool) {
+func (s *Scheduler) victimsOn(
+	job *cluster.Job, machine *cluster.Machine, request resources, planned, freed *resources,
+	chosen map[*cluster.Allocation]bool, now micro.Time,
+) (victims []*cluster.Allocation, cost float64, ok bool) {
 	var freedTotal resources
 	if freed != nil {
 		freedTotal = *freed
--- a/internal/scheduler/relaxation.go
+++ b/internal/scheduler/relaxation.go
@@ -31,7 +31,9 @@
 // fallbackMachine chooses a machine for a late job's task once nothing was found by the
 // ordinary rules. It looks at all machines: samples may miss the only one with
 // room.
-func (s *Scheduler) fallbackMachine(job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time) *cluster.Machine {
+func (s *Scheduler) fallbackMachine(
+	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time,
+) *cluster.Machine {
 	sampling := s.sampling
 	defer func() { s.relaxation, s.sampling = relaxNone, sampling }()
 	s.sampling = false
--- a/internal/scheduler/relaxation_test.go
+++ b/internal/scheduler/relaxation_test.go
@@ -23,9 +23,19 @@
 
 func newTestCluster(t *testing.T) *testCluster {
 	state := cluster.New(discardEffects{})
-	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 64}}})
+	state.SetCatalog(
+		&wire.Catalog{
+			Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 64}},
+		},
+	)
 	properties := config.Defaults()
-	return &testCluster{t, state, &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}}
+	return &testCluster{
+		t,
+		state,
+		&Scheduler{
+			Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
+		},
+	}
 }
 
 func (tc *testCluster) addMachine(name, typ, zone string) *cluster.Machine {
@@ -37,12 +47,20 @@
 
 // submitArray submits a job at a time.
 func (tc *testCluster) submitArray(id string, tasks int, cpus float64, at micro.Time) *cluster.Job {
-	return tc.cluster.AddJob(wire.Job{ID: id, Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateS: 10}, at, at)
+	return tc.cluster.AddJob(
+		wire.Job{
+			ID: id, Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1, EstimateS: 10,
+		},
+		at,
+		at,
+	)
 }
 
 // runUntilAllocated lets passes go by, one a second, and says when the job had so many
 // places, and where the first is.
-func (tc *testCluster) runUntilAllocated(job *cluster.Job, want int, from micro.Time, each func(now micro.Time)) (micro.Time, string) {
+func (tc *testCluster) runUntilAllocated(
+	job *cluster.Job, want int, from micro.Time, each func(now micro.Time),
+) (micro.Time, string) {
 	tc.Helper()
 	for now := from; now < from+20*micro.Minute; now += micro.Second {
 		if each != nil {
@@ -80,7 +98,9 @@
 		tc := newTestCluster(t)
 		tc.addMachine("gpu-1", "gpu", "a")
 		tc.scheduler.WithinPrice = func(*cluster.Job, *cluster.MachineType, bool, micro.Time) bool { return false }
-		job := tc.cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: 2, CPUs: 1}, micro.Second, micro.Second)
+		job := tc.cluster.AddJob(
+			wire.Job{ID: "j-1", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: 2, CPUs: 1}, micro.Second, micro.Second,
+		)
 		at, _ := tc.runUntilAllocated(job, 2, micro.Second, nil)
 		tc.checkOverdueWait("dear room, "+string(kind), at-micro.Second)
 	}
@@ -95,7 +115,9 @@
 	fail(micro.Second)
 	tc.addMachine("gpu-1", "gpu", "a")
 	tc.scheduler.WithinPrice = func(_ *cluster.Job, typ *cluster.MachineType, _ bool, _ micro.Time) bool { return typ.GPUs == 0 }
-	if _, machineName := tc.runUntilAllocated(tc.submitArray("j-1", 1, 4, micro.Second), 1, micro.Second, nil); machineName != "gpu-1" {
+	if _, machineName := tc.runUntilAllocated(
+		tc.submitArray("j-1", 1, 4, micro.Second), 1, micro.Second, nil,
+	); machineName != "gpu-1" {
 		t.Fatalf("on %s, though other room was left", machineName)
 	}
 	tc.submitArray("j-2", 1, 4, micro.Second)
@@ -110,7 +132,8 @@
 			fail(now) // once more: the next try counts from here
 		}
 	})
-	if took := at - 3*micro.Minute - 20*micro.Second; machineName != "i-1" || took < overdueAfter || took > maxOverdueWait {
+	if took := at - 3*micro.Minute - 20*micro.Second; machineName != "i-1" || took < overdueAfter ||
+		took > maxOverdueWait {
 		t.Fatalf("on %s %v s after it last failed", machineName, took.Seconds())
 	}
 	if !job.Allocations()[0].LastResort {
@@ -150,7 +173,10 @@
 	}
 	tc.submitArray("j-1", 1, 4, 0)
 	tc.scheduler.Schedule(micro.Second) // one machine is busy for good
-	tc.cluster.AddJob(wire.Job{ID: "j-2", Class: "g", Kind: wire.Gang, Priority: wire.Normal, Tasks: 3, CPUs: 4, OneZone: true}, micro.Second, micro.Second)
+	tc.cluster.AddJob(
+		wire.Job{ID: "j-2", Class: "g", Kind: wire.Gang, Priority: wire.Normal, Tasks: 3, CPUs: 4, OneZone: true},
+		micro.Second, micro.Second,
+	)
 	from := 3 * micro.Minute
 	for now := micro.Second; now < from; now += micro.Second {
 		tc.scheduler.Schedule(now)
@@ -179,7 +205,9 @@
 		tc.addMachine("i-"+strconv.Itoa(1+i), "small", "a")
 	}
 	submit := func(id string, kind wire.JobKind, tasks int, at micro.Time) *cluster.Job {
-		return tc.cluster.AddJob(wire.Job{ID: id, Team: "team", Class: id, Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: 4}, at, at)
+		return tc.cluster.AddJob(
+			wire.Job{ID: id, Team: "team", Class: id, Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: 4}, at, at,
+		)
 	}
 	submit("j-1", wire.Service, 1, 0)
 	tc.scheduler.Schedule(micro.Second) // half of the limit, for good
@@ -206,7 +234,9 @@
 	tc.addMachine("i-1", "small", "a")
 	tc.addMachine("i-2", "small", "b")
 	gang := func(id string, oneZone bool) *cluster.Job {
-		return tc.cluster.AddJob(wire.Job{ID: id, Class: "c", Kind: wire.Gang, Priority: wire.Normal, Tasks: 2, CPUs: 4, OneZone: oneZone}, 0, 0)
+		return tc.cluster.AddJob(
+			wire.Job{ID: id, Class: "c", Kind: wire.Gang, Priority: wire.Normal, Tasks: 2, CPUs: 4, OneZone: oneZone}, 0, 0,
+		)
 	}
 	gang("j-1", true)
 	job := gang("j-2", false)
@@ -222,7 +252,13 @@
 	tc.addMachine("gpu-1", "gpu", "a")
 	tc.scheduler.WithinPrice = func(*cluster.Job, *cluster.MachineType, bool, micro.Time) bool { return false }
 	due := 500.0
-	tc.cluster.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, DeadlineS: &due}, 60*micro.Second, 60*micro.Second) // before the other in each pass
+	tc.cluster.AddJob(
+		wire.Job{
+			ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, DeadlineS: &due,
+		},
+		60*micro.Second,
+		60*micro.Second,
+	) // before the other in each pass
 	job := tc.submitArray("j-2", 1, 1, 10*micro.Second)
 	tc.scheduler.Schedule(70 * micro.Second)
 	if job.AllocationCount != 1 {
@@ -325,7 +361,8 @@
 			}
 		}
 		wait := all - first
-		if first-micro.Second != overdueAfter || !fails && (wait < probationPeriod || all > maxOverdueWait) || fails && wait != overdueAfter {
+		if first-micro.Second != overdueAfter || !fails && (wait < probationPeriod || all > maxOverdueWait) ||
+			fails && wait != overdueAfter {
 			t.Errorf("fails %v: tried at %v s, again %v s after", fails, first.Seconds(), wait.Seconds())
 		}
 	}
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -29,10 +29,14 @@
 		state.DescribeMachine(m, "small", "a", false)
 		state.TransitionMachine(m, cluster.Up, "reports")
 	}
-	job := state.AddJob(wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0)
+	job := state.AddJob(
+		wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0,
+	)
 	job.DoneTasks = 1 // it is known not to fail everywhere, see model.Job.Openings
 	properties := config.Defaults()
-	return &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
+	return &Scheduler{
+		Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
+	}
 }
 
 func TestSamplingUnderOverloadStillFillsTheMachines(t *testing.T) {
@@ -62,7 +66,10 @@
 	for _, machine := range scheduler.Cluster.SortedMachines() {
 		pool := &cluster.MachinePool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 		request := requestOn(&job.Spec, machine.Type)
-		if !machine.Schedulable(now) || !Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) || !ZoneAllowed(job, machine.Zone, nil) || !fits(request, machine, nil, resources{}) || !scheduler.mayUse(job, machine, now) {
+		if !machine.Schedulable(now) || !Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) ||
+			!ZoneAllowed(job, machine.Zone, nil) ||
+			!fits(request, machine, nil, resources{}) ||
+			!scheduler.mayUse(job, machine, now) {
 			continue
 		}
 		contender, rank := scheduler.evaluate(job, machine, request, 0), scheduler.rankPool(&job.Spec, pool, false)
@@ -80,10 +87,15 @@
 		rng := rand.New(rand.NewPCG(seed, 7))
 		state := cluster.New(discardEffects{})
 		state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
-			{Name: "small", CPUs: 4, MemoryGB: 16}, {Name: "large", CPUs: 32, MemoryGB: 100}, {Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 1}}})
+			{Name: "small", CPUs: 4, MemoryGB: 16},
+			{Name: "large", CPUs: 32, MemoryGB: 100},
+			{Name: "gpu", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 1},
+		}})
 		state.Types["large"].SpeedFactor, state.Types["gpu"].SpeedFactor = 0.5+rng.Float64(), 0.5+rng.Float64()
 		names := []string{"small", "large", "gpu"}
-		images, index := cluster.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{0}
+		images, index := cluster.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{
+			0,
+		}
 		for i := range 60 {
 			machine := state.EnsureMachine("i-"+strconv.Itoa(100+i), 1)
 			state.DescribeMachine(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
@@ -99,8 +111,11 @@
 		found := 0
 		for step := range 400 {
 			now := micro.Time(step) * micro.Second
-			spec := wire.Job{ID: "j-" + strconv.Itoa(step), Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: float64(1+rng.IntN(60)) / 10,
-				MemoryGB: float64(rng.IntN(200)) / 10, Image: "image", ImageGB: float64(rng.IntN(9)), Spot: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0}
+			spec := wire.Job{
+				ID: "j-" + strconv.Itoa(step), Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1,
+				CPUs: float64(1+rng.IntN(60)) / 10, MemoryGB: float64(rng.IntN(200)) / 10, Image: "image",
+				ImageGB: float64(rng.IntN(9)), Spot: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0,
+			}
 			if rng.IntN(4) == 0 {
 				spec.GPUs = float64(1 + rng.IntN(4))
 			}
@@ -111,7 +126,9 @@
 			}
 			if got != nil {
 				found++
-				allocations = append(allocations, state.Allocate(job, 0, got, 1, ScaledCPUs(spec.CPUs, got.Type.SpeedFactor, got.Type.CPUs), now))
+				allocations = append(
+					allocations, state.Allocate(job, 0, got, 1, ScaledCPUs(spec.CPUs, got.Type.SpeedFactor, got.Type.CPUs), now),
+				)
 			}
 			if len(allocations) > 0 && rng.IntN(3) == 0 {
 				released := rng.IntN(len(allocations))
@@ -119,7 +136,11 @@
 				allocations = append(allocations[:released], allocations[released+1:]...)
 			}
 			if machine := state.SortedMachines()[rng.IntN(60)]; rng.IntN(5) == 0 {
-				state.TransitionMachine(machine, map[cluster.MachineState]cluster.MachineState{cluster.Up: cluster.Suspect, cluster.Suspect: cluster.Up}[machine.State], "test")
+				state.TransitionMachine(
+					machine,
+					map[cluster.MachineState]cluster.MachineState{cluster.Up: cluster.Suspect, cluster.Suspect: cluster.Up}[machine.State],
+					"test",
+				)
 			}
 		}
 		if found < 50 {
@@ -155,12 +176,22 @@
 		state.TransitionMachine(machine, cluster.Up, "reports")
 	}
 	properties := config.Defaults()
-	scheduler := &Scheduler{Cluster: state, Objectives: NewObjectives([]config.Objective{{Kind: "finished", Class: "c", WithinS: 250}}), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}
+	scheduler := &Scheduler{
+		Cluster: state, Objectives: NewObjectives([]config.Objective{{Kind: "finished", Class: "c", WithinS: 250}}),
+		Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
+	}
 	now := 1000 * micro.Second
 	jobCount := 0
 	countOnSpot := func(estimate, checkpoint float64, attempts uint32, submitted micro.Time) int {
 		jobCount++
-		job := state.AddJob(wire.Job{ID: "j-" + strconv.Itoa(jobCount), Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 5, CPUs: 1, Spot: true, EstimateS: estimate, CheckpointIntervalS: checkpoint}, submitted, submitted)
+		job := state.AddJob(
+			wire.Job{
+				ID: "j-" + strconv.Itoa(jobCount), Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 5, CPUs: 1,
+				Spot: true, EstimateS: estimate, CheckpointIntervalS: checkpoint,
+			},
+			submitted,
+			submitted,
+		)
 		for i := range job.Tasks {
 			job.Tasks[i].Attempt = attempts
 		}
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -30,7 +30,10 @@
 	var images map[string]bool
 	for job := range s.Cluster.PendingJobs {
 		waiting += job.PendingTasks()
-		entry := queuedJob{job: job, canStartInTime: true, withinGuarantee: job.WithinGuarantee, latestStart: s.Objectives.LatestStart(job, now)}
+		entry := queuedJob{
+			job: job, canStartInTime: true, withinGuarantee: job.WithinGuarantee,
+			latestStart: s.Objectives.LatestStart(job, now),
+		}
 		if startObjective := overloaded[job.Class]; startObjective > 0 {
 			entry.latestStart = EstimatedRuntime(job)
 			if images == nil {
@@ -41,7 +44,8 @@
 			}
 			entry.latestStart = now + entry.latestStart*micro.Time(len(job.Tasks))
 			entry.canStartInTime = now <= job.EligibleSince+startObjective
-			entry.withinGuarantee = entry.withinGuarantee && (s.Objectives.guaranteedStart == 0 || now <= job.EligibleSince+s.Objectives.guaranteedStart)
+			entry.withinGuarantee = entry.withinGuarantee &&
+				(s.Objectives.guaranteedStart == 0 || now <= job.EligibleSince+s.Objectives.guaranteedStart)
 		}
 		queue = append(queue, entry)
 	}
@@ -168,7 +172,10 @@
 
 func unschedulableKeyOf(job *cluster.Job, overdue bool) (unschedulableKey, unschedulableRequest) {
 	spec := &job.Spec
-	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointIntervalS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.PriorityLevel}
+	key := unschedulableKey{
+		class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointIntervalS > 0, gpu: spec.GPUs > 0, overdue: overdue,
+		oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.PriorityLevel,
+	}
 	if spec.Zone != nil {
 		key.zone = *spec.Zone
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,7 +36,9 @@
 type resources = cluster.Resources
 
 func requestOn(spec *wire.Job, t *cluster.MachineType) resources {
-	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: ScaledCPUs(spec.CPUs, t.SpeedFactor, t.CPUs)}
+	return resources{
+		CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: ScaledCPUs(spec.CPUs, t.SpeedFactor, t.CPUs),
+	}
 }
 
 func (u unschedulable) add(job *cluster.Job, overdue bool) {
@@ -93,7 +95,8 @@
 	if team == nil {
 		return true
 	}
-	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > 0 && (holder.Spec.GPUs > 0 && job.Spec.GPUs > 0 || team.CPULimit > 0) {
+	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > 0 &&
+		(holder.Spec.GPUs > 0 && job.Spec.GPUs > 0 || team.CPULimit > 0) {
 		return false
 	}
 	return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, tasks)
@@ -116,8 +119,11 @@
 		job.Team.LastPlacedAt = now
 	}
 	if s.Cluster.Verbose {
-		s.Cluster.Log("place", "task", wire.TaskName(job.Spec.ID, i), "try", attempt, "machine", machine.Name,
-			"score", Score(job.Spec.CPUs, machine.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2), "room_left", machine.Type.CPUs-machine.UsedScaledCPU)
+		s.Cluster.Log(
+			"place", "task", wire.TaskName(job.Spec.ID, i), "try", attempt, "machine", machine.Name, "score",
+			Score(job.Spec.CPUs, machine.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2), "room_left",
+			machine.Type.CPUs-machine.UsedScaledCPU,
+		)
 	}
 }
 
@@ -159,7 +165,9 @@
 }
 
 // machinesForGang chooses machines for n tasks at once, in one of the zones.
-func (s *Scheduler) machinesForGang(job *cluster.Job, count int, zones []string, overdue bool, now micro.Time) []*cluster.Machine {
+func (s *Scheduler) machinesForGang(
+	job *cluster.Job, count int, zones []string, overdue bool, now micro.Time,
+) []*cluster.Machine {
 	for _, zone := range zones {
 		planned, tasksByZone := map[*cluster.Machine]*resources{}, map[string]int{}
 		chosen := make([]*cluster.Machine, 0, count)
@@ -189,7 +197,8 @@
 	var zones []string
 	seen := map[string]bool{}
 	for _, pool := range s.Cluster.Pools {
-		if pool.MachineCount > 0 && pool.Zone != "" && !seen[pool.Zone] && Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if pool.MachineCount > 0 && pool.Zone != "" && !seen[pool.Zone] &&
+			Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
 			seen[pool.Zone] = true
 			zones = append(zones, pool.Zone)
 		}
@@ -198,7 +207,9 @@
 	return zones
 }
 
-func (s *Scheduler) planAllocation(planned map[*cluster.Machine]*resources, tasksByZone map[string]int, job *cluster.Job, m *cluster.Machine) {
+func (s *Scheduler) planAllocation(
+	planned map[*cluster.Machine]*resources, tasksByZone map[string]int, job *cluster.Job, m *cluster.Machine,
+) {
 	taken := planned[m]
 	if taken == nil {
 		taken = &resources{}
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -33,7 +33,8 @@
 		return false
 	}
 	since := now - s.Properties.StarvationAfter/2
-	return s.amongLargest(job) && !job.Started || job.Class.LastPlacedAt < since || job.Team != nil && job.Team.LastPlacedAt < since
+	return s.amongLargest(job) && !job.Started || job.Class.LastPlacedAt < since ||
+		job.Team != nil && job.Team.LastPlacedAt < since
 }
 
 // zoneReservation is a job that room is gathered for: machines of a zone as they come
@@ -58,19 +59,23 @@
 		jobs = append(jobs, job)
 	}
 	sort.Slice(jobs, func(a, b int) bool {
-		return s.reservations[jobs[a]].since < s.reservations[jobs[b]].since || s.reservations[jobs[a]].since == s.reservations[jobs[b]].since && jobs[a].Spec.ID < jobs[b].Spec.ID
+		return s.reservations[jobs[a]].since < s.reservations[jobs[b]].since ||
+			s.reservations[jobs[a]].since == s.reservations[jobs[b]].since && jobs[a].Spec.ID < jobs[b].Spec.ID
 	})
 	for _, job := range jobs {
 		reservation := s.reservations[job]
 		missing := minAllocations(job) - s.countReserved(job)
 		for _, pool := range s.Cluster.Pools {
-			if missing <= 0 || pool.MachineCount == 0 || reservation.zone != "" && pool.Zone != reservation.zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
+			if missing <= 0 || pool.MachineCount == 0 || reservation.zone != "" && pool.Zone != reservation.zone ||
+				!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) ||
+				!ZoneAllowed(job, pool.Zone, nil) {
 				continue
 			}
 			request := requestOn(&job.Spec, pool.Type)
 			for row := int(request.ScaledCPU - eps); row < pool.Rows() && missing > 0; row++ {
 				for _, machine := range pool.Row(row) {
-					if missing > 0 && machine.ReservedFor == nil && fits(request, machine, nil, resources{}) && s.mayUse(job, machine, now) {
+					if missing > 0 && machine.ReservedFor == nil && fits(request, machine, nil, resources{}) &&
+						s.mayUse(job, machine, now) {
 						s.reserveMachine(machine, job, true, now)
 						missing--
 					}
@@ -184,11 +189,15 @@
 	}
 	var next *cluster.Job
 	for job := range s.Cluster.PendingJobs {
-		if job.Class != previous.Class || job.Team != previous.Team || job.Spec.Kind == wire.Gang || job.Started || job.AllocationCount > 0 || job.InBackoff(now) || s.countReserved(job) > 0 ||
+		if job.Class != previous.Class || job.Team != previous.Team || job.Spec.Kind == wire.Gang || job.Started ||
+			job.AllocationCount > 0 ||
+			job.InBackoff(now) ||
+			s.countReserved(job) > 0 ||
 			!Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) {
 			continue
 		}
-		if next == nil || job.EligibleSince < next.EligibleSince || job.EligibleSince == next.EligibleSince && job.Spec.ID < next.Spec.ID {
+		if next == nil || job.EligibleSince < next.EligibleSince ||
+			job.EligibleSince == next.EligibleSince && job.Spec.ID < next.Spec.ID {
 			next = job
 		}
 	}
@@ -233,13 +242,16 @@
 	for _, zone := range s.candidateZones(job) {
 		var options []spot
 		for _, pool := range s.Cluster.Pools {
-			if pool.MachineCount == 0 || zone != "" && pool.Zone != zone || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) || !ZoneAllowed(job, pool.Zone, nil) {
+			if pool.MachineCount == 0 || zone != "" && pool.Zone != zone ||
+				!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) ||
+				!ZoneAllowed(job, pool.Zone, nil) {
 				continue
 			}
 			request := requestOn(&job.Spec, pool.Type)
 			for row := range pool.Rows() {
 				for _, machine := range pool.Row(row) {
-					if machine.ReservedFor != nil || machine.QuarantinedUntil > now || !s.Cluster.MachineReachable(machine) || job.FailedOn[machine.Name] {
+					if machine.ReservedFor != nil || machine.QuarantinedUntil > now || !s.Cluster.MachineReachable(machine) ||
+						job.FailedOn[machine.Name] {
 						continue
 					}
 					if at, count := s.freeAt(request, machine, now); count > 0 {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -30,12 +30,22 @@
 	}
 	state.Teams["team"] = &cluster.Team{Name: "team", GPULimit: float64(4 * machines)}
 	properties := config.Defaults()
-	return &contendedCluster{t: t, cluster: state, scheduler: &Scheduler{Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2))}, startedAt: map[*cluster.Job]micro.Time{}}
+	return &contendedCluster{
+		t:       t,
+		cluster: state,
+		scheduler: &Scheduler{
+			Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
+		},
+		startedAt: map[*cluster.Job]micro.Time{},
+	}
 }
 
 func (cc *contendedCluster) submit(kind wire.JobKind, priority wire.Priority, tasks int, now micro.Time) *cluster.Job {
 	cc.submitted++
-	spec := wire.Job{ID: "j-" + strconv.Itoa(cc.submitted), Team: "team", Class: "c" + string(priority), Kind: kind, Priority: priority, Tasks: tasks, CPUs: 8, EstimateS: 4, OneZone: kind == wire.Gang}
+	spec := wire.Job{
+		ID: "j-" + strconv.Itoa(cc.submitted), Team: "team", Class: "c" + string(priority), Kind: kind, Priority: priority,
+		Tasks: tasks, CPUs: 8, EstimateS: 4, OneZone: kind == wire.Gang,
+	}
 	if kind == wire.Gang {
 		spec.GPUs = 4
 	}
@@ -116,7 +126,9 @@
 // just too late: most start in time if the shortest come first.
 func TestOverloadedClassStartsTheShortestFirst(t *testing.T) {
 	contended := newContendedCluster(t, 4)
-	contended.scheduler.Objectives = NewObjectives([]config.Objective{{Kind: "wait", Class: "c" + string(wire.High), WithinS: 60}})
+	contended.scheduler.Objectives = NewObjectives(
+		[]config.Objective{{Kind: "wait", Class: "c" + string(wire.High), WithinS: 60}},
+	)
 	var jobs []*cluster.Job
 	for i := range 12 {
 		job := contended.submit(wire.Gang, wire.High, 1, micro.Time(i)*micro.Second)
--- a/internal/shard/loopback_test.go
+++ b/internal/shard/loopback_test.go
@@ -93,7 +93,9 @@
 		for _, first := range firsts {
 			span := spans[first]
 			if span.first < latest || len(span.node) > len("n-0") {
-				overlaps = append(overlaps, fmt.Sprintf("%s: %s began at %v, another answered until %v", name, span.node, span.first, latest))
+				overlaps = append(
+					overlaps, fmt.Sprintf("%s: %s began at %v, another answered until %v", name, span.node, span.first, latest),
+				)
 			}
 			latest = max(latest, span.last)
 		}
@@ -161,11 +163,15 @@
 
 func newLoopbackCluster(t *testing.T, ctx context.Context) *loopbackCluster {
 	t.Helper()
-	loopback := &loopbackCluster{t: t, backing: fake.NewStore(), controllers: map[string]*loopbackController{}, addrs: map[string]string{}}
+	loopback := &loopbackCluster{
+		t: t, backing: fake.NewStore(), controllers: map[string]*loopbackController{}, addrs: map[string]string{},
+	}
 	loopback.audit.byShard = map[string]map[uint64]*ownershipSpan{}
 	loopback.storeAddr = loopback.listen(loopback.backing.Handle)
 	for _, name := range controllers {
-		controller := &loopbackController{name: name, cluster: loopback, store: &faultyStore{Store: store.NewClient(loopback.storeAddr, 1e6, 1e6)}}
+		controller := &loopbackController{
+			name: name, cluster: loopback, store: &faultyStore{Store: store.NewClient(loopback.storeAddr, 1e6, 1e6)},
+		}
 		loopback.controllers[name] = controller
 		loopback.addrs[name] = loopback.listen(controller.handleHeartbeat)
 		controller.start(ctx)
@@ -194,10 +200,11 @@
 func (c *loopbackController) start(ctx context.Context) {
 	ctx, c.stop = context.WithCancel(ctx)
 	c.owners, c.term = map[string]*shard.Owner{}, nil
-	campaign := &election.Election{Key: shard.SessionKey(c.name), Node: c.name, Nonce: fmt.Sprint(rand.Uint64()), Store: c.store,
+	campaign := &election.Election{
+		Key: shard.SessionKey(c.name), Node: c.name, Nonce: fmt.Sprint(rand.Uint64()), Store: c.store,
 		TTL: loopbackSessionTTL, RenewInterval: loopbackSessionTTL / 5, Log: discard, Now: micro.Now,
-		OnStartedLeading: func(t *election.Term) { c.setSession(ctx, t) },
-		OnStoppedLeading: func(*election.Term) {}}
+		OnStartedLeading: func(t *election.Term) { c.setSession(ctx, t) }, OnStoppedLeading: func(*election.Term) {},
+	}
 	go func() { _ = campaign.Run(ctx) }()
 	go func() {
 		for ctx.Err() == nil {
@@ -256,7 +263,9 @@
 }
 
 // observe takes in a record, and tells what to send for it.
-func (c *loopbackController) observe(ctx context.Context, entry shard.Entry) (txn wire.Transaction, shouldSend, resolving bool) {
+func (c *loopbackController) observe(
+	ctx context.Context, entry shard.Entry,
+) (txn wire.Transaction, shouldSend, resolving bool) {
 	if ctx.Err() != nil || c.frozen || c.term == nil {
 		return txn, false, false
 	}
@@ -297,7 +306,9 @@
 		return
 	}
 	c.cluster.audit.add(heartbeat.Zone, responseRecord{owner.FirstFencingToken(), c.name, now})
-	ctx.SetBody(wire.MustMarshal(wire.Commands{FencingToken: wire.Count(owner.FirstFencingToken()), Items: []wire.Command{}}))
+	ctx.SetBody(
+		wire.MustMarshal(wire.Commands{FencingToken: wire.Count(owner.FirstFencingToken()), Items: []wire.Command{}}),
+	)
 }
 
 func readShards(ctx context.Context, s store.Store) ([]shard.Entry, error) {
@@ -327,7 +338,8 @@
 		sent := micro.Now()
 		request.SetBody(wire.MustMarshal(agent.Heartbeat()))
 		var commands wire.Commands
-		if fasthttp.DoTimeout(request, response, time.Second) == nil && response.StatusCode() == 200 && wire.Unmarshal(response.Body(), &commands) == nil {
+		if fasthttp.DoTimeout(request, response, time.Second) == nil && response.StatusCode() == 200 &&
+			wire.Unmarshal(response.Body(), &commands) == nil {
 			agent.HandleResponse(commands, sent)
 		}
 		if response.StatusCode() != 200 || rand.IntN(4) == 0 {
@@ -435,7 +447,9 @@
 		name := fmt.Sprintf("zone-%d", i)
 		record := shard.NewRecord(shard.Selector{Zone: name}, nil, 0)
 		record.State = shard.Owned // by nobody: the leader gives it to the first that is there
-		if _, err := loopback.backing.Commit(ctx, store.Urgent, wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(name), Value: record}}}); err != nil {
+		if _, err := loopback.backing.Commit(
+			ctx, store.Urgent, wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(name), Value: record}}},
+		); err != nil {
 			t.Fatal(err)
 		}
 		for agent := range loopbackAgentsPerShard {
@@ -447,7 +461,11 @@
 	cancel()
 	slices.Sort(durations)
 	if len(durations) > 0 {
-		t.Logf("%d moves and take-overs: median %v us, 95%% %v us, longest %v us; %d leases ran out", done, durations[len(durations)/2], durations[len(durations)*95/100], durations[len(durations)-1], loopback.audit.expiredLeases.Load())
+		t.Logf(
+			"%d moves and take-overs: median %v us, 95%% %v us, longest %v us; %d leases ran out", done,
+			durations[len(durations)/2], durations[len(durations)*95/100], durations[len(durations)-1],
+			loopback.audit.expiredLeases.Load(),
+		)
 	}
 	return done, loopback.audit.overlappingOwners(), loopback.revisionsWithoutOwner(t)
 }
@@ -476,7 +494,9 @@
 		t.Errorf("%d of %d moves", done, *loopbackMoves)
 	}
 	if len(overlaps) > 0 || withoutOwner > 0 {
-		t.Errorf("%d times two owners, %d revisions without one: %v", len(overlaps), withoutOwner, overlaps[:min(len(overlaps), 5)])
+		t.Errorf(
+			"%d times two owners, %d revisions without one: %v", len(overlaps), withoutOwner, overlaps[:min(len(overlaps), 5)],
+		)
 	}
 }
 
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -64,7 +64,10 @@
 func (o *Owner) transition(to OwnerState, reason string) {
 	for _, s := range ownerTransitions[o.state] {
 		if s == to {
-			o.log("share owner", "share", o.entry.Name, "was", o.state.String(), "is", to.String(), "why", reason, "version", o.entry.Version)
+			o.log(
+				"share owner", "share", o.entry.Name, "was", o.state.String(), "is", to.String(), "why", reason, "version",
+				o.entry.Version,
+			)
 			o.state = to
 			return
 		}
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -17,7 +17,12 @@
 	controller := sim.controllers["n-0"]
 	sim.refresh(controller)
 	put := func(key string) error {
-		_, err := sim.commit(wire.Transaction{If: append(controller.owner.Preconditions(), wire.Precondition{Key: key}), Then: []wire.Change{{Put: key, Value: "i-1"}}})
+		_, err := sim.commit(
+			wire.Transaction{
+				If:   append(controller.owner.Preconditions(), wire.Precondition{Key: key}),
+				Then: []wire.Change{{Put: key, Value: "i-1"}},
+			},
+		)
 		return err
 	}
 	if err := put(shard.AllocationKey(shardName, "j-1", 0)); err != nil {
@@ -84,8 +89,11 @@
 		s       shard.Selector
 		matches bool
 	}{
-		{shard.Selector{Type: "t"}, true}, {shard.Selector{Type: "u"}, false}, {shard.Selector{Zone: "z", Kind: shard.SpotOnly}, true},
-		{shard.Selector{Kind: shard.OnDemandOnly}, false}, {shard.Selector{Type: "t", Zone: "y"}, false},
+		{shard.Selector{Type: "t"}, true},
+		{shard.Selector{Type: "u"}, false},
+		{shard.Selector{Zone: "z", Kind: shard.SpotOnly}, true},
+		{shard.Selector{Kind: shard.OnDemandOnly}, false},
+		{shard.Selector{Type: "t", Zone: "y"}, false},
 	} {
 		if c.s.Matches(machine) != c.matches {
 			t.Errorf("%v matches: %v", c.s, !c.matches)
--- a/internal/shard/property_test.go
+++ b/internal/shard/property_test.go
@@ -76,7 +76,10 @@
 }
 
 func newSimulation(fail func(string, ...any), draw func([]string) string) *simulation {
-	sim := &simulation{fail: fail, draw: draw, now: micro.Minute, store: fake.NewStore(), controllers: map[string]*simulatedController{}, machines: map[string]*fake.Agent{}, machinesByTask: map[string]map[string]bool{}}
+	sim := &simulation{
+		fail: fail, draw: draw, now: micro.Minute, store: fake.NewStore(), controllers: map[string]*simulatedController{},
+		machines: map[string]*fake.Agent{}, machinesByTask: map[string]map[string]bool{},
+	}
 	sim.store.Now = func() micro.Time { return sim.now }
 	for _, m := range []string{"i-1", "i-2"} {
 		sim.machines[m] = fake.NewAgent(m, "small", "a", 30*micro.Second)
@@ -107,14 +110,18 @@
 	if err != nil {
 		s.fail("%v", err)
 	}
-	version, err := s.commit(wire.Transaction{If: []wire.Precondition{{Key: shard.SessionKey(node)}},
-		Then: []wire.Change{{Put: shard.SessionKey(node), Value: node, Lease: wire.Count(lease)}}})
+	version, err := s.commit(wire.Transaction{
+		If:   []wire.Precondition{{Key: shard.SessionKey(node)}},
+		Then: []wire.Change{{Put: shard.SessionKey(node), Value: node, Lease: wire.Count(lease)}},
+	})
 	if err != nil {
 		s.fail("%v", err)
 	}
 	until := sent + sessionTTL - sessionMargin
-	s.controllers[node] = &simulatedController{self: shard.Controller{Node: node, SessionVersion: wire.Count(version)}, lease: lease, sessionUntil: until,
-		session: election.NewTermForKey(shard.SessionKey(node), version, until)}
+	s.controllers[node] = &simulatedController{
+		self: shard.Controller{Node: node, SessionVersion: wire.Count(version)}, lease: lease, sessionUntil: until,
+		session: election.NewTermForKey(shard.SessionKey(node), version, until),
+	}
 }
 
 // renew renews a session if it is still there.
@@ -222,7 +229,10 @@
 	if controller.allocations[key] != "" || slices.Contains(controller.uncertainAllocations, key) {
 		return
 	}
-	txn := wire.Transaction{If: append(controller.owner.Preconditions(), wire.Precondition{Key: key}), Then: []wire.Change{{Put: key, Value: machine}}}
+	txn := wire.Transaction{
+		If:   append(controller.owner.Preconditions(), wire.Precondition{Key: key}),
+		Then: []wire.Change{{Put: key, Value: machine}},
+	}
 	_, err := s.send(txn, outcome)
 	if err != nil {
 		if errors.Is(err, store.ErrUncertain) {
@@ -231,8 +241,10 @@
 		return
 	}
 	controller.allocations[key] = machine
-	command := wire.Commands{FencingToken: wire.Count(controller.token), AgentEpoch: wire.Count(s.machines[machine].Epoch),
-		Items: []wire.Command{{Kind: wire.CommandStart, Task: task, Attempt: 1}}}
+	command := wire.Commands{
+		FencingToken: wire.Count(controller.token), AgentEpoch: wire.Count(s.machines[machine].Epoch),
+		Items: []wire.Command{{Kind: wire.CommandStart, Task: task, Attempt: 1}},
+	}
 	if delivery == "late" {
 		s.delayedCommands = append(s.delayedCommands, delayedCommand{machine, command})
 		return
@@ -359,8 +371,10 @@
 	controller := s.drawController()
 	machine := s.draw([]string{"i-1", "i-2"})
 	outcome := s.draw(outcomes)
-	switch s.draw([]string{"refresh", "refresh", "answer", "answer", "place", "place", "hand over", "hand over", "resolve",
-		"settle", "move", "move", "cancel", "freeze", "restart", "late txn", "late order", "time", "long time"}) {
+	switch s.draw([]string{
+		"refresh", "refresh", "answer", "answer", "place", "place", "hand over", "hand over", "resolve",
+		"settle", "move", "move", "cancel", "freeze", "restart", "late txn", "late order", "time", "long time",
+	}) {
 	case "refresh":
 		s.refresh(controller)
 	case "answer":
@@ -401,7 +415,8 @@
 
 // drawController draws a controller, the owner more often than others.
 func (s *simulation) drawController() *simulatedController {
-	if controller := s.controllers[s.entry().Record.Owner.Node]; controller != nil && s.draw([]string{"owner", "any"}) == "owner" {
+	if controller := s.controllers[s.entry().Record.Owner.Node]; controller != nil &&
+		s.draw([]string{"owner", "any"}) == "owner" {
 		return controller
 	}
 	return s.controllers[s.draw(controllers)]
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -36,7 +36,9 @@
 }
 
 // handleCommitResult takes in the outcome of a transaction.
-func (w *Writer) handleCommitResult(txn wire.Transaction, changes []batchChange, revision uint64, err error, now micro.Time) {
+func (w *Writer) handleCommitResult(
+	txn wire.Transaction, changes []batchChange, revision uint64, err error, now micro.Time,
+) {
 	switch {
 	case err == nil:
 		w.endInFlight(recordsOf(changes)...)
@@ -109,7 +111,9 @@
 // reject puts off a change that the store does not take: trying it again at once
 // would only use up the budget of all others.
 func (w *Writer) reject(record *Record, now micro.Time, reason string, size int) {
-	w.log.Error("value not taken by the store", "key", record.Key, "why", reason, "bytes", size, "limit", w.host.MaxValueBytes())
+	w.log.Error(
+		"value not taken by the store", "key", record.Key, "why", reason, "bytes", size, "limit", w.host.MaxValueBytes(),
+	)
 	priority := record.priority
 	record.dirty, record.rejectedUntil = false, now+rejectedRetryDelay
 	record.MarkDirty(now, priority)
--- a/internal/statestore/flush.go
+++ b/internal/statestore/flush.go
@@ -51,7 +51,8 @@
 		return
 	}
 	urgentWaiting := len(w.queues[PriorityUrgent])+len(w.queues[PriorityHigh])+len(w.rejected) > 0
-	if !urgentWaiting && (len(w.queues[PriorityLow])+len(w.queues[PriorityBackground]) == 0 || now < w.lowPriorityNotBefore) {
+	if !urgentWaiting &&
+		(len(w.queues[PriorityLow])+len(w.queues[PriorityBackground]) == 0 || now < w.lowPriorityNotBefore) {
 		return
 	}
 	if len(w.rejected) > 0 {
@@ -77,7 +78,10 @@
 // assembleBatch puts a transaction together from what is due, the most urgent first.
 func (w *Writer) assembleBatch(now micro.Time) *batch {
 	maxChanges := w.host.MaxTransactionOps()
-	b := &batch{txn: wire.Transaction{If: w.host.Preconditions()}, size: transactionOverhead, preconditions: map[wire.Precondition]bool{}, maxPreconditions: PreconditionsPerChange * maxChanges}
+	b := &batch{
+		txn: wire.Transaction{If: w.host.Preconditions()}, size: transactionOverhead,
+		preconditions: map[wire.Precondition]bool{}, maxPreconditions: PreconditionsPerChange * maxChanges,
+	}
 	if w.singleChangeBatches > 0 {
 		w.singleChangeBatches--
 		maxChanges = 1
@@ -173,7 +177,9 @@
 	for _, g := range preconditions {
 		b.preconditions[g] = true
 	}
-	b.txn.If = append(append(b.txn.If, preconditions...), wire.Precondition{Key: record.Key, Version: wire.Count(record.version)})
+	b.txn.If = append(
+		append(b.txn.If, preconditions...), wire.Precondition{Key: record.Key, Version: wire.Count(record.version)},
+	)
 	b.txn.Then = append(b.txn.Then, change)
 	b.changes = append(b.changes, batchChange{record, memoryVersion, value == nil})
 	record.dirty = false
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -8,12 +8,11 @@
 package statestore
 
 import (
+	"log/slog"
 	"sort"
 	"strconv"
 	"strings"
 
-	"log/slog"
-
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -97,7 +97,9 @@
 	client.SetBudgetFraction(1, 0.5)
 	commit := func() {
 		t.Helper()
-		if _, err := client.Commit(t.Context(), Urgent, wire.Transaction{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(err, ErrRateLimited) {
+		if _, err := client.Commit(t.Context(), Urgent, wire.Transaction{Then: []wire.Change{{Delete: "k"}}}); !errors.Is(
+			err, ErrRateLimited,
+		) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -173,7 +173,9 @@
 	return limiter.AllowN(time.Now(), min(n, limiter.Burst()))
 }
 
-func (c *Client) call(ctx context.Context, class Class, writes int, method, path string, body []byte, timeout time.Duration, out any) (int, error) {
+func (c *Client) call(
+	ctx context.Context, class Class, writes int, method, path string, body []byte, timeout time.Duration, out any,
+) (int, error) {
 	if !Admit(c.writes, class, writes) || !Admit(c.reads, class, 1) {
 		return 0, ErrBudgetExhausted
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -92,7 +92,8 @@
 	}), unlimitedRate, unlimitedRate)
 	for i, key := range []string{"new", "answered", "served before"} {
 		_, err := client.Commit(t.Context(), store.Routine, putTransaction(key, wire.Precondition{Key: key}))
-		if responseLost := key != "answered"; responseLost != errors.Is(err, store.ErrUncertain) || !responseLost && err != nil {
+		if responseLost := key != "answered"; responseLost != errors.Is(err, store.ErrUncertain) ||
+			!responseLost && err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
 		if got := int(requests.Load()); got != i+1 {
@@ -156,7 +157,10 @@
 		t.Errorf("commit: %v", err)
 	}
 	missing := fake.NewStore()
-	withoutLease := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) { missing.Handle(ctx); ctx.SetStatusCode(404) }), unlimitedRate, unlimitedRate)
+	withoutLease := store.NewClient(
+		serve(t, func(ctx *fasthttp.RequestCtx) { missing.Handle(ctx); ctx.SetStatusCode(404) }), unlimitedRate,
+		unlimitedRate,
+	)
 	if err := withoutLease.Revoke(ctx, lease); err != nil {
 		t.Errorf("a lease that is gone counts as revoked: %v", err)
 	}
@@ -175,7 +179,8 @@
 		t.Errorf("%v %v", got, err)
 	}
 	state.SetOutage(true)
-	if got, err := client.ExistingKeys(t.Context(), store.Routine, []string{"b"}); !errors.Is(err, store.ErrRefused) || got != nil {
+	if got, err := client.ExistingKeys(t.Context(), store.Routine, []string{"b"}); !errors.Is(err, store.ErrRefused) ||
+		got != nil {
 		t.Errorf("in an outage: %v %v", got, err)
 	}
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -120,14 +120,27 @@
 	}
 	reader := &fieldReader{values: values}
 	job := &Job{
-		ID: reader.text("nameId"), Class: reader.text("jobclass"), Team: reader.text("outfit"),
-		Kind: JobKind(reader.text("shape")), Priority: Priority(reader.text("rank")),
-		CPUs: reader.amount("vcpus"), GPUs: reader.amount("gpus"), MemoryGB: reader.amount("ramGb"),
-		Image: reader.text("bundle"), ImageGB: reader.amount("pullGb"),
-		OneZone: reader.flag("oneZone"), Spread: reader.flag("scatter"), Spot: reader.flag("loaners"),
-		EstimateS: reader.amount("guessS"), CheckpointIntervalS: reader.amount("bookmarkS"), CheckpointDurationS: reader.amount("stashS"),
-		Tasks: reader.taskCount("pieces"), Types: reader.optionalTexts("rigs"), Zone: reader.optionalText("yard"),
-		DeadlineS: reader.optionalAmount("dueS"), Dependencies: reader.optionalJobIDs("awaits"),
+		ID:                  reader.text("nameId"),
+		Class:               reader.text("jobclass"),
+		Team:                reader.text("outfit"),
+		Kind:                JobKind(reader.text("shape")),
+		Priority:            Priority(reader.text("rank")),
+		CPUs:                reader.amount("vcpus"),
+		GPUs:                reader.amount("gpus"),
+		MemoryGB:            reader.amount("ramGb"),
+		Image:               reader.text("bundle"),
+		ImageGB:             reader.amount("pullGb"),
+		OneZone:             reader.flag("oneZone"),
+		Spread:              reader.flag("scatter"),
+		Spot:                reader.flag("loaners"),
+		EstimateS:           reader.amount("guessS"),
+		CheckpointIntervalS: reader.amount("bookmarkS"),
+		CheckpointDurationS: reader.amount("stashS"),
+		Tasks:               reader.taskCount("pieces"),
+		Types:               reader.optionalTexts("rigs"),
+		Zone:                reader.optionalText("yard"),
+		DeadlineS:           reader.optionalAmount("dueS"),
+		Dependencies:        reader.optionalJobIDs("awaits"),
 	}
 	reader.checkIdentifiers(job)
 	if reader.firstInvalid != "" {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,9 +9,12 @@
 )
 
 func sampleJob() map[string]any {
-	return map[string]any{"nameId": "j-000412", "jobclass": "train", "outfit": "vision", "shape": "ensemble", "rank": "urgent",
-		"pieces": 16, "vcpus": 8.0, "gpus": 1, "ramGb": 64.0, "bundle": "img-07", "pullGb": 6.2, "rigs": []string{"g8"}, "yard": nil,
-		"oneZone": true, "scatter": false, "loaners": true, "guessS": 240.0, "bookmarkS": 30.0, "stashS": 4.0, "dueS": 900}
+	return map[string]any{
+		"nameId": "j-000412", "jobclass": "train", "outfit": "vision", "shape": "ensemble", "rank": "urgent",
+		"pieces": 16, "vcpus": 8.0, "gpus": 1, "ramGb": 64.0, "bundle": "img-07", "pullGb": 6.2,
+		"rigs": []string{"g8"}, "yard": nil, "oneZone": true, "scatter": false, "loaners": true,
+		"guessS": 240.0, "bookmarkS": 30.0, "stashS": 4.0, "dueS": 900,
+	}
 }
 
 func TestDecodeJobAcceptsOrRejects(t *testing.T) {
@@ -107,9 +110,16 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(MustMarshal(sampleJob()))
-	f.Add(MustMarshal(Heartbeat{Machine: "i-1", Addr: "a:1", AgentEpoch: 1, Tasks: []TaskStatus{{Task: "j-1/0", Attempt: 1, State: TaskRunning}}}))
+	f.Add(
+		MustMarshal(
+			Heartbeat{
+				Machine: "i-1", Addr: "a:1", AgentEpoch: 1, Tasks: []TaskStatus{{Task: "j-1/0", Attempt: 1, State: TaskRunning}},
+			},
+		),
+	)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if job, err := DecodeJob(body); err == nil && (!ValidJobID(job.ID) || job.Tasks < 1 || job.Tasks > MaxTasks || !(job.CPUs >= 0)) {
+		if job, err := DecodeJob(body); err == nil &&
+			(!ValidJobID(job.ID) || job.Tasks < 1 || job.Tasks > MaxTasks || !(job.CPUs >= 0)) {
 			t.Fatalf("took %+v", job)
 		}
 		if heartbeat, err := DecodeHeartbeat(body); err == nil && (heartbeat.Machine == "" || heartbeat.AgentEpoch == 0) {
