--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c *checker) violate(rule, format string, args ...any) {
+func (c *checker) breaks(rule, format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
 	if key := rule + " " + what; !c.reported[key] {
 		c.reported[key] = true
@@ -137,20 +137,20 @@
 	id, _, ok := wire.ParseTaskName(task)
 	record := c.jobs[id]
 	if !ok || record == nil {
-		c.violate("invented", "%s runs, and nobody submitted it", task)
+		c.breaks("invented", "%s runs, and nobody submitted it", task)
 		return
 	}
 	for other := range c.machinesByTask[task] {
-		c.violate("ran_twice", "%s begins on %s and is on %s", task, machine, other)
+		c.breaks("ran_twice", "%s begins on %s and is on %s", task, machine, other)
 	}
 	spec := &record.spec
 	c.cpusInUse[spec.Team] += spec.CPUs
 	if most := c.cpuLimits[spec.Team]; most > 0 && c.cpusInUse[spec.Team] > most+1e-9 {
-		c.violate("quota", "%s has %v CPUs with %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, most)
+		c.breaks("quota", "%s has %v CPUs with %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, most)
 	}
 	for _, need := range spec.Dependencies {
 		if n := c.jobs[need]; n == nil || len(n.completedTasks) < n.spec.Tasks {
-			c.violate("too_early", "%s begins, %s is not done", task, need)
+			c.breaks("too_early", "%s begins, %s is not done", task, need)
 		}
 	}
 	allowed := spec.Types == nil
@@ -158,7 +158,7 @@
 		allowed = allowed || t == typ
 	}
 	if !allowed || spec.Zone != nil && *spec.Zone != zone || spot && !spec.Spot {
-		c.violate("wrong_place", "%s on %s, type %s, zone %s, spot %v", task, machine, typ, zone, spot)
+		c.breaks("wrong_place", "%s on %s, type %s, zone %s, spot %v", task, machine, typ, zone, spot)
 	}
 	here, elsewhere := 1, ""
 	for t, machines := range c.machinesByTask {
@@ -173,10 +173,10 @@
 		}
 	}
 	if spec.OneZone && elsewhere != "" {
-		c.violate("wrong_place", "%s in zone %s beside tasks in %s", task, zone, elsewhere)
+		c.breaks("wrong_place", "%s in zone %s beside tasks in %s", task, zone, elsewhere)
 	}
 	if spec.Spread && here > (spec.Tasks+1)/2 {
-		c.violate("wrong_place", "%s is one of %d in zone %s", task, here, zone)
+		c.breaks("wrong_place", "%s is one of %d in zone %s", task, here, zone)
 	}
 	if c.machinesByTask[task] == nil {
 		c.machinesByTask[task] = map[string]string{}
@@ -185,7 +185,7 @@
 	if record.aborted {
 		c.lateStartCount++
 		if c.now() > record.abortReportedAt+c.cancelLimit {
-			c.violate("ran_cancelled", "%s begins on %s", task, machine)
+			c.breaks("ran_cancelled", "%s begins on %s", task, machine)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 		id, _, _ := wire.ParseTaskName(task)
 		if record := c.jobs[id]; record != nil && record.aborted && now > record.abortReportedAt+c.cancelLimit {
 			for m := range ms {
-				c.violate("ran_cancelled", "%s is on %s, its user was told at %.1f s", task, m, record.abortReportedAt.Seconds())
+				c.breaks("ran_cancelled", "%s is on %s, its user was told at %.1f s", task, m, record.abortReportedAt.Seconds())
 			}
 		}
 	}
@@ -243,42 +243,42 @@
 	record := c.jobs[id]
 	switch {
 	case reply.Status == 404 && knowledge.accepted:
-		c.violate("forgotten", "%s is unknown to %s", id, by)
+		c.breaks("forgotten", "%s is unknown to %s", id, by)
 		return
 	case (reply.Status == 400 || reply.Status == 422) && knowledge.accepted:
-		c.violate("forgotten", "a repeat of %s got %d from %s", id, reply.Status, by)
+		c.breaks("forgotten", "a repeat of %s got %d from %s", id, reply.Status, by)
 		return
 	case (reply.Status == 503 || reply.Status == 429) && reply.RetryAfter == 0:
-		c.violate("retry_after", "%d without a time from %s", reply.Status, by)
+		c.breaks("retry_after", "%d without a time from %s", reply.Status, by)
 		return
 	case reply.Status != 200 && reply.Status != 201:
 		return
 	}
 	if record == nil {
-		c.violate("invented", "%s was never submitted, %s knows it", id, by)
+		c.breaks("invented", "%s was never submitted, %s knows it", id, by)
 		return
 	}
 	status, ok := reply.Body.(wire.JobStatus)
 	if !ok {
-		c.violate("no status", "%s answers %+v for %s", by, reply, id)
+		c.breaks("no status", "%s answers %+v for %s", by, reply, id)
 		return
 	}
 	record.accepted = true
 	if knowledge.done && status.State != wire.JobDone || knowledge.aborted && status.State != wire.JobAborted ||
 		reply.Status == 201 && (knowledge.done || knowledge.aborted) {
-		c.violate("went_back", "%s was over (%+v), %s says %d %s", id, knowledge, by, reply.Status, status.State)
+		c.breaks("went_back", "%s was over (%+v), %s says %d %s", id, knowledge, by, reply.Status, status.State)
 	}
 	switch status.State {
 	case wire.JobDone:
 		if len(record.completedTasks) < record.spec.Tasks {
-			c.violate(
+			c.breaks(
 				"not_done", "%s is called done by %s with %d of %d tasks", id, by, len(record.completedTasks), record.spec.Tasks,
 			)
 		}
 		record.done = true
 	case wire.JobAborted:
 		if !c.cancelWanted(record) {
-			c.violate("went_back", "%s is called cancelled by %s, and nobody asked for it", id, by)
+			c.breaks("went_back", "%s is called cancelled by %s, and nobody asked for it", id, by)
 		}
 		if !record.aborted {
 			record.aborted, record.abortReportedAt, record.abortReportedBy = true, c.now(), by
@@ -290,6 +290,6 @@
 		}
 	}
 	if record.done && record.aborted {
-		c.violate("went_back", "%s was called done and cancelled", id)
+		c.breaks("went_back", "%s was called done and cancelled", id)
 	}
 }
