--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -83,17 +83,21 @@
 
 // Effects are what a change of the model asks its owner to do.
 type Effects interface {
-	ChunkDirty(chunk *TaskChunk)                              // the chunk must be written
-	ChunkUrgent(chunk *TaskChunk)                             // and soon: a start waits for it
-	DispatchSoon(machine *Machine)                            // the machine has orders worth sending directly
-	JobFinished(job *Job)                                     // all tasks are done: write the end
-	DependencyAborted(job *Job)                               // a job that it needs is aborted: write the end
-	DependencyUnknown(id string)                              // a job is awaited of which nothing is known: look into the store
+	ChunkDirty(chunk *TaskChunk)   // the chunk must be written
+	ChunkUrgent(chunk *TaskChunk)  // and soon: a start waits for it
+	DispatchSoon(machine *Machine) // the machine has orders worth sending directly
+	JobFinished(job *Job)          // all tasks are done: write the end
+	DependencyAborted(job *Job)    // a job that it needs is aborted: write the end
+	DependencyUnknown(
+		id string,
+	) // a job is awaited of which nothing is known: look into the store
 	AttemptCompleted(allocation *Allocation, took micro.Time) // an attempt completed after running for so long
 	ChunkMigrated(chunk *TaskChunk, legacy *LegacyRecord)     // what a chunk held is in chunks of the later form now
-	LegacyRecordSuperseded(legacy *LegacyRecord)              // a record in the first form, to be deleted once its parts are stored
-	ScheduleSoon()                                            // placement may find more than before
-	Log(event string, args ...any)                            // one line for operators
+	LegacyRecordSuperseded(
+		legacy *LegacyRecord,
+	) // a record in the first form, to be deleted once its parts are stored
+	ScheduleSoon()                 // placement may find more than before
+	Log(event string, args ...any) // one line for operators
 }
 
 // State is the whole picture.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -142,13 +142,17 @@
 		// It is the operators' own value that breaks the bound.
 		return fmt.Errorf(
 			"%s: key %q: must be at most %v: after a cancellation the leader's lease and then the workers' must be over within facts.workers.cancel_s",
-			propertiesPath, "leader.lease.s", maxLeaderLease.Seconds(),
+			propertiesPath,
+			"leader.lease.s",
+			maxLeaderLease.Seconds(),
 		)
 	}
 	if c.LeaseExpiredAfter()+CancelSlack > cancelRetryWindow {
 		return fmt.Errorf(
 			"%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, and users repeat a withdrawal for too short a time to wait for that",
-			path, "facts.workers.cancel_s", c.MaxCancelledTaskLife().Seconds(),
+			path,
+			"facts.workers.cancel_s",
+			c.MaxCancelledTaskLife().Seconds(),
 		)
 	}
 	return nil
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -73,7 +73,10 @@
 		func(p *Properties, v float64) { p.MaxPriceRatio = v },
 	},
 	{
-		"scale.dear.ratio", 1.8, 1, 1000,
+		"scale.dear.ratio",
+		1.8,
+		1,
+		1000,
 		"room dearer than so many times the cheapest ordinary room is rented only for work that could not start in time on room that comes free",
 		func(p *Properties, v float64) { p.HighPriceRatio = v },
 	},
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/store"
@@ -189,8 +190,8 @@
 		f.t.Errorf("the takeover and a minute took %d reads, %d at the most", reads, most)
 	}
 	f.withLeaderState(func(c *cluster.State, leader *Leader) {
-		if len(c.Machines) > f.machines+f.machines/10 || len(leader.events) > f.machines {
-			f.t.Errorf("%d machines and %d events in the leader", len(c.Machines), len(leader.events))
+		if len(c.Machines) > f.machines+f.machines/10 || leader.loop.Len(eventloop.Events) > f.machines {
+			f.t.Errorf("%d machines and %d events in the leader", len(c.Machines), leader.loop.Len(eventloop.Events))
 		}
 	})
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -2,6 +2,7 @@
 
 import (
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
@@ -41,7 +42,7 @@
 
 // cancelJob cancels a job: its end is created before anyone is told.
 func (l *Leader) cancelJob(id string) httpapi.Reply {
-	response, ok := l.callLoop(l.events, 1500*micro.Millisecond, func(reply func(httpapi.Reply)) {
+	response, ok := l.callLoop(eventloop.Events, 1500*micro.Millisecond, func(reply func(httpapi.Reply)) {
 		job := l.cluster.Jobs[id]
 		switch {
 		case job == nil:
@@ -55,7 +56,7 @@
 				select {
 				case response := <-replies:
 					reply(response)
-				case <-l.done:
+				case <-l.loop.Done():
 				}
 			}()
 			switch job.State {
@@ -103,7 +104,7 @@
 // handleHeartbeat answers a worker's report.
 func (l *Leader) handleHeartbeat(heartbeat *wire.Heartbeat) httpapi.Reply {
 	receivedAt := l.node.Now()
-	response, ok := l.callLoop(l.events, 2*micro.Second, func(reply func(httpapi.Reply)) {
+	response, ok := l.callLoop(eventloop.Events, 2*micro.Second, func(reply func(httpapi.Reply)) {
 		now := l.node.Now()
 		if !l.holdsLease() || l.refusesHeartbeat(heartbeat) {
 			reply(httpapi.RetryReply(503, 1))
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -211,7 +211,7 @@
 	for {
 		if !l.holdsLease() {
 			// If the right comes back, the request goes on under its name.
-			if !l.sleep(200 * micro.Millisecond) {
+			if !l.loop.Sleep(200 * micro.Millisecond) {
 				return
 			}
 			continue
@@ -229,7 +229,7 @@
 		}
 		failures++
 		l.log.Info("rental not answered", "request", wireRequest.RequestID, "err", err)
-		if !l.sleep(micro.Second * micro.Time(min(failures, 5))) {
+		if !l.loop.Sleep(micro.Second * micro.Time(min(failures, 5))) {
 			return
 		}
 	}
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -36,7 +36,7 @@
 				l.post(func() { l.applyInventory(rows, requestedAt) })
 			}
 		}
-		if !l.sleep(inventoryPause(pages, l.node.Cfg.Facts.Cloud.RPS)) {
+		if !l.loop.Sleep(inventoryPause(pages, l.node.Cfg.Facts.Cloud.RPS)) {
 			return
 		}
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -8,11 +8,11 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
@@ -24,25 +24,12 @@
 // bits above are the version of the leader's key.
 const tokenBits = 24
 
-// eventQueueSize is how many events wait for the loop before those that bring more are
-// held up. After a cut all workers report within a second or two: there is room for
-// the reports of more than 10,000 machines. queryQueueSize is the same for questions, whose
-// askers go to the store instead.
-const (
-	eventQueueSize = 16384
-	queryQueueSize = 1024
-	eventBatchSize = 64 // events that are served before the loop looks at anything else
-)
-
 // Leader is one term of leadership. Its loop owns the model.
 type Leader struct {
-	node     *Node
-	term     *election.Term
-	log      *slog.Logger
-	events   chan func() // reports, answers and results of writes
-	queries  chan func() // users' questions, which come after those
-	done     chan struct{}
-	stopOnce sync.Once
+	node *Node
+	term *election.Term
+	log  *slog.Logger
+	loop *eventloop.Loop
 
 	pendingTasks atomic.Int64
 	knownJobs    sync.Map    // ids of jobs in the model
@@ -125,9 +112,7 @@
 		node:                     node,
 		term:                     term,
 		log:                      log,
-		events:                   make(chan func(), eventQueueSize),
-		queries:                  make(chan func(), queryQueueSize),
-		done:                     make(chan struct{}),
+		loop:                     eventloop.New(),
 		fencingToken:             firstToken,
 		pendingDispatch:          map[*cluster.Machine]bool{},
 		instanceRequests:         map[string]*instanceRequest{},
@@ -160,57 +145,36 @@
 	return l
 }
 
-func (l *Leader) stop() { l.stopOnce.Do(func() { close(l.done) }) }
-
 // holdsLease reports whether this loop may answer and send orders; any goroutine may ask.
 func (l *Leader) holdsLease() bool {
 	return !l.responsesBlocked.Load() && l.term.HoldsLease(l.node.Now())
 }
 
-// stopped reports whether the loop is over.
-func (l *Leader) stopped() bool {
-	select {
-	case <-l.done:
-		return true
-	default:
-		return false
-	}
-}
-
 // post hands the loop something to do; it is dropped once the term is over.
-func (l *Leader) post(f func()) {
-	select {
-	case l.events <- f:
-	case <-l.done:
-	}
-}
+func (l *Leader) post(f func()) { l.loop.Post(funcEvent(f)) }
 
-// callLoop runs f in the loop and waits for its reply, but not for long. Reports and
-// withdrawals go before questions.
+// funcEvent is an event that has no type of its own yet.
+type funcEvent func()
+
+// Apply runs it.
+func (f funcEvent) Apply() { f() }
+
+// callLoop runs f in the loop and waits for its reply, but not for long. Heartbeats and
+// cancellations go before queries.
 func (l *Leader) callLoop(
-	queue chan func(), timeout micro.Time, f func(reply func(httpapi.Reply)),
+	queue eventloop.Queue, timeout micro.Time, f func(reply func(httpapi.Reply)),
 ) (httpapi.Reply, bool) {
-	replies := make(chan httpapi.Reply, 1)
-	timer := time.NewTimer(timeout.Duration())
-	select {
-	case queue <- func() { f(func(response httpapi.Reply) { replies <- response }) }:
-	case <-l.done:
-	case <-timer.C:
-	}
-	defer timer.Stop()
-	select {
-	case response := <-replies:
-		// The right may have lapsed meanwhile: then nothing may be said.
-		return response, l.holdsLease()
-	case <-l.done:
-	case <-timer.C:
+	event := func(reply eventloop.Reply[httpapi.Reply]) eventloop.Event {
+		return funcEvent(func() { f(reply.Send) })
 	}
-	return httpapi.Reply{}, false
+	answer, ok := eventloop.Call(l.loop, queue, timeout, event)
+	// The lease may have lapsed meanwhile: then nothing may be said.
+	return answer, ok && l.holdsLease()
 }
 
 // run is the leader's loop: it takes over what the store holds, then serves events.
 func (l *Leader) run(ctx context.Context) {
-	l.stopOnDone(ctx)
+	l.loop.StopWith(ctx)
 	from := l.node.Now()
 	rev, ok := l.recoverState(ctx)
 	if !ok {
@@ -226,47 +190,9 @@
 	l.serve(l.tick)
 }
 
-// stopOnDone stops the loop when the context ends.
-func (l *Leader) stopOnDone(ctx context.Context) {
-	go func() {
-		select {
-		case <-ctx.Done():
-			l.stop()
-		case <-l.done:
-		}
-	}()
-}
-
 // serve serves events, and ticks, until the loop is stopped.
 func (l *Leader) serve(tick func(now micro.Time)) {
-	ticker := time.NewTicker(100 * time.Millisecond)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-l.done:
-			return
-		case f := <-l.events:
-			f()
-			l.drainEvents()
-		case f := <-l.queries:
-			f()
-		case <-ticker.C:
-			tick(l.node.Now())
-		}
-		l.runPending(l.node.Now())
-	}
-}
-
-// drainEvents serves some of the events that wait already.
-func (l *Leader) drainEvents() {
-	for range eventBatchSize {
-		select {
-		case f := <-l.events:
-			f()
-		default:
-			return
-		}
-	}
+	l.loop.Run(eventloop.Handlers{Now: l.node.Now, Tick: tick, AfterEvents: l.runPending})
 }
 
 // runPending does what the events called for: place, write, send.
@@ -446,13 +372,44 @@
 		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
 	}
 	l.log.Info(
-		"leading", "live", len(l.cluster.ActiveJobs), "awaiting", l.cluster.BlockedJobs, "pending",
-		len(l.cluster.PendingJobs), "tasks", l.pendingTasks.Load(), "usable", usable, "known", len(l.cluster.Machines),
-		"writes_first", l.records.Queued(statestore.PriorityUrgent), "writes_soon", l.records.Queued(statestore.PriorityHigh),
-		"writes_lazy", l.records.Queued(statestore.PriorityLow), "writes_idle",
-		l.records.Queued(statestore.PriorityBackground), "written", l.records.ChangeCounts(), "pass_gap_ms",
-		int64(l.scheduleInterval/micro.Millisecond), "events", len(l.events), "asks", len(l.queries), "directs",
-		l.dispatchesInFlight, "kicked", len(l.pendingDispatch), "rentals_waiting", len(l.requestQueue), "fleet",
+		"leading",
+		"live",
+		len(l.cluster.ActiveJobs),
+		"awaiting",
+		l.cluster.BlockedJobs,
+		"pending",
+		len(l.cluster.PendingJobs),
+		"tasks",
+		l.pendingTasks.Load(),
+		"usable",
+		usable,
+		"known",
+		len(l.cluster.Machines),
+		"writes_first",
+		l.records.Queued(statestore.PriorityUrgent),
+		"writes_soon",
+		l.records.Queued(statestore.PriorityHigh),
+		"writes_lazy",
+		l.records.Queued(statestore.PriorityLow),
+		"writes_idle",
+		l.records.Queued(statestore.PriorityBackground),
+		"written",
+		l.records.ChangeCounts(),
+		"pass_gap_ms",
+		int64(
+			l.scheduleInterval/micro.Millisecond,
+		),
+		"events",
+		l.loop.Len(eventloop.Events),
+		"asks",
+		l.loop.Len(eventloop.Queries),
+		"directs",
+		l.dispatchesInFlight,
+		"kicked",
+		len(l.pendingDispatch),
+		"rentals_waiting",
+		len(l.requestQueue),
+		"fleet",
 		fleet.String(),
 	)
 }
@@ -463,14 +420,3 @@
 	l.node.election.SuspendCampaign(4 * micro.Second)
 	go func() { _ = l.node.Store.Revoke(context.Background(), l.term.Lease) }()
 }
-
-func (l *Leader) sleep(d micro.Time) bool {
-	t := time.NewTimer(d.Duration())
-	defer t.Stop()
-	select {
-	case <-l.done:
-		return false
-	case <-t.C:
-		return true
-	}
-}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -183,7 +183,7 @@
 	n.setBudgetFractions(n.Cfg.FollowerShare())
 	if l := n.leader.Load(); l != nil && l.term == t {
 		n.leader.Store(nil)
-		l.stop()
+		l.loop.Stop()
 	}
 }
 
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -2,6 +2,7 @@
 
 import (
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -76,8 +77,8 @@
 	return []wire.Precondition{l.term.Precondition()}
 }
 
-// Post has the loop run something.
-func (l *Leader) Post(f func()) { l.post(f) }
+// Post hands the loop an event.
+func (l *Leader) Post(event eventloop.Event) { l.loop.Post(event) }
 
 // MaxValueBytes is what a value may take. Once the later forms are in use, the next
 // limits may come at any time.
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -56,7 +56,7 @@
 // awaitCatalog waits for the machine types; false if the term ended.
 func (l *Leader) awaitCatalog() bool {
 	for l.node.catalog.Load() == nil {
-		if !l.sleep(50 * micro.Millisecond) {
+		if !l.loop.Sleep(50 * micro.Millisecond) {
 			return false
 		}
 	}
@@ -72,7 +72,7 @@
 		page, err := l.node.Store.Range(ctx, store.Leadership, prefix, after, 1000)
 		if err != nil {
 			l.log.Info("takeover read failed", "prefix", prefix, "err", err)
-			if !l.sleep(100 * micro.Millisecond) {
+			if !l.loop.Sleep(100 * micro.Millisecond) {
 				return 0, false
 			}
 			continue
@@ -242,7 +242,7 @@
 				}
 			}
 		}
-		if !l.sleep(700 * micro.Millisecond) {
+		if !l.loop.Sleep(700 * micro.Millisecond) {
 			return
 		}
 	}
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -40,7 +41,7 @@
 
 // runAdminCommand carries out an operator's command.
 func (l *Leader) runAdminCommand(command *shard.Command) shard.CommandReply {
-	r, ok := l.callLoop(l.events, adminTimeout, func(reply func(httpapi.Reply)) {
+	r, ok := l.callLoop(eventloop.Events, adminTimeout, func(reply func(httpapi.Reply)) {
 		l.executeAdminCommand(command, func(r shard.CommandReply) { reply(httpapi.Reply{Body: r}) })
 	})
 	if !ok {
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -206,8 +206,8 @@
 	term, table := shards.term.Load(), shards.table.Snapshot()
 	for name, owner := range shards.owners {
 		entry, ok := table.Get(name)
-		if owner.stopped() || owner.term != term {
-			owner.stop()
+		if owner.loop.Stopped() || owner.term != term {
+			owner.loop.Stop()
 			delete(shards.owners, name)
 			continue
 		}
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -63,10 +63,10 @@
 func (l *Leader) runShardOwner(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l.stopOnDone(ctx)
+	l.loop.StopWith(ctx)
 	from := l.node.Now()
 	if !l.recoverShard(ctx) {
-		l.stop() // begun anew with the next look at the table
+		l.loop.Stop() // begun anew with the next look at the table
 		return
 	}
 	l.serving.Store(true)
@@ -116,7 +116,7 @@
 func (l *Leader) applyOwnerState() {
 	l.responsesBlocked.Store(!l.owner.MayRespond())
 	if l.owner.State() == shard.Relinquished {
-		l.stop()
+		l.loop.Stop()
 	}
 }
 
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -147,14 +147,14 @@
 		case errors.Is(err, store.ErrCompacted):
 			// What was missed cannot be read as changes: the share is loaded anew.
 			l.log.Info("share given up", "why", "the store's history is too short to follow")
-			l.stop()
+			l.loop.Stop()
 			l.node.reconcileOwners()
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
 			l.post(func() { l.applyAssignmentEvents(events) })
 		}
-		if !l.sleep(tableWatchPause) {
+		if !l.loop.Sleep(tableWatchPause) {
 			return
 		}
 	}
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -24,7 +24,7 @@
 		return true
 	}
 	for !l.node.shards.tableRead.Load() {
-		if !l.sleep(tableReadRetry) {
+		if !l.loop.Sleep(tableReadRetry) {
 			return false
 		}
 	}
@@ -42,7 +42,7 @@
 	// The table is as new as the assignments: a share that was formed since holds none.
 	if _, err := l.node.readShardTable(ctx); err != nil {
 		l.log.Info("takeover read failed", "prefix", shard.RecordPrefix, "err", err)
-		return l.sleep(tableReadRetry) && l.recoverAssignments(ctx, snapshot)
+		return l.loop.Sleep(tableReadRetry) && l.recoverAssignments(ctx, snapshot)
 	}
 	go l.watchAssignmentDeletions(ctx, revision)
 	return true
@@ -89,7 +89,7 @@
 			revision = max(revision, uint64(events.Revision))
 			l.post(func() { l.applyAssignmentDeletions(events) })
 		}
-		if !l.sleep(tableWatchPause) {
+		if !l.loop.Sleep(tableWatchPause) {
 			return
 		}
 	}
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -2,6 +2,7 @@
 
 import (
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
@@ -25,7 +26,7 @@
 	if l.coordinator == nil || wire.Unmarshal(body, &update) != nil {
 		return shard.UpdateReply{}, false
 	}
-	response, ok := l.callLoop(l.events, statusUpdateTimeout, func(reply func(httpapi.Reply)) {
+	response, ok := l.callLoop(eventloop.Events, statusUpdateTimeout, func(reply func(httpapi.Reply)) {
 		reply(httpapi.Reply{Body: l.applyStatusUpdate(&update, l.node.Now())})
 	})
 	if !ok {
--- a/internal/controller/status_batcher.go
+++ b/internal/controller/status_batcher.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -218,7 +219,7 @@
 	if len(known) == 0 {
 		return nil
 	}
-	result, ok := l.callLoop(l.queries, 400*micro.Millisecond, func(reply func(httpapi.Reply)) {
+	result, ok := l.callLoop(eventloop.Queries, 400*micro.Millisecond, func(reply func(httpapi.Reply)) {
 		found := make([]wire.JobStatus, 0, len(known))
 		for _, id := range known {
 			if job := l.cluster.Jobs[id]; job != nil && !l.endUncertain(job) {
--- a/internal/controller/status_batcher_test.go
+++ b/internal/controller/status_batcher_test.go
@@ -11,6 +11,7 @@
 
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -29,7 +30,7 @@
 			go leader.runningNode().handlePeerCall(sim.ctx, peer.Status, fmt.Appendf(nil, "j-%06d", i+1))
 		}
 		synctest.Wait()
-		if waiting := len(currentLeader.queries); waiting > 0 {
+		if waiting := currentLeader.loop.Len(eventloop.Queries); waiting > 0 {
 			t.Errorf("%d questions wait for the loop", waiting)
 		}
 		close(release)
--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -313,7 +313,11 @@
 			after := sim.starts[job.Spec.ID] - atFirst
 			t.Logf(
 				"%d tasks that fail after %v s: %d starts until it counts as failing everywhere, %d in five minutes after that, %d writes",
-				tasks, failsAfter.Seconds(), atFirst, after, sim.writes[job.Spec.ID],
+				tasks,
+				failsAfter.Seconds(),
+				atFirst,
+				after,
+				sim.writes[job.Spec.ID],
 			)
 			if atFirst > maxStartsAtFirst || after > maxStartsAfter {
 				t.Errorf("%d tasks: %d starts at first, %d in five minutes after that", tasks, atFirst, after)
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -22,17 +22,13 @@
 func (w *Writer) commit(txn wire.Transaction, changes []batchChange) {
 	sentAt := w.host.Now()
 	if !w.host.HoldsLease() {
-		w.host.Post(func() { w.requeue(changes, false) })
+		w.host.Post(leaseLost{w, changes})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	revision, err := w.store.Commit(ctx, store.Urgent, txn)
-	w.host.Post(func() {
-		now := w.host.Now()
-		w.host.ObserveCommit(now - sentAt)
-		w.handleCommitResult(txn, changes, revision, err, now)
-	})
+	w.host.Post(transactionAnswered{w, txn, changes, sentAt, revision, err})
 }
 
 // handleCommitResult takes in the outcome of a transaction.
@@ -151,12 +147,7 @@
 			break
 		}
 	}
-	w.host.Post(func() {
-		for _, result := range results {
-			w.handleVerification(result, w.host.Now())
-		}
-		w.endInFlight(records...) // with their place in line
-	})
+	w.host.Post(recordsVerified{w, records, results})
 }
 
 // handleVerification takes in what the store holds of an uncertain key.
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -13,6 +13,7 @@
 	"strconv"
 	"strings"
 
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -21,17 +22,17 @@
 // Host is the controller's loop that a writer serves.
 type Host interface {
 	Now() micro.Time
-	// Valid reports whether the right to write still holds; any goroutine may ask.
+	// HoldsLease reports whether the host may still write; any goroutine may ask.
 	HoldsLease() bool
-	// Guards are the conditions that every transaction carries.
+	// Preconditions are what every transaction is conditional on.
 	Preconditions() []wire.Precondition
-	// Post has the loop run something.
-	Post(f func())
+	// Post hands the host's loop an event; any goroutine may call it.
+	Post(event eventloop.Event)
 	// MaxValueBytes is what a value may take now.
 	MaxValueBytes() int
 	// MaxTransactionOps is how many changes a transaction may have.
 	MaxTransactionOps() int
-	// Committed is told how long a transaction took.
+	// ObserveCommit is told how long a transaction took.
 	ObserveCommit(took micro.Time)
 }
 
