--- /dev/null
+++ b/internal/cluster/allocation_lifecycle.go
@@ -0,0 +1,188 @@
+package cluster
+
+import (
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/wire"
+)
+
+// AllocationState is the state of one attempt's place on a machine.
+type AllocationState uint8
+
+// The states of a place.
+const (
+	Planned  AllocationState = iota // decided; its record is being written
+	Starting                        // written; the start may have been sent
+	Fetching
+	Waiting
+	Running
+	Checkpointing
+	Released // proven free
+)
+
+func (s AllocationState) String() string {
+	return [...]string{"planned", "starting", "fetching", "waiting", "running", "saving", "ended"}[s]
+}
+
+var allocationTransitions = map[AllocationState][]AllocationState{
+	Planned:       {Starting, Released, Fetching, Waiting, Running, Checkpointing},
+	Starting:      {Fetching, Waiting, Running, Checkpointing, Released},
+	Fetching:      {Waiting, Running, Checkpointing, Released},
+	Waiting:       {Running, Checkpointing, Released, Fetching},
+	Running:       {Checkpointing, Released},
+	Checkpointing: {Released},
+}
+
+// transitionAllocation is the one place where a place's state changes.
+func (s *State) transitionAllocation(allocation *Allocation, to AllocationState) bool {
+	if allocation.State == to {
+		return false
+	}
+	allowed := false
+	for _, next := range allocationTransitions[allocation.State] {
+		allowed = allowed || next == to
+	}
+	if !allowed {
+		return false
+	}
+	previous := allocation.State
+	allocation.State = to
+	if allocation.taskKnown {
+		if previous == Running {
+			allocation.Job.RunningTasks--
+		}
+		if to == Running {
+			allocation.Job.RunningTasks++
+			if !allocation.Job.Started {
+				allocation.Job.Started = true
+				s.Log("job runs", "job", allocation.Job.Spec.ID)
+			}
+		}
+	}
+	return true
+}
+
+// release gives a place up. It is called only with one of the proofs: a newer
+// message of the worker shows the attempt ended, or absent after it had been
+// seen or its start had settled; a later session; the worker's lease surely ran
+// out; the cloud said that the machine is gone.
+func (s *State) release(allocation *Allocation, now micro.Time) {
+	if !s.transitionAllocation(allocation, Released) {
+		return
+	}
+	machine := allocation.Machine
+	delete(machine.Allocations, AllocationKey{allocation.TaskName, allocation.Attempt})
+	machine.IdleSince = now
+	if !allocation.taskKnown {
+		return
+	}
+	job := allocation.Job
+	machine.UsedCPU -= job.Spec.CPUs
+	machine.UsedGPU -= job.Spec.GPUs
+	machine.UsedMemoryGB -= job.Spec.MemoryGB
+	machine.UsedScaledCPU -= allocation.ScaledCPU
+	machine.account(allocation, -1)
+	if len(machine.Allocations) == 0 {
+		machine.UsedCPU, machine.UsedGPU, machine.UsedMemoryGB, machine.UsedScaledCPU = 0, 0, 0, 0
+		machine.UsedByPriority, machine.UsedByStopping = [priorityLevels]Resources{}, Resources{}
+	}
+	s.updatePool(machine)
+	if job.Team != nil {
+		job.Team.UsedCPU -= job.Spec.CPUs
+		job.Team.UsedGPU -= job.Spec.GPUs
+	}
+	job.Tasks[allocation.Index].AllocationCount--
+	job.AllocationCount--
+	job.Class.AllocationCount--
+	job.AllocationsByZone[machine.Zone]--
+	chunk := job.Chunk(allocation.Index)
+	for i, other := range chunk.Allocations {
+		if other == allocation {
+			chunk.Allocations = append(chunk.Allocations[:i], chunk.Allocations[i+1:]...)
+			break
+		}
+	}
+	s.markChunkDirty(job, allocation.Index)
+	s.ScheduleSoon()
+	if job.Spec.Kind == wire.Gang {
+		s.abortGangAttempt(job, now)
+		return
+	}
+	s.requeue(job, allocation.Index, now)
+}
+
+// StopAllocation asks for a place's task to be stopped; graceS at least the job's save
+// time lets it save. A second call can only shorten the grace.
+func (s *State) StopAllocation(allocation *Allocation, reason string, graceS float64, now micro.Time) {
+	if allocation.State == Released {
+		return
+	}
+	if allocation.State == Planned {
+		// No start has gone out, and none will: the place is free at once.
+		s.release(allocation, now)
+		return
+	}
+	if allocation.Stopping && graceS >= allocation.GraceS {
+		return
+	}
+	if !allocation.Stopping {
+		allocation.StopRequestedAt = now
+		if allocation.taskKnown {
+			allocation.Machine.account(allocation, -1)
+		}
+	}
+	wasStopping := allocation.Stopping
+	allocation.Stopping, allocation.GraceS, allocation.StopReason = true, graceS, reason
+	if !wasStopping && allocation.taskKnown {
+		allocation.Machine.account(allocation, 1)
+	}
+	if s.Verbose {
+		s.Log(
+			"stop", "task", allocation.TaskName, "try", allocation.Attempt, "machine", allocation.Machine.Name, "why", reason,
+			"grace_s", graceS,
+		)
+	}
+	s.DispatchSoon(allocation.Machine)
+}
+
+// ChunkPersisted notes that a chunk's version is in the store: starts may go out.
+func (s *State) ChunkPersisted(chunk *TaskChunk, version uint64) {
+	chunk.StoredVersion = max(chunk.StoredVersion, version)
+	if !chunk.Stored {
+		chunk.Stored = true
+		if legacy := chunk.Legacy; legacy != nil {
+			if legacy.PendingChunks--; legacy.PendingChunks == 0 {
+				s.LegacyRecordSuperseded(legacy)
+			}
+		}
+	}
+	for _, allocation := range chunk.Allocations {
+		if allocation.State == Planned && allocation.ChunkVersion <= chunk.StoredVersion {
+			s.transitionAllocation(allocation, Starting)
+			s.DispatchSoon(allocation.Machine)
+		}
+	}
+}
+
+// abortGangAttempt winds up a gang's attempt after a member went; when all its places
+// are free, every task is placed anew under the next attempt number. Starting a
+// replacement under the same number is allowed only before the gang has started,
+// which a new leader cannot know: the attempt is always given up whole.
+func (s *State) abortGangAttempt(job *Job, now micro.Time) {
+	if job.State != Active {
+		return
+	}
+	if job.AllocationCount > 0 {
+		job.GangStopping = true
+		for _, allocation := range job.Allocations() {
+			s.StopAllocation(allocation, "gang lost a member", 0, now)
+		}
+		return
+	}
+	if job.State != Active || !job.GangStopping && job.PendingTasks() == len(job.Tasks) {
+		return
+	}
+	job.GangStopping = false
+	for i := range job.Tasks {
+		s.requeue(job, i, now)
+	}
+}
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -1,6 +1,8 @@
 package cluster
 
-import "notchmux.dev/notchmux/internal/micro"
+import (
+	"notchmux.dev/notchmux/internal/micro"
+)
 
 // FinalStatus is the end of a job as it is in the store.
 type FinalStatus struct {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -8,33 +8,6 @@
 // LegacyTasksPerChunk is how many tasks share one record in the store, in its first form.
 const LegacyTasksPerChunk = 128
 
-// JobState is a job's state in the leader's picture.
-type JobState uint8
-
-// The states of a job.
-const (
-	Active    JobState = iota
-	Finishing          // all tasks are done, its end is being written
-	Aborting           // its withdrawal is being written
-	Done
-	Aborted
-	Blocked  // for other jobs to be done
-	Assigned // to a share of the machines: its owner places it
-)
-
-func (s JobState) String() string {
-	return [...]string{"active", "finishing", "aborting", "done", "aborted", "awaiting", "assigned"}[s]
-}
-
-var jobTransitions = map[[2]JobState]bool{
-	{Active, Finishing}: true, {Active, Aborting}: true, {Finishing, Done}: true,
-	{Finishing, Aborted}: true, {Aborting, Aborted}: true, {Aborting, Done}: true,
-	{Active, Done}: true, {Active, Aborted}: true,
-	{Blocked, Active}: true, {Blocked, Aborting}: true, {Blocked, Aborted}: true,
-	{Active, Assigned}: true, {Assigned, Active}: true, {Assigned, Aborting}: true,
-	{Assigned, Finishing}: true, {Assigned, Done}: true, {Assigned, Aborted}: true,
-}
-
 // Task is one task of a job.
 type Task struct {
 	Attempt         uint32 // the highest attempt number used
@@ -102,48 +75,6 @@
 	tasksPerChunk int     // tasks of a chunk
 }
 
-// IsTerminal reports whether the job's end is in the store.
-func (j *Job) IsTerminal() bool { return j.State == Done || j.State == Aborted }
-
-// transitionJob is the one place where a job's state changes.
-func (s *State) transitionJob(job *Job, to JobState) {
-	if job.State == to {
-		return
-	}
-	if !jobTransitions[[2]JobState{job.State, to}] {
-		s.Log("job state refused", "job", job.Spec.ID, "from", job.State.String(), "to", to.String())
-		return
-	}
-	if job.State == Blocked {
-		s.BlockedJobs--
-	}
-	job.State = to
-	switch to {
-	case Active:
-		s.activateJob(job)
-	case Assigned: // it still takes its part of its team's guarantee
-		delete(s.PendingJobs, job)
-		delete(s.ActiveJobs, job)
-	default:
-		delete(s.PendingJobs, job)
-		delete(s.ActiveJobs, job)
-		s.leaveTeam(job)
-	}
-}
-
-func (s *State) leaveTeam(job *Job) {
-	if job.Team == nil {
-		return
-	}
-	unfinished := job.Team.unfinished
-	for i, other := range unfinished {
-		if other == job {
-			job.Team.unfinished = append(unfinished[:i], unfinished[i+1:]...)
-			break
-		}
-	}
-}
-
 // AddJob takes in a job; a known one is returned as it is. One that awaits others
 // holds nothing of its team's guarantee, and nothing is placed, until each of
 // their ends is known to be in the store.
@@ -172,50 +103,6 @@
 	return job
 }
 
-// activateJob lets a job compete for room.
-func (s *State) activateJob(job *Job) {
-	s.ActiveJobs[job] = true
-	s.PendingJobs[job] = true
-	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // no leader looks for room in its predecessor's time
-	if job.Team != nil {
-		// Kept in the order in which they could start, for guarantees.
-		unfinished := append(job.Team.unfinished, job)
-		for i := len(unfinished) - 1; i > 0 && unfinished[i-1].EligibleSince > unfinished[i].EligibleSince; i-- {
-			unfinished[i-1], unfinished[i] = unfinished[i], unfinished[i-1]
-		}
-		job.Team.unfinished = unfinished
-	}
-	job.Class.LastJob = &job.Spec
-	job.Class.jobCount++
-	job.Class.MeanImageGB += (job.Spec.ImageGB - job.Class.MeanImageGB) / job.Class.jobCount
-	for range min(job.Spec.Tasks, 50) {
-		job.Class.Arrivals = append(job.Class.Arrivals, job.EligibleSince)
-	}
-	if arrivals := len(job.Class.Arrivals); arrivals > 400 {
-		job.Class.Arrivals = append([]micro.Time(nil), job.Class.Arrivals[arrivals-200:]...)
-	}
-	s.ScheduleSoon()
-}
-
-// MarkGuarantees marks the active jobs that fit their team's guarantee together
-// with the team's earlier unfinished jobs. An amount of 0 guarantees nothing of
-// that kind, and a team without any guarantee has none.
-func (s *State) MarkGuarantees() {
-	for _, team := range s.Teams {
-		if team.GuaranteedCPUs <= 0 && team.GuaranteedGPUs <= 0 {
-			continue
-		}
-		var cpus, gpus float64
-		for _, job := range team.unfinished {
-			remaining := float64(len(job.Tasks) - job.DoneTasks)
-			cpus += remaining * job.Spec.CPUs
-			gpus += remaining * job.Spec.GPUs
-			job.WithinGuarantee = (team.GuaranteedCPUs <= 0 || cpus <= team.GuaranteedCPUs) &&
-				(team.GuaranteedGPUs <= 0 || gpus <= team.GuaranteedGPUs)
-		}
-	}
-}
-
 // Chunk is the record that holds a task.
 func (j *Job) Chunk(index int) *TaskChunk { return j.Chunks[index/j.tasksPerChunk] }
 
@@ -227,79 +114,6 @@
 	return chunk
 }
 
-// PendingTasks is how many tasks wait for a place.
-func (j *Job) PendingTasks() int {
-	if j.State != Active {
-		return 0
-	}
-	return len(j.requeuedTasks) + len(j.Tasks) - j.firstUnqueued
-}
-
-// requeue puts a task back in line.
-func (s *State) requeue(job *Job, index int, now micro.Time) {
-	task := &job.Tasks[index]
-	if job.State != Active || task.Done || task.Queued || task.AllocationCount > 0 || index >= job.firstUnqueued {
-		return
-	}
-	task.Queued = true
-	job.requeuedTasks = append(job.requeuedTasks, int32(index))
-	if !s.PendingJobs[job] {
-		s.PendingJobs[job] = true
-		job.WaitingSince = now
-	}
-	s.ScheduleSoon()
-}
-
-// NextTasks gives up to n tasks that may be placed now, without taking them.
-func (j *Job) NextTasks(now micro.Time, limit int) []int {
-	if j.State != Active || j.InBackoff(now) {
-		return nil
-	}
-	var indices []int
-	for _, i := range j.requeuedTasks {
-		if len(indices) == limit {
-			return indices
-		}
-		task := &j.Tasks[i]
-		if task.NotBefore <= now && task.AllocationCount == 0 && !task.Done {
-			indices = append(indices, int(i))
-		}
-	}
-	for i := j.firstUnqueued; i < len(j.Tasks) && len(indices) < limit; i++ {
-		if task := &j.Tasks[i]; task.AllocationCount == 0 && !task.Done {
-			indices = append(indices, i)
-		}
-	}
-	return indices
-}
-
-// dequeue removes a task from the line.
-func (s *State) dequeue(job *Job, index int) {
-	if index >= job.firstUnqueued {
-		for other := job.firstUnqueued; other < index; other++ { // skipped ones go to the queue
-			if task := &job.Tasks[other]; !task.Done && task.AllocationCount == 0 && !task.Queued {
-				task.Queued = true
-				job.requeuedTasks = append(job.requeuedTasks, int32(other))
-			}
-		}
-		job.firstUnqueued = index + 1
-	} else {
-		for position, other := range job.requeuedTasks {
-			if int(other) == index {
-				job.requeuedTasks = append(job.requeuedTasks[:position], job.requeuedTasks[position+1:]...)
-				break
-			}
-		}
-		job.Tasks[index].Queued = false
-	}
-	for job.firstUnqueued < len(job.Tasks) && (job.Tasks[job.firstUnqueued].Done || job.Tasks[job.firstUnqueued].AllocationCount > 0) {
-		job.firstUnqueued++
-	}
-	if job.PendingTasks() == 0 {
-		delete(s.PendingJobs, job)
-	}
-}
-
 // finishTask notes that a task is done.
 func (s *State) finishTask(job *Job, index int, now micro.Time) {
 	task := &job.Tasks[index]
@@ -320,23 +134,6 @@
 	}
 }
 
-// BeginAbort notes that a withdrawal is about to be written.
-func (s *State) BeginAbort(job *Job) { s.transitionJob(job, Aborting) }
-
-// FinalizeJob settles a job for good and winds its tasks up.
-func (s *State) FinalizeJob(job *Job, aborted bool, now micro.Time) {
-	if aborted {
-		s.transitionJob(job, Aborted)
-	} else {
-		s.transitionJob(job, Done)
-	}
-	for _, allocation := range job.Allocations() {
-		s.StopAllocation(allocation, "job over", 0, now)
-	}
-	s.ApplyFinalStatus(job.Spec.ID, FinalStatus{Aborted: aborted, EndedAt: now}, now)
-	s.ScheduleSoon()
-}
-
 // Allocations lists the places that the job's tasks hold.
 func (j *Job) Allocations() []*Allocation {
 	var out []*Allocation
--- a/internal/cluster/pool.go
+++ b/internal/cluster/pool.go
@@ -1,6 +1,8 @@
 package cluster
 
-import "sort"
+import (
+	"sort"
+)
 
 // Resources is an amount of a machine.
 type Resources struct{ CPU, GPU, MemoryGB, ScaledCPU float64 }
--- a/internal/cluster/retention.go
+++ b/internal/cluster/retention.go
@@ -1,6 +1,8 @@
 package cluster
 
-import "notchmux.dev/notchmux/internal/micro"
+import (
+	"notchmux.dev/notchmux/internal/micro"
+)
 
 // How long the model remembers what is over. A term may last for months: kept for
 // good, the jobs and machines of a large fleet would fill the node's memory.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -6,9 +6,6 @@
 package cluster
 
 import (
-	"math"
-	"sort"
-
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -20,67 +17,6 @@
 	SpeedFactor float64
 }
 
-// Team counts what a team's places take.
-type Team struct {
-	Name                     string
-	GuaranteedCPUs, CPULimit float64
-	GuaranteedGPUs, GPULimit float64
-	UsedCPU, UsedGPU         float64
-	QuotaReservedFor         *Job // its limit's room is kept for this job, which waited long
-	QuotaReservedAt          micro.Time
-	QuotaReservableAfter     micro.Time // nothing is saved up before, so that its other jobs get their turn
-	LastPlacedAt             micro.Time // when one of its tasks was last placed
-	unfinished               []*Job
-}
-
-// WithinLimit reports whether the team's limits leave room for n more such tasks.
-func (t *Team) WithinLimit(cpus, gpus float64, tasks int) bool {
-	const eps = 1e-9
-	count := float64(tasks)
-	return (t.CPULimit <= 0 || t.UsedCPU+count*cpus <= t.CPULimit+eps) &&
-		(t.GPULimit <= 0 || t.UsedGPU+count*gpus <= t.GPULimit+eps)
-}
-
-// TaskHeadroom is how many tasks the team's limits leave room for.
-func (t *Team) TaskHeadroom(cpus, gpus float64) int {
-	const eps = 1e-9
-	tasks := math.MaxInt32
-	for _, quota := range []struct{ most, used, each float64 }{{t.CPULimit, t.UsedCPU, cpus}, {t.GPULimit, t.UsedGPU, gpus}} {
-		if quota.most > 0 && quota.each > 0 {
-			tasks = min(tasks, int((quota.most-quota.used)/quota.each+eps))
-		}
-	}
-	return max(tasks, 0)
-}
-
-// Class is what has been learnt about a class of jobs.
-type Class struct {
-	Name            string
-	EstimateBias    float64 // run time shown, over the owner's estimate
-	samples         int
-	Arrivals        []micro.Time // times of recent submissions, a time per task
-	LastJob         *wire.Job
-	StartObjective  micro.Time // tightest objective on starting; 0: none
-	LastPlacedAt    micro.Time // when one of its tasks was last placed
-	MeanImageGB     float64    // mean size of its jobs' images
-	AllocationCount int        // places that its tasks hold
-	jobCount        float64
-}
-
-// ArrivalRate is the tasks that arrive a second, robust against a single burst: the
-// mean of the middle two of the last four half-minutes.
-func (c *Class) ArrivalRate(now micro.Time) float64 {
-	const window = 30 * micro.Second
-	var counts [4]int
-	for _, arrival := range c.Arrivals {
-		if bucket := (now - arrival) / window; arrival <= now && bucket >= 0 && bucket < 4 {
-			counts[bucket]++
-		}
-	}
-	sort.Ints(counts[:])
-	return float64(counts[1]+counts[2]) / 2 / window.Seconds()
-}
-
 // Effects are what a change of the model asks its owner to do.
 type Effects interface {
 	ChunkDirty(chunk *TaskChunk)   // the chunk must be written
@@ -178,21 +114,3 @@
 		s.CatalogOrder = append(s.CatalogOrder, machineType)
 	}
 }
-
-// EnsureClass finds or makes a class.
-func (s *State) EnsureClass(name string) *Class {
-	class := s.Classes[name]
-	if class == nil {
-		class = &Class{Name: name, EstimateBias: 1}
-		s.Classes[name] = class
-	}
-	return class
-}
-
-// UpdateEstimateBias takes a completed run into the class's bias of estimates.
-func (c *Class) UpdateEstimateBias(ratio float64) {
-	ratio = min(max(ratio, 0.2), 5)
-	c.samples++
-	weight := max(1/float64(c.samples+2), 0.05) // two samples' weight on "right"
-	c.EstimateBias += weight * (ratio - c.EstimateBias)
-}
--- /dev/null
+++ b/internal/cluster/team.go
@@ -0,0 +1,72 @@
+package cluster
+
+import (
+	"math"
+
+	"notchmux.dev/notchmux/internal/micro"
+)
+
+// Team counts what a team's places take.
+type Team struct {
+	Name                     string
+	GuaranteedCPUs, CPULimit float64
+	GuaranteedGPUs, GPULimit float64
+	UsedCPU, UsedGPU         float64
+	QuotaReservedFor         *Job // its limit's room is kept for this job, which waited long
+	QuotaReservedAt          micro.Time
+	QuotaReservableAfter     micro.Time // nothing is saved up before, so that its other jobs get their turn
+	LastPlacedAt             micro.Time // when one of its tasks was last placed
+	unfinished               []*Job
+}
+
+// WithinLimit reports whether the team's limits leave room for n more such tasks.
+func (t *Team) WithinLimit(cpus, gpus float64, tasks int) bool {
+	const eps = 1e-9
+	count := float64(tasks)
+	return (t.CPULimit <= 0 || t.UsedCPU+count*cpus <= t.CPULimit+eps) &&
+		(t.GPULimit <= 0 || t.UsedGPU+count*gpus <= t.GPULimit+eps)
+}
+
+// TaskHeadroom is how many tasks the team's limits leave room for.
+func (t *Team) TaskHeadroom(cpus, gpus float64) int {
+	const eps = 1e-9
+	tasks := math.MaxInt32
+	for _, quota := range []struct{ most, used, each float64 }{{t.CPULimit, t.UsedCPU, cpus}, {t.GPULimit, t.UsedGPU, gpus}} {
+		if quota.most > 0 && quota.each > 0 {
+			tasks = min(tasks, int((quota.most-quota.used)/quota.each+eps))
+		}
+	}
+	return max(tasks, 0)
+}
+
+// MarkGuarantees marks the active jobs that fit their team's guarantee together
+// with the team's earlier unfinished jobs. An amount of 0 guarantees nothing of
+// that kind, and a team without any guarantee has none.
+func (s *State) MarkGuarantees() {
+	for _, team := range s.Teams {
+		if team.GuaranteedCPUs <= 0 && team.GuaranteedGPUs <= 0 {
+			continue
+		}
+		var cpus, gpus float64
+		for _, job := range team.unfinished {
+			remaining := float64(len(job.Tasks) - job.DoneTasks)
+			cpus += remaining * job.Spec.CPUs
+			gpus += remaining * job.Spec.GPUs
+			job.WithinGuarantee = (team.GuaranteedCPUs <= 0 || cpus <= team.GuaranteedCPUs) &&
+				(team.GuaranteedGPUs <= 0 || gpus <= team.GuaranteedGPUs)
+		}
+	}
+}
+
+func (s *State) leaveTeam(job *Job) {
+	if job.Team == nil {
+		return
+	}
+	unfinished := job.Team.unfinished
+	for i, other := range unfinished {
+		if other == job {
+			job.Team.unfinished = append(unfinished[:i], unfinished[i+1:]...)
+			break
+		}
+	}
+}
