--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -2,11 +2,11 @@
 
 import (
 	"context"
-	"strconv"
 	"time"
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -154,12 +154,6 @@
 	Dependencies []string `msgpack:"n" json:"n"`
 }
 
-const dependencyKeyPart = "needs/"
-
-func dependencyKey(id string, n int) string {
-	return "job/" + id + "/" + dependencyKeyPart + strconv.Itoa(n)
-}
-
 // splitSpec moves what does not fit the description's value into keys of its own.
 func (n *Node) splitSpec(job *wire.Job) (*wire.Job, []wire.Change) {
 	maxBytes := n.maxValueBytes() - specMargin
@@ -171,7 +165,7 @@
 	size, part := 0, []string(nil)
 	flush := func() {
 		if len(part) > 0 {
-			parts = append(parts, wire.Change{Put: dependencyKey(job.ID, len(parts)), Value: dependencyRecord{part}})
+			parts = append(parts, wire.Change{Put: keys.JobDependencies(job.ID, len(parts)), Value: dependencyRecord{part}})
 			size, part = 0, nil
 		}
 	}
@@ -202,14 +196,14 @@
 		parts = parts[len(batch):]
 		// A repeat carries the same list, and writes the same.
 		if _, err := n.Store.Commit(
-			ctx, class, wire.Transaction{If: []wire.Precondition{{Key: specKey(job.ID)}}, Then: batch},
+			ctx, class, wire.Transaction{If: []wire.Precondition{{Key: keys.JobSpec(job.ID)}}, Then: batch},
 		); err != nil {
 			return err
 		}
 	}
 	_, err := n.Store.Commit(ctx, class, wire.Transaction{
-		If:   []wire.Precondition{{Key: specKey(job.ID)}},
-		Then: []wire.Change{{Put: specKey(job.ID), Value: spec}},
+		If:   []wire.Precondition{{Key: keys.JobSpec(job.ID)}},
+		Then: []wire.Change{{Put: keys.JobSpec(job.ID), Value: spec}},
 	})
 	return err
 }
--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -24,7 +25,7 @@
 			}, func(sim *simCluster) {
 				leader, _ := sim.waitForRestoredLeader()
 				sim.waitUntil("the forms of this version in use", micro.Minute, func() bool {
-					_, err := sim.store.Get(sim.ctx, store.Routine, formatKey)
+					_, err := sim.store.Get(sim.ctx, store.Routine, keys.Format)
 					return err == nil
 				})
 				sim.sleep(micro.Second) // and its leader told
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -8,6 +8,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -1091,10 +1092,15 @@
 				}
 				change(sim, old)
 				next := sim.waitForNextLeader(old)
-				_, err := sim.store.Get(sim.ctx, store.Urgent, endKey(job.id))
+				_, err := sim.store.Get(sim.ctx, store.Urgent, keys.JobEnd(job.id))
 				in := err == nil
 				sim.sleep(13 * micro.Second) // the write is carried out
-				if _, err := sim.store.Get(sim.ctx, store.Urgent, endKey(job.id)); !in && err == nil && !job.knowledge().aborted &&
+				if _, err := sim.store.Get(
+					sim.ctx,
+					store.Urgent,
+					keys.JobEnd(job.id),
+				); !in && err == nil &&
+					!job.knowledge().aborted &&
 					job.runningTasks() > 0 {
 					t.Errorf("the job's end came into the store behind the back of %s", next.name)
 				} else if !in &&
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -14,6 +14,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -400,11 +401,11 @@
 	var then []wire.Change
 	for i := range 1563 {
 		then = append(
-			then, wire.Change{Put: runKey("j-1", i), Value: cluster.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}},
+			then, wire.Change{Put: keys.LegacyChunk("j-1", i), Value: cluster.ChunkRecord{Done: [][2]int{{i * 64, i*64 + 1}}}},
 		)
 	}
 	then = append(
-		then, wire.Change{Put: specKey("j-1"), Value: wire.Job{ID: "j-1", Team: "team", Tasks: 100_000, CPUs: 1}},
+		then, wire.Change{Put: keys.JobSpec("j-1"), Value: wire.Job{ID: "j-1", Team: "team", Tasks: 100_000, CPUs: 1}},
 	)
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
--- a/internal/controller/final_status_cache_test.go
+++ b/internal/controller/final_status_cache_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -33,8 +34,8 @@
 	var then []wire.Change
 	for _, id := range []string{"j-1", "j-2"} {
 		then = append(
-			then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}},
-			wire.Change{Put: endKey(id), Value: map[string]any{"state": "done"}},
+			then, wire.Change{Put: keys.JobSpec(id), Value: wire.Job{ID: id, Tasks: 1}},
+			wire.Change{Put: keys.JobEnd(id), Value: map[string]any{"state": "done"}},
 		)
 	}
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -10,6 +10,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -21,13 +22,13 @@
 // allocationStored reports whether the store holds the record of a place.
 func (w *simCluster) allocationStored(machine string, key fake.AttemptKey) bool {
 	id, index, _ := wire.ParseTaskName(key.Task)
-	page, err := w.store.Range(context.Background(), store.Routine, "run/"+id+"/", "", 1000)
+	page, err := w.store.Range(context.Background(), store.Routine, keys.ChunkPrefixFor(id), "", 1000)
 	if err != nil {
 		w.t.Error(err)
 	}
 	for _, item := range page.Items {
 		var rec cluster.ChunkRecord
-		if strings.HasPrefix(item.Key, "run/"+id+"/"+compactMark) {
+		if strings.HasPrefix(item.Key, keys.ChunkPrefixFor(id)+keys.CompactMark) {
 			var c cluster.CompactRecord
 			if wire.Unmarshal(item.Value, &c) == nil {
 				rec, _ = c.Expand()
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -21,11 +22,6 @@
 // FormatVersion is the version of the forms that this program reads and writes.
 const FormatVersion = 2
 
-const (
-	formatKey  = "fleet/format"
-	nodePrefix = "node/"
-)
-
 // FormatRecord is the value of fleet/format.
 type FormatRecord struct {
 	Version       int `msgpack:"version" json:"version"`
@@ -89,7 +85,7 @@
 	if GateState(n.formatGate.Load()) == GateUnannounced && n.announce(ctx) {
 		n.setGateState(GateAnnounced)
 	}
-	item, err := n.Store.Get(ctx, store.Routine, formatKey)
+	item, err := n.Store.Get(ctx, store.Routine, keys.Format)
 	var record FormatRecord
 	if err == nil && wire.Unmarshal(item.Value, &record) == nil && record.Version >= FormatVersion {
 		// The leader that raised it, and its heirs, need not be told.
@@ -124,7 +120,7 @@
 
 // recordNodeVersion writes that a node runs this version, unless it is there.
 func (n *Node) recordNodeVersion(ctx context.Context, node string) bool {
-	key := nodePrefix + node
+	key := keys.Node(node)
 	item, err := n.Store.Get(ctx, store.Routine, key)
 	var record nodeRecord
 	if err == nil && wire.Unmarshal(item.Value, &record) == nil && record.Version >= FormatVersion {
@@ -164,7 +160,7 @@
 	for _, other := range n.Cfg.Peers {
 		names = append(names, other.Node)
 	}
-	page, err := n.Store.Range(ctx, store.Routine, nodePrefix, "", 1000)
+	page, err := n.Store.Range(ctx, store.Routine, keys.NodePrefix, "", 1000)
 	if err != nil {
 		return names
 	}
@@ -172,7 +168,7 @@
 	for _, item := range page.Items {
 		var record nodeRecord
 		if wire.Unmarshal(item.Value, &record) == nil && record.Version >= FormatVersion {
-			announced[item.Key[len(nodePrefix):]] = true
+			announced[item.Key[len(keys.NodePrefix):]] = true
 		}
 	}
 	var missing []string
--- a/internal/controller/image_records.go
+++ b/internal/controller/image_records.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"strconv"
-	"strings"
-
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
@@ -13,14 +11,6 @@
 // of some 200 machines; the machines that have most are in the first record, the
 // others follow in further ones, which only this version's later forms know.
 
-const imagePagePrefix = imageKey + "/"
-
-func imagePageKey(page int) string { return imagePagePrefix + strconv.Itoa(page) }
-
-func isImageKey(key string) bool {
-	return key == imageKey || strings.HasPrefix(key, imagePagePrefix)
-}
-
 // imageWriter keeps the records of the machines' images. Each round writes the first
 // record and one of the others in turn, so that the cost does not grow with the fleet.
 type imageWriter struct {
@@ -31,7 +21,7 @@
 }
 
 func newImageWriter(w *recordStore) *imageWriter {
-	iw := &imageWriter{records: w, firstPage: w.Record(imageKey), pages: map[int]*statestore.Record{}}
+	iw := &imageWriter{records: w, firstPage: w.Record(keys.Images), pages: map[int]*statestore.Record{}}
 	iw.firstPage.Build = func() (any, uint64) { return w.leader.cluster.ImagePages(iw.maxRecordSize())[0], 0 }
 	return iw
 }
@@ -41,12 +31,13 @@
 
 // restore notes a record that the takeover read.
 func (iw *imageWriter) restore(it wire.Item) {
-	if it.Key == imageKey {
+	page, ok := keys.ParseImagePage(it.Key)
+	switch {
+	case !ok:
+	case page == 0:
 		iw.firstPage.SetVersion(uint64(it.Version))
-		return
-	}
-	if n, err := strconv.Atoi(strings.TrimPrefix(it.Key, imagePagePrefix)); err == nil && n > 0 {
-		iw.pageRecord(n).SetVersion(uint64(it.Version))
+	default:
+		iw.pageRecord(page).SetVersion(uint64(it.Version))
 	}
 }
 
@@ -57,7 +48,7 @@
 	if record != nil {
 		return record
 	}
-	record = iw.records.Record(imagePageKey(page))
+	record = iw.records.Record(keys.ImagePage(page))
 	record.Build = func() (any, uint64) {
 		if pages := iw.records.leader.cluster.ImagePages(iw.maxRecordSize()); page < len(pages) {
 			return pages[page], 0
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -11,14 +11,12 @@
 	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cloud"
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
-// instanceRequestPrefix begins the keys of the rentals' records. It is a fixed format.
-const instanceRequestPrefix = "hire/"
-
 // instanceRequestRecord is a rental as the store keeps it: written before the request is
 // sent, so that a lost answer is asked for again under the same name.
 type instanceRequestRecord struct {
@@ -93,7 +91,7 @@
 }
 
 func (l *Leader) newRequestRecord(request *instanceRequest) *statestore.Record {
-	record := l.records.Record(instanceRequestPrefix + request.record.Request.RequestID)
+	record := l.records.Record(keys.InstanceRequest(request.record.Request.RequestID))
 	record.Build = func() (any, uint64) {
 		if request.state == InstanceRequestClosed {
 			return nil, 0
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"strconv"
 	"time"
 
 	"notchmux.dev/notchmux/internal/httpapi"
@@ -20,17 +19,6 @@
 	peerBackoff     = 2 * micro.Second
 )
 
-func specKey(id string) string { return "job/" + id + "/spec" }
-
-func endKey(id string) string { return "job/" + id + "/end" }
-
-// compactMark begins the last part of the key of a record in the compact form.
-const compactMark = "c"
-
-func compactKey(id string, n int) string { return "run/" + id + "/" + compactMark + strconv.Itoa(n) }
-
-func runKey(id string, n int) string { return "run/" + id + "/" + strconv.Itoa(n) }
-
 // Submit accepts a job: 201 only after its description is in the store.
 func (n *Node) Submit(body []byte) httpapi.Reply { return n.submit(body, true) }
 
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -11,6 +11,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
@@ -144,7 +145,7 @@
 		needs = append(needs, id)
 		if _, err := env.store.Commit(
 			context.Background(), store.Urgent,
-			wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}},
+			wire.Transaction{Then: []wire.Change{{Put: keys.JobSpec(id), Value: wire.Job{ID: id, Tasks: 1}}}},
 		); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -11,6 +11,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -138,7 +139,7 @@
 		then = append(
 			then,
 			wire.Change{
-				Put: specKey(id),
+				Put: keys.JobSpec(id),
 				Value: wire.Job{
 					ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, MemoryGB: 1,
 				},
@@ -197,8 +198,11 @@
 	})
 	// Stored by the old leader as its last deed.
 	if _, err := env.store.Commit(
-		context.Background(), store.Urgent,
-		wire.Transaction{Then: []wire.Change{{Put: endKey("j-0"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}}},
+		context.Background(),
+		store.Urgent,
+		wire.Transaction{
+			Then: []wire.Change{{Put: keys.JobEnd("j-0"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}},
+		},
 	); err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +217,7 @@
 	next, _ := env.startLeaderWithGateOpen("n-2", narrow)
 	for i := 1; i <= 30; i++ {
 		waitUntil(t, "aborted", func() bool {
-			_, err := env.store.Get(context.Background(), store.Routine, endKey(fmt.Sprint("j-", i)))
+			_, err := env.store.Get(context.Background(), store.Routine, keys.JobEnd(fmt.Sprint("j-", i)))
 			return err == nil
 		})
 		if got := jobState(next, fmt.Sprint("j-", i)); got != wire.JobAborted {
@@ -264,7 +268,10 @@
 // has read it and told the user, who then asks the leader.
 func TestLeaderDoesNotAnswerFromMemoryWhileAnEndIsInFlight(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startNodeWith("n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, endKey("j-1")} })
+	node, _ := env.startNodeWith(
+		"n-0",
+		func(node *Node) { node.Store = unansweredKeyStore{node.Store, keys.JobEnd("j-1")} },
+	)
 	node.Submit(submission("j-1", wire.JobArray))
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	stop := make(chan struct{})
@@ -309,7 +316,7 @@
 // write was held up, and carried out after that look.
 func TestLeaderDoesNotAnswerFromMemoryOnceAnEndWasDelayed(t *testing.T) {
 	env := newTestCluster(t)
-	d := heldWriteStore{nil, endKey("j-1"), &sync.Mutex{}, &[]wire.Transaction{}, new(int)}
+	d := heldWriteStore{nil, keys.JobEnd("j-1"), &sync.Mutex{}, &[]wire.Transaction{}, new(int)}
 	node, _ := env.startNodeWith("n-0", func(node *Node) { d.Store = node.Store; node.Store = d })
 	node.Submit(submission("j-1", wire.JobArray))
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
@@ -335,7 +342,7 @@
 func TestLeaderDoesNotCallPendingWhatAnEndInFlightAborts(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen(
-		"n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, endKey("j-1")} },
+		"n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, keys.JobEnd("j-1")} },
 	)
 	node.Submit(submission("j-1", wire.Service))
 	node.Submit(dependentSubmission("j-2", "j-1"))
@@ -362,8 +369,8 @@
 	kill()
 	env.store.HoldCommits(1)
 	_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
-		If:   []wire.Precondition{guard, {Key: endKey("j-1")}},
-		Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}},
+		If:   []wire.Precondition{guard, {Key: keys.JobEnd("j-1")}},
+		Then: []wire.Change{{Put: keys.JobEnd("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}},
 	})
 	next, _ := env.startLeaderWithGateOpen("n-1", func(*Node) {})
 	stop := make(chan struct{})
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -3,18 +3,13 @@
 import (
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/eventloop"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
-const (
-	speedKey            = "fleet/speed"
-	firstProvisionedKey = "fleet/first"
-	imageKey            = "fleet/images"
-)
-
 // valueMargin is kept of the limit on a value.
 const valueMargin = 32
 
@@ -39,12 +34,12 @@
 		Writer: statestore.New(l, l.node.Store, l.log), leader: l, chunks: map[*cluster.TaskChunk]*statestore.Record{},
 		legacyRecords: map[*cluster.LegacyRecord]*statestore.Record{},
 	}
-	records.speeds = records.Record(speedKey)
+	records.speeds = records.Record(keys.Speeds)
 	records.speeds.Build = func() (any, uint64) { return l.speeds.Record(), 0 }
-	records.firstProvisioned = records.Record(firstProvisionedKey)
+	records.firstProvisioned = records.Record(keys.FirstProvisioned)
 	records.firstProvisioned.Build = func() (any, uint64) { return firstProvisionedRecord{l.firstProvisioned}, 0 }
 	records.images = newImageWriter(records)
-	records.format = records.Record(formatKey)
+	records.format = records.Record(keys.Format)
 	records.format.Build = func() (any, uint64) {
 		_, safe := l.node.Cfg.MaxValueBytes()
 		return FormatRecord{Version: FormatVersion, TasksPerChunk: cluster.TasksPerCompactChunk(safe - valueMargin)}, 0
@@ -103,9 +98,9 @@
 	case l.owner != nil:
 		return shard.AllocationKey(l.owner.name, id, ch.Index)
 	case l.cluster.CompactRecords:
-		return compactKey(id, ch.Index)
+		return keys.CompactChunk(id, ch.Index)
 	}
-	return runKey(id, ch.Index)
+	return keys.LegacyChunk(id, ch.Index)
 }
 
 // chunkRecord finds or makes the entry of a chunk's record.
@@ -143,7 +138,7 @@
 			legacy.PendingChunks = 0 // never written
 			return
 		}
-		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.Index))
+		record = w.Record(keys.LegacyChunk(legacy.Job.Spec.ID, legacy.Index))
 		record.SetVersion(legacy.KeyRevision)
 	}
 	record.ClearDirty()
@@ -165,7 +160,7 @@
 	}
 	record := w.legacyRecords[legacy]
 	if record == nil {
-		record = w.Record(runKey(legacy.Job.Spec.ID, legacy.Index))
+		record = w.Record(keys.LegacyChunk(legacy.Job.Spec.ID, legacy.Index))
 		record.SetVersion(legacy.KeyRevision)
 		w.legacyRecords[legacy] = record
 		record.Build = func() (any, uint64) {
@@ -183,7 +178,7 @@
 // writeJobEnd writes the end of a job. The first end wins: if another is found, that
 // one is the truth.
 func (w *recordStore) writeJobEnd(job *cluster.Job, state wire.JobState) {
-	record := w.Record(endKey(job.Spec.ID))
+	record := w.Record(keys.JobEnd(job.Spec.ID))
 	at := int64(w.leader.node.Wall())
 	record.Build = func() (any, uint64) { return cluster.FinalStatusRecord{State: state, EndedAt: at}, 0 }
 	record.OnCommitted = func(uint64) { w.Drop(record); w.leader.jobEnded(job, state) }
@@ -208,6 +203,6 @@
 // held up for seconds, it was carried out after the look, a user was told that the
 // job was done, and then by the leader that it was pending.
 func (w *recordStore) endUncertain(id string) bool {
-	record := w.Lookup(endKey(id))
+	record := w.Lookup(keys.JobEnd(id))
 	return record != nil && record.Uncertain()
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 	"errors"
-	"strings"
 
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/shard"
@@ -22,8 +22,8 @@
 	now, wall := l.node.Now(), l.node.Wall()
 	// The forms in use come first: they say how to read the rest.
 	var images []wire.Item
-	_, ok = l.readAll(ctx, "fleet/", func(item wire.Item) {
-		if isImageKey(item.Key) {
+	_, ok = l.readAll(ctx, keys.FleetPrefix, func(item wire.Item) {
+		if keys.IsImagePage(item.Key) {
 			images = append(images, item)
 			return
 		}
@@ -36,15 +36,15 @@
 	if !l.recoverAssignments(ctx, &snapshot) {
 		return 0, false
 	}
-	if revision, ok = l.readAll(ctx, "job/", snapshot.addJobKey); !ok {
+	if revision, ok = l.readAll(ctx, keys.JobPrefix, snapshot.addJobKey); !ok {
 		return 0, false
 	}
-	if _, ok = l.readAll(ctx, "run/", snapshot.addChunkRecord); !ok {
+	if _, ok = l.readAll(ctx, keys.ChunkPrefix, snapshot.addChunkRecord); !ok {
 		return 0, false
 	}
 	l.restoreJobs(&snapshot, now, wall)
 	if _, ok = l.readAll(
-		ctx, instanceRequestPrefix, func(item wire.Item) { l.restoreInstanceRequest(item, now, wall) },
+		ctx, keys.InstanceRequestPrefix, func(item wire.Item) { l.restoreInstanceRequest(item, now, wall) },
 	); !ok {
 		return 0, false
 	}
@@ -93,19 +93,19 @@
 // restoreFleet reads one of the records of the fleet as a whole.
 func (l *Leader) restoreFleet(item wire.Item) {
 	switch item.Key {
-	case speedKey:
+	case keys.Speeds:
 		var record scheduler.SpeedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.speeds.Restore(record)
 			l.records.speeds.SetVersion(uint64(item.Version))
 		}
-	case firstProvisionedKey:
+	case keys.FirstProvisioned:
 		var record firstProvisionedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.firstProvisioned = record.Machine
 			l.records.firstProvisioned.SetVersion(uint64(item.Version))
 		}
-	case formatKey:
+	case keys.Format:
 		if l.restoreFormat(item) {
 			l.formatRaised()
 		}
@@ -225,7 +225,7 @@
 // watchSubmissions finds jobs that other nodes accepted.
 func (l *Leader) watchSubmissions(ctx context.Context, revision uint64) {
 	for {
-		events, err := l.node.Store.Watch(ctx, "job/", revision, 10*micro.Second)
+		events, err := l.node.Store.Watch(ctx, keys.JobPrefix, revision, 10*micro.Second)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			l.resign("the store's history is too short to follow")
@@ -233,7 +233,7 @@
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
 			for _, event := range events.Events {
-				if !strings.HasSuffix(event.Put, "/spec") {
+				if !keys.IsJobSpec(event.Put) {
 					continue
 				}
 				var job wire.Job
--- a/internal/controller/recovery_snapshot.go
+++ b/internal/controller/recovery_snapshot.go
@@ -1,10 +1,8 @@
 package controller
 
 import (
-	"strconv"
-	"strings"
-
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -35,21 +33,21 @@
 
 // addJobKey reads one of a job's own keys.
 func (k *jobSnapshot) addJobKey(item wire.Item) {
-	id, rest, _ := strings.Cut(item.Key[len("job/"):], "/")
-	switch {
-	case rest == "spec":
+	id, kind, index := keys.ParseJobKey(item.Key)
+	switch kind {
+	case keys.SpecKey:
 		var job wire.Job
 		if wire.Unmarshal(item.Value, &job) == nil && job.Tasks >= 1 {
 			k.specs[id] = job
 		}
-	case rest == "end":
+	case keys.EndKey:
 		var end cluster.FinalStatusRecord
 		if wire.Unmarshal(item.Value, &end) == nil {
 			k.ends[id] = end
 		}
-	case strings.HasPrefix(rest, dependencyKeyPart):
+	case keys.DependenciesKey:
 		var part dependencyRecord
-		if index, err := strconv.Atoi(rest[len(dependencyKeyPart):]); err == nil && wire.Unmarshal(item.Value, &part) == nil {
+		if wire.Unmarshal(item.Value, &part) == nil {
 			if k.dependencies[id] == nil {
 				k.dependencies[id] = map[int][]string{}
 			}
@@ -60,13 +58,13 @@
 
 // addChunkRecord reads a record of a job's tasks.
 func (k *jobSnapshot) addChunkRecord(item wire.Item) {
-	id, rest, _ := strings.Cut(item.Key[len("run/"):], "/")
-	into := k.legacyChunks
-	if index, compact := strings.CutPrefix(rest, compactMark); compact {
-		rest, into = index, k.compactChunks
-	}
-	if index, err := strconv.Atoi(rest); err == nil {
-		into[id] = append(into[id], storedChunk{index, item})
+	id, index, compact, ok := keys.ParseChunk(item.Key)
+	switch {
+	case !ok:
+	case compact:
+		k.compactChunks[id] = append(k.compactChunks[id], storedChunk{index, item})
+	default:
+		k.legacyChunks[id] = append(k.legacyChunks[id], storedChunk{index, item})
 	}
 }
 
@@ -86,7 +84,7 @@
 
 // readJob reads a job's own keys from the store.
 func (n *Node) readJob(class store.Class, id string, snapshot *jobSnapshot) error {
-	prefix := "job/" + id + "/"
+	prefix := keys.JobPrefixFor(id)
 	return n.readPrefix(class, prefix, func(rest string, value []byte) error {
 		snapshot.addJobKey(wire.Item{Key: prefix + rest, Value: value})
 		return nil
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -8,6 +8,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -127,7 +128,7 @@
 	}
 	n.Store = endDuringReadStore{n.Store, func() {
 		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
-			Then: []wire.Change{{Put: endKey("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobDone}}},
+			Then: []wire.Change{{Put: keys.JobEnd("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobDone}}},
 		})
 	}}
 	if got := jobState(n, "j-1"); got != wire.JobDone {
--- a/internal/controller/retention.go
+++ b/internal/controller/retention.go
@@ -2,6 +2,7 @@
 
 import (
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 )
 
@@ -21,7 +22,7 @@
 // jobFlushed reports whether nothing of a job that is over has still to be written, or
 // may yet be carried out.
 func (w *recordStore) jobFlushed(j *cluster.Job) bool {
-	if w.Lookup(endKey(j.Spec.ID)) != nil || j.Shard != "" {
+	if w.Lookup(keys.JobEnd(j.Spec.ID)) != nil || j.Shard != "" {
 		return false
 	}
 	for _, ch := range j.Chunks {
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
@@ -53,7 +54,7 @@
 
 // runRecordCount is how many records of a job's tasks the store holds.
 func (w *simCluster) runRecordCount(id string) int {
-	p, err := w.store.Range(w.ctx, 0, "run/"+id+"/", "", 1000)
+	p, err := w.store.Range(w.ctx, 0, keys.ChunkPrefixFor(id), "", 1000)
 	if err != nil {
 		w.t.Error(err)
 	}
@@ -117,7 +118,7 @@
 		h.leader.records.images.writeNext(h.now)
 		changes := 0
 		h.leader.records.Each(func(e *statestore.Record) {
-			if !e.Dirty() || !isImageKey(e.Key) {
+			if !e.Dirty() || !keys.IsImagePage(e.Key) {
 				return
 			}
 			changes++
--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -9,6 +9,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/shard"
@@ -186,7 +187,7 @@
 	if assigned.storeRecord.Version() > 0 {
 		return nil
 	}
-	preconditions := []wire.Precondition{{Key: endKey(assigned.job.Spec.ID)}}
+	preconditions := []wire.Precondition{{Key: keys.JobEnd(assigned.job.Spec.ID)}}
 	if entry, ok := l.shardTable().Get(assigned.shardName); ok {
 		preconditions = append(preconditions, entry.Precondition())
 	}
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -5,6 +5,7 @@
 	"errors"
 
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -23,7 +24,7 @@
 // it, and where their tasks have places. What an earlier owner sent and is still on its
 // way fails: it carries an older version of the share's record.
 func (l *Leader) recoverShard(ctx context.Context) bool {
-	if _, ok := l.readAll(ctx, "fleet/", l.restoreFleet); !ok {
+	if _, ok := l.readAll(ctx, keys.FleetPrefix, l.restoreFleet); !ok {
 		return false
 	}
 	if !l.cluster.CompactRecords {
--- a/internal/controller/status_batcher_test.go
+++ b/internal/controller/status_batcher_test.go
@@ -12,6 +12,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -45,8 +46,8 @@
 	var then []wire.Change
 	for id, state := range over {
 		then = append(
-			then, wire.Change{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 3}},
-			wire.Change{Put: endKey(id), Value: map[string]any{"state": string(state)}},
+			then, wire.Change{Put: keys.JobSpec(id), Value: wire.Job{ID: id, Tasks: 3}},
+			wire.Change{Put: keys.JobEnd(id), Value: map[string]any{"state": string(state)}},
 		)
 	}
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
--- a/internal/controller/status_lookup.go
+++ b/internal/controller/status_lookup.go
@@ -9,6 +9,7 @@
 	"golang.org/x/time/rate"
 
 	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -367,17 +368,17 @@
 func (n *Node) acceptedInStore(ids []string, class store.Class) (map[string]bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 	defer cancel()
-	keys := make([]string, len(ids))
+	specKeys := make([]string, len(ids))
 	for i, id := range ids {
-		keys[i] = specKey(id)
+		specKeys[i] = keys.JobSpec(id)
 	}
-	stored, err := n.Store.ExistingKeys(ctx, class, keys)
+	stored, err := n.Store.ExistingKeys(ctx, class, specKeys)
 	if err != nil {
 		return nil, err
 	}
 	accepted := map[string]bool{}
 	for i, id := range ids {
-		accepted[id] = stored[keys[i]]
+		accepted[id] = stored[specKeys[i]]
 	}
 	return accepted, nil
 }
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -15,6 +15,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -507,7 +508,7 @@
 			id := fmt.Sprintf("j-%06d", i+1)
 			if _, err := env.store.Commit(
 				context.Background(), store.Routine,
-				wire.Transaction{Then: []wire.Change{{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}}},
+				wire.Transaction{Then: []wire.Change{{Put: keys.JobSpec(id), Value: wire.Job{ID: id, Tasks: 1}}}},
 			); err != nil {
 				t.Fatal(err)
 			}
@@ -548,7 +549,11 @@
 func (b *testCluster) storeFinishedJob(id string) {
 	b.t.Helper()
 	_, err := b.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: []wire.Change{
-		{Put: specKey(id), Value: wire.Job{ID: id, Tasks: 1}}, {Put: endKey(id), Value: map[string]any{"state": "done"}},
+		{
+			Put:   keys.JobSpec(id),
+			Value: wire.Job{ID: id, Tasks: 1},
+		},
+		{Put: keys.JobEnd(id), Value: map[string]any{"state": "done"}},
 	}})
 	if err != nil {
 		b.t.Fatal(err)
@@ -617,7 +622,7 @@
 		env, node, _, gate := startGatedNode(t)
 		if _, err := env.store.Commit(
 			context.Background(), store.Routine,
-			wire.Transaction{Then: []wire.Change{{Put: specKey("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}},
+			wire.Transaction{Then: []wire.Change{{Put: keys.JobSpec("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}},
 		); err != nil {
 			t.Fatal(err)
 		}
@@ -660,7 +665,7 @@
 					// Not over: a final state would be remembered, and read once.
 					if _, err := env.store.Commit(
 						context.Background(), store.Routine,
-						wire.Transaction{Then: []wire.Change{{Put: specKey("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}},
+						wire.Transaction{Then: []wire.Change{{Put: keys.JobSpec("j-000001"), Value: wire.Job{ID: "j-000001", Tasks: 1}}}},
 					); err != nil {
 						t.Fatal(err)
 					}
--- a/internal/controller/status_read.go
+++ b/internal/controller/status_read.go
@@ -7,6 +7,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -35,7 +36,9 @@
 	status := wire.JobStatus{ID: id, State: wire.JobPending}
 	var tally cluster.TaskCounter
 	err := n.readPrefix(
-		class, "run/"+id+"/", func(rest string, value []byte) error { return tally.Add(rest, compactMark, value) },
+		class,
+		keys.ChunkPrefixFor(id),
+		func(rest string, value []byte) error { return tally.Add(rest, keys.CompactMark, value) },
 	)
 	if err != nil {
 		return httpapi.Reply{}, err
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -8,6 +8,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -174,7 +175,7 @@
 				for range 4 {
 					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second}).submit()
 					sim.onCommit(
-						leader, endKey(job.id),
+						leader, keys.JobEnd(job.id),
 						func(n int, _ wire.Change) fake.CommitFault { return fake.CommitFault{Unanswered: n == 1} },
 					)
 					if withdrawn {
@@ -206,7 +207,7 @@
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second}).submit()
 			var mu sync.Mutex
 			tries, until := 0, micro.Time(0)
-			sim.onCommit(leader, endKey(job.id), func(n int, _ wire.Change) fake.CommitFault {
+			sim.onCommit(leader, keys.JobEnd(job.id), func(n int, _ wire.Change) fake.CommitFault {
 				mu.Lock()
 				defer mu.Unlock()
 				if tries = n; n == 1 {
@@ -397,7 +398,7 @@
 			ends[e.Put]++
 		}
 		for _, job := range jobs {
-			if n := ends[endKey(job.id)]; n != 1 {
+			if n := ends[keys.JobEnd(job.id)]; n != 1 {
 				sim.t.Errorf("%s has %d ends", job.id, n)
 			}
 		}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -11,6 +11,7 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -157,7 +158,11 @@
 		MemoryGB: 0.01, SubmittedAt: int64(micro.WallNow()),
 	}
 	_, err := b.store.Commit(context.Background(), store.Urgent, wire.Transaction{Then: []wire.Change{
-		{Put: specKey("j-9"), Value: spec}, {Put: runKey("j-9", 0), Value: cluster.ChunkRecord{Allocations: places}},
+		{
+			Put:   keys.JobSpec("j-9"),
+			Value: spec,
+		},
+		{Put: keys.LegacyChunk("j-9", 0), Value: cluster.ChunkRecord{Allocations: places}},
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -209,13 +214,13 @@
 				leader.records.firstProvisioned.MarkDirty(node.Now(), statestore.PriorityHigh)
 			})
 			waitUntil(t, "later writes done", func() bool {
-				_, err := env.store.Get(context.Background(), store.Routine, firstProvisionedKey)
+				_, err := env.store.Get(context.Background(), store.Routine, keys.FirstProvisioned)
 				return err == nil
 			})
-			if _, err := env.store.Get(context.Background(), store.Routine, runKey("j-9", 0)); err != nil {
+			if _, err := env.store.Get(context.Background(), store.Routine, keys.LegacyChunk("j-9", 0)); err != nil {
 				t.Fatal("the only record of running tasks is gone")
 			}
-		} else if _, err := env.store.Get(context.Background(), store.Routine, compactKey("j-9", 0)); err == nil {
+		} else if _, err := env.store.Get(context.Background(), store.Routine, keys.CompactChunk("j-9", 0)); err == nil {
 			t.Fatal("a form that the earlier version can't read")
 		}
 		kill()
