--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -1,6 +1,8 @@
 package cluster
 
 import (
+	"slices"
+
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -30,6 +32,9 @@
 	taskKnown       bool       // Job has a task of that index
 }
 
+// key names the attempt on its machine.
+func (a *Allocation) key() AllocationKey { return AllocationKey{a.TaskName, a.Attempt} }
+
 // PriorityLevel is the rank of the place's job.
 func (a *Allocation) PriorityLevel() int {
 	if a.Job == nil {
@@ -62,7 +67,7 @@
 // reserve takes a place's room, quota and zone.
 func (s *State) reserve(allocation *Allocation) {
 	machine := allocation.Machine
-	machine.Allocations[AllocationKey{allocation.TaskName, allocation.Attempt}] = allocation
+	machine.Allocations[allocation.key()] = allocation
 	if !allocation.taskKnown {
 		return
 	}
@@ -73,10 +78,7 @@
 	machine.UsedScaledCPU += allocation.ScaledCPU
 	machine.account(allocation, 1)
 	s.updatePool(machine)
-	if job.Team != nil {
-		job.Team.UsedCPU += job.Spec.CPUs
-		job.Team.UsedGPU += job.Spec.GPUs
-	}
+	s.chargeQuota(job, 1)
 	job.Tasks[allocation.Index].AllocationCount++
 	job.AllocationCount++
 	job.Class.AllocationCount++
@@ -84,3 +86,28 @@
 	chunk := job.Chunk(allocation.Index)
 	chunk.Allocations = append(chunk.Allocations, allocation)
 }
+
+// returnResources undoes reserve. A machine without allocations counts exactly nothing,
+// whatever rounding has left.
+func (s *State) returnResources(allocation *Allocation) {
+	machine, job := allocation.Machine, allocation.Job
+	machine.UsedCPU -= job.Spec.CPUs
+	machine.UsedGPU -= job.Spec.GPUs
+	machine.UsedMemoryGB -= job.Spec.MemoryGB
+	machine.UsedScaledCPU -= allocation.ScaledCPU
+	machine.account(allocation, -1)
+	if len(machine.Allocations) == 0 {
+		machine.UsedCPU, machine.UsedGPU, machine.UsedMemoryGB, machine.UsedScaledCPU = 0, 0, 0, 0
+		machine.UsedByPriority, machine.UsedByStopping = [priorityLevels]Resources{}, Resources{}
+	}
+	s.updatePool(machine)
+	s.chargeQuota(job, -1)
+	job.Tasks[allocation.Index].AllocationCount--
+	job.AllocationCount--
+	job.Class.AllocationCount--
+	job.AllocationsByZone[machine.Zone]--
+	chunk := job.Chunk(allocation.Index)
+	if i := slices.Index(chunk.Allocations, allocation); i >= 0 {
+		chunk.Allocations = append(chunk.Allocations[:i], chunk.Allocations[i+1:]...)
+	}
+}
--- a/internal/cluster/allocation_lifecycle.go
+++ b/internal/cluster/allocation_lifecycle.go
@@ -23,7 +23,9 @@
 	return [...]string{"planned", "starting", "fetching", "waiting", "running", "saving", "ended"}[s]
 }
 
-var allocationTransitions = map[AllocationState][]AllocationState{
+// allocationTransitions lists the states that may follow each state. Released is final. A
+// heartbeat may skip states, since agents report what is, not each change.
+var allocationTransitions = transitions[AllocationState]{
 	Planned:       {Starting, Released, Fetching, Waiting, Running, Checkpointing},
 	Starting:      {Fetching, Waiting, Running, Checkpointing, Released},
 	Fetching:      {Waiting, Running, Checkpointing, Released},
@@ -34,33 +36,33 @@
 
 // transitionAllocation is the one place where a place's state changes.
 func (s *State) transitionAllocation(allocation *Allocation, to AllocationState) bool {
-	if allocation.State == to {
-		return false
-	}
-	allowed := false
-	for _, next := range allocationTransitions[allocation.State] {
-		allowed = allowed || next == to
-	}
-	if !allowed {
+	if allocation.State == to || !allocationTransitions.allow(allocation.State, to) {
 		return false
 	}
 	previous := allocation.State
 	allocation.State = to
 	if allocation.taskKnown {
-		if previous == Running {
-			allocation.Job.RunningTasks--
-		}
-		if to == Running {
-			allocation.Job.RunningTasks++
-			if !allocation.Job.Started {
-				allocation.Job.Started = true
-				s.Log("job runs", "job", allocation.Job.Spec.ID)
-			}
-		}
+		s.countRunning(allocation.Job, previous, to)
 	}
 	return true
 }
 
+// countRunning keeps the number of a job's running tasks after a transition of one of its
+// allocations.
+func (s *State) countRunning(job *Job, from, to AllocationState) {
+	if from == Running {
+		job.RunningTasks--
+	}
+	if to != Running {
+		return
+	}
+	job.RunningTasks++
+	if !job.Started {
+		job.Started = true
+		s.Log("job runs", "job", job.Spec.ID)
+	}
+}
+
 // release gives a place up. It is called only with one of the proofs: a newer
 // message of the worker shows the attempt ended, or absent after it had been
 // seen or its start had settled; a later session; the worker's lease surely ran
@@ -70,37 +72,13 @@
 		return
 	}
 	machine := allocation.Machine
-	delete(machine.Allocations, AllocationKey{allocation.TaskName, allocation.Attempt})
+	delete(machine.Allocations, allocation.key())
 	machine.IdleSince = now
 	if !allocation.taskKnown {
 		return
 	}
+	s.returnResources(allocation)
 	job := allocation.Job
-	machine.UsedCPU -= job.Spec.CPUs
-	machine.UsedGPU -= job.Spec.GPUs
-	machine.UsedMemoryGB -= job.Spec.MemoryGB
-	machine.UsedScaledCPU -= allocation.ScaledCPU
-	machine.account(allocation, -1)
-	if len(machine.Allocations) == 0 {
-		machine.UsedCPU, machine.UsedGPU, machine.UsedMemoryGB, machine.UsedScaledCPU = 0, 0, 0, 0
-		machine.UsedByPriority, machine.UsedByStopping = [priorityLevels]Resources{}, Resources{}
-	}
-	s.updatePool(machine)
-	if job.Team != nil {
-		job.Team.UsedCPU -= job.Spec.CPUs
-		job.Team.UsedGPU -= job.Spec.GPUs
-	}
-	job.Tasks[allocation.Index].AllocationCount--
-	job.AllocationCount--
-	job.Class.AllocationCount--
-	job.AllocationsByZone[machine.Zone]--
-	chunk := job.Chunk(allocation.Index)
-	for i, other := range chunk.Allocations {
-		if other == allocation {
-			chunk.Allocations = append(chunk.Allocations[:i], chunk.Allocations[i+1:]...)
-			break
-		}
-	}
 	s.markChunkDirty(job, allocation.Index)
 	s.ScheduleSoon()
 	if job.Spec.Kind == wire.Gang {
--- a/internal/cluster/class.go
+++ b/internal/cluster/class.go
@@ -52,3 +52,24 @@
 	}
 	return class
 }
+
+// The arrivals that a class remembers: so many tasks of one job at the most, and beyond
+// maxArrivals only the latest.
+const (
+	maxArrivalsPerJob = 50
+	maxArrivals       = 400
+	keptArrivals      = 200
+)
+
+// recordArrival notes that a job of the class became eligible.
+func (c *Class) recordArrival(spec *wire.Job, at micro.Time) {
+	c.LastJob = spec
+	c.jobCount++
+	c.MeanImageGB += (spec.ImageGB - c.MeanImageGB) / c.jobCount
+	for range min(spec.Tasks, maxArrivalsPerJob) {
+		c.Arrivals = append(c.Arrivals, at)
+	}
+	if arrivals := len(c.Arrivals); arrivals > maxArrivals {
+		c.Arrivals = append([]micro.Time(nil), c.Arrivals[arrivals-keptArrivals:]...)
+	}
+}
--- a/internal/cluster/compact.go
+++ b/internal/cluster/compact.go
@@ -158,6 +158,8 @@
 	}
 }
 
+// rechunk cuts a job into chunks of the compact form. Each former chunk's record stays until
+// the new chunks that stand for its tasks are stored.
 func (s *State) rechunk(job *Job, migrated map[*TaskChunk]*LegacyRecord) {
 	previousChunks := job.Chunks
 	job.tasksPerChunk, job.Chunks = s.TasksPerChunk, nil
@@ -167,35 +169,58 @@
 	for _, previous := range previousChunks {
 		legacy := &LegacyRecord{Job: job, Index: previous.Index, KeyRevision: previous.KeyRevision}
 		migrated[previous] = legacy
-		dirty := previous.MemoryVersion > previous.StoredVersion
-		for i := previous.Index * LegacyTasksPerChunk; i < min((previous.Index+1)*LegacyTasksPerChunk, len(job.Tasks)); i += job.tasksPerChunk {
-			chunk := job.Chunk(i)
-			chunk.Legacy = legacy
-			legacy.PendingChunks++
-			if dirty {
-				chunk.MemoryVersion = 1
-			}
+		s.migrateChunk(previous, legacy)
+	}
+}
+
+// migrateChunk moves what a chunk holds to the chunks that stand for its tasks now. What was
+// not stored yet is to be written anew.
+func (s *State) migrateChunk(previous *TaskChunk, legacy *LegacyRecord) {
+	job := previous.Job
+	dirty := previous.MemoryVersion > previous.StoredVersion
+	successors := job.chunksOfLegacyRecord(previous.Index)
+	for _, chunk := range successors {
+		chunk.Legacy = legacy
+		legacy.PendingChunks++
+		if dirty {
+			chunk.MemoryVersion = 1
 		}
-		for _, allocation := range previous.Allocations {
-			chunk := job.Chunk(allocation.Index)
-			chunk.Allocations = append(chunk.Allocations, allocation)
-			allocation.ChunkVersion = chunk.MemoryVersion
+	}
+	for _, allocation := range previous.Allocations {
+		chunk := job.Chunk(allocation.Index)
+		chunk.Allocations = append(chunk.Allocations, allocation)
+		allocation.ChunkVersion = chunk.MemoryVersion
+	}
+	s.ChunkMigrated(previous, legacy)
+	if dirty {
+		for _, chunk := range successors {
+			s.markMigrated(chunk)
 		}
-		s.ChunkMigrated(previous, legacy)
-		for i := previous.Index * LegacyTasksPerChunk; dirty && i < min((previous.Index+1)*LegacyTasksPerChunk, len(job.Tasks)); i += job.tasksPerChunk {
-			chunk := job.Chunk(i)
-			s.ChunkDirty(chunk)
-			for _, allocation := range chunk.Allocations {
-				if allocation.State == Planned {
-					s.ChunkUrgent(chunk)
-					break
-				}
-			}
+	}
+	previous.Allocations = nil
+}
+
+// markMigrated asks for a migrated chunk's record, soon if a start waits for it.
+func (s *State) markMigrated(chunk *TaskChunk) {
+	s.ChunkDirty(chunk)
+	for _, allocation := range chunk.Allocations {
+		if allocation.State == Planned {
+			s.ChunkUrgent(chunk)
+			return
 		}
-		previous.Allocations = nil
 	}
 }
 
+// chunksOfLegacyRecord lists the chunks that stand for the tasks of a record in the first form.
+func (j *Job) chunksOfLegacyRecord(index int) []*TaskChunk {
+	var chunks []*TaskChunk
+	last := min((index+1)*LegacyTasksPerChunk, len(j.Tasks))
+	for task := index * LegacyTasksPerChunk; task < last; task += j.tasksPerChunk {
+		chunks = append(chunks, j.Chunk(task))
+	}
+	return chunks
+}
+
 // TaskCounter counts a job's tasks from its records, in either form.
 type TaskCounter struct {
 	compact, legacy []ChunkRecord
@@ -227,16 +252,26 @@
 // either says so.
 func (c *TaskCounter) Count() (done, allocated int) {
 	if len(c.compact) == 0 || len(c.legacy) == 0 {
-		for _, record := range append(c.compact, c.legacy...) {
-			for _, taskRange := range record.Done {
-				done += taskRange[1] - taskRange[0] + 1
-			}
-			allocated += len(record.Allocations)
+		return countTasks(append(c.compact, c.legacy...))
+	}
+	return countDistinctTasks(append(c.compact, c.legacy...))
+}
+
+// countTasks adds up records of one form, no two of which hold the same task.
+func countTasks(records []ChunkRecord) (done, allocated int) {
+	for _, record := range records {
+		for _, taskRange := range record.Done {
+			done += taskRange[1] - taskRange[0] + 1
 		}
-		return done, allocated
+		allocated += len(record.Allocations)
 	}
+	return done, allocated
+}
+
+// countDistinctTasks counts each task once, as done if any record says so.
+func countDistinctTasks(records []ChunkRecord) (done, allocated int) {
 	doneTasks, allocatedTasks := map[int]bool{}, map[int]bool{}
-	for _, record := range append(c.compact, c.legacy...) {
+	for _, record := range records {
 		for _, taskRange := range record.Done {
 			for i := max(taskRange[0], 0); i <= min(taskRange[1], wire.MaxTasks); i++ {
 				doneTasks[i] = true
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -13,7 +13,7 @@
 // awaitDependencies counts what a job awaits and is not over. That a job is done is known
 // from its stored end alone: one that has left the lists of those alive may have
 // been withdrawn.
-func (s *State) awaitDependencies(job *Job, now micro.Time) {
+func (s *State) awaitDependencies(job *Job) {
 	var lastEnd micro.Time
 	dependencyAborted := false
 	for _, id := range job.Spec.Dependencies {
@@ -36,7 +36,7 @@
 	}
 	switch {
 	case dependencyAborted:
-		s.cascadeAbort(job, now)
+		s.cascadeAbort(job)
 	case job.UnmetDependencies == 0:
 		job.EligibleSince = max(job.SubmittedAt, lastEnd)
 		s.transitionJob(job, Active)
@@ -46,7 +46,7 @@
 // ApplyFinalStatus takes in an end that is in the store: it lets those that await it go
 // on, or aborts all that need it, through any depth. What is aborted here follows
 // from that one end, so that any other leader, or node, comes to the same.
-func (s *State) ApplyFinalStatus(id string, status FinalStatus, now micro.Time) {
+func (s *State) ApplyFinalStatus(id string, status FinalStatus, _ micro.Time) {
 	if _, known := s.FinalStatuses[id]; known {
 		return
 	}
@@ -58,7 +58,7 @@
 		switch {
 		case job.State != Blocked:
 		case status.Aborted:
-			s.cascadeAbort(job, now)
+			s.cascadeAbort(job)
 		case job.UnmetDependencies == 0:
 			job.EligibleSince = max(job.SubmittedAt, status.EndedAt)
 			s.transitionJob(job, Active)
@@ -71,7 +71,7 @@
 }
 
 // cascadeAbort aborts a job and all that need it. None of them has ever started.
-func (s *State) cascadeAbort(job *Job, now micro.Time) {
+func (s *State) cascadeAbort(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		next := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -112,42 +112,67 @@
 // tightest of their deadlines asks, less what comes after it. Users set both on
 // the last job of a pipeline only, and allow this.
 func (s *State) inheritFromDependents(job *Job) {
-	level, deadlineSource, criticalPath := job.Spec.Priority.Level(), (*Job)(nil), micro.Time(0)
-	if job.Spec.DeadlineS != nil {
-		deadlineSource = job
+	inherited := s.inheritance(job)
+	if inherited.level == job.PriorityLevel && inherited.source == job.DeadlineSource &&
+		inherited.criticalPath == job.CriticalPath {
+		return
 	}
-	earliest := micro.Time(0)
-	if deadlineSource != nil {
-		earliest = job.SubmittedAt + micro.FromSeconds(*job.Spec.DeadlineS)
+	job.setPriorityLevel(inherited.level)
+	job.DeadlineSource, job.CriticalPath = inherited.source, inherited.criticalPath
+	s.propagateToDependencies(job)
+	s.ScheduleSoon()
+}
+
+// inheritance is what a job has of its own and from its dependents: the highest priority
+// level, and the tightest deadline with what comes after the job until then.
+type inheritance struct {
+	level        int
+	source       *Job
+	criticalPath micro.Time
+	deadline     micro.Time // when the job itself has to be done; meaningless without a source
+}
+
+// inheritance compares a job's own level and deadline with those of its dependents.
+func (s *State) inheritance(job *Job) inheritance {
+	inherited := inheritance{level: job.Spec.Priority.Level()}
+	if job.Spec.DeadlineS != nil {
+		inherited.source = job
+		inherited.deadline = job.SubmittedAt + micro.FromSeconds(*job.Spec.DeadlineS)
 	}
 	for _, dependent := range s.dependents[job.Spec.ID] {
 		if dependent.IsTerminal() || dependent.DependencyAborted || dependent.State == Aborting {
 			continue
 		}
-		level = min(level, dependent.PriorityLevel)
+		inherited.level = min(inherited.level, dependent.PriorityLevel)
 		if dependent.DeadlineSource != nil {
-			if deadline := dependent.effectiveDeadline() - dependent.expectedDuration(); deadlineSource == nil ||
-				deadline < earliest {
-				deadlineSource, criticalPath, earliest = dependent.DeadlineSource, dependent.CriticalPath+dependent.expectedDuration(), deadline
-			}
+			inherited.tighten(dependent)
 		}
 	}
-	if level == job.PriorityLevel && deadlineSource == job.DeadlineSource && criticalPath == job.CriticalPath {
+	return inherited
+}
+
+// tighten takes a dependent's deadline over if it asks the job to be done earlier.
+func (i *inheritance) tighten(dependent *Job) {
+	duration := dependent.expectedDuration()
+	deadline := dependent.effectiveDeadline() - duration
+	if i.source == nil || deadline < i.deadline {
+		i.source, i.criticalPath, i.deadline = dependent.DeadlineSource, dependent.CriticalPath+duration, deadline
+	}
+}
+
+// setPriorityLevel changes a job's level, by which machines count what it holds.
+func (j *Job) setPriorityLevel(level int) {
+	if level == j.PriorityLevel {
 		return
 	}
-	if level != job.PriorityLevel {
-		allocations := job.Allocations()
-		for _, allocation := range allocations { // a machine counts what it holds by rank
-			allocation.Machine.account(allocation, -1)
-		}
-		job.PriorityLevel = level
-		for _, allocation := range allocations {
-			allocation.Machine.account(allocation, 1)
-		}
+	allocations := j.Allocations()
+	for _, allocation := range allocations {
+		allocation.Machine.account(allocation, -1)
+	}
+	j.PriorityLevel = level
+	for _, allocation := range allocations {
+		allocation.Machine.account(allocation, 1)
 	}
-	job.DeadlineSource, job.CriticalPath = deadlineSource, criticalPath
-	s.propagateToDependencies(job)
-	s.ScheduleSoon()
 }
 
 // propagateToDependencies lets those that a job needs inherit from it anew.
--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -27,18 +27,25 @@
 		totalGB += cached.sizeGB
 	}
 	for totalGB > m.Type.CacheGB && len(m.images) > 1 {
-		oldest := ""
-		for candidate, cached := range m.images {
-			if candidate != name &&
-				(oldest == "" || cached.lastUsed < m.images[oldest].lastUsed || cached.lastUsed == m.images[oldest].lastUsed && candidate < oldest) {
-				oldest = candidate
-			}
-		}
+		oldest := m.leastRecentlyUsedImage(name)
 		totalGB -= m.images[oldest].sizeGB
 		delete(m.images, oldest)
 	}
 }
 
+// leastRecentlyUsedImage names the image to evict: of those last used at the same time the
+// first by name, and never the given one.
+func (m *Machine) leastRecentlyUsedImage(kept string) string {
+	oldest := ""
+	for name, cached := range m.images {
+		lastUsed := m.images[oldest].lastUsed
+		if name != kept && (oldest == "" || cached.lastUsed < lastUsed || cached.lastUsed == lastUsed && name < oldest) {
+			oldest = name
+		}
+	}
+	return oldest
+}
+
 // HasImage reports whether a machine is thought to have an image.
 func (m *Machine) HasImage(name string) bool {
 	_, ok := m.images[name]
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -78,7 +78,7 @@
 // AddJob takes in a job; a known one is returned as it is. One that awaits others
 // holds nothing of its team's guarantee, and nothing is placed, until each of
 // their ends is known to be in the store.
-func (s *State) AddJob(spec wire.Job, submitted, now micro.Time) *Job {
+func (s *State) AddJob(spec wire.Job, submitted, _ micro.Time) *Job {
 	if job := s.Jobs[spec.ID]; job != nil {
 		return job
 	}
@@ -94,7 +94,7 @@
 	if len(spec.Dependencies) > 0 {
 		job.State = Blocked
 		s.BlockedJobs++
-		s.awaitDependencies(job, now)
+		s.awaitDependencies(job)
 	} else {
 		s.activateJob(job)
 	}
--- a/internal/cluster/job_lifecycle.go
+++ b/internal/cluster/job_lifecycle.go
@@ -22,13 +22,13 @@
 	return [...]string{"active", "finishing", "aborting", "done", "aborted", "awaiting", "assigned"}[s]
 }
 
-var jobTransitions = map[[2]JobState]bool{
-	{Active, Finishing}: true, {Active, Aborting}: true, {Finishing, Done}: true,
-	{Finishing, Aborted}: true, {Aborting, Aborted}: true, {Aborting, Done}: true,
-	{Active, Done}: true, {Active, Aborted}: true,
-	{Blocked, Active}: true, {Blocked, Aborting}: true, {Blocked, Aborted}: true,
-	{Active, Assigned}: true, {Assigned, Active}: true, {Assigned, Aborting}: true,
-	{Assigned, Finishing}: true, {Assigned, Done}: true, {Assigned, Aborted}: true,
+// jobTransitions lists the states that may follow each state. Done and Aborted are final.
+var jobTransitions = transitions[JobState]{
+	Active:    {Finishing, Aborting, Done, Aborted, Assigned},
+	Finishing: {Done, Aborted},
+	Aborting:  {Aborted, Done},
+	Blocked:   {Active, Aborting, Aborted},
+	Assigned:  {Active, Aborting, Finishing, Done, Aborted},
 }
 
 // IsTerminal reports whether the job's end is in the store.
@@ -39,7 +39,7 @@
 	if job.State == to {
 		return
 	}
-	if !jobTransitions[[2]JobState{job.State, to}] {
+	if !jobTransitions.allow(job.State, to) {
 		s.Log("job state refused", "job", job.Spec.ID, "from", job.State.String(), "to", to.String())
 		return
 	}
@@ -66,22 +66,9 @@
 	s.PendingJobs[job] = true
 	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // no leader looks for room in its predecessor's time
 	if job.Team != nil {
-		// Kept in the order in which they could start, for guarantees.
-		unfinished := append(job.Team.unfinished, job)
-		for i := len(unfinished) - 1; i > 0 && unfinished[i-1].EligibleSince > unfinished[i].EligibleSince; i-- {
-			unfinished[i-1], unfinished[i] = unfinished[i], unfinished[i-1]
-		}
-		job.Team.unfinished = unfinished
-	}
-	job.Class.LastJob = &job.Spec
-	job.Class.jobCount++
-	job.Class.MeanImageGB += (job.Spec.ImageGB - job.Class.MeanImageGB) / job.Class.jobCount
-	for range min(job.Spec.Tasks, 50) {
-		job.Class.Arrivals = append(job.Class.Arrivals, job.EligibleSince)
-	}
-	if arrivals := len(job.Class.Arrivals); arrivals > 400 {
-		job.Class.Arrivals = append([]micro.Time(nil), job.Class.Arrivals[arrivals-200:]...)
+		job.Team.join(job)
 	}
+	job.Class.recordArrival(&job.Spec, job.EligibleSince)
 	s.ScheduleSoon()
 }
 
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -160,9 +160,13 @@
 
 // Schedulable reports whether new tasks may be placed on the machine.
 func (m *Machine) Schedulable(now micro.Time) bool {
-	return m.State == Up && m.Type != nil && !m.ResponsesLost && !m.Cordoned && !m.OwnedElsewhere && !m.TransferPending &&
-		m.PreemptionAt == 0 &&
-		m.QuarantinedUntil <= now
+	return m.acceptsTasks() && m.QuarantinedUntil <= now
+}
+
+// acceptsTasks reports whether new tasks may be placed on the machine, its quarantine aside.
+func (m *Machine) acceptsTasks() bool {
+	return m.State == Up && m.Type != nil && m.PreemptionAt == 0 &&
+		!m.ResponsesLost && !m.Cordoned && !m.OwnedElsewhere && !m.TransferPending
 }
 
 // SetCordoned lets a machine take new tasks no more, or again.
--- a/internal/cluster/machine_lifecycle.go
+++ b/internal/cluster/machine_lifecycle.go
@@ -21,7 +21,8 @@
 	return [...]string{"unheard", "up", "silent", "lost", "returning", "gone"}[s]
 }
 
-var machineTransitions = map[MachineState][]MachineState{
+// machineTransitions lists the states that may follow each state. Terminated is final.
+var machineTransitions = transitions[MachineState]{
 	Registering: {Up, Expired, Terminating, Terminated, Suspect},
 	Up:          {Suspect, Expired, Terminating, Terminated},
 	Suspect:     {Up, Expired, Terminating, Terminated},
@@ -31,22 +32,17 @@
 
 // TransitionMachine is the one place where a machine's state changes.
 func (s *State) TransitionMachine(machine *Machine, to MachineState, reason string) bool {
-	if machine.State == to {
+	if machine.State == to || !machineTransitions.allow(machine.State, to) {
 		return false
 	}
-	for _, allowed := range machineTransitions[machine.State] {
-		if allowed == to {
-			s.Log(
-				"machine", "machine", machine.Name, "type", machine.TypeName, "spot", machine.Spot, "was", machine.State.String(),
-				"is", to.String(), "why", reason,
-			)
-			machine.State = to
-			s.updatePool(machine)
-			s.ScheduleSoon()
-			return true
-		}
-	}
-	return false
+	s.Log(
+		"machine", "machine", machine.Name, "type", machine.TypeName, "spot", machine.Spot, "was", machine.State.String(),
+		"is", to.String(), "why", reason,
+	)
+	machine.State = to
+	s.updatePool(machine)
+	s.ScheduleSoon()
+	return true
 }
 
 // ExpireMachine frees everything on a machine whose worker's lease surely ran out.
--- a/internal/cluster/pool.go
+++ b/internal/cluster/pool.go
@@ -57,10 +57,7 @@
 func (s *State) updatePool(machine *Machine) {
 	var pool *MachinePool
 	row := 0
-	if machine.State == Up && machine.Type != nil && machine.PreemptionAt == 0 && !machine.ResponsesLost &&
-		!machine.Cordoned &&
-		!machine.OwnedElsewhere &&
-		!machine.TransferPending {
+	if machine.acceptsTasks() {
 		pool = s.ensurePool(machine)
 		row = RowFor(machine.Type.CPUs - machine.UsedScaledCPU)
 	}
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -38,22 +38,40 @@
 	if outcome := s.checkFreshness(machine, heartbeat, source, now); outcome != Applied {
 		return machine, outcome
 	}
+	s.reconcileDescription(machine, heartbeat)
+	s.reconcileContact(machine, heartbeat, source, now)
+	s.reconcilePreemptionNotice(machine, heartbeat, now)
+	reported := s.reconcileTasks(machine, heartbeat, now)
+	machine.dropForgottenExits(reported)
+	s.releaseAbsent(machine, reported, source, now)
+	return machine, Applied
+}
+
+// reconcileDescription takes over what the agent says of its machine.
+func (s *State) reconcileDescription(machine *Machine, heartbeat *wire.Heartbeat) {
 	if machine.Type == nil || machine.TypeName != heartbeat.Type {
 		s.DescribeMachine(machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	}
 	machine.Addr = heartbeat.Addr
+}
+
+// reconcileContact takes over the agent's epoch, sequence number and fencing token.
+func (s *State) reconcileContact(machine *Machine, heartbeat *wire.Heartbeat, source Source, now micro.Time) {
 	if epoch := uint64(heartbeat.AgentEpoch); epoch > machine.AgentEpoch {
 		s.beginAgentEpoch(machine, epoch, now)
 	}
 	machine.AgentEpoch, machine.Sequence = uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
 	s.recordHeartbeat(machine, uint64(heartbeat.FencingToken), source, now)
-	if heartbeat.PreemptionNoticeS != nil && machine.PreemptionAt == 0 {
-		machine.PreemptionAt = now + micro.FromSeconds(max(*heartbeat.PreemptionNoticeS, 0))
-		s.updatePool(machine)
-		s.handlePreemptionNotice(machine, now)
+}
+
+// reconcilePreemptionNotice notes the first notice that the cloud takes a spot machine back.
+func (s *State) reconcilePreemptionNotice(machine *Machine, heartbeat *wire.Heartbeat, now micro.Time) {
+	if heartbeat.PreemptionNoticeS == nil || machine.PreemptionAt != 0 {
+		return
 	}
-	s.releaseAbsent(machine, s.reconcileTasks(machine, heartbeat, now), source, now)
-	return machine, Applied
+	machine.PreemptionAt = now + micro.FromSeconds(max(*heartbeat.PreemptionNoticeS, 0))
+	s.updatePool(machine)
+	s.handlePreemptionNotice(machine, now)
 }
 
 // reconcileTasks reads the tasks of a report, and tells which attempts it names.
@@ -74,34 +92,52 @@
 	return reported
 }
 
-// releaseAbsent frees the places of attempts that a report does not name, where that
-// proves that they are not on the machine and cannot come to it.
-func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
-	for key := range machine.exitedAttempts {
+// dropForgottenExits drops the exited attempts that the agent lists no more.
+func (m *Machine) dropForgottenExits(reported map[AllocationKey]bool) {
+	for key := range m.exitedAttempts {
 		if !reported[key] {
-			delete(machine.exitedAttempts, key)
+			delete(m.exitedAttempts, key)
 		}
 	}
+}
+
+// releaseAbsent releases the allocations of attempts that a heartbeat does not name, where
+// that proves that they are not on the machine and cannot come to it.
+func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
 	for _, allocation := range machine.sortedAllocations() {
-		if reported[AllocationKey{allocation.TaskName, allocation.Attempt}] {
-			continue
-		}
-		switch {
-		case allocation.Observed:
-			s.release(allocation, now)
-		case source == FromHeartbeat && allocation.Stopping && machine.FencingToken > allocation.DispatchToken:
-			// Never seen, and no start can still run: a start in an answer to a
-			// beat runs before the next beat or not at all, and direct ones
-			// carry tokens below what the worker has seen by now.
-			s.release(allocation, now)
-		case allocation.Restored && machine.FencingToken > allocation.DispatchToken:
-			// Never seen, and the worker has seen a token of this term: whatever an
-			// earlier one sent, in an answer or directly, it drops.
+		if !reported[allocation.key()] && allocation.absenceIsProof(source) {
 			s.release(allocation, now)
 		}
 	}
 }
 
+// absenceIsProof reports whether an attempt that a heartbeat does not name is surely not on
+// its machine, and cannot come to it.
+func (a *Allocation) absenceIsProof(source Source) bool {
+	seenNewerToken := a.Machine.FencingToken > a.DispatchToken
+	switch {
+	case a.Observed:
+		return true
+	case source == FromHeartbeat && a.Stopping && seenNewerToken:
+		// Never seen, and no start can still run: a start in the response to a
+		// heartbeat runs before the next heartbeat or not at all, and dispatched
+		// ones carry tokens below what the agent has seen by now.
+		return true
+	default:
+		// Never seen, and the agent has seen a token of this term: whatever an
+		// earlier one sent, in a response or dispatched, it drops.
+		return a.Restored && seenNewerToken
+	}
+}
+
+// allocationStates maps what agents report to the states of allocations.
+var allocationStates = map[wire.TaskState]AllocationState{
+	wire.TaskFetching:       Fetching,
+	wire.TaskWaitingForGang: Waiting,
+	wire.TaskRunning:        Running,
+	wire.TaskCheckpointing:  Checkpointing,
+}
+
 // reconcileTask reads a task that is on the machine.
 func (s *State) reconcileTask(machine *Machine, key AllocationKey, status *wire.TaskStatus, now micro.Time) {
 	allocation := machine.Allocations[key]
@@ -111,9 +147,7 @@
 		s.StopAllocation(allocation, "not in the records", 0, now)
 	}
 	allocation.Observed = true
-	state := map[wire.TaskState]AllocationState{
-		wire.TaskFetching: Fetching, wire.TaskWaitingForGang: Waiting, wire.TaskRunning: Running, wire.TaskCheckpointing: Checkpointing,
-	}[status.State]
+	state := allocationStates[status.State]
 	if s.transitionAllocation(allocation, state) && state >= Waiting && allocation.taskKnown {
 		machine.recordImage(allocation.Job.Spec.Image, allocation.Job.Spec.ImageGB, now)
 	}
--- a/internal/cluster/record.go
+++ b/internal/cluster/record.go
@@ -35,8 +35,10 @@
 
 // FinalStatusRecord is the end of a job: created once, the first one wins.
 type FinalStatusRecord struct {
-	State   wire.JobState `msgpack:"state" json:"state"`
-	EndedAt int64         `msgpack:"at,omitempty" json:"at,omitempty"` // wall clock, microseconds: the clocks of what awaits the job start then
+	State wire.JobState `msgpack:"state" json:"state"`
+
+	// EndedAt is on the wall clock, in microseconds: the clocks of the job's dependents start then.
+	EndedAt int64 `msgpack:"at,omitempty" json:"at,omitempty"`
 }
 
 // Record builds the chunk's record from the model.
@@ -88,8 +90,7 @@
 		job.Chunks[index].KeyRevision = keyRevision
 	} else {
 		legacy := &LegacyRecord{Job: job, Index: index, KeyRevision: keyRevision}
-		for i := index * LegacyTasksPerChunk; i < min((index+1)*LegacyTasksPerChunk, len(job.Tasks)); i += job.tasksPerChunk {
-			chunk := job.Chunk(i)
+		for _, chunk := range job.chunksOfLegacyRecord(index) {
 			chunk.Legacy = legacy
 			if !chunk.Stored {
 				legacy.PendingChunks++
@@ -103,6 +104,7 @@
 	s.restoreTasks(job, record, includes, now)
 }
 
+// restoreTasks reads a record's tasks into a job, as far as they are included.
 func (s *State) restoreTasks(job *Job, record *ChunkRecord, includes func(i int) bool, now micro.Time) {
 	for _, attempt := range record.Attempts {
 		if includes(attempt[0]) {
@@ -110,37 +112,47 @@
 			job.GangAttempt = max(job.GangAttempt, uint32(attempt[1]))
 		}
 	}
-	for _, entry := range record.Done {
-		for i := entry[0]; i <= entry[1] && includes(i); i++ {
-			if !job.Tasks[i].Done {
-				job.Tasks[i].Done = true
-				job.DoneTasks++
-				s.dequeue(job, i)
-			}
+	for _, taskRange := range record.Done {
+		for i := taskRange[0]; i <= taskRange[1] && includes(i); i++ {
+			s.restoreCompletion(job, i)
 		}
 	}
-	for _, entry := range record.Allocations {
-		if !includes(entry.Index) {
-			continue
-		}
-		if job.State == Active && !job.Tasks[entry.Index].Done {
-			s.dequeue(job, entry.Index)
-		}
-		job.Tasks[entry.Index].Attempt = max(job.Tasks[entry.Index].Attempt, uint32(entry.Attempt))
-		job.GangAttempt = max(job.GangAttempt, uint32(entry.Attempt))
-		machine := s.EnsureMachine(entry.Machine, now)
-		if machine.Zone == "" && entry.Zone != "" {
-			s.DescribeMachine(machine, machine.TypeName, entry.Zone, machine.Spot)
+	for i := range record.Allocations {
+		if entry := &record.Allocations[i]; includes(entry.Index) {
+			s.restoreAllocation(job, entry, now)
 		}
-		allocation := &Allocation{
-			Job: job, Index: entry.Index, TaskName: wire.TaskName(job.Spec.ID, entry.Index), Attempt: uint64(entry.Attempt),
-			Machine: machine, AgentEpoch: uint64(entry.Session), State: Starting, DispatchToken: s.MinFencingToken - 1,
-			ScaledCPU: job.Spec.CPUs, PlannedAt: now, taskKnown: true, Restored: true,
-		}
-		s.reserve(allocation)
 	}
 }
 
+// restoreCompletion notes that a task is done by its record.
+func (s *State) restoreCompletion(job *Job, index int) {
+	if job.Tasks[index].Done {
+		return
+	}
+	job.Tasks[index].Done = true
+	job.DoneTasks++
+	s.dequeue(job, index)
+}
+
+// restoreAllocation takes an allocation over from its record.
+func (s *State) restoreAllocation(job *Job, entry *AllocationRecord, now micro.Time) {
+	task := &job.Tasks[entry.Index]
+	if job.State == Active && !task.Done {
+		s.dequeue(job, entry.Index)
+	}
+	task.Attempt = max(task.Attempt, uint32(entry.Attempt))
+	job.GangAttempt = max(job.GangAttempt, uint32(entry.Attempt))
+	machine := s.EnsureMachine(entry.Machine, now)
+	if machine.Zone == "" && entry.Zone != "" {
+		s.DescribeMachine(machine, machine.TypeName, entry.Zone, machine.Spot)
+	}
+	s.reserve(&Allocation{
+		Job: job, Index: entry.Index, TaskName: wire.TaskName(job.Spec.ID, entry.Index),
+		Attempt: uint64(entry.Attempt), Machine: machine, AgentEpoch: uint64(entry.Session), State: Starting,
+		DispatchToken: s.MinFencingToken - 1, ScaledCPU: job.Spec.CPUs, PlannedAt: now, taskKnown: true, Restored: true,
+	})
+}
+
 // FinishRestore completes a takeover: all records have been read.
 func (s *State) FinishRestore(now micro.Time) {
 	for _, job := range s.Jobs {
@@ -158,7 +170,8 @@
 	case job.State == Active && job.DoneTasks == len(job.Tasks):
 		s.transitionJob(job, Finishing)
 		s.JobFinished(job)
-	case job.State == Active && job.Spec.Kind == wire.Gang && job.AllocationCount > 0 && job.AllocationCount < len(job.Tasks):
+	case job.State == Active && job.Spec.Kind == wire.Gang &&
+		job.AllocationCount > 0 && job.AllocationCount < len(job.Tasks):
 		// Only part of the attempt was written: it never started whole.
 		s.abortGangAttempt(job, now)
 	}
--- a/internal/cluster/task_queue.go
+++ b/internal/cluster/task_queue.go
@@ -1,6 +1,8 @@
 package cluster
 
 import (
+	"slices"
+
 	"notchmux.dev/notchmux/internal/micro"
 )
 
@@ -38,12 +40,12 @@
 			return indices
 		}
 		task := &j.Tasks[i]
-		if task.NotBefore <= now && task.AllocationCount == 0 && !task.Done {
+		if task.NotBefore <= now && task.needsAllocation() {
 			indices = append(indices, int(i))
 		}
 	}
 	for i := j.firstUnqueued; i < len(j.Tasks) && len(indices) < limit; i++ {
-		if task := &j.Tasks[i]; task.AllocationCount == 0 && !task.Done {
+		if j.Tasks[i].needsAllocation() {
 			indices = append(indices, i)
 		}
 	}
@@ -53,26 +55,31 @@
 // dequeue removes a task from the line.
 func (s *State) dequeue(job *Job, index int) {
 	if index >= job.firstUnqueued {
-		for other := job.firstUnqueued; other < index; other++ { // skipped ones go to the queue
-			if task := &job.Tasks[other]; !task.Done && task.AllocationCount == 0 && !task.Queued {
-				task.Queued = true
-				job.requeuedTasks = append(job.requeuedTasks, int32(other))
-			}
-		}
+		job.queueSkippedTasks(index)
 		job.firstUnqueued = index + 1
 	} else {
-		for position, other := range job.requeuedTasks {
-			if int(other) == index {
-				job.requeuedTasks = append(job.requeuedTasks[:position], job.requeuedTasks[position+1:]...)
-				break
-			}
+		if position := slices.Index(job.requeuedTasks, int32(index)); position >= 0 {
+			job.requeuedTasks = append(job.requeuedTasks[:position], job.requeuedTasks[position+1:]...)
 		}
 		job.Tasks[index].Queued = false
 	}
-	for job.firstUnqueued < len(job.Tasks) && (job.Tasks[job.firstUnqueued].Done || job.Tasks[job.firstUnqueued].AllocationCount > 0) {
+	for job.firstUnqueued < len(job.Tasks) && !job.Tasks[job.firstUnqueued].needsAllocation() {
 		job.firstUnqueued++
 	}
 	if job.PendingTasks() == 0 {
 		delete(s.PendingJobs, job)
 	}
 }
+
+// queueSkippedTasks queues the tasks before the given one that were never queued.
+func (j *Job) queueSkippedTasks(before int) {
+	for index := j.firstUnqueued; index < before; index++ {
+		if task := &j.Tasks[index]; task.needsAllocation() && !task.Queued {
+			task.Queued = true
+			j.requeuedTasks = append(j.requeuedTasks, int32(index))
+		}
+	}
+}
+
+// needsAllocation reports whether a task is neither done nor allocated.
+func (t *Task) needsAllocation() bool { return !t.Done && t.AllocationCount == 0 }
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 
 	"notchmux.dev/notchmux/internal/micro"
 )
@@ -31,7 +32,10 @@
 func (t *Team) TaskHeadroom(cpus, gpus float64) int {
 	const eps = 1e-9
 	tasks := math.MaxInt32
-	for _, quota := range []struct{ most, used, each float64 }{{t.CPULimit, t.UsedCPU, cpus}, {t.GPULimit, t.UsedGPU, gpus}} {
+	for _, quota := range []struct{ most, used, each float64 }{
+		{t.CPULimit, t.UsedCPU, cpus},
+		{t.GPULimit, t.UsedGPU, gpus},
+	} {
 		if quota.most > 0 && quota.each > 0 {
 			tasks = min(tasks, int((quota.most-quota.used)/quota.each+eps))
 		}
@@ -58,15 +62,23 @@
 	}
 }
 
+// join takes an unfinished job in, in the order in which the team's jobs could start, which
+// is the order of their guarantees.
+func (t *Team) join(job *Job) {
+	t.unfinished = append(t.unfinished, job)
+	jobs := t.unfinished
+	for i := len(jobs) - 1; i > 0 && jobs[i-1].EligibleSince > jobs[i].EligibleSince; i-- {
+		jobs[i-1], jobs[i] = jobs[i], jobs[i-1]
+	}
+}
+
+// leaveTeam takes a job that is over, or handed back, from its team's unfinished ones.
 func (s *State) leaveTeam(job *Job) {
 	if job.Team == nil {
 		return
 	}
 	unfinished := job.Team.unfinished
-	for i, other := range unfinished {
-		if other == job {
-			job.Team.unfinished = append(unfinished[:i], unfinished[i+1:]...)
-			break
-		}
+	if i := slices.Index(unfinished, job); i >= 0 {
+		job.Team.unfinished = slices.Delete(unfinished, i, i+1)
 	}
 }
--- /dev/null
+++ b/internal/cluster/transitions.go
@@ -0,0 +1,11 @@
+package cluster
+
+import (
+	"slices"
+)
+
+// transitions is a state machine's table: the states that may follow each state.
+type transitions[S comparable] map[S][]S
+
+// allow reports whether the table has a transition.
+func (t transitions[S]) allow(from, to S) bool { return slices.Contains(t[from], to) }
