--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -30,49 +30,76 @@
 	Legacy        *LegacyRecord // the record in the first form that this chunk comes from
 }
 
-// Job is a job with its tasks.
+// Job is a job with its tasks. Its fields are read and changed only on the goroutine that
+// owns the state; times are on the steady clock of this process.
 type Job struct {
-	Spec              wire.Job
-	State             JobState
-	Tasks             []Task
-	Chunks            []*TaskChunk
-	Team              *Team
-	Class             *Class
-	SubmittedAt       micro.Time // on the steady clock
-	EligibleSince     micro.Time // when the last job that it awaited was done, else its submission
-	UnmetDependencies int        // jobs that it awaits whose end is not stored
-	DependencyAborted bool       // a job that it needs is stored as aborted: so is it, by derivation
-	DeadlineSource    *Job       // the job whose deadline it inherits, perhaps itself; nil: none
-	CriticalPath      micro.Time // how long all that comes after it takes, the heir included
+	Spec            wire.Job
+	State           JobState
+	Tasks           []Task
+	Chunks          []*TaskChunk
+	Team            *Team // nil: a team without settings, which has no quota
+	Class           *Class
+	SubmittedAt     micro.Time
+	EligibleSince   micro.Time // when its last dependency was done, else its submission
+	PriorityLevel   int        // 0 is the highest; inherited from dependents too
+	WithinGuarantee bool       // lies within its team's guarantee, see MarkGuarantees
+
+	Progress
+	Pipeline
+	Assignment
+	FailureHistory
+	TaskQueue
+
+	tasksPerChunk int
+}
+
+// Progress counts a job's tasks.
+type Progress struct {
 	DoneTasks         int
 	RunningTasks      int
-	AllocationCount   int
+	AllocationCount   int // allocations that are not proven free
 	AllocationsByZone map[string]int
-	GangAttempt       uint32
-	GangStopping      bool // the gang's attempt is being wound up
-	FailedOn          map[string]bool
-	Failures          int // attempts that ended with an error
-	NotBefore         micro.Time
-	Throttled         bool // Openings kept its tasks from room that was free
+	Started           bool   // a task of it has run
+	GangAttempt       uint32 // the gang's highest attempt number
+	GangStopping      bool   // the gang's attempt is being stopped
+}
 
-	LongestFailure micro.Time // the longest that a task ran before it failed
+// Pipeline is a job's place among those that it depends on and that depend on it.
+type Pipeline struct {
+	UnmetDependencies int        // dependencies whose final status is not stored
+	DependencyAborted bool       // a dependency is stored as aborted: so is the job, by derivation
+	DeadlineSource    *Job       // the job whose deadline it inherits, perhaps itself; nil: none
+	CriticalPath      micro.Time // how long all that comes after it takes, the deadline's job included
+}
 
-	failuresDismissed  bool       // no machine is held responsible for its failures
-	WaitingSince       micro.Time // since when it waits and none of its tasks was given a place
-	WaitReasonLoggedAt micro.Time // when operators were last told why it waits
-	PriorityLevel      int
-	Started            bool
-	WithinGuarantee    bool // lies within its team's guarantee, see MarkGuarantees
-
-	Shard             string // the share that it is assigned to, until its assignment's record is gone
-	ReservedTasks     int    // tasks that count against its team's limit meanwhile
-	MaxAllocations    int    // tasks that may have places at once, as the leader reserved them; 0: any number
-	ShardRunningTasks int    // tasks that run there, as its owner last said
+// Assignment is a job's stay in a shard of the machines, whose owner places its tasks.
+type Assignment struct {
+	Shard             string // the shard, until the assignment's record is gone
+	ReservedTasks     int    // tasks that count against its team's quota meanwhile
+	MaxAllocations    int    // allocations at once, as the leader reserved them; 0: any number
+	ShardRunningTasks int    // tasks that run there, as the owner last said
 	ShardDoneTasks    int    // tasks that are done there
+}
+
+// FailureHistory is what is known of a job's failed attempts.
+type FailureHistory struct {
+	FailedOn       map[string]bool // machines that an attempt failed on
+	Failures       int             // attempts that ended with an error
+	LongestFailure micro.Time      // the longest that a task ran before it failed
+	NotBefore      micro.Time      // the next try
+
+	failuresDismissed bool // no machine is held responsible for its failures
+}
+
+// TaskQueue holds the tasks that wait for an allocation: those that were requeued, and then
+// all from firstUnqueued on.
+type TaskQueue struct {
+	WaitingSince       micro.Time // since when it waits and none of its tasks was allocated
+	WaitReasonLoggedAt micro.Time // when operators were last told why it waits
+	Throttled          bool       // SchedulableTasks kept its tasks from resources that were free
 
-	firstUnqueued int     // tasks from here on were never queued
-	requeuedTasks []int32 // tasks to place again
-	tasksPerChunk int     // tasks of a chunk
+	firstUnqueued int
+	requeuedTasks []int32
 }
 
 // AddJob takes in a job; a known one is returned as it is. One that awaits others
@@ -85,7 +112,7 @@
 	job := &Job{
 		Spec: spec, Tasks: make([]Task, spec.Tasks), SubmittedAt: submitted, EligibleSince: submitted,
 		Team: s.Teams[spec.Team], Class: s.EnsureClass(spec.Class), PriorityLevel: spec.Priority.Level(),
-		AllocationsByZone: map[string]int{}, tasksPerChunk: s.TasksPerChunk,
+		Progress: Progress{AllocationsByZone: map[string]int{}}, tasksPerChunk: s.TasksPerChunk,
 	}
 	for index := 0; index*job.tasksPerChunk < spec.Tasks; index++ {
 		job.Chunks = append(job.Chunks, &TaskChunk{Job: job, Index: index})
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -20,65 +20,113 @@
 	dispatchToken uint64 // a token above this one must have been seen
 }
 
-// Machine is a machine and its worker.
+// Machine is a machine with its agent. Its fields are read and changed only on the goroutine
+// that owns the state; times are on the steady clock of this process, 0 meaning never.
 type Machine struct {
-	Name                     string
-	Addr                     string
-	Type                     *MachineType
-	TypeName                 string
-	Zone                     string
-	Spot                     bool
-	State                    MachineState
-	AgentEpoch               uint64
-	Sequence                 uint64
-	FencingToken             uint64
-	LastHeartbeat            micro.Time // last new proof of life
-	LeaseRenewedAt           micro.Time // last report answered, new or not, or first sign of the session: the worker's lease may count from it
-	RequiredFencingToken     uint64     // it counts as up once it has shown this token
-	MissedResponses          int        // reports in a row that had not seen the token they should have
-	ResponsesLostSince       micro.Time // since when it hears nothing
-	FirstHeartbeat           micro.Time
-	ExpiredEpoch             uint64 // sessions up to this one surely ended
-	Allocations              map[AllocationKey]*Allocation
-	UsedCPU                  float64
-	UsedGPU                  float64
-	UsedMemoryGB             float64
-	UsedScaledCPU            float64
-	UsedByPriority           [priorityLevels]Resources // what places hold by rank, those told to stop excepted
-	UsedByStopping           Resources                 // what places hold that were told to stop
-	IdleSince                micro.Time
-	RequestedAt              micro.Time // when it was rented, as far as known
-	Permanent                bool       // here before the service: never returned for being idle
-	LastListed               micro.Time // last list that showed it; 0: none
-	CloudState               wire.MachineState
-	PreemptionAt             micro.Time            // the cloud takes it then; 0: no notice
-	Cordoned                 bool                  // takes no new tasks, to go back once it is empty
-	ResponsesLost            bool                  // reports, but hears nothing: takes no new tasks
-	Overruns                 int                   // attempts in a row that ran far over what was expected
-	JobFailures              map[string]micro.Time // jobs that failed here, and when they last did
-	QuarantinedUntil         micro.Time            // takes no tasks until then, except as a last resort
-	QuarantinedForFailures   bool                  // avoided since several jobs failed on it
-	LastFaultAt              micro.Time            // when a failure, or a refusal for want of room, last made it avoided
-	LastNeededForHeadroom    micro.Time            // last time that headroom counted on it
-	DispatchInFlight         bool                  // a direct order is under way
-	DispatchPending          bool                  // more came up meanwhile
-	NextDispatchAt           micro.Time            // no direct order before
-	DispatchUnanswered       bool                  // left the latest direct order unanswered, and was not heard since
-	ReservedFor              *Job                  // being cleared for this job
+	Name              string
+	Addr              string
+	Type              *MachineType // nil: not in the catalog, or not described yet
+	TypeName          string
+	Zone              string // empty: not known yet
+	Spot              bool
+	State             MachineState
+	InstanceRequestID string // the instance request that it came of, as far as known
+	Allocations       map[AllocationKey]*Allocation
+
+	Contact
+	Capacity
+	Instance
+	Ownership
+	Quarantine
+	Reservation
+	Dispatch
+	poolPosition
+
+	images         map[string]cachedImage // images fetched
+	exitedAttempts map[AllocationKey]*exitedAttempt
+}
+
+// Contact is what is known of a machine's agent by its messages, and of its lease.
+type Contact struct {
+	AgentEpoch           uint64 // the agent's current epoch: a new one begins when its lease ran out
+	ExpiredEpoch         uint64 // epochs up to this one surely ended
+	Sequence             uint64 // of the newest message in the epoch
+	FencingToken         uint64 // the highest that the agent has seen
+	RequiredFencingToken uint64 // the machine counts as up once it has shown this token
+	FirstHeartbeat       micro.Time
+	LastHeartbeat        micro.Time // the last new proof of life
+
+	// LeaseRenewedAt is when a heartbeat, new or not, was last answered, or when the epoch
+	// first showed: the agent's lease may count from it.
+	LeaseRenewedAt micro.Time
+
+	MissedResponses    int        // heartbeats in a row that had not seen the token they should have
+	ResponsesLost      bool       // its heartbeats come, but no response reaches it: it takes no new tasks
+	ResponsesLostSince micro.Time // since when
+
+	lastResponseToken uint64 // the token of the last response; 0: not known
+}
+
+// Capacity is what the allocations on a machine use.
+type Capacity struct {
+	UsedCPU        float64 // cores
+	UsedGPU        float64
+	UsedMemoryGB   float64
+	UsedScaledCPU  float64                   // cores as the scheduler counts them, by the type's speed
+	UsedByPriority [priorityLevels]Resources // by priority level, without what is stopping
+	UsedByStopping Resources                 // by attempts that were told to stop
+
+	IdleSince             micro.Time // since when it is idle, while it holds no allocation
+	LastNeededForHeadroom micro.Time // when headroom last counted on it
+}
+
+// Instance is a machine as the cloud knows it.
+type Instance struct {
+	RequestedAt  micro.Time // when it was requested, as far as known
+	LastListed   micro.Time // the last list of the cloud's that showed it
+	CloudState   wire.MachineState
+	PreemptionAt micro.Time // when the cloud takes it back; 0: no notice
+	Permanent    bool       // here before the service: never terminated for being idle
+	Cordoned     bool       // takes no new tasks, to be terminated once it is empty
+}
+
+// Ownership says which controller a machine belongs to.
+type Ownership struct {
+	OwnedElsewhere  bool // another controller's: not this one's to answer or to place on
+	TransferPending bool // it is to become another's: it takes no new tasks
+}
+
+// Quarantine is what speaks against a machine.
+type Quarantine struct {
+	Overruns               int                   // attempts in a row that ran far over what was expected
+	JobFailures            map[string]micro.Time // jobs that failed here, and when they last did
+	QuarantinedUntil       micro.Time            // takes no tasks until then, except as a last resort
+	QuarantinedForFailures bool                  // since several jobs failed on it
+	LastFaultAt            micro.Time            // when a failure, or a refusal for lack of resources, last quarantined it
+}
+
+// Reservation keeps a machine free for a job that is too large for what is free elsewhere.
+type Reservation struct {
+	ReservedFor              *Job
 	ReservedAt               micro.Time
+	StarvationReservation    bool       // for a job that has waited long
 	UnusedReservationSince   micro.Time // since when it is reserved, for one job or another, and none of them used it
 	UnusedReservationEndedAt micro.Time // when a reservation of it last ended unused
-	StarvationReservation    bool       // reserved for a job that has waited long
-	InstanceRequestID        string
-	OwnedElsewhere           bool // another controller owns it: it is not this one's to answer or to place on
-	TransferPending          bool // it is to become another's: it takes no new tasks
+}
+
+// Dispatch is the state of the commands that are sent to the agent by themselves.
+type Dispatch struct {
+	DispatchInFlight   bool       // a dispatch is under way
+	DispatchPending    bool       // more came up meanwhile
+	NextDispatchAt     micro.Time // no dispatch before
+	DispatchUnanswered bool       // the latest was left unanswered, and no message came since
+}
 
-	images            map[string]cachedImage // images fetched
-	lastResponseToken uint64                 // the token of the last answer, 0: not known
-	pool              *MachinePool           // where placement finds it, nil: nowhere
-	poolRow           int
-	poolRowIndex      int
-	exitedAttempts    map[AllocationKey]*exitedAttempt
+// poolPosition is where the scheduler finds a machine; pool is nil if it takes no tasks.
+type poolPosition struct {
+	pool         *MachinePool
+	poolRow      int
+	poolRowIndex int
 }
 
 // EnsureMachine finds or makes a machine.
@@ -86,14 +134,14 @@
 	machine := s.Machines[name]
 	if machine == nil {
 		machine = &Machine{
-			Name:                 name,
-			Allocations:          map[AllocationKey]*Allocation{},
-			exitedAttempts:       map[AllocationKey]*exitedAttempt{},
-			images:               s.takeImageHint(name),
-			JobFailures:          map[string]micro.Time{},
-			RequestedAt:          now,
-			IdleSince:            now,
-			RequiredFencingToken: s.MinFencingToken,
+			Name:           name,
+			Allocations:    map[AllocationKey]*Allocation{},
+			exitedAttempts: map[AllocationKey]*exitedAttempt{},
+			images:         s.takeImageHint(name),
+			Quarantine:     Quarantine{JobFailures: map[string]micro.Time{}},
+			Instance:       Instance{RequestedAt: now},
+			Capacity:       Capacity{IdleSince: now},
+			Contact:        Contact{RequiredFencingToken: s.MinFencingToken},
 		}
 		s.Machines[name] = machine
 		s.sortedMachines = nil
--- a/internal/cluster/quarantine.go
+++ b/internal/cluster/quarantine.go
@@ -133,6 +133,10 @@
 // for how long a failure counts against it.
 const failureQuarantine = 10 * micro.Minute
 
+// defaultQuarantineThreshold is how many jobs fail on a machine before it is quarantined,
+// where the settings say nothing else.
+const defaultQuarantineThreshold = 2
+
 // One machine in quarantineDivisor may be avoided at a time on the word of jobs of
 // which nothing is known. Where more look faulty the jobs are the likelier cause,
 // and for quarantineSuspension machines are blamed only by jobs that do well elsewhere:
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -17,87 +17,138 @@
 	SpeedFactor float64
 }
 
-// Effects are what a change of the model asks its owner to do.
+// Effects are what a change of the state asks its owner to do. They are called on the
+// goroutine that owns the state, in the middle of a change.
 type Effects interface {
-	ChunkDirty(chunk *TaskChunk)   // the chunk must be written
-	ChunkUrgent(chunk *TaskChunk)  // and soon: a start waits for it
-	DispatchSoon(machine *Machine) // the machine has orders worth sending directly
-	JobFinished(job *Job)          // all tasks are done: write the end
-	DependencyAborted(job *Job)    // a job that it needs is aborted: write the end
-	DependencyUnknown(
-		id string,
-	) // a job is awaited of which nothing is known: look into the store
-	AttemptCompleted(allocation *Allocation, took micro.Time) // an attempt completed after running for so long
-	ChunkMigrated(chunk *TaskChunk, legacy *LegacyRecord)     // what a chunk held is in chunks of the later form now
-	LegacyRecordSuperseded(
-		legacy *LegacyRecord,
-	) // a record in the first form, to be deleted once its parts are stored
-	ScheduleSoon()                 // placement may find more than before
-	Log(event string, args ...any) // one line for operators
+	// ChunkDirty says that the chunk must be written.
+	ChunkDirty(chunk *TaskChunk)
+	// ChunkUrgent says that a start waits for the chunk's record.
+	ChunkUrgent(chunk *TaskChunk)
+	// DispatchSoon says that there are commands worth sending to the machine by themselves.
+	DispatchSoon(machine *Machine)
+	// JobFinished says that all tasks are done: the final status is to be written.
+	JobFinished(job *Job)
+	// DependencyAborted says that a dependency is aborted: so is the job, to be written.
+	DependencyAborted(job *Job)
+	// DependencyUnknown says that nothing is known of a job that another depends on: the
+	// store has to be asked.
+	DependencyUnknown(id string)
+	// AttemptCompleted says that an attempt completed, and how long it ran.
+	AttemptCompleted(allocation *Allocation, took micro.Time)
+	// ChunkMigrated says that what a chunk held is in chunks of the compact form now.
+	ChunkMigrated(chunk *TaskChunk, legacy *LegacyRecord)
+	// LegacyRecordSuperseded names a record in the first form, to be deleted once each chunk
+	// that stands for a part of it is stored.
+	LegacyRecordSuperseded(legacy *LegacyRecord)
+	// ScheduleSoon says that a scheduling pass may find more than before.
+	ScheduleSoon()
+	// Log writes one line for operators.
+	Log(event string, args ...any)
 }
 
-// State is the whole picture.
+// State is the whole picture of the cluster. One goroutine owns it: nothing in it is locked.
 type State struct {
 	Effects
-	Jobs                 map[string]*Job
-	Machines             map[string]*Machine
-	Teams                map[string]*Team
-	Types                map[string]*MachineType
-	CatalogOrder         []*MachineType
-	Classes              map[string]*Class
-	TerminatedAt         map[string]micro.Time  // machines returned in this term, and when
-	ProxyRenewedUntil    map[string]micro.Time  // until when a keeper may have renewed leases, by zone; "": any
-	ZoneUnreachableSince map[string]micro.Time  // zones none of whose controllers answer, since when
-	LeaseDuration        micro.Time             // the workers' lease, with room for drift
-	GangWaitTimeout      micro.Time             // a gang's wait for its members
-	TermStartedAt        micro.Time             // when this node took over
-	MinFencingToken      uint64                 // lowest token of this term
-	QuarantineThreshold  int                    // jobs failing on a machine before it is avoided
-	PendingJobs          map[*Job]bool          // active jobs with tasks to place
-	ActiveJobs           map[*Job]bool          // active jobs
-	FinalStatuses        map[string]FinalStatus // ends that are in the store, by job
-	TasksPerChunk        int                    // tasks of a chunk of jobs that are added
-	CompactRecords       bool                   // chunks are written in the later form
-	Pools                []*MachinePool         // machines that take new tasks, by type, zone and kind
-
-	Verbose bool // log each place and exit
-
-	// Partition says whether another controller owns a machine, and whether it is to;
+	Jobs     map[string]*Job
+	Machines map[string]*Machine
+	Teams    map[string]*Team
+	Classes  map[string]*Class
+
+	Catalog
+	Term
+	RecordFormat
+	JobSets
+	MachineSets
+	FailureAttribution
+
+	// Verbose logs each allocation and exit.
+	Verbose bool
+
+	// Ownership says whether another controller owns a machine, and whether it is to;
 	// nil: this one owns all.
 	Ownership func(machine *Machine) (ownedElsewhere, transferPending bool)
+}
 
-	BlockedJobs int // jobs that await others
+// Catalog is the cloud's machine types.
+type Catalog struct {
+	Types        map[string]*MachineType
+	CatalogOrder []*MachineType
+}
+
+// Term is what holds for one controller's time as leader, or as owner of a shard.
+type Term struct {
+	TermStartedAt        micro.Time
+	MinFencingToken      uint64                // the lowest token of this term
+	LeaseDuration        micro.Time            // the agents' lease, with room for clock drift
+	GangWaitTimeout      micro.Time            // how long a gang's members wait for each other
+	ProxyRenewedUntil    map[string]micro.Time // until when a lease proxy may have renewed leases, by zone; "": any
+	ZoneUnreachableSince map[string]micro.Time // zones none of whose controllers answer, since when
+}
 
-	dependents     map[string][]*Job // jobs by each of those that they await
-	sortedMachines []*Machine
+// RecordFormat is the form in which chunks are stored.
+type RecordFormat struct {
+	TasksPerChunk  int  // of jobs that are added from now on
+	CompactRecords bool // chunks are written in the compact form
+}
+
+// JobSets are the jobs by what they wait for.
+type JobSets struct {
+	ActiveJobs    map[*Job]bool          // jobs in the state Active
+	PendingJobs   map[*Job]bool          // active jobs with tasks to place
+	BlockedJobs   int                    // how many jobs wait for dependencies
+	FinalStatuses map[string]FinalStatus // final statuses that are in the store, by job
+
+	dependents map[string][]*Job // jobs by each of those that they wait for
+}
+
+// MachineSets are the machines in the orders in which they are looked for.
+type MachineSets struct {
+	TerminatedAt map[string]micro.Time // machines terminated in this term, and when
+	Pools        []*MachinePool        // machines that take new tasks, by type, zone and kind
+
+	sortedMachines []*Machine // by name; nil: to be sorted anew
 	poolIndex      map[poolKey]*MachinePool
+	imageHints     map[string]map[string]cachedImage // images of machines that are not known yet
+}
+
+// FailureAttribution is what decides whether failures are held against machines.
+type FailureAttribution struct {
+	QuarantineThreshold int // jobs failing on a machine before it is quarantined
 
-	imageHints               map[string]map[string]cachedImage // images of machines that are not known yet
-	quarantineCandidates     map[*Machine]bool                 // machines that jobs failed on
-	quarantineSuspendedUntil micro.Time                        // until when so many look faulty that the jobs are the likelier cause
+	quarantineCandidates     map[*Machine]bool // machines that jobs failed on
+	quarantineSuspendedUntil micro.Time        // until when so many look faulty that the jobs are the likelier cause
 }
 
-// New makes an empty picture.
+// New makes an empty picture. Its settings (term, quarantine threshold, teams, catalog) are
+// filled in by the goroutine that owns it, before the first job or machine is added.
 func New(effects Effects) *State {
 	return &State{
-		Effects:              effects,
-		Jobs:                 map[string]*Job{},
-		Machines:             map[string]*Machine{},
-		Teams:                map[string]*Team{},
-		Types:                map[string]*MachineType{},
-		Classes:              map[string]*Class{},
-		TerminatedAt:         map[string]micro.Time{},
-		ProxyRenewedUntil:    map[string]micro.Time{},
-		ZoneUnreachableSince: map[string]micro.Time{},
-		PendingJobs:          map[*Job]bool{},
-		ActiveJobs:           map[*Job]bool{},
-		QuarantineThreshold:  2,
-		FinalStatuses:        map[string]FinalStatus{},
-		TasksPerChunk:        LegacyTasksPerChunk,
-		dependents:           map[string][]*Job{},
-		imageHints:           map[string]map[string]cachedImage{},
-		poolIndex:            map[poolKey]*MachinePool{},
-		quarantineCandidates: map[*Machine]bool{},
+		Effects:  effects,
+		Jobs:     map[string]*Job{},
+		Machines: map[string]*Machine{},
+		Teams:    map[string]*Team{},
+		Classes:  map[string]*Class{},
+		Catalog:  Catalog{Types: map[string]*MachineType{}},
+		Term: Term{
+			ProxyRenewedUntil:    map[string]micro.Time{},
+			ZoneUnreachableSince: map[string]micro.Time{},
+		},
+		RecordFormat: RecordFormat{TasksPerChunk: LegacyTasksPerChunk},
+		JobSets: JobSets{
+			ActiveJobs:    map[*Job]bool{},
+			PendingJobs:   map[*Job]bool{},
+			FinalStatuses: map[string]FinalStatus{},
+			dependents:    map[string][]*Job{},
+		},
+		MachineSets: MachineSets{
+			TerminatedAt: map[string]micro.Time{},
+			poolIndex:    map[poolKey]*MachinePool{},
+			imageHints:   map[string]map[string]cachedImage{},
+		},
+		FailureAttribution: FailureAttribution{
+			QuarantineThreshold:  defaultQuarantineThreshold,
+			quarantineCandidates: map[*Machine]bool{},
+		},
 	}
 }
 
