--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -38,8 +38,8 @@
 	l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), priority)
 }
 
-// DispatchSoon notes that a machine has orders worth sending directly.
-func (l *Leader) DispatchSoon(m *cluster.Machine) { l.pendingDispatch[m] = true }
+// DispatchSoon notes that a machine has commands worth sending at once.
+func (l *Leader) DispatchSoon(m *cluster.Machine) { l.dispatcher.MarkPending(m) }
 
 // JobFinished writes the end of a job whose tasks are all done.
 func (l *Leader) JobFinished(j *cluster.Job) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -12,6 +12,7 @@
 	"notchmux.dev/notchmux/internal/agent"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/keys"
@@ -319,7 +320,8 @@
 		t.Fatal("a write of the old term took effect under the new one")
 	}
 	reply := n1.Heartbeat(wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1}))
-	if commands, ok := reply.Body.(wire.Commands); !ok || uint64(commands.FencingToken) <= old.FencingRevision<<tokenBits {
+	if commands, ok := reply.Body.(wire.Commands); !ok ||
+		uint64(commands.FencingToken) <= dispatch.FirstFencingToken(old.FencingRevision) {
 		t.Fatalf("token of the new term: %+v", reply)
 	}
 }
@@ -427,7 +429,7 @@
 	machine := leader.cluster.EnsureMachine("i-1", 0)
 	machine.LastHeartbeat = 100 * micro.Second
 	leader.lastTick = 100 * micro.Second
-	leader.lastSweep, leader.lastPlan, leader.lastSpeedWrite, leader.nextTokenCheck = 2000*micro.Second, 2000*micro.Second, 2000*micro.Second, 2000*micro.Second
+	leader.lastSweep, leader.lastPlan, leader.lastSpeedWrite = 2000*micro.Second, 2000*micro.Second, 2000*micro.Second
 	leader.term.End()
 	leader.tick(101 * micro.Second)
 	leader.term = election.NewTerm(9, 1000*micro.Second)
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -51,7 +51,7 @@
 		sinceHeartbeat := l.sinceHeartbeat(machine, now)
 		if machine.State == cluster.Up && sinceHeartbeat > l.node.Cfg.SuspectAfter {
 			// Only what proves to have been sent from now on is a sign of life.
-			machine.RequiredFencingToken = l.fencingToken + 1
+			machine.RequiredFencingToken = l.dispatcher.FencingToken() + 1
 			l.cluster.TransitionMachine(machine, cluster.Suspect, "no reports")
 		}
 		if l.heartbeatExpected(machine, sinceHeartbeat, now) {
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -60,7 +60,7 @@
 	fleet.leader.cluster.SetCatalog(cat)
 	for i := range machines {
 		fakeAgent := fake.NewAgent(fmt.Sprintf("i-%06d", i), fmt.Sprint("t", i%4), []string{"a", "b"}[i%2], 30*micro.Second)
-		fakeAgent.FencingToken = fleet.leader.fencingToken
+		fakeAgent.FencingToken = fleet.leader.dispatcher.FencingToken()
 		fleet.agents = append(fleet.agents, fakeAgent)
 		fleet.heartbeat(fakeAgent)
 	}
@@ -97,10 +97,10 @@
 		panic("not taken")
 	}
 	o := wire.Commands{
-		FencingToken: wire.Count(h.leader.fencingToken),
-		Items:        h.leader.cluster.Commands(m, h.leader.fencingToken, false, h.now),
+		FencingToken: wire.Count(h.leader.dispatcher.FencingToken()),
+		Items:        h.leader.cluster.Commands(m, h.leader.dispatcher.FencingToken(), false, h.now),
 	}
-	h.leader.cluster.ResponseSent(m, h.leader.fencingToken)
+	h.leader.cluster.ResponseSent(m, h.leader.dispatcher.FencingToken())
 	_ = wire.MustMarshal(o)
 	w.HandleResponse(o, h.now)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -11,6 +11,7 @@
 
 	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
@@ -20,10 +21,6 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// tokenBits are the low bits of a token, which the leader may count up; the
-// bits above are the version of the leader's key.
-const tokenBits = 24
-
 // Leader is one term of leadership. Its loop owns the model.
 type Leader struct {
 	node *Node
@@ -42,15 +39,11 @@
 	speeds                   *scheduler.SpeedEstimator
 	objectives               *scheduler.Objectives
 	records                  *recordStore
-	fencingToken             uint64
-	nextTokenCheck           micro.Time // no look for what waits for a newer token before
-	tokenRaisedAt            micro.Time
+	dispatcher               *dispatch.Dispatcher
 	schedulePending          bool
-	pendingDispatch          map[*cluster.Machine]bool
 	lastSchedule             micro.Time
 	scheduleInterval         micro.Time // least time between passes, by what the last one took
 	overrunCursor            int        // next machine to look over for overrunning tasks
-	dispatchesInFlight       int        // direct orders under way
 	lastSweep                micro.Time
 	lastPlan                 micro.Time
 	lastSpeedWrite           micro.Time
@@ -75,7 +68,6 @@
 	unreachableSince         micro.Time   // since when no worker reports; 0: some do
 	heartbeatsReceived       uint64       // reports heard from workers
 	heartbeatGap             heartbeatGap // how long none has come
-	overload                 overloadDetector
 	cancellationWaiters      map[string][]chan httpapi.Reply
 	dependencyLookups        map[string]bool // awaited jobs to be looked up in the store
 	format                   FormatRecord
@@ -89,7 +81,7 @@
 
 // newLeader makes the loop of a term of leadership.
 func newLeader(n *Node, t *election.Term) *Leader {
-	l := newEventLoop(n, t, t.FencingRevision<<tokenBits, n.Log.With("term", t.FencingRevision))
+	l := newEventLoop(n, t, dispatch.FirstFencingToken(t.FencingRevision), n.Log.With("term", t.FencingRevision))
 	zones := map[string]string{}
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
@@ -113,8 +105,6 @@
 		term:                     term,
 		log:                      log,
 		loop:                     eventloop.New(),
-		fencingToken:             firstToken,
-		pendingDispatch:          map[*cluster.Machine]bool{},
 		instanceRequests:         map[string]*instanceRequest{},
 		pendingTerminations:      map[*cluster.Machine]uint64{},
 		cancellationWaiters:      map[string][]chan httpapi.Reply{},
@@ -124,7 +114,7 @@
 		unconfirmedCancellations: map[*cluster.Job]bool{},
 	}
 	l.cluster = cluster.New(l)
-	l.cluster.MinFencingToken = l.fencingToken
+	l.cluster.MinFencingToken = firstToken
 	l.cluster.TermStartedAt = node.Now()
 	l.cluster.LeaseDuration = node.Cfg.LeaseExpiredAfter()
 	l.cluster.QuarantineThreshold = node.Cfg.QuarantineFailedJobs
@@ -142,6 +132,10 @@
 	}
 	l.scheduler.WithinPrice = l.planner.WithinPrice
 	l.records = newRecordStore(l)
+	l.dispatcher = dispatch.New(firstToken, dispatch.Dependencies{
+		Cluster: l.cluster, Loop: l.loop, Sender: node.Agent, Log: l.log,
+		Now: func() micro.Time { return node.Now() }, Host: dispatchHost{l},
+	})
 	return l
 }
 
@@ -213,15 +207,7 @@
 		l.completeCancellation(job, now)
 	}
 	l.records.Flush(now)
-	for machine := range l.pendingDispatch {
-		if l.dispatchesInFlight >= maxDispatchesInFlight {
-			break // the rest wait, or the next reports bring them
-		}
-		delete(l.pendingDispatch, machine)
-		if l.shouldDispatch(machine) {
-			l.dispatch(machine, now)
-		}
-	}
+	l.dispatcher.SendPending(now)
 }
 
 // Passes take at most one part in scheduleTimeDivisor of the time.
@@ -272,7 +258,7 @@
 			l.records.speeds.MarkDirty(now, statestore.PriorityLow)
 		}
 	}
-	l.checkToken(now)
+	l.dispatcher.CheckToken(now)
 }
 
 // checkLease reports whether the right to act holds, and notes when it came back.
@@ -289,49 +275,6 @@
 	return true
 }
 
-// checkToken gives out a newer token if it is time to look, and one is needed.
-func (l *Leader) checkToken(now micro.Time) {
-	if now < l.nextTokenCheck {
-		return
-	}
-	l.raiseToken(now)
-	took := l.node.Now() - now
-	l.nextTokenCheck = now + min(tokenCheckTimeDivisor*took, maxTokenCheckInterval)
-}
-
-// Looking for what waits for a newer token takes at most one part in tokenCheckTimeDivisor of the
-// time, and is done every maxTokenCheckInterval at the latest. With each tick, it took a quarter
-// of the leader's processor at 4,000 machines.
-const (
-	tokenCheckTimeDivisor = 50
-	maxTokenCheckInterval = micro.Second
-)
-
-// raiseToken gives out a newer token if something waits for workers to have seen one.
-func (l *Leader) raiseToken(now micro.Time) {
-	if now-l.tokenRaisedAt > tokenRaiseInterval || l.newTokenNeeded() {
-		l.fencingToken++
-		l.tokenRaisedAt = now
-	}
-	if l.fencingToken&(1<<tokenBits-1) == 1<<tokenBits-1 {
-		l.resign("tokens used up")
-	}
-}
-
-func (l *Leader) newTokenNeeded() bool {
-	for _, m := range l.cluster.Machines {
-		if (m.State == cluster.Up || m.LastHeartbeat > 0) && m.State != cluster.Terminating &&
-			m.NeedsNewerToken(l.fencingToken) {
-			return true
-		}
-	}
-	return false
-}
-
-// tokenRaiseInterval is how often the token is raised even if nothing waits for it: a
-// machine that hears nothing shows by not having seen it.
-const tokenRaiseInterval = 10 * micro.Second
-
 // planInterval is how often rentals are planned: more often while nothing is there
 // to place work on.
 func (l *Leader) planInterval() micro.Time {
@@ -404,9 +347,9 @@
 		"asks",
 		l.loop.Len(eventloop.Queries),
 		"directs",
-		l.dispatchesInFlight,
+		l.dispatcher.InFlight(),
 		"kicked",
-		len(l.pendingDispatch),
+		l.dispatcher.Pending(),
 		"rentals_waiting",
 		len(l.requestQueue),
 		"fleet",
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -154,8 +154,8 @@
 		leader.cluster.ChunkPersisted(job.Chunk(0), 1<<40)
 		allocation := job.Allocations()[0]
 		late := wire.Commands{
-			FencingToken: wire.Count(leader.fencingToken), AgentEpoch: wire.Count(allocation.Machine.AgentEpoch),
-			Items: leader.cluster.Commands(allocation.Machine, leader.fencingToken, true, fleet.now),
+			FencingToken: wire.Count(leader.dispatcher.FencingToken()), AgentEpoch: wire.Count(allocation.Machine.AgentEpoch),
+			Items: leader.cluster.Commands(allocation.Machine, leader.dispatcher.FencingToken(), true, fleet.now),
 		}
 		var fakeAgent *fake.Agent
 		for _, x := range fleet.agents {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -15,9 +14,9 @@
 	looks, look := 0, 4*micro.Millisecond
 	fleet.leader.node.Now = func() micro.Time { fleet.now += look; return fleet.now } // each reading of the clock: a look's worth
 	for end := fleet.now + 60*micro.Second; fleet.now < end; fleet.now += 100 * micro.Millisecond {
-		was := fleet.leader.nextTokenCheck
+		was := fleet.leader.dispatcher.NextTokenCheck()
 		fleet.leader.tick(fleet.now)
-		if fleet.leader.nextTokenCheck != was {
+		if fleet.leader.dispatcher.NextTokenCheck() != was {
 			looks++
 		}
 	}
@@ -26,47 +25,6 @@
 	}
 }
 
-// An overloaded leader sends directly what cannot wait for the machine's next report.
-func TestOverloadedLeaderDispatchesOnlyUrgentCommands(t *testing.T) {
-	fleet := newFleet(t, 8)
-	currentLeader := fleet.leader
-	machines := currentLeader.cluster.SortedMachines()
-	normal, service := machines[0], machines[1]
-	currentLeader.addJob(
-		wire.Job{
-			ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1,
-			MemoryGB: 1, Image: "i",
-		},
-	)
-	starts := func(machine *cluster.Machine, job *cluster.Job) {
-		allocation := currentLeader.cluster.Allocate(job, job.NextTasks(fleet.now, 1)[0], machine, 1, 1, fleet.now)
-		currentLeader.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
-	}
-	starts(service, currentLeader.cluster.Jobs["j-7777"])
-	if !currentLeader.shouldDispatch(normal) || !currentLeader.shouldDispatch(service) {
-		t.Fatal("orders are left out without overload")
-	}
-	for range 1000 {
-		currentLeader.observeQueueDelay(300*micro.Millisecond, fleet.now)
-	}
-	if currentLeader.shouldDispatch(normal) || !currentLeader.shouldDispatch(service) {
-		t.Errorf(
-			"direct in overload: other work %v, first priority %v", currentLeader.shouldDispatch(normal),
-			currentLeader.shouldDispatch(service),
-		)
-	}
-	for range 1000 {
-		currentLeader.observeQueueDelay(0, fleet.now+micro.Second)
-	}
-	if currentLeader.shouldDispatch(normal) {
-		t.Error("eased at once: what was left out comes back in a second")
-	}
-	currentLeader.observeQueueDelay(0, fleet.now+micro.Second+minOverloadDuration+1)
-	if !currentLeader.shouldDispatch(normal) {
-		t.Error("still overloaded though no report waits")
-	}
-}
-
 // An overloaded leader answered each call too late, and was left alone after each: for
 // 90 s users learnt nothing of hundreds of jobs.
 func TestSlowLeaderGetsFewerCallsWithLongerTimeouts(t *testing.T) {
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -98,7 +98,7 @@
 		l.lastStatusLog = now
 		l.logStatus()
 	}
-	l.checkToken(now)
+	l.dispatcher.CheckToken(now)
 }
 
 // observeShardRecord takes in what the share's record says now; there is none if it is gone.
--- a/internal/controller/shard_reclaim.go
+++ b/internal/controller/shard_reclaim.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -68,8 +69,8 @@
 // owner gave out tokens above those of this term, perhaps: the leader's go above them.
 func (l *Leader) restoreReleasedShard(entry shard.Entry, reclaim *shardReclaim, items []wire.Item) {
 	now := l.node.Now()
-	firstToken := entry.Version << tokenBits
-	l.fencingToken = max(l.fencingToken, firstToken)
+	firstToken := dispatch.FirstFencingToken(entry.Version)
+	l.dispatcher.RaiseFencingToken(firstToken)
 	l.cluster.RaiseMinFencingToken(firstToken)
 	reclaim.reclaimed = true
 	for _, machine := range l.cluster.SortedMachines() {
