--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,8 @@
-// Package store is the client of the state service: budgets for requests and
-// writes, leases, ranges, transactions and watches.
+// Package store is the client of the consensus-backed key-value store that the protocol
+// calls the store: leases, ranges, compare-and-swap transactions and watches, and
+// the part of the service's limits that this node may use.
+//
+// All methods of Client may be called from any goroutine.
 package store
 
 import (
@@ -19,21 +22,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The ways in which a call can fail, each handled by name.
+// The ways in which a call can fail; match them with errors.Is.
 var (
-	ErrConflict         = errors.New("store: a guard did not hold")       // 409
-	ErrCompacted        = errors.New("store: revision too old to watch")  // 410
-	ErrRateLimited      = errors.New("store: over its limits")            // 429
-	ErrRefused          = errors.New("store: refused, not executed")      // 503
-	ErrNoLease          = errors.New("store: no such lease")              // 404 or 400
-	ErrUncertain        = errors.New("store: no answer, may have run")    // timeout, reset
-	ErrBudgetExhausted  = errors.New("store: this node's budget is used") // not sent
-	ErrMalformed        = errors.New("store: request called malformed")   // 400
-	ErrNotFound         = errors.New("store: no such key")                // 404
-	ErrUnexpectedStatus = errors.New("store: unexpected status")          // anything else
+	ErrConflict         = errors.New("store: a precondition did not hold")         // 409
+	ErrCompacted        = errors.New("store: revision too old to watch")           // 410
+	ErrRateLimited      = errors.New("store: over its limits")                     // 429
+	ErrRefused          = errors.New("store: refused, not executed")               // 503
+	ErrNoLease          = errors.New("store: no such lease")                       // 404 or 400
+	ErrUncertain        = errors.New("store: no response, may have been executed") // timeout, reset
+	ErrBudgetExhausted  = errors.New("store: this node's budget is exhausted")     // not sent
+	ErrMalformed        = errors.New("store: request rejected as malformed")       // 400
+	ErrNotFound         = errors.New("store: no such key")                         // 404
+	ErrUnexpectedStatus = errors.New("store: unexpected status")                   // anything else
 )
 
-// Class is a call's importance when the budget runs low.
+// Class is the importance of a call when the budget runs low.
 type Class int
 
 // The classes, most important first.
@@ -41,15 +44,15 @@
 	Leadership  Class = iota
 	Urgent            // cancellations, starts
 	Routine           // other writes, reads for submissions
-	Deferrable        // what can wait: completions, records of what is over
-	StatusQuery       // look-ups for polls that the leader does not answer: users ask again
+	Deferrable        // what can wait: completions, records of finished jobs
+	StatusQuery       // status queries that the leader does not answer: users ask again
 )
 
-// ReservedFraction is the part of the burst that a class must leave untouched.
+// ReservedFraction is the part of the burst that a class must leave to more important ones.
 func (c Class) ReservedFraction() float64 {
 	switch c {
 	case Leadership:
-		return -1 // may borrow: renewal is never held back
+		return -1 // may borrow: a lease renewal is never held back
 	case Urgent:
 		return 0.05
 	case Deferrable:
@@ -60,15 +63,15 @@
 	return 0.2
 }
 
-// Store is what the rest of the service needs of the state service.
+// Store is what the rest of the service needs of the key-value store.
 type Store interface {
 	// AvailableWrites is how many puts and deletes the budget allows now.
 	AvailableWrites(class Class) int
 	Get(ctx context.Context, class Class, key string) (wire.Item, error)
 	Range(ctx context.Context, class Class, prefix, after string, limit int) (wire.Page, error)
 	Commit(ctx context.Context, class Class, txn wire.Transaction) (revision uint64, err error)
-	// Existing says which of the keys there are: one transaction that changes
-	// nothing, and whose guards say that they do not exist.
+	// ExistingKeys says which of the keys exist, by one transaction that changes nothing
+	// and whose preconditions say that none of them does.
 	ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error)
 	Grant(ctx context.Context, ttl micro.Time) (lease uint64, err error)
 	Renew(ctx context.Context, lease uint64) error
@@ -76,7 +79,8 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error)
 }
 
-// Client speaks to the real state service.
+// Client speaks to the store over HTTP. It never repeats a call: a lost response makes the
+// outcome uncertain, and the caller decides.
 type Client struct {
 	baseURL  string
 	http     *fasthttp.Client
@@ -88,13 +92,14 @@
 
 	mu                sync.Mutex
 	budgetFractions   [2]float64
-	announcedWriteRPS float64 // the rate of changes that may come into force; 0: none
+	announcedWriteRPS float64 // changes a second that may come into force; 0: none
 
-	lastResponse atomic.Int64
+	lastResponse atomic.Int64 // microseconds, by this node's steady clock
 }
 
-// NewClient makes a client for the service at addr, allowed the given rates in
-// all; SetBudgetFraction says how much of them this node may use.
+// NewClient makes a client for the service at addr (host:port), which allows all nodes
+// together the given requests and changes a second; SetBudgetFraction says how much of them
+// this node may use, a third until then.
 func NewClient(addr string, readRPS, writeRPS float64) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
@@ -121,17 +126,18 @@
 }
 
 func (c *Client) applyLimits() {
-	for _, limit := range []struct {
-		lim *rate.Limiter
-		all float64
-	}{{c.reads, c.readRPS * c.budgetFractions[0]}, {c.writes, c.writeRPS * c.budgetFractions[1]}} {
-		limit.lim.SetLimit(rate.Limit(limit.all))
-		limit.lim.SetBurst(max(1, int(limit.all)))
-	}
+	setRate(c.reads, c.readRPS*c.budgetFractions[0])
+	setRate(c.writes, c.writeRPS*c.budgetFractions[1])
+}
+
+// setRate sets a limiter's rate, and bursts of what comes in a second.
+func setRate(limiter *rate.Limiter, perSecond float64) {
+	limiter.SetLimit(rate.Limit(perSecond))
+	limiter.SetBurst(max(1, int(perSecond)))
 }
 
-// AnnounceWriteLimit says that the service may lower its rate of changes from now on. The full
-// rate is used until the service first refuses for being over it.
+// AnnounceWriteLimit says that the service may lower its limit to so many changes a second
+// from now on. The full rate is used until a change is first refused for its rate.
 func (c *Client) AnnounceWriteLimit(writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +146,7 @@
 	}
 }
 
-// applyAnnouncedWriteLimit notes that the service refused changes for being over its rate.
+// applyAnnouncedWriteLimit lowers the rate after the service refused a change for it.
 func (c *Client) applyAnnouncedWriteLimit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +156,8 @@
 	}
 }
 
-// LastResponse is when the store last answered with anything but a refusal.
+// LastResponse is when the store last answered with anything but a refusal, by this node's
+// steady clock; 0: never.
 func (c *Client) LastResponse() micro.Time { return micro.Time(c.lastResponse.Load()) }
 
 // AvailableWrites is how many puts and deletes the budget allows now.
@@ -158,7 +165,7 @@
 	return int(c.writes.Tokens() - max(class.ReservedFraction(), 0)*float64(c.writes.Burst()))
 }
 
-// Admit takes n tokens if the class may have them now.
+// Admit takes n tokens from a limiter if the class may have them now.
 func Admit(limiter *rate.Limiter, class Class, n int) bool {
 	if n == 0 {
 		return true
@@ -173,11 +180,13 @@
 	return limiter.AllowN(time.Now(), min(n, limiter.Burst()))
 }
 
+// call sends one request, if the budget allows it, and decodes the reply into out. It ends
+// at the timeout or at the context's deadline, whichever is earlier.
 func (c *Client) call(
 	ctx context.Context, class Class, writes int, method, path string, body []byte, timeout time.Duration, out any,
-) (int, error) {
+) error {
 	if !Admit(c.writes, class, writes) || !Admit(c.reads, class, 1) {
-		return 0, ErrBudgetExhausted
+		return ErrBudgetExhausted
 	}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -192,46 +201,57 @@
 		deadline = contextDeadline
 	}
 	if err := c.http.DoDeadline(request, response, deadline); err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrUncertain, err)
+		return fmt.Errorf("%w: %s %s: %w", ErrUncertain, method, path, err)
 	}
 	code := response.StatusCode()
-	if code != 503 {
+	if code != fasthttp.StatusServiceUnavailable {
 		c.lastResponse.Store(int64(micro.Now()))
 	}
-	switch code {
-	case 200, 409, 400, 404:
-		if out != nil {
-			if err := wire.Unmarshal(response.Body(), out); err != nil && code == 200 {
-				return code, fmt.Errorf("%w: %v", ErrUnexpectedStatus, err)
-			}
+	if out != nil && hasBody(code) {
+		if err := wire.Unmarshal(response.Body(), out); err != nil && code == fasthttp.StatusOK {
+			return fmt.Errorf("%w: %s %s: %w", ErrUnexpectedStatus, method, path, err)
 		}
 	}
+	if code == fasthttp.StatusTooManyRequests && writes > 0 {
+		c.applyAnnouncedWriteLimit()
+	}
+	return statusError(code)
+}
+
+// hasBody reports whether the protocol gives replies of a status a body that is read.
+func hasBody(code int) bool {
+	switch code {
+	case fasthttp.StatusOK, fasthttp.StatusConflict, fasthttp.StatusBadRequest, fasthttp.StatusNotFound:
+		return true
+	}
+	return false
+}
+
+// statusError is what a status says of a call; nil: it was executed.
+func statusError(code int) error {
 	switch code {
-	case 200:
-		return code, nil
-	case 400:
-		return code, ErrMalformed
-	case 404:
-		return code, ErrNotFound
-	case 409:
-		return code, ErrConflict
-	case 410:
-		return code, ErrCompacted
-	case 429:
-		if writes > 0 {
-			c.applyAnnouncedWriteLimit()
-		}
-		return code, ErrRateLimited
-	case 503:
-		return code, ErrRefused
+	case fasthttp.StatusOK:
+		return nil
+	case fasthttp.StatusBadRequest:
+		return ErrMalformed
+	case fasthttp.StatusNotFound:
+		return ErrNotFound
+	case fasthttp.StatusConflict:
+		return ErrConflict
+	case fasthttp.StatusGone:
+		return ErrCompacted
+	case fasthttp.StatusTooManyRequests:
+		return ErrRateLimited
+	case fasthttp.StatusServiceUnavailable:
+		return ErrRefused
 	}
-	return code, fmt.Errorf("%w %d", ErrUnexpectedStatus, code)
+	return fmt.Errorf("%w %d", ErrUnexpectedStatus, code)
 }
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, class Class, key string) (wire.Item, error) {
 	var item wire.Item
-	_, err := c.call(ctx, class, 0, "GET", "/keys/"+key, nil, c.timeout, &item)
+	err := c.call(ctx, class, 0, fasthttp.MethodGet, "/keys/"+key, nil, c.timeout, &item)
 	return item, err
 }
 
@@ -242,18 +262,19 @@
 	if after != "" {
 		path += "&since=" + url.QueryEscape(after)
 	}
-	_, err := c.call(ctx, class, 0, "GET", path, nil, c.timeout, &page)
+	err := c.call(ctx, class, 0, fasthttp.MethodGet, path, nil, c.timeout, &page)
 	return page, err
 }
 
-// Commit runs a transaction. On ErrConflict nothing was changed.
+// Commit runs a compare-and-swap transaction. On ErrConflict nothing was changed; on
+// ErrUncertain it may have been executed, or be so later.
 func (c *Client) Commit(ctx context.Context, class Class, txn wire.Transaction) (uint64, error) {
 	body, err := wire.Marshal(txn)
 	if err != nil {
 		return 0, err
 	}
 	var result wire.TransactionResult
-	_, err = c.call(ctx, class, len(txn.Then), "POST", "/commit", body, c.timeout, &result)
+	err = c.call(ctx, class, len(txn.Then), fasthttp.MethodPost, "/commit", body, c.timeout, &result)
 	if errors.Is(err, ErrMalformed) && result.Error == "no such lease" {
 		err = ErrNoLease
 	}
@@ -271,7 +292,7 @@
 		return nil, err
 	}
 	var result wire.TransactionResult
-	_, err = c.call(ctx, class, 0, "POST", "/commit", body, c.timeout, &result)
+	err = c.call(ctx, class, 0, fasthttp.MethodPost, "/commit", body, c.timeout, &result)
 	if err != nil && !errors.Is(err, ErrConflict) {
 		return nil, err
 	}
@@ -286,33 +307,43 @@
 func (c *Client) Grant(ctx context.Context, ttl micro.Time) (uint64, error) {
 	var reply wire.LeaseReply
 	body := wire.MustMarshal(wire.LeaseRequest{TTLMs: int64(ttl / micro.Millisecond)})
-	_, err := c.call(ctx, Leadership, 0, "POST", "/leases", body, c.timeout, &reply)
+	err := c.call(ctx, Leadership, 0, fasthttp.MethodPost, "/leases", body, c.timeout, &reply)
 	return uint64(reply.Lease), err
 }
 
-// Renew extends a lease to its full time.
+// Renew extends a lease to its full time; ErrNoLease: it has expired.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
-	_, err := c.call(ctx, Leadership, 0, "POST", "/leases/"+strconv.FormatUint(lease, 10)+"/extend", nil, c.timeout, nil)
+	err := c.call(
+		ctx,
+		Leadership,
+		0,
+		fasthttp.MethodPost,
+		"/leases/"+strconv.FormatUint(lease, 10)+"/extend",
+		nil,
+		c.timeout,
+		nil,
+	)
 	if errors.Is(err, ErrNotFound) {
 		return ErrNoLease
 	}
 	return err
 }
 
-// Revoke ends a lease at once.
+// Revoke ends a lease, and deletes its keys, at once. One that has ended is no error.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
-	_, err := c.call(ctx, Leadership, 0, "DELETE", "/leases/"+strconv.FormatUint(lease, 10), nil, c.timeout, nil)
+	err := c.call(ctx, Leadership, 0, fasthttp.MethodDelete, "/leases/"+strconv.FormatUint(lease, 10), nil, c.timeout, nil)
 	if errors.Is(err, ErrNotFound) {
 		return nil
 	}
 	return err
 }
 
-// Watch waits for changes under the prefix after a revision.
+// Watch waits for changes under the prefix after a revision, for so long at most.
+// ErrCompacted: the store no longer holds all of them.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
 	var events wire.Events
 	path := "/changes?prefix=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(after, 10) +
 		"&waitMs=" + strconv.FormatInt(int64(wait/micro.Millisecond), 10)
-	_, err := c.call(ctx, Leadership, 0, "GET", path, nil, wait.Duration()+2*time.Second, &events)
+	err := c.call(ctx, Leadership, 0, fasthttp.MethodGet, path, nil, wait.Duration()+2*time.Second, &events)
 	return events, err
 }
