--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,10 +1,12 @@
-// Package election keeps one leader among the nodes, by a key on a lease of the
-// state service. A node's session as an owner of shares is held by the same rules, as
-// a key for which no other node stands.
+// Package election keeps one leader among the nodes, by a key on a lease of the store. A
+// node's session as an owner of shards is held by the same rules, as a key for which no
+// other node campaigns.
 //
-// The right to act ends, by this node's own steady clock, a lifetime (less the
-// drift of clocks) after the last good renewal was sent. The store ends the
-// lease no earlier than that, so two nodes never hold the right at once.
+// The leadership lease ends, by this node's own steady clock, a TTL (less the drift of
+// clocks) after the last successful renewal was sent. The store ends its lease no earlier
+// than that, so two nodes never hold the leadership lease at once.
+//
+// Election.Run owns the state; all other methods may be called from any goroutine.
 package election
 
 import (
@@ -21,17 +23,28 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// LeaderKey is the leader's key.
+// LeaderKey is the key that names the leader. It is a fixed format.
 const LeaderKey = "leader"
 
 // maxClockDrift is the most that a steady clock may gain on another, in parts of 1e4,
-// with room for both clocks and for a timer's step.
-const maxClockDrift = 20
+// with capacity for both clocks and for a timer's step.
+const (
+	maxClockDrift      = 20
+	clockDriftDivisor  = 10000
+	timerStep          = 5 * micro.Millisecond
+	maxCampaignDelay   = 30 * micro.Millisecond // so that candidates do not collide
+	retryDelay         = 300 * micro.Millisecond
+	renewRetryDelay    = 150 * micro.Millisecond
+	watchTimeout       = 10 * micro.Second
+	watchRetryDelay    = 200 * micro.Millisecond
+	commitRetryDelay   = 200 * micro.Millisecond
+	suspendedPollDelay = 500 * micro.Millisecond
+)
 
-// Record is the value of the leader's key.
+// Record is the value of the key.
 type Record struct {
 	Node  string     `msgpack:"node"`
-	Nonce string     `msgpack:"nonce"`
+	Nonce string     `msgpack:"nonce"` // of the process: a restarted node has another
 	Lease wire.Count `msgpack:"lease"`
 }
 
@@ -47,16 +60,16 @@
 
 func (s State) String() string { return [...]string{"follower", "candidate", "leader"}[s] }
 
-// Term is one node's time as leader.
+// Term is one node's time as leader, or as holder of its session.
 type Term struct {
-	FencingRevision uint64 // version of the leader's key: every write is guarded by it
+	FencingRevision uint64 // version of the key: the precondition of every write of the term
 	Lease           uint64
 	key             string // the key that is held
 	validUntil      atomic.Int64
 	ended           atomic.Bool
 }
 
-// HoldsLease reports whether the right to act still holds.
+// HoldsLease reports whether this node may still act as leader.
 func (t *Term) HoldsLease(now micro.Time) bool {
 	return t != nil && !t.ended.Load() && int64(now) < t.validUntil.Load()
 }
@@ -69,7 +82,7 @@
 // End gives the term up for good.
 func (t *Term) End() { t.ended.Store(true) }
 
-// NewTerm makes a term that is valid until the given time; for tests.
+// NewTerm makes a term that holds the lease until the given time; for tests.
 func NewTerm(revision uint64, until micro.Time) *Term {
 	return NewTermForKey(LeaderKey, revision, until)
 }
@@ -81,12 +94,12 @@
 	return term
 }
 
-// Extend puts off the end of the right; for tests.
+// Extend sets when the lease ends; for tests.
 func (t *Term) Extend(until micro.Time) { t.validUntil.Store(int64(until)) }
 
-// Election runs one node's part.
+// Election is one node's part in an election.
 type Election struct {
-	Key              string // the key to be held; "": the leader's
+	Key              string // the key to be held; "": LeaderKey
 	Node             string
 	Nonce            string
 	Store            store.Store
@@ -94,11 +107,11 @@
 	RenewInterval    micro.Time
 	Log              *slog.Logger
 	Now              func() micro.Time
-	OnStartedLeading func(*Term) // called when this node has become leader
-	OnStoppedLeading func(*Term) // called when its term is over
+	OnStartedLeading func(*Term) // called by Run when this node has become leader
+	OnStoppedLeading func(*Term) // called by Run when its term is over
 
 	mu                sync.Mutex
-	campaignNotBefore micro.Time // no campaign before
+	campaignNotBefore micro.Time
 	deferUntil        micro.Time // until then other candidates go first
 	state             State
 	leader            string
@@ -120,19 +133,19 @@
 	return e.leader
 }
 
-// SuspendCampaign keeps this node from campaigning for a while, so that another may lead.
+// SuspendCampaign keeps this node from campaigning for a time, so that another may lead.
 func (e *Election) SuspendCampaign(d micro.Time) {
 	e.mu.Lock()
 	e.campaignNotBefore = e.Now() + d
 	e.mu.Unlock()
 }
 
-// headStart is how long a node that yields waits before it campaigns: enough for
-// a candidate that does not to create the key, also in a slow store.
+// headStart is how long a node that defers waits before it campaigns: enough for a candidate
+// that does not defer to create the key, also in a slow store.
 const headStart = micro.Second
 
-// DeferCampaign lets any other candidate go first for a while. Unlike Pause it keeps this
-// node from nothing: if no other one campaigns, it leads after a head start.
+// DeferCampaign lets any other candidate go first for a time. Unlike SuspendCampaign it
+// forbids nothing: if no other node campaigns, this one leads after the head start.
 func (e *Election) DeferCampaign(d micro.Time) {
 	e.mu.Lock()
 	e.deferUntil = e.Now() + d
@@ -146,7 +159,7 @@
 	return e.term
 }
 
-// transition is the one place where the state changes.
+// transition is the one place where the state changes. It tells whoever leads or led.
 func (e *Election) transition(state State, leader string, term *Term) {
 	e.mu.Lock()
 	previousState, previousTerm := e.state, e.term
@@ -154,7 +167,7 @@
 	e.state, e.leader, e.term = state, leader, term
 	e.mu.Unlock()
 	if changed {
-		e.Log.Info("election", "state", state.String(), "was", previousState.String(), "leader", leader)
+		e.Log.Info("election", "from", previousState.String(), "to", state.String(), "leader", leader)
 	}
 	if previousTerm != nil && previousTerm != term {
 		previousTerm.End()
@@ -165,7 +178,7 @@
 	}
 }
 
-// Run takes part until the context ends.
+// Run takes part in the election until the context ends.
 func (e *Election) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		e.runOnce(ctx)
@@ -174,15 +187,15 @@
 }
 
 func (e *Election) sleep(ctx context.Context, d micro.Time) {
-	t := time.NewTimer(d.Duration())
-	defer t.Stop()
+	timer := time.NewTimer(d.Duration())
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-// runOnce looks at the leader's key once and does what it calls for.
+// runOnce reads the key once and does what it calls for.
 func (e *Election) runOnce(ctx context.Context) {
 	item, err := e.Store.Get(ctx, store.Leadership, e.key())
 	switch {
@@ -192,31 +205,33 @@
 		}
 		return
 	case err != nil:
-		// Whoever leads cannot be told from here; what was known may be stale.
-		e.sleep(ctx, 300*micro.Millisecond)
+		// Who leads is not known to this node now, and what it knew may be stale.
+		e.sleep(ctx, retryDelay)
 		return
 	}
 	var record Record
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
+		e.Log.Error("election record not understood", "key", e.key(), "err", err)
 		e.sleep(ctx, micro.Second)
 		return
 	}
-	if record.Node == e.Node && record.Nonce != e.Nonce {
-		// Our own earlier incarnation: that process is dead, since one address
-		// runs one process. Its lease may end at once.
-		_ = e.Store.Revoke(ctx, uint64(record.Lease))
-		return
-	}
 	if record.Node == e.Node {
-		// A campaign whose answer was lost has won after all. When its lease was
-		// last renewed is not known any more: start afresh.
+		// Written by an earlier incarnation of this node, which is dead, since one address
+		// runs one process; or by a campaign of this one whose response was lost, and which
+		// won after all: when its lease was last renewed is not known. Either lease may end
+		// at once, and the election starts afresh.
 		_ = e.Store.Revoke(ctx, uint64(record.Lease))
 		return
 	}
-	e.transition(Follower, record.Node, nil)
-	events, err := e.Store.Watch(ctx, e.key(), uint64(item.Version), 10*micro.Second)
+	e.follow(ctx, record.Node, uint64(item.Version))
+}
+
+// follow waits until the key of another leader changes.
+func (e *Election) follow(ctx context.Context, leader string, version uint64) {
+	e.transition(Follower, leader, nil)
+	events, err := e.Store.Watch(ctx, e.key(), version, watchTimeout)
 	if err != nil {
-		e.sleep(ctx, 200*micro.Millisecond+micro.Time(rand.Int64N(int64(200*micro.Millisecond))))
+		e.sleep(ctx, watchRetryDelay+micro.Time(rand.Int64N(int64(watchRetryDelay))))
 		return
 	}
 	if len(events.Events) > 0 {
@@ -224,7 +239,7 @@
 	}
 }
 
-// campaign tries to create the leader's key.
+// campaign tries to create the key; true: this node leads.
 func (e *Election) campaign(ctx context.Context) bool {
 	e.mu.Lock()
 	now := e.Now()
@@ -232,11 +247,11 @@
 	e.mu.Unlock()
 	if wait > 0 {
 		e.transition(Follower, "", nil)
-		e.sleep(ctx, min(wait, 500*micro.Millisecond))
+		e.sleep(ctx, min(wait, suspendedPollDelay))
 		return false
 	}
 	e.transition(Candidate, "", nil)
-	delay := micro.Time(rand.Int64N(int64(30 * micro.Millisecond)))
+	delay := micro.Time(rand.Int64N(int64(maxCampaignDelay)))
 	if deferring {
 		delay += headStart
 	}
@@ -244,7 +259,7 @@
 	sent := e.Now()
 	lease, err := e.Store.Grant(ctx, e.TTL)
 	if err != nil {
-		e.sleep(ctx, 300*micro.Millisecond)
+		e.sleep(ctx, retryDelay)
 		return false
 	}
 	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Transaction{
@@ -255,7 +270,7 @@
 	})
 	if err != nil {
 		if !errors.Is(err, store.ErrConflict) {
-			e.sleep(ctx, 200*micro.Millisecond)
+			e.sleep(ctx, commitRetryDelay)
 		}
 		return false
 	}
@@ -265,14 +280,14 @@
 	return true
 }
 
-// leaseDeadline is when the right to act ends that a renewal sent at a time gives.
+// leaseDeadline is when the leadership lease ends that a renewal sent at a time gives.
 func (e *Election) leaseDeadline(sent micro.Time) micro.Time {
-	return sent + e.TTL - e.TTL*maxClockDrift/10000 - 5*micro.Millisecond
+	return sent + e.TTL - e.TTL*maxClockDrift/clockDriftDivisor - timerStep
 }
 
-// renewUntilLost renews the lease until it is lost. During an outage the lease keeps its
-// life in the store: the right to act lapses here, and comes back with the next
-// good renewal, since no other node can have led in between.
+// renewUntilLost renews the lease until it is lost. An outage of the store does not shorten
+// the lease that it holds: leadership lapses here, and resumes with the next successful
+// renewal, since no other node can have led in between.
 func (e *Election) renewUntilLost(ctx context.Context) {
 	term := e.Term()
 	wait := e.RenewInterval
@@ -290,8 +305,8 @@
 			e.transition(Follower, "", nil)
 			return
 		default:
-			e.Log.Info("leader lease not renewed", "err", err)
-			wait = 150 * micro.Millisecond
+			e.Log.Info("leader lease not renewed", "key", e.key(), "err", err)
+			wait = renewRetryDelay
 		}
 	}
 	e.transition(Follower, "", nil)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// The right to act ends before the lease does, by a clock that is slow and with
+// The leadership lease ends before the lease does, by a clock that is slow and with
 // renewals that are answered late: the time counts from when the last was sent.
 func TestLeadershipEndsBeforeTheStoreLease(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/leasekeeper/leasekeeper_test.go
+++ b/internal/leasekeeper/leasekeeper_test.go
@@ -21,7 +21,7 @@
 	proxy.HandleResponse(now, now, bound.HandleRequest(proxy.Request(now), now))
 }
 
-// A zone was cut off for longer than its workers' leases: half of all replicas
+// A zone was cut off for longer than its agents' leases: half of all replicas
 // ended, and the rule on spreading let nobody replace them.
 func TestProxiesOfAPartitionedZoneRenewWithinTheWindowAndReportIt(t *testing.T) {
 	proxy := newProxy("n-1")
@@ -104,7 +104,7 @@
 }
 
 // Whatever is lost, late or slow, and whichever leader asks: no lease that a
-// keeper renewed may outlive the time from which the leader frees places.
+// lease proxy renewed may outlive the time from which the leader frees allocations.
 func TestNoLeaseOutlivesTheRenewalBound(t *testing.T) {
 	renewals, freed := 0, 0
 	for seed := range uint64(300) {
@@ -116,14 +116,14 @@
 		leaderClockRate := 1 + random.Float64()*0.0005
 		clock := func(clockRate float64, now micro.Time) micro.Time { return micro.Time(clockRate * float64(now)) }
 		type msg struct {
-			at, sent micro.Time // by true time when it arrives, by the keeper's clock when sent
+			at, sent micro.Time // by true time when it arrives, by the lease proxy's clock when sent
 			k        int
 			req      Request
 			echo     LeaderTimestamp
 			answer   bool
 		}
 		var network []msg
-		var latestLease micro.Time // true time until which some worker's lease may run
+		var latestLease micro.Time // true time until which some agent's lease may run
 		partitionedAt, partitionedFor := micro.Time(random.Int64N(int64(30*micro.Second))), micro.Time(
 			random.Int64N(int64(90*micro.Second)),
 		)
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -1,13 +1,12 @@
-// Package leasekeeper lets the controllers inside a zone that is cut off from
-// everything keep the leases of that zone's workers alive for a while, so that
-// what runs there goes on. A keeper gives no orders and tells no user anything:
-// it only answers reports.
+// Package leasekeeper lets the controllers inside a partitioned zone renew the leases of
+// that zone's agents for a limited time, so that their tasks go on. A lease proxy gives no
+// commands and tells no user anything: it only answers heartbeats.
 //
-// The leader must not take a place for free while a keeper may have renewed its
-// worker's lease. So a keeper asks the leader every second, may keep only for a
-// span from when it *sent* the last request that was answered in time, and only
-// after it has been out of touch for a while; and it confesses to having kept.
-// Ledger is the leader's side, which bounds what keepers may have done.
+// The leader must not release an allocation while a lease proxy may have renewed its agent's
+// lease. So a proxy asks the leader every second; it may renew leases only after it has been
+// disconnected for a few seconds, and only within a window that begins when it *sent* the
+// last request that was answered in time; and its requests say whether it did. RenewalBound
+// is the leader's side, which bounds until when leases may have been renewed.
 package leasekeeper
 
 import (
@@ -16,36 +15,42 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Timing that keepers and leaders share.
+// Timing that lease proxies and leaders share.
 const (
-	RequestInterval = micro.Second            // between a keeper's requests
+	RequestInterval = micro.Second            // between a lease proxy's requests
 	ResponseTimeout = 500 * micro.Millisecond // how long it waits for an answer: a later one does not count
-	renewAfter      = 4 * micro.Second        // out of touch for so long before it may keep
+	renewAfter      = 4 * micro.Second        // disconnected for so long before it may renew leases
 	probeMaxAge     = 2500 * micro.Millisecond
 )
 
-// clockDrift is the most that two steady clocks part over a span, with room to spare.
-func clockDrift(window micro.Time) micro.Time { return window/500 + 10*micro.Millisecond }
+// clockDriftDivisor and timerMargin bound how far two steady clocks part.
+const (
+	clockDriftDivisor = 500
+	timerMargin       = 10 * micro.Millisecond
+)
+
+// clockDrift is the most that two steady clocks part over a time, with room to spare.
+func clockDrift(window micro.Time) micro.Time { return window/clockDriftDivisor + timerMargin }
 
-// State is what a node is to its zone's workers.
+// State is what a node is to its zone's agents.
 type State uint8
 
 // The states.
 const (
 	Connected State = iota // the leader answers, or this node leads
-	Isolated               // it does not answer
-	Renewing               // nor does anybody outside the zone: leases are kept
+	Isolated               // the leader does not answer
+	Renewing               // nor does any node outside the zone: leases are renewed here
 )
 
-func (s State) String() string { return [...]string{"in touch", "alone", "keeping"}[s] }
+func (s State) String() string { return [...]string{"connected", "isolated", "renewing"}[s] }
 
-// LeaderTimestamp is the leader's answer to a keeper, which the next request carries.
+// LeaderTimestamp is the leader's answer to a lease proxy, which the next request carries.
 type LeaderTimestamp struct {
 	Term uint64 `msgpack:"t"`
 	At   int64  `msgpack:"a"` // by the leader's steady clock
 }
 
-// Request is what a keeper asks the leader.
+// Request is what a lease proxy asks the leader.
 type Request struct {
 	Node          string          `msgpack:"n"`
 	Echo          LeaderTimestamp `msgpack:"e"` // the last answer
@@ -55,7 +60,7 @@
 // Proxy is a node's own side. Its methods may be called by any goroutine.
 type Proxy struct {
 	Node          string
-	RenewalWindow micro.Time // how long leases may be kept; 0: never
+	RenewalWindow micro.Time // how long leases may be renewed without the leader; 0: never
 	Log           func(msg string, args ...any)
 
 	mu              sync.Mutex
@@ -64,7 +69,7 @@
 	lastTimestamp   LeaderTimestamp
 	lastRenewal     micro.Time // when a lease was last renewed; 0: never
 	lastRequest     micro.Time // when the latest request was made
-	zonePartitioned bool       // while out of touch, only this zone's nodes answered
+	zonePartitioned bool       // while disconnected, only this zone's nodes answered
 	lastProbe       micro.Time
 }
 
@@ -73,7 +78,7 @@
 	if p.state == to {
 		return
 	}
-	p.Log("zone", "was", p.state.String(), "is", to.String())
+	p.Log("lease proxy", "from", p.state.String(), "to", to.String())
 	p.state = to
 }
 
@@ -98,7 +103,7 @@
 	p.transition(Connected)
 }
 
-// NoteLeading notes that this node itself has the right to act now.
+// NoteLeading notes that this node itself holds the leadership lease now.
 func (p *Proxy) NoteLeading(now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,18 +111,18 @@
 	p.transition(Connected)
 }
 
-// Disconnected reports whether nodes should be looked for: the leader did not
-// answer the latest requests.
+// Disconnected reports whether the other nodes should be probed: the leader did not answer
+// the latest requests.
 func (p *Proxy) Disconnected(now micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now-p.lastAnswered > RequestInterval+ResponseTimeout
 }
 
-// RecordProbe takes in which nodes answered: any of this zone, and any outside. Only
-// where the whole zone is cut off are leases kept: the workers of a node that is
-// cut off by itself do better with another. That the zone's other nodes end
-// meanwhile changes nothing.
+// RecordProbe takes in which nodes answered a probe: any of this zone, and any outside. Leases
+// are renewed only where the whole zone is partitioned: the agents of a node that is isolated
+// by itself do better with another node. That the zone's other nodes end meanwhile changes
+// nothing.
 func (p *Proxy) RecordProbe(reachedInside, reachedOutside bool, now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,14 +148,14 @@
 	return p.zonePartitioned && now-p.lastProbe < probeMaxAge && now-p.lastAnswered > RequestInterval+ResponseTimeout
 }
 
-// TryRenew reports whether a worker's lease may be renewed now. It notes that it
-// was: the leader will be told.
+// TryRenew reports whether an agent's lease may be renewed now. It notes that it was: the
+// next request tells the leader.
 func (p *Proxy) TryRenew(now micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now < p.lastRequest || p.stateAt(now) != Renewing {
-		// A process that stood still between its look at the clock and here may
-		// have told the leader of nothing kept meanwhile.
+		// A process that stalled between reading the clock and here may have told the
+		// leader meanwhile that nothing was renewed.
 		return false
 	}
 	p.lastRenewal = now
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -6,28 +6,29 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// RenewalBound is what a leader knows of the other nodes as keepers, in one term.
+// RenewalBound is what a leader knows of the other nodes as lease proxies, in one term. Its
+// methods may be called by any goroutine.
 type RenewalBound struct {
 	term       uint64
 	termStart  micro.Time
 	window     micro.Time
-	leaderZone string // the leader's own zone, "" if it can have no keepers
+	leaderZone string // the leader's own zone, "" if it can have no lease proxies
 
 	mu       sync.Mutex
-	zones    map[string][]string // the zones that can have keepers, with their nodes
+	zones    map[string][]string // the zones that can have lease proxies, with their nodes
 	contacts map[string]*nodeContact
 }
 
-// nodeContact is the leader's touch with a node.
+// nodeContact is the leader's contact with one node.
 type nodeContact struct {
-	lastAnswer    micro.Time // the latest answer: from it the node may keep for a span
+	lastAnswer    micro.Time // the latest answer: the node's window may begin with it
 	lastConfirmed micro.Time // the latest answer that surely arrived in time
-	renewedUntil  micro.Time // until when it may have kept, as far as it was in touch since
+	renewedUntil  micro.Time // until when it may have renewed leases, as far as it was connected since
 }
 
-// NewRenewalBound starts a term: answers of earlier terms went out before. Nodes lists the zone of every other node, self is the
-// leader's own zone. A zone of one node has no keeper: a node cut off by itself
-// and a zone cut off look alike to it.
+// NewRenewalBound starts a term: answers of earlier terms went out before. Nodes gives the
+// zone of every other node. A zone of one node has no lease proxy: that node cannot tell its
+// own isolation from a partition of its zone.
 func NewRenewalBound(
 	term uint64, termStart, window micro.Time, nodes map[string]string, leaderZone string,
 ) *RenewalBound {
@@ -54,8 +55,8 @@
 	return bound
 }
 
-// HandleRequest takes in a node's request and says what it is told; the caller must
-// still have the right to act.
+// HandleRequest takes in a node's request and gives the answer to it; the caller must still
+// hold the leadership lease when it sends that.
 func (b *RenewalBound) HandleRequest(request Request, now micro.Time) LeaderTimestamp {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,21 +68,21 @@
 		contact.lastConfirmed = max(contact.lastConfirmed, micro.Time(request.Echo.At))
 	}
 	if request.RenewedLeases || request.Echo.Term != b.term {
-		// What a process did that was not in touch in this term is not known.
+		// What a process did that was not connected in this term is not known.
 		contact.renewedUntil = now
 	}
 	contact.lastAnswer = now
 	return LeaderTimestamp{Term: b.term, At: int64(now)}
 }
 
-// connected reports whether a node surely keeps nothing now. It took the answer
-// given at sure within Wait of its request, keeps nothing for a while after that
-// request, and its next request told what it had kept until then.
+// connected reports whether a node surely renews no lease now: it received the answer given
+// at lastConfirmed within ResponseTimeout of its request, renews nothing for renewAfter from
+// that request on, and its next request told whether it had renewed any until then.
 func (c *nodeContact) connected(now micro.Time) bool {
 	return c.lastConfirmed > 0 && now < c.lastConfirmed+renewAfter-ResponseTimeout-clockDrift(renewAfter)
 }
 
-// RenewedUntil is until when a keeper may have renewed the lease of a worker of a zone;
+// RenewedUntil is until when a lease proxy may have renewed the lease of an agent of a zone;
 // "" stands for a zone that is not known.
 func (b *RenewalBound) RenewedUntil(zone string, now micro.Time) micro.Time {
 	b.mu.Lock()
@@ -97,13 +98,13 @@
 	return until
 }
 
-// contactGrace is how long after a term began each node in reach has asked its
-// leader: it asks every second, and twice until it is in touch.
+// contactGrace is how long after a term began each reachable node has asked its leader: it
+// asks every second, and is connected after two requests.
 const contactGrace = 8 * micro.Second
 
-// ZoneDisconnected reports whether a zone's nodes, two or more, are all out of touch. One that
-// has not been in touch in this term counts once there was time for it: a leader
-// that took over while the zone was cut off once rented machines there.
+// ZoneDisconnected reports whether a zone's nodes, two or more, are all disconnected. One that
+// has not been connected in this term counts once there was time for it: a leader that was
+// elected while the zone was partitioned once requested instances there.
 func (b *RenewalBound) ZoneDisconnected(zone string, now micro.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,14 +119,14 @@
 	return disconnected && len(b.zones[zone]) > 0 && zone != b.leaderZone
 }
 
-// RenewalLimit is until when a keeper of a zone may yet renew a lease, if none is
+// RenewalLimit is until when a lease proxy of a zone may yet renew a lease, if none is
 // answered from now on; 0: it has none.
 func (b *RenewalBound) RenewalLimit(zone string, now micro.Time) micro.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var limit micro.Time
 	if b.leaderZone != "" && (zone == "" || zone == b.leaderZone) {
-		limit = now + b.window + clockDrift(b.window) // the leader may become a keeper itself
+		limit = now + b.window + clockDrift(b.window) // the leader may become a lease proxy itself
 	}
 	b.eachContact(zone, func(contact *nodeContact) {
 		renewableUntil := contact.lastAnswer + b.window + clockDrift(b.window)
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -5,33 +5,33 @@
 	"strings"
 )
 
-// The keys that shares use. They are fixed formats.
+// The keys that shards use. They are fixed formats.
 const (
 	RecordPrefix     = "share/"
 	SessionPrefix    = "owner/"
 	AssignmentPrefix = "assign/"
 	AllocationPrefix = "alloc/"
-	// MarkerKey exists as long as any share does. It lies among the records of the
+	// MarkerKey exists as long as any shard does. It lies among the records of the
 	// fleet, which every leader reads first.
 	MarkerKey = "fleet/shares"
 )
 
-// RecordKey is the key of a share's record.
+// RecordKey is the key of a shard's record.
 func RecordKey(name string) string { return RecordPrefix + name }
 
 // SessionKey is the key of a controller's session.
 func SessionKey(node string) string { return SessionPrefix + node }
 
-// AssignmentPrefixFor begins the keys of a share's assignments.
+// AssignmentPrefixFor begins the keys of a shard's assignments.
 func AssignmentPrefixFor(name string) string { return AssignmentPrefix + name + "/" }
 
-// AssignmentKey is the key of a job's assignment to a share.
+// AssignmentKey is the key of a job's assignment to a shard.
 func AssignmentKey(name, job string) string { return AssignmentPrefixFor(name) + job }
 
-// AllocationPrefixFor begins the keys of a share's allocations.
+// AllocationPrefixFor begins the keys of a shard's allocations.
 func AllocationPrefixFor(name string) string { return AllocationPrefix + name + "/" }
 
-// AllocationKey is the key of the record of a chunk of a job's tasks in a share.
+// AllocationKey is the key of the record of a chunk of a job's tasks in a shard.
 func AllocationKey(name, job string, chunk int) string {
 	return AllocationPrefixFor(name) + job + "/" + strconv.Itoa(chunk)
 }
@@ -49,10 +49,10 @@
 	return name, job, chunk, ok && cut && err == nil && chunk >= 0
 }
 
-// maxNameLength is the longest name of a share: keys have 200 bytes.
+// maxNameLength is the longest name of a shard: keys have 200 bytes.
 const maxNameLength = 40
 
-// ValidName reports whether a share may be called so: letters, digits and hyphens.
+// ValidName reports whether a shard may be called so: letters, digits and hyphens.
 func ValidName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
--- a/internal/shard/loopback_test.go
+++ b/internal/shard/loopback_test.go
@@ -24,9 +24,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Stand-in controllers and workers on 127.0.0.1, with the real client of the store:
-// shares move to and fro while controllers end, stand still and lose the store. The
-// long form: go test ./internal/share -run TestLoopback -share.moves 5000
+// Stand-in controllers and agents on 127.0.0.1, with the real client of the store:
+// shards move to and fro while controllers end, stand still and lose the store. The
+// long form: go test ./internal/shard -run TestLoopback -shard.moves 5000
 
 var discard = slog.New(slog.DiscardHandler)
 
@@ -34,24 +34,24 @@
 
 const (
 	loopbackShards         = 4
-	loopbackAgentsPerShard = 2 // for each share
+	loopbackAgentsPerShard = 2 // for each shard
 	loopbackSessionTTL     = 400 * micro.Millisecond
 	loopbackStep           = 2 * time.Millisecond
 	loopbackTimeout        = 10 * time.Minute // only a bound on a hang
 )
 
-// responseRecord is one answer to a worker, as its controller decided it.
+// responseRecord is one answer to an agent, as its controller decided it.
 type responseRecord struct {
 	firstToken uint64
 	node       string
 	at         micro.Time
 }
 
-// responseAudit collects what the workers' side saw.
+// responseAudit collects what the agents' side saw.
 type responseAudit struct {
 	mu            sync.Mutex
-	byShard       map[string]map[uint64]*ownershipSpan // share: answers of each ownership
-	expiredLeases atomic.Int64                         // workers whose lease ran out
+	byShard       map[string]map[uint64]*ownershipSpan // shard: answers of each ownership
+	expiredLeases atomic.Int64                         // agents whose lease ran out
 }
 
 // ownershipSpan is when the answers of one ownership were decided, and by whom.
@@ -158,7 +158,7 @@
 	storeAddr    string
 	controllers  map[string]*loopbackController
 	addrs        map[string]string
-	ignoresLease bool // controllers answer on after they handed over: the audit must notice
+	ignoresLease bool // controllers answer on after they transferred: the audit must notice
 }
 
 func newLoopbackCluster(t *testing.T, ctx context.Context) *loopbackCluster {
@@ -238,7 +238,7 @@
 	})
 }
 
-// step reads the records, and hands over what is to move.
+// step reads the records, and transfers what is to move.
 func (c *loopbackController) step(ctx context.Context) {
 	entries, err := readShards(ctx, c.store)
 	if err != nil {
@@ -290,7 +290,7 @@
 	return txn, shouldSend, false
 }
 
-// handleHeartbeat answers a worker's report.
+// handleHeartbeat answers an agent's heartbeat.
 func (c *loopbackController) handleHeartbeat(ctx *fasthttp.RequestCtx) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -327,7 +327,7 @@
 	return out, nil
 }
 
-// runAgent is a worker of a share (its zone), which asks the controllers in turn.
+// runAgent is an agent of a shard (its zone), which asks the controllers in turn.
 func (c *loopbackCluster) runAgent(ctx context.Context, zone string, i int) {
 	agent := fake.NewAgent(fmt.Sprintf("%s-%d", zone, i), "small", zone, 5*micro.Second)
 	agent.LeaseStart = micro.Now()
@@ -343,7 +343,7 @@
 			agent.HandleResponse(commands, sent)
 		}
 		if response.StatusCode() != 200 || rand.IntN(4) == 0 {
-			target++ // now and then also without need: all controllers are asked, whoever owns the share
+			target++ // now and then also without need: all controllers are asked, whoever owns the shard
 		}
 		fasthttp.ReleaseRequest(request)
 		fasthttp.ReleaseResponse(response)
@@ -353,7 +353,7 @@
 	}
 }
 
-// moveShards moves shares, and takes them from controllers that are gone, until so many moves
+// moveShards moves shards, and takes them from controllers that are gone, until so many moves
 // were carried out.
 func (c *loopbackCluster) moveShards(ctx context.Context, moves int) (done int, durations []micro.Time) {
 	client := store.NewClient(c.storeAddr, 1e6, 1e6)
@@ -380,7 +380,7 @@
 	return done, durations
 }
 
-// nextTransaction is what the leader does with a share.
+// nextTransaction is what the leader does with a shard.
 func (c *loopbackCluster) nextTransaction(entry shard.Entry, sessions shard.Sessions) (wire.Transaction, bool) {
 	if entry.OwnerSessionLost(sessions) {
 		to, ok := entry.Successor(sessions, shard.Snapshot{})
@@ -470,7 +470,7 @@
 	return done, loopback.audit.overlappingOwners(), loopback.revisionsWithoutOwner(t)
 }
 
-// revisionsWithoutOwner counts revisions of a share's record that name no owner after one did.
+// revisionsWithoutOwner counts revisions of a shard's record that name no owner after one did.
 func (c *loopbackCluster) revisionsWithoutOwner(t *testing.T) int {
 	t.Helper()
 	events, err := c.backing.Watch(context.Background(), shard.RecordPrefix, 0, 0)
@@ -500,7 +500,7 @@
 	}
 }
 
-// The counter counts: controllers that answer on after they handed over are noticed.
+// The counter counts: controllers that answer on after they transferred are noticed.
 func TestLoopbackAuditDetectsTwoOwners(t *testing.T) {
 	if _, overlaps, _ := runLoopback(t, 60, true); len(overlaps) == 0 {
 		t.Error("careless controllers were not noticed")
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -1,6 +1,6 @@
 package shard
 
-// StatusUpdate is what an owner tells the leader, every second and when something presses.
+// StatusUpdate is what an owner tells the leader, every second and when something is urgent.
 type StatusUpdate struct {
 	Node           string        `msgpack:"node"`
 	SessionVersion uint64        `msgpack:"session"`
@@ -8,21 +8,21 @@
 	Shards         []ShardUpdate `msgpack:"shares"`
 }
 
-// ShardUpdate is what an owner tells of one share. It was put together while the owner
-// had the right to act.
+// ShardUpdate is what an owner tells of one shard. It was put together while the owner
+// had the leadership lease.
 type ShardUpdate struct {
 	Name                string         `msgpack:"name"`
 	AssignmentRevision  uint64         `msgpack:"seen"`     // revision up to which it has read assignments
 	FreeCapacity        []FreeCapacity `msgpack:"room"`     // what is free for jobs that it does not know yet
 	FinishedJobs        []string       `msgpack:"finished"` // jobs all of whose tasks are done, as its records say
 	StoppingJobs        []StoppingJob  `msgpack:"stopped"`  // jobs that it starts no more, and tells to stop
-	Demand              []Demand       `msgpack:"demand"`   // tasks that wait for room in the share
+	Demand              []Demand       `msgpack:"demand"`   // tasks that wait for capacity in the shard
 	Progress            []Progress     `msgpack:"progress"`
-	ReadyMachines       []string       `msgpack:"up"`         // machines that report, told to each leader once
-	MachinesToTerminate []string       `msgpack:"return"`     // machines to be returned
+	ReadyMachines       []string       `msgpack:"up"`         // machines that heartbeat, told to each leader once
+	MachinesToTerminate []string       `msgpack:"return"`     // to be terminated
 	MachineCount        int            `msgpack:"machines"`   // that are up
 	IdleMachines        int            `msgpack:"empty"`      // of those, without any task
-	Unreachable         bool           `msgpack:"unreached"`  // no worker reaches the owner
+	Unreachable         bool           `msgpack:"unreached"`  // no agent reaches the owner
 	PendingTasks        int            `msgpack:"unassigned"` // tasks that wait
 }
 
@@ -37,17 +37,17 @@
 	Mem   float64 `msgpack:"mem"`
 }
 
-// Demand is a number of a job's tasks that wait for room.
+// Demand is a number of a job's tasks that wait for capacity.
 type Demand struct {
 	Job   string   `msgpack:"job"`
 	Tasks int      `msgpack:"tasks"`
 	Zones []string `msgpack:"zones"` // where they may go, by the job's other tasks; empty: anywhere
 }
 
-// StoppingJob says how far a job that is being withdrawn is gone.
+// StoppingJob says how far a job that is being cancelled is gone.
 type StoppingJob struct {
 	Job                   string   `msgpack:"job"`
-	UnreleasedAllocations int      `msgpack:"held"`  // places not proven free
+	UnreleasedAllocations int      `msgpack:"held"`  // allocations not proven released
 	Zones                 []string `msgpack:"zones"` // of those
 }
 
@@ -56,8 +56,8 @@
 	Job     string `msgpack:"job"`
 	Done    int    `msgpack:"done"`
 	Running int    `msgpack:"running"`
-	// Need is how many places its tasks may have at once from now on: one for each task
-	// that is not done, and those that others have and that are not proven free. It is -1
+	// AllocationsNeeded is how many allocations its tasks may have at once from now on: one for each task
+	// that is not done, and those that others have and that are not proven released. It is -1
 	// where the records do not say so yet.
 	AllocationsNeeded int `msgpack:"need"`
 }
@@ -65,14 +65,14 @@
 // UpdateReply is the leader's answer.
 type UpdateReply struct {
 	Term uint64 `msgpack:"term"`
-	// Kept is how long ago, in microseconds, a keeper may last have renewed the lease of
-	// a worker, by zone; a zone without an entry has none.
+	// ProxyRenewalAge is how long ago, in microseconds, a lease proxy may last have renewed the lease of
+	// an agent, by zone; a zone without an entry has none.
 	ProxyRenewalAge map[string]int64 `msgpack:"kept"`
-	// Away lists the zones that are out of touch.
+	// DisconnectedZones lists the zones whose nodes are disconnected from the leader.
 	DisconnectedZones []string `msgpack:"away"`
-	// Ends are the jobs that the owner named and whose end is stored: done or aborted.
+	// FinalStates are the jobs that the owner named and whose end is stored: done or aborted.
 	FinalStates map[string]string `msgpack:"ends"`
-	// Gone are the machines that the owner wanted returned, and that are.
+	// TerminatedMachines are those of the machines to be terminated that are gone.
 	TerminatedMachines []string `msgpack:"gone"`
 }
 
@@ -100,16 +100,16 @@
 	Shards        []Status `msgpack:"shares"`
 }
 
-// Status is what an operator is told of a share.
+// Status is what an operator is told of a shard.
 type Status struct {
 	Name             string `msgpack:"name" json:"name"`
 	Record           Record `msgpack:"record" json:"record"`
 	Version          uint64 `msgpack:"version" json:"version"`
-	MachineCount     int    `msgpack:"machines" json:"machines"`   // that report to its owner
+	MachineCount     int    `msgpack:"machines" json:"machines"`   // that heartbeat to its owner
 	IdleMachines     int    `msgpack:"empty" json:"empty"`         // of those, without any task
-	PendingTasks     int    `msgpack:"waiting" json:"waiting"`     // tasks that wait for room in it
+	PendingTasks     int    `msgpack:"waiting" json:"waiting"`     // tasks that wait for capacity in it
 	AssignedJobs     int    `msgpack:"jobs" json:"jobs"`           // that are assigned to it
 	OwnerSessionLost bool   `msgpack:"ownerGone" json:"ownerGone"` // the owner has lost its session
-	LastUpdateAgeS   int    `msgpack:"heardAgoS" json:"heardAgoS"` // since its owner last told of its room; -1: not in this term
+	LastUpdateAgeS   int    `msgpack:"heardAgoS" json:"heardAgoS"` // since its owner last reported; -1: not in this term
 	BlockedReason    string `msgpack:"note" json:"note"`           // what holds a change up
 }
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/micro"
@@ -9,20 +10,20 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// OwnerState is how an owner stands to its share.
+// OwnerState is how an owner stands to its shard.
 type OwnerState uint8
 
 // The states of an owner.
 const (
-	Active       OwnerState = iota // it answers reports, places tasks and sends orders
-	Draining                       // the same, but it places nothing more: the share is to move
-	Transferring                   // the transaction that hands over is under way: it says nothing
-	Uncertain                      // that has no answer, and may yet be carried out: it says nothing
-	Relinquished                   // it owns the share no more, and never acts again
+	Active       OwnerState = iota // it answers heartbeats, allocates tasks and sends commands
+	Draining                       // the same, but it allocates nothing more: the shard is to move
+	Transferring                   // the transaction of the transfer is in flight: it answers nobody
+	Uncertain                      // that got no response, and may yet be executed: it answers nobody
+	Relinquished                   // it no longer owns the shard, and never acts again
 )
 
 func (s OwnerState) String() string {
-	return [...]string{"acting", "settling", "handing over", "doubtful", "over"}[s]
+	return [...]string{"active", "draining", "transferring", "uncertain", "relinquished"}[s]
 }
 
 var ownerTransitions = map[OwnerState][]OwnerState{
@@ -33,40 +34,40 @@
 }
 
 // tokenCounterBits are the low bits of a token, which an owner may count up; the bits above
-// are the revision that gave it the share.
+// are the revision that gave it the shard.
 const tokenCounterBits = 24
 
-// Owner is one controller's ownership of one share, from the revision that names it to
+// Owner is one controller's ownership of one shard, from the revision that names it to
 // the one that names another. Its methods are called by the goroutine that answers the
-// share's machines: no answer comes between a change of state and the next look at it.
+// shard's machines: no answer comes between a change of state and the next look at it.
 type Owner struct {
 	self            Controller
 	session         *election.Term // of the controller's session
 	entry           Entry          // the latest record that names it
 	firstRevision   uint64         // the first revision known to name it
 	state           OwnerState
-	pendingTransfer wire.Transaction // the hand-over that is under way or in doubt
+	pendingTransfer wire.Transaction // the transfer that is under way or in doubt
 	log             func(msg string, args ...any)
 }
 
-// NewOwner takes up a share whose record names this incarnation. The right is that of
+// NewOwner takes up a shard whose record names this incarnation. The right is that of
 // its session: while it holds, the record can change by the leader's moves only, and
 // change hands only by this owner's own transaction.
 func NewOwner(entry Entry, session *election.Term, self Controller, log func(msg string, args ...any)) *Owner {
 	owner := &Owner{self: self, session: session, entry: entry, firstRevision: entry.Version, log: log}
 	if entry.Record.State == Moving {
-		owner.transition(Draining, "the share is to move")
+		owner.transition(Draining, "move requested")
 	}
 	return owner
 }
 
 // transition is the one place where an owner's state changes.
 func (o *Owner) transition(to OwnerState, reason string) {
-	for _, s := range ownerTransitions[o.state] {
-		if s == to {
+	for _, allowed := range ownerTransitions[o.state] {
+		if allowed == to {
 			o.log(
-				"share owner", "share", o.entry.Name, "was", o.state.String(), "is", to.String(), "why", reason, "version",
-				o.entry.Version,
+				"shard owner", "share", o.entry.Name, "from", o.state.String(), "to", to.String(), "reason", reason,
+				"version", o.entry.Version,
 			)
 			o.state = to
 			return
@@ -80,9 +81,9 @@
 // Entry is the record as the owner knows it.
 func (o *Owner) Entry() Entry { return o.entry }
 
-// MayServe reports whether the owner may answer the share's machines and send orders. Its
+// MayServe reports whether the owner may answer the shard's machines and send commands. Its
 // right ends by its own steady clock, before the store lets its session go: only then
-// can the leader give the share to another.
+// can the leader give the shard to another.
 func (o *Owner) MayServe(now micro.Time) bool { return o.MayRespond() && o.session.HoldsLease(now) }
 
 // MayRespond reports whether the owner may say anything while its session's right holds.
@@ -108,41 +109,41 @@
 		return
 	}
 	if entry.Record.Owner != o.self || !entry.OwnedElsewhere() {
-		o.transition(Relinquished, "the record names "+ownerName(entry.Record.Owner))
+		o.transition(Relinquished, "owner is "+ownerName(entry.Record.Owner))
 		return
 	}
 	if entry.Record.OwnerChanges != o.entry.Record.OwnerChanges {
-		// A hand-over without an answer was carried out, and the share came back before
+		// A transfer without an answer was carried out, and the shard came back before
 		// the record was read again: taken for the same ownership, its answers went on
 		// under tokens below those of the owner in between.
-		o.transition(Relinquished, "the share was another's meanwhile")
+		o.transition(Relinquished, "owned by another in between")
 		return
 	}
 	o.entry = entry
-	// The record has changed since a hand-over went out: that carries the version
+	// The record has changed since a transfer went out: that carries the version
 	// before, so it was not carried out, and never will be.
 	o.pendingTransfer = wire.Transaction{}
 	if o.state == Transferring {
-		o.transition(Draining, "the record changed")
+		o.transition(Draining, "record changed")
 	}
 	switch {
 	case entry.Record.State == Moving && o.state == Active:
-		o.transition(Draining, "the share is to move")
+		o.transition(Draining, "move requested")
 	case entry.Record.State == Moving && o.state == Uncertain:
-		o.transition(Draining, "the hand-over was not carried out")
+		o.transition(Draining, "transfer not executed")
 	case entry.Record.State == Owned && o.state != Active:
-		o.transition(Active, "the move is cancelled")
+		o.transition(Active, "move cancelled")
 	}
 }
 
 // HandleRecordDeleted takes in that the record does not exist.
 func (o *Owner) HandleRecordDeleted() {
 	if o.state != Relinquished {
-		o.transition(Relinquished, "there is no such share")
+		o.transition(Relinquished, "record deleted")
 	}
 }
 
-// BeginTransfer begins to hand over. The caller has placed nothing since the move began, and
+// BeginTransfer begins to transfer. The caller has placed nothing since the move began, and
 // none of its writes is under way or in doubt. From here on it says nothing; the
 // transaction it gets names the new owner, and is the only one that does.
 func (o *Owner) BeginTransfer(wall int64) (wire.Transaction, bool) {
@@ -157,18 +158,18 @@
 	if target := o.entry.Record.Target; target.Node != "" {
 		preconditions = append(preconditions, target.Precondition())
 	}
-	o.transition(Transferring, "all is settled")
+	o.transition(Transferring, "drained")
 	o.pendingTransfer = o.entry.Update(next, preconditions...)
 	return o.pendingTransfer, true
 }
 
-// HandleTransferResult takes in what came of the hand-over. Only an answer that says that it was
-// not carried out, and never will be, gives the right to act back.
+// HandleTransferResult takes in what came of the transfer. Only an answer that says that it was
+// not carried out, and never will be, gives the leadership lease back.
 func (o *Owner) HandleTransferResult(err error) {
 	switch {
 	case o.state != Transferring:
 	case err == nil:
-		o.transition(Relinquished, "handed over")
+		o.transition(Relinquished, "transferred")
 	case provenNotExecuted(err):
 		o.pendingTransfer = wire.Transaction{}
 		o.transition(Draining, err.Error())
@@ -178,7 +179,7 @@
 }
 
 // ResolveUncertain gives the transaction that resolves a doubt in which the record reads as
-// before: a hand-over without an answer could be carried out as soon as this owner acts
+// before: a transfer without an answer could be carried out as soon as this owner acts
 // again. Written anew, the record has another version, and what was sent with the one
 // before fails for good.
 func (o *Owner) ResolveUncertain(wall int64) (wire.Transaction, bool) {
@@ -199,15 +200,16 @@
 	o.Observe(entry)
 }
 
+// notExecutedErrors are the errors that say so of a transaction.
+var notExecutedErrors = []error{
+	store.ErrConflict, store.ErrRefused, store.ErrRateLimited,
+	store.ErrBudgetExhausted, store.ErrMalformed, store.ErrNoLease,
+}
+
 // provenNotExecuted reports whether an answer of the store says that a transaction was not
 // carried out and will not be.
 func provenNotExecuted(err error) bool {
-	for _, known := range []error{store.ErrConflict, store.ErrRefused, store.ErrRateLimited, store.ErrBudgetExhausted, store.ErrMalformed, store.ErrNoLease} {
-		if errors.Is(err, known) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(notExecutedErrors, func(known error) bool { return errors.Is(err, known) })
 }
 
 func ownerName(c Controller) string {
--- a/internal/shard/property_test.go
+++ b/internal/shard/property_test.go
@@ -18,7 +18,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A site of controllers, a leader, one share with its machines, and the store, played
+// A site of controllers, a leader, one shard with its machines, and the store, played
 // step by step with transactions that are refused, unanswered or carried out late. What
 // is checked is read on the store's and the machines' side.
 
@@ -69,7 +69,7 @@
 	transfers           int
 }
 
-// delayedCommand is a direct order that arrives late.
+// delayedCommand is a dispatched command that arrives late.
 type delayedCommand struct {
 	machine  string
 	commands wire.Commands
@@ -136,7 +136,7 @@
 	controller.session.Extend(controller.sessionUntil)
 }
 
-// entry reads the share's record.
+// entry reads the shard's record.
 func (s *simulation) entry() shard.Entry {
 	all, err := readShards(context.Background(), s.store)
 	if err != nil || len(all) != 1 {
@@ -203,7 +203,7 @@
 	return s.ignoresLease || controller.owner.MayServe(s.now)
 }
 
-// respond lets a controller answer a machine's report.
+// respond lets a controller answer a machine's heartbeat.
 func (s *simulation) respond(controller *simulatedController, machine *fake.Agent) {
 	if !s.mayRespond(controller) {
 		return
@@ -252,7 +252,7 @@
 	s.deliverCommand(delayedCommand{machine, command})
 }
 
-// deliverCommand brings a direct order to its machine, and looks at what runs there.
+// deliverCommand brings a dispatched command to its machine, and looks at what runs there.
 func (s *simulation) deliverCommand(command delayedCommand) {
 	machine := s.machines[command.machine]
 	machine.HandleDispatch(command.commands)
@@ -267,7 +267,7 @@
 	}
 }
 
-// transfer lets an owner that is to move hand over.
+// transfer lets an owner that is to move transfer.
 func (s *simulation) transfer(controller *simulatedController, outcome string) {
 	if controller.owner == nil || len(controller.uncertainAllocations) > 0 || !s.mayRespond(controller) {
 		return
@@ -325,7 +325,7 @@
 	return out
 }
 
-// leaderAction lets the leader begin or cancel a move, or take a share from an owner that is gone.
+// leaderAction lets the leader begin or cancel a move, or take a shard from an owner that is gone.
 func (s *simulation) leaderAction(action, target, outcome string) {
 	entry, sessions := s.entry(), s.sessions()
 	if entry.OwnerSessionLost(sessions) {
@@ -432,7 +432,7 @@
 	}
 }
 
-// run plays so many steps, and tells how often the share was handed over.
+// run plays so many steps, and tells how often the shard was transferred.
 func (s *simulation) run(steps int) int {
 	for range steps {
 		s.step()
@@ -441,7 +441,7 @@
 }
 
 // Whatever is late, lost or repeated, and whoever ends: at most one controller may act
-// for a share, exactly one is named, and no task runs twice.
+// for a shard, exactly one is named, and no task runs twice.
 func TestNoShardHasTwoOwnersUnderDelayAndLoss(t *testing.T) {
 	moves := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -454,7 +454,7 @@
 	}
 }
 
-// A hand-over had no answer and was carried out, and the share came back before its
+// A transfer had no answer and was carried out, and the shard came back before its
 // first owner read the record again.
 func TestShardThatReturnsIsANewOwnership(t *testing.T) {
 	draw := func(options []string) string { return options[0] }
--- a/internal/shard/record.go
+++ b/internal/shard/record.go
@@ -1,8 +1,8 @@
-// Package shard divides the machines among the controllers. A share is a named set of
-// machines with one owner, the controller that answers their reports, places tasks on
+// Package shard divides the machines among the controllers. A shard is a named set of
+// machines with one owner, the controller that answers their heartbeats, places tasks on
 // them and commands them. All other machines belong to whoever leads.
 //
-// The store holds one record for each share. At each of its revisions the record names
+// The store holds one record for each shard. At each of its revisions the record names
 // one owner at the most, and every write of an owner carries the record's version, so
 // that what an earlier owner sent changes nothing. The package does no I/O: it says
 // which transaction comes next, and takes in what came of it.
@@ -16,14 +16,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// State is the state of a share's record.
+// State is the state of a shard's record.
 type State string
 
-// The states of a share.
+// The states of a shard.
 const (
 	Forming  State = "forming"  // the leader still owns the machines, and clears them of other work
 	Owned    State = "owned"    // its owner acts
-	Moving   State = "moving"   // its owner still acts, and is to hand over to the target
+	Moving   State = "moving"   // its owner still acts, and is to transfer to the target
 	Released State = "released" // its owner gave it back to the leader, which takes in its work
 )
 
@@ -35,7 +35,7 @@
 	Released: {},
 }
 
-// The reasons for which a change of a share is refused.
+// The reasons for which a change of a shard is refused.
 var (
 	ErrSameOwner            = errors.New("the target owns the share already")
 	ErrAlreadyMoving        = errors.New("the share is moving already")
@@ -57,13 +57,13 @@
 	return wire.Precondition{Key: SessionKey(c.Node), Version: c.SessionVersion}
 }
 
-// Record is the value of a share's key.
+// Record is the value of a shard's key.
 type Record struct {
 	State        State      `msgpack:"state" json:"state"`
 	Owner        Controller `msgpack:"owner" json:"owner"`   // none while forming or released
 	Target       Controller `msgpack:"target" json:"target"` // while moving; no node: the leader
 	Selector     Selector   `msgpack:"select" json:"select"`
-	Teams        []string   `msgpack:"teams" json:"teams"` // whose jobs go there first; empty: any job that finds no room elsewhere
+	Teams        []string   `msgpack:"teams" json:"teams"` // whose jobs go there first; empty: jobs of any team
 	OwnerChanges uint64     `msgpack:"moves" json:"moves"` // changes of owner so far
 	ChangedAt    int64      `msgpack:"at" json:"at"`       // wall clock of the last change, microseconds
 }
@@ -80,12 +80,12 @@
 	return r, nil
 }
 
-// NewRecord makes the record of a new share.
+// NewRecord makes the record of a new shard.
 func NewRecord(s Selector, teams []string, wall int64) Record {
 	return Record{State: Forming, Selector: s, Teams: teams, ChangedAt: wall}
 }
 
-// Grant gives a share that was formed to its first owner.
+// Grant gives a shard that was formed to its first owner.
 func (r Record) Grant(owner Controller, wall int64) (Record, error) {
 	if r.State != Forming {
 		return r, ErrSameOwner
@@ -127,7 +127,7 @@
 	return r.transition(Owned, r.Target, Controller{}, wall)
 }
 
-// Reassign gives the share of an owner whose session is over to another incarnation. A
+// Reassign gives the shard of an owner whose session is over to another incarnation. A
 // move back to the leader goes on with that one.
 func (r Record) Reassign(owner Controller, wall int64) (Record, error) {
 	if r.State != Owned && r.State != Moving {
@@ -143,11 +143,11 @@
 	return r
 }
 
-// Assignment is a job that the leader gave to a share. It counts against its team's
-// limit for as long as its record exists, which the share's owner deletes.
+// Assignment is a job that the leader gave to a shard. It counts against its team's
+// limit for as long as its record exists, which the shard's owner deletes.
 type Assignment struct {
 	Job            wire.Job `msgpack:"job" json:"job"`
 	AssignedAt     int64    `msgpack:"at" json:"at"`       // when it was assigned, wall clock, microseconds
 	MaxAllocations int      `msgpack:"tasks" json:"tasks"` // how many of its tasks may have places at once; it only grows
-	StopRequested  bool     `msgpack:"stop" json:"stop"`   // its tasks are to be stopped: it is being withdrawn
+	StopRequested  bool     `msgpack:"stop" json:"stop"`   // its tasks are to be stopped: it is being cancelled
 }
--- a/internal/shard/selector.go
+++ b/internal/shard/selector.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// InstanceKind is whether a share selects spot machines.
+// InstanceKind is whether a shard selects spot machines.
 type InstanceKind string
 
 // The kinds.
@@ -12,15 +12,15 @@
 	OnDemandOnly InstanceKind = "ordinary"
 )
 
-// Attributes are what a share is selected by. They never change while a machine lives,
-// so a machine's share changes only when shares come or go.
+// Attributes are what a shard is selected by. They never change while a machine lives,
+// so a machine's shard changes only when shards come or go.
 type Attributes struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Selector says which machines a share has; an empty field selects any.
+// Selector says which machines a shard has; an empty field selects any.
 type Selector struct {
 	Type string       `msgpack:"type" json:"type"`
 	Zone string       `msgpack:"zone" json:"zone"`
@@ -30,7 +30,7 @@
 // Empty reports whether the selector selects all machines.
 func (s Selector) Empty() bool { return s == Selector{} }
 
-// Matches reports whether a machine is in the share.
+// Matches reports whether a machine is in the shard.
 func (s Selector) Matches(a Attributes) bool {
 	if s.Type != "" && s.Type != a.Type || s.Zone != "" && s.Zone != a.Zone {
 		return false
--- a/internal/shard/sessions.go
+++ b/internal/shard/sessions.go
@@ -24,8 +24,8 @@
 // own clock its right has ended before.
 func (e Entry) OwnerSessionLost(s Sessions) bool { return e.OwnedElsewhere() && !s.Has(e.Record.Owner) }
 
-// Successor chooses who gets the share of an owner that is gone: the same node, if it is
-// back; else the node that it was to move to; else one with the fewest shares.
+// Successor chooses who gets the shard of an owner that is gone: the same node, if it is
+// back; else the node that it was to move to; else one with the fewest shards.
 func (e Entry) Successor(s Sessions, snapshot Snapshot) (Controller, bool) {
 	for _, node := range []string{e.Record.Owner.Node, e.Record.Target.Node} {
 		if controller, ok := s.Controller(node); ok {
@@ -35,7 +35,7 @@
 	return s.LeastLoaded(snapshot)
 }
 
-// LeastLoaded is the controller with the fewest shares, the first by name of several.
+// LeastLoaded is the controller with the fewest shards, the first by name of several.
 func (s Sessions) LeastLoaded(snapshot Snapshot) (Controller, bool) {
 	ownedShards := map[string]int{}
 	snapshot.Each(func(entry Entry) bool {
@@ -54,7 +54,7 @@
 	return s.Controller(leastLoaded)
 }
 
-// Reassign is the transaction by which the leader takes the share from an owner that is gone
+// Reassign is the transaction by which the leader takes the shard from an owner that is gone
 // and gives it to another. Beside the leader's own conditions it carries those that the
 // owner's session has not come back and that the new one's has not ended.
 func (e Entry) Reassign(to Controller, s Sessions, wall int64, leader wire.Precondition) (wire.Transaction, error) {
--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -8,14 +8,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Entry is a share as the store holds it.
+// Entry is a shard as the store holds it.
 type Entry struct {
 	Name    string
 	Record  Record
 	Version uint64 // of its key
 }
 
-// Key is the key of the share's record.
+// Key is the key of the shard's record.
 func (e Entry) Key() string { return RecordKey(e.Name) }
 
 // Precondition is the condition that the record has not changed.
@@ -31,15 +31,15 @@
 	}
 }
 
-// OwnedElsewhere reports whether the machines of the share are not the leader's to answer.
+// OwnedElsewhere reports whether the machines of the shard are not the leader's to answer.
 func (e Entry) OwnedElsewhere() bool { return e.Record.State == Owned || e.Record.State == Moving }
 
-// Snapshot is the table of all shares at one time. It never changes.
+// Snapshot is the table of all shards at one time. It never changes.
 type Snapshot struct {
 	shards *iradix.Tree[Entry]
 }
 
-// Len is how many shares there are.
+// Len is how many shards there are.
 func (s Snapshot) Len() int {
 	if s.shards == nil {
 		return 0
@@ -47,7 +47,7 @@
 	return s.shards.Len()
 }
 
-// Get finds a share by its name.
+// Get finds a shard by its name.
 func (s Snapshot) Get(name string) (Entry, bool) {
 	if s.shards == nil {
 		return Entry{}, false
@@ -55,7 +55,7 @@
 	return s.shards.Get([]byte(name))
 }
 
-// Each calls f with every share, in the order of their names, until it says false.
+// Each calls f with every shard, in the order of their names, until it says false.
 func (s Snapshot) Each(f func(Entry) bool) {
 	if s.shards == nil {
 		return
@@ -63,7 +63,7 @@
 	s.shards.Root().Walk(func(_ []byte, entry Entry) bool { return !f(entry) })
 }
 
-// ShardOf finds the share that a machine is in; false: it is in none.
+// ShardOf finds the shard that a machine is in; false: it is in none.
 func (s Snapshot) ShardOf(a Attributes) (Entry, bool) {
 	var found Entry
 	ok := false
@@ -76,7 +76,7 @@
 	return found, ok
 }
 
-// Overlapping finds a share that selects some of the same machines.
+// Overlapping finds a shard that selects some of the same machines.
 func (s Snapshot) Overlapping(selector Selector) (Entry, bool) {
 	var found Entry
 	ok := false
@@ -129,7 +129,7 @@
 	}
 }
 
-// Delete forgets a share whose record is gone as of a revision.
+// Delete forgets a shard whose record is gone as of a revision.
 func (t *Table) Delete(name string, revision uint64) {
 	for {
 		previous := t.current.Load()
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -14,11 +14,11 @@
 	commitTimeout     = 1200 * time.Millisecond
 	verifyTimeout     = time.Second
 	refusedBackoff    = 80 * micro.Millisecond  // after a refusal, before the next try
-	uncertainBackoff  = 50 * micro.Millisecond  // after an uncertain write, before the next
+	uncertainBackoff  = 50 * micro.Millisecond  // after an uncertain write, before the next one
 	unreadableBackoff = 100 * micro.Millisecond // after an uncertain key could not be read
 )
 
-// commit sends a transaction, and has the loop take in what came of it.
+// commit sends a transaction, and posts what came of it. It runs beside the loop.
 func (w *Writer) commit(txn wire.Transaction, changes []batchChange) {
 	sentAt := w.host.Now()
 	if !w.host.HoldsLease() {
@@ -46,8 +46,8 @@
 		w.requeue(changes, false)
 		w.notBefore = now + refusedBackoff
 	case errors.Is(err, store.ErrMalformed):
-		// Not executed, and never will be as it is: one of its values or their
-		// number is over a limit that was lowered.
+		// Not executed, and never will be as it is: one of its values, or their number, is
+		// over a limit that was lowered.
 		w.requeue(changes, false)
 		if len(changes) > 1 {
 			w.singleChangeBatches = len(changes)
@@ -55,7 +55,7 @@
 			w.reject(changes[0].record, now, "refused as malformed", transactionSize(txn))
 		}
 	default:
-		// A conflict or no answer: what the store holds must be read.
+		// A conflict or no response: what the store holds must be read.
 		w.log.Info("write not confirmed", "keys", len(changes), "err", err)
 		w.requeue(changes, true)
 		w.notBefore = now + uncertainBackoff
@@ -84,6 +84,8 @@
 	return records
 }
 
+// requeue has changes written again that were not, or of which that is not known; those keys
+// are verified first.
 func (w *Writer) requeue(changes []batchChange, needsVerify bool) {
 	w.endInFlight(recordsOf(changes)...)
 	now := w.host.Now()
@@ -98,17 +100,17 @@
 
 func transactionSize(txn wire.Transaction) int {
 	bytes := 0
-	for _, ch := range txn.Then {
-		bytes += wire.JSONSize(ch.Value)
+	for _, change := range txn.Then {
+		bytes += wire.JSONSize(change.Value)
 	}
 	return bytes
 }
 
-// reject puts off a change that the store does not take: trying it again at once
-// would only use up the budget of all others.
+// reject puts off a change that the store does not accept: a retry at once would only use up
+// the budget of all others.
 func (w *Writer) reject(record *Record, now micro.Time, reason string, size int) {
 	w.log.Error(
-		"value not taken by the store", "key", record.Key, "why", reason, "bytes", size, "limit", w.host.MaxValueBytes(),
+		"value rejected by the store", "key", record.Key, "reason", reason, "bytes", size, "limit", w.host.MaxValueBytes(),
 	)
 	priority := record.priority
 	record.dirty, record.rejectedUntil = false, now+rejectedRetryDelay
@@ -128,14 +130,15 @@
 	w.rejected = stillRejected
 }
 
-// verification is what a look at an uncertain key found.
+// verification is what a read of an uncertain key found.
 type verification struct {
 	record *Record
 	item   wire.Item
 	err    error
 }
 
-// verifyUncertain reads the versions of keys whose last write is uncertain.
+// verifyUncertain reads the versions of keys whose last write is uncertain, and posts them. It
+// runs beside the loop.
 func (w *Writer) verifyUncertain(records []*Record) {
 	var results []verification
 	for _, record := range records {
--- a/internal/statestore/flush.go
+++ b/internal/statestore/flush.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// backgroundThreshold is how few lazy changes wait when there is time for idle ones.
+	// backgroundThreshold is how few changes of low priority may wait for those of the
+	// background to be written.
 	backgroundThreshold = 50
 	// maxTransactionBytes keeps a transaction under the store's limit for one.
 	maxTransactionBytes = 60 << 10
-	// transactionOverhead is what a transaction takes beside its changes.
+	// transactionOverhead is what a transaction takes beside its changes, in bytes.
 	transactionOverhead = 1024
 	// maxVerifyBatch is how many uncertain keys are read together.
 	maxVerifyBatch = 8
-	// lowPriorityInterval is how often what is not pressing is looked at.
+	// lowPriorityInterval is how often transactions of low priorities alone begin.
 	lowPriorityInterval = 200 * micro.Millisecond
 	// budgetBackoff is how long the writer waits for its budget.
 	budgetBackoff = 50 * micro.Millisecond
 )
 
-// While an answer is late by slowResponse, another transaction goes out beside it:
-// with every third answer lost, starts once waited for a time-out after the other.
+// While a response is late by slowResponse, another transaction goes out beside it: with
+// every third response lost, starts once waited for one timeout after the other.
 const (
 	maxInFlight  = 6
 	slowResponse = 80 * micro.Millisecond
@@ -35,14 +36,14 @@
 	deleted       bool
 }
 
-// batch is a transaction being put together.
+// batch is a transaction that is being assembled.
 type batch struct {
 	txn              wire.Transaction
 	changes          []batchChange
 	toVerify         []*Record
 	size             int
-	preconditions    map[wire.Precondition]bool // further conditions that are in it already
-	maxPreconditions int                        // how many conditions it may have
+	preconditions    map[wire.Precondition]bool // records' own preconditions that are in it already
+	maxPreconditions int
 }
 
 // Flush starts a transaction if one is due.
@@ -75,7 +76,7 @@
 	}
 }
 
-// assembleBatch puts a transaction together from what is due, the most urgent first.
+// assembleBatch makes a transaction of what is due, the highest priority first.
 func (w *Writer) assembleBatch(now micro.Time) *batch {
 	maxChanges := w.host.MaxTransactionOps()
 	b := &batch{
@@ -88,7 +89,7 @@
 	}
 	w.fillFromQueue(b, PriorityUrgent, min(maxChanges, w.store.AvailableWrites(store.Urgent)), now)
 	w.fillFromQueue(b, PriorityHigh, min(maxChanges, w.store.AvailableWrites(store.Routine)), now)
-	// What is lazy leaves most of the budget to what comes next.
+	// Low priorities leave most of the budget to what comes next.
 	w.fillFromQueue(b, PriorityLow, min(maxChanges, w.store.AvailableWrites(store.Deferrable)), now-coalesceWindow)
 	if len(w.queues[PriorityLow]) < backgroundThreshold {
 		w.fillFromQueue(b, PriorityBackground, min(maxChanges, w.store.AvailableWrites(store.Deferrable)), now)
@@ -104,7 +105,8 @@
 	}
 }
 
-// endInFlight ends a flight. What changed meanwhile lost its place in line to it.
+// endInFlight takes in that records are no longer in flight. Those that changed meanwhile lost
+// their place in their queue, and are queued again.
 func (w *Writer) endInFlight(records ...*Record) {
 	w.inFlight--
 	for _, record := range records {
@@ -115,14 +117,16 @@
 	}
 }
 
-// fillFromQueue takes what is due from a queue, as far as there is room.
+// fillFromQueue takes what is due from a queue, as far as the transaction has room for it.
 func (w *Writer) fillFromQueue(b *batch, priority Priority, maxChanges int, dueBefore micro.Time) {
 	queue := w.queues[priority]
 	taken := 0
 	for ; taken < len(queue); taken++ {
 		record := queue[taken]
 		if !record.dirty || record.priority != priority || record.rejectedUntil > 0 || record.inFlight {
-			continue // written meanwhile, due in another queue, not taken by the store, or its turn comes when its write has landed
+			// Written meanwhile, due in another queue, rejected by the store, or queued again
+			// once it is no longer in flight.
+			continue
 		}
 		if record.needsVerify {
 			if len(b.toVerify) == maxVerifyBatch {
@@ -135,7 +139,7 @@
 			break
 		}
 	}
-	// What was skipped as uncertain is put back by clear.
+	// What was skipped as uncertain is queued again after verifyUncertain.
 	if taken == len(queue) {
 		w.queues[priority] = queue[:0]
 	} else {
@@ -143,7 +147,7 @@
 	}
 }
 
-// addChange takes one entry's change into the transaction, if it has one to make; false if
+// addChange takes a record's change into the transaction, if it has one to make; false if
 // there is no room for it.
 func (w *Writer) addChange(b *batch, record *Record) bool {
 	value, memoryVersion := record.Build()
@@ -174,8 +178,8 @@
 	if value == nil {
 		change = wire.Change{Delete: record.Key}
 	}
-	for _, g := range preconditions {
-		b.preconditions[g] = true
+	for _, precondition := range preconditions {
+		b.preconditions[precondition] = true
 	}
 	b.txn.If = append(
 		append(b.txn.If, preconditions...), wire.Precondition{Key: record.Key, Version: wire.Count(record.version)},
@@ -186,15 +190,15 @@
 	return true
 }
 
-// missingPreconditions lists the entry's own conditions that the transaction does not carry yet.
+// missingPreconditions lists the record's own preconditions that the transaction lacks.
 func (b *batch) missingPreconditions(record *Record) []wire.Precondition {
 	if record.Preconditions == nil {
 		return nil
 	}
 	var missing []wire.Precondition
-	for _, g := range record.Preconditions() {
-		if !b.preconditions[g] {
-			missing = append(missing, g)
+	for _, precondition := range record.Preconditions() {
+		if !b.preconditions[precondition] {
+			missing = append(missing, precondition)
 		}
 	}
 	return missing
--- a/internal/statestore/record.go
+++ b/internal/statestore/record.go
@@ -5,35 +5,41 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Priority is how soon a change must be written. A queue holds each.
+// Priority is how soon a change must be written; each has a queue.
 type Priority uint8
 
-// The urgencies, most urgent first.
+// The priorities, highest first.
 const (
-	PriorityUrgent     Priority = iota // withdrawals, and starts of the first priority
-	PriorityHigh                       // other starts, ends, rentals
-	PriorityLow                        // completions, which workers keep until they are written
-	PriorityBackground                 // records of what is over, which only the next takeover would read
+	PriorityUrgent     Priority = iota // cancellations, and starts of the first priority
+	PriorityHigh                       // other starts, ends of jobs, instance requests
+	PriorityLow                        // completions of tasks, which agents report until they are written
+	PriorityBackground                 // records of finished jobs, which only the next failover would read
 	priorityCount      = 4
-	rejectedRetryDelay = 5 * micro.Second         // how long a change waits that the store does not take
-	coalesceWindow     = 1500 * micro.Millisecond // how long a lazy change waits for others of its key to join it
-	changeOverhead     = 300                      // of a transaction, for each change beside its value
 )
 
-// Record is one key that a writer keeps. Every write of it is guarded by the conditions
-// of the writer's host and by the version last known: a late copy of an earlier write
-// fails, whatever it carries.
+const (
+	// rejectedRetryDelay is how long a change waits that the store rejected.
+	rejectedRetryDelay = 5 * micro.Second
+	// coalesceWindow is how long a change of low priority waits for others of its key to join it.
+	coalesceWindow = 1500 * micro.Millisecond
+	// changeOverhead is what a change takes of a transaction beside its value, in bytes.
+	changeOverhead = 300
+)
+
+// Record is one key that a writer keeps. The preconditions of every write of it are those of
+// the writer's host and the version last known: a late copy of an earlier write fails,
+// whatever it carries.
 type Record struct {
 	Key string
-	// Build gives the value to be written, and a note that Saved gets once it is in
-	// the store. A nil value deletes the key; NotReady writes nothing now.
+	// Build gives the value to be written, and the version in memory that OnCommitted gets
+	// once it is in the store. A nil value deletes the key; NotReady writes nothing now.
 	Build func() (value any, memoryVersion uint64)
-	// Saved is told that a write is in the store.
+	// OnCommitted is called when a write is in the store.
 	OnCommitted func(memoryVersion uint64)
-	// Found is told what the store holds after an uncertain write; true settles it.
-	// It may be nil.
+	// ResolveUncertain takes in what the store holds after an uncertain write; true: nothing
+	// more is to be written. It may be nil.
 	ResolveUncertain func(item wire.Item) bool
-	// Guards are further conditions of each write; it may be nil.
+	// Preconditions are further conditions of each write; it may be nil.
 	Preconditions func() []wire.Precondition
 
 	writer             *Writer
@@ -41,14 +47,15 @@
 	dirty              bool
 	priority           Priority
 	needsVerify        bool       // an uncertain write: read the version before the next
-	uncertain          bool       // a write went out that may yet be carried out, or was, unknown to this writer
-	inFlight           bool       // a write of it, or a look at it, is under way
-	inFlightUnanswered bool       // of those, one got no answer: it may be carried out at any later time
-	rejectedUntil      micro.Time // the store would not take it: no try before
+	uncertain          bool       // a write was sent that may yet be executed, or was, unknown to this writer
+	inFlight           bool       // a write of it, or a read of its version, is in flight
+	inFlightUnanswered bool       // a write of it got no response: it may be executed at any later time
+	rejectedUntil      micro.Time // the store rejected it: no retry before
 	dirtySince         micro.Time // when it became dirty
 }
 
-// NotReady is what an entry builds whose time will come by another touch.
+// NotReady is what Build gives while the change has to wait: the record is marked dirty again
+// when its time comes.
 var NotReady = new(struct{ _ int })
 
 // Version is the key's version as last known; 0: it does not exist.
@@ -63,15 +70,16 @@
 // ClearDirty forgets a change that waits to be written.
 func (r *Record) ClearDirty() { r.dirty = false }
 
-// Uncertain reports whether a write went out that may be in the store, or come to it,
-// unknown to this writer. That it is not there when it is looked for says nothing of
-// later: held up for seconds, it may be carried out after the look.
+// Uncertain reports whether a write was sent that may be in the store, or come to it, unknown
+// to this writer. That a read does not find it says nothing of later: held up for seconds, it
+// may be executed after the read.
 func (r *Record) Uncertain() bool { return r.uncertain }
 
-// Settled reports whether nothing of the entry is still to be written or in doubt.
+// Settled reports whether nothing of the record is still to be written or uncertain.
 func (r *Record) Settled() bool { return !r.dirty && !r.inFlight && !r.needsVerify && !r.uncertain }
 
-// MarkDirty notes that the key is to be written.
+// MarkDirty notes that the key is to be written, and how soon. A change that waits already is
+// only ever made more urgent.
 func (r *Record) MarkDirty(now micro.Time, priority Priority) {
 	if now < r.rejectedUntil {
 		r.priority = priority
@@ -91,11 +99,11 @@
 	r.writer.queues[priority] = append(r.writer.queues[priority], r)
 }
 
-// Defer makes a change wait until there is time for it, however urgent it was.
+// Defer gives a change the lowest priority, however urgent it was.
 func (r *Record) Defer(now micro.Time) {
 	if r.dirty && r.priority == PriorityBackground {
 		return
 	}
-	r.dirty = false // its place in the other queue is passed over
+	r.dirty = false // skipped in the other queue
 	r.MarkDirty(now, PriorityBackground)
 }
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -1,10 +1,10 @@
-// Package statestore batches the changes that one controller makes to the keys that it
-// alone writes. Each transaction carries the conditions of its host, such as the
-// version of the leader's key, and the last known version of each key, so that a
-// deposed controller, and a late copy of an earlier write, change nothing. A write
-// without an answer is followed by a read of its keys before the next one.
+// Package statestore batches the changes that one controller makes to the keys that it alone
+// writes, as compare-and-swap transactions. Each transaction carries the preconditions of its
+// host, such as the version of the leader's key, and the last known version of each key, so
+// that a deposed leader, and a late copy of an earlier write, change nothing. A write without
+// a response is followed by a read of its keys before the next one.
 //
-// A writer is owned by one goroutine, the loop of its host.
+// A Writer and its Records are owned by one goroutine, the loop of its host.
 package statestore
 
 import (
@@ -32,11 +32,11 @@
 	MaxValueBytes() int
 	// MaxTransactionOps is how many changes a transaction may have.
 	MaxTransactionOps() int
-	// ObserveCommit is told how long a transaction took.
+	// ObserveCommit takes in how long a transaction took, for the metrics.
 	ObserveCommit(took micro.Time)
 }
 
-// PreconditionsPerChange is how many conditions the store takes for each change that a
+// PreconditionsPerChange is how many preconditions the store allows for each change that a
 // transaction may have.
 const PreconditionsPerChange = 4
 
@@ -47,22 +47,22 @@
 	store                store.Store
 	log                  *slog.Logger
 	records              map[string]*Record
-	queues               [priorityCount][]*Record // in the order in which they became due; an entry counts in that of its urgency
-	rejected             []*Record                // those that the store would not take, to be tried again
-	changeCounts         map[string]int           // written, by cause
-	singleChangeBatches  int                      // so many transactions of one change, to find what the store does not take
-	inFlight             int                      // transactions, and looks at uncertain keys, under way
+	queues               [priorityCount][]*Record // in the order in which they became due; a record counts in that of its priority
+	rejected             []*Record                // rejected by the store, to be tried again
+	changeCounts         map[string]int           // stored since ChangeCounts was called, by cause
+	singleChangeBatches  int                      // so many transactions of one change come next, to find what the store rejects
+	inFlight             int                      // transactions, and reads of uncertain keys, in flight
 	lastSent             micro.Time               // when the last of them went out
 	notBefore            micro.Time               // no transaction before
-	lowPriorityNotBefore micro.Time               // no look at what is not pressing before
+	lowPriorityNotBefore micro.Time               // no transaction of low priorities alone before
 }
 
-// New makes a writer.
+// New makes a writer for a host's loop.
 func New(host Host, st store.Store, log *slog.Logger) *Writer {
 	return &Writer{host: host, store: st, log: log, records: map[string]*Record{}, changeCounts: map[string]int{}}
 }
 
-// Record finds or makes the entry of a key.
+// Record finds or makes the record of a key.
 func (w *Writer) Record(key string) *Record {
 	record := w.records[key]
 	if record == nil {
@@ -72,23 +72,24 @@
 	return record
 }
 
-// Lookup finds the entry of a key; nil: there is none.
+// Lookup finds the record of a key; nil: there is none.
 func (w *Writer) Lookup(key string) *Record { return w.records[key] }
 
-// Drop forgets an entry.
+// Drop forgets a record; what the store holds stays.
 func (w *Writer) Drop(record *Record) { delete(w.records, record.Key) }
 
-// Each calls f with every entry.
+// Each calls f with every record.
 func (w *Writer) Each(f func(record *Record)) {
 	for _, record := range w.records {
 		f(record)
 	}
 }
 
-// Queued is how many changes wait in a queue, those passed over included.
+// Queued is how many changes wait in a queue; those that moved to another one and are still to
+// be skipped count as well.
 func (w *Writer) Queued(priority Priority) int { return len(w.queues[priority]) }
 
-// Settled reports whether nothing is still to be written, under way or in doubt.
+// Settled reports whether nothing is still to be written, in flight or uncertain.
 func (w *Writer) Settled() bool {
 	if w.inFlight > 0 {
 		return false
@@ -115,7 +116,7 @@
 	}
 }
 
-// ChangeCounts lists the changes by cause since it was last asked.
+// ChangeCounts lists the changes that were stored since its last call, by cause.
 func (w *Writer) ChangeCounts() string {
 	kinds := make([]string, 0, len(w.changeCounts))
 	for kind, n := range w.changeCounts {
@@ -126,7 +127,7 @@
 	return strings.Join(kinds, ", ")
 }
 
-// EscalateAll makes all that waits as urgent as can be.
+// EscalateAll gives all changes that wait the highest priority.
 func (w *Writer) EscalateAll(now micro.Time) {
 	for _, record := range w.records {
 		if record.dirty {
