--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -1,5 +1,5 @@
-// Command devcluster emulates the state service, the cloud and the
-// workers on loopback, so that a node can be tried without a site. They are for
+// Command devcluster emulates the store, the cloud and the
+// agents on loopback, so that a node can be tried without a site. They are for
 // trying and testing only: nothing is kept, and tasks only pretend to run.
 package main
 
@@ -34,7 +34,7 @@
 	WriteRPS   float64       `default:"20" help:"Lower limit on the changes a second."`
 }
 
-// devCluster is the workers with their lock.
+// devCluster is the agents with their lock.
 type devCluster struct {
 	cli
 	store *fake.Store
@@ -72,7 +72,7 @@
 	_ = group.Wait()
 }
 
-// startAgents starts a worker for each machine that is rented.
+// startAgents starts an agent for each machine that is rented.
 func (b *devCluster) startAgents(ctx context.Context) {
 	running := map[string]bool{}
 	for ctx.Err() == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// runAgent is one worker: it reports, takes direct orders, and lets tasks end.
+// runAgent is one agent: it reports, takes dispatched commands, and lets tasks end.
 func (b *devCluster) runAgent(ctx context.Context, machine wire.ListedMachine) {
 	time.Sleep(time.Second) // it boots
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -167,7 +167,7 @@
 	return false
 }
 
-// isServiceTask looks a task's job up, as a worker fetches its description.
+// isServiceTask looks a task's job up, as an agent fetches its description.
 func (b *devCluster) isServiceTask(task string) bool {
 	id, _, _ := wire.ParseTaskName(task)
 	it, err := b.store.Get(context.Background(), store.Routine, "job/"+id+"/spec")
--- a/cmd/notchmux/shard.go
+++ b/cmd/notchmux/shard.go
@@ -15,7 +15,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// shardCmd are the operators' commands on shares. Each may be repeated.
+// shardCmd are the operators' commands on shards. Each may be repeated.
 type shardCmd struct {
 	Peer string `default:"127.0.0.1:8081" env:"NOTCHMUX_PEER" help:"Peer address of any controller."`
 	JSON bool   `help:"Print JSON."`
@@ -41,17 +41,17 @@
 	Name string `arg:"" help:"The share's name."`
 }
 
-// Run lists the shares.
+// Run lists the shards.
 func (*shardListCmd) Run(c *cli) error {
 	return c.Share.send(shard.Command{Operation: shard.OperationList})
 }
 
-// Run shows one share.
+// Run shows one shard.
 func (s *shardShowCmd) Run(c *cli) error {
 	return c.Share.send(shard.Command{Operation: shard.OperationShow, Shard: s.Name})
 }
 
-// Run moves a share.
+// Run moves a shard.
 func (s *shardMoveCmd) Run(c *cli) error {
 	return c.Share.send(shard.Command{Operation: shard.OperationMove, Shard: s.Name, Target: s.To})
 }
@@ -120,14 +120,18 @@
 	return node
 }
 
-// describeShards says what the settings of shares amount to.
+// describeShards says what the settings of shards amount to.
 func describeShards(s *config.Shards) {
 	if s == nil {
 		return
 	}
 	fmt.Printf(
 		"shares: %d declared, %d policies, at least %v s between moves by policies, %d machines at most at a time, dissolve %v\n",
-		len(s.Declared), len(s.Policies), s.MinMoveInterval.Seconds(), s.MaxMachinesMoving, s.Dissolve,
+		len(s.Declared),
+		len(s.Policies),
+		s.MinMoveInterval.Seconds(),
+		s.MaxMachinesMoving,
+		s.Dissolve,
 	)
 	for _, d := range s.Declared {
 		fmt.Printf("share %s: %s, teams %v, first owner %q\n", d.Name, d.Selector, d.Teams, d.Owner)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent sends orders directly to workers.
+// Package agent sends commands directly to agents.
 package agent
 
 import (
@@ -14,16 +14,16 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ErrUncertain means that the orders may have run, or may still run later.
+// ErrUncertain means that the commands may have run, or may still run later.
 var ErrUncertain = errors.New("agent: no answer, orders may run late")
 
-// Sender sends orders to a worker and returns its report. executed is false
-// where the worker refused them (older token or other session).
+// Sender sends commands to an agent and returns its heartbeat. executed is false
+// where the agent refused them (older token or other session).
 type Sender interface {
 	Send(addr string, commands wire.Commands) (heartbeat *wire.Heartbeat, executed bool, err error)
 }
 
-// Client speaks to real workers.
+// Client speaks to real agents.
 type Client struct {
 	timeout     micro.Time
 	mu          sync.Mutex
@@ -32,10 +32,10 @@
 
 // maxHostClients bounds the clients kept, several times the largest fleet that a site is
 // known to run. Beyond it all are made anew, which costs their idle connections;
-// those end soon anyway, since sockets are scarce where workers are many.
+// those end soon anyway, since sockets are scarce where agents are many.
 const maxHostClients = 16_384
 
-// NewClient makes a client that gives a worker the time to answer.
+// NewClient makes a client that gives an agent the time to answer.
 func NewClient(timeout micro.Time) *Client {
 	return &Client{timeout: timeout, hostClients: map[string]*fasthttp.HostClient{}}
 }
@@ -62,7 +62,7 @@
 	return client
 }
 
-// Send posts the orders.
+// Send posts the commands.
 func (c *Client) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -30,7 +30,7 @@
 	return listener.Addr().String()
 }
 
-// agentHandler answers with what a worker does with its orders.
+// agentHandler answers with what an agent does with its commands.
 func agentHandler(fakeAgent *fake.Agent) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		var commands wire.Commands
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// A rental whose answer is lost may have been carried out. It is not repeated by
+// An instance request whose answer is lost may have been carried out. It is not repeated by
 // the client; the caller repeats its name, and nothing is rented twice.
 func TestInstanceRequestWithLostResponseIsExecutedOnce(t *testing.T) {
 	fakeCloud := fake.NewCloud(10)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -68,7 +68,7 @@
 			WriteRPS float64 `toml:"write_rps"`
 			ValueKB  float64 `toml:"value_kb"`
 			TxnOps   int     `toml:"txn_ops"`
-			// Next holds the limits that the state service will have at some later
+			// Next holds the limits that the store will have at some later
 			// time, without notice; a field that is missing or 0 does not change.
 			Next struct {
 				WriteRPS float64 `toml:"write_rps"`
@@ -95,19 +95,19 @@
 	Features
 }
 
-// AgentLease is the workers' lease.
+// AgentLease is the agents' lease.
 func (c *Config) AgentLease() micro.Time { return micro.FromSeconds(c.Facts.Workers.LeaseS) }
 
 // LeaseProxyDuration is how long the controllers of a zone that is cut off keep the leases
-// of its workers alive.
+// of its agents alive.
 func (c *Config) LeaseProxyDuration() micro.Time {
 	return micro.Time(c.LeaseProxyFactor * float64(c.AgentLease()))
 }
 
-// CancelTimeout is how long the tasks of a withdrawn job may take to be gone.
+// CancelTimeout is how long the tasks of a cancelled job may take to be gone.
 func (c *Config) CancelTimeout() micro.Time { return micro.FromSeconds(c.Facts.Workers.CancelS) }
 
-// LeaseExpiredAfter is after how long without a renewal a worker's lease has surely run
+// LeaseExpiredAfter is after how long without a renewal an agent's lease has surely run
 // out, by the clock of whoever counts it.
 func (c *Config) LeaseExpiredAfter() micro.Time {
 	return c.AgentLease() + c.AgentLease()/500 + micro.Second
@@ -118,9 +118,9 @@
 const CancelSlack = 3 * micro.Second
 
 // MaxCancelledTaskLife is how long a task may live on after its user was told that its job is
-// cancelled, if from then on the state service answers nobody and no order
-// arrives: until its right to act lapses the leader may answer the worker's
-// reports, and the worker's lease runs from the last one answered.
+// cancelled, if from then on the store answers nobody and no order
+// arrives: until its leadership lease lapses the leader may answer the agent's
+// reports, and the agent's lease runs from the last one answered.
 func (c *Config) MaxCancelledTaskLife() micro.Time {
 	return c.LeaderLease + c.LeaseExpiredAfter() + CancelSlack
 }
@@ -129,7 +129,7 @@
 // time: its user is then told only once they are proven gone.
 func (c *Config) MustProveTermination() bool { return c.MaxCancelledTaskLife() > c.CancelTimeout() }
 
-// cancelRetryWindow is for how long users repeat a withdrawal that is not confirmed.
+// cancelRetryWindow is for how long users repeat a cancellation that is not confirmed.
 const cancelRetryWindow = micro.Minute
 
 // checkCancelTimeout refuses settings by which cancellations cannot be kept to.
@@ -166,7 +166,7 @@
 	return current
 }
 
-// MaxValueBytes is the most that a value may take, as the state service counts it:
+// MaxValueBytes is the most that a value may take, as the store counts it:
 // now, and from its next limits on.
 func (c *Config) MaxValueBytes() (current, safe int) {
 	state := &c.Facts.State
@@ -212,24 +212,24 @@
 	return cfg, nil
 }
 
-// maxHeartbeatDelay is the most that a report may come late by the protocol, in report
-// intervals, and heartbeatTimeoutS how long a worker waits for an answer.
+// maxHeartbeatDelay is the most that a heartbeat may come late by the protocol, in report
+// intervals, and heartbeatTimeoutS how long an agent waits for an answer.
 const (
 	maxHeartbeatDelay = 1.25
 	heartbeatTimeoutS = 4.25
 )
 
-// MaxHeartbeatInterval is the longest time between two reports of a live worker.
+// MaxHeartbeatInterval is the longest time between two heartbeats of a live agent.
 func (c *Config) MaxHeartbeatInterval() micro.Time {
 	return micro.FromSeconds(c.Facts.Workers.ReportS * maxHeartbeatDelay)
 }
 
-// HeartbeatOverdueAfter is how long after its last report a machine's next one is overdue.
+// HeartbeatOverdueAfter is how long after its last heartbeat a machine's next one is overdue.
 func (c *Config) HeartbeatOverdueAfter() micro.Time {
 	return c.MaxHeartbeatInterval() + 250*micro.Millisecond
 }
 
-// RegistrationWindow is how long after a takeover every live worker has surely tried all
+// RegistrationWindow is how long after a failover every live agent has surely tried all
 // nodes, those out of reach included.
 func (c *Config) RegistrationWindow() micro.Time {
 	return micro.FromSeconds(c.Facts.Workers.ReportS*maxHeartbeatDelay + float64(len(c.Peers)+1)*(heartbeatTimeoutS+1))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// A worker's lease runs out after 31.06 s at the latest, 3 s are slack.
+// An agent's lease runs out after 31.06 s at the latest, 3 s are slack.
 func TestSettingsThatBreakTheCancelTimeoutAreRefused(t *testing.T) {
 	workers := func(lease, cancel string) string {
 		return strings.NewReplacer("lease_s = 30.0", "lease_s = "+lease, "cancel_s = 50.0", "cancel_s = "+cancel).Replace(
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -13,14 +13,14 @@
 type Properties struct {
 	LeaderLease          micro.Time // life of the leader's lease
 	LeaderRenewInterval  micro.Time // time between its renewals
-	SuspectAfter         micro.Time // a machine unheard of for so long counts as silent; 0: from the workers' settings
-	StarvationAfter      micro.Time // room is gathered for work that has waited so long
+	SuspectAfter         micro.Time // a machine unheard of for so long counts as silent; 0: from the agents' settings
+	StarvationAfter      micro.Time // capacity is reserved for work that has waited so long
 	IdleTerminateAfter   micro.Time // an idle rented machine is returned after this
 	BootTimeoutFactor    float64    // multiple of the type's boot time after which a booting machine is given up
-	MaxPriceRatio        float64    // dearest room for work below the first rank, over the cheapest ordinary room
-	HighPriceRatio       float64    // room dearer than this, over the cheapest, only for what cannot wait
+	MaxPriceRatio        float64    // highest price for work below the highest priority, over the cheapest on-demand price
+	HighPriceRatio       float64    // capacity more expensive than this, over the cheapest, only for what cannot wait
 	NegligibleCostShare  float64    // share of the bill up to which a machine is not worth waiting for
-	Headroom             float64    // spare room for quick starts, as a multiple of the expected arrivals
+	Headroom             float64    // spare capacity for quick starts, as a multiple of the expected arrivals
 	SpeedWriteInterval   micro.Time // least time between writes of the learnt speeds
 	ScoreL1              float64    // score L1 of the design
 	ScoreL2              float64    // score L2 of the design
@@ -28,7 +28,7 @@
 	SampleSize           int        // machines sampled per task then
 	SampleAbovePassTime  micro.Time // only after a pass that took longer than this
 	MaxPendingTasks      int        // pending tasks above which new jobs are told to come back
-	LeaseProxyFactor     float64    // how long a cut-off zone's controllers keep its workers' leases alive, in leases
+	LeaseProxyFactor     float64    // how long a cut-off zone's controllers keep its agents' leases alive, in leases
 	QuarantineFailedJobs int        // different jobs failing on a machine before it is avoided
 }
 
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -7,8 +7,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Agent is a stand-in for a worker, written from the protocol: sessions,
-// tokens, its lease, and orders that may come late or twice. Tasks run until
+// Agent is a stand-in for an agent, written from the protocol: sessions,
+// tokens, its lease, and commands that may come late or twice. Tasks run until
 // the test says otherwise.
 type Agent struct {
 	Name, Zone, Type string
@@ -29,14 +29,14 @@
 	Attempt uint64
 }
 
-// NewAgent makes a worker in its first session.
+// NewAgent makes an agent in its first session.
 func NewAgent(name, machineType, zone string, lease micro.Time) *Agent {
 	return &Agent{
 		Name: name, Type: machineType, Zone: zone, Epoch: 1, LeaseDuration: lease, Tasks: map[AttemptKey]*wire.TaskStatus{},
 	}
 }
 
-// Heartbeat builds the next report.
+// Heartbeat builds the next heartbeat.
 func (w *Agent) Heartbeat() *wire.Heartbeat {
 	w.Sequence++
 	heartbeat := &wire.Heartbeat{
@@ -50,7 +50,7 @@
 	return heartbeat
 }
 
-// HandleResponse takes the answer to a report that was sent at a time.
+// HandleResponse takes the answer to a heartbeat that was sent at a time.
 func (w *Agent) HandleResponse(response wire.Commands, sent micro.Time) bool {
 	if uint64(response.FencingToken) < w.FencingToken || response.FencingToken == 0 {
 		return false
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -20,7 +20,7 @@
 	RequestCounts map[string]int // how often each request name came
 }
 
-// NewCloud makes a cloud with room for so many machines.
+// NewCloud makes a cloud with capacity for so many machines.
 func NewCloud(capacity int, types ...wire.MachineType) *Cloud {
 	return &Cloud{
 		Types: types, Capacity: capacity, answered: map[string][]string{}, machines: map[string]wire.ListedMachine{},
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,4 +1,4 @@
-// Package fake holds in-memory stand-ins for the services around a node,
+// Package fake holds in-memory emulated services for the services around a node,
 // written from the protocol, for tests.
 package fake
 
@@ -27,7 +27,7 @@
 	expiresAt micro.Time
 }
 
-// Store is a stand-in for the state service.
+// Store is a stand-in for the store.
 type Store struct {
 	mu               sync.Mutex
 	keys             map[string]value
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,4 +1,4 @@
-// Package httpapi is the public address: users, health checks and workers.
+// Package httpapi is the public address: users, health checks and agents.
 package httpapi
 
 import (
@@ -49,19 +49,19 @@
 	Service           Service
 	Metrics           *metrics.Set
 	MaxSockets        int
-	HeartbeatInterval micro.Time // how often a worker reports
+	HeartbeatInterval micro.Time // how often an agent reports
 
 	openConnections func() int // connections that are open now
-	keepAliveLimit  int        // workers' connections are kept below so many
+	keepAliveLimit  int        // agents' connections are kept below so many
 }
 
-// reservedSockets are kept for what the node opens itself: orders to workers, the
-// state service, the cloud and the peers. All else is for workers and users.
+// reservedSockets are kept for what the node opens itself: orders to agents, the
+// store, the cloud and the peers. All else is for agents and users.
 const reservedSockets = 300
 
-// keepAliveFraction is the part of those sockets up to which a worker's connection stays
-// open between its reports. Beyond it the answer closes the connection: with
-// more workers than sockets, those that found none open were never heard. What
+// keepAliveFraction is the part of those sockets up to which an agent's connection stays
+// open between its heartbeats. Beyond it the answer closes the connection: with
+// more agents than sockets, those that found none open were never heard. What
 // is left serves them as they come, and the users.
 const keepAliveFraction = 0.75
 
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -19,7 +19,7 @@
 func (healthyService) Isolated() bool         { return false }
 
 // With half as many machines again as a node has sockets, several hundred
-// workers found none and were never heard: their machines took no work.
+// agents found none and were never heard: their machines took no work.
 func TestMoreAgentsThanSocketsAllGetResponses(t *testing.T) {
 	const sockets, agents = 100, 400
 	listener := fasthttputil.NewInmemoryListener()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -26,9 +26,9 @@
 	JobAccepted          = "/peer/notify"   // a job was accepted
 	Ping                 = "/peer/ping"     // is anybody there
 	AcceptedJobs         = "/peer/exist"    // which of these jobs were accepted, from the store
-	AcceptedJobsBudgeted = "/peer/accepted" // the same for polls, within the answering node's budget for them
+	AcceptedJobsBudgeted = "/peer/accepted" // the same for status queries, within the answering node's budget for them
 	AnnounceVersion      = "/peer/announce" // this node runs the caller's version; for one that the store refuses
-	LeaseProxy           = "/peer/keep"     // a keeper of leases asks the leader, see package keep
+	LeaseProxy           = "/peer/keep"     // a lease proxy asks the leader, see package leasekeeper
 	ShardOwner           = "/peer/share"    // an owner of shares tells the leader how it fares, see package share
 	ShardAdmin           = "/peer/admin"    // an operator's command on shares
 	Metrics              = "/metrics"       // latency histograms, for operators
@@ -102,10 +102,16 @@
 	return resp.StatusCode, reply, nil
 }
 
+// calls are all calls that a node answers.
+var calls = []string{
+	Status, StatusBatch, Cancel, Submit, StoredStatus, JobAccepted, Ping, AcceptedJobs, AcceptedJobsBudgeted,
+	AnnounceVersion, LeaseProxy, ShardOwner, ShardAdmin,
+}
+
 // Serve answers the other nodes on a listener until the context ends.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, metrics func(io.Writer)) error {
 	mux := http.NewServeMux()
-	for _, call := range []string{Status, StatusBatch, Cancel, Submit, StoredStatus, JobAccepted, Ping, AcceptedJobs, AcceptedJobsBudgeted, AnnounceVersion, LeaseProxy, ShardOwner, ShardAdmin} {
+	for _, call := range calls {
 		mux.HandleFunc("POST "+call, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 			if err != nil || len(body) > wire.MaxBody {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -25,7 +25,7 @@
 	Minute  int    `expr:"minute"`  // of the hour
 	Weekday string `expr:"weekday"` // "monday" to "sunday"
 
-	Waiting    map[string]int `expr:"waiting"`    // tasks that wait for a place, by team
+	Waiting    map[string]int `expr:"waiting"`    // tasks that wait for an allocation, by team
 	Guaranteed map[string]int `expr:"guaranteed"` // of those, the ones within the team's guarantee
 	Free       map[string]int `expr:"free"`       // machines without any task, by share
 	Machines   map[string]int `expr:"machines"`   // machines that are up, by share
--- a/internal/scheduler/best_effort_test.go
+++ b/internal/scheduler/best_effort_test.go
@@ -11,7 +11,7 @@
 
 // bestEffortScenario is a fleet that the work of other teams keeps full, and a guest team
 // without a guarantee beside it: a huge array, some arrays and a swarm of single
-// tasks, and ten of each of some other classes, all of the last rank.
+// tasks, and ten of each of some other classes, all of the lowest priority.
 type bestEffortScenario struct {
 	*simulation
 	hugeArray   *cluster.Job
@@ -45,7 +45,7 @@
 			Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds(),
 		}, scenario.now, scenario.now)
 	}
-	keepBusy := func() { // there is always more of the others' work than room
+	keepBusy := func() { // there is always more of the others' work than capacity
 		waiting := 0
 		for job := range scenario.cluster.PendingJobs {
 			if job.Team.Name == "host" {
@@ -106,8 +106,8 @@
 	return count
 }
 
-// A guest team without a guarantee asks for room while the others, of a higher rank,
-// have more work than there is room for. Ageing alone gives it any: room is gathered
+// A guest team without a guarantee asks for capacity while the others, of a higher priority,
+// have more work than there is capacity for. Ageing alone gives it any: capacity is reserved
 // for its starved classes. Half of each class begins within four minutes, the
 // largest jobs among them, and the others lose little. Without ageing nothing does.
 func TestTeamWithoutGuaranteeIsServedByStarvationReservations(t *testing.T) {
@@ -124,7 +124,7 @@
 	if scenario.hugeArray.DoneTasks < 8 {
 		t.Errorf("%d tasks of the huge array are done", scenario.hugeArray.DoneTasks)
 	}
-	// The room of all machines for all the time, less a tenth and the fetches.
+	// The capacity of all machines for all the time, less a tenth and the fetches.
 	if all := 8 * bestEffortMachines * int(
 		bestEffortDuration/(simulatedRun+simulatedFetch+2*micro.Second),
 	); scenario.otherTeamDone < all*9/10 {
--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -34,7 +34,7 @@
 	token           uint64
 	schedulePending bool
 	dirtyChunks     map[*cluster.TaskChunk]bool
-	stateSince      map[string]micro.Time // when a task on a worker began its present state
+	stateSince      map[string]micro.Time // when a task on an agent began its present state
 	failsAfter      micro.Time            // for so long a task runs that fails
 	afterStep       func()                // called after each step
 
@@ -77,7 +77,7 @@
 		sim.agents = append(sim.agents, agent)
 	}
 	sim.step()
-	sim.step() // each worker has reported
+	sim.step() // each agent has reported
 	return sim
 }
 
@@ -101,7 +101,7 @@
 	)
 }
 
-// step lets half a second go by: tasks go on, half of the workers report, what
+// step lets half a second go by: tasks go on, half of the agents report, what
 // changed is placed and written. Once a second the scheduler looks in any case.
 func (s *simulation) step() {
 	s.now += simulatedStep
@@ -135,7 +135,7 @@
 	}
 }
 
-// advanceTasks lets the tasks of a worker go on.
+// advanceTasks lets the tasks of an agent go on.
 func (s *simulation) advanceTasks(agent *fake.Agent) {
 	for taskKey, task := range agent.Tasks {
 		id, index, _ := wire.ParseTaskName(taskKey.Task)
@@ -202,7 +202,7 @@
 }
 
 // runHealthyJobs submits an array of eight tasks every five seconds, half a minute's
-// room of the machines in all, and says how long after the submission of its array
+// capacity of the machines in all, and says how long after the submission of its array
 // the last task began, by array.
 func (s *simulation) runHealthyJobs(span micro.Time, alongside func()) map[string]micro.Time {
 	var ids []string
@@ -289,11 +289,11 @@
 	}
 }
 
-// An array that fails everywhere took all the room there was, again and again: each
+// An array that fails everywhere took all the capacity there was, again and again: each
 // time that it was tried, with as many tasks as fitted.
 func TestArrayThatFailsEverywhereIsRetriedWithFewTasks(t *testing.T) {
 	const (
-		machines = 150 // room for 1200 tasks
+		machines = 150 // capacity for 1200 tasks
 		// What may start before the job counts as failing everywhere: its first wave,
 		// and what takes the place of the first failures that are heard of.
 		maxStartsAtFirst = 600
@@ -356,7 +356,7 @@
 	}
 }
 
-// timeToFill is how long a large sound array takes until it has all the room.
+// timeToFill is how long a large sound array takes until it has all the capacity.
 func timeToFill(t *testing.T, machines, faulty int) (*simulation, micro.Time) {
 	sim := newSimulation(t, machines, faulty)
 	job := sim.submitArray(healthyJobs+"001", 20000)
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -79,7 +79,7 @@
 	if got := freeGPUMachines(scheduler); got != gpuTasksPerWindow {
 		t.Errorf("%d machines are clear, want %d", got, gpuTasksPerWindow)
 	}
-	// All other room is used: whole machines, and what GPU tasks leave beside them.
+	// All other capacity is used: whole machines, and what GPU tasks leave beside them.
 	if want := 24*(gpuMachines-1-gpuTasksPerWindow) + cpusBesideGPUTask*(1+gpuTasksPerWindow); idle.AllocationCount != want {
 		t.Errorf("%d idle tasks were placed, want %d", idle.AllocationCount, want)
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-// No job waits for good beside room that is kept clear.
+// No job waits for good beside capacity that is kept clear.
 func TestGPUHeadroomIsOpenToOverdueJobs(t *testing.T) {
 	scheduler, idle := newGPUCluster(t, config.Objective{Kind: "guarantee", WithinS: 30, Share: 0.9})
 	scheduler.Schedule(testNow)
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -45,7 +45,7 @@
 const eps = 1e-9
 
 // fits checks the scaled request, which guides, and the raw one, which the
-// worker enforces.
+// agent enforces.
 func fits(request resources, m *cluster.Machine, taken *resources, freed resources) bool {
 	var planned resources
 	if taken != nil {
@@ -61,10 +61,10 @@
 // checkpointTimeFactor is how many save times an objective on starting must leave.
 const checkpointTimeFactor = 8
 
-// keepsGPUHeadroom reports whether a job without GPUs leaves a GPU machine room for the
+// keepsGPUHeadroom reports whether a job without GPUs leaves a GPU machine capacity for the
 // GPU jobs seen so far: a GPU that lacks CPUs beside it serves nobody. Work that
 // can save, and yields to the GPU jobs' rank well within the time they have to
-// start, may use the room meanwhile.
+// start, may use the capacity meanwhile.
 func (s *Scheduler) keepsGPUHeadroom(job *cluster.Job, machine *cluster.Machine) bool {
 	if job.Spec.GPUs > 0 || machine.Type.GPUs == 0 {
 		return true
@@ -89,7 +89,7 @@
 	return true
 }
 
-// poolRank ranks what all machines of a pool share: the exceptions' tier, then the
+// poolRank priorities what all machines of a pool share: the exceptions' tier, then the
 // design's score.
 type poolRank struct {
 	tier  int
@@ -117,7 +117,7 @@
 	return rank
 }
 
-// prefersOnDemand reports whether a task should rather run on an ordinary machine, though
+// prefersOnDemand reports whether a task should rather run on an on-demand machine, though
 // its job may use spot ones: what it does is lost with the machine, and it was
 // lost before, or could not be done twice in time. Tasks that were lost went back
 // to spot machines and were lost again, and with them arrays of a hundred tasks
@@ -144,9 +144,9 @@
 	return spec.GPUs > 0 && spec.GPUs >= t.GPUs-eps && spec.ImageGB > longImageFetch.Seconds()*t.FetchGBPerS
 }
 
-// betterThan decides ties of the score: the least scaled room left, then a machine
+// betterThan decides ties of the score: the least scaled capacity left, then a machine
 // that has the image, then the one created first. For tasks that take a whole
-// machine the image comes before the room.
+// machine the image comes before the capacity.
 func (c *candidate) betterThan(other *candidate) bool {
 	switch {
 	case other.machine == nil:
@@ -162,10 +162,10 @@
 }
 
 // bestMachine chooses the machine for one task: the design's score decides, ties go to
-// the least scaled room left. Exceptions come first: machines whose GPUs or
+// the least scaled capacity left. Exceptions come first: machines whose GPUs or
 // ordinary kind others need are looked at after the rest, and a machine of
 // score 0 last. The score is the same for all machines of a pool, whose rows
-// are in order of room: the first row that has a machine with room holds the
+// are in order of capacity: the first row that has a machine with capacity holds the
 // pool's tightest fit.
 func (s *Scheduler) bestMachine(
 	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string,
@@ -212,7 +212,7 @@
 	}
 }
 
-// tightestFit finds the machine of a pool with the least room left.
+// tightestFit finds the machine of a pool with the least capacity left.
 func (s *Scheduler) tightestFit(
 	job *cluster.Job, pool *cluster.MachinePool, request resources, firstRow int, planned map[*cluster.Machine]*resources,
 	now micro.Time,
@@ -282,15 +282,15 @@
 }
 
 // reservedForOther reports whether a machine is kept for another job. Reservations follow
-// one another; room that none of them used for long is open to late work.
+// one another; capacity that none of them used for long is open to late work.
 func (s *Scheduler) reservedForOther(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) &&
 		(s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
 }
 
 // reservationBlocks reports whether a machine reserved for another job is closed to this
-// one: one that is being cleared by preemption to its rank and those below, one
-// that is gathered for work that waited long to all but the first rank.
+// one: one that is being cleared by preemption to its priority and those below, one
+// that is gathered for work that waited long to all but the highest priority.
 func reservationBlocks(m *cluster.Machine, job *cluster.Job) bool {
 	holder := m.ReservedFor
 	if holder.State != cluster.Active {
--- a/internal/scheduler/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -6,17 +6,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// PendingReason is why a job waits. Those that hold for machines with room are in the
+// PendingReason is why a job waits. Those that hold for machines with capacity are in the
 // order in which they give way; of several the first is told.
 type PendingReason uint8
 
 // The reasons.
 const (
-	ReasonNextPass    PendingReason = iota // there is room: the next passes reach it
-	ReasonPartialFit                       // room for some of a gang's tasks
-	ReasonGPUHeadroom                      // room beside GPUs is kept for work that needs them
+	ReasonNextPass    PendingReason = iota // there is capacity: the next passes reach it
+	ReasonPartialFit                       // capacity for some of a gang's tasks
+	ReasonGPUHeadroom                      // capacity beside GPUs is kept for work that needs them
 	ReasonPrice
-	ReasonReserved // what has room is reserved for other jobs
+	ReasonReserved // what has capacity is reserved for other jobs
 	ReasonQuarantined
 	ReasonUnreachable
 	ReasonZoneConstraint
@@ -34,8 +34,8 @@
 	}[r]
 }
 
-// ExplainPending says why a job with tasks to place has not been given room. It looks at the
-// machines that have room for one of its tasks, so it costs about as much as a try
+// ExplainPending says why a job with tasks to place has not been given capacity. It looks at the
+// machines that have capacity for one of its tasks, so it costs about as much as a try
 // to place that.
 func (s *Scheduler) ExplainPending(job *cluster.Job, now micro.Time) PendingReason {
 	needed := minAllocations(job)
@@ -69,7 +69,7 @@
 	return reason
 }
 
-// explainMachine says what keeps a job from a machine that has room.
+// explainMachine says what keeps a job from a machine that has capacity.
 func (s *Scheduler) explainMachine(
 	job *cluster.Job, pool *cluster.MachinePool, machine *cluster.Machine, now micro.Time,
 ) PendingReason {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -24,8 +24,8 @@
 // waiting for ever.
 const quotaReservationBackoff = 15 * micro.Second
 
-// Preemption looks at no more machines than this that could make room. Work of
-// the first rank clears so many at a time; other arrays one: the work they stop
+// Preemption looks at no more machines than this that could make capacity. Work of
+// the highest priority clears so many at a time; other arrays one: the work they stop
 // has objectives of its own.
 const (
 	victimSample    = 24
@@ -79,8 +79,8 @@
 	return count
 }
 
-// preempt stops work of lower rank so that the given tasks fit, if that is
-// possible for all of them (for an array: for some), and reports whether room is
+// preempt stops work of lower priority so that the given tasks fit, if that is
+// possible for all of them (for an array: for some), and reports whether capacity is
 // coming.
 func (s *Scheduler) preempt(job *cluster.Job, idx []int, zone string, now micro.Time) bool {
 	reserved := s.countReserved(job)
@@ -149,7 +149,7 @@
 	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: allocation.ScaledCPU}
 }
 
-// victims finds the machine where making room for one task loses least, among a
+// victims finds the machine where making capacity for one task loses least, among a
 // sample of those that could make it.
 func (s *Scheduler) victims(
 	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int,
@@ -180,7 +180,7 @@
 					continue
 				}
 				if fits(request, machine, planned[machine], resources{}) && !s.mayUse(job, machine, now) {
-					continue // its room is refused, not taken
+					continue // its capacity is refused, not taken
 				}
 				examined++
 				victims, cost, ok := s.victimsOn(job, machine, request, planned[machine], freed[machine], chosen, now)
@@ -193,7 +193,7 @@
 	return best, bestVictims
 }
 
-// rejectsPrice reports whether room is dear for a job that would not take it once it
+// rejectsPrice reports whether capacity is dear for a job that would not take it once it
 // is cleared. Machines that stood empty were reserved for such jobs, again and
 // again, and closed to all others.
 func (s *Scheduler) rejectsPrice(job *cluster.Job, pool *cluster.MachinePool, now micro.Time) bool {
@@ -242,7 +242,7 @@
 	return victims, cost, fits(request, machine, planned, freedTotal)
 }
 
-// preemptionCost is what stopping a place costs: work that is not saved, weighted by rank.
+// preemptionCost is what stopping an allocation costs: work that is not saved, weighted by rank.
 func (s *Scheduler) preemptionCost(allocation *cluster.Allocation, now micro.Time) float64 {
 	cost := 1.0
 	if allocation.RunningSince > 0 {
--- a/internal/scheduler/relaxation.go
+++ b/internal/scheduler/relaxation.go
@@ -5,13 +5,13 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// The ordinary rules leave room unused for good reasons: machines that are
-// avoided, room beside idle GPUs, dear room, room gathered for others. None of
+// The ordinary rules leave capacity unused for good reasons: machines that are
+// avoided, capacity beside idle GPUs, expensive capacity, capacity gathered for others. None of
 // them knows how long a job has waited. So work that nothing was found for in
 // overdueAfter takes what fits, the ordinary choice first and the avoided machines
 // last.
 
-// overdueAfter is how long a job's tasks wait, without a place for any of them,
+// overdueAfter is how long a job's tasks wait, without an allocation for any of them,
 // until the ordinary rules give way.
 const overdueAfter = micro.Minute
 
@@ -24,13 +24,13 @@
 // The leeways; each includes those before it.
 const (
 	relaxNone         relaxation = iota
-	relaxReservations            // room kept for GPU work or held in vain, and dear room
+	relaxReservations            // capacity kept for GPU work or held in vain, and expensive capacity
 	relaxQuarantine              // machines that are avoided
 )
 
 // fallbackMachine chooses a machine for a late job's task once nothing was found by the
 // ordinary rules. It looks at all machines: samples may miss the only one with
-// room.
+// capacity.
 func (s *Scheduler) fallbackMachine(
 	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time,
 ) *cluster.Machine {
--- a/internal/scheduler/relaxation_test.go
+++ b/internal/scheduler/relaxation_test.go
@@ -11,7 +11,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// maxOverdueWait is how long a job may wait while a machine that fits has room.
+// maxOverdueWait is how long a job may wait while a machine that fits has capacity.
 const maxOverdueWait = 90 * micro.Second
 
 // testCluster is a cluster that tests put machines and jobs into.
@@ -84,7 +84,7 @@
 	}
 }
 
-// Room beside idle GPUs was kept for GPU jobs that never came again.
+// Capacity beside idle GPUs was kept for GPU jobs that never came again.
 func TestResourcesBesideGPUsAreOpenToOverdueJobs(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("gpu-1", "gpu", "a")
@@ -141,7 +141,7 @@
 	}
 }
 
-// A job that had failed once on the only machine with room never went there again.
+// A job that had failed once on the only machine with capacity never went there again.
 func TestJobReturnsToAMachineItFailedOnRatherThanWait(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("i-1", "small", "a")
@@ -164,7 +164,7 @@
 	tc.checkOverdueWait("where it failed", at-micro.Second)
 }
 
-// Reservations that came to nothing followed one another, and the room stayed
+// Reservations that came to nothing followed one another, and the capacity stayed
 // empty: a gang that its zone can never hold gathered it without end.
 func TestUnusedReservationsAreOpenToOverdueJobs(t *testing.T) {
 	tc := newTestCluster(t)
@@ -227,7 +227,7 @@
 	}
 }
 
-// What a gang of one zone found no room for was taken for impossible to others
+// What a gang of one zone found no capacity for was taken for impossible to others
 // that may use both, in each pass anew.
 func TestSingleZoneGangDoesNotBlockMultiZoneGangs(t *testing.T) {
 	tc := newTestCluster(t)
@@ -266,7 +266,7 @@
 	}
 }
 
-// Samples of like machines may miss the only one with room, for long.
+// Samples of like machines may miss the only one with capacity, for long.
 func TestOverdueJobsSearchAllMachines(t *testing.T) {
 	tc := newTestCluster(t)
 	for i := range 400 {
@@ -312,7 +312,7 @@
 	tc.checkOverdueWait("after a takeover", at-tc.cluster.TermStartedAt)
 }
 
-// Machines with room that a job refuses, as dear or kept for GPU work, were
+// Machines with capacity that a job refuses, as dear or kept for GPU work, were
 // reserved for it as if they had been cleared, and closed to all others.
 func TestRejectedMachinesAreNotReserved(t *testing.T) {
 	for _, expensive := range []bool{false, true} {
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -50,7 +50,7 @@
 		if total != 1600 {
 			t.Fatalf("%d tasks on 1600 CPUs", total)
 		}
-		// A machine's room falls by rows: a task looks at no more than a sample
+		// A machine's capacity falls by rows: a task looks at no more than a sample
 		// of each row.
 		maxExamined := total * (scheduler.Properties.SampleSize + 1) * 4
 		if got := scheduler.MachinesExamined <= maxExamined; got != overloaded {
@@ -80,8 +80,8 @@
 	return best.machine
 }
 
-// The rows by room must give the very machine that a full search gives, on any
-// fleet and through any history of places, freed room and states.
+// The rows by capacity must give the very machine that a full search gives, on any
+// fleet and through any history of allocations, freed capacity and states.
 func TestPoolRowsMatchAFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 7))
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -18,7 +18,7 @@
 
 // Schedule places what it can, in order of rank, guarantee and nearness of the
 // objective, and reports how many tasks it placed. For work that has waited too
-// long and found no room, room is gathered.
+// long and found no capacity, capacity is reserved.
 func (s *Scheduler) Schedule(now micro.Time) int {
 	s.Cluster.MarkGuarantees()
 	s.expireReservations(now)
@@ -119,7 +119,7 @@
 	return byClass
 }
 
-// availableImages lists the images on GPU machines that have room for more than half
+// availableImages lists the images on GPU machines that have capacity for more than half
 // a machine: where a job's image is at hand, it takes the machine for less long.
 func (s *Scheduler) availableImages() map[string]bool {
 	images := map[string]bool{}
@@ -153,7 +153,7 @@
 // overloaded: in good time before it is missed.
 const overloadDivisor = 2
 
-// unschedulable remembers what found no room in this pass: whatever asks for as much
+// unschedulable remembers what found no capacity in this pass: whatever asks for as much
 // or more, under the same rules, finds none either.
 type unschedulable map[unschedulableKey][]unschedulableRequest
 
@@ -161,7 +161,7 @@
 	types, zone, class string
 	spot, checkpoints  bool
 	gpu, overdue       bool
-	oneZone, spread    bool // a gang of one zone finds no room where another does
+	oneZone, spread    bool // a gang of one zone finds no capacity where another does
 	priorityLevel      int
 }
 
@@ -190,8 +190,8 @@
 }
 
 func (u unschedulable) covers(job *cluster.Job, overdue bool) bool {
-	// Each job of the first rank is tried by itself: one for which room is being
-	// cleared must not keep the next from having room cleared too.
+	// Each job of the highest priority is tried by itself: one for which capacity is being
+	// cleared must not keep the next from having capacity cleared too.
 	if len(u) == 0 || job.PriorityLevel == 0 || (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 {
 		return false
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -43,13 +43,13 @@
 
 func (u unschedulable) add(job *cluster.Job, overdue bool) {
 	if (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 || len(job.FailedOn) > 0 {
-		return // it alone may have found no room
+		return // it alone may have found no capacity
 	}
 	key, request := unschedulableKeyOf(job, overdue)
 	u[key] = append(u[key], request)
 }
 
-// allocateTasks places a job's independent tasks one by one. Late ones take what room
+// allocateTasks places a job's independent tasks one by one. Late ones take what capacity
 // there is.
 func (s *Scheduler) allocateTasks(job *cluster.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
 	for {
@@ -70,7 +70,7 @@
 			if machine == nil {
 				preempting := job.PriorityLevel < 3 && s.preempt(job, next[k:], "", now)
 				if !preempting && job.PriorityLevel == 0 {
-					// Dear room is better than none for the first rank.
+					// Expensive capacity is better than none for the highest priority.
 					machine = s.bestMachine(job, nil, nil, "", false, false, now)
 				}
 				if machine == nil {
@@ -83,12 +83,12 @@
 	}
 }
 
-// hasCapacity reports whether there is room for one more of the job's tasks.
+// hasCapacity reports whether there is capacity for one more of the job's tasks.
 func (s *Scheduler) hasCapacity(job *cluster.Job, now micro.Time) bool {
 	return withinQuota(job, 1) && s.bestMachine(job, nil, nil, "", true, false, now) != nil
 }
 
-// withinQuota reports whether the team's limits leave room for n more of a job's
+// withinQuota reports whether the team's limits leave capacity for n more of a job's
 // tasks, and are not being saved up for another of its jobs.
 func withinQuota(job *cluster.Job, tasks int) bool {
 	team := job.Team
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -119,7 +119,7 @@
 
 // Apply sets each type's k from what was learnt, where it differs by more than
 // the threshold (the paper's formula 4): smaller differences are noise, and
-// every scaled request pays for them in room.
+// every scaled request pays for them in capacity.
 func (e *SpeedEstimator) Apply(state *cluster.State) {
 	for name, m := range e.ratiosByType {
 		t := state.Types[name]
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,20 +8,20 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Ranks alone would let work of the last rank, and the largest gangs and arrays
+// Ranks alone would let work of the lowest priority, and the largest gangs and arrays
 // of any, wait for ever behind a stream of other work. So age counts: for those
-// that have waited longest, room is gathered, whatever their rank: machines soon
+// that have waited longest, capacity is reserved, whatever their rank: machines soon
 // free take nothing else until they fit. Only a few are gathered for at a time:
-// most of the room still goes by rank and objective.
+// most of the capacity still goes by rank and objective.
 
-// Room is gathered for at most maxReservingJobs jobs at a time, and for no more than
+// Capacity is gathered for at most maxReservingJobs jobs at a time, and for no more than
 // one to so many machines.
 const (
 	maxReservingJobs     = 4
 	reservedFleetDivisor = 16
 )
 
-// The largest jobs should begin within this. Of those for which room is gathered
+// The largest jobs should begin within this. Of those for which capacity is reserved
 // the ones that still can come first.
 const largeJobStartTarget = 225 * micro.Second
 
@@ -37,18 +37,18 @@
 		job.Team != nil && job.Team.LastPlacedAt < since
 }
 
-// zoneReservation is a job that room is gathered for: machines of a zone as they come
+// zoneReservation is a job that capacity is reserved for: machines of a zone as they come
 // free, one by one.
 type zoneReservation struct {
 	zone  string // "": any
 	since micro.Time
 }
 
-// reserveBusyAfter is how long room may be gathered from what comes free by itself.
+// reserveBusyAfter is how long capacity may be gathered from what comes free by itself.
 // After that machines are cleared for the job.
 const reserveBusyAfter = 15 * micro.Second
 
-// fillReservations reserves what came free for the jobs that room is gathered for.
+// fillReservations reserves what came free for the jobs that capacity is reserved for.
 func (s *Scheduler) fillReservations(now micro.Time) {
 	jobs := make([]*cluster.Job, 0, len(s.reservations))
 	for job := range s.reservations {
@@ -99,7 +99,7 @@
 	return 1
 }
 
-// startReservations begins to gather room for the oldest jobs that still wait.
+// startReservations begins to reserve capacity for the oldest jobs that still wait.
 func (s *Scheduler) startReservations(starved []*cluster.Job, overloaded bool, now micro.Time) {
 	limit := min(maxReservingJobs, max(len(s.Cluster.Machines)/reservedFleetDivisor, 1))
 	if overloaded {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -52,7 +52,7 @@
 	return cc.cluster.AddJob(spec, now, now)
 }
 
-// runUntilAllocated lets more work come than there is room for, until the job holds its
+// runUntilAllocated lets more work come than there is capacity for, until the job holds its
 // places, and says how long that took; 0 if it never did. The other work takes
 // some seconds each, so that machines come free one by one.
 func (cc *contendedCluster) runUntilAllocated(job *cluster.Job, want int, submitMore func(now micro.Time)) micro.Time {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Work of the last rank waited for as long as higher ranks kept coming.
+// Work of the lowest priority waited for as long as higher priorities kept coming.
 func TestLowestPriorityIsNotStarvedByHigherOnes(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	for range 8 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// Room was cleared for one service at a time: the others were passed over, as if
+// Capacity was cleared for one service at a time: the others were passed over, as if
 // there were none to be had.
 func TestPreemptionForEachProductionService(t *testing.T) {
 	contended := newContendedCluster(t, 4)
--- a/wire/agent.go
+++ b/wire/agent.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// TaskState is a task's state as its worker reports it.
+// TaskState is a task's state as its agent reports it.
 type TaskState string
 
-// The states a worker reports.
+// The states an agent reports.
 const (
 	TaskFetching       TaskState = "pulling"
 	TaskWaitingForGang TaskState = "gathering"
@@ -33,7 +33,7 @@
 	CauseJobUnknown     ExitCause = "no_such"
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is one task in an agent's heartbeat.
 type TaskStatus struct {
 	Task         string    `msgpack:"piece"`
 	Attempt      Count     `msgpack:"try"`
@@ -42,7 +42,7 @@
 	Checkpointed bool      `msgpack:"saved,omitempty"`
 }
 
-// Heartbeat is what a worker tells the controllers.
+// Heartbeat is what an agent tells the controllers.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"address"`
@@ -56,7 +56,7 @@
 	Tasks             []TaskStatus `msgpack:"pieces"`
 }
 
-// DecodeHeartbeat decodes and checks a worker's report.
+// DecodeHeartbeat decodes and checks an agent's heartbeat.
 func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := Unmarshal(body, &heartbeat); err != nil {
@@ -95,7 +95,7 @@
 	return job, index, true
 }
 
-// CommandKind is what an order asks of a worker.
+// CommandKind is what a command asks of an agent.
 type CommandKind string
 
 // The orders.
@@ -105,7 +105,7 @@
 	CommandForget CommandKind = "forget"
 )
 
-// Command is one command to a worker.
+// Command is one command to an agent.
 type Command struct {
 	Kind         CommandKind `msgpack:"verb"`
 	Task         string      `msgpack:"piece"`
@@ -113,14 +113,14 @@
 	GracePeriodS *float64    `msgpack:"leewayS,omitempty"`
 }
 
-// Commands answers a report, or goes to a worker directly with its session.
+// Commands answers a heartbeat, or goes to an agent directly with its session.
 type Commands struct {
 	FencingToken Count     `msgpack:"baton"`
 	AgentEpoch   Count     `msgpack:"shift,omitempty"`
 	Items        []Command `msgpack:"orders"`
 }
 
-// NotLeader tells a worker which node leads.
+// NotLeader tells an agent which node leads.
 type NotLeader struct {
 	LeaderHint string `msgpack:"foreman,omitempty"`
 }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -13,7 +13,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxBody is the largest body that a request, or a response to a worker or
+// MaxBody is the largest body that a request, or a response to an agent or
 // user, may have.
 const MaxBody = 64 << 10
 
--- a/wire/job.go
+++ b/wire/job.go
@@ -78,12 +78,12 @@
 	CheckpointIntervalS float64  `msgpack:"bookmarkS" json:"bookmarkS"`
 	CheckpointDurationS float64  `msgpack:"stashS" json:"stashS"`
 	DeadlineS           *float64 `msgpack:"dueS" json:"dueS"`
-	Dependencies        []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`     // jobs that must be done before any task starts
-	DependencyChunks    int      `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"` // the store's record only: so many further keys hold more of them
-	SubmittedAt         int64    `msgpack:"at,omitempty" json:"at,omitempty"`             // wall clock, microseconds; the store's record only
+	Dependencies        []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`     // jobs to be done before any task starts
+	DependencyChunks    int      `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"` // stored only: further keys that hold more of them
+	SubmittedAt         int64    `msgpack:"at,omitempty" json:"at,omitempty"`             // stored only: wall clock, microseconds
 }
 
-// JobStatus answers a submission, a poll or a withdrawal.
+// JobStatus answers a submission, a status query or a cancellation.
 type JobStatus struct {
 	ID           string   `msgpack:"nameId" json:"nameId"`
 	State        JobState `msgpack:"status" json:"status"`
--- a/wire/state.go
+++ b/wire/state.go
@@ -16,7 +16,7 @@
 	Delete string `msgpack:"delete,omitempty"`
 }
 
-// Transaction is an atomic transaction on the state service.
+// Transaction is an atomic transaction on the store.
 type Transaction struct {
 	If   []Precondition `msgpack:"guards"`
 	Then []Change       `msgpack:"then"`
