--- a/internal/controller/shard_assignment.go
+++ b/internal/controller/shard_assignment.go
@@ -230,7 +230,7 @@
 func (l *Leader) verifyHandedBack(assigned *assignedJob) {
 	assigned.lookupInFlight = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
 		item, err := l.node.Store.Get(ctx, store.Routine, assigned.storeRecord.Key)
 		l.post(func() {
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -176,7 +176,7 @@
 	}
 	l.coordinator.reconciledAt = now
 	l.readSessions(now)
-	if !l.node.shards.tableRead.Load() || !l.coordinator.sessionsRead {
+	if !l.node.shards.table.HasRead() || !l.coordinator.sessionsRead {
 		return
 	}
 	l.shardTable().Each(func(entry shard.Entry) bool {
@@ -198,7 +198,7 @@
 	}
 	l.coordinator.sessionReadInFlight, l.coordinator.sessionsReadAt = true, now
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
 		page, err := l.node.Store.Range(ctx, store.Routine, shard.SessionPrefix, "", 1000)
 		l.post(func() {
@@ -308,14 +308,14 @@
 func (l *Leader) commitShardThen(name string, transaction wire.Transaction, done func(error)) {
 	l.coordinator.commitsInFlight[name] = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
 		_, err := l.node.Store.Commit(ctx, store.Urgent, transaction)
 		if err != nil {
 			l.log.Info("share not written", "share", name, "err", err)
 		}
 		l.post(func() { done(err) })
-		time.Sleep(tableWatchPause.Duration()) // the table follows
+		time.Sleep(shard.WatchPause.Duration()) // the table follows
 		l.post(func() { delete(l.coordinator.commitsInFlight, name) })
 	}()
 }
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"errors"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,38 +13,32 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
-	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
 
 // nodeShards is a node's part in the shares of the machines: its session as an owner, the
 // table, and the loops of the shares that it owns.
 type nodeShards struct {
-	table     shard.Table
-	tableRead atomic.Bool // the table was read since the start
-	session   *election.Election
-	term      atomic.Pointer[election.Term] // of the session; nil: none
+	table   *shard.Follower
+	session *election.Election
+	term    atomic.Pointer[election.Term] // of the session; nil: none
 
 	mu     sync.Mutex
 	ctx    context.Context    // of the node; nil until it runs
 	owners map[string]*Leader // by share
 }
 
-// Table watches are opened anew after such pauses: each costs the store a request.
-const (
-	tableWatchPause   = 300 * micro.Millisecond
-	tableWatchTimeout = 10 * micro.Second
-	tableReadRetry    = 300 * micro.Millisecond
-
-	ownerReconcileInterval = micro.Second
-)
+// ownerReconcileInterval is how often the loops of shards are looked after.
+const ownerReconcileInterval = micro.Second
 
 // initShards prepares the node's part, if the feature is on.
 func (n *Node) initShards() {
 	if n.Cfg.Shards == nil {
 		return
 	}
-	n.shards = &nodeShards{owners: map[string]*Leader{}}
+	n.shards = &nodeShards{
+		table: shard.NewFollower(n.Store, n.Log, n.shardTableChanged), owners: map[string]*Leader{},
+	}
 	n.shards.session = &election.Election{
 		Key: shard.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
 		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenewInterval, Log: n.Log.With("session", n.Cfg.Node), Now: n.Now,
@@ -61,7 +54,7 @@
 	n.shards.start(ctx)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return n.holdSession(ctx) })
-	g.Go(func() error { return n.followShardTable(ctx) })
+	g.Go(func() error { return n.shards.table.Run(ctx) })
 	g.Go(func() error { return n.runOwnerReconciler(ctx) })
 	return g.Wait()
 }
@@ -76,7 +69,7 @@
 // could be given to this node, and nobody would answer its machines.
 func (n *Node) holdSession(ctx context.Context) error {
 	for n.catalog.Load() == nil && ctx.Err() == nil {
-		pause(ctx, tableReadRetry)
+		pause(ctx, shard.ReadRetry)
 	}
 	return n.shards.session.Run(ctx)
 }
@@ -101,21 +94,6 @@
 	n.reconcileOwners()
 }
 
-// followShardTable keeps the table as the store has it.
-func (n *Node) followShardTable(ctx context.Context) error {
-	for ctx.Err() == nil {
-		revision, err := n.readShardTable(ctx)
-		if err == nil {
-			err = n.watchShardTable(ctx, revision)
-		}
-		if err != nil {
-			n.Log.Debug("table of shares not read", "err", err)
-		}
-		pause(ctx, tableReadRetry)
-	}
-	return nil
-}
-
 func pause(ctx context.Context, d micro.Time) {
 	t := time.NewTimer(d.Duration())
 	defer t.Stop()
@@ -125,70 +103,6 @@
 	}
 }
 
-// readShardTable reads all records.
-func (n *Node) readShardTable(ctx context.Context) (revision uint64, err error) {
-	var entries []shard.Entry
-	after := ""
-	for {
-		page, err := n.Store.Range(ctx, store.Leadership, shard.RecordPrefix, after, 1000)
-		if err != nil {
-			return 0, err
-		}
-		if revision == 0 || uint64(page.Revision) < revision {
-			revision = uint64(page.Revision)
-		}
-		for _, item := range page.Items {
-			after = item.Key
-			if entry, ok := parseShardRecord(item.Key, item.Value, uint64(item.Version)); ok {
-				entries = append(entries, entry)
-			}
-		}
-		if !page.More || len(page.Items) == 0 {
-			break
-		}
-	}
-	n.shards.table.Replace(entries)
-	n.shards.tableRead.Store(true)
-	n.shardTableChanged()
-	return revision, nil
-}
-
-func parseShardRecord(key string, value []byte, version uint64) (shard.Entry, bool) {
-	e := shard.Entry{Name: key[len(shard.RecordPrefix):], Version: version}
-	return e, wire.Unmarshal(value, &e.Record) == nil
-}
-
-// watchShardTable takes in changes, until they cannot be followed.
-func (n *Node) watchShardTable(ctx context.Context, revision uint64) error {
-	for ctx.Err() == nil {
-		events, err := n.Store.Watch(ctx, shard.RecordPrefix, revision, tableWatchTimeout)
-		if errors.Is(err, store.ErrCompacted) {
-			return err
-		}
-		if err == nil {
-			revision = max(revision, uint64(events.Revision))
-			for _, event := range events.Events {
-				n.applyTableEvent(event)
-			}
-			if len(events.Events) > 0 {
-				n.shardTableChanged()
-			}
-		}
-		pause(ctx, tableWatchPause)
-	}
-	return nil
-}
-
-func (n *Node) applyTableEvent(event wire.Event) {
-	if event.Delete != "" {
-		n.shards.table.Delete(event.Delete[len(shard.RecordPrefix):], uint64(event.Version))
-		return
-	}
-	if entry, ok := parseShardRecord(event.Put, event.Value, uint64(event.Version)); ok {
-		n.shards.table.Put(entry)
-	}
-}
-
 // shardTableChanged tells all that go by the table.
 func (n *Node) shardTableChanged() {
 	n.reconcileOwners()
@@ -253,7 +167,7 @@
 // routeShardHeartbeat answers a report of a machine that is in a share; false if it is in none,
 // and so the leader's to answer.
 func (n *Node) routeShardHeartbeat(heartbeat *wire.Heartbeat) (httpapi.Reply, bool) {
-	if !n.shards.tableRead.Load() {
+	if !n.shards.table.HasRead() {
 		return httpapi.RetryReply(503, 1), true // whose it is is not known yet
 	}
 	entry, ok := n.shards.table.Snapshot().ShardOf(machineAttributes(heartbeat.Type, heartbeat.Zone, heartbeat.Spot))
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
@@ -167,7 +166,7 @@
 func (l *Leader) commitTransfer(transaction wire.Transaction, done func(revision uint64, err error)) {
 	l.owner.transferInFlight = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
 		revision, err := l.node.Store.Commit(ctx, store.Leadership, transaction)
 		l.post(func() {
@@ -178,16 +177,13 @@
 	}()
 }
 
-// shardCommitTimeout is how long a transaction on a share's record may take.
-const shardCommitTimeout = 1200 * time.Millisecond
-
 // resolveTransfer finds out what came of a hand-over: by the record, and if that reads as
 // before, by writing it anew.
 func (l *Leader) resolveTransfer() {
 	l.owner.transferInFlight = true
 	key := l.owner.Entry().Key()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), shardCommitTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
 		it, err := l.node.Store.Get(ctx, store.Leadership, key)
 		l.post(func() {
@@ -201,9 +197,11 @@
 	if err != nil {
 		return // once more, with the next tick
 	}
-	if e, ok := parseShardRecord(it.Key, it.Value, uint64(it.Version)); ok {
+	if e, err := shard.ParseRecord(it.Key, it.Value, uint64(it.Version)); err == nil {
 		l.owner.Observe(e)
 		l.applyOwnerState()
+	} else {
+		l.log.Debug("shard record not understood", "err", err)
 	}
 	if transaction, ok := l.owner.ResolveUncertain(int64(l.node.Wall())); ok {
 		l.commitTransfer(transaction, l.owner.HandleResolveResult)
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -143,7 +143,7 @@
 func (l *Leader) watchAssignments(ctx context.Context, revision uint64) {
 	prefix := shard.AssignmentPrefixFor(l.owner.name)
 	for {
-		events, err := l.node.Store.Watch(ctx, prefix, revision, tableWatchTimeout)
+		events, err := l.node.Store.Watch(ctx, prefix, revision, shard.WatchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			// What was missed cannot be read as changes: the share is loaded anew.
@@ -155,7 +155,7 @@
 			revision = max(revision, uint64(events.Revision))
 			l.post(func() { l.applyAssignmentEvents(events) })
 		}
-		if !l.loop.Sleep(tableWatchPause) {
+		if !l.loop.Sleep(shard.WatchPause) {
 			return
 		}
 	}
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -15,13 +15,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What an owner tells the leader in one touch, at the most: a call between nodes holds
-// wire.MaxBody. What is left out comes with the next.
+// When an owner tells the leader how it fares, and how exactly.
 const (
 	statusUpdateInterval = micro.Second
-	statusUpdateTimeout  = 900 * micro.Millisecond
-	maxStatusItems       = 300 // machines, and jobs of each kind
-	maxCapacityKinds     = 64  // kinds of room
+	maxCapacityKinds     = 64 // kinds of room
 	urgentStatusPause    = 50 * micro.Millisecond
 	cpuRounding          = 1 // machines with so many free CPUs more or less are told together
 )
@@ -80,7 +77,7 @@
 	if leader == "" || leader == n.Cfg.Node {
 		return reply, false
 	}
-	status, response, err := n.Peers.Call(context.Background(), leader, peer.ShardOwner, body, statusUpdateTimeout)
+	status, response, err := n.Peers.Call(context.Background(), leader, peer.ShardOwner, body, shard.StatusUpdateTimeout)
 	return reply, err == nil && status == 200 && wire.Unmarshal(response, &reply) == nil
 }
 
@@ -92,17 +89,17 @@
 	}
 	l.owner.unreachable = false // unless the next look finds it so again
 	for job := range l.owner.finished {
-		if len(update.FinishedJobs) < maxStatusItems && fullyRecorded(job) {
+		if len(update.FinishedJobs) < shard.MaxStatusItems && fullyRecorded(job) {
 			update.FinishedJobs = append(update.FinishedJobs, job.Spec.ID)
 		}
 	}
 	for job := range l.owner.cancelling {
-		if len(update.StoppingJobs) < maxStatusItems {
+		if len(update.StoppingJobs) < shard.MaxStatusItems {
 			update.StoppingJobs = append(update.StoppingJobs, cancellationProgress(job))
 		}
 	}
 	for machine := range l.owner.pendingTerminations {
-		if len(update.MachinesToTerminate) < maxStatusItems {
+		if len(update.MachinesToTerminate) < shard.MaxStatusItems {
 			update.MachinesToTerminate = append(update.MachinesToTerminate, machine.Name)
 		}
 	}
@@ -132,7 +129,7 @@
 		if len(m.Allocations) == 0 {
 			update.IdleMachines++
 		}
-		if !l.owner.reportedMachines[m.Name] && len(update.ReadyMachines) < maxStatusItems {
+		if !l.owner.reportedMachines[m.Name] && len(update.ReadyMachines) < shard.MaxStatusItems {
 			update.ReadyMachines = append(update.ReadyMachines, m.Name)
 		}
 	}
@@ -143,12 +140,12 @@
 	for job := range l.cluster.ActiveJobs {
 		update.PendingTasks += job.PendingTasks()
 		if schedulable := min(job.Demand(now), job.SchedulableTasks(now)); schedulable > 0 &&
-			len(update.Demand) < maxStatusItems {
+			len(update.Demand) < shard.MaxStatusItems {
 			update.Demand = append(
 				update.Demand, shard.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)},
 			)
 		}
-		if len(update.Progress) < maxStatusItems && job.DoneTasks+job.RunningTasks > 0 {
+		if len(update.Progress) < shard.MaxStatusItems && job.DoneTasks+job.RunningTasks > 0 {
 			update.Progress = append(
 				update.Progress,
 				shard.Progress{
--- a/internal/controller/shard_recovery.go
+++ b/internal/controller/shard_recovery.go
@@ -23,8 +23,8 @@
 	if l.coordinator == nil {
 		return true
 	}
-	for !l.node.shards.tableRead.Load() {
-		if !l.loop.Sleep(tableReadRetry) {
+	for !l.node.shards.table.HasRead() {
+		if !l.loop.Sleep(shard.ReadRetry) {
 			return false
 		}
 	}
@@ -40,9 +40,9 @@
 		return false
 	}
 	// The table is as new as the assignments: a share that was formed since holds none.
-	if _, err := l.node.readShardTable(ctx); err != nil {
+	if _, err := l.node.shards.table.Read(ctx); err != nil {
 		l.log.Info("takeover read failed", "prefix", shard.RecordPrefix, "err", err)
-		return l.loop.Sleep(tableReadRetry) && l.recoverAssignments(ctx, snapshot)
+		return l.loop.Sleep(shard.ReadRetry) && l.recoverAssignments(ctx, snapshot)
 	}
 	go l.watchAssignmentDeletions(ctx, revision)
 	return true
@@ -80,7 +80,7 @@
 // watchAssignmentDeletions finds the assignments that owners delete.
 func (l *Leader) watchAssignmentDeletions(ctx context.Context, revision uint64) {
 	for {
-		events, err := l.node.Store.Watch(ctx, shard.AssignmentPrefix, revision, tableWatchTimeout)
+		events, err := l.node.Store.Watch(ctx, shard.AssignmentPrefix, revision, shard.WatchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			l.resign("the store's history is too short to follow")
@@ -89,7 +89,7 @@
 			revision = max(revision, uint64(events.Revision))
 			l.post(func() { l.applyAssignmentDeletions(events) })
 		}
-		if !l.loop.Sleep(tableWatchPause) {
+		if !l.loop.Sleep(shard.WatchPause) {
 			return
 		}
 	}
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -32,7 +32,8 @@
 	if err != nil {
 		return shard.Entry{}, false
 	}
-	return parseShardRecord(it.Key, it.Value, uint64(it.Version))
+	entry, err := shard.ParseRecord(it.Key, it.Value, uint64(it.Version))
+	return entry, err == nil
 }
 
 // waitShardOwned waits until a controller owns the share, and its loop serves.
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -26,7 +26,7 @@
 	if l.coordinator == nil || wire.Unmarshal(body, &update) != nil {
 		return shard.UpdateReply{}, false
 	}
-	response, ok := l.callLoop(eventloop.Events, statusUpdateTimeout, func(reply func(httpapi.Reply)) {
+	response, ok := l.callLoop(eventloop.Events, shard.StatusUpdateTimeout, func(reply func(httpapi.Reply)) {
 		reply(httpapi.Reply{Body: l.applyStatusUpdate(&update, l.node.Now())})
 	})
 	if !ok {
@@ -90,7 +90,7 @@
 		for _, name := range update.ReadyMachines {
 			l.machineUpInShard(name)
 		}
-		if view.allMachinesKnownAt == 0 && len(update.ReadyMachines) < maxStatusItems {
+		if view.allMachinesKnownAt == 0 && len(update.ReadyMachines) < shard.MaxStatusItems {
 			view.allMachinesKnownAt = now
 		}
 	}
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -1,5 +1,16 @@
 package shard
 
+import "notchmux.dev/notchmux/internal/micro"
+
+// What an owner tells the leader in one status update.
+const (
+	// StatusUpdateTimeout is how long the leader may take over one.
+	StatusUpdateTimeout = 900 * micro.Millisecond
+	// MaxStatusItems bounds the machines, and the jobs of each kind, that one names: a call
+	// between nodes holds wire.MaxBody. What is left out comes with the next.
+	MaxStatusItems = 300
+)
+
 // StatusUpdate is what an owner tells the leader, every second and when something is urgent.
 type StatusUpdate struct {
 	Node           string        `msgpack:"node"`
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -100,7 +100,10 @@
 
 // FirstFencingToken is the lowest token of this ownership. The revision that names an owner is
 // higher than any that named one before, so tokens rise with each change of owner.
-func (o *Owner) FirstFencingToken() uint64 { return o.firstRevision << tokenCounterBits }
+func (o *Owner) FirstFencingToken() uint64 { return FirstFencingToken(o.firstRevision) }
+
+// FirstFencingToken is the first fencing token that the owner as of a revision gives out.
+func FirstFencingToken(revision uint64) uint64 { return revision << tokenCounterBits }
 
 // Observe takes in a record that was read. One that names another, or another
 // incarnation, ends the ownership for good.
