--- a/internal/controller/dispatch_host.go
+++ b/internal/controller/dispatch_host.go
@@ -15,7 +15,7 @@
 
 // RefusesHeartbeat reports whether a heartbeat is another controller's to answer.
 func (h dispatchHost) RefusesHeartbeat(heartbeat *wire.Heartbeat) bool {
-	return h.leader.refusesHeartbeat(heartbeat)
+	return h.leader.coordinator.RefusesHeartbeat(heartbeat)
 }
 
 // HeartbeatReceived notes that an agent reached this node.
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -140,7 +140,7 @@
 // evaluateOwnedElsewhere gives a machine of another controller's share up that never came up, as
 // far as the list tells. All else is for the share's owner to find.
 func (l *Leader) evaluateOwnedElsewhere(m *cluster.Machine, now micro.Time) {
-	if m.State != cluster.Registering || !l.shardMachinesKnown(m, now) {
+	if m.State != cluster.Registering || !l.coordinator.MachinesKnown(m, now) {
 		return
 	}
 	if l.missingFromInventory(m) ||
@@ -149,20 +149,6 @@
 	}
 }
 
-// shardMachinesKnown reports whether this leader would know by now that a machine of another
-// controller's share is up: the share's owner has told it of all that report, and each
-// had time to. Without that, a leader that had just taken over returned machines at work.
-func (l *Leader) shardMachinesKnown(m *cluster.Machine, now micro.Time) bool {
-	e, ok := l.shardTable().ShardOf(machineAttributes(m.TypeName, m.Zone, m.Spot))
-	if !ok || !e.OwnedElsewhere() {
-		return false
-	}
-	settleTime := l.node.Cfg.RegistrationWindow() + l.node.Cfg.SuspectAfter
-	view := l.viewOf(e.Name)
-	return view.allMachinesKnownAt > 0 && now-view.allMachinesKnownAt > settleTime &&
-		l.node.Wall()-micro.Time(e.Record.ChangedAt) > settleTime
-}
-
 // bootTimeout is after how long a machine that is booting is given up.
 func (l *Leader) bootTimeout(m *cluster.Machine) micro.Time {
 	bootTime := defaultBootTime
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -60,7 +60,7 @@
 			case cluster.Active, cluster.Blocked:
 				l.beginCancellation(job)
 			case cluster.Assigned:
-				l.beginShardCancellation(job)
+				l.coordinator.BeginCancellation(job)
 			}
 		}
 	})
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -18,6 +18,7 @@
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/shard/coordinator"
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
@@ -74,9 +75,9 @@
 	recovered                bool // the takeover has read everything
 	dependencyLookupInFlight bool // a look-up is under way
 
-	owner            *ownedShard       // what this loop owns; nil: it is the leader's
-	responsesBlocked atomic.Bool       // an owner that may say nothing, for a hand-over is under way or in doubt
-	coordinator      *shardCoordinator // the leader's part in shares; nil: the feature is off
+	owner            *ownedShard              // what this loop owns; nil: it is the leader's
+	responsesBlocked atomic.Bool              // an owner that may say nothing, for a hand-over is under way or in doubt
+	coordinator      *coordinator.Coordinator // the leader's part in shares; nil: the feature is off
 }
 
 // newLeader makes the loop of a term of leadership.
@@ -94,7 +95,7 @@
 			Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax,
 		}
 	}
-	l.initCoordinator()
+	l.coordinator = newCoordinator(l)
 	return l
 }
 
@@ -226,7 +227,7 @@
 		l.sweep(now)
 	}
 	l.lookUpDependencies()
-	l.reconcileShards(now)
+	l.coordinator.Reconcile(now)
 	if now-l.lastPlan >= l.planInterval() {
 		l.lastPlan = now
 		l.planScaling(now)
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -180,7 +180,7 @@
 			fenced[p.Machine.Zone] = true
 		}
 	}
-	l.addShardFencedZones(fenced)
+	l.coordinator.AddFencedZones(fenced)
 	l.fencedZones.Store(&fenced)
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -98,7 +98,7 @@
 	case peer.StatusBatch:
 		return n.handleStatuses(leader, body)
 	case peer.ShardOwner:
-		return n.handleStatusUpdate(leader, body)
+		return handleStatusUpdate(leader, body)
 	case peer.Cancel:
 		if !wire.ValidJobID(string(body)) {
 			return 400, nil
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -33,7 +33,7 @@
 		return 0, false
 	}
 	snapshot := newJobSnapshot()
-	if !l.recoverAssignments(ctx, &snapshot) {
+	if snapshot.assignments, ok = l.coordinator.RecoverAssignments(ctx, l.readAll); !ok {
 		return 0, false
 	}
 	if revision, ok = l.readAll(ctx, keys.JobPrefix, snapshot.addJobKey); !ok {
@@ -140,7 +140,7 @@
 		}
 	}
 	l.recovered = true
-	l.resumeCancellations()
+	l.coordinator.FinishRecovery()
 }
 
 // restoreJobs puts what was read into the model.
@@ -182,7 +182,7 @@
 				l.cluster.RestoreChunk(job, stored.index, &record, uint64(stored.item.Version), now)
 			}
 		}
-		l.restoreAssignment(job, snapshot.assignments[id])
+		l.coordinator.RestoreAssignment(job, snapshot.assignments[id])
 	}
 }
 
--- a/internal/controller/recovery_snapshot.go
+++ b/internal/controller/recovery_snapshot.go
@@ -3,6 +3,7 @@
 import (
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/keys"
+	"notchmux.dev/notchmux/internal/shard/coordinator"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -15,7 +16,7 @@
 	legacyChunks  map[string][]storedChunk // in the first form
 	compactChunks map[string][]storedChunk
 
-	assignments map[string]*storedAssignment // to shares
+	assignments map[string]*coordinator.StoredAssignment // to shards
 }
 
 func newJobSnapshot() jobSnapshot {
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -107,7 +107,7 @@
 func (n *Node) shardTableChanged() {
 	n.reconcileOwners()
 	if l := n.activeLeader(); l != nil {
-		l.post(l.shardTableChanged)
+		l.loop.Post(shardTableChanged{l})
 	}
 }
 
@@ -186,7 +186,3 @@
 	}
 	return httpapi.RetryReply(503, 1), true
 }
-
-func machineAttributes(typ, zone string, spot bool) shard.Attributes {
-	return shard.Attributes{Type: typ, Zone: zone, Spot: spot}
-}
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -71,7 +71,7 @@
 // deliverStatusUpdate brings a touch to the leader.
 func (n *Node) deliverStatusUpdate(body []byte) (reply shard.UpdateReply, ok bool) {
 	if l := n.activeLeader(); l != nil {
-		return l.receiveStatusUpdate(body)
+		return l.coordinator.ReceiveStatusUpdate(body)
 	}
 	leader := n.election.Leader()
 	if leader == "" || leader == n.Cfg.Node {
--- /dev/null
+++ b/internal/shard/coordinator/assignment.go
@@ -0,0 +1,319 @@
+package coordinator
+
+import (
+	"context"
+	"math"
+	"slices"
+	"sort"
+
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/wire"
+)
+
+const (
+	// maxCapacityAge is how old what an owner told of its free capacity may be.
+	maxCapacityAge = 3 * micro.Second
+	// assignDelay is how long a job waits for capacity among the leader's own machines
+	// before it goes to a shard, and partialAssignDelay before an array or a service goes
+	// to one that has room for a part of it.
+	assignDelay        = micro.Second
+	partialAssignDelay = 15 * micro.Second
+	// maxAssignmentsPerRound is how many jobs are assigned in one round.
+	maxAssignmentsPerRound = 24
+	// capacityTolerance makes up for rounding where a machine takes a whole number of tasks.
+	capacityTolerance = 1e-9
+)
+
+// assignedJob is a job that was assigned to a shard.
+type assignedJob struct {
+	job          *cluster.Job
+	shardName    string
+	assignment   shard.Assignment
+	storeRecord  *statestore.Record
+	stored       bool     // the record is in the store
+	cancelling   bool     // its cancellation is under way
+	endRequested bool     // the end of the cancellation is being written
+	fencedZones  []string // where tasks may still run, after its user was told
+
+	handedBack     bool   // its owner deleted the record though the job is not over
+	fenceVersion   uint64 // the shard's record must have a later version before it is the leader's again
+	lookupInFlight bool   // whether the record is really gone is being looked up
+}
+
+// assignJobs gives jobs that wait to shards that have room for them.
+func (c *Coordinator) assignJobs(now micro.Time) {
+	open := c.shardsWithCapacity(now)
+	if len(open) == 0 {
+		return
+	}
+	remaining := maxAssignmentsPerRound
+	for _, job := range c.assignableJobs() {
+		for _, entry := range open {
+			if remaining > 0 && c.assignToShard(entry, job, now) {
+				remaining--
+				break
+			}
+		}
+	}
+}
+
+// shardsWithCapacity lists the shards whose owners told of free capacity of late.
+func (c *Coordinator) shardsWithCapacity(now micro.Time) []shard.Entry {
+	var open []shard.Entry
+	c.table().Each(func(entry shard.Entry) bool {
+		view := c.viewOf(entry.Name)
+		recent := now-view.capacityAt < maxCapacityAge
+		if entry.Record.State == shard.Owned && recent && len(view.freeCapacity) > 0 {
+			open = append(open, entry)
+		}
+		return true
+	})
+	return open
+}
+
+// assignableJobs lists the jobs that may be assigned, in the order in which they get room.
+func (c *Coordinator) assignableJobs() []*cluster.Job {
+	var jobs []*cluster.Job
+	for job := range c.Cluster.PendingJobs {
+		if job.State == cluster.Active && job.NeverAllocated() {
+			jobs = append(jobs, job)
+		}
+	}
+	sort.Slice(jobs, func(a, b int) bool {
+		first, second := jobs[a], jobs[b]
+		if first.PriorityLevel != second.PriorityLevel {
+			return first.PriorityLevel < second.PriorityLevel
+		}
+		if first.EligibleSince != second.EligibleSince {
+			return first.EligibleSince < second.EligibleSince
+		}
+		return first.Spec.ID < second.Spec.ID
+	})
+	return jobs
+}
+
+// assignToShard assigns a job to a shard if that has room for it.
+func (c *Coordinator) assignToShard(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
+	waited := now - job.WaitingSince
+	if !slices.Contains(entry.Record.Teams, job.Spec.Team) && (len(entry.Record.Teams) > 0 || waited < assignDelay) {
+		return false
+	}
+	view := c.viewOf(entry.Name)
+	total := len(job.Tasks)
+	fitting := c.tasksThatFit(view.freeCapacity, &job.Spec)
+	partial := waited > partialAssignDelay && job.Spec.Kind != wire.Gang && !job.Spec.Spread && fitting > 0
+	if fitting < total && !partial {
+		return false
+	}
+	assignment := shard.Assignment{Job: job.Spec, AssignedAt: int64(c.Wall())}
+	if wire.JSONSize(assignment) > c.Host.MaxValueBytes() {
+		return false
+	}
+	assigned := c.Cluster.Assign(job, entry.Name)
+	if assigned == 0 {
+		return false
+	}
+	c.deductCapacity(view, &job.Spec, min(assigned, fitting))
+	assignment.MaxAllocations = assigned
+	c.Log.Info(
+		"job assigned", "job", job.Spec.ID, "shard", entry.Name, "owner", entry.Record.Owner.Node, "tasks", total,
+		"at_once", assigned,
+	)
+	c.storeAssignment(entry.Name, job, assignment).storeRecord.MarkDirty(now, statestore.PriorityHigh)
+	return true
+}
+
+// tasksThatFit is how many of a job's tasks fit the free capacity, by its rules on zones.
+func (c *Coordinator) tasksThatFit(capacity []shard.FreeCapacity, spec *wire.Job) int {
+	zones := map[string]int{}
+	for i := range capacity {
+		zones[capacity[i].Zone] += capacity[i].Count * c.tasksPerMachine(&capacity[i], spec)
+	}
+	sum, largest := 0, 0
+	for _, count := range zones {
+		if spec.Spread {
+			count = min(count, (spec.Tasks+1)/2)
+		}
+		sum, largest = sum+count, max(largest, count)
+	}
+	if spec.OneZone {
+		return largest
+	}
+	return sum
+}
+
+// tasksPerMachine is how many of a job's tasks one machine with so much free capacity takes.
+func (c *Coordinator) tasksPerMachine(capacity *shard.FreeCapacity, spec *wire.Job) int {
+	machineType := c.Cluster.Types[capacity.Type]
+	if machineType == nil || !scheduler.Allowed(spec, machineType, capacity.Zone, capacity.Spot) {
+		return 0
+	}
+	scaledCPUs := scheduler.ScaledCPUs(spec.CPUs, machineType.SpeedFactor, machineType.CPUs)
+	resources := []struct{ free, needed float64 }{
+		{capacity.CPU, max(spec.CPUs, scaledCPUs)},
+		{capacity.GPU, spec.GPUs},
+		{capacity.Mem, spec.MemoryGB},
+	}
+	count := math.MaxInt32
+	for _, resource := range resources {
+		if resource.needed > 0 {
+			count = min(count, int(resource.free/resource.needed+capacityTolerance))
+		}
+	}
+	return count
+}
+
+// deductCapacity takes the capacity for so many tasks out of what is free.
+func (c *Coordinator) deductCapacity(view *shardView, spec *wire.Job, tasks int) {
+	for i := range view.freeCapacity {
+		capacity := &view.freeCapacity[i]
+		perMachine := c.tasksPerMachine(capacity, spec)
+		if perMachine == 0 {
+			continue
+		}
+		machines := min((tasks+perMachine-1)/perMachine, capacity.Count)
+		capacity.Count -= machines
+		if tasks -= machines * perMachine; tasks <= 0 {
+			return
+		}
+	}
+}
+
+// storeAssignment keeps the record of an assignment.
+func (c *Coordinator) storeAssignment(
+	shardName string, job *cluster.Job, assignment shard.Assignment,
+) *assignedJob {
+	assigned := &assignedJob{
+		job: job, shardName: shardName, assignment: assignment,
+		storeRecord: c.Records.Record(shard.AssignmentKey(shardName, job.Spec.ID)),
+	}
+	c.assignedJobs[job.Spec.ID] = assigned
+	assigned.storeRecord.Preconditions = func() []wire.Precondition { return c.assignmentPreconditions(assigned) }
+	assigned.storeRecord.Build = func() (any, uint64) {
+		if assigned.storeRecord.Version() > 0 || !assigned.stored && !job.IsTerminal() {
+			return assigned.assignment, 0
+		}
+		c.assignmentDeleted(assigned)
+		return statestore.NotReady, 0
+	}
+	assigned.storeRecord.OnCommitted = func(uint64) {
+		assigned.stored = true
+		view := c.viewOf(shardName)
+		view.assignedRevision = max(view.assignedRevision, assigned.storeRecord.Version())
+	}
+	return assigned
+}
+
+// assignmentPreconditions are further conditions of the write that creates an assignment. An
+// earlier try without an answer may be carried out late, after the owner has deleted the
+// record: with the condition on its key alone, a job whose user was told that it is
+// cancelled was assigned once more, and ran. Later writes carry their key's version.
+func (c *Coordinator) assignmentPreconditions(assigned *assignedJob) []wire.Precondition {
+	if assigned.storeRecord.Version() > 0 {
+		return nil
+	}
+	preconditions := []wire.Precondition{{Key: keys.JobEnd(assigned.job.Spec.ID)}}
+	if entry, ok := c.table().Get(assigned.shardName); ok {
+		preconditions = append(preconditions, entry.Precondition())
+	}
+	return preconditions
+}
+
+// assignmentDeleted takes in that an owner has deleted the record of an assignment. It
+// does so once nothing of the job is left in the shard: after the job's end, or to hand
+// it back. A late write can create the record of the former no more; for the latter the
+// shard's record has to change first.
+func (c *Coordinator) assignmentDeleted(assigned *assignedJob) {
+	if assigned.job.IsTerminal() {
+		c.dropAssignment(assigned)
+		return
+	}
+	if entry, ok := c.table().Get(assigned.shardName); ok && !assigned.handedBack {
+		assigned.handedBack, assigned.fenceVersion = true, entry.Version
+	}
+}
+
+// reconcileHandedBack brings jobs that were handed back to the leader's own, once no late write
+// can assign them again.
+func (c *Coordinator) reconcileHandedBack() {
+	for _, assigned := range c.assignedJobs {
+		if !assigned.handedBack || assigned.lookupInFlight {
+			continue
+		}
+		entry, ok := c.table().Get(assigned.shardName)
+		switch {
+		case ok && entry.Version > assigned.fenceVersion:
+			c.verifyHandedBack(assigned)
+		case ok && entry.OwnedElsewhere() && !c.commitsInFlight[entry.Name]:
+			c.commitShard(entry.Name, entry.Update(entry.Record.Rewritten(int64(c.Wall())), c.Term.Precondition()))
+		}
+	}
+}
+
+// verifyHandedBack looks whether a late write has assigned a job again before the shard's
+// record changed.
+func (c *Coordinator) verifyHandedBack(assigned *assignedJob) {
+	assigned.lookupInFlight = true
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
+		defer cancel()
+		item, err := c.Store.Get(ctx, store.Routine, assigned.storeRecord.Key)
+		c.Loop.Post(handedBackVerified{c, assigned, item, err})
+	}()
+}
+
+// dropAssignment makes a job the leader's own again, or lets go of one that is over.
+func (c *Coordinator) dropAssignment(assigned *assignedJob) {
+	if c.assignedJobs[assigned.job.Spec.ID] != assigned {
+		return
+	}
+	delete(c.assignedJobs, assigned.job.Spec.ID)
+	c.Records.Drop(assigned.storeRecord)
+	assigned.storeRecord.ClearDirty()
+	c.Cluster.Unassign(assigned.job, c.Now())
+	if assigned.cancelling && !assigned.endRequested && assigned.job.State == cluster.Aborting {
+		c.Host.CancellationPending(assigned.job) // nothing of it is anywhere: its user may be told
+	}
+}
+
+// applyAssignmentDeletions takes in what owners did to assignments.
+func (c *Coordinator) applyAssignmentDeletions(events wire.Events) {
+	for _, event := range events.Events {
+		if event.Delete == "" {
+			continue
+		}
+		_, id, ok := shard.ParseAssignmentKey(event.Delete)
+		if assigned := c.assignedJobs[id]; ok && assigned != nil && assigned.deletedBy(event) {
+			assigned.storeRecord.SetVersion(0)
+			assigned.stored = true
+			c.assignmentDeleted(assigned)
+		}
+	}
+}
+
+// deletedBy reports whether an event in the store deleted the record as it is known.
+func (assigned *assignedJob) deletedBy(event wire.Event) bool {
+	record := assigned.storeRecord
+	return record.Key == event.Delete && uint64(event.Version) > record.Version() &&
+		(assigned.stored || record.Version() > 0)
+}
+
+// adjustReservation fits what a job takes of its team's quota to what its tasks still need:
+// less as they end, and more, up to all of them, where the quota leaves room.
+func (c *Coordinator) adjustReservation(job *cluster.Job, needed int) {
+	assigned := c.assignedJobs[job.Spec.ID]
+	if needed < 0 || assigned == nil || assigned.cancelling {
+		return
+	}
+	c.Cluster.ReleaseQuota(job, needed)
+	if more := c.Cluster.ReserveQuota(job, needed-assigned.assignment.MaxAllocations); more > 0 {
+		assigned.assignment.MaxAllocations += more // counted first, and used only once it is stored
+		assigned.storeRecord.MarkDirty(c.Now(), statestore.PriorityHigh)
+	}
+}
--- /dev/null
+++ b/internal/shard/coordinator/form.go
@@ -0,0 +1,151 @@
+package coordinator
+
+import (
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
+	"notchmux.dev/notchmux/wire"
+)
+
+// How shards come and go.
+
+// allRegistered reports whether every controller of the settings has a session: one that
+// runs without shards would take all machines for its own.
+func (c *Coordinator) allRegistered() bool {
+	for _, peer := range c.Config.Peers {
+		if _, ok := c.sessions.current.Controller(peer.Node); !ok {
+			return false
+		}
+	}
+	_, ok := c.sessions.current.Controller(c.Config.Node)
+	return ok
+}
+
+// formDeclaredShards forms the shards of the settings that do not exist.
+func (c *Coordinator) formDeclaredShards() {
+	if c.Config.Shards.Dissolve || !c.Cluster.CompactRecords || !c.allRegistered() {
+		return
+	}
+	for _, declared := range c.Config.Shards.Declared {
+		if _, ok := c.table().Get(declared.Name); ok || c.commitsInFlight[declared.Name] {
+			continue
+		}
+		if other, ok := c.table().Overlapping(declared.Selector); ok {
+			c.Log.Debug("shard not formed", "shard", declared.Name, "err", shard.ErrOverlap, "other", other.Name)
+			continue
+		}
+		if c.marker.Version() == 0 {
+			c.marker.MarkDirty(c.Now(), statestore.PriorityHigh) // before the first shard
+			return
+		}
+		c.Log.Info(
+			"shard formed", "shard", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams,
+		)
+		entry := shard.Entry{Name: declared.Name}
+		record := shard.NewRecord(declared.Selector, declared.Teams, int64(c.Wall()))
+		c.commitShard(declared.Name, entry.Update(record, c.Term.Precondition()))
+	}
+}
+
+// reconcileForming clears the machines of a shard that is being formed, and gives it to its
+// first owner once none of them holds a task.
+func (c *Coordinator) reconcileForming(entry shard.Entry, wall int64) {
+	if c.Config.Shards.Dissolve {
+		c.deleteShard(entry)
+		return
+	}
+	c.drainReplicas(entry)
+	if c.allocationsIn(entry) > 0 || !c.allRegistered() {
+		return
+	}
+	owner, ok := c.initialOwner(entry.Name)
+	if !ok {
+		return
+	}
+	granted, err := entry.Record.Grant(owner, wall)
+	if err != nil {
+		c.Log.Debug("shard not granted", "shard", entry.Name, "to", owner.Node, "err", err)
+		return
+	}
+	c.Log.Info("shard granted", "shard", entry.Name, "to", owner.Node)
+	c.commitShard(entry.Name, entry.Update(granted, c.Term.Precondition(), owner.Precondition()))
+}
+
+func (c *Coordinator) initialOwner(name string) (shard.Controller, bool) {
+	for _, declared := range c.Config.Shards.Declared {
+		if declared.Name == name && declared.Owner != "" {
+			return c.sessions.current.Controller(declared.Owner)
+		}
+	}
+	return c.sessions.current.LeastLoaded(c.table())
+}
+
+// maxReplicasStopping is how many replicas are moved from the machines of a shard that is
+// being formed at a time: a service keeps the others.
+const maxReplicasStopping = 4
+
+// allocationsIn counts the allocations on the machines of a shard that is being formed, and on
+// those of which it is not known yet whether they are in it: read from the records, a machine
+// has no type until its first heartbeat. Given away with such an allocation on it, a machine
+// was never proven free of it.
+func (c *Coordinator) allocationsIn(entry shard.Entry) int {
+	held := 0
+	for _, machine := range c.Cluster.SortedMachines() {
+		if machine.Type == nil || isForming(entry, machine) {
+			held += len(machine.Allocations)
+		}
+	}
+	return held
+}
+
+// isForming reports whether a machine is one of a shard that is being formed.
+func isForming(entry shard.Entry, machine *cluster.Machine) bool {
+	return machine.TransferPending && entry.Record.Selector.Matches(machineAttributes(machine))
+}
+
+// drainReplicas has the replicas on a shard's machines stopped, a few at a time: other
+// tasks end by themselves.
+func (c *Coordinator) drainReplicas(entry shard.Entry) {
+	now := c.Now()
+	stopping, replicas := c.replicasIn(entry)
+	for _, allocation := range replicas[:max(min(len(replicas), maxReplicasStopping-stopping), 0)] {
+		c.Cluster.StopAllocation(
+			allocation, "the machine goes to a shard", allocation.Job.Spec.CheckpointDurationS, now,
+		)
+	}
+}
+
+// replicasIn counts the replicas of services that stop on the machines of a shard that is being
+// formed, and lists the others.
+func (c *Coordinator) replicasIn(entry shard.Entry) (stopping int, running []*cluster.Allocation) {
+	for _, machine := range c.Cluster.SortedMachines() {
+		if !isForming(entry, machine) {
+			continue
+		}
+		for _, allocation := range machine.SortedAllocations() {
+			switch {
+			case allocation.Job == nil || allocation.Job.Spec.Kind != wire.Service:
+			case allocation.Stopping:
+				stopping++
+			default:
+				running = append(running, allocation)
+			}
+		}
+	}
+	return stopping, running
+}
+
+// deleteShard deletes the record of a shard that has nothing left. The last one takes
+// the marker along.
+func (c *Coordinator) deleteShard(entry shard.Entry) {
+	transaction := wire.Transaction{
+		If:   []wire.Precondition{c.Term.Precondition(), entry.Precondition()},
+		Then: []wire.Change{{Delete: entry.Key()}},
+	}
+	if c.table().Len() == 1 {
+		transaction.Then = append(transaction.Then, wire.Change{Delete: shard.MarkerKey})
+		c.marker.SetVersion(0)
+	}
+	c.Log.Info("shard deleted", "shard", entry.Name)
+	c.commitShard(entry.Name, transaction)
+}
