--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -473,7 +473,7 @@
 					}
 					return true
 				})
-				if leader := next.runningNode().activeLeader(); leader == nil || !leader.records.endUncertain(job.id) {
+				if leader := next.runningNode().activeLeader(); leader == nil || !leader.records.EndUncertain(job.id) {
 					t.Fatal("the leader knows that its write was carried out")
 				}
 				_, by, remaining, _ := job.abortReport()
@@ -1087,7 +1087,7 @@
 				sim.disturbCommits(1, 0, 300*micro.Millisecond, old)
 				go job.cancelOnce(old)
 				sim.sleep(200 * micro.Millisecond)
-				if n := old.runningNode().activeLeader(); n == nil || !n.records.endUncertain(job.id) {
+				if n := old.runningNode().activeLeader(); n == nil || !n.records.EndUncertain(job.id) {
 					t.Fatal("its write did not go out")
 				}
 				change(sim, old)
--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -4,39 +4,16 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/scheduler"
-	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
 // The model's effects.
 
 // ChunkDirty notes that a chunk must be written.
-func (l *Leader) ChunkDirty(chunk *cluster.TaskChunk) {
-	if chunk.Job.IsTerminal() && (l.owner != nil || len(chunk.Allocations) > 0) {
-		return // goes once its last place is free; in a share, once its assignment has gone
-	}
-	record := l.records.chunkRecord(chunk)
-	if chunk.Job.IsTerminal() {
-		for _, other := range chunk.Job.Chunks {
-			if other.Legacy != nil && other.Legacy.Obsolete() {
-				l.records.deleteLegacy(other.Legacy)
-				other.Legacy = nil
-			}
-		}
-		record.Defer(l.node.Now())
-		return
-	}
-	record.MarkDirty(l.node.Now(), statestore.PriorityLow)
-}
+func (l *Leader) ChunkDirty(chunk *cluster.TaskChunk) { l.records.ChunkDirty(chunk) }
 
 // ChunkUrgent notes that a start waits for a chunk.
-func (l *Leader) ChunkUrgent(chunk *cluster.TaskChunk) {
-	priority := statestore.PriorityHigh
-	if chunk.Job.PriorityLevel == 0 {
-		priority = statestore.PriorityUrgent
-	}
-	l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), priority)
-}
+func (l *Leader) ChunkUrgent(chunk *cluster.TaskChunk) { l.records.ChunkUrgent(chunk) }
 
 // DispatchSoon notes that a machine has commands worth sending at once.
 func (l *Leader) DispatchSoon(m *cluster.Machine) { l.dispatcher.MarkPending(m) }
@@ -47,7 +24,7 @@
 		l.jobFinishedInShard(j)
 		return
 	}
-	l.records.writeJobEnd(j, wire.JobDone)
+	l.records.WriteJobEnd(j, wire.JobDone)
 }
 
 // AttemptCompleted learns from a completed run.
@@ -73,16 +50,16 @@
 // ChunkMigrated notes that a chunk's record in the first form stands for chunks of the
 // later one until they are stored.
 func (l *Leader) ChunkMigrated(ch *cluster.TaskChunk, o *cluster.LegacyRecord) {
-	l.records.retireLegacy(ch, o)
+	l.records.ChunkMigrated(ch, o)
 }
 
 // LegacyRecordSuperseded deletes a record in the first form once nothing depends on it.
-func (l *Leader) LegacyRecordSuperseded(o *cluster.LegacyRecord) { l.records.deleteLegacy(o) }
+func (l *Leader) LegacyRecordSuperseded(o *cluster.LegacyRecord) { l.records.LegacyRecordSuperseded(o) }
 
 // DependencyAborted writes the end of a job that needs an aborted one.
 func (l *Leader) DependencyAborted(j *cluster.Job) {
 	l.log.Info("job falls with another", "job", j.Spec.ID)
-	l.records.writeJobEnd(j, wire.JobAborted)
+	l.records.WriteJobEnd(j, wire.JobAborted)
 }
 
 // DependencyUnknown looks up a job that another awaits.
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
-	"notchmux.dev/notchmux/internal/statestore"
+	"notchmux.dev/notchmux/internal/persist"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -19,15 +19,6 @@
 // raises fleet/format, for good. A site that was never run by an earlier version
 // passes the same gate.
 
-// FormatVersion is the version of the forms that this program reads and writes.
-const FormatVersion = 2
-
-// FormatRecord is the value of fleet/format.
-type FormatRecord struct {
-	Version       int `msgpack:"version" json:"version"`
-	TasksPerChunk int `msgpack:"tasks" json:"tasks"` // tasks of a chunk in the compact form
-}
-
 // nodeRecord is what a node announces.
 type nodeRecord struct {
 	Version int `msgpack:"version" json:"version"`
@@ -86,8 +77,8 @@
 		n.setGateState(GateAnnounced)
 	}
 	item, err := n.Store.Get(ctx, store.Routine, keys.Format)
-	var record FormatRecord
-	if err == nil && wire.Unmarshal(item.Value, &record) == nil && record.Version >= FormatVersion {
+	var record persist.FormatRecord
+	if err == nil && wire.Unmarshal(item.Value, &record) == nil && record.Version >= persist.FormatVersion {
 		// The leader that raised it, and its heirs, need not be told.
 		n.setGateState(GateOpen)
 		return
@@ -123,15 +114,19 @@
 	key := keys.Node(node)
 	item, err := n.Store.Get(ctx, store.Routine, key)
 	var record nodeRecord
-	if err == nil && wire.Unmarshal(item.Value, &record) == nil && record.Version >= FormatVersion {
+	if err == nil && wire.Unmarshal(item.Value, &record) == nil && record.Version >= persist.FormatVersion {
 		return true
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
 	_, err = n.Store.Commit(
-		ctx, store.Routine,
-		wire.Transaction{If: []wire.Precondition{}, Then: []wire.Change{{Put: key, Value: nodeRecord{FormatVersion}}}},
+		ctx,
+		store.Routine,
+		wire.Transaction{
+			If:   []wire.Precondition{},
+			Then: []wire.Change{{Put: key, Value: nodeRecord{persist.FormatVersion}}},
+		},
 	)
 	return err == nil
 }
@@ -167,7 +162,7 @@
 	announced := map[string]bool{}
 	for _, item := range page.Items {
 		var record nodeRecord
-		if wire.Unmarshal(item.Value, &record) == nil && record.Version >= FormatVersion {
+		if wire.Unmarshal(item.Value, &record) == nil && record.Version >= persist.FormatVersion {
 			announced[item.Key[len(keys.NodePrefix):]] = true
 		}
 	}
@@ -180,35 +175,9 @@
 	return missing
 }
 
-// raiseFormat writes fleet/format. From then on, and not before, the new forms are used.
+// raiseFormat writes fleet/format. From then on, and not before, the compact form is used.
 func (l *Leader) raiseFormat() {
-	if !l.cluster.CompactRecords && l.recovered && !l.records.format.Dirty() && !l.records.format.Uncertain() {
-		l.records.format.MarkDirty(l.node.Now(), statestore.PriorityHigh)
-	}
-}
-
-// restoreFormat takes in the value of fleet/format; false if it raises nothing.
-func (l *Leader) restoreFormat(item wire.Item) bool {
-	var record FormatRecord
-	if wire.Unmarshal(item.Value, &record) != nil || record.Version < FormatVersion || record.TasksPerChunk < 1 ||
-		record.TasksPerChunk > 128 ||
-		128%record.TasksPerChunk != 0 {
-		return false
-	}
-	l.records.format.SetVersion(uint64(item.Version))
-	l.format = record
-	return true
-}
-
-// formatRaised turns to the new forms: fleet/format is in the store.
-func (l *Leader) formatRaised() {
-	if l.cluster.CompactRecords {
-		return
-	}
-	if l.format.TasksPerChunk == 0 {
-		record, _ := l.records.format.Build()
-		l.format = record.(FormatRecord)
+	if l.recovered {
+		l.records.Format.Raise(l.node.Now())
 	}
-	l.cluster.EnableCompactRecords(l.format.TasksPerChunk)
-	l.node.setGateState(GateOpen)
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -12,7 +12,7 @@
 // store without this leader knowing: its write went out, and has no answer yet.
 // Another node may have read it there, and told the user.
 func (l *Leader) endUncertain(job *cluster.Job) bool {
-	if l.records.endUncertain(job.Spec.ID) {
+	if l.records.EndUncertain(job.Spec.ID) {
 		return true
 	}
 	if job.State != cluster.Blocked {
@@ -27,7 +27,7 @@
 			if dependency == nil || dependency.IsTerminal() || visited[dependency] {
 				continue
 			}
-			if l.records.endUncertain(id) {
+			if l.records.EndUncertain(id) {
 				return true
 			}
 			visited[dependency] = true
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -263,7 +263,7 @@
 	for _, name := range names {
 		if l.firstProvisioned == "" || createdBefore(name, l.firstProvisioned) {
 			l.firstProvisioned = name
-			l.records.firstProvisioned.MarkDirty(now, statestore.PriorityHigh)
+			l.firstProvisionedRecord.MarkDirty(now, statestore.PriorityHigh)
 		}
 		l.addInstance(request, name, request.requestedAt, now)
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -17,6 +17,7 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/persist"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/shard/coordinator"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -39,7 +40,7 @@
 	planner                  *autoscaler.Planner
 	speeds                   *scheduler.SpeedEstimator
 	objectives               *scheduler.Objectives
-	records                  *recordStore
+	records                  *persist.Records
 	dispatcher               *dispatch.Dispatcher
 	schedulePending          bool
 	lastSchedule             micro.Time
@@ -49,12 +50,11 @@
 	lastPlan                 micro.Time
 	lastSpeedWrite           micro.Time
 	lastStatusLog            micro.Time
-	lastImageWrite           micro.Time
-	lastPrune                micro.Time
 	instanceRequests         map[string]*instanceRequest
 	instanceRequestCount     int
-	requestQueue             []*instanceRequest          // rentals whose turn is to come
-	requestsInFlight         int                         // rentals under way
+	requestQueue             []*instanceRequest // rentals whose turn is to come
+	requestsInFlight         int                // rentals under way
+	firstProvisionedRecord   *statestore.Record
 	firstProvisioned         string                      // the first machine that the service ever rented
 	inventoryAt              micro.Time                  // when the list that was read last was asked for
 	pendingTerminations      map[*cluster.Machine]uint64 // machines to be returned, with the version of their rental's record that must be stored before
@@ -71,9 +71,8 @@
 	heartbeatGap             heartbeatGap // how long none has come
 	cancellationWaiters      map[string][]chan httpapi.Reply
 	dependencyLookups        map[string]bool // awaited jobs to be looked up in the store
-	format                   FormatRecord
-	recovered                bool // the takeover has read everything
-	dependencyLookupInFlight bool // a look-up is under way
+	recovered                bool            // the takeover has read everything
+	dependencyLookupInFlight bool            // a look-up is under way
 
 	owner            *ownedShard              // what this loop owns; nil: it is the leader's
 	responsesBlocked atomic.Bool              // an owner that may say nothing, for a hand-over is under way or in doubt
@@ -83,6 +82,7 @@
 // newLeader makes the loop of a term of leadership.
 func newLeader(n *Node, t *election.Term) *Leader {
 	l := newEventLoop(n, t, dispatch.FirstFencingToken(t.FencingRevision), n.Log.With("term", t.FencingRevision))
+	l.records = newRecords(l, leaderRole{l})
 	zones := map[string]string{}
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
@@ -132,7 +132,6 @@
 		PendingRequests: map[string]autoscaler.ScaleOut{},
 	}
 	l.scheduler.WithinPrice = l.planner.WithinPrice
-	l.records = newRecordStore(l)
 	l.dispatcher = dispatch.New(firstToken, dispatch.Dependencies{
 		Cluster: l.cluster, Loop: l.loop, Sender: node.Agent, Log: l.log,
 		Now: func() micro.Time { return node.Now() }, Host: dispatchHost{l},
@@ -234,14 +233,8 @@
 		l.schedulePending = true // backoffs and reservations run out
 		l.reviewPendingJobs(now)
 	}
-	if now-l.lastImageWrite >= imageWriteInterval {
-		l.lastImageWrite = now
-		l.records.images.writeNext(now)
-	}
-	if now-l.lastPrune >= pruneInterval {
-		l.lastPrune = now
-		l.prune(now)
-	}
+	l.records.Images.WriteIfDue(now)
+	l.prune(l.records.PruneIfDue(now))
 	if now-l.lastStatusLog >= statusLogInterval {
 		l.lastStatusLog = now
 		l.logStatus()
@@ -256,7 +249,7 @@
 					l.speeds.Record().Speeds[machineType.Name],
 				)
 			}
-			l.records.speeds.MarkDirty(now, statestore.PriorityLow)
+			l.records.WriteSpeeds(now)
 		}
 	}
 	l.dispatcher.CheckToken(now)
@@ -290,9 +283,6 @@
 // statusLogInterval is how often the leader says how it fares.
 const statusLogInterval = 20 * micro.Second
 
-// imageWriteInterval is how often the machines' images are written.
-const imageWriteInterval = 20 * micro.Second
-
 func (l *Leader) logStatus() {
 	usable := 0
 	var fleet strings.Builder
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -225,6 +225,6 @@
 	}
 	delete(l.pendingCancellations, job)
 	if job.State == cluster.Aborting {
-		l.records.writeJobEnd(job, wire.JobAborted)
+		l.records.WriteJobEnd(job, wire.JobAborted)
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -13,6 +13,7 @@
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/persist"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -180,11 +181,11 @@
 		im.Machines[name] = []int{0, 1}
 	}
 	leader.cluster.RestoreImages(im, 0)
-	images, _ := leader.records.images.firstPage.Build()
+	images, _ := leader.records.Lookup(keys.Images).Build()
 	returning := rec
 	returning.Machines, returning.Terminating = rec.Machines[:10], rec.Machines[10:]
-	for _, value := range []any{rec, returning, images, FormatRecord{FormatVersion, 64}} {
-		if size := wire.JSONSize(value); size > nextLimits.ValueBytes-valueMargin {
+	for _, value := range []any{rec, returning, images, persist.FormatRecord{Version: persist.FormatVersion, TasksPerChunk: 64}} {
+		if size := wire.JSONSize(value); size > nextLimits.ValueBytes-persist.ValueMargin {
 			t.Errorf("%T takes %d bytes", value, size)
 		}
 	}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -7,7 +7,6 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -94,26 +93,28 @@
 func (l *Leader) restoreFleet(item wire.Item) {
 	switch item.Key {
 	case keys.Speeds:
-		var record scheduler.SpeedRecord
-		if wire.Unmarshal(item.Value, &record) == nil {
-			l.speeds.Restore(record)
-			l.records.speeds.SetVersion(uint64(item.Version))
-		}
+		l.logMalformed(item.Key, l.records.RestoreSpeeds(item))
 	case keys.FirstProvisioned:
 		var record firstProvisionedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.firstProvisioned = record.Machine
-			l.records.firstProvisioned.SetVersion(uint64(item.Version))
+			l.firstProvisionedRecord.SetVersion(uint64(item.Version))
 		}
 	case keys.Format:
-		if l.restoreFormat(item) {
-			l.formatRaised()
-		}
+		l.logMalformed(item.Key, l.records.Format.Restore(item))
 	case shard.MarkerKey:
 		l.observeShardMarker(item)
 	}
 }
 
+// logMalformed logs that a stored record was passed over; there is nothing to say without an
+// error.
+func (l *Leader) logMalformed(key string, err error) {
+	if err != nil {
+		l.log.Debug("stored record not understood", "key", key, "err", err)
+	}
+}
+
 // restoreImages reads which machines had which images; it comes after the machines.
 func (l *Leader) restoreImages(items []wire.Item, now micro.Time) {
 	for _, item := range items {
@@ -121,7 +122,7 @@
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.cluster.RestoreImages(record, now)
 		}
-		l.records.images.restore(item)
+		l.records.Images.Restore(item)
 	}
 }
 
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -3,10 +3,8 @@
 import (
 	"testing"
 
-	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -70,16 +68,16 @@
 		fleet.leader.cluster.ExpireMachine(allocation.Machine, fleet.now)
 	}
 	fleet.now += micro.Minute * 60
-	entry := fleet.leader.records.chunkRecord(job.Chunks[0])
+	entry := fleet.leader.records.ChunkRecord(job.Chunks[0])
 	entry.ClearDirty()
 	entry.SetVersion(17)
-	fleet.leader.prune(fleet.now)
+	fleet.leader.prune(fleet.leader.records.Prune(fleet.now))
 	if fleet.leader.cluster.Jobs[job.Spec.ID] == nil {
 		t.Fatal("forgotten though its record is in the store")
 	}
 	entry.SetVersion(0)
-	fleet.leader.prune(fleet.now)
-	if fleet.leader.cluster.Jobs[job.Spec.ID] != nil || fleet.leader.records.chunks[job.Chunks[0]] != nil {
+	fleet.leader.prune(fleet.leader.records.Prune(fleet.now))
+	if fleet.leader.cluster.Jobs[job.Spec.ID] != nil || fleet.leader.records.LookupChunk(job.Chunks[0]) != nil {
 		t.Fatal("kept though nothing of it is left")
 	}
 	if status, ok := fleet.leader.node.finalStatuses.get(job.Spec.ID); !ok || status.State != wire.JobAborted {
@@ -87,57 +85,6 @@
 	}
 }
 
-// Each round writes two records at the most, reaches all in turn, and deletes those
-// that a smaller fleet needs no more.
-func TestImageRecordsOfALargeFleetAreWrittenInTurn(t *testing.T) {
-	fleet := newFleet(t, 4)
-	fleet.leader.cluster.EnableCompactRecords(64)
-	has := cluster.ImageRecord{Names: []string{"x"}, GB: []float64{9}, Machines: map[string][]int{}}
-	for i := range 4000 {
-		has.Machines[fleet.leader.cluster.EnsureMachine(wire.TaskName("i", i), fleet.now).Name] = []int{0}
-	}
-	fleet.leader.cluster.RestoreImages(has, fleet.now)
-	all := len(fleet.leader.cluster.ImagePages(fleet.leader.records.images.maxRecordSize()))
-	written := fleet.writeImageRounds(3 * all)
-	if len(written) != all {
-		t.Errorf("%d of %d records were written", len(written), all)
-	}
-	for _, machine := range fleet.leader.cluster.SortedMachines()[100:] {
-		fleet.leader.cluster.RemoveMachine(machine, fleet.now)
-	}
-	fleet.writeImageRounds(3 * all)
-	if n := len(fleet.leader.records.images.pages); n != 0 {
-		t.Errorf("%d records are left of a fleet that needs none", n)
-	}
-}
-
-// writeImageRounds plays rounds of writing image records, and lists what was put.
-func (h *fleet) writeImageRounds(n int) map[string]bool {
-	put := map[string]bool{}
-	for range n {
-		h.leader.records.images.writeNext(h.now)
-		changes := 0
-		h.leader.records.Each(func(e *statestore.Record) {
-			if !e.Dirty() || !keys.IsImagePage(e.Key) {
-				return
-			}
-			changes++
-			value, _ := e.Build()
-			e.ClearDirty()
-			e.SetVersion(1)
-			if value == nil {
-				h.leader.records.Drop(e)
-				return
-			}
-			put[e.Key] = true
-		})
-		if changes > 2 {
-			panic("more than two records in a round")
-		}
-	}
-	return put
-}
-
 // Lists of 4,000 machines once took a third of the cloud's rate.
 func TestListOfALargeFleetLeavesTheCloudsRateToInstanceRequests(t *testing.T) {
 	for _, machines := range []int{40, 2000, 4000, 6000, 20000} {
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -44,7 +44,7 @@
 func (h coordinatorHost) Resign(reason string) { h.leader.resign(reason) }
 
 // MaxValueBytes is what a value in the store may take.
-func (h coordinatorHost) MaxValueBytes() int { return h.leader.MaxValueBytes() }
+func (h coordinatorHost) MaxValueBytes() int { return h.leader.records.MaxValueBytes() }
 
 // RaiseFencingToken raises the fencing token to at least this one.
 func (h coordinatorHost) RaiseFencingToken(atLeast uint64) {
@@ -58,12 +58,12 @@
 
 // WriteJobEnd writes the final state of a job.
 func (h coordinatorHost) WriteJobEnd(job *cluster.Job, state wire.JobState) {
-	h.leader.records.writeJobEnd(job, state)
+	h.leader.records.WriteJobEnd(job, state)
 }
 
 // MarkChunkDirty has the record of a chunk of tasks written.
 func (h coordinatorHost) MarkChunkDirty(chunk *cluster.TaskChunk, now micro.Time, priority statestore.Priority) {
-	h.leader.records.chunkRecord(chunk).MarkDirty(now, priority)
+	h.leader.records.ChunkRecord(chunk).MarkDirty(now, priority)
 }
 
 // CancellationPending notes that the end of a cancelled job is to be written once its user
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -44,6 +44,7 @@
 	log := n.Log.With("share", e.Name, "version", e.Version)
 	owner := shard.NewOwner(e, term, self, log.Info)
 	l := newEventLoop(n, term, owner.FirstFencingToken(), log)
+	l.records = newRecords(l, shardOwnerRole{owner, e.Name})
 	l.owner = &ownedShard{
 		Owner: owner, name: e.Name, assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{},
 		finished: map[*cluster.Job]bool{}, cancelling: map[*cluster.Job]bool{},
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -211,9 +211,9 @@
 	l.knownJobs.Delete(id)
 	if job.IsTerminal() {
 		for _, chunk := range job.Chunks {
-			l.records.chunkRecord(chunk).MarkDirty(l.node.Now(), statestore.PriorityLow)
+			l.records.ChunkRecord(chunk).MarkDirty(l.node.Now(), statestore.PriorityLow)
 		}
 	}
-	l.records.dropJob(job)
+	l.records.ForgetJob(job)
 	l.speeds.DropSamples(id)
 }
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -31,7 +31,7 @@
 	now := l.node.Now()
 	for _, ch := range j.Chunks {
 		if ch.MemoryVersion > ch.StoredVersion {
-			l.records.chunkRecord(ch).MarkDirty(now, statestore.PriorityHigh)
+			l.records.ChunkRecord(ch).MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -15,6 +15,7 @@
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/persist"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -99,7 +100,8 @@
 func TestSizesAreMeasuredAsTheStoreCountsThem(t *testing.T) {
 	all := version1Values()
 	all["compact"] = (&cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
-	all["format"], all["node"], all["needs"] = FormatRecord{2, 64}, nodeRecord{2}, dependencyRecord{[]string{"j-1", "j-2"}}
+	all["format"] = persist.FormatRecord{Version: 2, TasksPerChunk: 64}
+	all["node"], all["needs"] = nodeRecord{2}, dependencyRecord{[]string{"j-1", "j-2"}}
 	for _, value := range all {
 		var counted any
 		if err := wire.Unmarshal(wire.MustMarshal(value), &counted); err != nil {
@@ -208,10 +210,10 @@
 			// record stays while it alone says where its tasks are.
 			leader.post(func() {
 				for _, ch := range leader.cluster.Jobs["j-9"].Chunks {
-					leader.records.deleteLegacy(ch.Legacy)
-					leader.records.legacyRecords[ch.Legacy].MarkDirty(node.Now(), statestore.PriorityHigh)
+					leader.records.LegacyRecordSuperseded(ch.Legacy)
+					leader.records.Lookup(keys.LegacyChunk("j-9", ch.Legacy.Index)).MarkDirty(node.Now(), statestore.PriorityHigh)
 				}
-				leader.records.firstProvisioned.MarkDirty(node.Now(), statestore.PriorityHigh)
+				leader.firstProvisionedRecord.MarkDirty(node.Now(), statestore.PriorityHigh)
 			})
 			waitUntil(t, "later writes done", func() bool {
 				_, err := env.store.Get(context.Background(), store.Routine, keys.FirstProvisioned)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -28,13 +28,13 @@
 // The records of the fleet as a whole.
 const (
 	// Speeds holds the estimated speeds of the machine types.
-	Speeds = FleetPrefix + "speed"
+	Speeds = "fleet/speed"
 	// FirstProvisioned names the first machine that the service ever provisioned.
-	FirstProvisioned = FleetPrefix + "first"
+	FirstProvisioned = "fleet/first"
 	// Images is the first page of the machines' images.
-	Images = FleetPrefix + "images"
+	Images = "fleet/images"
 	// Format is the version of the stored forms that is in use.
-	Format = FleetPrefix + "format"
+	Format = "fleet/format"
 )
 
 // CompactMark begins the last part of the key of a chunk's record in the compact form.
