--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -42,7 +42,7 @@
 	for _, name := range namedTest.FindAllString(text, -1) {
 		prefix, open := strings.CutSuffix(strings.TrimSuffix(name, "*"), "…")
 		open = open || strings.HasSuffix(name, "*")
-		if !declared[prefix] && !(open && anyBegins(declared, prefix)) {
+		if !declared[prefix] && (!open || !anyBegins(declared, prefix)) {
 			missing = append(missing, name)
 		}
 	}
@@ -84,7 +84,8 @@
 
 func TestMissingTestsAreFound(t *testing.T) {
 	declared := map[string]bool{"TestOneThatIsThere": true}
-	text := "`TestOneThatIsThere`, `TestOne…`, `TestOneThat*`, `OneThatIsThere`; `TestOneThatIsGone`, TestTwo…, `OneThatIsGone`"
+	text := "`TestOneThatIsThere`, `TestOne…`, `TestOneThat*`, `OneThatIsThere`; " +
+		"`TestOneThatIsGone`, TestTwo…, `OneThatIsGone`"
 	got := strings.Join(missingTests(text, declared), " ")
 	if want := "TestOneThatIsGone TestTwo… OneThatIsGone"; got != want {
 		t.Errorf("missing: %s, want %s", got, want)
--- a/internal/ci/known_red_test.go
+++ b/internal/ci/known_red_test.go
@@ -11,6 +11,7 @@
 // site makes a tiny module with the scripts: in it TestBroken and TestTorn (which
 // panics) fail, and so does TestOther if it is told to.
 func site(t *testing.T) string {
+	t.Helper()
 	dir := t.TempDir()
 	write := func(name, text string) {
 		path := filepath.Join(dir, name)
@@ -21,7 +22,10 @@
 			t.Fatal(err)
 		}
 	}
-	for _, name := range []string{".ci/run", ".ci/lint", ".ci/known-red", "tools/go.mod", "tools/go.sum", "staticcheck.conf", "revive.toml", "revive-product.toml"} {
+	for _, name := range []string{
+		".ci/run", ".ci/lint", ".ci/known-red", "tools/go.mod", "tools/go.sum",
+		"staticcheck.conf", "revive.toml", "revive-product.toml", ".golangci.yml", ".golangci-strict.yml",
+	} {
 		text, err := os.ReadFile(filepath.Join("..", "..", name))
 		if err != nil {
 			t.Fatal(err)
@@ -31,6 +35,8 @@
 	write("go.mod", "module tiny\n\ngo 1.24\n")
 	write("cmd/x/x.go", "// Package x is empty.\npackage x\n")
 	write("wire/x.go", "// Package x is empty.\npackage x\n")
+	write("internal/strict/x.go", "// Package x is empty.\npackage x\n")
+	write(".ci/strict-packages", "# A comment.\ninternal/strict\n")
 	write("internal/x/x_test.go", `// Package x has tests that fail.
 package x
 
@@ -66,13 +72,25 @@
 		{"nothing listed", "", "", false, []string{"--- FAIL: TestBroken "}},
 		{
 			"all that fail are listed", two + "\nTestMended was red, issue 3\n\n", "", true,
-			[]string{"known red: TestBroken failed", "known red: TestTorn failed", "known red: TestMended passed", "ok  \ttiny/internal/x"},
+			[]string{
+				"known red: TestBroken failed", "known red: TestTorn failed",
+				"known red: TestMended passed", "ok  \ttiny/internal/x",
+			},
+		},
+		{
+			"another fails", two + "\n", "OTHER_FAILS=1", false,
+			[]string{"known red: TestTorn failed", "--- FAIL: TestBrokenNoMore "},
+		},
+		{
+			"one that fails is not listed", "TestTorn panics, issue 2\n", "", false,
+			[]string{"--- FAIL: TestBroken "},
 		},
-		{"another fails", two + "\n", "OTHER_FAILS=1", false, []string{"known red: TestTorn failed", "--- FAIL: TestBrokenNoMore "}},
-		{"one that fails is not listed", "TestTorn panics, issue 2\n", "", false, []string{"--- FAIL: TestBroken "}},
 		{"no such test", "TestBroke breaks, issue 1\n", "", false, []string{"no such test: TestBroke"}},
 		{"no cause", "TestBroken\n", "", false, []string{"not a test, its cause and its issue"}},
-		{"a pattern", "TestBroken|TestTorn both, issue 1\n", "", false, []string{"not a test, its cause and its issue"}},
+		{
+			"a pattern", "TestBroken|TestTorn both, issue 1\n", "", false,
+			[]string{"not a test, its cause and its issue"},
+		},
 		{"too many", two + "\nTestMended x\nTestBrokenNoMore y\n", "", false, []string{"at most three"}},
 	} {
 		list := filepath.Join(dir, "KNOWN-RED.txt")
@@ -81,7 +99,7 @@
 		} else if err := os.WriteFile(list, []byte(c.list), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		out, err := runScript(dir, "run", c.env)
+		out, err := runScript(t, dir, "run", c.env)
 		if (err == nil) != c.ok {
 			t.Errorf("%s: %v\n%s", c.name, err, out)
 		}
