--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -366,18 +366,6 @@
 	}
 }
 
-func TestPartitionsAreDistinguishedFromDeadMachines(t *testing.T) {
-	l := &Leader{}
-	for _, c := range []struct {
-		missing, all int
-		died         bool
-	}{{1, 10, true}, {3, 10, true}, {5, 10, false}, {10, 10, false}, {1, 1, false}, {1, 2, true}} {
-		if got := l.indicatesFailure(c.missing, c.all); got != c.died {
-			t.Errorf("%d of %d silent: taken for dead: %v", c.missing, c.all, got)
-		}
-	}
-}
-
 // By age, a machine of the operators' own once looked rented, and a rented one
 // that was gone looked like their own.
 func TestOwnMachinesAreThoseCreatedBeforeTheFirstInstanceRequest(t *testing.T) {
@@ -428,17 +416,17 @@
 	leader.cluster.TermStartedAt = 0
 	machine := leader.cluster.EnsureMachine("i-1", 0)
 	machine.LastHeartbeat = 100 * micro.Second
-	leader.lastTick = 100 * micro.Second
+	leader.detector.ObserveLease(true, 100*micro.Second)
 	leader.lastSweep, leader.lastPlan, leader.lastSpeedWrite = 2000*micro.Second, 2000*micro.Second, 2000*micro.Second
 	leader.term.End()
 	leader.tick(101 * micro.Second)
 	leader.term = election.NewTerm(9, 1000*micro.Second)
 	leader.tick(120 * micro.Second)
-	if q := leader.sinceHeartbeat(machine, 122*micro.Second); q != 2*micro.Second {
+	if q := leader.detector.SinceHeartbeat(machine, 122*micro.Second); q != 2*micro.Second {
 		t.Errorf("silent for %v s after 2 s of listening", q.Seconds())
 	}
 	leader.tick(123 * micro.Second) // the process got no time for 3 s
-	if q := leader.sinceHeartbeat(machine, 124*micro.Second); q != micro.Second {
+	if q := leader.detector.SinceHeartbeat(machine, 124*micro.Second); q != micro.Second {
 		t.Errorf("silent for %v s", q.Seconds())
 	}
 }
--- a/internal/controller/dispatch_host.go
+++ b/internal/controller/dispatch_host.go
@@ -19,7 +19,7 @@
 }
 
 // HeartbeatReceived notes that an agent reached this node.
-func (h dispatchHost) HeartbeatReceived() { h.leader.heartbeatsReceived++ }
+func (h dispatchHost) HeartbeatReceived() { h.leader.detector.CountHeartbeat() }
 
 // Resign ends the term.
 func (h dispatchHost) Resign(reason string) { h.leader.resign(reason) }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -11,6 +11,7 @@
 
 	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
@@ -42,10 +43,10 @@
 	objectives               *scheduler.Objectives
 	records                  *persist.Records
 	dispatcher               *dispatch.Dispatcher
+	detector                 *detector.Detector
 	schedulePending          bool
 	lastSchedule             micro.Time
 	scheduleInterval         micro.Time // least time between passes, by what the last one took
-	overrunCursor            int        // next machine to look over for overrunning tasks
 	lastSweep                micro.Time
 	lastPlan                 micro.Time
 	lastSpeedWrite           micro.Time
@@ -60,15 +61,8 @@
 	pendingTerminations      map[*cluster.Machine]uint64 // machines to be returned, with the version of their rental's record that must be stored before
 	renewalBound             *leasekeeper.RenewalBound
 	fencedZones              atomic.Pointer[map[string]bool] // zones whose keepers are not answered; nil: all
-	suspectedZones           map[string]micro.Time           // when a zone was last missing too much to be taken for dead machines
 	pendingCancellations     map[*cluster.Job]bool           // withdrawn jobs whose users are not told yet
 	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with places not proven free
-	leaseLapsed              bool
-	resumedAt                micro.Time // when this node last came to listen again
-	lastTick                 micro.Time
-	unreachableSince         micro.Time   // since when no worker reports; 0: some do
-	heartbeatsReceived       uint64       // reports heard from workers
-	heartbeatGap             heartbeatGap // how long none has come
 	cancellationWaiters      map[string][]chan httpapi.Reply
 	dependencyLookups        map[string]bool // awaited jobs to be looked up in the store
 	recovered                bool            // the takeover has read everything
@@ -110,7 +104,6 @@
 		pendingTerminations:      map[*cluster.Machine]uint64{},
 		cancellationWaiters:      map[string][]chan httpapi.Reply{},
 		dependencyLookups:        map[string]bool{},
-		suspectedZones:           map[string]micro.Time{},
 		pendingCancellations:     map[*cluster.Job]bool{},
 		unconfirmedCancellations: map[*cluster.Job]bool{},
 	}
@@ -136,6 +129,10 @@
 		Cluster: l.cluster, Loop: l.loop, Sender: node.Agent, Log: l.log,
 		Now: func() micro.Time { return node.Now() }, Host: dispatchHost{l},
 	})
+	l.detector = detector.New(detector.Dependencies{
+		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: maxInventoryAge,
+		FencingTokens: l.dispatcher, Handovers: &node.handovers, Host: detectorHost{l},
+	})
 	return l
 }
 
@@ -218,7 +215,7 @@
 )
 
 func (l *Leader) tick(now micro.Time) {
-	if !l.checkLease(now) {
+	if !l.detector.ObserveLease(l.holdsLease(), now) {
 		return
 	}
 	if now-l.lastSweep >= 500*micro.Millisecond {
@@ -255,20 +252,6 @@
 	l.dispatcher.CheckToken(now)
 }
 
-// checkLease reports whether the right to act holds, and notes when it came back.
-func (l *Leader) checkLease(now micro.Time) bool {
-	if !l.holdsLease() {
-		l.leaseLapsed = true
-		return false
-	}
-	if l.leaseLapsed || now-l.lastTick > 2*micro.Second {
-		// The right lapsed, or this process got no time: workers were not heard.
-		l.leaseLapsed, l.resumedAt, l.heartbeatGap = false, now, heartbeatGap{}
-	}
-	l.lastTick = now
-	return true
-}
-
 // planInterval is how often rentals are planned: more often while nothing is there
 // to place work on.
 func (l *Leader) planInterval() micro.Time {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -17,6 +17,7 @@
 	"notchmux.dev/notchmux/internal/agent"
 	"notchmux.dev/notchmux/internal/cloud"
 	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
@@ -51,7 +52,7 @@
 	health           healthMonitor
 	leaseProxy       leasekeeper.Proxy
 	formatGate       atomic.Int32 // a GateState
-	lastHandover     atomic.Pointer[leadershipHandover]
+	handovers        detector.Handovers
 	acceptedIDs      sync.Map // ids of jobs known to have been accepted
 	acceptedIDCount  atomic.Int64
 
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -7,56 +7,6 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// sweepInterval is how often these tests look for reports, as the leader's scan does.
-const sweepInterval = 500 * micro.Millisecond
-
-// sweepsUntilGapTooLong counts the looks, without a report between them, after which the
-// silence of so many live workers is too long; at most so many looks are made.
-func sweepsUntilGapTooLong(s *heartbeatGap, up, most int, from micro.Time) int {
-	const interval = 7500 * micro.Millisecond
-	s.exceeded(1, up, from, interval)
-	for n := 1; n <= most; n++ {
-		if s.exceeded(1, up, from+micro.Time(n)*sweepInterval, interval) {
-			return n
-		}
-	}
-	return 0
-}
-
-func TestHeartbeatGapOfAllAgentsIsTooLongByTheHeartbeatsDue(t *testing.T) {
-	for _, row := range []struct{ up, looks int }{
-		{1500, 5}, // 2.5 s, the shortest spell
-		{60, 10},  // 40 reports of 60 workers that report each 7.5 s take 5 s
-		{10, 0},   // single machines are found silent sooner
-		{0, 0},
-	} {
-		s := heartbeatGap{}
-		if got := sweepsUntilGapTooLong(&s, row.up, 20, micro.Second); got != row.looks {
-			t.Errorf("%d workers: too long after %d looks, want %d", row.up, got, row.looks)
-		}
-	}
-}
-
-func TestOneHeartbeatEndsAGap(t *testing.T) {
-	s := heartbeatGap{}
-	const interval = 7500 * micro.Millisecond
-	for n := range micro.Time(40) { // one report in each second look
-		if s.exceeded(uint64(n/2), 1500, micro.Second+n*sweepInterval, interval) {
-			t.Fatalf("look %d: too long while workers report", n)
-		}
-	}
-}
-
-// A process that stood still has not listened in that time, however long it was.
-func TestTimeWithoutTheProcessorIsNoHeartbeatGap(t *testing.T) {
-	s := heartbeatGap{}
-	const interval = 7500 * micro.Millisecond
-	s.exceeded(1, 1500, micro.Second, interval)
-	if s.exceeded(1, 1500, 31*micro.Second, interval) {
-		t.Fatal("one look after 30 s counts as 30 s of listening")
-	}
-}
-
 // A leader of many workers loses all of them at once, and nothing else. Single
 // machines count as silent after 7.75 s, the last of them 3.75 s later; another node
 // must lead well before, and no task may begin twice.
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -96,7 +96,7 @@
 	m.requests = used.reads.Load() + used.commits.Load() - requests
 	for reports := 0; reports == 0; time.Sleep(time.Millisecond) {
 		read := make(chan struct{})
-		next.post(func() { reports = int(next.heartbeatsReceived); close(read) })
+		next.post(func() { reports = int(next.detector.Heartbeats()); close(read) })
 		<-read
 	}
 	m.untilFirstAnswer = w.now() - from
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -81,7 +81,7 @@
 // tickShardOwner is what an owner does from time to time.
 func (l *Leader) tickShardOwner(now micro.Time) {
 	l.reconcileTransfer(now)
-	if !l.checkLease(now) {
+	if !l.detector.ObserveLease(l.holdsLease(), now) {
 		return
 	}
 	if now-l.lastPlan >= micro.Second {
--- a/internal/controller/zone_cut_test.go
+++ b/internal/controller/zone_cut_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -111,7 +112,7 @@
 	} else {
 		// No leader outside hears a worker: each hands over in vain before one stays,
 		// and counts what keepers may have renewed from its takeover.
-		most += micro.Time(len(sim.controllersOutside(zone))*maxHandovers) * sim.handoverBound()
+		most += micro.Time(len(sim.controllersOutside(zone))*detector.MaxHandovers) * sim.handoverBound()
 	}
 	sim.sleep(5 * micro.Second)
 	from := sim.now()
--- /dev/null
+++ b/internal/detector/detector_test.go
@@ -0,0 +1,256 @@
+package detector
+
+import (
+	"fmt"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/wire"
+)
+
+// noEffects is a cluster's effects where none matters.
+type noEffects struct{}
+
+func (noEffects) ChunkDirty(*cluster.TaskChunk)                           {}
+func (noEffects) ChunkUrgent(*cluster.TaskChunk)                          {}
+func (noEffects) DispatchSoon(*cluster.Machine)                           {}
+func (noEffects) JobFinished(*cluster.Job)                                {}
+func (noEffects) DependencyAborted(*cluster.Job)                          {}
+func (noEffects) DependencyUnknown(string)                                {}
+func (noEffects) AttemptCompleted(*cluster.Allocation, micro.Time)        {}
+func (noEffects) ChunkMigrated(*cluster.TaskChunk, *cluster.LegacyRecord) {}
+func (noEffects) LegacyRecordSuperseded(*cluster.LegacyRecord)            {}
+func (noEffects) ScheduleSoon()                                           {}
+func (noEffects) Log(string, ...any)                                      {}
+
+// fakeHost notes what a detector asks for.
+type fakeHost struct {
+	inventoryReadAt micro.Time
+	shardKnown      bool
+	terminated      map[string]string // reasons, by machine
+	handovers       int
+}
+
+func (h *fakeHost) InventoryReadAt() micro.Time                          { return h.inventoryReadAt }
+func (h *fakeHost) ShardMachinesKnown(*cluster.Machine, micro.Time) bool { return h.shardKnown }
+func (h *fakeHost) HandOver(micro.Time)                                  { h.handovers++ }
+func (h *fakeHost) Terminate(machine *cluster.Machine, reason string) {
+	h.terminated[machine.Name] = reason
+}
+
+type fixedToken uint64
+
+func (t fixedToken) FencingToken() uint64 { return uint64(t) }
+
+const (
+	termStart = 10000 * micro.Second
+	token     = fixedToken(100)
+)
+
+// testDetector is a detector of a term that has just started, without machines.
+type testDetector struct {
+	*Detector
+	host *fakeHost
+}
+
+func newTestDetector() *testDetector {
+	cfg := &config.Config{Properties: config.Defaults()}
+	cfg.Node, cfg.Peers = "n-0", []config.Peer{{Node: "n-1"}, {Node: "n-2"}}
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.Cloud.ListLagS = 30, 6, 5
+	cfg.DeriveDefaults()
+	state := cluster.New(noEffects{})
+	state.TermStartedAt, state.LeaseDuration = termStart, 31*micro.Second
+	state.MinFencingToken = uint64(token)
+	test := &testDetector{host: &fakeHost{terminated: map[string]string{}}}
+	test.Detector = New(Dependencies{
+		Cluster: state, Config: cfg, MaxInventoryAge: 20 * micro.Second, FencingTokens: token,
+		Handovers: &Handovers{}, Host: test.host,
+	})
+	test.ObserveLease(true, termStart)
+	return test
+}
+
+// addMachines adds machines of one zone; prepare sets what is known of each.
+func (test *testDetector) addMachines(from, to int, prepare func(*cluster.Machine)) {
+	for i := from; i < to; i++ {
+		machine := test.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), termStart)
+		test.cluster.DescribeMachine(machine, "small", "a", false)
+		prepare(machine)
+	}
+}
+
+// heardAt makes a machine one that is up, and was last heard at a time.
+func (test *testDetector) heardAt(at micro.Time) func(*cluster.Machine) {
+	return func(machine *cluster.Machine) {
+		test.cluster.TransitionMachine(machine, cluster.Up, "for a test")
+		machine.LastHeartbeat = at
+	}
+}
+
+func TestMachinesThatDieAreTerminatedAndPartitionedOnesAreNot(t *testing.T) {
+	for name, row := range map[string]struct{ missing, terminated int }{
+		"a few of a zone died": {missing: 3, terminated: 3},
+		"half of a zone":       {missing: 5, terminated: 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			test := newTestDetector()
+			at := termStart + micro.Minute
+			test.ObserveLease(true, at-micro.Second)
+			test.listening.resumedAt = termStart
+			test.addMachines(0, row.missing, test.heardAt(at-20*micro.Second))
+			test.addMachines(row.missing, 10, test.heardAt(at))
+			test.Sweep(at)
+			if got := len(test.host.terminated); got != row.terminated {
+				t.Errorf("terminated: %v", test.host.terminated)
+			}
+			for i := range row.missing {
+				machine := test.cluster.Machines[fmt.Sprintf("i-%06d", i)]
+				if machine.State != cluster.Suspect || machine.RequiredFencingToken != uint64(token)+1 {
+					t.Errorf("%s: %v, required token %d", machine.Name, machine.State, machine.RequiredFencingToken)
+				}
+			}
+		})
+	}
+}
+
+// A leader that no agent reaches has another take over, once it has found so for a while.
+func TestLeaderThatNoAgentReachesHandsOver(t *testing.T) {
+	test := newTestDetector()
+	test.addMachines(0, 4, test.heardAt(termStart))
+	at := termStart + micro.Minute
+	test.listening.resumedAt = termStart
+	test.Sweep(at)
+	if test.host.handovers != 0 {
+		t.Fatal("handed over at once")
+	}
+	test.Sweep(at + minUnreachableTime + 1)
+	if test.host.handovers != 1 {
+		t.Errorf("%d handovers", test.host.handovers)
+	}
+}
+
+func TestMachinesThatNeverRegisteredAreGivenUpForAReason(t *testing.T) {
+	at := termStart + 10*micro.Minute
+	boot := defaultBootTime
+	for name, row := range map[string]struct {
+		listed micro.Time // when it was last listed; 0: never
+		state  wire.MachineState
+		age    micro.Time
+		want   string
+	}{
+		"requested just now": {age: micro.Second},
+		"never listed":       {age: 9 * boot, want: "never listed, no heartbeat"},
+		"no longer listed": {
+			listed: at - micro.Minute, state: wire.MachineRunning, age: 2 * boot, want: "no longer listed, no heartbeat",
+		},
+		"boots":              {listed: at, state: wire.MachineBooting, age: boot},
+		"boots for too long": {listed: at, state: wire.MachineBooting, age: 9 * boot, want: "did not come up"},
+		"runs, not for long": {listed: at, state: wire.MachineRunning, age: 2 * boot},
+		"runs for long": {
+			listed: at, state: wire.MachineRunning, age: 9 * boot, want: "listed as running, no heartbeat",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			test := newTestDetector()
+			test.host.inventoryReadAt = at
+			test.addMachines(0, 1, func(machine *cluster.Machine) {
+				machine.LastListed, machine.CloudState, machine.RequestedAt = row.listed, row.state, at-row.age
+			})
+			test.addMachines(1, 10, test.heardAt(at))
+			test.Sweep(at)
+			if got := test.host.terminated["i-000000"]; got != row.want {
+				t.Errorf("reason %q, want %q", got, row.want)
+			}
+		})
+	}
+}
+
+// Where all machines had died, the nodes once handed the leadership round for ever.
+func TestHandoversInVainEnd(t *testing.T) {
+	const window = 60 * micro.Second
+	handovers := &Handovers{}
+	at := termStart
+	for n := range MaxHandovers {
+		if !handovers.Begin(at, at-micro.Second, window) {
+			t.Fatalf("handover %d refused", n)
+		}
+		at += 30 * micro.Second
+	}
+	if handovers.Begin(at, at-micro.Second, window) {
+		t.Error("one more after as many in vain")
+	}
+	at += 3 * window
+	if !handovers.Begin(at, at-micro.Second, window) {
+		t.Error("refused long after the others")
+	}
+	for range MaxHandovers {
+		handovers.Begin(at, at, window)
+	}
+	handovers.Reset()
+	if !handovers.Begin(at, at, window) {
+		t.Error("refused though agents reached this node meanwhile")
+	}
+}
+
+// sweepInterval is how often these tests look for reports, as the leader's scan does.
+const sweepInterval = 500 * micro.Millisecond
+
+// sweepsUntilGapTooLong counts the looks, without a report between them, after which the
+// silence of so many live workers is too long; at most so many looks are made.
+func sweepsUntilGapTooLong(s *heartbeatGap, up, most int, from micro.Time) int {
+	const interval = 7500 * micro.Millisecond
+	s.exceeded(1, up, from, interval)
+	for n := 1; n <= most; n++ {
+		if s.exceeded(1, up, from+micro.Time(n)*sweepInterval, interval) {
+			return n
+		}
+	}
+	return 0
+}
+
+func TestHeartbeatGapOfAllAgentsIsTooLongByTheHeartbeatsDue(t *testing.T) {
+	for _, row := range []struct{ up, looks int }{
+		{1500, 5}, // 2.5 s, the shortest spell
+		{60, 10},  // 40 reports of 60 workers that report each 7.5 s take 5 s
+		{10, 0},   // single machines are found silent sooner
+		{0, 0},
+	} {
+		s := heartbeatGap{}
+		if got := sweepsUntilGapTooLong(&s, row.up, 20, micro.Second); got != row.looks {
+			t.Errorf("%d workers: too long after %d looks, want %d", row.up, got, row.looks)
+		}
+	}
+}
+
+func TestOneHeartbeatEndsAGap(t *testing.T) {
+	s := heartbeatGap{}
+	const interval = 7500 * micro.Millisecond
+	for n := range micro.Time(40) { // one report in each second look
+		if s.exceeded(uint64(n/2), 1500, micro.Second+n*sweepInterval, interval) {
+			t.Fatalf("look %d: too long while workers report", n)
+		}
+	}
+}
+
+// A process that stood still has not listened in that time, however long it was.
+func TestTimeWithoutTheProcessorIsNoHeartbeatGap(t *testing.T) {
+	s := heartbeatGap{}
+	const interval = 7500 * micro.Millisecond
+	s.exceeded(1, 1500, micro.Second, interval)
+	if s.exceeded(1, 1500, 31*micro.Second, interval) {
+		t.Fatal("one look after 30 s counts as 30 s of listening")
+	}
+}
+
+func TestPartitionsAreDistinguishedFromDeadMachines(t *testing.T) {
+	for _, c := range []struct {
+		missing, all int
+		died         bool
+	}{{1, 10, true}, {3, 10, true}, {5, 10, false}, {10, 10, false}, {1, 1, false}, {1, 2, true}} {
+		if got := indicatesFailure(c.missing, c.all); got != c.died {
+			t.Errorf("%d of %d silent: taken for dead: %v", c.missing, c.all, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/detector/reachability.go
@@ -0,0 +1,114 @@
+package detector
+
+import (
+	"sync/atomic"
+
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/micro"
+)
+
+const (
+	// minSuspectMachines is how many machines must be suspect before a leader none of whose
+	// machines is up doubts itself.
+	minSuspectMachines = 3
+	// minUnreachableTime is for how long it must find none up.
+	minUnreachableTime = micro.Second
+)
+
+// checkReachability hands over to another node if no agent reaches this one: it may
+// be partitioned from them, and their leases run.
+func (d *Detector) checkReachability(up, suspect int, now micro.Time) {
+	gapExceeded := d.gap.exceeded(d.heartbeats, up, now, d.config.MaxHeartbeatInterval())
+	if up > 0 && !gapExceeded {
+		d.handovers.Reset()
+	}
+	if len(d.config.Peers) == 0 || !gapExceeded && (up > 0 || suspect < minSuspectMachines) {
+		d.unreachableSince = 0
+		return
+	}
+	if d.unreachableSince == 0 {
+		d.unreachableSince = now
+	}
+	if !gapExceeded && now-d.unreachableSince <= minUnreachableTime {
+		return
+	}
+	d.unreachableSince = 0
+	d.host.HandOver(now)
+}
+
+// Handovers remembers, across a node's terms, when it last handed the leadership over because
+// no agent reached it, and how often in a row. Where all machines had died, the nodes once
+// handed the leadership round for ever: no term lasted long enough to find them dead, and to
+// request others. One that has tried the others in vain stays. The zero value is ready; any
+// goroutine may call it.
+type Handovers struct{ last atomic.Pointer[handover] }
+
+type handover struct {
+	at    micro.Time
+	count int
+}
+
+// MaxHandovers leaves each of the others its chance, whoever is elected first.
+const MaxHandovers = 2
+
+// maxUnreachableTerm is how long a term lasts beside the time until machines count as suspect
+// where no agent reaches the leader: election, failover and handover. With 5 s for it,
+// four nodes whose machines were all dead came round just too late to remember that they
+// had handed over before, and none ever stayed.
+const maxUnreachableTerm = 10 * micro.Second
+
+// HandoverWindow is how soon a node leads again if no agent reaches any of the others either.
+func HandoverWindow(cfg *config.Config) micro.Time {
+	return micro.Time(len(cfg.Peers)+1) * (cfg.SuspectAfter + maxUnreachableTerm)
+}
+
+// Reset notes that agents reach this node.
+func (h *Handovers) Reset() { h.last.Store(nil) }
+
+// Begin notes a handover, in a term that started at the given time, unless as many in a row,
+// each within the window of the one before, were in vain: then it returns false.
+func (h *Handovers) Begin(now, termStartedAt, window micro.Time) bool {
+	previous := h.last.Load()
+	if previous == nil || termStartedAt-previous.at > window {
+		previous = &handover{}
+	}
+	if previous.count == MaxHandovers {
+		return false
+	}
+	h.last.Store(&handover{now, previous.count + 1})
+	return true
+}
+
+// heartbeatGap watches for a time in which no agent at all sends heartbeats. Single machines
+// count as suspect only after a late heartbeat and a lost response; but when hundreds of
+// live agents send theirs every few seconds, two seconds without any cannot
+// be chance: the leader is partitioned from its agents. Found by single machines
+// alone, that took twice a heartbeat interval, in which nothing started and no
+// completion was heard.
+type heartbeatGap struct {
+	heartbeats uint64     // how many there had been at the last look
+	checkedAt  micro.Time // when that was
+	duration   micro.Time // how long none has come, as far as this node listened
+}
+
+const (
+	// minHeartbeatGap is the shortest gap that counts: links stall for a second.
+	minHeartbeatGap = 2500 * micro.Millisecond
+	// minMissedHeartbeats is how many heartbeats the live agents must have owed in it.
+	minMissedHeartbeats = 40
+	// maxGapStep bounds what one look adds: a node that got no processor time
+	// has not listened.
+	maxGapStep = 600 * micro.Millisecond
+)
+
+// exceeded takes in a look, by the number of heartbeats so far and of machines that
+// are up, and tells whether the gap is this node's own fault.
+func (s *heartbeatGap) exceeded(heartbeats uint64, up int, now, longestInterval micro.Time) bool {
+	listened := min(now-s.checkedAt, maxGapStep)
+	if heartbeats != s.heartbeats || s.checkedAt == 0 {
+		listened, s.duration = 0, 0
+	}
+	s.heartbeats, s.checkedAt = heartbeats, now
+	s.duration += listened
+	return s.duration >= minHeartbeatGap && micro.Time(up)*s.duration >= minMissedHeartbeats*longestInterval
+}
