--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -72,10 +72,7 @@
 		return
 	}
 	job := allocation.Job
-	machine.UsedCPU += job.Spec.CPUs
-	machine.UsedGPU += job.Spec.GPUs
-	machine.UsedMemoryGB += job.Spec.MemoryGB
-	machine.UsedScaledCPU += allocation.ScaledCPU
+	machine.CountUse(allocation.resources(), 1)
 	machine.account(allocation, 1)
 	s.updatePool(machine)
 	s.chargeQuota(job, 1)
@@ -87,18 +84,13 @@
 	chunk.Allocations = append(chunk.Allocations, allocation)
 }
 
-// returnResources undoes reserve. A machine without allocations counts exactly nothing,
-// whatever rounding has left.
+// returnResources undoes reserve.
 func (s *State) returnResources(allocation *Allocation) {
 	machine, job := allocation.Machine, allocation.Job
-	machine.UsedCPU -= job.Spec.CPUs
-	machine.UsedGPU -= job.Spec.GPUs
-	machine.UsedMemoryGB -= job.Spec.MemoryGB
-	machine.UsedScaledCPU -= allocation.ScaledCPU
+	machine.CountUse(allocation.resources(), -1)
 	machine.account(allocation, -1)
 	if len(machine.Allocations) == 0 {
-		machine.UsedCPU, machine.UsedGPU, machine.UsedMemoryGB, machine.UsedScaledCPU = 0, 0, 0, 0
-		machine.UsedByPriority, machine.UsedByStopping = [priorityLevels]Resources{}, Resources{}
+		machine.ClearUse()
 	}
 	s.updatePool(machine)
 	s.chargeQuota(job, -1)
--- a/internal/cluster/allocation_lifecycle.go
+++ b/internal/cluster/allocation_lifecycle.go
@@ -5,38 +5,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// AllocationState is the state of one attempt's place on a machine.
-type AllocationState uint8
-
-// The states of a place.
-const (
-	Planned  AllocationState = iota // decided; its record is being written
-	Starting                        // written; the start may have been sent
-	Fetching
-	Waiting
-	Running
-	Checkpointing
-	Released // proven free
-)
-
-func (s AllocationState) String() string {
-	return [...]string{"planned", "starting", "fetching", "waiting", "running", "saving", "ended"}[s]
-}
-
-// allocationTransitions lists the states that may follow each state. Released is final. A
-// heartbeat may skip states, since agents report what is, not each change.
-var allocationTransitions = transitions[AllocationState]{
-	Planned:       {Starting, Released, Fetching, Waiting, Running, Checkpointing},
-	Starting:      {Fetching, Waiting, Running, Checkpointing, Released},
-	Fetching:      {Waiting, Running, Checkpointing, Released},
-	Waiting:       {Running, Checkpointing, Released, Fetching},
-	Running:       {Checkpointing, Released},
-	Checkpointing: {Released},
-}
-
 // transitionAllocation is the one place where a place's state changes.
 func (s *State) transitionAllocation(allocation *Allocation, to AllocationState) bool {
-	if allocation.State == to || !allocationTransitions.allow(allocation.State, to) {
+	if allocation.State == to || !allocation.State.MayBecome(to) {
 		return false
 	}
 	previous := allocation.State
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -12,7 +12,7 @@
 // NeverAllocated reports whether none of a job's tasks ever had a place: only such a job may
 // be assigned, or handed back.
 func (j *Job) NeverAllocated() bool {
-	if j.AllocationCount > 0 || j.DoneTasks > 0 || j.firstUnqueued > 0 {
+	if j.AllocationCount > 0 || j.DoneTasks > 0 || !j.NeverDequeued() {
 		return false
 	}
 	for _, chunk := range j.Chunks {
@@ -101,26 +101,6 @@
 	}
 }
 
-// ReclaimChunk reads a record of a share's owner into a job whose places are this
-// controller's from now on. The record of its own is still to be written.
-func (s *State) ReclaimChunk(job *Job, index int, record *CompactRecord, now micro.Time) {
-	if index < 0 || index >= len(job.Chunks) {
-		return
-	}
-	expanded, ok := record.Expand()
-	if !ok {
-		s.Log("record not understood", "job", job.Spec.ID, "chunk", index)
-		return
-	}
-	for _, entry := range expanded.Allocations {
-		s.AcquireMachine(s.EnsureMachine(entry.Machine, now), now)
-	}
-	s.restoreTasks(
-		job, &expanded, func(i int) bool { return i >= 0 && i < len(job.Tasks) && i/job.tasksPerChunk == index }, now,
-	)
-	job.Chunks[index].MemoryVersion++
-}
-
 // ReleaseQuota gives back what a job in a share has reserved beyond what its tasks may still
 // need at once.
 func (s *State) ReleaseQuota(job *Job, needed int) {
--- a/internal/cluster/record.go
+++ b/internal/cluster/chunk.go
@@ -1,55 +1,22 @@
 package cluster
 
 import (
-	"encoding/json"
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster/records"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
 
-// AllocationRecord is a taken place in a chunk's record.
-type AllocationRecord struct {
-	//lint:ignore U1000 the codec reads its tag: a list without field names, since records are written often
-	_msgpack struct{} `msgpack:",as_array"`
-
-	Index   int
-	Attempt wire.Count
-	Machine string
-	Session wire.Count
-	Zone    string
-}
-
-// MarshalJSON gives the form that the store's limits count: a list, as in the
-// store. With its fields' names, records that fit were once put aside as too large.
-func (r AllocationRecord) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{r.Index, r.Attempt, r.Machine, r.Session, r.Zone})
-}
-
-// ChunkRecord is a chunk of tasks as the store keeps it.
-type ChunkRecord struct {
-	Allocations []AllocationRecord `msgpack:"p" json:"p"`
-	Done        [][2]int           `msgpack:"d" json:"d"` // first and last of each range
-	Attempts    [][2]int           `msgpack:"t" json:"t"` // task and attempt, where no place is taken
-}
-
-// FinalStatusRecord is the end of a job: created once, the first one wins.
-type FinalStatusRecord struct {
-	State wire.JobState `msgpack:"state" json:"state"`
-
-	// EndedAt is on the wall clock, in microseconds: the clocks of the job's dependents start then.
-	EndedAt int64 `msgpack:"at,omitempty" json:"at,omitempty"`
-}
-
 // Record builds the chunk's record from the model.
-func (c *TaskChunk) Record() ChunkRecord {
-	record := ChunkRecord{Allocations: []AllocationRecord{}, Done: [][2]int{}, Attempts: [][2]int{}}
+func (c *TaskChunk) Record() records.Chunk {
+	record := records.Chunk{Allocations: []records.Allocation{}, Done: [][2]int{}, Attempts: [][2]int{}}
 	allocated := map[int]bool{}
 	for _, allocation := range c.Allocations {
 		allocated[allocation.Index] = true
 		record.Allocations = append(
 			record.Allocations,
-			AllocationRecord{
+			records.Allocation{
 				Index: allocation.Index, Attempt: wire.Count(allocation.Attempt), Machine: allocation.Machine.Name,
 				Session: wire.Count(allocation.AgentEpoch), Zone: allocation.Machine.Zone,
 			},
@@ -75,37 +42,51 @@
 	return record
 }
 
-// RestoreChunk reads a chunk's record, in its first form, into a job that was just
-// added. Every place in it counts as taken, with a start that may still be under
-// way; but no start of this term goes out for it. The records lag behind what the
-// earlier leader knew: a place that it had given up, or had taken for a late copy
-// of a report, was started anew under the next one, beside what had taken its
-// part of the limit, or beside the task itself elsewhere. What a record in the
-// later form covers is left to that.
-func (s *State) RestoreChunk(job *Job, index int, record *ChunkRecord, keyRevision uint64, now micro.Time) {
-	if index < 0 || index*LegacyTasksPerChunk >= len(job.Tasks) {
+// RestoreCompactChunk reads a chunk's record in the compact form. It comes before the records
+// of the first form, which it stands for.
+func (s *State) RestoreCompactChunk(
+	job *Job, index int, record *records.CompactChunk, keyRevision uint64, now micro.Time,
+) {
+	if expanded, ok := s.expandChunk(job, index, record); ok {
+		job.Chunks[index].KeyRevision = keyRevision
+		s.restoreTasks(job, expanded, job.chunkIncludes(index), now)
+		job.Chunks[index].Stored = true
+	}
+}
+
+// ReclaimChunk reads a record of a shard's owner into a job whose allocations are this
+// controller's from now on. The record of its own is still to be written.
+func (s *State) ReclaimChunk(job *Job, index int, record *records.CompactChunk, now micro.Time) {
+	expanded, ok := s.expandChunk(job, index, record)
+	if !ok {
 		return
 	}
-	if job.tasksPerChunk == LegacyTasksPerChunk && !s.CompactRecords {
-		job.Chunks[index].KeyRevision = keyRevision
-	} else {
-		legacy := &LegacyRecord{Job: job, Index: index, KeyRevision: keyRevision}
-		for _, chunk := range job.chunksOfLegacyRecord(index) {
-			chunk.Legacy = legacy
-			if !chunk.Stored {
-				legacy.PendingChunks++
-			}
-		}
-		s.LegacyRecordSuperseded(legacy)
+	for _, entry := range expanded.Allocations {
+		s.AcquireMachine(s.EnsureMachine(entry.Machine, now), now)
 	}
-	includes := func(i int) bool {
-		return i >= 0 && i < len(job.Tasks) && i/LegacyTasksPerChunk == index && !job.Chunk(i).Stored
+	s.restoreTasks(job, expanded, job.chunkIncludes(index), now)
+	job.Chunks[index].MemoryVersion++
+}
+
+// expandChunk reads a compact record; false if the job has no such chunk, or it makes no sense.
+func (s *State) expandChunk(job *Job, index int, record *records.CompactChunk) (*records.Chunk, bool) {
+	if index < 0 || index >= len(job.Chunks) {
+		return nil, false
+	}
+	expanded, ok := record.Expand()
+	if !ok {
+		s.Log("record not understood", "job", job.Spec.ID, "chunk", index)
 	}
-	s.restoreTasks(job, record, includes, now)
+	return &expanded, ok
+}
+
+// chunkIncludes tells which tasks a chunk holds.
+func (j *Job) chunkIncludes(index int) func(task int) bool {
+	return func(task int) bool { return task >= 0 && task < len(j.Tasks) && task/j.tasksPerChunk == index }
 }
 
 // restoreTasks reads a record's tasks into a job, as far as they are included.
-func (s *State) restoreTasks(job *Job, record *ChunkRecord, includes func(i int) bool, now micro.Time) {
+func (s *State) restoreTasks(job *Job, record *records.Chunk, includes func(i int) bool, now micro.Time) {
 	for _, attempt := range record.Attempts {
 		if includes(attempt[0]) {
 			job.Tasks[attempt[0]].Attempt = uint32(attempt[1])
@@ -135,7 +116,7 @@
 }
 
 // restoreAllocation takes an allocation over from its record.
-func (s *State) restoreAllocation(job *Job, entry *AllocationRecord, now micro.Time) {
+func (s *State) restoreAllocation(job *Job, entry *records.Allocation, now micro.Time) {
 	task := &job.Tasks[entry.Index]
 	if job.State == Active && !task.Done {
 		s.dequeue(job, entry.Index)
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -10,7 +10,7 @@
 // a heartbeat. Called on the goroutine that owns the state.
 func (s *State) Commands(machine *Machine, token uint64, dispatched bool, _ micro.Time) []wire.Command {
 	var commands []wire.Command
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		switch {
 		case allocation.needsStop():
 			commands = append(commands, allocation.stopCommand())
--- a/internal/cluster/contact.go
+++ b/internal/cluster/contact.go
@@ -1,8 +1,26 @@
 package cluster
 
 import (
+	"notchmux.dev/notchmux/internal/cluster/contact"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/wire"
+)
+
+type (
+	// Contact is what is known of a machine's agent by its messages, and of its lease.
+	Contact = contact.Contact
+	// Source says how an agent's message came.
+	Source = contact.Source
+	// Outcome says what became of a message.
+	Outcome = contact.Outcome
+)
+
+// See contact.Source and contact.Outcome.
+const (
+	FromHeartbeat        = contact.FromHeartbeat
+	FromDispatchResponse = contact.FromDispatchResponse
+	Applied              = contact.Applied
+	Stale                = contact.Stale
+	Refused              = contact.Refused
 )
 
 // latestLeaseStart is the latest time from which the worker's lease may count: the last
@@ -15,35 +33,15 @@
 
 // ResponseSent notes the token of an answer that went out in good time; 0: it may have
 // come too late for the worker to take it.
-func (s *State) ResponseSent(machine *Machine, token uint64) { machine.lastResponseToken = token }
+func (s *State) ResponseSent(machine *Machine, token uint64) { machine.SetLastResponse(token) }
 
 // WouldProveAlive reports whether a machine was heard, but has yet to show a token that
 // proves it alive, and the given one would.
 func (m *Machine) WouldProveAlive(token uint64) bool {
-	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LastHeartbeat > 0 &&
-		m.FencingToken < m.RequiredFencingToken &&
+	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LacksProofOfLife() &&
 		m.RequiredFencingToken <= token
 }
 
-// responsesLostAfter is how many reports in a row show that answers do not arrive.
-const responsesLostAfter = 3
-
-// trackResponseReceipt looks whether a report's worker has taken the answer before. Its next
-// report is sent only after that answer, or after the worker gave it up.
-func (s *State) trackResponseReceipt(machine *Machine, token uint64) {
-	if machine.lastResponseToken == 0 || token < machine.lastResponseToken {
-		if machine.lastResponseToken > 0 {
-			machine.MissedResponses++
-		}
-		return
-	}
-	machine.MissedResponses = 0
-	s.SetResponsesLost(machine, false, 0)
-}
-
-// ResponsesLikelyLost reports whether a machine's reports come, but nothing reaches it.
-func (m *Machine) ResponsesLikelyLost() bool { return m.MissedResponses >= responsesLostAfter }
-
 // SetResponsesLost marks a machine that hears nothing: it takes no new tasks, and what it
 // has is placed elsewhere only once proven free. It is used again as soon as it
 // shows that it hears.
@@ -90,33 +88,12 @@
 	return false
 }
 
-// checkFreshness decides by a message's session and number whether it is newer than what is
-// known of the machine.
-func (s *State) checkFreshness(machine *Machine, heartbeat *wire.Heartbeat, source Source, now micro.Time) Outcome {
-	epoch, sequence := uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
-	if epoch <= machine.ExpiredEpoch {
-		// Held up on the way: this session's lease surely ran out already.
-		return Refused
-	}
-	if epoch > machine.AgentEpoch || epoch == machine.AgentEpoch && sequence > machine.Sequence {
-		return Applied
-	}
-	if source == FromHeartbeat && epoch == machine.AgentEpoch {
-		// Overtaken by the answer to a direct order, or a late copy. The
-		// worker may still take our answer, and that would renew its lease;
-		// but it is no sign of life: copies may come long after the worker
-		// died.
-		machine.LeaseRenewedAt = now
-	}
-	return Stale
-}
-
 // beginAgentEpoch frees what a machine held in earlier sessions.
 func (s *State) beginAgentEpoch(machine *Machine, epoch uint64, now micro.Time) {
 	if machine.AgentEpoch > 0 && machine.State == Up && now-machine.LeaseRenewedAt < s.LeaseDuration/2 {
-		machine.MissedResponses = responsesLostAfter // its lease ran out though it was answered
+		machine.LeaseRanOutUnexpectedly()
 	}
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		if allocation.AgentEpoch < epoch {
 			s.release(allocation, now)
 		}
@@ -134,7 +111,9 @@
 	machine.LastHeartbeat, machine.DispatchUnanswered = now, false
 	if source == FromHeartbeat {
 		machine.LeaseRenewedAt = now
-		s.trackResponseReceipt(machine, token)
+		if machine.TrackResponse(token) {
+			s.SetResponsesLost(machine, false, 0)
+		}
 		if machine.FirstHeartbeat == 0 {
 			machine.FirstHeartbeat = now
 			machine.IdleSince = now
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -85,22 +85,8 @@
 	}
 }
 
-// startOverhead is what passes between the end of one job of a pipeline and the first
-// run of the next, beside its image: a report, two writes and a start.
-const startOverhead = 3 * micro.Second
-
-// expectedDuration is how long a job of a pipeline is expected to take: of many tasks, some
-// run longer than the owner's estimate for one.
-func (j *Job) expectedDuration() micro.Time {
-	runTime := float64(micro.FromSeconds(j.Spec.EstimateS)) * j.Class.EstimateBias
-	if len(j.Tasks) > 1 {
-		runTime *= stragglerFactor
-	}
-	return micro.Time(runTime) + micro.FromSeconds(j.Spec.ImageGB) + startOverhead
-}
-
-// stragglerFactor is the longest run of a job's tasks over the estimate.
-const stragglerFactor = 1.4
+// expectedDuration is how long a job of a pipeline is expected to take.
+func (j *Job) expectedDuration() micro.Time { return j.Class.ExpectedDuration(&j.Spec, len(j.Tasks)) }
 
 // effectiveDeadline is when the heir's deadline asks a job itself to be done.
 func (j *Job) effectiveDeadline() micro.Time {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -1,23 +1,12 @@
 package cluster
 
 import (
+	"notchmux.dev/notchmux/internal/cluster/jobclass"
+	"notchmux.dev/notchmux/internal/cluster/quarantine"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
 
-// LegacyTasksPerChunk is how many tasks share one record in the store, in its first form.
-const LegacyTasksPerChunk = 128
-
-// Task is one task of a job.
-type Task struct {
-	Attempt         uint32 // the highest attempt number used
-	AllocationCount uint8  // places not proven free
-	Done            bool
-	Queued          bool
-	Failures        uint8
-	NotBefore       micro.Time
-}
-
 // TaskChunk is the record of some of a job's tasks.
 type TaskChunk struct {
 	Job           *Job
@@ -82,24 +71,19 @@
 }
 
 // FailureHistory is what is known of a job's failed attempts.
-type FailureHistory struct {
-	FailedOn       map[string]bool // machines that an attempt failed on
-	Failures       int             // attempts that ended with an error
-	LongestFailure micro.Time      // the longest that a task ran before it failed
-	NotBefore      micro.Time      // the next try
+type FailureHistory = quarantine.Job
 
-	failuresDismissed bool // no machine is held responsible for its failures
-}
+// Class is what has been learnt about a class of jobs.
+type Class = jobclass.Class
 
-// TaskQueue holds the tasks that wait for an allocation: those that were requeued, and then
-// all from firstUnqueued on.
-type TaskQueue struct {
-	WaitingSince       micro.Time // since when it waits and none of its tasks was allocated
-	WaitReasonLoggedAt micro.Time // when operators were last told why it waits
-	Throttled          bool       // SchedulableTasks kept its tasks from resources that were free
-
-	firstUnqueued int
-	requeuedTasks []int32
+// EnsureClass finds or makes a class.
+func (s *State) EnsureClass(name string) *Class {
+	class := s.Classes[name]
+	if class == nil {
+		class = jobclass.New(name)
+		s.Classes[name] = class
+	}
+	return class
 }
 
 // AddJob takes in a job; a known one is returned as it is. One that awaits others
@@ -151,7 +135,7 @@
 	if job.DoneTasks++; job.DoneTasks == 1 {
 		s.recordFirstCompletion(job, now)
 	}
-	if task.Queued || index >= job.firstUnqueued {
+	if job.HoldsTask(job.Tasks, index) {
 		s.dequeue(job, index)
 	}
 	s.markChunkDirty(job, index)
--- a/internal/cluster/job_lifecycle.go
+++ b/internal/cluster/job_lifecycle.go
@@ -4,33 +4,6 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// JobState is a job's state in the leader's picture.
-type JobState uint8
-
-// The states of a job.
-const (
-	Active    JobState = iota
-	Finishing          // all tasks are done, its end is being written
-	Aborting           // its withdrawal is being written
-	Done
-	Aborted
-	Blocked  // for other jobs to be done
-	Assigned // to a share of the machines: its owner places it
-)
-
-func (s JobState) String() string {
-	return [...]string{"active", "finishing", "aborting", "done", "aborted", "awaiting", "assigned"}[s]
-}
-
-// jobTransitions lists the states that may follow each state. Done and Aborted are final.
-var jobTransitions = transitions[JobState]{
-	Active:    {Finishing, Aborting, Done, Aborted, Assigned},
-	Finishing: {Done, Aborted},
-	Aborting:  {Aborted, Done},
-	Blocked:   {Active, Aborting, Aborted},
-	Assigned:  {Active, Aborting, Finishing, Done, Aborted},
-}
-
 // IsTerminal reports whether the job's end is in the store.
 func (j *Job) IsTerminal() bool { return j.State == Done || j.State == Aborted }
 
@@ -39,7 +12,7 @@
 	if job.State == to {
 		return
 	}
-	if !jobTransitions.allow(job.State, to) {
+	if !job.State.MayBecome(to) {
 		s.Log("job state refused", "job", job.Spec.ID, "from", job.State.String(), "to", to.String())
 		return
 	}
@@ -68,7 +41,7 @@
 	if job.Team != nil {
 		job.Team.join(job)
 	}
-	job.Class.recordArrival(&job.Spec, job.EligibleSince)
+	job.Class.RecordArrival(&job.Spec, job.EligibleSince)
 	s.ScheduleSoon()
 }
 
--- a/internal/cluster/class.go
+++ b/internal/cluster/jobclass/class.go
@@ -1,4 +1,7 @@
-package cluster
+// Package jobclass learns from the jobs of a class: how often they arrive, how long they run
+// against their owners' estimates, and how large their images are. It locks nothing: a class
+// belongs to the goroutine that owns the cluster's state.
+package jobclass
 
 import (
 	"sort"
@@ -21,6 +24,9 @@
 	jobCount        float64
 }
 
+// New makes a class of which nothing is known.
+func New(name string) *Class { return &Class{Name: name, EstimateBias: 1} }
+
 // ArrivalRate is the tasks that arrive a second, robust against a single burst: the
 // mean of the middle two of the last four half-minutes.
 func (c *Class) ArrivalRate(now micro.Time) float64 {
@@ -43,16 +49,6 @@
 	c.EstimateBias += weight * (ratio - c.EstimateBias)
 }
 
-// EnsureClass finds or makes a class.
-func (s *State) EnsureClass(name string) *Class {
-	class := s.Classes[name]
-	if class == nil {
-		class = &Class{Name: name, EstimateBias: 1}
-		s.Classes[name] = class
-	}
-	return class
-}
-
 // The arrivals that a class remembers: so many tasks of one job at the most, and beyond
 // maxArrivals only the latest.
 const (
@@ -61,8 +57,8 @@
 	keptArrivals      = 200
 )
 
-// recordArrival notes that a job of the class became eligible.
-func (c *Class) recordArrival(spec *wire.Job, at micro.Time) {
+// RecordArrival notes that a job of the class became eligible.
+func (c *Class) RecordArrival(spec *wire.Job, at micro.Time) {
 	c.LastJob = spec
 	c.jobCount++
 	c.MeanImageGB += (spec.ImageGB - c.MeanImageGB) / c.jobCount
@@ -73,3 +69,20 @@
 		c.Arrivals = append([]micro.Time(nil), c.Arrivals[arrivals-keptArrivals:]...)
 	}
 }
+
+// startOverhead is what passes between the end of one job of a pipeline and the first run of
+// the next, beside its image: a heartbeat, two writes and a start.
+const startOverhead = 3 * micro.Second
+
+// stragglerFactor is the longest run of a job's tasks over the estimate.
+const stragglerFactor = 1.4
+
+// ExpectedDuration is how long a job of the class with so many tasks is expected to take: of
+// many tasks, some run longer than the owner's estimate for one.
+func (c *Class) ExpectedDuration(spec *wire.Job, tasks int) micro.Time {
+	runTime := float64(micro.FromSeconds(spec.EstimateS)) * c.EstimateBias
+	if tasks > 1 {
+		runTime *= stragglerFactor
+	}
+	return micro.Time(runTime) + micro.FromSeconds(spec.ImageGB) + startOverhead
+}
--- /dev/null
+++ b/internal/cluster/lifecycle/job.go
@@ -0,0 +1,32 @@
+package lifecycle
+
+// JobState is a job's state in the leader's picture.
+type JobState uint8
+
+// The states of a job.
+const (
+	Active    JobState = iota
+	Finishing          // all tasks are done, its end is being written
+	Aborting           // its withdrawal is being written
+	Done
+	Aborted
+	Blocked  // for other jobs to be done
+	Assigned // to a share of the machines: its owner places it
+)
+
+// String is the state as operators and logs name it.
+func (s JobState) String() string {
+	return [...]string{"active", "finishing", "aborting", "done", "aborted", "awaiting", "assigned"}[s]
+}
+
+// jobTransitions lists the states that may follow each state. Done and Aborted are final.
+var jobTransitions = transitions[JobState]{
+	Active:    {Finishing, Aborting, Done, Aborted, Assigned},
+	Finishing: {Done, Aborted},
+	Aborting:  {Aborted, Done},
+	Blocked:   {Active, Aborting, Aborted},
+	Assigned:  {Active, Aborting, Finishing, Done, Aborted},
+}
+
+// MayBecome reports whether a transition is allowed.
+func (s JobState) MayBecome(to JobState) bool { return jobTransitions.allow(s, to) }
--- a/internal/cluster/transitions.go
+++ b/internal/cluster/lifecycle/lifecycle.go
@@ -1,4 +1,6 @@
-package cluster
+// Package lifecycle holds the state machines of jobs, allocations and machines: their states
+// and, for each, the table of the transitions that are allowed. It has no state of its own.
+package lifecycle
 
 import (
 	"slices"
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"notchmux.dev/notchmux/internal/cluster/quarantine"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -41,45 +42,11 @@
 	Reservation
 	Dispatch
 	poolPosition
+	images // that it is thought to have
 
-	images         map[string]cachedImage // images fetched
 	exitedAttempts map[AllocationKey]*exitedAttempt
 }
 
-// Contact is what is known of a machine's agent by its messages, and of its lease.
-type Contact struct {
-	AgentEpoch           uint64 // the agent's current epoch: a new one begins when its lease ran out
-	ExpiredEpoch         uint64 // epochs up to this one surely ended
-	Sequence             uint64 // of the newest message in the epoch
-	FencingToken         uint64 // the highest that the agent has seen
-	RequiredFencingToken uint64 // the machine counts as up once it has shown this token
-	FirstHeartbeat       micro.Time
-	LastHeartbeat        micro.Time // the last new proof of life
-
-	// LeaseRenewedAt is when a heartbeat, new or not, was last answered, or when the epoch
-	// first showed: the agent's lease may count from it.
-	LeaseRenewedAt micro.Time
-
-	MissedResponses    int        // heartbeats in a row that had not seen the token they should have
-	ResponsesLost      bool       // its heartbeats come, but no response reaches it: it takes no new tasks
-	ResponsesLostSince micro.Time // since when
-
-	lastResponseToken uint64 // the token of the last response; 0: not known
-}
-
-// Capacity is what the allocations on a machine use.
-type Capacity struct {
-	UsedCPU        float64 // cores
-	UsedGPU        float64
-	UsedMemoryGB   float64
-	UsedScaledCPU  float64                   // cores as the scheduler counts them, by the type's speed
-	UsedByPriority [priorityLevels]Resources // by priority level, without what is stopping
-	UsedByStopping Resources                 // by attempts that were told to stop
-
-	IdleSince             micro.Time // since when it is idle, while it holds no allocation
-	LastNeededForHeadroom micro.Time // when headroom last counted on it
-}
-
 // Instance is a machine as the cloud knows it.
 type Instance struct {
 	RequestedAt  micro.Time // when it was requested, as far as known
@@ -97,13 +64,7 @@
 }
 
 // Quarantine is what speaks against a machine.
-type Quarantine struct {
-	Overruns               int                   // attempts in a row that ran far over what was expected
-	JobFailures            map[string]micro.Time // jobs that failed here, and when they last did
-	QuarantinedUntil       micro.Time            // takes no tasks until then, except as a last resort
-	QuarantinedForFailures bool                  // since several jobs failed on it
-	LastFaultAt            micro.Time            // when a failure, or a refusal for lack of resources, last quarantined it
-}
+type Quarantine = quarantine.Machine
 
 // Reservation keeps a machine free for a job that is too large for what is free elsewhere.
 type Reservation struct {
@@ -122,13 +83,6 @@
 	DispatchUnanswered bool       // the latest was left unanswered, and no message came since
 }
 
-// poolPosition is where the scheduler finds a machine; pool is nil if it takes no tasks.
-type poolPosition struct {
-	pool         *MachinePool
-	poolRow      int
-	poolRowIndex int
-}
-
 // EnsureMachine finds or makes a machine.
 func (s *State) EnsureMachine(name string, now micro.Time) *Machine {
 	machine := s.Machines[name]
@@ -149,16 +103,6 @@
 	return machine
 }
 
-// takeImageHint gives the images that a machine had by the records, for good.
-func (s *State) takeImageHint(name string) map[string]cachedImage {
-	images, ok := s.imageHints[name]
-	if !ok {
-		return map[string]cachedImage{}
-	}
-	delete(s.imageHints, name)
-	return images
-}
-
 // DescribeMachine fills in what a machine is. Places restored before its zone was
 // known are counted anew: counted under no zone, they once let a spread service
 // put two of its tasks into one.
@@ -229,8 +173,8 @@
 	}
 }
 
-// sortedAllocations lists the places in a fixed order, so that runs repeat.
-func (m *Machine) sortedAllocations() []*Allocation {
+// SortedAllocations lists the allocations by task and attempt: a fixed order, so that runs repeat.
+func (m *Machine) SortedAllocations() []*Allocation {
 	out := make([]*Allocation, 0, len(m.Allocations))
 	for _, allocation := range m.Allocations {
 		out = append(out, allocation)
@@ -244,9 +188,6 @@
 	return out
 }
 
-// SortedAllocations lists the machine's places in a fixed order.
-func (m *Machine) SortedAllocations() []*Allocation { return m.sortedAllocations() }
-
 // SortedMachines gives the machines in the order of their names.
 func (s *State) SortedMachines() []*Machine {
 	if s.sortedMachines == nil {
--- a/internal/cluster/machine_lifecycle.go
+++ b/internal/cluster/machine_lifecycle.go
@@ -4,35 +4,9 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// MachineState is the state of a machine.
-type MachineState uint8
-
-// The states of a machine.
-const (
-	Registering MachineState = iota // rented, listed or recorded; no report in this term
-	Up                              // reports
-	Suspect                         // reported, and stopped doing so
-	Expired                         // its worker's lease surely ran out
-	Terminating                     // asked to be returned
-	Terminated                      // the cloud said so
-)
-
-func (s MachineState) String() string {
-	return [...]string{"unheard", "up", "silent", "lost", "returning", "gone"}[s]
-}
-
-// machineTransitions lists the states that may follow each state. Terminated is final.
-var machineTransitions = transitions[MachineState]{
-	Registering: {Up, Expired, Terminating, Terminated, Suspect},
-	Up:          {Suspect, Expired, Terminating, Terminated},
-	Suspect:     {Up, Expired, Terminating, Terminated},
-	Expired:     {Up, Terminating, Terminated},
-	Terminating: {Terminated},
-}
-
 // TransitionMachine is the one place where a machine's state changes.
 func (s *State) TransitionMachine(machine *Machine, to MachineState, reason string) bool {
-	if machine.State == to || !machineTransitions.allow(machine.State, to) {
+	if machine.State == to || !machine.State.MayBecome(to) {
 		return false
 	}
 	s.Log(
@@ -49,7 +23,7 @@
 func (s *State) ExpireMachine(machine *Machine, now micro.Time) {
 	s.TransitionMachine(machine, Expired, "its lease ran out")
 	machine.ExpiredEpoch = max(machine.ExpiredEpoch, machine.AgentEpoch)
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		machine.ExpiredEpoch = max(machine.ExpiredEpoch, allocation.AgentEpoch)
 		s.release(allocation, now)
 	}
@@ -62,11 +36,11 @@
 		s.TransitionMachine(machine, Terminating, "returned")
 	}
 	s.TransitionMachine(machine, Terminated, "the cloud said so")
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		s.release(allocation, now)
 	}
 	delete(s.Machines, machine.Name)
-	delete(s.quarantineCandidates, machine)
+	s.ForgetMachine(machine.Name)
 	s.sortedMachines = nil
 	s.TerminatedAt[machine.Name] = now
 }
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -5,25 +5,6 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Source says how a worker's message came.
-type Source uint8
-
-// The ways.
-const (
-	FromHeartbeat        Source = iota // the worker's own report
-	FromDispatchResponse               // the body of an answer to a direct order
-)
-
-// Outcome says what became of a report.
-type Outcome uint8
-
-// The verdicts.
-const (
-	Applied Outcome = iota
-	Stale           // older than what is known: nothing was read from it
-	Refused         // from a session or machine that is over
-)
-
 // Reconcile reads a worker's message into the model.
 func (s *State) Reconcile(heartbeat *wire.Heartbeat, source Source, now micro.Time) (*Machine, Outcome) {
 	if s.WasTerminated(heartbeat.Machine) {
@@ -35,7 +16,8 @@
 		// answer is a better one.
 		return machine, Refused
 	}
-	if outcome := s.checkFreshness(machine, heartbeat, source, now); outcome != Applied {
+	epoch, sequence := uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
+	if outcome := machine.CheckFreshness(epoch, sequence, source, now); outcome != Applied {
 		return machine, outcome
 	}
 	s.reconcileDescription(machine, heartbeat)
@@ -104,7 +86,7 @@
 // releaseAbsent releases the allocations of attempts that a heartbeat does not name, where
 // that proves that they are not on the machine and cannot come to it.
 func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		if !reported[allocation.key()] && allocation.absenceIsProof(source) {
 			s.release(allocation, now)
 		}
@@ -238,27 +220,20 @@
 	switch status.Cause {
 	case wire.CauseError:
 		s.recordTaskError(machine, allocation, now)
-		s.backoff(task, now)
+		task.BackOff(now)
 	case wire.CauseNoResources, wire.CauseAlreadyRunning, wire.CauseJobUnknown, wire.CauseGangTimeout:
-		s.backoff(task, now)
+		task.BackOff(now)
 		if status.Cause == wire.CauseNoResources {
-			machine.QuarantinedUntil, machine.LastFaultAt = max(machine.QuarantinedUntil, now+2*micro.Second), now
+			machine.RecordRefusal(now)
 		}
 	}
 }
 
-func (s *State) backoff(task *Task, now micro.Time) {
-	if task.Failures < 6 {
-		task.Failures++
-	}
-	task.NotBefore = now + 250*micro.Millisecond<<task.Failures
-}
-
 // handlePreemptionNotice reacts to the cloud's notice that it takes the machine back: what can
 // save does so at once; the rest may still complete in time.
 func (s *State) handlePreemptionNotice(machine *Machine, now micro.Time) {
 	s.Log("notice", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		if allocation.taskKnown && allocation.State == Running && allocation.Job.Spec.CheckpointIntervalS > 0 {
 			s.StopAllocation(allocation, "spot notice", allocation.Job.Spec.CheckpointDurationS, now)
 		} else if allocation.taskKnown && allocation.State < Running {
--- /dev/null
+++ b/internal/cluster/records/chunk.go
@@ -0,0 +1,35 @@
+package records
+
+import (
+	"encoding/json"
+
+	"notchmux.dev/notchmux/wire"
+)
+
+// LegacyTasksPerChunk is how many tasks a record in the first form holds.
+const LegacyTasksPerChunk = 128
+
+// Allocation is a taken place in a chunk's record.
+type Allocation struct {
+	//lint:ignore U1000 the codec reads its tag: a list without field names, since records are written often
+	_msgpack struct{} `msgpack:",as_array"`
+
+	Index   int
+	Attempt wire.Count
+	Machine string
+	Session wire.Count
+	Zone    string
+}
+
+// MarshalJSON gives the form that the store's limits count: a list, as in the
+// store. With its fields' names, records that fit were once put aside as too large.
+func (r Allocation) MarshalJSON() ([]byte, error) {
+	return json.Marshal([]any{r.Index, r.Attempt, r.Machine, r.Session, r.Zone})
+}
+
+// Chunk is a chunk of tasks as the store keeps it.
+type Chunk struct {
+	Allocations []Allocation `msgpack:"p" json:"p"`
+	Done        [][2]int     `msgpack:"d" json:"d"` // first and last of each range
+	Attempts    [][2]int     `msgpack:"t" json:"t"` // task and attempt, where no place is taken
+}
--- /dev/null
+++ b/internal/cluster/records/final_status.go
@@ -0,0 +1,13 @@
+package records
+
+import (
+	"notchmux.dev/notchmux/wire"
+)
+
+// FinalStatus is the end of a job: created once, the first one wins.
+type FinalStatus struct {
+	State wire.JobState `msgpack:"state" json:"state"`
+
+	// EndedAt is on the wall clock, in microseconds: the clocks of the job's dependents start then.
+	EndedAt int64 `msgpack:"at,omitempty" json:"at,omitempty"`
+}
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -6,17 +6,13 @@
 package cluster
 
 import (
+	"notchmux.dev/notchmux/internal/cluster/imagecache"
+	"notchmux.dev/notchmux/internal/cluster/quarantine"
+	"notchmux.dev/notchmux/internal/cluster/records"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
 
-// MachineType is a machine type with its learnt speed.
-type MachineType struct {
-	wire.MachineType
-	Index       int
-	SpeedFactor float64
-}
-
 // Effects are what a change of the state asks its owner to do. They are called on the
 // goroutine that owns the state, in the middle of a change.
 type Effects interface {
@@ -103,21 +99,16 @@
 
 // MachineSets are the machines in the orders in which they are looked for.
 type MachineSets struct {
+	poolIndex // Pools: the machines that take new tasks
+
 	TerminatedAt map[string]micro.Time // machines terminated in this term, and when
-	Pools        []*MachinePool        // machines that take new tasks, by type, zone and kind
 
-	sortedMachines []*Machine // by name; nil: to be sorted anew
-	poolIndex      map[poolKey]*MachinePool
-	imageHints     map[string]map[string]cachedImage // images of machines that are not known yet
+	sortedMachines []*Machine                  // by name; nil: to be sorted anew
+	imageHints     map[string]imagecache.Cache // images of machines that are not known yet
 }
 
 // FailureAttribution is what decides whether failures are held against machines.
-type FailureAttribution struct {
-	QuarantineThreshold int // jobs failing on a machine before it is quarantined
-
-	quarantineCandidates     map[*Machine]bool // machines that jobs failed on
-	quarantineSuspendedUntil micro.Time        // until when so many look faulty that the jobs are the likelier cause
-}
+type FailureAttribution = quarantine.Policy
 
 // New makes an empty picture. Its settings (term, quarantine threshold, teams, catalog) are
 // filled in by the goroutine that owns it, before the first job or machine is added.
@@ -133,7 +124,7 @@
 			ProxyRenewedUntil:    map[string]micro.Time{},
 			ZoneUnreachableSince: map[string]micro.Time{},
 		},
-		RecordFormat: RecordFormat{TasksPerChunk: LegacyTasksPerChunk},
+		RecordFormat: RecordFormat{TasksPerChunk: records.LegacyTasksPerChunk},
 		JobSets: JobSets{
 			ActiveJobs:    map[*Job]bool{},
 			PendingJobs:   map[*Job]bool{},
@@ -142,13 +133,9 @@
 		},
 		MachineSets: MachineSets{
 			TerminatedAt: map[string]micro.Time{},
-			poolIndex:    map[poolKey]*MachinePool{},
-			imageHints:   map[string]map[string]cachedImage{},
-		},
-		FailureAttribution: FailureAttribution{
-			QuarantineThreshold:  defaultQuarantineThreshold,
-			quarantineCandidates: map[*Machine]bool{},
+			imageHints:   map[string]imagecache.Cache{},
 		},
+		FailureAttribution: quarantine.NewPolicy(),
 	}
 }
 
--- a/internal/cluster/task_queue.go
+++ b/internal/cluster/task_queue.go
@@ -1,27 +1,38 @@
 package cluster
 
 import (
-	"slices"
-
+	"notchmux.dev/notchmux/internal/cluster/taskqueue"
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// PendingTasks is how many tasks wait for a place.
+type (
+	// Task is one task of a job.
+	Task = taskqueue.Task
+	// TaskQueue holds the tasks of a job that wait for an allocation.
+	TaskQueue = taskqueue.Queue
+)
+
+// PendingTasks is how many tasks wait for an allocation.
 func (j *Job) PendingTasks() int {
 	if j.State != Active {
 		return 0
 	}
-	return len(j.requeuedTasks) + len(j.Tasks) - j.firstUnqueued
+	return j.QueueLength(j.Tasks)
+}
+
+// NextTasks gives up to limit tasks that may be placed now, without taking them.
+func (j *Job) NextTasks(now micro.Time, limit int) []int {
+	if j.State != Active || j.InBackoff(now) {
+		return nil
+	}
+	return j.NextWaiting(j.Tasks, now, limit)
 }
 
 // requeue puts a task back in line.
 func (s *State) requeue(job *Job, index int, now micro.Time) {
-	task := &job.Tasks[index]
-	if job.State != Active || task.Done || task.Queued || task.AllocationCount > 0 || index >= job.firstUnqueued {
+	if job.State != Active || !job.PutBackTask(job.Tasks, index) {
 		return
 	}
-	task.Queued = true
-	job.requeuedTasks = append(job.requeuedTasks, int32(index))
 	if !s.PendingJobs[job] {
 		s.PendingJobs[job] = true
 		job.WaitingSince = now
@@ -29,57 +40,10 @@
 	s.ScheduleSoon()
 }
 
-// NextTasks gives up to n tasks that may be placed now, without taking them.
-func (j *Job) NextTasks(now micro.Time, limit int) []int {
-	if j.State != Active || j.InBackoff(now) {
-		return nil
-	}
-	var indices []int
-	for _, i := range j.requeuedTasks {
-		if len(indices) == limit {
-			return indices
-		}
-		task := &j.Tasks[i]
-		if task.NotBefore <= now && task.needsAllocation() {
-			indices = append(indices, int(i))
-		}
-	}
-	for i := j.firstUnqueued; i < len(j.Tasks) && len(indices) < limit; i++ {
-		if j.Tasks[i].needsAllocation() {
-			indices = append(indices, i)
-		}
-	}
-	return indices
-}
-
 // dequeue removes a task from the line.
 func (s *State) dequeue(job *Job, index int) {
-	if index >= job.firstUnqueued {
-		job.queueSkippedTasks(index)
-		job.firstUnqueued = index + 1
-	} else {
-		if position := slices.Index(job.requeuedTasks, int32(index)); position >= 0 {
-			job.requeuedTasks = append(job.requeuedTasks[:position], job.requeuedTasks[position+1:]...)
-		}
-		job.Tasks[index].Queued = false
-	}
-	for job.firstUnqueued < len(job.Tasks) && !job.Tasks[job.firstUnqueued].needsAllocation() {
-		job.firstUnqueued++
-	}
+	job.RemoveTask(job.Tasks, index)
 	if job.PendingTasks() == 0 {
 		delete(s.PendingJobs, job)
 	}
 }
-
-// queueSkippedTasks queues the tasks before the given one that were never queued.
-func (j *Job) queueSkippedTasks(before int) {
-	for index := j.firstUnqueued; index < before; index++ {
-		if task := &j.Tasks[index]; task.needsAllocation() && !task.Queued {
-			task.Queued = true
-			j.requeuedTasks = append(j.requeuedTasks, int32(index))
-		}
-	}
-}
-
-// needsAllocation reports whether a task is neither done nor allocated.
-func (t *Task) needsAllocation() bool { return !t.Done && t.AllocationCount == 0 }
