--- /dev/null
+++ b/internal/cluster/dependency_record.go
@@ -0,0 +1,6 @@
+package cluster
+
+// DependencyRecord is a part of a long list of dependencies, stored in a key of its own.
+type DependencyRecord struct {
+	Dependencies []string `msgpack:"n" json:"n"`
+}
--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -25,7 +25,7 @@
 		waitUntil(b.t, "leader known", func() bool { return node.election.Leader() == "n-0" })
 		waitUntil(b.t, "gate open", func() bool { node.checkGate(context.Background()); return node.FormatOpen() })
 		if refused {
-			node.Store = refusingStore{b.store}
+			replaceStore(node, refusingStore{b.store})
 			node.health.observe(probeResult{storeRefused: true})
 		}
 		return node
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -82,6 +82,7 @@
 	}
 	node.Init()
 	set(node)
+	node.initJobAPI() // from the parts that the test has put in
 	cat, _ := b.cloud.Catalog(context.Background())
 	node.catalog.Store(cat)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,6 +93,12 @@
 	return node, cancel
 }
 
+// replaceStore gives a node that serves already another way to the store.
+func replaceStore(node *Node, to store.Store) {
+	node.Store = to
+	node.initJobAPI()
+}
+
 // servePeer lets a node answer its peers on loopback.
 func (b *testCluster) servePeer(n *Node) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -400,7 +407,7 @@
 	if _, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{Then: then}); err != nil {
 		t.Fatal(err)
 	}
-	reply, err := node.readStatus("j-1", store.Routine)
+	reply, err := node.jobs.ReadStatus("j-1", store.Routine)
 	if status, ok := reply.Body.(wire.JobStatus); err != nil || !ok || status.Done != 2*1563 {
 		t.Fatalf("%+v, %v", reply, err)
 	}
--- a/internal/controller/final_status_cache_test.go
+++ b/internal/controller/final_status_cache_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"testing"
 
+	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -30,7 +31,7 @@
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith("n-0", func(node *Node) { node.election.SuspendCampaign(1 << 50) })
 	reads := 0
-	node.Store = rangeCountingStore{env.store, &reads}
+	replaceStore(node, rangeCountingStore{env.store, &reads})
 	var then []wire.Change
 	for _, id := range []string{"j-1", "j-2"} {
 		then = append(
@@ -55,16 +56,17 @@
 	if reads != first {
 		t.Errorf("%d more reads for what was known", reads-first)
 	}
-	for i := range maxFinalStatuses + 1000 {
-		node.finalStatuses.put(wire.JobStatus{ID: fmt.Sprint("j-9", i), State: wire.JobAborted})
+	finalStatuses := node.jobs.FinalStatuses()
+	for i := range jobapi.MaxFinalStatuses + 1000 {
+		finalStatuses.Put(wire.JobStatus{ID: fmt.Sprint("j-9", i), State: wire.JobAborted})
 	}
-	if got := len(node.finalStatuses.byID); got > maxFinalStatuses {
+	if got := finalStatuses.Len(); got > jobapi.MaxFinalStatuses {
 		t.Errorf("%d are kept", got)
 	}
 	ask("j-2")
 	ask("j-1")
-	node.finalStatuses.put(wire.JobStatus{ID: "j-3", State: wire.JobRunning})
-	if _, ok := node.finalStatuses.get("j-3"); ok {
+	finalStatuses.Put(wire.JobStatus{ID: "j-3", State: wire.JobRunning})
+	if _, ok := finalStatuses.Get("j-3"); ok {
 		t.Error("a state that may change is kept")
 	}
 }
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"time"
 
 	"notchmux.dev/notchmux/internal/keys"
@@ -101,8 +102,10 @@
 		return true
 	}
 	for _, p := range n.peersLeaderFirst() {
-		if status, _, err := n.callPeer(p, peer.AnnounceVersion, wire.MustMarshal(n.Cfg.Node), peerCallTimeout); err == nil &&
-			status == 200 {
+		// Not bounded by what the store left of the time: it may have taken all of it.
+		peerCtx := context.WithoutCancel(ctx)
+		status, _, err := n.callPeer(peerCtx, p, peer.AnnounceVersion, wire.MustMarshal(n.Cfg.Node), peerCallTimeout)
+		if err == nil && status == http.StatusOK {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/controller/heartbeat_routing.go
@@ -0,0 +1,40 @@
+package controller
+
+import (
+	"net/http"
+
+	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/wire"
+)
+
+// Heartbeat answers an agent's heartbeat. Only the leader may, and with shards their owners; the
+// others say whom to ask.
+func (n *Node) Heartbeat(body []byte) httpapi.Reply {
+	if n.shards != nil {
+		return n.heartbeatWithShards(body)
+	}
+	l := n.activeLeader()
+	if l == nil {
+		return n.heartbeatAsFollower(body)
+	}
+	if len(body) > wire.MaxBody {
+		return httpapi.ErrorReply(http.StatusBadRequest, "too large")
+	}
+	heartbeat, err := wire.DecodeHeartbeat(body)
+	if err != nil {
+		return httpapi.ErrorReply(http.StatusBadRequest, err.Error())
+	}
+	return l.handleHeartbeat(heartbeat)
+}
+
+// heartbeatAsFollower answers a heartbeat that is the leader's to answer, at another node.
+func (n *Node) heartbeatAsFollower(body []byte) httpapi.Reply {
+	if r, ok := n.proxyHeartbeat(body); ok {
+		return r
+	}
+	leader := n.election.Leader()
+	if leader == "" || leader == n.Cfg.Node || n.leaderUnreachable(leader) {
+		return httpapi.RetryReply(http.StatusServiceUnavailable, 1)
+	}
+	return httpapi.Reply{Status: http.StatusMisdirectedRequest, Body: wire.NotLeader{LeaderHint: leader}}
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -20,6 +20,7 @@
 	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
@@ -47,20 +48,15 @@
 	election         *election.Election
 	leader           atomic.Pointer[Leader]
 	catalog          atomic.Pointer[wire.Catalog]
-	finalStatuses    finalStatusCache
 	peerBackoffUntil sync.Map // node: time until which it is not asked
 	health           healthMonitor
 	leaseProxy       leasekeeper.Proxy
 	formatGate       atomic.Int32 // a GateState
 	handovers        detector.Handovers
-	acceptedIDs      sync.Map // ids of jobs known to have been accepted
-	acceptedIDCount  atomic.Int64
 
-	lookupBudget  lookupBudget
-	statusLookups statusLookups
-
-	statusBatcher statusBatcher
-	shards        *nodeShards // nil: the feature is off
+	jobs      *jobapi.Service
+	peerCalls map[string]peerCallHandler // by the names of the calls
+	shards    *nodeShards                // nil: the feature is off
 }
 
 // New makes a node that speaks to the real services.
@@ -86,11 +82,7 @@
 
 // Init completes a node whose parts were given.
 func (n *Node) Init() {
-	n.finalStatuses.byID = map[string]wire.JobStatus{}
-	n.statusLookups = statusLookups{
-		readsInFlight: map[string]bool{}, nextReads: map[string]*statusLookup{}, lastAnswered: map[string]micro.Time{},
-		nextBatch: map[string]*statusLookup{},
-	}
+	n.initJobAPI()
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
 	n.health.log = n.Log.Info
@@ -101,6 +93,12 @@
 	}
 }
 
+// initJobAPI makes what the node does for users, and the calls that it answers.
+func (n *Node) initJobAPI() {
+	n.jobs = newJobAPI(n)
+	n.peerCalls = newPeerCalls(n)
+}
+
 // Run serves until the context ends or a part fails.
 func (n *Node) Run(ctx context.Context) error {
 	public, err := net.Listen("tcp4", n.Cfg.PublicAddr)
@@ -170,7 +168,7 @@
 	if s, ok := n.Store.(BudgetFractionSetter); ok {
 		s.SetBudgetFraction(reads, writes)
 	}
-	n.lookupBudget.setRate(n.Cfg.Facts.State.RPS, reads)
+	n.jobs.SetBudgetFraction(reads)
 }
 
 func (n *Node) startLeader(ctx context.Context, t *election.Term) {
@@ -187,33 +185,3 @@
 		l.loop.Stop()
 	}
 }
-
-// finalStatusCache remembers final states, which alone may be cached.
-type finalStatusCache struct {
-	mu   sync.Mutex
-	byID map[string]wire.JobStatus
-}
-
-const maxFinalStatuses = 50_000
-
-func (f *finalStatusCache) get(id string) (wire.JobStatus, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s, ok := f.byID[id]
-	return s, ok
-}
-
-func (f *finalStatusCache) put(status wire.JobStatus) {
-	if !status.State.Final() {
-		return
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.byID) >= maxFinalStatuses {
-		for id := range f.byID { // any one goes: it can be read again
-			delete(f.byID, id)
-			break
-		}
-	}
-	f.byID[status.ID] = status
-}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -35,13 +36,14 @@
 		slow := 700 * micro.Millisecond // more than a node waits for an answer, less than backoffCallTimeout
 		sim.delayPeerAnswers(leader, slow)
 		node := others[0].runningNode()
-		node.statusBatcher.backOff(node.Now())
+		batcher := jobapi.NewStatusBatcher(otherNodes{node}, node.Now)
+		batcher.BackOff()
 		answered, polls := 0, 0
 		for range 20 {
 			for range 10 {
 				polls++
 				go func() {
-					if reply, ok := node.queryLeader(leader.name, job.id); ok && reply.Status == 200 {
+					if reply, ok := batcher.Query(leader.name, job.id); ok && reply.Status == 200 {
 						sim.mu.Lock()
 						answered++
 						sim.mu.Unlock()
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("without the store nothing is refused for good: %+v", reply)
 	}
 	env.store.SetOutage(false)
-	isolated.Store = refusingStore{isolated.Store}
+	replaceStore(isolated, refusingStore{isolated.Store})
 	isolated.Cfg.Peers = []config.Peer{{Node: "n-0"}}
 	isolated.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(node)})
 	waitUntil(t, "known", func() bool { return isolated.election.Leader() == "n-0" })
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -94,7 +94,7 @@
 // answered from the node's final states, and then from the store.
 func (l *Leader) prune(pruned []*cluster.Job) {
 	for _, job := range pruned {
-		l.node.finalStatuses.put(job.Status())
+		l.node.jobs.FinalStatuses().Put(job.Status())
 		l.knownJobs.Delete(job.Spec.ID)
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -158,7 +158,7 @@
 		if over && len(snapshot.legacyChunks[id]) == 0 && len(snapshot.compactChunks[id]) == 0 &&
 			snapshot.assignments[id] == nil {
 			// Over, and none of its tasks holds a place. Polls need not read the store.
-			l.node.finalStatuses.put(finalStatus(id, end, spec.Tasks))
+			l.node.jobs.FinalStatuses().Put(finalStatus(id, end, spec.Tasks))
 			continue
 		}
 		if over {
--- a/internal/controller/recovery_snapshot.go
+++ b/internal/controller/recovery_snapshot.go
@@ -1,6 +1,9 @@
 package controller
 
 import (
+	"context"
+	"time"
+
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/shard/coordinator"
@@ -47,7 +50,7 @@
 			k.ends[id] = end
 		}
 	case keys.DependenciesKey:
-		var part dependencyRecord
+		var part cluster.DependencyRecord
 		if wire.Unmarshal(item.Value, &part) == nil {
 			if k.dependencies[id] == nil {
 				k.dependencies[id] = map[int][]string{}
@@ -83,10 +86,15 @@
 	return true
 }
 
+// jobReadTimeout is how long the store may take over a job's own keys.
+const jobReadTimeout = 900 * time.Millisecond
+
 // readJob reads a job's own keys from the store.
 func (n *Node) readJob(class store.Class, id string, snapshot *jobSnapshot) error {
+	ctx, cancel := context.WithTimeout(context.Background(), jobReadTimeout)
+	defer cancel()
 	prefix := keys.JobPrefixFor(id)
-	return n.readPrefix(class, prefix, func(rest string, value []byte) error {
+	return store.ReadPrefix(ctx, n.Store, class, prefix, func(rest string, value []byte) error {
 		snapshot.addJobKey(wire.Item{Key: prefix + rest, Value: value})
 		return nil
 	})
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -66,7 +66,7 @@
 	isolated, _ := env.startNode("n-0")
 	waitUntil(t, "known", func() bool { return isolated.election.Leader() == "n-1" })
 	isolated.Peers = peer.NewClient(map[string]string{"n-1": addr})
-	isolated.Store = unansweredCommitStore{isolated.Store}
+	replaceStore(isolated, unansweredCommitStore{isolated.Store})
 	from := time.Now()
 	reply := isolated.Submit(submission("j-1", wire.JobArray))
 	if reply.Status != 201 {
@@ -126,11 +126,11 @@
 	if r := n.Submit(submission("j-1", wire.JobArray)); r.Status != 201 {
 		t.Fatalf("%+v", r)
 	}
-	n.Store = endDuringReadStore{n.Store, func() {
+	replaceStore(n, endDuringReadStore{n.Store, func() {
 		_, _ = env.store.Commit(context.Background(), store.Urgent, wire.Transaction{
 			Then: []wire.Change{{Put: keys.JobEnd("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobDone}}},
 		})
-	}}
+	}})
 	if got := jobState(n, "j-1"); got != wire.JobDone {
 		t.Fatalf("it is %q", got)
 	}
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -80,7 +80,7 @@
 	if fleet.leader.cluster.Jobs[job.Spec.ID] != nil || fleet.leader.records.LookupChunk(job.Chunks[0]) != nil {
 		t.Fatal("kept though nothing of it is left")
 	}
-	if status, ok := fleet.leader.node.finalStatuses.get(job.Spec.ID); !ok || status.State != wire.JobAborted {
+	if status, ok := fleet.leader.node.jobs.FinalStatuses().Get(job.Spec.ID); !ok || status.State != wire.JobAborted {
 		t.Errorf("polls for it are not answered from memory: %+v", status)
 	}
 }
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"context"
+
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/shard"
@@ -28,7 +30,7 @@
 	if leader == "" || leader == n.Cfg.Node {
 		return 503, nil
 	}
-	status, reply, err := n.callPeer(leader, peer.ShardAdmin, body, adminTimeout)
+	status, reply, err := n.callPeer(context.Background(), leader, peer.ShardAdmin, body, adminTimeout)
 	if err != nil {
 		return 503, nil
 	}
--- a/internal/controller/status_bench_test.go
+++ b/internal/controller/status_bench_test.go
@@ -32,7 +32,7 @@
 		if reply := leader.Submit(submission(id, wire.Service)); reply.Status != 201 {
 			b.Fatalf("%+v", reply)
 		}
-		waitUntil(tb, "known", func() bool { _, ok := leader.activeLeader().status(id); return ok })
+		waitUntil(tb, "known", func() bool { return len(leader.activeLeader().Statuses([]string{id})) == 1 })
 	}
 	return leader, follower
 }
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -15,6 +15,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -278,7 +279,7 @@
 					t.Errorf("%d requests other than polls were held back", held-heldBefore)
 				}
 				// For 3 s more what is under way comes to its end; bursts are of 1 s.
-				if most := int(lookupRateShare * queryStormStoreRPS * (took + 3 + 1)); after-before > most {
+				if most := int(jobapi.LookupRateShare * queryStormStoreRPS * (took + 3 + 1)); after-before > most {
 					t.Errorf("%d requests for polls in %.0f s, more than %d", after-before, took, most)
 				}
 				storm.mu.Lock()
@@ -385,7 +386,7 @@
 		node.Peers = peers
 	})
 	defer stop()
-	node.rememberAccepted("j-000001") // one that was accepted, and one that may be unknown
+	node.jobs.RememberAccepted("j-000001") // one that was accepted, and one that may be unknown
 	for _, id := range []string{"j-000001", "j-000002"} {
 		if reply := node.Status(id); reply.Status != 503 || reply.RetryAfter == 0 {
 			t.Errorf("%s: %+v", id, reply)
@@ -449,8 +450,8 @@
 			node.election.SuspendCampaign(1 << 50)
 			node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 			node.Cfg.Facts.State.RPS = queryStormStoreRPS
-			node.setBudgetFractions(0.3, 0.3)
 		})
+		node.setBudgetFractions(0.3, 0.3)
 		defer env.stopNode(stop)
 		finished := []string{"j-000001", "j-000002", "j-000003"}
 		for _, id := range finished {
@@ -497,8 +498,8 @@
 			node.election.SuspendCampaign(1 << 50)
 			node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 			node.Cfg.Facts.State.RPS = queryStormStoreRPS
-			node.setBudgetFractions(0.1, 0.1)
 		})
+		node.setBudgetFractions(0.1, 0.1)
 		defer env.stopNode(stop)
 		var answered [jobs]time.Duration
 		var polling sync.WaitGroup
@@ -626,7 +627,7 @@
 		); err != nil {
 			t.Fatal(err)
 		}
-		node.rememberAccepted("j-000001")
+		node.jobs.RememberAccepted("j-000001")
 		before, after := make(chan httpapi.Reply, 1), make(chan httpapi.Reply, 1)
 		go func() { before <- node.Status("j-000001") }()
 		time.Sleep(2 * storeLatency.Duration())
@@ -654,8 +655,8 @@
 		status, most    int
 	}{
 		"equal, unknown":     {false, false, func(int) string { return "j-000001" }, 404, 2},
-		"equal, accepted":    {true, true, func(int) string { return "j-000001" }, 200, 2 * requestsPerRead},
-		"equal, not heard":   {false, true, func(int) string { return "j-000001" }, 200, 2 + 2*requestsPerRead},
+		"equal, accepted":    {true, true, func(int) string { return "j-000001" }, 200, 2 * jobapi.RequestsPerRead},
+		"equal, not heard":   {false, true, func(int) string { return "j-000001" }, 200, 2 + 2*jobapi.RequestsPerRead},
 		"different, unknown": {false, false, func(i int) string { return fmt.Sprintf("j-%d", unknownIDBase+i%90) }, 404, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -671,7 +672,7 @@
 					}
 				}
 				if test.known {
-					node.rememberAccepted("j-000001")
+					node.jobs.RememberAccepted("j-000001")
 				}
 				var polled sync.WaitGroup
 				for i := range polls {
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -8,6 +8,7 @@
 
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
@@ -345,7 +346,7 @@
 		if answers == 0 || across == 0 {
 			sim.t.Error("no answer was read in time, or no read was under way at the end")
 		}
-		if late > maxReadAge {
+		if late > jobapi.MaxReadAge {
 			sim.t.Errorf("a job was called unfinished %.3f s after it was called over", late.Seconds())
 		}
 	})
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -101,7 +101,8 @@
 	all := version1Values()
 	all["compact"] = (&cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
 	all["format"] = persist.FormatRecord{Version: 2, TasksPerChunk: 64}
-	all["node"], all["needs"] = nodeRecord{2}, dependencyRecord{[]string{"j-1", "j-2"}}
+	all["node"] = nodeRecord{2}
+	all["needs"] = cluster.DependencyRecord{Dependencies: []string{"j-1", "j-2"}}
 	for _, value := range all {
 		var counted any
 		if err := wire.Unmarshal(wire.MustMarshal(value), &counted); err != nil {
