--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -101,16 +101,31 @@
 // start has a machine's agent be told to start the only task of a job.
 func (test *testDispatcher) start(machine *cluster.Machine, spec wire.Job) {
 	spec.Class, spec.Team, spec.Tasks, spec.CPUs, spec.MemoryGB, spec.Image = "c", "team", 1, 1, 1, "i"
-	job := test.cluster.AddJob(spec, test.at, test.at)
+	job := test.addJob(spec)
 	allocation := test.cluster.Allocate(job, job.NextTasks(test.at, 1)[0], machine, 1, 1, test.at)
 	test.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
 }
 
+func (test *testDispatcher) addJob(spec wire.Job) *cluster.Job {
+	return test.cluster.AddJob(spec, test.at, test.at)
+}
+
 // An overloaded leader sends directly what cannot wait for the machine's next report.
 func TestOverloadedLeaderDispatchesOnlyUrgentCommands(t *testing.T) {
 	test := newTestDispatcher(t, 8)
-	normal, service := test.machines[0], test.machines[1]
-	test.start(service, wire.Job{ID: "j-7777", Kind: wire.Service, Priority: wire.Production})
+	machines := test.cluster.SortedMachines()
+	normal, service := machines[0], machines[1]
+	test.addJob(
+		wire.Job{
+			ID: "j-7777", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1,
+			MemoryGB: 1, Image: "i",
+		},
+	)
+	starts := func(machine *cluster.Machine, job *cluster.Job) {
+		allocation := test.cluster.Allocate(job, job.NextTasks(test.at, 1)[0], machine, 1, 1, test.at)
+		test.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
+	}
+	starts(service, test.cluster.Jobs["j-7777"])
 	if !test.shouldDispatch(normal) || !test.shouldDispatch(service) {
 		t.Fatal("orders are left out without overload")
 	}
