--- a/internal/cluster/stored_forms.go
+++ b/internal/cluster/stored_forms.go
@@ -22,3 +22,6 @@
 
 // TasksPerCompactChunk is records.TasksPerCompactChunk.
 func TasksPerCompactChunk(bytes int) int { return records.TasksPerCompactChunk(bytes) }
+
+// LegacyTasksPerChunk is records.LegacyTasksPerChunk.
+const LegacyTasksPerChunk = records.LegacyTasksPerChunk
