--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -10,25 +10,19 @@
 // The model's effects.
 
 // ChunkDirty notes that a chunk must be written.
-func (l *Leader) ChunkDirty(chunk *cluster.TaskChunk) { l.records.ChunkDirty(chunk) }
+func (l *controlLoop) ChunkDirty(chunk *cluster.TaskChunk) { l.records.ChunkDirty(chunk) }
 
 // ChunkUrgent notes that a start waits for a chunk.
-func (l *Leader) ChunkUrgent(chunk *cluster.TaskChunk) { l.records.ChunkUrgent(chunk) }
+func (l *controlLoop) ChunkUrgent(chunk *cluster.TaskChunk) { l.records.ChunkUrgent(chunk) }
 
 // DispatchSoon notes that a machine has commands worth sending at once.
-func (l *Leader) DispatchSoon(m *cluster.Machine) { l.dispatcher.MarkPending(m) }
+func (l *controlLoop) DispatchSoon(m *cluster.Machine) { l.dispatcher.MarkPending(m) }
 
 // JobFinished writes the end of a job whose tasks are all done.
-func (l *Leader) JobFinished(j *cluster.Job) {
-	if l.owner != nil {
-		l.jobFinishedInShard(j)
-		return
-	}
-	l.records.WriteJobEnd(j, wire.JobDone)
-}
+func (l *Leader) JobFinished(j *cluster.Job) { l.records.WriteJobEnd(j, wire.JobDone) }
 
 // AttemptCompleted learns from a completed run.
-func (l *Leader) AttemptCompleted(p *cluster.Allocation, took micro.Time) {
+func (l *controlLoop) AttemptCompleted(p *cluster.Allocation, took micro.Time) {
 	j := p.Job
 	p.Machine.RecordRunTime(took, scheduler.EstimatedRuntime(j))
 	if j.Spec.EstimateS > 1 && j.Spec.CheckpointIntervalS == 0 || j.Spec.Kind == wire.JobArray && p.Attempt == 1 {
@@ -42,19 +36,21 @@
 }
 
 // ScheduleSoon notes that placement may find more than before.
-func (l *Leader) ScheduleSoon() { l.schedulePending = true }
+func (l *controlLoop) ScheduleSoon() { l.schedulePending = true }
 
 // Log writes one line for operators.
-func (l *Leader) Log(event string, args ...any) { l.log.Info(event, args...) }
+func (l *controlLoop) Log(event string, args ...any) { l.log.Info(event, args...) }
 
 // ChunkMigrated notes that a chunk's record in the first form stands for chunks of the
 // later one until they are stored.
-func (l *Leader) ChunkMigrated(ch *cluster.TaskChunk, o *cluster.LegacyRecord) {
+func (l *controlLoop) ChunkMigrated(ch *cluster.TaskChunk, o *cluster.LegacyRecord) {
 	l.records.ChunkMigrated(ch, o)
 }
 
 // LegacyRecordSuperseded deletes a record in the first form once nothing depends on it.
-func (l *Leader) LegacyRecordSuperseded(o *cluster.LegacyRecord) { l.records.LegacyRecordSuperseded(o) }
+func (l *controlLoop) LegacyRecordSuperseded(o *cluster.LegacyRecord) {
+	l.records.LegacyRecordSuperseded(o)
+}
 
 // DependencyAborted writes the end of a job that needs an aborted one.
 func (l *Leader) DependencyAborted(j *cluster.Job) {
--- /dev/null
+++ b/internal/controller/control_loop.go
@@ -0,0 +1,184 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/detector"
+	"notchmux.dev/notchmux/internal/dispatch"
+	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/eventloop"
+	"notchmux.dev/notchmux/internal/httpapi"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/persist"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/wire"
+)
+
+// controlLoop are the parts that the loop of a leader and that of a shard's owner have in
+// common. Both run their machines and jobs in the same way; what they do differently is in
+// their duties.
+type controlLoop struct {
+	node   *Node
+	term   *election.Term
+	log    *slog.Logger
+	loop   *eventloop.Loop
+	duties duties
+
+	pendingTasks atomic.Int64
+	knownJobs    sync.Map    // ids of jobs in the cluster state
+	serving      atomic.Bool // all that the store holds was read: knownJobs is complete
+
+	// Owned by the loop's goroutine.
+	cluster          *cluster.State
+	scheduler        *scheduler.Scheduler
+	speeds           *scheduler.SpeedEstimator
+	objectives       *scheduler.Objectives
+	records          *persist.Records
+	dispatcher       *dispatch.Dispatcher
+	detector         *detector.Detector
+	schedulePending  bool
+	lastSchedule     micro.Time
+	scheduleInterval micro.Time // least time between passes, by what the last one took
+	lastStatusLog    micro.Time
+}
+
+// duties are what a leader's loop and that of a shard's owner do each in its own way. Only
+// the loop's goroutine calls them, but for mayRespond.
+type duties interface {
+	cluster.Effects
+	detector.Host
+	persist.Role
+	// mayRespond reports whether answers and commands may be sent as far as the lease goes;
+	// any goroutine may ask.
+	mayRespond() bool
+	// refusesHeartbeat reports whether a heartbeat is another controller's to answer.
+	refusesHeartbeat(heartbeat *wire.Heartbeat) bool
+	// jobEnded settles a job whose end is in the store.
+	jobEnded(job *cluster.Job, state wire.JobState)
+}
+
+// newControlLoop makes a loop that gives out fencing tokens from the first one on.
+func newControlLoop(
+	node *Node, term *election.Term, firstToken uint64, log *slog.Logger, duties duties,
+) *controlLoop {
+	l := &controlLoop{node: node, term: term, log: log, loop: eventloop.New(), duties: duties}
+	l.cluster = cluster.New(duties)
+	l.cluster.MinFencingToken = firstToken
+	l.cluster.TermStartedAt = node.Now()
+	l.cluster.LeaseDuration = node.Cfg.LeaseExpiredAfter()
+	l.cluster.QuarantineThreshold = node.Cfg.QuarantineFailedJobs
+	l.cluster.Verbose = node.Log.Enabled(context.Background(), slog.LevelDebug)
+	l.objectives = scheduler.NewObjectives(node.Cfg.Facts.Objectives)
+	l.speeds = scheduler.NewSpeedEstimator()
+	l.scheduler = &scheduler.Scheduler{
+		Cluster: l.cluster, Objectives: l.objectives, Properties: &node.Cfg.Properties,
+		Rand: rand.New(rand.NewPCG(term.FencingRevision, 1)),
+	}
+	l.dispatcher = dispatch.New(firstToken, dispatch.Dependencies{
+		Cluster: l.cluster, Loop: l.loop, Sender: node.Agent, Log: l.log,
+		Now: func() micro.Time { return node.Now() }, Host: dispatchHost{l},
+	})
+	l.detector = detector.New(detector.Dependencies{
+		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: maxInventoryAge,
+		FencingTokens: l.dispatcher, Handovers: &node.handovers, Host: duties,
+	})
+	l.records = persist.New(persist.Dependencies{
+		Host: recordsHost{l}, Role: duties, Limits: node.Cfg, Cluster: l.cluster, Speeds: l.speeds,
+		Store: node.Store, Log: l.log,
+	})
+	return l
+}
+
+// holdsLease reports whether this loop may answer and send commands; any goroutine may ask.
+func (l *controlLoop) holdsLease() bool {
+	return l.duties.mayRespond() && l.term.HoldsLease(l.node.Now())
+}
+
+// post hands the loop something to do; it is dropped once the term is over.
+func (l *controlLoop) post(f func()) { l.loop.Post(funcEvent(f)) }
+
+// funcEvent is an event that has no type of its own yet.
+type funcEvent func()
+
+// Apply runs it.
+func (f funcEvent) Apply() { f() }
+
+// callLoop runs f in the loop and waits for its reply, but not for long. Heartbeats and
+// cancellations go before queries.
+func (l *controlLoop) callLoop(
+	queue eventloop.Queue, timeout micro.Time, f func(reply func(httpapi.Reply)),
+) (httpapi.Reply, bool) {
+	event := func(reply eventloop.Reply[httpapi.Reply]) eventloop.Event {
+		return funcEvent(func() { f(reply.Send) })
+	}
+	answer, ok := eventloop.Call(l.loop, queue, timeout, event)
+	// The lease may have lapsed meanwhile: then nothing may be said.
+	return answer, ok && l.holdsLease()
+}
+
+// schedule places tasks if something has changed since the last pass, and it is time.
+func (l *controlLoop) schedule(now micro.Time) {
+	if !l.schedulePending || now-l.lastSchedule <= l.scheduleInterval {
+		return
+	}
+	l.schedulePending = false
+	l.lastSchedule = now
+	l.scheduler.Schedule(now)
+	took := l.node.Now() - now
+	l.scheduleInterval = min(max(scheduleTimeDivisor*took, minScheduleInterval), maxScheduleInterval)
+	l.scheduler.Overloaded = took > l.node.Cfg.SampleAbovePassTime
+	l.node.Metrics.Observe("pass", took)
+}
+
+// Passes take at most one part in scheduleTimeDivisor of the time.
+const (
+	scheduleTimeDivisor = 8
+	minScheduleInterval = 40 * micro.Millisecond
+	maxScheduleInterval = micro.Second
+)
+
+// flush writes what was decided, and sends the commands that wait.
+func (l *controlLoop) flush(now micro.Time) {
+	l.records.Flush(now)
+	l.dispatcher.SendPending(now)
+}
+
+// resign ends the term; any goroutine may call it.
+func (l *controlLoop) resign(reason string) {
+	l.log.Info("resigning", "why", reason)
+	l.term.End()
+	l.node.election.SuspendCampaign(resignCooldown)
+	go func() { _ = l.node.Store.Revoke(context.Background(), l.term.Lease) }()
+}
+
+// resignCooldown is how long a node that resigned stands for no election.
+const resignCooldown = 4 * micro.Second
+
+// Now is this node's steady clock.
+func (l *controlLoop) Now() micro.Time { return l.node.Now() }
+
+// Wall is this node's wall clock.
+func (l *controlLoop) Wall() micro.Time { return l.node.Wall() }
+
+// HoldsLease reports whether the loop may answer and send commands.
+func (l *controlLoop) HoldsLease() bool { return l.holdsLease() }
+
+// Post hands the loop an event.
+func (l *controlLoop) Post(event eventloop.Event) { l.loop.Post(event) }
+
+// recordsHost is a loop as its records see it.
+type recordsHost struct{ *controlLoop }
+
+// ObserveCommit notes how long a transaction took.
+func (h recordsHost) ObserveCommit(took micro.Time) { h.node.Metrics.Observe("commit", took) }
+
+// JobEnded settles a job whose end is in the store.
+func (h recordsHost) JobEnded(job *cluster.Job, state wire.JobState) { h.duties.jobEnded(job, state) }
+
+// FormatRaised opens this node's format gate.
+func (h recordsHost) FormatRaised() { h.node.setGateState(GateOpen) }
--- a/internal/controller/detector_host.go
+++ b/internal/controller/detector_host.go
@@ -13,32 +13,22 @@
 	l.sendTerminations()
 }
 
-// detectorHost is what the failure detector needs of the loop that it watches over the
-// machines for.
-type detectorHost struct{ leader *Leader }
+// What the failure detector needs of a leader.
 
 // InventoryReadAt is when the list of instances that was read last was asked for.
-func (h detectorHost) InventoryReadAt() micro.Time { return h.leader.inventoryAt }
+func (l *Leader) InventoryReadAt() micro.Time { return l.inventoryAt }
 
 // Terminate marks a machine to be terminated.
-func (h detectorHost) Terminate(machine *cluster.Machine, reason string) {
-	h.leader.terminate(machine, reason)
-}
+func (l *Leader) Terminate(machine *cluster.Machine, reason string) { l.terminate(machine, reason) }
 
 // ShardMachinesKnown reports whether this leader would know by now that a machine of a shard
 // that another controller owns is up.
-func (h detectorHost) ShardMachinesKnown(machine *cluster.Machine, now micro.Time) bool {
-	return h.leader.coordinator.MachinesKnown(machine, now)
+func (l *Leader) ShardMachinesKnown(machine *cluster.Machine, now micro.Time) bool {
+	return l.coordinator.MachinesKnown(machine, now)
 }
 
-// HandOver has another node take over: the leader resigns in favour of another, unless that
-// was tried in vain; a shard is moved by the leader.
-func (h detectorHost) HandOver(now micro.Time) {
-	l := h.leader
-	if l.owner != nil {
-		l.owner.unreachable = true
-		return
-	}
+// HandOver resigns in favour of another node, unless that was tried in vain.
+func (l *Leader) HandOver(now micro.Time) {
 	window := detector.HandoverWindow(l.node.Cfg)
 	if !l.node.handovers.Begin(now, l.cluster.TermStartedAt, window) {
 		return
--- a/internal/controller/dispatch_host.go
+++ b/internal/controller/dispatch_host.go
@@ -8,24 +8,24 @@
 )
 
 // dispatchHost is what the dispatcher needs of the loop that it sends commands for.
-type dispatchHost struct{ leader *Leader }
+type dispatchHost struct{ loop *controlLoop }
 
 // HoldsLease reports whether commands may be sent; any goroutine may ask.
-func (h dispatchHost) HoldsLease() bool { return h.leader.holdsLease() }
+func (h dispatchHost) HoldsLease() bool { return h.loop.holdsLease() }
 
 // RefusesHeartbeat reports whether a heartbeat is another controller's to answer.
 func (h dispatchHost) RefusesHeartbeat(heartbeat *wire.Heartbeat) bool {
-	return h.leader.coordinator.RefusesHeartbeat(heartbeat)
+	return h.loop.duties.refusesHeartbeat(heartbeat)
 }
 
 // HeartbeatReceived notes that an agent reached this node.
-func (h dispatchHost) HeartbeatReceived() { h.leader.detector.CountHeartbeat() }
+func (h dispatchHost) HeartbeatReceived() { h.loop.detector.CountHeartbeat() }
 
 // Resign ends the term.
-func (h dispatchHost) Resign(reason string) { h.leader.resign(reason) }
+func (h dispatchHost) Resign(reason string) { h.loop.resign(reason) }
 
 // handleHeartbeat answers an agent's heartbeat; any goroutine but the loop's may call it.
-func (l *Leader) handleHeartbeat(heartbeat *wire.Heartbeat) httpapi.Reply {
+func (l *controlLoop) handleHeartbeat(heartbeat *wire.Heartbeat) httpapi.Reply {
 	commands, accepted := l.dispatcher.HandleHeartbeat(heartbeat)
 	if !accepted {
 		return httpapi.RetryReply(http.StatusServiceUnavailable, 1)
--- a/internal/controller/instance_requests.go
+++ b/internal/controller/instance_requests.go
@@ -279,10 +279,6 @@
 	if !l.cluster.TransitionMachine(machine, cluster.Terminating, reason) {
 		return
 	}
-	if l.owner != nil {
-		l.requestTermination(machine)
-		return
-	}
 	l.pendingTerminations[machine] = 0
 	request := l.instanceRequests[machine.InstanceRequestID]
 	if request == nil || !l.cluster.CompactRecords || !slices.Contains(request.record.Machines, machine.Name) {
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -145,10 +145,6 @@
 // those that must not renew more: where a user was told of a job's end, a worker
 // that may still run its tasks must not be kept alive past the time for that.
 func (l *Leader) updateRenewalBound(now micro.Time) {
-	if l.owner != nil {
-		l.updateBoundFromLeader(now)
-		return
-	}
 	l.updateFencedZones()
 	ownRenewal := l.node.leaseProxy.LastRenewal() // of a time when this very term had lapsed
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -14,7 +14,7 @@
 )
 
 // reviewPendingJobs counts what waits, and tells why of some that have waited long.
-func (l *Leader) reviewPendingJobs(now micro.Time) {
+func (l *controlLoop) reviewPendingJobs(now micro.Time) {
 	waiting, explanationsLeft := 0, maxExplanations
 	for job := range l.cluster.PendingJobs {
 		waiting += job.PendingTasks()
@@ -31,7 +31,7 @@
 	return now-j.WaitingSince >= explainAfter && j.WaitReasonLoggedAt <= j.WaitingSince
 }
 
-func (l *Leader) logWaitReason(j *cluster.Job, now micro.Time) {
+func (l *controlLoop) logWaitReason(j *cluster.Job, now micro.Time) {
 	j.WaitReasonLoggedAt = now
 	l.log.Info(
 		"job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "why",
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -65,7 +65,7 @@
 
 // readPrefix reads all keys with a prefix, page by page, until it has them all or the
 // term ended. The revision is the lowest of the pages'.
-func (l *Leader) readAll(ctx context.Context, prefix string, each func(wire.Item)) (revision uint64, ok bool) {
+func (l *controlLoop) readAll(ctx context.Context, prefix string, each func(wire.Item)) (revision uint64, ok bool) {
 	after := ""
 	for {
 		page, err := l.node.Store.Range(ctx, store.Leadership, prefix, after, 1000)
@@ -92,24 +92,32 @@
 // restoreFleet reads one of the records of the fleet as a whole.
 func (l *Leader) restoreFleet(item wire.Item) {
 	switch item.Key {
-	case keys.Speeds:
-		l.logMalformed(item.Key, l.records.RestoreSpeeds(item))
 	case keys.FirstProvisioned:
 		var record firstProvisionedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.firstProvisioned = record.Machine
 			l.firstProvisionedRecord.SetVersion(uint64(item.Version))
 		}
-	case keys.Format:
-		l.logMalformed(item.Key, l.records.Format.Restore(item))
 	case shard.MarkerKey:
 		l.observeShardMarker(item)
+	default:
+		l.restoreShared(item)
+	}
+}
+
+// restoreShared reads one of the records of the fleet that a shard's owner goes by as well.
+func (l *controlLoop) restoreShared(item wire.Item) {
+	switch item.Key {
+	case keys.Speeds:
+		l.logMalformed(item.Key, l.records.RestoreSpeeds(item))
+	case keys.Format:
+		l.logMalformed(item.Key, l.records.Format.Restore(item))
 	}
 }
 
 // logMalformed logs that a stored record was passed over; there is nothing to say without an
 // error.
-func (l *Leader) logMalformed(key string, err error) {
+func (l *controlLoop) logMalformed(key string, err error) {
 	if err != nil {
 		l.log.Debug("stored record not understood", "key", key, "err", err)
 	}
@@ -197,7 +205,7 @@
 }
 
 // insertJob adds a job to the model.
-func (l *Leader) insertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
+func (l *controlLoop) insertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
 	l.knownJobs.Store(spec.ID, true)
 	age := max(wall-micro.Time(spec.SubmittedAt), 0)
 	job := l.cluster.AddJob(spec, now-age, now)
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -94,10 +94,8 @@
 		l.coordinator.ObserveMarker(uint64(item.Version))
 		return
 	}
-	if l.owner == nil {
-		l.log.Error("shards of the machines exist, and this controller runs without the feature: it does not lead")
-		l.resign("it runs without shards")
-	}
+	l.log.Error("shards of the machines exist, and this controller runs without the feature: it does not lead")
+	l.resign("it runs without shards")
 }
 
 // handleStatusUpdate answers another node's owner of a shard.
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -36,7 +36,7 @@
 			return false
 		}
 		node := w.controllerNamed(entry.Record.Owner.Node).runningNode()
-		leader := (*Leader)(nil)
+		leader := (*ShardOwner)(nil)
 		if node != nil {
 			leader = node.shards.ownerOf("east")
 		}
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -84,7 +84,7 @@
 	from := w.now()
 	w.requestMove(to)
 	ownerlessSince := micro.Time(0)
-	var next *Leader
+	var next *ShardOwner
 	for next == nil || !next.serving.Load() {
 		if ownerlessSince == 0 && old.responsesBlocked.Load() {
 			ownerlessSince = w.now()
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -24,8 +24,8 @@
 	term    atomic.Pointer[election.Term] // of the session; nil: none
 
 	mu     sync.Mutex
-	ctx    context.Context    // of the node; nil until it runs
-	owners map[string]*Leader // by share
+	ctx    context.Context        // of the node; nil until it runs
+	owners map[string]*ShardOwner // by shard
 }
 
 // ownerReconcileInterval is how often the loops of shards are looked after.
@@ -37,7 +37,7 @@
 		return
 	}
 	n.shards = &nodeShards{
-		table: shard.NewFollower(n.Store, n.Log, n.shardTableChanged), owners: map[string]*Leader{},
+		table: shard.NewFollower(n.Store, n.Log, n.shardTableChanged), owners: map[string]*ShardOwner{},
 	}
 	n.shards.session = &election.Election{
 		Key: shard.SessionKey(n.Cfg.Node), Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
@@ -125,7 +125,7 @@
 			delete(shards.owners, name)
 			continue
 		}
-		owner.post(func() { owner.observeShardRecord(entry, ok) })
+		owner.loop.Post(shardRecordObserved{owner, entry, ok})
 	}
 	if term == nil || shards.ctx == nil || n.catalog.Load() == nil {
 		return
@@ -140,7 +140,7 @@
 }
 
 // ownerOf is the loop of a share that this node owns; nil: it does not.
-func (s *nodeShards) ownerOf(name string) *Leader {
+func (s *nodeShards) ownerOf(name string) *ShardOwner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.owners[name]
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -2,9 +2,12 @@
 
 import (
 	"context"
+	"sync/atomic"
 
+	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -12,212 +15,258 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ownedShard is what the loop of a share's owner has beside that of a leader. The loop
-// places the jobs that were assigned to the share on the share's machines, under
-// conditions and tokens of its own; it accepts, ends and rents nothing.
-type ownedShard struct {
-	*shard.Owner
-	name string
+// ShardOwner is one ownership of a shard. It places the jobs that were assigned to the shard
+// on the shard's machines, under preconditions and fencing tokens of its own; it accepts and
+// ends no jobs, and requests no instances. The goroutine of its loop owns its state.
+type ShardOwner struct {
+	*controlLoop
+	ownership        *shard.Owner
+	name             string
+	responsesBlocked atomic.Bool // nothing may be said: a transfer is under way or in doubt
 
+	planner             *autoscaler.Planner           // for which machines are idle; it requests none
+	lastReview          micro.Time                    // of idle machines, pending jobs and finished assignments
 	assignments         map[string]*statestore.Record // of the jobs that were assigned, by job
 	assignedAt          map[string]micro.Time         // by the wall clock: a new owner does not wait anew
 	assignmentRevision  uint64                        // revision up to which assignments were read
 	finished            map[*cluster.Job]bool         // jobs all of whose tasks are done
-	cancelling          map[*cluster.Job]bool         // jobs that are being withdrawn
-	pendingTerminations map[*cluster.Machine]bool     // machines to be returned
-	unreachable         bool                          // no worker reaches this node
-
-	leaderTerm       uint64                // of the leader whose answer came last
-	reportedMachines map[string]bool       // machines that it was told are up
-	reportInFlight   bool                  // a touch is under way
-	reportedAt       micro.Time            // when the last one went out
-	reportUrgent     bool                  // something presses: the next one goes out at once
-	renewedUntil     map[string]micro.Time // until when keepers may have renewed leases, as of the answer being read
-	transferInFlight bool                  // a hand-over, or a look at what came of it, is under way
-}
-
-// mayPlace reports whether new tasks may be placed.
-func (l *Leader) mayPlace() bool { return l.owner == nil || l.owner.MayAllocate() }
-
-// startShardOwner begins the loop of a share that this incarnation owns.
-func (n *Node) startShardOwner(ctx context.Context, e shard.Entry, term *election.Term, self shard.Controller) *Leader {
-	log := n.Log.With("share", e.Name, "version", e.Version)
-	owner := shard.NewOwner(e, term, self, log.Info)
-	l := newEventLoop(n, term, owner.FirstFencingToken(), log)
-	l.records = newRecords(l, shardOwnerRole{owner, e.Name})
-	l.owner = &ownedShard{
-		Owner: owner, name: e.Name, assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{},
+	cancelling          map[*cluster.Job]bool         // jobs that are being cancelled
+	pendingTerminations map[*cluster.Machine]bool     // machines to be terminated
+	transferInFlight    bool                          // a transfer, or a look at what came of it, is under way
+	unreachable         bool                          // no agent reaches this node
+	reports             ownerReports
+	renewedUntil        map[string]micro.Time // until when proxies may have renewed leases, as of the answer being read
+}
+
+// ownerReports is how far the leader was told how the shard fares.
+type ownerReports struct {
+	leaderTerm       uint64          // of the leader whose answer came last
+	reportedMachines map[string]bool // machines that it was told are up
+	inFlight         bool            // a status update is under way
+	sentAt           micro.Time      // when the last one went out
+	urgent           bool            // the next one goes out at once
+}
+
+// startShardOwner begins the loop of a shard that this incarnation owns.
+func (n *Node) startShardOwner(
+	ctx context.Context, entry shard.Entry, term *election.Term, self shard.Controller,
+) *ShardOwner {
+	o := newShardOwner(n, entry, term, self)
+	go o.run(ctx)
+	return o
+}
+
+// newShardOwner makes the loop of a shard that this incarnation owns.
+func newShardOwner(n *Node, entry shard.Entry, term *election.Term, self shard.Controller) *ShardOwner {
+	log := n.Log.With("shard", entry.Name, "version", entry.Version)
+	o := &ShardOwner{
+		ownership: shard.NewOwner(entry, term, self, log.Info), name: entry.Name,
+		assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{},
 		finished: map[*cluster.Job]bool{}, cancelling: map[*cluster.Job]bool{},
-		pendingTerminations: map[*cluster.Machine]bool{}, reportedMachines: map[string]bool{},
+		pendingTerminations: map[*cluster.Machine]bool{},
+		reports:             ownerReports{reportedMachines: map[string]bool{}},
 	}
-	for _, t := range n.Cfg.Facts.Teams {
-		// The leader has counted all that is assigned against the limits.
-		l.cluster.Teams[t.Name] = &cluster.Team{Name: t.Name}
+	o.controlLoop = newControlLoop(n, term, o.ownership.FirstFencingToken(), log, o)
+	o.planner = newPlanner(o.controlLoop)
+	for _, team := range n.Cfg.Facts.Teams {
+		// The leader has counted all that is assigned against the quotas.
+		o.cluster.Teams[team.Name] = &cluster.Team{Name: team.Name}
 	}
-	l.cluster.SetCatalog(n.catalog.Load())
-	go l.runShardOwner(ctx)
-	return l
+	o.cluster.SetCatalog(n.catalog.Load())
+	return o
 }
 
-// runShardOwner is the loop of an owner.
-func (l *Leader) runShardOwner(ctx context.Context) {
+// run is the loop of an owner.
+func (o *ShardOwner) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l.loop.StopWith(ctx)
-	from := l.node.Now()
-	if !l.recoverShard(ctx) {
-		l.loop.Stop() // begun anew with the next look at the table
+	o.loop.StopWith(ctx)
+	from := o.node.Now()
+	if !o.recoverShard(ctx) {
+		o.loop.Stop() // begun anew with the next look at the table
 		return
 	}
-	l.serving.Store(true)
-	l.log.Info(
-		"took over share", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
-		int64((l.node.Now()-from)/micro.Millisecond),
+	o.serving.Store(true)
+	o.log.Info(
+		"took over shard", "jobs", len(o.cluster.Jobs), "machines", len(o.cluster.Machines), "took_ms",
+		int64((o.node.Now()-from)/micro.Millisecond),
 	)
-	go l.watchAssignments(ctx, l.owner.assignmentRevision)
-	l.serve(l.tickShardOwner)
+	go o.watchAssignments(ctx, o.assignmentRevision)
+	o.loop.Run(eventloop.Handlers{Now: o.node.Now, Tick: o.tick, AfterEvents: o.runPending})
 }
 
-// tickShardOwner is what an owner does from time to time.
-func (l *Leader) tickShardOwner(now micro.Time) {
-	l.reconcileTransfer(now)
-	if !l.detector.ObserveLease(l.holdsLease(), now) {
+// runPending does what the events called for: place, write, send.
+func (o *ShardOwner) runPending(now micro.Time) {
+	if !o.holdsLease() {
 		return
 	}
-	if now-l.lastPlan >= micro.Second {
-		l.lastPlan = now
-		l.schedulePending = true // backoffs run out
-		l.terminateIdle(now)
-		l.reviewPendingJobs(now)
-		l.deleteFinishedAssignments(now)
+	if o.ownership.MayAllocate() {
+		o.schedule(now)
+	}
+	o.flush(now)
+}
+
+// reviewInterval is how often idle machines, pending jobs and finished assignments are looked at.
+const reviewInterval = micro.Second
+
+// tick is what an owner does from time to time.
+func (o *ShardOwner) tick(now micro.Time) {
+	o.reconcileTransfer(now)
+	if !o.detector.ObserveLease(o.holdsLease(), now) {
+		return
 	}
-	if l.owner.reportUrgent || now-l.owner.reportedAt >= statusUpdateInterval {
-		l.sendStatusUpdate(now)
+	if now-o.lastReview >= reviewInterval {
+		o.lastReview = now
+		o.schedulePending = true // backoffs run out
+		o.terminateIdle(now)
+		o.reviewPendingJobs(now)
+		o.deleteFinishedAssignments(now)
 	}
-	if now-l.lastStatusLog >= statusLogInterval {
-		l.lastStatusLog = now
-		l.logStatus()
+	if o.reports.urgent || now-o.reports.sentAt >= statusUpdateInterval {
+		o.sendStatusUpdate(now)
 	}
-	l.dispatcher.CheckToken(now)
+	o.logStatusIfDue(now, 0)
+	o.dispatcher.CheckToken(now)
 }
 
-// observeShardRecord takes in what the share's record says now; there is none if it is gone.
-func (l *Leader) observeShardRecord(e shard.Entry, exists bool) {
-	if exists {
-		l.owner.Observe(e)
+// shardRecordObserved is what the shard's record says now.
+type shardRecordObserved struct {
+	owner  *ShardOwner
+	entry  shard.Entry
+	exists bool // false: the record is gone
+}
+
+// Apply has the owner follow the record.
+func (e shardRecordObserved) Apply() {
+	if e.exists {
+		e.owner.ownership.Observe(e.entry)
 	} else {
-		l.owner.HandleRecordDeleted()
+		e.owner.ownership.HandleRecordDeleted()
 	}
-	l.applyOwnerState()
+	e.owner.applyOwnerState()
 }
 
 // applyOwnerState follows a change of the owner's state: whether the loop may say anything,
 // and whether it is over.
-func (l *Leader) applyOwnerState() {
-	l.responsesBlocked.Store(!l.owner.MayRespond())
-	if l.owner.State() == shard.Relinquished {
-		l.loop.Stop()
+func (o *ShardOwner) applyOwnerState() {
+	o.responsesBlocked.Store(!o.ownership.MayRespond())
+	if o.ownership.State() == shard.Relinquished {
+		o.loop.Stop()
 	}
 }
 
 // reconcileTransfer brings a move on.
-func (l *Leader) reconcileTransfer(now micro.Time) {
-	switch l.owner.State() {
+func (o *ShardOwner) reconcileTransfer(now micro.Time) {
+	switch o.ownership.State() {
 	case shard.Draining:
-		if l.holdsLease() && !l.owner.transferInFlight && l.drainForTransfer(now) {
-			l.transferShard()
+		if o.holdsLease() && !o.transferInFlight && o.drainForTransfer(now) {
+			o.transferShard()
 		}
 	case shard.Uncertain:
-		if !l.owner.transferInFlight {
-			l.resolveTransfer()
+		if !o.transferInFlight {
+			o.resolveTransfer()
 		}
 	}
 }
 
 // drainForTransfer drops what was planned and not started, and reports whether nothing is
 // still to be written or in doubt: the next owner reads the rest.
-func (l *Leader) drainForTransfer(now micro.Time) bool {
-	for _, m := range l.cluster.SortedMachines() {
+func (o *ShardOwner) drainForTransfer(now micro.Time) bool {
+	for _, m := range o.cluster.SortedMachines() {
 		for _, p := range m.SortedAllocations() {
 			if p.State == cluster.Planned {
-				l.cluster.StopAllocation(p, "the share moves", 0, now)
+				o.cluster.StopAllocation(p, "the shard moves", 0, now)
 			}
 		}
 	}
-	if l.records.Settled() {
+	if o.records.Settled() {
 		return true
 	}
-	l.records.EscalateAll(now)
+	o.records.EscalateAll(now)
 	return false
 }
 
 // transferShard sends the transaction that names the next owner. From here on this one
 // says nothing.
-func (l *Leader) transferShard() {
-	transaction, ok := l.owner.BeginTransfer(int64(l.node.Wall()))
+func (o *ShardOwner) transferShard() {
+	transaction, ok := o.ownership.BeginTransfer(int64(o.node.Wall()))
 	if !ok {
 		return
 	}
-	l.applyOwnerState()
-	l.commitTransfer(transaction, func(_ uint64, err error) { l.owner.HandleTransferResult(err) })
+	o.applyOwnerState()
+	o.commitTransfer(transaction, func(_ uint64, err error) { o.ownership.HandleTransferResult(err) })
 }
 
-// commitTransfer sends a transaction on the share's record, and has the loop take in what
+// commitTransfer sends a transaction on the shard's record, and has the loop take in what
 // came of it.
-func (l *Leader) commitTransfer(transaction wire.Transaction, done func(revision uint64, err error)) {
-	l.owner.transferInFlight = true
+func (o *ShardOwner) commitTransfer(transaction wire.Transaction, done func(revision uint64, err error)) {
+	o.transferInFlight = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
-		revision, err := l.node.Store.Commit(ctx, store.Leadership, transaction)
-		l.post(func() {
-			l.owner.transferInFlight = false
-			done(revision, err)
-			l.applyOwnerState()
-		})
+		revision, err := o.node.Store.Commit(ctx, store.Leadership, transaction)
+		o.loop.Post(transferAnswered{o, done, revision, err})
 	}()
 }
 
-// resolveTransfer finds out what came of a hand-over: by the record, and if that reads as
+// transferAnswered says what came of a transaction on the shard's record.
+type transferAnswered struct {
+	owner    *ShardOwner
+	done     func(revision uint64, err error)
+	revision uint64
+	err      error
+}
+
+// Apply has the owner's state follow.
+func (e transferAnswered) Apply() {
+	e.owner.transferInFlight = false
+	e.done(e.revision, e.err)
+	e.owner.applyOwnerState()
+}
+
+// resolveTransfer finds out what came of a transfer: by the record, and if that reads as
 // before, by writing it anew.
-func (l *Leader) resolveTransfer() {
-	l.owner.transferInFlight = true
-	key := l.owner.Entry().Key()
+func (o *ShardOwner) resolveTransfer() {
+	o.transferInFlight = true
+	key := o.ownership.Entry().Key()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
-		it, err := l.node.Store.Get(ctx, store.Leadership, key)
-		l.post(func() {
-			l.owner.transferInFlight = false
-			l.transferResolved(it, err)
-		})
+		item, err := o.node.Store.Get(ctx, store.Leadership, key)
+		o.loop.Post(uncertainRecordRead{o, key, item, err})
 	}()
 }
 
-func (l *Leader) transferResolved(it wire.Item, err error) {
-	if err != nil {
-		return // once more, with the next tick
+// uncertainRecordRead brings the shard's record after a transfer without an answer.
+type uncertainRecordRead struct {
+	owner *ShardOwner
+	key   string
+	item  wire.Item
+	err   error
+}
+
+// Apply resolves the transfer; after an error the record is read anew with the next tick.
+func (e uncertainRecordRead) Apply() {
+	o := e.owner
+	o.transferInFlight = false
+	if e.err != nil {
+		o.log.Debug("shard record not read", "key", e.key, "err", e.err)
+		return
 	}
-	if e, err := shard.ParseRecord(it.Key, it.Value, uint64(it.Version)); err == nil {
-		l.owner.Observe(e)
-		l.applyOwnerState()
+	if entry, err := shard.ParseRecord(e.item.Key, e.item.Value, uint64(e.item.Version)); err == nil {
+		o.ownership.Observe(entry)
+		o.applyOwnerState()
 	} else {
-		l.log.Debug("shard record not understood", "err", err)
+		o.log.Debug("shard record not understood", "err", err)
 	}
-	if transaction, ok := l.owner.ResolveUncertain(int64(l.node.Wall())); ok {
-		l.commitTransfer(transaction, l.owner.HandleResolveResult)
+	if transaction, ok := o.ownership.ResolveUncertain(int64(o.node.Wall())); ok {
+		o.commitTransfer(transaction, o.ownership.HandleResolveResult)
 	}
 }
 
-// terminateIdle marks machines that nobody has needed for long to be returned.
-func (l *Leader) terminateIdle(now micro.Time) {
-	for _, m := range l.planner.IdleMachines(now) {
-		l.terminate(m, "idle")
+// terminateIdle marks machines that nobody has needed for long to be terminated.
+func (o *ShardOwner) terminateIdle(now micro.Time) {
+	for _, machine := range o.planner.IdleMachines(now) {
+		o.Terminate(machine, "idle")
 	}
 }
-
-// requestTermination marks a machine of the share to be returned: the leader has its rental.
-func (l *Leader) requestTermination(m *cluster.Machine) {
-	l.owner.pendingTerminations[m] = true
-	l.owner.reportUrgent = true
-}
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -25,13 +25,13 @@
 
 // jobFinishedInShard notes a job all of whose tasks are done. The leader writes its end,
 // once its records say so.
-func (l *Leader) jobFinishedInShard(j *cluster.Job) {
-	l.owner.finished[j] = true
-	l.owner.reportUrgent = true
-	now := l.node.Now()
+func (o *ShardOwner) jobFinishedInShard(j *cluster.Job) {
+	o.finished[j] = true
+	o.reports.urgent = true
+	now := o.node.Now()
 	for _, ch := range j.Chunks {
 		if ch.MemoryVersion > ch.StoredVersion {
-			l.records.ChunkRecord(ch).MarkDirty(now, statestore.PriorityHigh)
+			o.records.ChunkRecord(ch).MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 }
@@ -46,29 +46,41 @@
 	return true
 }
 
-// sendStatusUpdate tells the leader how the share fares, and asks what concerns it.
-func (l *Leader) sendStatusUpdate(now micro.Time) {
-	if l.owner.reportInFlight || now-l.owner.reportedAt < urgentStatusPause {
+// sendStatusUpdate tells the leader how the shard fares, and asks what concerns it.
+func (o *ShardOwner) sendStatusUpdate(now micro.Time) {
+	if o.reports.inFlight || now-o.reports.sentAt < urgentStatusPause {
 		return
 	}
-	l.owner.reportInFlight, l.owner.reportUrgent, l.owner.reportedAt = true, false, now
+	o.reports.inFlight, o.reports.urgent, o.reports.sentAt = true, false, now
 	update := shard.StatusUpdate{
-		Node: l.node.Cfg.Node, SessionVersion: l.term.FencingRevision, Term: l.owner.leaderTerm,
-		Shards: []shard.ShardUpdate{l.buildShardUpdate(now)},
+		Node: o.node.Cfg.Node, SessionVersion: o.term.FencingRevision, Term: o.reports.leaderTerm,
+		Shards: []shard.ShardUpdate{o.buildShardUpdate(now)},
 	}
 	body := wire.MustMarshal(update)
 	go func() {
-		reply, ok := l.node.deliverStatusUpdate(body)
-		l.post(func() {
-			l.owner.reportInFlight = false
-			if ok && l.holdsLease() {
-				l.statusUpdateAnswered(&update.Shards[0], &reply, now)
-			}
-		})
+		reply, ok := o.node.deliverStatusUpdate(body)
+		o.loop.Post(statusUpdateAnswered{o, &update.Shards[0], &reply, now, ok})
 	}()
 }
 
-// deliverStatusUpdate brings a touch to the leader.
+// statusUpdateAnswered is the leader's answer to a status update.
+type statusUpdateAnswered struct {
+	owner    *ShardOwner
+	update   *shard.ShardUpdate
+	reply    *shard.UpdateReply
+	sentAt   micro.Time
+	answered bool // false: there was no answer
+}
+
+// Apply takes the answer in, unless nothing may be said any more.
+func (e statusUpdateAnswered) Apply() {
+	e.owner.reports.inFlight = false
+	if e.answered && e.owner.holdsLease() {
+		e.owner.applyUpdateReply(e.update, e.reply, e.sentAt)
+	}
+}
+
+// deliverStatusUpdate brings a status update to the leader.
 func (n *Node) deliverStatusUpdate(body []byte) (reply shard.UpdateReply, ok bool) {
 	if l := n.activeLeader(); l != nil {
 		return l.coordinator.ReceiveStatusUpdate(body)
@@ -82,29 +94,29 @@
 }
 
 // buildShardUpdate puts together what the leader is told. The caller has the right to act.
-func (l *Leader) buildShardUpdate(now micro.Time) shard.ShardUpdate {
+func (o *ShardOwner) buildShardUpdate(now micro.Time) shard.ShardUpdate {
 	update := shard.ShardUpdate{
-		Name: l.owner.name, AssignmentRevision: l.owner.assignmentRevision, FreeCapacity: l.freeCapacity(now),
-		Unreachable: l.owner.unreachable,
+		Name: o.name, AssignmentRevision: o.assignmentRevision, FreeCapacity: o.freeCapacity(now),
+		Unreachable: o.unreachable,
 	}
-	l.owner.unreachable = false // unless the next look finds it so again
-	for job := range l.owner.finished {
+	o.unreachable = false // unless the next look finds it so again
+	for job := range o.finished {
 		if len(update.FinishedJobs) < shard.MaxStatusItems && fullyRecorded(job) {
 			update.FinishedJobs = append(update.FinishedJobs, job.Spec.ID)
 		}
 	}
-	for job := range l.owner.cancelling {
+	for job := range o.cancelling {
 		if len(update.StoppingJobs) < shard.MaxStatusItems {
 			update.StoppingJobs = append(update.StoppingJobs, cancellationProgress(job))
 		}
 	}
-	for machine := range l.owner.pendingTerminations {
+	for machine := range o.pendingTerminations {
 		if len(update.MachinesToTerminate) < shard.MaxStatusItems {
 			update.MachinesToTerminate = append(update.MachinesToTerminate, machine.Name)
 		}
 	}
-	l.reportMachines(&update)
-	l.reportProgress(&update)
+	o.reportMachines(&update)
+	o.reportProgress(&update)
 	return update
 }
 
@@ -120,8 +132,8 @@
 
 // reportMachines counts the machines that are up, and names those that the leader has not
 // been told of.
-func (l *Leader) reportMachines(update *shard.ShardUpdate) {
-	for _, m := range l.cluster.SortedMachines() {
+func (o *ShardOwner) reportMachines(update *shard.ShardUpdate) {
+	for _, m := range o.cluster.SortedMachines() {
 		if m.State != cluster.Up {
 			continue
 		}
@@ -129,20 +141,20 @@
 		if len(m.Allocations) == 0 {
 			update.IdleMachines++
 		}
-		if !l.owner.reportedMachines[m.Name] && len(update.ReadyMachines) < shard.MaxStatusItems {
+		if !o.reports.reportedMachines[m.Name] && len(update.ReadyMachines) < shard.MaxStatusItems {
 			update.ReadyMachines = append(update.ReadyMachines, m.Name)
 		}
 	}
 }
 
-func (l *Leader) reportProgress(update *shard.ShardUpdate) {
-	now := l.node.Now()
-	for job := range l.cluster.ActiveJobs {
+func (o *ShardOwner) reportProgress(update *shard.ShardUpdate) {
+	now := o.node.Now()
+	for job := range o.cluster.ActiveJobs {
 		update.PendingTasks += job.PendingTasks()
 		if schedulable := min(job.Demand(now), job.SchedulableTasks(now)); schedulable > 0 &&
 			len(update.Demand) < shard.MaxStatusItems {
 			update.Demand = append(
-				update.Demand, shard.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: l.schedulableZones(job)},
+				update.Demand, shard.Demand{Job: job.Spec.ID, Tasks: schedulable, Zones: o.schedulableZones(job)},
 			)
 		}
 		if len(update.Progress) < shard.MaxStatusItems && job.DoneTasks+job.RunningTasks > 0 {
@@ -175,12 +187,12 @@
 }
 
 // schedulableZones lists the zones where more of a job's tasks may go, by its rules on zones.
-func (l *Leader) schedulableZones(j *cluster.Job) []string {
+func (o *ShardOwner) schedulableZones(j *cluster.Job) []string {
 	if !j.Spec.Spread && (!j.Spec.OneZone || j.AllocationCount == 0) {
 		return nil
 	}
 	var open []string
-	for _, zone := range l.node.Cfg.Facts.Zones {
+	for _, zone := range o.node.Cfg.Facts.Zones {
 		if scheduler.ZoneAllowed(j, zone, nil) {
 			open = append(open, zone)
 		}
@@ -197,15 +209,15 @@
 }
 
 // freeCapacity lists what is free, by like machines, the largest first. What waits for room
-// in the share comes before jobs that are yet to be assigned: while any does, none is.
-func (l *Leader) freeCapacity(now micro.Time) []shard.FreeCapacity {
-	for job := range l.cluster.PendingJobs {
+// in the shard comes before jobs that are yet to be assigned: while any does, none is.
+func (o *ShardOwner) freeCapacity(now micro.Time) []shard.FreeCapacity {
+	for job := range o.cluster.PendingJobs {
 		if job.PendingTasks() > 0 && !job.InBackoff(now) {
 			return nil
 		}
 	}
 	counts := map[capacityKey]int{}
-	for _, pool := range l.cluster.Pools {
+	for _, pool := range o.cluster.Pools {
 		for row := range pool.Rows() {
 			for _, machine := range pool.Row(row) {
 				if !machine.Schedulable(now) || machine.ReservedFor != nil {
@@ -246,74 +258,75 @@
 	return !a.Spot && b.Spot
 }
 
-// statusUpdateAnswered takes in the leader's answer to a touch that was sent at a time.
-func (l *Leader) statusUpdateAnswered(update *shard.ShardUpdate, reply *shard.UpdateReply, sentAt micro.Time) {
-	if reply.Term != l.owner.leaderTerm {
-		l.owner.leaderTerm = reply.Term
-		clear(l.owner.reportedMachines) // a new leader knows of no machine here
+// applyUpdateReply takes in the leader's answer to a status update that was sent at a time.
+func (o *ShardOwner) applyUpdateReply(update *shard.ShardUpdate, reply *shard.UpdateReply, sentAt micro.Time) {
+	if reply.Term != o.reports.leaderTerm {
+		o.reports.leaderTerm = reply.Term
+		clear(o.reports.reportedMachines) // a new leader knows of no machine here
 	} else {
 		for _, name := range update.ReadyMachines {
-			l.owner.reportedMachines[name] = true
+			o.reports.reportedMachines[name] = true
 		}
 	}
-	now := l.node.Now()
+	now := o.node.Now()
 	for id, state := range reply.FinalStates {
-		if job := l.cluster.Jobs[id]; job != nil && !job.IsTerminal() {
-			l.endJobInShard(job, wire.JobState(state), now)
+		if job := o.cluster.Jobs[id]; job != nil && !job.IsTerminal() {
+			o.endJobInShard(job, wire.JobState(state), now)
 		}
 	}
 	for _, name := range reply.TerminatedMachines {
-		if machine := l.cluster.Machines[name]; machine != nil {
-			delete(l.owner.pendingTerminations, machine)
-			delete(l.owner.reportedMachines, name)
-			l.cluster.RemoveMachine(machine, now)
+		if machine := o.cluster.Machines[name]; machine != nil {
+			delete(o.pendingTerminations, machine)
+			delete(o.reports.reportedMachines, name)
+			o.cluster.RemoveMachine(machine, now)
 		}
 	}
-	l.applyLeaderBound(reply, sentAt, now)
-	l.sweep(now)
-	l.owner.renewedUntil = nil
+	o.applyLeaderBound(reply, sentAt, now)
+	o.updateBoundFromLeader(now)
+	o.detector.Sweep(now)
+	o.renewedUntil = nil
 }
 
 // endJobInShard settles a job whose end is in the store.
-func (l *Leader) endJobInShard(j *cluster.Job, state wire.JobState, now micro.Time) {
-	l.cluster.FinalizeJob(j, state == wire.JobAborted, now)
-	delete(l.owner.finished, j)
-	delete(l.owner.cancelling, j)
-	l.log.Info("job over in share", "job", j.Spec.ID, "state", string(state))
+func (o *ShardOwner) endJobInShard(j *cluster.Job, state wire.JobState, now micro.Time) {
+	o.cluster.FinalizeJob(j, state == wire.JobAborted, now)
+	delete(o.finished, j)
+	delete(o.cancelling, j)
+	o.log.Info("job over in shard", "job", j.Spec.ID, "state", string(state))
 	for _, ch := range j.Chunks {
-		l.ChunkDirty(ch)
+		o.ChunkDirty(ch)
 	}
 }
 
 // applyLeaderBound notes until when keepers may have renewed leases, by this node's clock, as of
-// the leader's answer: that was given after the touch was sent.
-func (l *Leader) applyLeaderBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
-	l.owner.renewedUntil = map[string]micro.Time{}
+// the leader's answer: that was given after the status update was sent.
+func (o *ShardOwner) applyLeaderBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
+	o.renewedUntil = map[string]micro.Time{}
 	for zone, age := range reply.ProxyRenewalAge {
-		l.owner.renewedUntil[zone] = now - max(micro.Time(age)-(now-sentAt), 0)
+		o.renewedUntil[zone] = now - max(micro.Time(age)-(now-sentAt), 0)
 	}
 	disconnected := map[string]bool{}
 	for _, zone := range reply.DisconnectedZones {
 		disconnected[zone] = true
-		if _, known := l.cluster.ZoneUnreachableSince[zone]; !known {
-			l.cluster.ZoneUnreachableSince[zone] = now
+		if _, known := o.cluster.ZoneUnreachableSince[zone]; !known {
+			o.cluster.ZoneUnreachableSince[zone] = now
 		}
 	}
-	for zone := range l.cluster.ZoneUnreachableSince {
+	for zone := range o.cluster.ZoneUnreachableSince {
 		if !disconnected[zone] {
-			delete(l.cluster.ZoneUnreachableSince, zone)
-			l.cluster.ScheduleSoon()
+			delete(o.cluster.ZoneUnreachableSince, zone)
+			o.cluster.ScheduleSoon()
 		}
 	}
 }
 
 // updateBoundFromLeader brings the model up to date on what keepers may have renewed. Only the
 // leader is in touch with them: without its answer nothing is proven by a lease.
-func (l *Leader) updateBoundFromLeader(now micro.Time) {
-	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
-		l.cluster.ProxyRenewedUntil[zone] = l.owner.renewedUntil[zone]
-		if l.owner.renewedUntil == nil {
-			l.cluster.ProxyRenewedUntil[zone] = now
+func (o *ShardOwner) updateBoundFromLeader(now micro.Time) {
+	for _, zone := range append([]string{""}, o.node.Cfg.Facts.Zones...) {
+		o.cluster.ProxyRenewedUntil[zone] = o.renewedUntil[zone]
+		if o.renewedUntil == nil {
+			o.cluster.ProxyRenewedUntil[zone] = now
 		}
 	}
 }
--- /dev/null
+++ b/internal/controller/status_log.go
@@ -0,0 +1,86 @@
+package controller
+
+import (
+	"fmt"
+	"strings"
+
+	"notchmux.dev/notchmux/internal/eventloop"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/statestore"
+)
+
+// statusLogInterval is how often the leader says how it fares.
+const statusLogInterval = 20 * micro.Second
+
+// logStatusIfDue logs how the loop fares if it is time to.
+func (l *controlLoop) logStatusIfDue(now micro.Time, queuedRequests int) {
+	if now-l.lastStatusLog >= statusLogInterval {
+		l.lastStatusLog = now
+		l.logStatus(queuedRequests)
+	}
+}
+
+func (l *controlLoop) logStatus(queuedRequests int) {
+	usable := 0
+	var fleet strings.Builder
+	for _, pool := range l.cluster.Pools {
+		if pool.MachineCount == 0 {
+			continue
+		}
+		usable += pool.MachineCount
+		empty := 0
+		for row := range pool.Rows() {
+			for _, machine := range pool.Row(row) {
+				if len(machine.Allocations) == 0 {
+					empty++
+				}
+			}
+		}
+		kind := "ordinary"
+		if pool.Spot {
+			kind = "spot"
+		}
+		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
+	}
+	l.log.Info(
+		"leading",
+		"live",
+		len(l.cluster.ActiveJobs),
+		"awaiting",
+		l.cluster.BlockedJobs,
+		"pending",
+		len(l.cluster.PendingJobs),
+		"tasks",
+		l.pendingTasks.Load(),
+		"usable",
+		usable,
+		"known",
+		len(l.cluster.Machines),
+		"writes_first",
+		l.records.Queued(statestore.PriorityUrgent),
+		"writes_soon",
+		l.records.Queued(statestore.PriorityHigh),
+		"writes_lazy",
+		l.records.Queued(statestore.PriorityLow),
+		"writes_idle",
+		l.records.Queued(statestore.PriorityBackground),
+		"written",
+		l.records.ChangeCounts(),
+		"pass_gap_ms",
+		int64(
+			l.scheduleInterval/micro.Millisecond,
+		),
+		"events",
+		l.loop.Len(eventloop.Events),
+		"asks",
+		l.loop.Len(eventloop.Queries),
+		"directs",
+		l.dispatcher.InFlight(),
+		"kicked",
+		l.dispatcher.Pending(),
+		"rentals_waiting",
+		queuedRequests,
+		"fleet",
+		fleet.String(),
+	)
+}
