--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -7,9 +7,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Allocation is a task's place on a machine, for one attempt.
+// Allocation is one attempt of a task on a machine, and what it uses there. Its fields belong to
+// the goroutine that owns the state; times are on the steady clock of this process.
 type Allocation struct {
-	Job             *Job // nil for a task of a job that nobody knows
+	Job             *Job // nil: an agent has a task of a job that nobody knows
 	Index           int
 	TaskName        string // the task's name on the wire
 	Attempt         uint64
@@ -17,17 +18,17 @@
 	AgentEpoch      uint64
 	State           AllocationState
 	Stopping        bool
-	GraceS          float64
+	GraceS          float64 // seconds that the task has to stop
 	StopRequestedAt micro.Time
 	StopReason      string
-	DispatchToken   uint64 // highest token of a direct start that may be under way
-	ChunkVersion    uint64 // chunk version that must be saved before the start goes out
-	ScaledCPU       float64
+	DispatchToken   uint64  // highest fencing token of a dispatched start that may be under way
+	ChunkVersion    uint64  // chunk version that must be stored before the start goes out
+	ScaledCPU       float64 // cores as the scheduler counts them, by the machine type's speed
 	PlannedAt       micro.Time
-	RunningSince    micro.Time // first running report; 0: none
-	Observed        bool       // a report showed it
+	RunningSince    micro.Time // first heartbeat that showed it running; 0: none
+	Observed        bool       // a heartbeat showed it
 	Restored        bool       // read from the records of an earlier term: it is never started again
-	LastResort      bool       // on a machine that is avoided, for want of any other
+	LastResort      bool       // on a quarantined machine, since there was no other
 	overran         bool       // counted as an overrun
 	taskKnown       bool       // Job has a task of that index
 }
@@ -35,7 +36,7 @@
 // key names the attempt on its machine.
 func (a *Allocation) key() AllocationKey { return AllocationKey{a.TaskName, a.Attempt} }
 
-// PriorityLevel is the rank of the place's job.
+// PriorityLevel is the priority level of the allocation's job; 0 is the highest.
 func (a *Allocation) PriorityLevel() int {
 	if a.Job == nil {
 		return 99
@@ -43,7 +44,9 @@
 	return a.Job.PriorityLevel
 }
 
-// Allocate takes a place for a task. The caller has checked that it may.
+// Allocate allocates a machine to a task. The caller, on the goroutine that owns the state, has
+// checked that quota and machine allow it. The start goes out once the chunk's record is stored,
+// see ChunkPersisted.
 func (s *State) Allocate(
 	job *Job, index int, machine *Machine, attempt uint32, scaledCPU float64, now micro.Time,
 ) *Allocation {
@@ -64,7 +67,7 @@
 	return allocation
 }
 
-// reserve takes a place's room, quota and zone.
+// reserve counts an allocation's resources, quota and zone.
 func (s *State) reserve(allocation *Allocation) {
 	machine := allocation.Machine
 	machine.Allocations[allocation.key()] = allocation
--- a/internal/cluster/allocation_lifecycle.go
+++ b/internal/cluster/allocation_lifecycle.go
@@ -5,7 +5,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// transitionAllocation is the one place where a place's state changes.
+// transitionAllocation is the only function that changes an allocation's state.
 func (s *State) transitionAllocation(allocation *Allocation, to AllocationState) bool {
 	if allocation.State == to || !allocation.State.MayBecome(to) {
 		return false
@@ -34,10 +34,10 @@
 	}
 }
 
-// release gives a place up. It is called only with one of the proofs: a newer
-// message of the worker shows the attempt ended, or absent after it had been
-// seen or its start had settled; a later session; the worker's lease surely ran
-// out; the cloud said that the machine is gone.
+// release gives an allocation up. It is called only with one of the proofs: a newer message of
+// the agent shows that the attempt ended, or does not show it after it had been seen or its
+// start had settled; a later agent epoch; the agent's lease surely ran out; the cloud said that
+// the machine is gone.
 func (s *State) release(allocation *Allocation, now micro.Time) {
 	if !s.transitionAllocation(allocation, Released) {
 		return
@@ -59,14 +59,15 @@
 	s.requeue(job, allocation.Index, now)
 }
 
-// StopAllocation asks for a place's task to be stopped; graceS at least the job's save
-// time lets it save. A second call can only shorten the grace.
+// StopAllocation asks for an attempt to be stopped. A grace period of at least the job's
+// checkpoint duration, in seconds, lets it write a checkpoint. A second call can only shorten
+// the grace period.
 func (s *State) StopAllocation(allocation *Allocation, reason string, graceS float64, now micro.Time) {
 	if allocation.State == Released {
 		return
 	}
 	if allocation.State == Planned {
-		// No start has gone out, and none will: the place is free at once.
+		// No start has gone out, and none will: nothing is used at once.
 		s.release(allocation, now)
 		return
 	}
@@ -112,10 +113,10 @@
 	}
 }
 
-// abortGangAttempt winds up a gang's attempt after a member went; when all its places
-// are free, every task is placed anew under the next attempt number. Starting a
-// replacement under the same number is allowed only before the gang has started,
-// which a new leader cannot know: the attempt is always given up whole.
+// abortGangAttempt stops a gang's attempt after a member went; when all its allocations are
+// released, every task is scheduled anew under the next attempt number. Starting a replacement
+// under the same number is allowed only before the gang has started, which a new leader cannot
+// know: the attempt is always given up whole.
 func (s *State) abortGangAttempt(job *Job, now micro.Time) {
 	if job.State != Active {
 		return
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -5,11 +5,11 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A job may be assigned as a whole to a share of the machines, whose owner places its
-// tasks. From then on all of them count against its team's limit, until the record of
+// A job may be assigned as a whole to a shard of the machines, whose owner schedules its
+// tasks. From then on all of them count against its team's quota, until the record of
 // the assignment is gone: only then is surely none of them on a machine.
 
-// NeverAllocated reports whether none of a job's tasks ever had a place: only such a job may
+// NeverAllocated reports whether none of a job's tasks was ever allocated: only such a job may
 // be assigned, or handed back.
 func (j *Job) NeverAllocated() bool {
 	if j.AllocationCount > 0 || j.DoneTasks > 0 || !j.NeverDequeued() {
@@ -23,8 +23,8 @@
 	return true
 }
 
-// Assign gives a job that waits to a share, and says how many of its tasks its team's
-// limits leave room for: all of them, or some of an array's; 0: it was not assigned.
+// Assign gives a waiting job to a shard, and says how many of its tasks its team's quota has
+// room for: all of them, or some of an array's; 0: it was not assigned.
 func (s *State) Assign(job *Job, shard string) int {
 	if job.State != Active || !job.NeverAllocated() {
 		return 0
@@ -43,8 +43,8 @@
 	return tasks
 }
 
-// RestoreAssignment notes that a job's assignment was read from the store, whatever the
-// limits are now.
+// RestoreAssignment notes that a job's assignment was read from the store, whatever the quotas
+// are now.
 func (s *State) RestoreAssignment(job *Job, shard string, tasks int) {
 	if job.State == Active {
 		s.transitionJob(job, Assigned)
@@ -59,7 +59,7 @@
 	s.chargeQuota(job, tasks)
 }
 
-// chargeQuota changes what a job takes of its team's limits.
+// chargeQuota changes by so many tasks what a job uses of its team's quota.
 func (s *State) chargeQuota(job *Job, tasks int) {
 	if job.Team != nil {
 		job.Team.UsedCPU += float64(tasks) * job.Spec.CPUs
@@ -67,8 +67,8 @@
 	}
 }
 
-// Unassign notes that the record of a job's assignment is gone: none of its tasks is in
-// the share. One that is not over waits for a place again.
+// Unassign notes that the record of a job's assignment is gone: none of its tasks is in the
+// shard. One that is not over waits to be scheduled again.
 func (s *State) Unassign(job *Job, now micro.Time) {
 	if job.Shard == "" {
 		return
@@ -83,8 +83,8 @@
 	s.ScheduleSoon()
 }
 
-// FinishAssigned notes that the owner of its share says that all of a job's tasks are done, and
-// has stored it.
+// FinishAssigned notes that the owner of a job's shard says that all its tasks are done, and has
+// stored that.
 func (s *State) FinishAssigned(job *Job) {
 	if job.State != Assigned {
 		return
@@ -94,15 +94,16 @@
 	s.JobFinished(job)
 }
 
-// PrepareTransfer keeps a job that never had a place from getting one: it is handed back.
+// PrepareTransfer keeps a job that was never allocated from being scheduled here: it is handed
+// back.
 func (s *State) PrepareTransfer(job *Job) {
 	if job.State == Active && job.NeverAllocated() {
 		s.transitionJob(job, Assigned)
 	}
 }
 
-// ReleaseQuota gives back what a job in a share has reserved beyond what its tasks may still
-// need at once.
+// ReleaseQuota gives back what a job in a shard has reserved beyond the tasks that it may still
+// run at once.
 func (s *State) ReleaseQuota(job *Job, needed int) {
 	if job.Shard == "" || needed >= job.ReservedTasks {
 		return
@@ -112,8 +113,8 @@
 	s.ScheduleSoon()
 }
 
-// ReserveQuota reserves up to n more places for a job in a share, as far as its team's
-// limits leave room.
+// ReserveQuota reserves quota for up to so many more tasks of a job in a shard, and says for how
+// many there was some.
 func (s *State) ReserveQuota(job *Job, tasks int) int {
 	if job.Shard == "" || tasks <= 0 {
 		return 0
--- a/internal/cluster/chunk.go
+++ b/internal/cluster/chunk.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Record builds the chunk's record from the model.
+// Record builds the chunk's record from what is in memory.
 func (c *TaskChunk) Record() records.Chunk {
 	record := records.Chunk{Allocations: []records.Allocation{}, Done: [][2]int{}, Attempts: [][2]int{}}
 	allocated := map[int]bool{}
@@ -134,14 +134,14 @@
 	})
 }
 
-// FinishRestore completes a takeover: all records have been read.
+// FinishRestore completes a failover: all records have been read.
 func (s *State) FinishRestore(now micro.Time) {
 	for _, job := range s.Jobs {
 		s.FinishJobRestore(job, now)
 	}
 }
 
-// FinishJobRestore goes on with a job all of whose records have been read.
+// FinishJobRestore continues a job all of whose records have been read.
 func (s *State) FinishJobRestore(job *Job, now micro.Time) {
 	switch {
 	case job.IsTerminal():
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -61,8 +61,8 @@
 		(e.chunk == nil || e.chunk.StoredVersion >= e.chunkVersion || e.chunk.Job.IsTerminal())
 }
 
-// NeedsNewerToken reports whether something on the machine waits for the worker to
-// see a token above the given one.
+// NeedsNewerToken reports whether something on the machine waits for its agent to see a fencing
+// token above the given one.
 func (m *Machine) NeedsNewerToken(token uint64) bool {
 	if m.RequiredFencingToken > token {
 		return true
--- a/internal/cluster/contact.go
+++ b/internal/cluster/contact.go
@@ -23,28 +23,27 @@
 	Refused              = contact.Refused
 )
 
-// latestLeaseStart is the latest time from which the worker's lease may count: the last
-// answer to any of its reports, a late copy included, or the takeover, before
-// which another leader may have answered it; or the last time at which a keeper
-// of its zone may have.
+// latestLeaseStart is the latest time from which the agent's lease may count: the last response
+// to any of its heartbeats, a late copy included, or the failover, before which another leader
+// may have responded; or the last time at which a lease proxy of its zone may have.
 func (s *State) latestLeaseStart(machine *Machine) micro.Time {
 	return max(machine.LeaseRenewedAt, s.TermStartedAt, s.ProxyRenewedUntil[machine.Zone])
 }
 
-// ResponseSent notes the token of an answer that went out in good time; 0: it may have
-// come too late for the worker to take it.
+// ResponseSent notes the fencing token of a response that went out in good time; 0: it may have
+// come too late for the agent to take it.
 func (s *State) ResponseSent(machine *Machine, token uint64) { machine.SetLastResponse(token) }
 
-// WouldProveAlive reports whether a machine was heard, but has yet to show a token that
+// WouldProveAlive reports whether a machine's agent was heard, but has yet to show a token that
 // proves it alive, and the given one would.
 func (m *Machine) WouldProveAlive(token uint64) bool {
 	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LacksProofOfLife() &&
 		m.RequiredFencingToken <= token
 }
 
-// SetResponsesLost marks a machine that hears nothing: it takes no new tasks, and what it
-// has is placed elsewhere only once proven free. It is used again as soon as it
-// shows that it hears.
+// SetResponsesLost marks a machine whose agent gets no responses (a one-way partition): it takes
+// no new tasks, and what it has runs elsewhere only once it is proven free. It is used again as
+// soon as a heartbeat shows that responses arrive.
 func (s *State) SetResponsesLost(machine *Machine, lost bool, now micro.Time) {
 	if machine.ResponsesLost == lost {
 		return
@@ -55,15 +54,15 @@
 	s.ScheduleSoon()
 }
 
-// LeaseExpired reports whether the worker's lease surely ran out.
+// LeaseExpired reports whether the agent's lease surely ran out.
 func (s *State) LeaseExpired(machine *Machine, now micro.Time) bool {
 	return now > s.latestLeaseStart(machine)+s.LeaseDuration
 }
 
-// MachineReachable reports whether orders are likely to arrive: not on a machine that
-// left one unanswered, nor in a zone that fell silent as a whole, unless it was
-// heard since. In the first seconds of a cut, gangs were placed beyond it until
-// their machines' reports were overdue, and stayed there until it ended.
+// MachineReachable reports whether commands are likely to arrive: not on a machine that left a
+// dispatch unanswered, nor in a zone that became unreachable as a whole, unless a message came
+// since. In the first seconds of a partition, gangs were placed beyond it until their machines'
+// heartbeats were overdue, and stayed there until it ended.
 func (s *State) MachineReachable(machine *Machine) bool {
 	if machine.DispatchUnanswered {
 		return false
@@ -72,9 +71,8 @@
 	return !unreachable || machine.LastHeartbeat > since
 }
 
-// ZoneReachable reports whether a machine that is rented in the zone is likely to be
-// heard: its controllers are in touch, or one of its machines was heard since they
-// are not.
+// ZoneReachable reports whether an instance that is requested in the zone is likely to be heard
+// from: its controllers answer, or one of its machines was heard from since they do not.
 func (s *State) ZoneReachable(zone string) bool {
 	since, unreachable := s.ZoneUnreachableSince[zone]
 	if !unreachable {
@@ -88,7 +86,7 @@
 	return false
 }
 
-// beginAgentEpoch frees what a machine held in earlier sessions.
+// beginAgentEpoch releases what a machine held in earlier agent epochs.
 func (s *State) beginAgentEpoch(machine *Machine, epoch uint64, now micro.Time) {
 	if machine.AgentEpoch > 0 && machine.State == Up && now-machine.LeaseRenewedAt < s.LeaseDuration/2 {
 		machine.LeaseRanOutUnexpectedly()
@@ -99,13 +97,13 @@
 		}
 	}
 	clear(machine.exitedAttempts)
-	// The lease of a session counts from its beginning, before any answer to a
-	// report: heard of in the answer to a direct order after an outage, a new
-	// session was taken for over by the last answer to the one before.
+	// The lease of an epoch counts from its beginning, before any response to a
+	// heartbeat: first seen in the response to a dispatch after an outage, a new
+	// epoch was taken for over by the last response to the one before.
 	machine.LeaseRenewedAt = now
 }
 
-// recordHeartbeat notes a sign of life and the token that the worker has seen.
+// recordHeartbeat notes a sign of life and the fencing token that the agent has seen.
 func (s *State) recordHeartbeat(machine *Machine, token uint64, source Source, now micro.Time) {
 	machine.FencingToken = max(machine.FencingToken, token)
 	machine.LastHeartbeat, machine.DispatchUnanswered = now, false
@@ -120,8 +118,8 @@
 		}
 	}
 	if token >= machine.RequiredFencingToken {
-		// Only an echo of a token given out since then proves that the report
-		// is no late copy of a machine that is gone, silent or returned.
+		// Only an echo of a token given out since then proves that the message
+		// is no late copy from a machine that is gone, suspect or terminated.
 		s.TransitionMachine(machine, Up, "reports")
 	}
 }
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -4,15 +4,15 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// FinalStatus is the end of a job as it is in the store.
+// FinalStatus is how a job ended, as it is in the store.
 type FinalStatus struct {
 	Aborted bool
 	EndedAt micro.Time // on the steady clock
 }
 
-// awaitDependencies counts what a job awaits and is not over. That a job is done is known
-// from its stored end alone: one that has left the lists of those alive may have
-// been withdrawn.
+// awaitDependencies counts a job's dependencies that are not over. That one is done is known
+// from its stored final status alone: one that has left the lists of live jobs may have been
+// cancelled.
 func (s *State) awaitDependencies(job *Job) {
 	var lastEnd micro.Time
 	dependencyAborted := false
@@ -43,9 +43,9 @@
 	}
 }
 
-// ApplyFinalStatus takes in an end that is in the store: it lets those that await it go
-// on, or aborts all that need it, through any depth. What is aborted here follows
-// from that one end, so that any other leader, or node, comes to the same.
+// ApplyFinalStatus takes in a final status that is in the store: it unblocks the job's
+// dependents, or aborts all of them, through any depth. What is aborted here follows from that
+// one status, so that any other leader, or node, comes to the same.
 func (s *State) ApplyFinalStatus(id string, status FinalStatus, _ micro.Time) {
 	if _, known := s.FinalStatuses[id]; known {
 		return
@@ -66,11 +66,11 @@
 		}
 	}
 	if job := s.Jobs[id]; job != nil && status.Aborted {
-		s.propagateToDependencies(job) // they are needed by one less
+		s.propagateToDependencies(job) // one dependent less passes its priority on
 	}
 }
 
-// cascadeAbort aborts a job and all that need it. None of them has ever started.
+// cascadeAbort aborts a job and all its dependents. None of them has ever started.
 func (s *State) cascadeAbort(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		next := stack[len(stack)-1]
@@ -88,15 +88,15 @@
 // expectedDuration is how long a job of a pipeline is expected to take.
 func (j *Job) expectedDuration() micro.Time { return j.Class.ExpectedDuration(&j.Spec, len(j.Tasks)) }
 
-// effectiveDeadline is when the heir's deadline asks a job itself to be done.
+// effectiveDeadline is when the inherited deadline asks the job itself to be done.
 func (j *Job) effectiveDeadline() micro.Time {
 	return j.DeadlineSource.SubmittedAt + micro.FromSeconds(*j.DeadlineSource.Spec.DeadlineS) - j.CriticalPath
 }
 
-// inheritFromDependents passes rank and deadline back from those that need a job: it counts as
-// the highest of their ranks and its own, and has to be done as early as the
-// tightest of their deadlines asks, less what comes after it. Users set both on
-// the last job of a pipeline only, and allow this.
+// inheritFromDependents passes priority level and deadline back from a job's dependents: it
+// counts as the highest of their levels and its own, and has to be done as early as the tightest
+// of their deadlines asks, less what comes after it. Users set both on the last job of a
+// pipeline only, and allow this.
 func (s *State) inheritFromDependents(job *Job) {
 	inherited := s.inheritance(job)
 	if inherited.level == job.PriorityLevel && inherited.source == job.DeadlineSource &&
@@ -161,7 +161,7 @@
 	}
 }
 
-// propagateToDependencies lets those that a job needs inherit from it anew.
+// propagateToDependencies lets a job's dependencies inherit from it anew.
 func (s *State) propagateToDependencies(job *Job) {
 	for _, id := range job.Spec.Dependencies {
 		if dependency := s.Jobs[id]; dependency != nil && !dependency.IsTerminal() {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -53,7 +53,7 @@
 	GangStopping      bool   // the gang's attempt is being stopped
 }
 
-// Pipeline is a job's place among those that it depends on and that depend on it.
+// Pipeline is where a job stands among those that it depends on and that depend on it.
 type Pipeline struct {
 	UnmetDependencies int        // dependencies whose final status is not stored
 	DependencyAborted bool       // a dependency is stored as aborted: so is the job, by derivation
@@ -86,9 +86,9 @@
 	return class
 }
 
-// AddJob takes in a job; a known one is returned as it is. One that awaits others
-// holds nothing of its team's guarantee, and nothing is placed, until each of
-// their ends is known to be in the store.
+// AddJob takes in a job; a known one is returned as it is. One with dependencies holds nothing
+// of its team's guarantee, and is not scheduled, until each of their final statuses is known to
+// be in the store.
 func (s *State) AddJob(spec wire.Job, submitted, _ micro.Time) *Job {
 	if job := s.Jobs[spec.ID]; job != nil {
 		return job
@@ -145,7 +145,7 @@
 	}
 }
 
-// Allocations lists the places that the job's tasks hold.
+// Allocations lists the allocations of the job's tasks.
 func (j *Job) Allocations() []*Allocation {
 	var out []*Allocation
 	for _, chunk := range j.Chunks {
@@ -154,7 +154,7 @@
 	return out
 }
 
-// Status is what a user is told.
+// Status is the job's status as users see it.
 func (j *Job) Status() wire.JobStatus {
 	status := wire.JobStatus{
 		ID: j.Spec.ID, State: wire.JobPending, Done: j.DoneTasks + j.ShardDoneTasks,
@@ -173,7 +173,7 @@
 	return status
 }
 
-// maxListedDependencies is how many of the jobs that a job waits for its user is told.
+// maxListedDependencies is how many of a job's unmet dependencies its user is told.
 const maxListedDependencies = 10
 
 // PendingDependencies names some of the jobs that a job still waits for.
--- a/internal/cluster/job_lifecycle.go
+++ b/internal/cluster/job_lifecycle.go
@@ -4,10 +4,10 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// IsTerminal reports whether the job's end is in the store.
+// IsTerminal reports whether the job's final status is in the store.
 func (j *Job) IsTerminal() bool { return j.State == Done || j.State == Aborted }
 
-// transitionJob is the one place where a job's state changes.
+// transitionJob is the only function that changes a job's state.
 func (s *State) transitionJob(job *Job, to JobState) {
 	if job.State == to {
 		return
@@ -33,11 +33,11 @@
 	}
 }
 
-// activateJob lets a job compete for room.
+// activateJob lets a job compete for resources.
 func (s *State) activateJob(job *Job) {
 	s.ActiveJobs[job] = true
 	s.PendingJobs[job] = true
-	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // no leader looks for room in its predecessor's time
+	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // nobody schedules in the time before this term
 	if job.Team != nil {
 		job.Team.join(job)
 	}
@@ -45,7 +45,7 @@
 	s.ScheduleSoon()
 }
 
-// BeginAbort notes that a withdrawal is about to be written.
+// BeginAbort notes that a cancellation is about to be written.
 func (s *State) BeginAbort(job *Job) { s.transitionJob(job, Aborting) }
 
 // FinalizeJob settles a job for good and winds its tasks up.
--- a/internal/cluster/jobclass/class.go
+++ b/internal/cluster/jobclass/class.go
@@ -19,8 +19,8 @@
 	LastJob         *wire.Job
 	StartObjective  micro.Time // tightest objective on starting; 0: none
 	LastPlacedAt    micro.Time // when one of its tasks was last placed
-	MeanImageGB     float64    // mean size of its jobs' images
-	AllocationCount int        // places that its tasks hold
+	MeanImageGB     float64    // mean size of its jobs' images, in GB
+	AllocationCount int        // allocations of its tasks
 	jobCount        float64
 }
 
--- a/internal/cluster/legacy.go
+++ b/internal/cluster/legacy.go
@@ -17,9 +17,9 @@
 //   - no site's store has a key run/ID/N left (N a number): fleet/format was raised there, and
 //     each job that was begun before is over and its records are deleted.
 
-// LegacyRecord is a record in the first form whose tasks have moved to chunks of the later
-// one. It is deleted once each of these is in the store: until then a takeover
-// reads from it what they do not cover.
+// LegacyRecord is a record in the first form whose tasks have moved to chunks of the compact
+// form. It is deleted once each of these is in the store: until then a failover reads from it
+// what they do not cover.
 type LegacyRecord struct {
 	Job           *Job
 	Index         int
@@ -32,8 +32,8 @@
 	return r.PendingChunks <= 0 || r.Job.IsTerminal() && r.Job.AllocationCount == 0
 }
 
-// EnableCompactRecords turns to the later form, with so many tasks to a chunk. Records in
-// the first form stay until what they hold is written anew.
+// EnableCompactRecords turns to the compact form, with so many tasks to a chunk. Records in the
+// first form stay until what they hold is written anew.
 func (s *State) EnableCompactRecords(tasks int) {
 	if s.CompactRecords {
 		return
@@ -128,13 +128,12 @@
 	return chunks
 }
 
-// RestoreChunk reads a chunk's record, in its first form, into a job that was just
-// added. Every place in it counts as taken, with a start that may still be under
-// way; but no start of this term goes out for it. The records lag behind what the
-// earlier leader knew: a place that it had given up, or had taken for a late copy
-// of a report, was started anew under the next one, beside what had taken its
-// part of the limit, or beside the task itself elsewhere. What a record in the
-// later form covers is left to that.
+// RestoreChunk reads a chunk's record, in its first form, into a job that was just added. Every
+// allocation in it counts, with a start that may still be under way; but no start of this term
+// goes out for it. The records lag behind what the earlier leader knew: an allocation that it
+// had given up, or had adopted from a late copy of a heartbeat, was started anew under the next
+// one, beside what had taken its part of the quota, or beside the task itself elsewhere. What a
+// record in the compact form covers is left to that.
 func (s *State) RestoreChunk(job *Job, index int, record *records.Chunk, keyRevision uint64, now micro.Time) {
 	if index < 0 || index*records.LegacyTasksPerChunk >= len(job.Tasks) {
 		return
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -1,12 +1,12 @@
 package lifecycle
 
-// AllocationState is the state of one attempt's place on a machine.
+// AllocationState is the state of one attempt on a machine.
 type AllocationState uint8
 
-// The states of a place.
+// The states of an allocation.
 const (
 	Planned  AllocationState = iota // decided; its record is being written
-	Starting                        // written; the start may have been sent
+	Starting                        // its record is stored; the start may have been sent
 	Fetching
 	Waiting
 	Running
--- a/internal/cluster/lifecycle/job.go
+++ b/internal/cluster/lifecycle/job.go
@@ -1,17 +1,17 @@
 package lifecycle
 
-// JobState is a job's state in the leader's picture.
+// JobState is a job's state in a controller's picture.
 type JobState uint8
 
 // The states of a job.
 const (
 	Active    JobState = iota
-	Finishing          // all tasks are done, its end is being written
-	Aborting           // its withdrawal is being written
+	Finishing          // all tasks are done, the final status is being written
+	Aborting           // its cancellation is being written
 	Done
 	Aborted
-	Blocked  // for other jobs to be done
-	Assigned // to a share of the machines: its owner places it
+	Blocked  // its dependencies are not all done
+	Assigned // to a shard of the machines, whose owner schedules it
 )
 
 // String is the state as operators and logs name it.
--- a/internal/cluster/lifecycle/machine.go
+++ b/internal/cluster/lifecycle/machine.go
@@ -5,11 +5,11 @@
 
 // The states of a machine.
 const (
-	Registering MachineState = iota // rented, listed or recorded; no report in this term
-	Up                              // reports
-	Suspect                         // reported, and stopped doing so
-	Expired                         // its worker's lease surely ran out
-	Terminating                     // asked to be returned
+	Registering MachineState = iota // requested, listed or recorded; no heartbeat in this term
+	Up                              // its heartbeats come
+	Suspect                         // its heartbeats came, and stopped
+	Expired                         // its agent's lease surely ran out
+	Terminating                     // the cloud was asked to take it back
 	Terminated                      // the cloud said so
 )
 
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -14,9 +14,9 @@
 	Attempt uint64
 }
 
-// exitedAttempt is an ended attempt that the worker still lists.
+// exitedAttempt is an attempt that ended and that the agent still lists.
 type exitedAttempt struct {
-	chunk         *TaskChunk // whose version must be saved before it is forgotten
+	chunk         *TaskChunk // whose version must be stored before it is forgotten
 	chunkVersion  uint64
 	dispatchToken uint64 // a token above this one must have been seen
 }
@@ -59,7 +59,7 @@
 
 // Ownership says which controller a machine belongs to.
 type Ownership struct {
-	OwnedElsewhere  bool // another controller's: not this one's to answer or to place on
+	OwnedElsewhere  bool // another controller's: not this one's to respond to or to schedule on
 	TransferPending bool // it is to become another's: it takes no new tasks
 }
 
@@ -103,9 +103,9 @@
 	return machine
 }
 
-// DescribeMachine fills in what a machine is. Places restored before its zone was
-// known are counted anew: counted under no zone, they once let a spread service
-// put two of its tasks into one.
+// DescribeMachine fills in what a machine is. Allocations restored before its zone was known are
+// counted anew: counted under no zone, they once let a spread service run two of its tasks in
+// one.
 func (s *State) DescribeMachine(machine *Machine, typeName, zone string, spot bool) {
 	if machine.Zone != zone {
 		for _, allocation := range machine.Allocations {
@@ -141,7 +141,7 @@
 func (s *State) RaiseMinFencingToken(token uint64) { s.MinFencingToken = max(s.MinFencingToken, token) }
 
 // AcquireMachine notes that this controller was given a machine that another owned, which may
-// have answered it until now.
+// have responded to it until now.
 func (s *State) AcquireMachine(machine *Machine, now micro.Time) {
 	machine.RequiredFencingToken = s.MinFencingToken
 	machine.LeaseRenewedAt = now
--- a/internal/cluster/machine_lifecycle.go
+++ b/internal/cluster/machine_lifecycle.go
@@ -4,7 +4,8 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// TransitionMachine is the one place where a machine's state changes.
+// TransitionMachine is the only function that changes a machine's state; false: it is in that
+// state already, or the transition is not allowed. The reason is for operators.
 func (s *State) TransitionMachine(machine *Machine, to MachineState, reason string) bool {
 	if machine.State == to || !machine.State.MayBecome(to) {
 		return false
@@ -19,7 +20,7 @@
 	return true
 }
 
-// ExpireMachine frees everything on a machine whose worker's lease surely ran out.
+// ExpireMachine releases everything on a machine whose agent's lease surely ran out.
 func (s *State) ExpireMachine(machine *Machine, now micro.Time) {
 	s.TransitionMachine(machine, Expired, "its lease ran out")
 	machine.ExpiredEpoch = max(machine.ExpiredEpoch, machine.AgentEpoch)
@@ -30,7 +31,7 @@
 	clear(machine.exitedAttempts)
 }
 
-// RemoveMachine frees everything on a machine that the cloud says is gone.
+// RemoveMachine releases everything on a machine that the cloud says is gone.
 func (s *State) RemoveMachine(machine *Machine, now micro.Time) {
 	if machine.State != Terminating {
 		s.TransitionMachine(machine, Terminating, "returned")
@@ -45,8 +46,8 @@
 	s.TerminatedAt[machine.Name] = now
 }
 
-// WasTerminated reports whether a machine was returned in this term, as far back as that
-// is remembered.
+// WasTerminated reports whether a machine was terminated in this term, as far back as that is
+// remembered.
 func (s *State) WasTerminated(name string) bool {
 	_, terminated := s.TerminatedAt[name]
 	return terminated
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -5,7 +5,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Reconcile reads a worker's message into the model.
+// Reconcile takes an agent's message into the state, on the goroutine that owns it. The machine
+// is nil if the message is from one that was terminated.
 func (s *State) Reconcile(heartbeat *wire.Heartbeat, source Source, now micro.Time) (*Machine, Outcome) {
 	if s.WasTerminated(heartbeat.Machine) {
 		return nil, Refused
@@ -13,7 +14,7 @@
 	machine := s.EnsureMachine(heartbeat.Machine, now)
 	if machine.State == Terminating {
 		// It goes; only proofs of freedom could still be read, and the cloud's
-		// answer is a better one.
+		// response is a better one.
 		return machine, Refused
 	}
 	epoch, sequence := uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
@@ -56,7 +57,7 @@
 	s.handlePreemptionNotice(machine, now)
 }
 
-// reconcileTasks reads the tasks of a report, and tells which attempts it names.
+// reconcileTasks reads the tasks of a heartbeat, and tells which attempts it names.
 func (s *State) reconcileTasks(
 	machine *Machine, heartbeat *wire.Heartbeat, now micro.Time,
 ) (reported map[AllocationKey]bool) {
@@ -138,8 +139,8 @@
 	}
 }
 
-// adoptAttempt makes a place for a task that a worker has and the records lack. It
-// holds its room until it is gone.
+// adoptAttempt makes an allocation for a task that an agent has and the records lack. It uses
+// its resources until it is gone.
 func (s *State) adoptAttempt(machine *Machine, key AllocationKey) *Allocation {
 	allocation := &Allocation{
 		TaskName: key.Task, Attempt: key.Attempt, Machine: machine, AgentEpoch: machine.AgentEpoch, State: Starting,
@@ -229,8 +230,8 @@
 	}
 }
 
-// handlePreemptionNotice reacts to the cloud's notice that it takes the machine back: what can
-// save does so at once; the rest may still complete in time.
+// handlePreemptionNotice reacts to the cloud's notice that it takes a spot instance back: what
+// can write a checkpoint does so at once; the rest may still complete in time.
 func (s *State) handlePreemptionNotice(machine *Machine, now micro.Time) {
 	s.Log("notice", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
 	for _, allocation := range machine.SortedAllocations() {
--- a/internal/cluster/records/chunk.go
+++ b/internal/cluster/records/chunk.go
@@ -9,7 +9,7 @@
 // LegacyTasksPerChunk is how many tasks a record in the first form holds.
 const LegacyTasksPerChunk = 128
 
-// Allocation is a taken place in a chunk's record.
+// Allocation is an allocation in a chunk's record.
 type Allocation struct {
 	//lint:ignore U1000 the codec reads its tag: a list without field names, since records are written often
 	_msgpack struct{} `msgpack:",as_array"`
@@ -27,9 +27,9 @@
 	return json.Marshal([]any{r.Index, r.Attempt, r.Machine, r.Session, r.Zone})
 }
 
-// Chunk is a chunk of tasks as the store keeps it.
+// Chunk is a chunk of tasks as the store keeps it in the first form.
 type Chunk struct {
 	Allocations []Allocation `msgpack:"p" json:"p"`
 	Done        [][2]int     `msgpack:"d" json:"d"` // first and last of each range
-	Attempts    [][2]int     `msgpack:"t" json:"t"` // task and attempt, where no place is taken
+	Attempts    [][2]int     `msgpack:"t" json:"t"` // task and attempt, where there is no allocation
 }
--- a/internal/cluster/records/compact.go
+++ b/internal/cluster/records/compact.go
@@ -4,19 +4,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// CompactChunk is a chunk of tasks as the store keeps it in the later form,
-// which names each machine and zone once. Places are (machine, session, task,
-// attempt), with the machine by its index.
+// CompactChunk is a chunk of tasks as the store keeps it in the compact form, which names each
+// machine and zone once. Allocations are (machine, agent epoch, task, attempt), with the machine
+// by its index.
 type CompactChunk struct {
 	Zones        []string        `msgpack:"z" json:"z"`
 	Machines     []string        `msgpack:"m" json:"m"`
 	MachineZones []int           `msgpack:"i" json:"i"` // the zone of each machine, by its index
 	Allocations  [][4]wire.Count `msgpack:"p" json:"p"`
 	Done         [][2]int        `msgpack:"d" json:"d"` // first and last of each range
-	Attempts     [][2]int        `msgpack:"t" json:"t"` // task and attempt, where no place is taken
+	Attempts     [][2]int        `msgpack:"t" json:"t"` // task and attempt, where there is no allocation
 }
 
-// Compact puts a record into the later form.
+// Compact puts a record into the compact form.
 func (r *Chunk) Compact() CompactChunk {
 	out := CompactChunk{
 		Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{}, Done: r.Done,
@@ -70,15 +70,15 @@
 	return out, true
 }
 
-// allocationBytes is what a place takes in the later form, on a machine of its own:
-// its name, its zone, and four numbers.
+// allocationBytes is what an allocation takes in the compact form, on a machine of its own: its
+// name, its zone, and four numbers.
 const allocationBytes = 30
 
-// recordOverheadBytes is what a record takes besides its places.
+// recordOverheadBytes is what a record takes besides its allocations.
 const recordOverheadBytes = 120
 
-// TasksPerCompactChunk is how many tasks a chunk of the later form may have for its
-// record to fit a value of so many bytes.
+// TasksPerCompactChunk is how many tasks a chunk of the compact form may have for its record to
+// fit a value of so many bytes.
 func TasksPerCompactChunk(bytes int) int {
 	tasks := 8
 	for tasks < LegacyTasksPerChunk && (2*tasks)*allocationBytes+recordOverheadBytes <= bytes {
--- a/internal/cluster/records/count.go
+++ b/internal/cluster/records/count.go
@@ -11,8 +11,8 @@
 	compact, legacy []Chunk
 }
 
-// Add reads a record by the last part of its key, which a mark begins in the later
-// form.
+// Add reads a record by the last part of its key, which compactPrefix begins in the compact
+// form. An error is one of decoding.
 func (c *TaskCounter) Add(keySuffix, compactPrefix string, value []byte) error {
 	if strings.HasPrefix(keySuffix, compactPrefix) {
 		var record CompactChunk
@@ -32,9 +32,8 @@
 	return nil
 }
 
-// Count is how many tasks are done, and how many others hold a place. A record in
-// the first form may lag behind one in the later form: a task counts as done if
-// either says so.
+// Count is how many tasks are done, and how many others are allocated. A record in the first
+// form may lag behind one in the compact form: a task counts as done if either says so.
 func (c *TaskCounter) Count() (done, allocated int) {
 	if len(c.compact) == 0 || len(c.legacy) == 0 {
 		return countTasks(append(c.compact, c.legacy...))
--- a/internal/cluster/records/final_status.go
+++ b/internal/cluster/records/final_status.go
@@ -4,7 +4,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// FinalStatus is the end of a job: created once, the first one wins.
+// FinalStatus is how a job ended: created once, the first one wins.
 type FinalStatus struct {
 	State wire.JobState `msgpack:"state" json:"state"`
 
--- a/internal/cluster/records/images.go
+++ b/internal/cluster/records/images.go
@@ -1,7 +1,7 @@
 package records
 
-// Images is what the store keeps of the machines' images, so that a new leader still places
-// work where its image is. It is a hint: a machine that lost an image fetches it again.
+// Images is what the store keeps of the machines' images, so that a new leader still schedules
+// tasks where their image is. It is a hint: a machine that lost an image fetches it again.
 type Images struct {
 	Names    []string         `msgpack:"n" json:"n"`
 	GB       []float64        `msgpack:"g" json:"g"`
--- a/internal/cluster/retention.go
+++ b/internal/cluster/retention.go
@@ -4,23 +4,23 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// How long the model remembers what is over. A term may last for months: kept for
+// How long the state remembers what is over. A term may last for months: kept for
 // good, the jobs and machines of a large fleet would fill the node's memory.
 const (
-	// jobRetention is for how long a job stays after its end. The store has it for good.
+	// jobRetention is for how long a job stays after it ended. The store has it for good.
 	jobRetention = 10 * micro.Minute
-	// finalStatusRetention is for how long the end of a job is remembered. A late copy of its
+	// finalStatusRetention is for how long a final status is remembered. A late copy of its
 	// submission must not bring it back to life, and messages are late by minutes at
 	// the most.
 	finalStatusRetention = 60 * micro.Minute
-	// terminatedRetention is for how long a returned machine is remembered, so that a late
-	// report, or a list that lags, does not bring it back.
+	// terminatedRetention is for how long a terminated machine is remembered, so that a late
+	// heartbeat, or a list that lags, does not bring it back.
 	terminatedRetention = 60 * micro.Minute
 )
 
-// Prune forgets what has been over for long, and lists the jobs that it forgot. A
-// job stays while a place of it is not proven free, or while settled says that
-// something of it has still to be written.
+// Prune forgets what has been over for long, and lists the jobs that it forgot. A job stays
+// while an allocation of it is not proven free, or while settled says that something of it has
+// still to be written.
 func (s *State) Prune(now micro.Time, settled func(*Job) bool) []*Job {
 	var pruned []*Job
 	for id, job := range s.Jobs {
@@ -41,8 +41,8 @@
 	return pruned
 }
 
-// pruneFinalStatuses forgets old ends, but those of jobs that are still here or that a job
-// that waits names.
+// pruneFinalStatuses forgets old final statuses, but those of jobs that are still here or that a
+// blocked job depends on.
 func (s *State) pruneFinalStatuses(now micro.Time) {
 	dependencies := s.awaitedJobs()
 	for id, status := range s.FinalStatuses {
@@ -52,7 +52,7 @@
 	}
 }
 
-// awaitedJobs lists the jobs that those that wait for others name.
+// awaitedJobs lists the jobs that blocked ones depend on.
 func (s *State) awaitedJobs() map[string]bool {
 	dependencies := map[string]bool{}
 	if s.BlockedJobs == 0 {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,8 +1,9 @@
-// Package cluster holds the leader's picture of the cluster: jobs, tasks, gangs,
-// machines and the places that tasks take on them. It does no I/O and reads no
-// clock; one goroutine owns it.
+// Package cluster holds a controller's picture of the cluster: jobs, tasks, gangs, machines and
+// the allocations of tasks on them, with their changes of state and the reconciliation with
+// what agents report. It does no I/O and reads no clock. One goroutine, the event loop of the
+// leader or of a shard's owner, owns a State and all that it holds: nothing is locked.
 //
-// A place stays taken until it is proven free. See Cluster.free for the proofs.
+// An allocation counts until it is proven free. See State.release for the proofs.
 package cluster
 
 import (
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -7,20 +7,21 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Team counts what a team's places take.
+// Team is a team's quota and what its allocations use of it: cores and GPUs. A limit of 0 is
+// none.
 type Team struct {
 	Name                     string
 	GuaranteedCPUs, CPULimit float64
 	GuaranteedGPUs, GPULimit float64
 	UsedCPU, UsedGPU         float64
-	QuotaReservedFor         *Job // its limit's room is kept for this job, which waited long
+	QuotaReservedFor         *Job // the quota that comes free is kept for this job, which waited long
 	QuotaReservedAt          micro.Time
 	QuotaReservableAfter     micro.Time // nothing is saved up before, so that its other jobs get their turn
 	LastPlacedAt             micro.Time // when one of its tasks was last placed
 	unfinished               []*Job
 }
 
-// WithinLimit reports whether the team's limits leave room for n more such tasks.
+// WithinLimit reports whether the team's limits allow so many more such tasks.
 func (t *Team) WithinLimit(cpus, gpus float64, tasks int) bool {
 	const eps = 1e-9
 	count := float64(tasks)
@@ -28,7 +29,7 @@
 		(t.GPULimit <= 0 || t.UsedGPU+count*gpus <= t.GPULimit+eps)
 }
 
-// TaskHeadroom is how many tasks the team's limits leave room for.
+// TaskHeadroom is how many more such tasks the team's limits allow.
 func (t *Team) TaskHeadroom(cpus, gpus float64) int {
 	const eps = 1e-9
 	tasks := math.MaxInt32
