--- a/internal/cluster/chunk.go
+++ b/internal/cluster/chunk.go
@@ -1,8 +1,6 @@
 package cluster
 
 import (
-	"sort"
-
 	"notchmux.dev/notchmux/internal/cluster/records"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
@@ -10,7 +8,7 @@
 
 // Record builds the chunk's record from what is in memory.
 func (c *TaskChunk) Record() records.Chunk {
-	record := records.Chunk{Allocations: []records.Allocation{}, Done: [][2]int{}, Attempts: [][2]int{}}
+	record := records.NewChunk()
 	allocated := map[int]bool{}
 	for _, allocation := range c.Allocations {
 		allocated[allocation.Index] = true
@@ -22,19 +20,13 @@
 			},
 		)
 	}
-	sort.Slice(
-		record.Allocations, func(a, b int) bool { return record.Allocations[a].Index < record.Allocations[b].Index },
-	)
+	record.SortAllocations()
 	first := c.Index * c.Job.tasksPerChunk
 	for i := first; i < min(first+c.Job.tasksPerChunk, len(c.Job.Tasks)); i++ {
 		task := &c.Job.Tasks[i]
 		switch {
 		case task.Done:
-			if ranges := len(record.Done); ranges > 0 && record.Done[ranges-1][1] == i-1 {
-				record.Done[ranges-1][1] = i
-			} else {
-				record.Done = append(record.Done, [2]int{i, i})
-			}
+			record.AddDone(i)
 		case task.Attempt > 0 && !allocated[i]:
 			record.Attempts = append(record.Attempts, [2]int{i, int(task.Attempt)})
 		}
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -1,5 +1,9 @@
 package lifecycle
 
+import (
+	"notchmux.dev/notchmux/wire"
+)
+
 // AllocationState is the state of one attempt on a machine.
 type AllocationState uint8
 
@@ -34,3 +38,15 @@
 func (s AllocationState) MayBecome(to AllocationState) bool {
 	return allocationTransitions.allow(s, to)
 }
+
+// reportedStates maps what agents report to the states of allocations.
+var reportedStates = map[wire.TaskState]AllocationState{
+	wire.TaskFetching:       Fetching,
+	wire.TaskWaitingForGang: Waiting,
+	wire.TaskRunning:        Running,
+	wire.TaskCheckpointing:  Checkpointing,
+}
+
+// ReportedState is the state of an allocation whose task an agent reports; Planned, which no
+// other state may become, if the agent's word for it is not known.
+func ReportedState(state wire.TaskState) AllocationState { return reportedStates[state] }
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"notchmux.dev/notchmux/internal/cluster/lifecycle"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -113,14 +114,6 @@
 	}
 }
 
-// allocationStates maps what agents report to the states of allocations.
-var allocationStates = map[wire.TaskState]AllocationState{
-	wire.TaskFetching:       Fetching,
-	wire.TaskWaitingForGang: Waiting,
-	wire.TaskRunning:        Running,
-	wire.TaskCheckpointing:  Checkpointing,
-}
-
 // reconcileTask reads a task that is on the machine.
 func (s *State) reconcileTask(machine *Machine, key AllocationKey, status *wire.TaskStatus, now micro.Time) {
 	allocation := machine.Allocations[key]
@@ -130,7 +123,7 @@
 		s.StopAllocation(allocation, "not in the records", 0, now)
 	}
 	allocation.Observed = true
-	state := allocationStates[status.State]
+	state := lifecycle.ReportedState(status.State)
 	if s.transitionAllocation(allocation, state) && state >= Waiting && allocation.taskKnown {
 		machine.recordImage(allocation.Job.Spec.Image, allocation.Job.Spec.ImageGB, now)
 	}
--- a/internal/cluster/records/chunk.go
+++ b/internal/cluster/records/chunk.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"sort"
 
 	"notchmux.dev/notchmux/wire"
 )
@@ -33,3 +34,22 @@
 	Done        [][2]int     `msgpack:"d" json:"d"` // first and last of each range
 	Attempts    [][2]int     `msgpack:"t" json:"t"` // task and attempt, where there is no allocation
 }
+
+// NewChunk makes a record of nothing, whose lists are empty in the store's bytes, not absent.
+func NewChunk() Chunk {
+	return Chunk{Allocations: []Allocation{}, Done: [][2]int{}, Attempts: [][2]int{}}
+}
+
+// AddDone notes that a task is done. Tasks are added in their order.
+func (c *Chunk) AddDone(task int) {
+	if ranges := len(c.Done); ranges > 0 && c.Done[ranges-1][1] == task-1 {
+		c.Done[ranges-1][1] = task
+		return
+	}
+	c.Done = append(c.Done, [2]int{task, task})
+}
+
+// SortAllocations puts the allocations in the order of their tasks.
+func (c *Chunk) SortAllocations() {
+	sort.Slice(c.Allocations, func(a, b int) bool { return c.Allocations[a].Index < c.Allocations[b].Index })
+}
