--- a/internal/cluster/records/chunk.go
+++ b/internal/cluster/records/chunk.go
@@ -15,11 +15,11 @@
 	//lint:ignore U1000 the codec reads its tag: a list without field names, since records are written often
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Index   int
-	Attempt wire.Count
-	Machine string
-	Session wire.Count
-	Zone    string
+	Index   int        `msgpack:"Index"`
+	Attempt wire.Count `msgpack:"Attempt"`
+	Machine string     `msgpack:"Machine"`
+	Session wire.Count `msgpack:"Session"`
+	Zone    string     `msgpack:"Zone"`
 }
 
 // MarshalJSON gives the form that the store's limits count: a list, as in the
--- /dev/null
+++ b/internal/peer/golden_test.go
@@ -0,0 +1,27 @@
+package peer
+
+import "testing"
+
+// Nodes of two builds call each other by these paths.
+func TestCallsKeepTheirPaths(t *testing.T) {
+	for _, c := range []struct{ name, got, want string }{
+		{"show", Status, "/peer/show"},
+		{"show several", StatusBatch, "/peer/shows"},
+		{"withdraw", Cancel, "/peer/withdraw"},
+		{"submit", Submit, "/peer/submit"},
+		{"read", StoredStatus, "/peer/read"},
+		{"notify", JobAccepted, "/peer/notify"},
+		{"ping", Ping, "/peer/ping"},
+		{"exist", AcceptedJobs, "/peer/exist"},
+		{"accepted", AcceptedJobsBudgeted, "/peer/accepted"},
+		{"announce", AnnounceVersion, "/peer/announce"},
+		{"keep", LeaseProxy, "/peer/keep"},
+		{"share", ShardOwner, "/peer/share"},
+		{"admin", ShardAdmin, "/peer/admin"},
+		{"metrics", Metrics, "/metrics"},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %q, want %q", c.name, c.got, c.want)
+		}
+	}
+}
