--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"iter"
+
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
@@ -80,19 +82,39 @@
 		if preemptible && !s.isHeadroom(job, machine, class) {
 			continue
 		}
-		gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / spec.GPUs))
-		if gpuTasks > 0 &&
-			(machine.Type.CPUs-machine.UsedCPU-job.Spec.CPUs < gpuTasks*spec.CPUs-eps || machine.Type.MemoryGB-machine.UsedMemoryGB-job.Spec.MemoryGB < gpuTasks*spec.MemoryGB-eps) {
+		if !leavesCapacityForGPUs(job, machine, spec) {
 			return false
 		}
 	}
 	return true
 }
 
-// poolRank priorities what all machines of a pool share: the exceptions' tier, then the
+// leavesCapacityForGPUs reports whether a job leaves capacity beside a machine's idle GPUs
+// for as many tasks of a GPU job as they are enough for.
+func leavesCapacityForGPUs(job *cluster.Job, machine *cluster.Machine, gpuJob *wire.Job) bool {
+	gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / gpuJob.GPUs))
+	if gpuTasks <= 0 {
+		return true
+	}
+	remainingCPU := machine.Type.CPUs - machine.UsedCPU - job.Spec.CPUs
+	remainingMemoryGB := machine.Type.MemoryGB - machine.UsedMemoryGB - job.Spec.MemoryGB
+	return remainingCPU >= gpuTasks*gpuJob.CPUs-eps && remainingMemoryGB >= gpuTasks*gpuJob.MemoryGB-eps
+}
+
+// tier puts machines that a job should rather not take after the others, whatever their
+// score. A pool's tier joins those of all exceptions that hold; the graver one decides.
+type tier uint8
+
+const (
+	tierOtherKind  tier = 1 << iota // spot or on-demand, where the other kind is preferred
+	tierGPUMachine                  // machines with GPUs, for a job that needs none
+	tierScoreZero                   // the design: only when no higher score has capacity
+)
+
+// poolRank ranks what all machines of a pool share: the exceptions' tier, then the
 // design's score.
 type poolRank struct {
-	tier  int
+	tier  tier
 	score float64
 }
 
@@ -106,17 +128,28 @@
 func (s *Scheduler) rankPool(spec *wire.Job, pool *cluster.MachinePool, preferOnDemand bool) poolRank {
 	rank := poolRank{score: Score(spec.CPUs, pool.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2)}
 	if rank.score == 0 {
-		rank.tier += 8
+		rank.tier |= tierScoreZero
 	}
-	if spec.GPUs == 0 && pool.Type.GPUs > 0 {
-		rank.tier += 4
+	if leavesGPUsIdle(spec, pool.Type) {
+		rank.tier |= tierGPUMachine
 	}
-	if spec.Spot && pool.Spot == preferOnDemand {
-		rank.tier++
+	if isOtherKind(spec, pool, preferOnDemand) {
+		rank.tier |= tierOtherKind
 	}
 	return rank
 }
 
+// leavesGPUsIdle reports whether a job without GPUs would take a machine that has some. The
+// design scores CPUs only; a GPU without CPUs beside it serves nobody.
+func leavesGPUsIdle(spec *wire.Job, t *cluster.MachineType) bool { return spec.GPUs == 0 && t.GPUs > 0 }
+
+// isOtherKind reports whether a pool is of the kind, spot or on-demand, that comes second for
+// a job that may use both. Spot comes first, since on-demand machines are all that some
+// jobs may use, unless a task rather runs on an on-demand one.
+func isOtherKind(spec *wire.Job, pool *cluster.MachinePool, preferOnDemand bool) bool {
+	return spec.Spot && pool.Spot == preferOnDemand
+}
+
 // prefersOnDemand reports whether a task should rather run on an on-demand machine, though
 // its job may use spot ones: what it does is lost with the machine, and it was
 // lost before, or could not be done twice in time. Tasks that were lost went back
@@ -161,50 +194,123 @@
 	return c.machine.Name < other.machine.Name
 }
 
+// placementRequest asks for a machine for one task of a job.
+type placementRequest struct {
+	job            *cluster.Job
+	zone           string         // the only zone to look in; "": any
+	plan           allocationPlan // what is planned for other tasks of the job already
+	anyPrice       bool           // expensive machines are as good as others
+	preferOnDemand bool           // on-demand machines come before spot ones
+	now            micro.Time
+}
+
+// allocationPlan is what tasks of a job take that are to be placed together, before they are.
+type allocationPlan struct {
+	taken       map[*cluster.Machine]*resources
+	tasksByZone map[string]int
+}
+
+// add plans one more task of the job on a machine. Most plans come to nothing: the maps are
+// made with the first task.
+func (p *allocationPlan) add(job *cluster.Job, m *cluster.Machine) {
+	if p.taken == nil {
+		p.taken, p.tasksByZone = map[*cluster.Machine]*resources{}, map[string]int{}
+	}
+	taken := p.taken[m]
+	if taken == nil {
+		taken = &resources{}
+		p.taken[m] = taken
+	}
+	taken.Add(requestOn(&job.Spec, m.Type), 1)
+	p.tasksByZone[m.Zone]++
+}
+
+// uses reports whether tasks are planned on a machine.
+func (p *allocationPlan) uses(m *cluster.Machine) bool { return len(p.taken) > 0 && p.taken[m] != nil }
+
+// firstRowFor is the first of a pool's rows whose machines may have capacity for a request.
+func firstRowFor(request resources) int { return int(request.ScaledCPU - eps) }
+
+// isCandidatePool reports whether a pool has machines, in the zone if one is given, that the
+// job may use.
+func isCandidatePool(job *cluster.Job, pool *cluster.MachinePool, zone string) bool {
+	return pool.MachineCount > 0 && (zone == "" || pool.Zone == zone) &&
+		Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot)
+}
+
+// machinesWithCapacity gives the machines of a pool that have capacity for a request as they
+// are.
+func machinesWithCapacity(pool *cluster.MachinePool, request resources) iter.Seq[*cluster.Machine] {
+	return func(yield func(*cluster.Machine) bool) {
+		for row := firstRowFor(request); row < pool.Rows(); row++ {
+			for _, machine := range pool.Row(row) {
+				if fits(request, machine, nil, resources{}) && !yield(machine) {
+					return
+				}
+			}
+		}
+	}
+}
+
 // bestMachine chooses the machine for one task: the design's score decides, ties go to
 // the least scaled capacity left. Exceptions come first: machines whose GPUs or
-// ordinary kind others need are looked at after the rest, and a machine of
+// on-demand kind others need are looked at after the rest, and a machine of
 // score 0 last. The score is the same for all machines of a pool, whose rows
 // are in order of capacity: the first row that has a machine with capacity holds the
 // pool's tightest fit.
-func (s *Scheduler) bestMachine(
-	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string,
-	limitPrice, preferOnDemand bool, now micro.Time,
-) *cluster.Machine {
+func (s *Scheduler) bestMachine(placement *placementRequest) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
+	job := placement.job
 	for _, pool := range s.Cluster.Pools {
 		request := requestOn(&job.Spec, pool.Type)
-		firstRow := int(request.ScaledCPU - eps)
-		if pool.MachineCount == 0 || firstRow >= pool.Rows() || zone != "" && pool.Zone != zone ||
-			!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if firstRowFor(request) >= pool.Rows() || !isCandidatePool(job, pool, placement.zone) {
 			continue
 		}
-		rank := s.rankPool(&job.Spec, pool, preferOnDemand)
+		rank := s.rankPool(&job.Spec, pool, placement.preferOnDemand)
 		if best.machine != nil && bestRank.betterThan(rank) {
 			continue
 		}
-		if !ZoneAllowed(job, pool.Zone, tasksByZone) ||
-			limitPrice && s.relaxation == relaxNone && s.WithinPrice != nil && !s.WithinPrice(job, pool.Type, pool.Spot, now) {
+		if !ZoneAllowed(job, pool.Zone, placement.plan.tasksByZone) || s.tooExpensive(placement, pool) {
 			continue
 		}
-		poolBest := s.tightestFit(job, pool, request, firstRow, planned, now)
-		for machine, taken := range planned { // their rows do not know what the plan took
-			if machine.Type == pool.Type && machine.Zone == pool.Zone && machine.Spot == pool.Spot &&
-				s.mayUse(job, machine, now) &&
-				fits(request, machine, taken, resources{}) {
-				if contender := s.evaluate(job, machine, request, taken.ScaledCPU); contender.betterThan(&poolBest) {
-					poolBest = contender
-				}
-			}
+		poolBest := s.tightestFit(placement, pool, request)
+		s.considerPlanned(placement, pool, request, &poolBest)
+		if poolBest.machine == nil {
+			continue
 		}
-		if poolBest.machine != nil && (best.machine == nil || rank.betterThan(bestRank) || poolBest.betterThan(&best)) {
+		if best.machine == nil || rank.betterThan(bestRank) || poolBest.betterThan(&best) {
 			best, bestRank = poolBest, rank
 		}
 	}
 	return best.machine
 }
 
+// tooExpensive reports whether a pool's price keeps the job from it. A dear machine pinned
+// by small work costs a large part of the bill; work that is overdue, or of the highest
+// priority and without other capacity, takes it nevertheless.
+func (s *Scheduler) tooExpensive(placement *placementRequest, pool *cluster.MachinePool) bool {
+	return !placement.anyPrice && s.relaxation == relaxNone && s.WithinPrice != nil &&
+		!s.WithinPrice(placement.job, pool.Type, pool.Spot, placement.now)
+}
+
+// considerPlanned compares the machines of a pool that the plan uses already: their rows do
+// not know what the plan took.
+func (s *Scheduler) considerPlanned(
+	placement *placementRequest, pool *cluster.MachinePool, request resources, best *candidate,
+) {
+	for machine, taken := range placement.plan.taken {
+		if machine.Type != pool.Type || machine.Zone != pool.Zone || machine.Spot != pool.Spot ||
+			!s.mayUse(placement.job, machine, placement.now) ||
+			!fits(request, machine, taken, resources{}) {
+			continue
+		}
+		if contender := s.evaluate(placement.job, machine, request, taken.ScaledCPU); contender.betterThan(best) {
+			*best = contender
+		}
+	}
+}
+
 func (s *Scheduler) evaluate(job *cluster.Job, m *cluster.Machine, request resources, taken float64) candidate {
 	return candidate{
 		m, m.Type.CPUs - m.UsedScaledCPU - taken - request.ScaledCPU, m.HasImage(job.Spec.Image),
@@ -212,31 +318,14 @@
 	}
 }
 
-// tightestFit finds the machine of a pool with the least capacity left.
+// tightestFit finds the machine of a pool with the least capacity left, among those that the
+// plan does not use.
 func (s *Scheduler) tightestFit(
-	job *cluster.Job, pool *cluster.MachinePool, request resources, firstRow int, planned map[*cluster.Machine]*resources,
-	now micro.Time,
+	placement *placementRequest, pool *cluster.MachinePool, request resources,
 ) candidate {
 	var best candidate
-	for row := firstRow; row < pool.Rows(); row++ {
-		machines := pool.Row(row)
-		count, offset := len(machines), 0
-		if s.sampling && count > s.Properties.SampleSize {
-			// A full search for each task would cost more than the better fit
-			// among like machines is worth.
-			count, offset = s.Properties.SampleSize, s.Rand.IntN(len(machines))
-		}
-		for k := range count {
-			machine := machines[(offset+k)%len(machines)]
-			s.MachinesExamined++
-			if !fits(request, machine, nil, resources{}) || len(planned) > 0 && planned[machine] != nil ||
-				!s.mayUse(job, machine, now) {
-				continue
-			}
-			if contender := s.evaluate(job, machine, request, 0); contender.betterThan(&best) {
-				best = contender
-			}
-		}
+	for row := firstRowFor(request); row < pool.Rows(); row++ {
+		s.considerRow(placement, pool.Row(row), request, &best)
 		if best.machine != nil && (best.hasImage || !best.wholeMachine) {
 			break
 		}
@@ -244,6 +333,34 @@
 	return best
 }
 
+// considerRow compares the machines of a row, or a sample of them.
+func (s *Scheduler) considerRow(
+	placement *placementRequest, machines []*cluster.Machine, request resources, best *candidate,
+) {
+	count, offset := s.sampleRow(machines)
+	for k := range count {
+		machine := machines[(offset+k)%len(machines)]
+		s.MachinesExamined++
+		if !fits(request, machine, nil, resources{}) || placement.plan.uses(machine) ||
+			!s.mayUse(placement.job, machine, placement.now) {
+			continue
+		}
+		if contender := s.evaluate(placement.job, machine, request, 0); contender.betterThan(best) {
+			*best = contender
+		}
+	}
+}
+
+// sampleRow says how many machines of a row are looked at, and from which on. While the
+// scheduler is overloaded a full search for each task would cost more than the better fit
+// among like machines is worth.
+func (s *Scheduler) sampleRow(machines []*cluster.Machine) (count, offset int) {
+	if !s.sampling || len(machines) <= s.Properties.SampleSize {
+		return len(machines), 0
+	}
+	return s.Properties.SampleSize, s.Rand.IntN(len(machines))
+}
+
 // mayUse reports whether a machine of a suitable pool may take the job's tasks.
 func (s *Scheduler) mayUse(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return s.Cluster.MachineReachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) &&
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -32,6 +32,10 @@
 	preemptionBatch = 16
 )
 
+// minStartPerCheckpoint is how many of a victim's checkpoints an objective on starting must
+// be longer than for the victim to save first.
+const minStartPerCheckpoint = 3
+
 // reserveMachine reserves a machine for a job.
 func (s *Scheduler) reserveMachine(m *cluster.Machine, job *cluster.Job, starvationReservation bool, now micro.Time) {
 	if s.reservedMachines == nil {
@@ -47,18 +51,12 @@
 // expireReservations gives up reservations that are used, over or too old.
 func (s *Scheduler) expireReservations(now micro.Time) {
 	for _, team := range s.Cluster.Teams {
-		if job := team.QuotaReservedFor; job != nil &&
-			(job.State != cluster.Active || job.PendingTasks() == 0 || job.AllocationCount > 0 || now-team.QuotaReservedAt > starvationReservationTTL) {
+		if team.QuotaReservedFor != nil && quotaReservationOver(team, now) {
 			team.QuotaReservedFor, team.QuotaReservableAfter = nil, now+quotaReservationBackoff
 		}
 	}
 	for machine := range s.reservedMachines {
-		holder, ttl := machine.ReservedFor, preemptionReservationTTL
-		if machine.StarvationReservation {
-			ttl = starvationReservationTTL
-		}
-		if holder != nil &&
-			(holder.State != cluster.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl || !machine.Schedulable(now)) {
+		if machine.ReservedFor != nil && reservationOver(machine, now) {
 			machine.ReservedFor, machine.UnusedReservationEndedAt = nil, now
 		}
 		if machine.ReservedFor == nil {
@@ -68,6 +66,21 @@
 	}
 }
 
+func quotaReservationOver(team *cluster.Team, now micro.Time) bool {
+	holder := team.QuotaReservedFor
+	return holder.State != cluster.Active || holder.PendingTasks() == 0 || holder.AllocationCount > 0 ||
+		now-team.QuotaReservedAt > starvationReservationTTL
+}
+
+func reservationOver(machine *cluster.Machine, now micro.Time) bool {
+	holder, ttl := machine.ReservedFor, preemptionReservationTTL
+	if machine.StarvationReservation {
+		ttl = starvationReservationTTL
+	}
+	return holder.State != cluster.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl ||
+		!machine.Schedulable(now)
+}
+
 // countReserved is how many machines are reserved for a job.
 func (s *Scheduler) countReserved(job *cluster.Job) int {
 	count := 0
@@ -79,69 +92,108 @@
 	return count
 }
 
+// preemptionPlan is what is to be stopped, and on which machines, for tasks of a job.
+type preemptionPlan struct {
+	job     *cluster.Job
+	zone    string // the only zone to look in; "": any
+	now     micro.Time
+	planned allocationPlan // what the tasks take
+	freed   map[*cluster.Machine]*resources
+	victims []*cluster.Allocation
+	chosen  map[*cluster.Allocation]bool // the same
+	targets []*cluster.Machine           // a machine for each task
+}
+
+// add plans a task on a machine that its victims are stopped on.
+func (p *preemptionPlan) add(machine *cluster.Machine, victims []*cluster.Allocation) {
+	p.planned.add(p.job, machine)
+	if p.freed == nil {
+		p.freed, p.chosen = map[*cluster.Machine]*resources{}, map[*cluster.Allocation]bool{}
+	}
+	freed := p.freed[machine]
+	if freed == nil {
+		freed = &resources{}
+		p.freed[machine] = freed
+	}
+	for _, victim := range victims {
+		p.chosen[victim] = true
+		freed.Add(allocatedResources(victim), 1)
+	}
+	p.victims = append(p.victims, victims...)
+	p.targets = append(p.targets, machine)
+}
+
 // preempt stops work of lower priority so that the given tasks fit, if that is
 // possible for all of them (for an array: for some), and reports whether capacity is
 // coming.
 func (s *Scheduler) preempt(job *cluster.Job, idx []int, zone string, now micro.Time) bool {
 	reserved := s.countReserved(job)
-	gang := job.Spec.Kind == wire.Gang
-	if reserved >= len(idx) || !gang && reserved > 0 {
+	if reserved >= len(idx) || job.Spec.Kind != wire.Gang && reserved > 0 {
 		return true
 	}
-	if !gang {
-		limit := 1
-		if job.PriorityLevel == 0 {
-			limit = preemptionBatch
-		}
-		idx = idx[:min(len(idx), limit)]
+	plan := preemptionPlan{job: job, zone: zone, now: now}
+	s.planPreemption(&plan, preemptionTasks(job, len(idx)))
+	if len(plan.targets) == 0 {
+		return false
 	}
-	planned, tasksByZone := map[*cluster.Machine]*resources{}, map[string]int{}
-	freed := map[*cluster.Machine]*resources{}
-	chosen := map[*cluster.Allocation]bool{}
-	var targets []*cluster.Machine
-	for range idx {
-		machine, victims := s.victims(job, planned, tasksByZone, freed, chosen, zone, now)
+	for _, victim := range plan.victims {
+		s.preemptAllocation(victim, job, now)
+	}
+	for _, machine := range plan.targets {
+		s.reserveMachine(machine, job, false, now)
+	}
+	return true
+}
+
+// preemptionTasks is for how many of a job's waiting tasks machines are cleared at a time.
+func preemptionTasks(job *cluster.Job, waiting int) int {
+	switch {
+	case job.Spec.Kind == wire.Gang:
+		return waiting
+	case job.PriorityLevel == highestPriorityLevel:
+		return min(waiting, preemptionBatch)
+	}
+	return min(waiting, 1)
+}
+
+// planPreemption finds machines to clear for so many of the job's tasks, for a gang's all or
+// none.
+func (s *Scheduler) planPreemption(plan *preemptionPlan, tasks int) {
+	for range tasks {
+		machine, victims := s.findVictims(plan)
 		if machine == nil {
-			if gang {
-				return false
+			if plan.job.Spec.Kind == wire.Gang {
+				plan.targets = nil
 			}
-			break
-		}
-		s.planAllocation(planned, tasksByZone, job, machine)
-		freedHere := freed[machine]
-		if freedHere == nil {
-			freedHere = &resources{}
-			freed[machine] = freedHere
+			return
 		}
-		for _, allocation := range victims {
-			chosen[allocation] = true
-			freedHere.Add(allocatedResources(allocation), 1)
-		}
-		targets = append(targets, machine)
+		plan.add(machine, victims)
 	}
-	if len(targets) == 0 {
-		return false
+}
+
+// preemptAllocation stops an allocation for a job, and with it the gang that it is of.
+func (s *Scheduler) preemptAllocation(victim *cluster.Allocation, job *cluster.Job, now micro.Time) {
+	grace := s.checkpointGrace(&victim.Job.Spec, job)
+	s.Cluster.StopAllocation(victim, "preempted by "+job.Spec.ID, grace, now)
+	if victim.Job.Spec.Kind != wire.Gang {
+		return
 	}
-	for allocation := range chosen {
-		grace := 0.0
-		if allocation.Job.Spec.CheckpointIntervalS > 0 {
-			// Saving first, unless the start is wanted sooner than that.
-			startObjective := s.Objectives.StartObjective(job.Spec.Class)
-			if startObjective == 0 || startObjective > 3*micro.FromSeconds(allocation.Job.Spec.CheckpointDurationS) {
-				grace = allocation.Job.Spec.CheckpointDurationS
-			}
-		}
-		s.Cluster.StopAllocation(allocation, "preempted by "+job.Spec.ID, grace, now)
-		if allocation.Job.Spec.Kind == wire.Gang {
-			for _, member := range allocation.Job.Allocations() {
-				s.Cluster.StopAllocation(member, "preempted with its gang", grace, now)
-			}
-		}
+	for _, member := range victim.Job.Allocations() {
+		s.Cluster.StopAllocation(member, "preempted with its gang", grace, now)
 	}
-	for _, machine := range targets {
-		s.reserveMachine(machine, job, false, now)
+}
+
+// checkpointGrace is how many seconds a task that is preempted for a job gets to save: what
+// it needs, unless the job's start is wanted sooner than that.
+func (s *Scheduler) checkpointGrace(victim *wire.Job, job *cluster.Job) float64 {
+	if victim.CheckpointIntervalS <= 0 {
+		return 0
 	}
-	return true
+	startObjective := s.Objectives.StartObjective(job.Spec.Class)
+	if startObjective != 0 && startObjective <= minStartPerCheckpoint*micro.FromSeconds(victim.CheckpointDurationS) {
+		return 0
+	}
+	return victim.CheckpointDurationS
 }
 
 func allocatedResources(allocation *cluster.Allocation) resources {
@@ -149,100 +201,137 @@
 	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: allocation.ScaledCPU}
 }
 
-// victims finds the machine where making capacity for one task loses least, among a
-// sample of those that could make it.
-func (s *Scheduler) victims(
-	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int,
-	freed map[*cluster.Machine]*resources, chosen map[*cluster.Allocation]bool, zone string, now micro.Time,
-) (*cluster.Machine, []*cluster.Allocation) {
-	var best *cluster.Machine
-	var bestVictims []*cluster.Allocation
-	bestCost, examined := 0.0, 0
+// victimSearch is the machine found so far where making capacity for one task loses least.
+type victimSearch struct {
+	machine  *cluster.Machine
+	victims  []*cluster.Allocation
+	cost     float64
+	examined int
+}
+
+// findVictims finds the machine where making capacity for one task loses least, among a
+// sample of those that could make it, and what must go from it.
+func (s *Scheduler) findVictims(plan *preemptionPlan) (*cluster.Machine, []*cluster.Allocation) {
+	var search victimSearch
 	for _, pool := range s.Cluster.Pools {
-		if pool.MachineCount == 0 || zone != "" && pool.Zone != zone ||
-			!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) ||
-			!ZoneAllowed(job, pool.Zone, tasksByZone) ||
-			s.rejectsPrice(job, pool, now) {
+		if !isCandidatePool(plan.job, pool, plan.zone) ||
+			!ZoneAllowed(plan.job, pool.Zone, plan.planned.tasksByZone) ||
+			s.rejectsPrice(plan.job, pool, plan.now) {
 			continue
 		}
-		request := requestOn(&job.Spec, pool.Type)
+		request := requestOn(&plan.job.Spec, pool.Type)
 		start := s.Rand.IntN(pool.Rows())
 		for k := range pool.Rows() {
-			for _, machine := range pool.Row((start + k) % pool.Rows()) {
-				if examined >= victimSample {
-					return best, bestVictims
-				}
-				if !fits(request, machine, planned[machine], machine.Preemptible(job.PriorityLevel)) ||
-					machine.ReservedFor != nil && machine.ReservedFor != job ||
-					machine.QuarantinedUntil > now ||
-					!s.Cluster.MachineReachable(machine) ||
-					job.FailedOn[machine.Name] {
-					continue
-				}
-				if fits(request, machine, planned[machine], resources{}) && !s.mayUse(job, machine, now) {
-					continue // its capacity is refused, not taken
-				}
-				examined++
-				victims, cost, ok := s.victimsOn(job, machine, request, planned[machine], freed[machine], chosen, now)
-				if ok && (best == nil || cost < bestCost) {
-					best, bestVictims, bestCost = machine, victims, cost
-				}
+			if !s.searchRow(plan, pool.Row((start+k)%pool.Rows()), request, &search) {
+				return search.machine, search.victims
 			}
 		}
 	}
-	return best, bestVictims
+	return search.machine, search.victims
+}
+
+// searchRow compares the machines of a row, and reports whether the search goes on.
+func (s *Scheduler) searchRow(
+	plan *preemptionPlan, machines []*cluster.Machine, request resources, search *victimSearch,
+) bool {
+	for _, machine := range machines {
+		if search.examined >= victimSample {
+			return false
+		}
+		if !s.mayPreemptOn(plan, machine, request) {
+			continue
+		}
+		search.examined++
+		victims, cost, ok := s.victimsOn(plan, machine, request)
+		if ok && (search.machine == nil || cost < search.cost) {
+			search.machine, search.victims, search.cost = machine, victims, cost
+		}
+	}
+	return true
+}
+
+// mayPreemptOn reports whether preemption could make capacity on a machine, and the job
+// would be let use it.
+func (s *Scheduler) mayPreemptOn(plan *preemptionPlan, machine *cluster.Machine, request resources) bool {
+	job, planned := plan.job, plan.planned.taken[machine]
+	if !fits(request, machine, planned, machine.Preemptible(job.PriorityLevel)) ||
+		machine.ReservedFor != nil && machine.ReservedFor != job ||
+		machine.QuarantinedUntil > plan.now ||
+		!s.Cluster.MachineReachable(machine) ||
+		job.FailedOn[machine.Name] {
+		return false
+	}
+	// Where there is capacity without, it is refused, not taken.
+	return !fits(request, machine, planned, resources{}) || s.mayUse(job, machine, plan.now)
 }
 
 // rejectsPrice reports whether capacity is dear for a job that would not take it once it
 // is cleared. Machines that stood empty were reserved for such jobs, again and
 // again, and closed to all others.
 func (s *Scheduler) rejectsPrice(job *cluster.Job, pool *cluster.MachinePool, now micro.Time) bool {
-	return (job.PriorityLevel > 0 || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil &&
+	return (job.PriorityLevel > highestPriorityLevel || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil &&
 		!s.WithinPrice(job, pool.Type, pool.Spot, now)
 }
 
+// preemptionOption is an allocation that may be stopped, and what that costs.
+type preemptionOption struct {
+	allocation *cluster.Allocation
+	cost       float64
+}
+
 // victimsOn lists what must go from a machine for a task to fit.
 func (s *Scheduler) victimsOn(
-	job *cluster.Job, machine *cluster.Machine, request resources, planned, freed *resources,
-	chosen map[*cluster.Allocation]bool, now micro.Time,
+	plan *preemptionPlan, machine *cluster.Machine, request resources,
 ) (victims []*cluster.Allocation, cost float64, ok bool) {
-	var freedTotal resources
-	if freed != nil {
-		freedTotal = *freed
+	planned := plan.planned.taken[machine]
+	options, freed := s.preemptionOptions(plan, machine)
+	for _, option := range options {
+		if fits(request, machine, planned, freed) {
+			break
+		}
+		victims = append(victims, option.allocation)
+		freed.Add(allocatedResources(option.allocation), 1)
+		cost += option.cost
 	}
-	type cand struct {
-		v    *cluster.Allocation
-		loss float64
+	return victims, cost, fits(request, machine, planned, freed)
+}
+
+// preemptionOptions lists what may be stopped on a machine, the least loss first, and what
+// comes free there without: what the plan stops, and what is stopping anyway.
+func (s *Scheduler) preemptionOptions(
+	plan *preemptionPlan, machine *cluster.Machine,
+) (options []preemptionOption, freed resources) {
+	if planned := plan.freed[machine]; planned != nil {
+		freed = *planned
 	}
-	var options []cand
 	for _, allocation := range machine.Allocations {
-		if allocation.Job == nil || chosen[allocation] {
+		if allocation.Job == nil || plan.chosen[allocation] {
 			continue
 		}
 		if allocation.Stopping {
-			freedTotal.Add(allocatedResources(allocation), 1) // goes anyway
-		} else if allocation.Job.PriorityLevel > job.PriorityLevel {
-			options = append(options, cand{allocation, s.preemptionCost(allocation, now)})
+			freed.Add(allocatedResources(allocation), 1)
+		} else if allocation.Job.PriorityLevel > plan.job.PriorityLevel {
+			options = append(options, preemptionOption{allocation, s.preemptionCost(allocation, plan.now)})
 		}
 	}
 	sort.Slice(options, func(a, b int) bool {
-		if options[a].loss != options[b].loss {
-			return options[a].loss < options[b].loss
+		if options[a].cost != options[b].cost {
+			return options[a].cost < options[b].cost
 		}
-		return options[a].v.TaskName < options[b].v.TaskName
+		return options[a].allocation.TaskName < options[b].allocation.TaskName
 	})
-	for _, option := range options {
-		if fits(request, machine, planned, freedTotal) {
-			break
-		}
-		victims = append(victims, option.v)
-		freedTotal.Add(allocatedResources(option.v), 1)
-		cost += option.loss
-	}
-	return victims, cost, fits(request, machine, planned, freedTotal)
+	return options, freed
 }
 
-// preemptionCost is what stopping an allocation costs: work that is not saved, weighted by rank.
+// A task that has lost less than recentStartS of work has begun only now. Of a class with an
+// objective on starting, such a start would not count, which costs lostStartCost more.
+const (
+	recentStartS  = 30
+	lostStartCost = 60
+)
+
+// preemptionCost is what stopping an allocation costs: work that is not saved, in seconds of
+// CPU, weighted by its priority.
 func (s *Scheduler) preemptionCost(allocation *cluster.Allocation, now micro.Time) float64 {
 	cost := 1.0
 	if allocation.RunningSince > 0 {
@@ -251,9 +340,14 @@
 			unsaved = min(unsaved, interval)
 		}
 		cost += unsaved
-		if unsaved < 30 && s.Objectives.StartObjective(allocation.Job.Spec.Class) > 0 {
-			cost += 60 // its start would not count
+		if unsaved < recentStartS && s.Objectives.StartObjective(allocation.Job.Spec.Class) > 0 {
+			cost += lostStartCost
 		}
 	}
-	return cost * allocation.Job.Spec.CPUs * float64(4-min(allocation.PriorityLevel(), 3))
+	return cost * allocation.Job.Spec.CPUs * priorityWeight(allocation.PriorityLevel())
+}
+
+// priorityWeight is 1 for the lowest priority, and 1 more for each level above.
+func priorityWeight(level int) float64 {
+	return float64(lowestPriorityLevel + 1 - min(level, lowestPriorityLevel))
 }
--- a/internal/scheduler/relaxation.go
+++ b/internal/scheduler/relaxation.go
@@ -31,15 +31,13 @@
 // fallbackMachine chooses a machine for a late job's task once nothing was found by the
 // ordinary rules. It looks at all machines: samples may miss the only one with
 // capacity.
-func (s *Scheduler) fallbackMachine(
-	job *cluster.Job, planned map[*cluster.Machine]*resources, tasksByZone map[string]int, zone string, now micro.Time,
-) *cluster.Machine {
+func (s *Scheduler) fallbackMachine(placement *placementRequest) *cluster.Machine {
 	sampling := s.sampling
 	defer func() { s.relaxation, s.sampling = relaxNone, sampling }()
 	s.sampling = false
 	for _, level := range []relaxation{relaxReservations, relaxQuarantine} {
 		s.relaxation = level
-		if m := s.bestMachine(job, planned, tasksByZone, zone, true, false, now); m != nil {
+		if m := s.bestMachine(placement); m != nil {
 			return m
 		}
 	}
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -120,7 +120,7 @@
 				spec.GPUs = float64(1 + rng.IntN(4))
 			}
 			job := state.AddJob(spec, 0, 0)
-			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(job, nil, nil, "", true, false, now)
+			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(&placementRequest{job: job, now: now})
 			if want != got {
 				t.Fatalf("seed %d, task %d: the rows give %+v, a full search %+v", seed, step, got, want)
 			}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -49,43 +49,96 @@
 	u[key] = append(u[key], request)
 }
 
-// allocateTasks places a job's independent tasks one by one. Late ones take what capacity
+// allocationOutcome says how a try to place some of a job's tasks ended.
+type allocationOutcome uint8
+
+const (
+	allocatedAll allocationOutcome = iota
+	outOfQuota
+	outOfCapacity
+)
+
+// allocateTasks places a job's independent tasks one by one. Overdue ones take what capacity
 // there is.
 func (s *Scheduler) allocateTasks(job *cluster.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
 	for {
-		schedulable := job.SchedulableTasks(now)
-		job.Throttled = schedulable == 0 && s.hasCapacity(job, now)
-		next := job.NextTasks(now, min(allocationBatch, schedulable)) // not all of a huge job at once
-		if len(next) == 0 {
+		batch := s.nextBatch(job, now)
+		if len(batch) == 0 {
 			return placed, false
 		}
-		for k, i := range next {
-			if !withinQuota(job, 1) {
-				return placed, false
-			}
-			machine := s.bestMachine(job, nil, nil, "", true, s.prefersOnDemand(job, i, now), now)
-			if machine == nil && overdue {
-				machine = s.fallbackMachine(job, nil, nil, "", now)
-			}
-			if machine == nil {
-				preempting := job.PriorityLevel < 3 && s.preempt(job, next[k:], "", now)
-				if !preempting && job.PriorityLevel == 0 {
-					// Expensive capacity is better than none for the highest priority.
-					machine = s.bestMachine(job, nil, nil, "", false, false, now)
-				}
-				if machine == nil {
-					return placed, true
-				}
-			}
-			s.allocate(job, i, machine, job.Tasks[i].Attempt+1, now)
-			placed++
+		count, outcome := s.allocateBatch(job, batch, overdue, now)
+		placed += count
+		if outcome != allocatedAll {
+			return placed, outcome == outOfCapacity
+		}
+	}
+}
+
+// nextBatch lists the job's next tasks to place, not all of a huge job at once, and notes
+// whether it is held back from capacity that there is.
+func (s *Scheduler) nextBatch(job *cluster.Job, now micro.Time) []int {
+	schedulable := job.SchedulableTasks(now)
+	job.Throttled = schedulable == 0 && s.hasCapacity(job, now)
+	return job.NextTasks(now, min(allocationBatch, schedulable))
+}
+
+// allocateBatch places tasks until one finds no capacity or none is left of the quota.
+func (s *Scheduler) allocateBatch(
+	job *cluster.Job, batch []int, overdue bool, now micro.Time,
+) (placed int, outcome allocationOutcome) {
+	for k, i := range batch {
+		if !withinQuota(job, 1) {
+			return placed, outOfQuota
+		}
+		machine := s.machineForTask(job, batch[k:], overdue, now)
+		if machine == nil {
+			return placed, outOfCapacity
+		}
+		s.allocate(job, i, machine, job.Tasks[i].Attempt+1, now)
+		placed++
+	}
+	return placed, allocatedAll
+}
+
+// machineForTask finds a machine for the first of a job's waiting tasks. Where there is none
+// it preempts for them, and gives one only if expensive capacity will do instead.
+func (s *Scheduler) machineForTask(
+	job *cluster.Job, waiting []int, overdue bool, now micro.Time,
+) *cluster.Machine {
+	placement := placementRequest{job: job, preferOnDemand: s.prefersOnDemand(job, waiting[0], now), now: now}
+	if machine := s.bestMachine(&placement); machine != nil {
+		return machine
+	}
+	if overdue {
+		if machine := s.fallbackMachine(&placementRequest{job: job, now: now}); machine != nil {
+			return machine
 		}
 	}
+	preempting := job.PriorityLevel < lowestPriorityLevel && s.preempt(job, waiting, "", now)
+	if preempting {
+		return nil
+	}
+	return s.expensiveMachine(job, now)
 }
 
+// expensiveMachine finds a machine at any price for a job of the highest priority: for that
+// expensive capacity is better than none.
+func (s *Scheduler) expensiveMachine(job *cluster.Job, now micro.Time) *cluster.Machine {
+	if job.PriorityLevel != highestPriorityLevel {
+		return nil
+	}
+	return s.bestMachine(&placementRequest{job: job, anyPrice: true, now: now})
+}
+
+// The ends of the jobs' priority levels.
+const (
+	highestPriorityLevel = 0
+	lowestPriorityLevel  = 3
+)
+
 // hasCapacity reports whether there is capacity for one more of the job's tasks.
 func (s *Scheduler) hasCapacity(job *cluster.Job, now micro.Time) bool {
-	return withinQuota(job, 1) && s.bestMachine(job, nil, nil, "", true, false, now) != nil
+	return withinQuota(job, 1) && s.bestMachine(&placementRequest{job: job, now: now}) != nil
 }
 
 // withinQuota reports whether the team's limits leave capacity for n more of a job's
@@ -95,7 +148,7 @@
 	if team == nil {
 		return true
 	}
-	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > 0 &&
+	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > highestPriorityLevel &&
 		(holder.Spec.GPUs > 0 && job.Spec.GPUs > 0 || team.CPULimit > 0) {
 		return false
 	}
@@ -169,26 +222,31 @@
 	job *cluster.Job, count int, zones []string, overdue bool, now micro.Time,
 ) []*cluster.Machine {
 	for _, zone := range zones {
-		planned, tasksByZone := map[*cluster.Machine]*resources{}, map[string]int{}
-		chosen := make([]*cluster.Machine, 0, count)
-		for len(chosen) < count {
-			machine := s.bestMachine(job, planned, tasksByZone, zone, true, false, now)
-			if machine == nil && overdue {
-				machine = s.fallbackMachine(job, planned, tasksByZone, zone, now)
-			}
-			if machine == nil {
-				break
-			}
-			s.planAllocation(planned, tasksByZone, job, machine)
-			chosen = append(chosen, machine)
-		}
-		if len(chosen) == count {
+		placement := placementRequest{job: job, zone: zone, now: now}
+		if chosen := s.planGang(&placement, count, overdue); len(chosen) == count {
 			return chosen
 		}
 	}
 	return nil
 }
 
+// planGang plans tasks of a gang one by one, as many as there is capacity for.
+func (s *Scheduler) planGang(placement *placementRequest, count int, overdue bool) []*cluster.Machine {
+	chosen := make([]*cluster.Machine, 0, count)
+	for len(chosen) < count {
+		machine := s.bestMachine(placement)
+		if machine == nil && overdue {
+			machine = s.fallbackMachine(placement)
+		}
+		if machine == nil {
+			break
+		}
+		placement.plan.add(placement.job, machine)
+		chosen = append(chosen, machine)
+	}
+	return chosen
+}
+
 // candidateZones lists the zones to try one by one, "" for all at once.
 func (s *Scheduler) candidateZones(job *cluster.Job) []string {
 	if !job.Spec.OneZone {
@@ -206,15 +264,3 @@
 	sort.Strings(zones)
 	return zones
 }
-
-func (s *Scheduler) planAllocation(
-	planned map[*cluster.Machine]*resources, tasksByZone map[string]int, job *cluster.Job, m *cluster.Machine,
-) {
-	taken := planned[m]
-	if taken == nil {
-		taken = &resources{}
-		planned[m] = taken
-	}
-	taken.Add(requestOn(&job.Spec, m.Type), 1)
-	tasksByZone[m.Zone]++
-}
