--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -1,17 +1,19 @@
 package cluster
 
-import "notchmux.dev/notchmux/internal/micro"
+import (
+	"notchmux.dev/notchmux/internal/micro"
+)
 
-// FinalStatus is the end of a job as it is in the store.
+// FinalStatus is how a job ended, as it is in the store.
 type FinalStatus struct {
 	Aborted bool
 	EndedAt micro.Time // on the steady clock
 }
 
-// awaitDependencies counts what a job awaits and is not over. That a job is done is known
-// from its stored end alone: one that has left the lists of those alive may have
-// been withdrawn.
-func (s *State) awaitDependencies(job *Job, now micro.Time) {
+// awaitDependencies counts a job's dependencies that are not over. That one is done is known
+// from its stored final status alone: one that has left the lists of live jobs may have been
+// cancelled.
+func (s *State) awaitDependencies(job *Job) {
 	var lastEnd micro.Time
 	dependencyAborted := false
 	for _, id := range job.Spec.Dependencies {
@@ -34,17 +36,17 @@
 	}
 	switch {
 	case dependencyAborted:
-		s.cascadeAbort(job, now)
+		s.cascadeAbort(job)
 	case job.UnmetDependencies == 0:
 		job.EligibleSince = max(job.SubmittedAt, lastEnd)
 		s.transitionJob(job, Active)
 	}
 }
 
-// ApplyFinalStatus takes in an end that is in the store: it lets those that await it go
-// on, or aborts all that need it, through any depth. What is aborted here follows
-// from that one end, so that any other leader, or node, comes to the same.
-func (s *State) ApplyFinalStatus(id string, status FinalStatus, now micro.Time) {
+// ApplyFinalStatus takes in a final status that is in the store: it unblocks the job's
+// dependents, or aborts all of them, through any depth. What is aborted here follows from that
+// one status, so that any other leader, or node, comes to the same.
+func (s *State) ApplyFinalStatus(id string, status FinalStatus, _ micro.Time) {
 	if _, known := s.FinalStatuses[id]; known {
 		return
 	}
@@ -56,7 +58,7 @@
 		switch {
 		case job.State != Blocked:
 		case status.Aborted:
-			s.cascadeAbort(job, now)
+			s.cascadeAbort(job)
 		case job.UnmetDependencies == 0:
 			job.EligibleSince = max(job.SubmittedAt, status.EndedAt)
 			s.transitionJob(job, Active)
@@ -64,12 +66,12 @@
 		}
 	}
 	if job := s.Jobs[id]; job != nil && status.Aborted {
-		s.propagateToDependencies(job) // they are needed by one less
+		s.propagateToDependencies(job) // one dependent less passes its priority on
 	}
 }
 
-// cascadeAbort aborts a job and all that need it. None of them has ever started.
-func (s *State) cascadeAbort(job *Job, now micro.Time) {
+// cascadeAbort aborts a job and all its dependents. None of them has ever started.
+func (s *State) cascadeAbort(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		next := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -83,72 +85,83 @@
 	}
 }
 
-// startOverhead is what passes between the end of one job of a pipeline and the first
-// run of the next, beside its image: a report, two writes and a start.
-const startOverhead = 3 * micro.Second
+// expectedDuration is how long a job of a pipeline is expected to take.
+func (j *Job) expectedDuration() micro.Time { return j.Class.ExpectedDuration(&j.Spec, len(j.Tasks)) }
 
-// expectedDuration is how long a job of a pipeline is expected to take: of many tasks, some
-// run longer than the owner's estimate for one.
-func (j *Job) expectedDuration() micro.Time {
-	runTime := float64(micro.FromSeconds(j.Spec.EstimateS)) * j.Class.EstimateBias
-	if len(j.Tasks) > 1 {
-		runTime *= stragglerFactor
-	}
-	return micro.Time(runTime) + micro.FromSeconds(j.Spec.ImageGB) + startOverhead
-}
-
-// stragglerFactor is the longest run of a job's tasks over the estimate.
-const stragglerFactor = 1.4
-
-// effectiveDeadline is when the heir's deadline asks a job itself to be done.
+// effectiveDeadline is when the inherited deadline asks the job itself to be done.
 func (j *Job) effectiveDeadline() micro.Time {
 	return j.DeadlineSource.SubmittedAt + micro.FromSeconds(*j.DeadlineSource.Spec.DeadlineS) - j.CriticalPath
 }
 
-// inheritFromDependents passes rank and deadline back from those that need a job: it counts as
-// the highest of their ranks and its own, and has to be done as early as the
-// tightest of their deadlines asks, less what comes after it. Users set both on
-// the last job of a pipeline only, and allow this.
+// inheritFromDependents passes priority level and deadline back from a job's dependents: it
+// counts as the highest of their levels and its own, and has to be done as early as the tightest
+// of their deadlines asks, less what comes after it. Users set both on the last job of a
+// pipeline only, and allow this.
 func (s *State) inheritFromDependents(job *Job) {
-	level, deadlineSource, criticalPath := job.Spec.Priority.Level(), (*Job)(nil), micro.Time(0)
-	if job.Spec.DeadlineS != nil {
-		deadlineSource = job
+	inherited := s.inheritance(job)
+	if inherited.level == job.PriorityLevel && inherited.source == job.DeadlineSource &&
+		inherited.criticalPath == job.CriticalPath {
+		return
 	}
-	earliest := micro.Time(0)
-	if deadlineSource != nil {
-		earliest = job.SubmittedAt + micro.FromSeconds(*job.Spec.DeadlineS)
+	job.setPriorityLevel(inherited.level)
+	job.DeadlineSource, job.CriticalPath = inherited.source, inherited.criticalPath
+	s.propagateToDependencies(job)
+	s.ScheduleSoon()
+}
+
+// inheritance is what a job has of its own and from its dependents: the highest priority
+// level, and the tightest deadline with what comes after the job until then.
+type inheritance struct {
+	level        int
+	source       *Job
+	criticalPath micro.Time
+	deadline     micro.Time // when the job itself has to be done; meaningless without a source
+}
+
+// inheritance compares a job's own level and deadline with those of its dependents.
+func (s *State) inheritance(job *Job) inheritance {
+	inherited := inheritance{level: job.Spec.Priority.Level()}
+	if job.Spec.DeadlineS != nil {
+		inherited.source = job
+		inherited.deadline = job.SubmittedAt + micro.FromSeconds(*job.Spec.DeadlineS)
 	}
 	for _, dependent := range s.dependents[job.Spec.ID] {
 		if dependent.IsTerminal() || dependent.DependencyAborted || dependent.State == Aborting {
 			continue
 		}
-		level = min(level, dependent.PriorityLevel)
+		inherited.level = min(inherited.level, dependent.PriorityLevel)
 		if dependent.DeadlineSource != nil {
-			if deadline := dependent.effectiveDeadline() - dependent.expectedDuration(); deadlineSource == nil ||
-				deadline < earliest {
-				deadlineSource, criticalPath, earliest = dependent.DeadlineSource, dependent.CriticalPath+dependent.expectedDuration(), deadline
-			}
+			inherited.tighten(dependent)
 		}
 	}
-	if level == job.PriorityLevel && deadlineSource == job.DeadlineSource && criticalPath == job.CriticalPath {
+	return inherited
+}
+
+// tighten takes a dependent's deadline over if it asks the job to be done earlier.
+func (i *inheritance) tighten(dependent *Job) {
+	duration := dependent.expectedDuration()
+	deadline := dependent.effectiveDeadline() - duration
+	if i.source == nil || deadline < i.deadline {
+		i.source, i.criticalPath, i.deadline = dependent.DeadlineSource, dependent.CriticalPath+duration, deadline
+	}
+}
+
+// setPriorityLevel changes a job's level, by which machines count what it holds.
+func (j *Job) setPriorityLevel(level int) {
+	if level == j.PriorityLevel {
 		return
 	}
-	if level != job.PriorityLevel {
-		allocations := job.Allocations()
-		for _, allocation := range allocations { // a machine counts what it holds by rank
-			allocation.Machine.account(allocation, -1)
-		}
-		job.PriorityLevel = level
-		for _, allocation := range allocations {
-			allocation.Machine.account(allocation, 1)
-		}
+	allocations := j.Allocations()
+	for _, allocation := range allocations {
+		allocation.Machine.account(allocation, -1)
+	}
+	j.PriorityLevel = level
+	for _, allocation := range allocations {
+		allocation.Machine.account(allocation, 1)
 	}
-	job.DeadlineSource, job.CriticalPath = deadlineSource, criticalPath
-	s.propagateToDependencies(job)
-	s.ScheduleSoon()
 }
 
-// propagateToDependencies lets those that a job needs inherit from it anew.
+// propagateToDependencies lets a job's dependencies inherit from it anew.
 func (s *State) propagateToDependencies(job *Job) {
 	for _, id := range job.Spec.Dependencies {
 		if dependency := s.Jobs[id]; dependency != nil && !dependency.IsTerminal() {
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -1,30 +1,13 @@
 package cluster
 
 import (
+	"notchmux.dev/notchmux/internal/cluster/lifecycle"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
 
-// Source says how a worker's message came.
-type Source uint8
-
-// The ways.
-const (
-	FromHeartbeat        Source = iota // the worker's own report
-	FromDispatchResponse               // the body of an answer to a direct order
-)
-
-// Outcome says what became of a report.
-type Outcome uint8
-
-// The verdicts.
-const (
-	Applied Outcome = iota
-	Stale           // older than what is known: nothing was read from it
-	Refused         // from a session or machine that is over
-)
-
-// Reconcile reads a worker's message into the model.
+// Reconcile takes an agent's message into the state, on the goroutine that owns it. The machine
+// is nil if the message is from one that was terminated.
 func (s *State) Reconcile(heartbeat *wire.Heartbeat, source Source, now micro.Time) (*Machine, Outcome) {
 	if s.WasTerminated(heartbeat.Machine) {
 		return nil, Refused
@@ -32,88 +15,50 @@
 	machine := s.EnsureMachine(heartbeat.Machine, now)
 	if machine.State == Terminating {
 		// It goes; only proofs of freedom could still be read, and the cloud's
-		// answer is a better one.
+		// response is a better one.
 		return machine, Refused
 	}
-	if outcome := s.checkFreshness(machine, heartbeat, source, now); outcome != Applied {
+	epoch, sequence := uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
+	if outcome := machine.CheckFreshness(epoch, sequence, source, now); outcome != Applied {
 		return machine, outcome
 	}
+	s.reconcileDescription(machine, heartbeat)
+	s.reconcileContact(machine, heartbeat, source, now)
+	s.reconcilePreemptionNotice(machine, heartbeat, now)
+	reported := s.reconcileTasks(machine, heartbeat, now)
+	machine.dropForgottenExits(reported)
+	s.releaseAbsent(machine, reported, source, now)
+	return machine, Applied
+}
+
+// reconcileDescription takes over what the agent says of its machine.
+func (s *State) reconcileDescription(machine *Machine, heartbeat *wire.Heartbeat) {
 	if machine.Type == nil || machine.TypeName != heartbeat.Type {
 		s.DescribeMachine(machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	}
 	machine.Addr = heartbeat.Addr
+}
+
+// reconcileContact takes over the agent's epoch, sequence number and fencing token.
+func (s *State) reconcileContact(machine *Machine, heartbeat *wire.Heartbeat, source Source, now micro.Time) {
 	if epoch := uint64(heartbeat.AgentEpoch); epoch > machine.AgentEpoch {
 		s.beginAgentEpoch(machine, epoch, now)
 	}
 	machine.AgentEpoch, machine.Sequence = uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
 	s.recordHeartbeat(machine, uint64(heartbeat.FencingToken), source, now)
-	if heartbeat.PreemptionNoticeS != nil && machine.PreemptionAt == 0 {
-		machine.PreemptionAt = now + micro.FromSeconds(max(*heartbeat.PreemptionNoticeS, 0))
-		s.updatePool(machine)
-		s.handlePreemptionNotice(machine, now)
-	}
-	s.releaseAbsent(machine, s.reconcileTasks(machine, heartbeat, now), source, now)
-	return machine, Applied
-}
-
-// checkFreshness decides by a message's session and number whether it is newer than what is
-// known of the machine.
-func (s *State) checkFreshness(machine *Machine, heartbeat *wire.Heartbeat, source Source, now micro.Time) Outcome {
-	epoch, sequence := uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
-	if epoch <= machine.ExpiredEpoch {
-		// Held up on the way: this session's lease surely ran out already.
-		return Refused
-	}
-	if epoch > machine.AgentEpoch || epoch == machine.AgentEpoch && sequence > machine.Sequence {
-		return Applied
-	}
-	if source == FromHeartbeat && epoch == machine.AgentEpoch {
-		// Overtaken by the answer to a direct order, or a late copy. The
-		// worker may still take our answer, and that would renew its lease;
-		// but it is no sign of life: copies may come long after the worker
-		// died.
-		machine.LeaseRenewedAt = now
-	}
-	return Stale
 }
 
-// beginAgentEpoch frees what a machine held in earlier sessions.
-func (s *State) beginAgentEpoch(machine *Machine, epoch uint64, now micro.Time) {
-	if machine.AgentEpoch > 0 && machine.State == Up && now-machine.LeaseRenewedAt < s.LeaseDuration/2 {
-		machine.MissedResponses = responsesLostAfter // its lease ran out though it was answered
-	}
-	for _, allocation := range machine.sortedAllocations() {
-		if allocation.AgentEpoch < epoch {
-			s.release(allocation, now)
-		}
-	}
-	clear(machine.exitedAttempts)
-	// The lease of a session counts from its beginning, before any answer to a
-	// report: heard of in the answer to a direct order after an outage, a new
-	// session was taken for over by the last answer to the one before.
-	machine.LeaseRenewedAt = now
-}
-
-// recordHeartbeat notes a sign of life and the token that the worker has seen.
-func (s *State) recordHeartbeat(machine *Machine, token uint64, source Source, now micro.Time) {
-	machine.FencingToken = max(machine.FencingToken, token)
-	machine.LastHeartbeat, machine.DispatchUnanswered = now, false
-	if source == FromHeartbeat {
-		machine.LeaseRenewedAt = now
-		s.trackResponseReceipt(machine, token)
-		if machine.FirstHeartbeat == 0 {
-			machine.FirstHeartbeat = now
-			machine.IdleSince = now
-		}
-	}
-	if token >= machine.RequiredFencingToken {
-		// Only an echo of a token given out since then proves that the report
-		// is no late copy of a machine that is gone, silent or returned.
-		s.TransitionMachine(machine, Up, "reports")
+// reconcilePreemptionNotice notes the first notice that the cloud takes a spot machine back.
+func (s *State) reconcilePreemptionNotice(machine *Machine, heartbeat *wire.Heartbeat, now micro.Time) {
+	if heartbeat.PreemptionNoticeS == nil || machine.PreemptionAt != 0 {
+		return
 	}
+	machine.PreemptionAt = now + micro.FromSeconds(max(*heartbeat.PreemptionNoticeS, 0))
+	s.updatePool(machine)
+	s.handlePreemptionNotice(machine, now)
 }
 
-// reconcileTasks reads the tasks of a report, and tells which attempts it names.
+// reconcileTasks reads the tasks of a heartbeat, and tells which attempts it names.
 func (s *State) reconcileTasks(
 	machine *Machine, heartbeat *wire.Heartbeat, now micro.Time,
 ) (reported map[AllocationKey]bool) {
@@ -131,34 +76,44 @@
 	return reported
 }
 
-// releaseAbsent frees the places of attempts that a report does not name, where that
-// proves that they are not on the machine and cannot come to it.
-func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
-	for key := range machine.exitedAttempts {
+// dropForgottenExits drops the exited attempts that the agent lists no more.
+func (m *Machine) dropForgottenExits(reported map[AllocationKey]bool) {
+	for key := range m.exitedAttempts {
 		if !reported[key] {
-			delete(machine.exitedAttempts, key)
+			delete(m.exitedAttempts, key)
 		}
 	}
-	for _, allocation := range machine.sortedAllocations() {
-		if reported[AllocationKey{allocation.TaskName, allocation.Attempt}] {
-			continue
-		}
-		switch {
-		case allocation.Observed:
-			s.release(allocation, now)
-		case source == FromHeartbeat && allocation.Stopping && machine.FencingToken > allocation.DispatchToken:
-			// Never seen, and no start can still run: a start in an answer to a
-			// beat runs before the next beat or not at all, and direct ones
-			// carry tokens below what the worker has seen by now.
-			s.release(allocation, now)
-		case allocation.Restored && machine.FencingToken > allocation.DispatchToken:
-			// Never seen, and the worker has seen a token of this term: whatever an
-			// earlier one sent, in an answer or directly, it drops.
+}
+
+// releaseAbsent releases the allocations of attempts that a heartbeat does not name, where
+// that proves that they are not on the machine and cannot come to it.
+func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
+	for _, allocation := range machine.SortedAllocations() {
+		if !reported[allocation.key()] && allocation.absenceIsProof(source) {
 			s.release(allocation, now)
 		}
 	}
 }
 
+// absenceIsProof reports whether an attempt that a heartbeat does not name is surely not on
+// its machine, and cannot come to it.
+func (a *Allocation) absenceIsProof(source Source) bool {
+	seenNewerToken := a.Machine.FencingToken > a.DispatchToken
+	switch {
+	case a.Observed:
+		return true
+	case source == FromHeartbeat && a.Stopping && seenNewerToken:
+		// Never seen, and no start can still run: a start in the response to a
+		// heartbeat runs before the next heartbeat or not at all, and dispatched
+		// ones carry tokens below what the agent has seen by now.
+		return true
+	default:
+		// Never seen, and the agent has seen a token of this term: whatever an
+		// earlier one sent, in a response or dispatched, it drops.
+		return a.Restored && seenNewerToken
+	}
+}
+
 // reconcileTask reads a task that is on the machine.
 func (s *State) reconcileTask(machine *Machine, key AllocationKey, status *wire.TaskStatus, now micro.Time) {
 	allocation := machine.Allocations[key]
@@ -168,9 +123,7 @@
 		s.StopAllocation(allocation, "not in the records", 0, now)
 	}
 	allocation.Observed = true
-	state := map[wire.TaskState]AllocationState{
-		wire.TaskFetching: Fetching, wire.TaskWaitingForGang: Waiting, wire.TaskRunning: Running, wire.TaskCheckpointing: Checkpointing,
-	}[status.State]
+	state := lifecycle.ReportedState(status.State)
 	if s.transitionAllocation(allocation, state) && state >= Waiting && allocation.taskKnown {
 		machine.recordImage(allocation.Job.Spec.Image, allocation.Job.Spec.ImageGB, now)
 	}
@@ -179,8 +132,8 @@
 	}
 }
 
-// adoptAttempt makes a place for a task that a worker has and the records lack. It
-// holds its room until it is gone.
+// adoptAttempt makes an allocation for a task that an agent has and the records lack. It uses
+// its resources until it is gone.
 func (s *State) adoptAttempt(machine *Machine, key AllocationKey) *Allocation {
 	allocation := &Allocation{
 		TaskName: key.Task, Attempt: key.Attempt, Machine: machine, AgentEpoch: machine.AgentEpoch, State: Starting,
@@ -261,27 +214,20 @@
 	switch status.Cause {
 	case wire.CauseError:
 		s.recordTaskError(machine, allocation, now)
-		s.backoff(task, now)
+		task.BackOff(now)
 	case wire.CauseNoResources, wire.CauseAlreadyRunning, wire.CauseJobUnknown, wire.CauseGangTimeout:
-		s.backoff(task, now)
+		task.BackOff(now)
 		if status.Cause == wire.CauseNoResources {
-			machine.QuarantinedUntil, machine.LastFaultAt = max(machine.QuarantinedUntil, now+2*micro.Second), now
+			machine.RecordRefusal(now)
 		}
 	}
 }
 
-func (s *State) backoff(task *Task, now micro.Time) {
-	if task.Failures < 6 {
-		task.Failures++
-	}
-	task.NotBefore = now + 250*micro.Millisecond<<task.Failures
-}
-
-// handlePreemptionNotice reacts to the cloud's notice that it takes the machine back: what can
-// save does so at once; the rest may still complete in time.
+// handlePreemptionNotice reacts to the cloud's notice that it takes a spot instance back: what
+// can write a checkpoint does so at once; the rest may still complete in time.
 func (s *State) handlePreemptionNotice(machine *Machine, now micro.Time) {
 	s.Log("notice", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
-	for _, allocation := range machine.sortedAllocations() {
+	for _, allocation := range machine.SortedAllocations() {
 		if allocation.taskKnown && allocation.State == Running && allocation.Job.Spec.CheckpointIntervalS > 0 {
 			s.StopAllocation(allocation, "spot notice", allocation.Job.Spec.CheckpointDurationS, now)
 		} else if allocation.taskKnown && allocation.State < Running {
@@ -290,60 +236,3 @@
 	}
 	s.ScheduleSoon()
 }
-
-// Commands are what the machine's worker is to do now. Token is the one that the
-// orders go out under; direct says that they go to the worker by themselves.
-func (s *State) Commands(machine *Machine, token uint64, dispatched bool, now micro.Time) []wire.Command {
-	var commands []wire.Command
-	for _, allocation := range machine.sortedAllocations() {
-		switch {
-		case allocation.Stopping && (allocation.Observed || allocation.State != Planned):
-			grace := allocation.GraceS
-			commands = append(
-				commands,
-				wire.Command{
-					Kind: wire.CommandStop, Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt), GracePeriodS: &grace,
-				},
-			)
-		case allocation.State == Starting && !allocation.Observed && !allocation.Restored && allocation.AgentEpoch == machine.AgentEpoch:
-			if dispatched {
-				allocation.DispatchToken = max(allocation.DispatchToken, token)
-			}
-			commands = append(
-				commands, wire.Command{Kind: wire.CommandStart, Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt)},
-			)
-		}
-	}
-	if !dispatched {
-		for key, exited := range machine.exitedAttempts {
-			// A late copy of a direct start would run the attempt again after
-			// it was forgotten: the worker must have seen a newer token first.
-			if machine.FencingToken > exited.dispatchToken &&
-				(exited.chunk == nil || exited.chunk.StoredVersion >= exited.chunkVersion || exited.chunk.Job.IsTerminal()) {
-				commands = append(
-					commands, wire.Command{Kind: wire.CommandForget, Task: key.Task, Attempt: wire.Count(key.Attempt)},
-				)
-			}
-		}
-	}
-	return commands
-}
-
-// NeedsNewerToken reports whether something on the machine waits for the worker to
-// see a token above the given one.
-func (m *Machine) NeedsNewerToken(token uint64) bool {
-	if m.RequiredFencingToken > token {
-		return true
-	}
-	for _, exited := range m.exitedAttempts {
-		if exited.dispatchToken >= token {
-			return true
-		}
-	}
-	for _, allocation := range m.Allocations {
-		if allocation.Stopping && !allocation.Observed && allocation.DispatchToken >= token {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -145,10 +145,6 @@
 // those that must not renew more: where a user was told of a job's end, a worker
 // that may still run its tasks must not be kept alive past the time for that.
 func (l *Leader) updateRenewalBound(now micro.Time) {
-	if l.owner != nil {
-		l.updateBoundFromLeader(now)
-		return
-	}
 	l.updateFencedZones()
 	ownRenewal := l.node.leaseProxy.LastRenewal() // of a time when this very term had lapsed
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
@@ -180,7 +176,7 @@
 			fenced[p.Machine.Zone] = true
 		}
 	}
-	l.addShardFencedZones(fenced)
+	l.coordinator.AddFencedZones(fenced)
 	l.fencedZones.Store(&fenced)
 }
 
@@ -225,6 +221,6 @@
 	}
 	delete(l.pendingCancellations, job)
 	if job.State == cluster.Aborting {
-		l.records.writeJobEnd(job, wire.JobAborted)
+		l.records.WriteJobEnd(job, wire.JobAborted)
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"errors"
-	"strings"
 
 	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -22,8 +21,8 @@
 	now, wall := l.node.Now(), l.node.Wall()
 	// The forms in use come first: they say how to read the rest.
 	var images []wire.Item
-	_, ok = l.readAll(ctx, "fleet/", func(item wire.Item) {
-		if isImageKey(item.Key) {
+	_, ok = l.readAll(ctx, keys.FleetPrefix, func(item wire.Item) {
+		if keys.IsImagePage(item.Key) {
 			images = append(images, item)
 			return
 		}
@@ -33,18 +32,18 @@
 		return 0, false
 	}
 	snapshot := newJobSnapshot()
-	if !l.recoverAssignments(ctx, &snapshot) {
+	if snapshot.assignments, ok = l.coordinator.RecoverAssignments(ctx, l.readAll); !ok {
 		return 0, false
 	}
-	if revision, ok = l.readAll(ctx, "job/", snapshot.addJobKey); !ok {
+	if revision, ok = l.readAll(ctx, keys.JobPrefix, snapshot.addJobKey); !ok {
 		return 0, false
 	}
-	if _, ok = l.readAll(ctx, "run/", snapshot.addChunkRecord); !ok {
+	if _, ok = l.readAll(ctx, keys.ChunkPrefix, snapshot.addChunkRecord); !ok {
 		return 0, false
 	}
 	l.restoreJobs(&snapshot, now, wall)
 	if _, ok = l.readAll(
-		ctx, instanceRequestPrefix, func(item wire.Item) { l.restoreInstanceRequest(item, now, wall) },
+		ctx, keys.InstanceRequestPrefix, func(item wire.Item) { l.restoreInstanceRequest(item, now, wall) },
 	); !ok {
 		return 0, false
 	}
@@ -66,7 +65,7 @@
 
 // readPrefix reads all keys with a prefix, page by page, until it has them all or the
 // term ended. The revision is the lowest of the pages'.
-func (l *Leader) readAll(ctx context.Context, prefix string, each func(wire.Item)) (revision uint64, ok bool) {
+func (l *controlLoop) readAll(ctx context.Context, prefix string, each func(wire.Item)) (revision uint64, ok bool) {
 	after := ""
 	for {
 		page, err := l.node.Store.Range(ctx, store.Leadership, prefix, after, 1000)
@@ -93,24 +92,34 @@
 // restoreFleet reads one of the records of the fleet as a whole.
 func (l *Leader) restoreFleet(item wire.Item) {
 	switch item.Key {
-	case speedKey:
-		var record scheduler.SpeedRecord
-		if wire.Unmarshal(item.Value, &record) == nil {
-			l.speeds.Restore(record)
-			l.records.speeds.SetVersion(uint64(item.Version))
-		}
-	case firstProvisionedKey:
+	case keys.FirstProvisioned:
 		var record firstProvisionedRecord
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.firstProvisioned = record.Machine
-			l.records.firstProvisioned.SetVersion(uint64(item.Version))
-		}
-	case formatKey:
-		if l.restoreFormat(item) {
-			l.formatRaised()
+			l.firstProvisionedRecord.SetVersion(uint64(item.Version))
 		}
 	case shard.MarkerKey:
 		l.observeShardMarker(item)
+	default:
+		l.restoreShared(item)
+	}
+}
+
+// restoreShared reads one of the records of the fleet that a shard's owner goes by as well.
+func (l *controlLoop) restoreShared(item wire.Item) {
+	switch item.Key {
+	case keys.Speeds:
+		l.logMalformed(item.Key, l.records.RestoreSpeeds(item))
+	case keys.Format:
+		l.logMalformed(item.Key, l.records.Format.Restore(item))
+	}
+}
+
+// logMalformed logs that a stored record was passed over; there is nothing to say without an
+// error.
+func (l *controlLoop) logMalformed(key string, err error) {
+	if err != nil {
+		l.log.Debug("stored record not understood", "key", key, "err", err)
 	}
 }
 
@@ -121,7 +130,7 @@
 		if wire.Unmarshal(item.Value, &record) == nil {
 			l.cluster.RestoreImages(record, now)
 		}
-		l.records.images.restore(item)
+		l.records.Images.Restore(item)
 	}
 }
 
@@ -140,7 +149,7 @@
 		}
 	}
 	l.recovered = true
-	l.resumeCancellations()
+	l.coordinator.FinishRecovery()
 }
 
 // restoreJobs puts what was read into the model.
@@ -157,7 +166,7 @@
 		if over && len(snapshot.legacyChunks[id]) == 0 && len(snapshot.compactChunks[id]) == 0 &&
 			snapshot.assignments[id] == nil {
 			// Over, and none of its tasks holds a place. Polls need not read the store.
-			l.node.finalStatuses.put(finalStatus(id, end, spec.Tasks))
+			l.node.jobs.FinalStatuses().Put(finalStatus(id, end, spec.Tasks))
 			continue
 		}
 		if over {
@@ -182,7 +191,7 @@
 				l.cluster.RestoreChunk(job, stored.index, &record, uint64(stored.item.Version), now)
 			}
 		}
-		l.restoreAssignment(job, snapshot.assignments[id])
+		l.coordinator.RestoreAssignment(job, snapshot.assignments[id])
 	}
 }
 
@@ -196,7 +205,7 @@
 }
 
 // insertJob adds a job to the model.
-func (l *Leader) insertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
+func (l *controlLoop) insertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
 	l.knownJobs.Store(spec.ID, true)
 	age := max(wall-micro.Time(spec.SubmittedAt), 0)
 	job := l.cluster.AddJob(spec, now-age, now)
@@ -225,7 +234,7 @@
 // watchSubmissions finds jobs that other nodes accepted.
 func (l *Leader) watchSubmissions(ctx context.Context, revision uint64) {
 	for {
-		events, err := l.node.Store.Watch(ctx, "job/", revision, 10*micro.Second)
+		events, err := l.node.Store.Watch(ctx, keys.JobPrefix, revision, 10*micro.Second)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			l.resign("the store's history is too short to follow")
@@ -233,7 +242,7 @@
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
 			for _, event := range events.Events {
-				if !strings.HasSuffix(event.Put, "/spec") {
+				if !keys.IsJobSpec(event.Put) {
 					continue
 				}
 				var job wire.Job
