--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -59,4 +59,4 @@
 }
 
 // DependencyUnknown looks up a job that another awaits.
-func (l *Leader) DependencyUnknown(id string) { l.dependencyLookups[id] = true }
+func (l *Leader) DependencyUnknown(id string) { l.intake.DependencyUnknown(id) }
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -4,7 +4,6 @@
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"sync"
 	"sync/atomic"
 
 	"notchmux.dev/notchmux/internal/cluster"
@@ -15,6 +14,7 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/persist"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
@@ -30,8 +30,7 @@
 	duties duties
 
 	pendingTasks atomic.Int64
-	knownJobs    sync.Map    // ids of jobs in the cluster state
-	serving      atomic.Bool // all that the store holds was read: knownJobs is complete
+	serving      atomic.Bool // all that the store holds was read: the intake knows all jobs
 
 	// Owned by the loop's goroutine.
 	cluster          *cluster.State
@@ -41,6 +40,8 @@
 	records          *persist.Records
 	dispatcher       *dispatch.Dispatcher
 	detector         *detector.Detector
+	intake           *recovery.Intake
+	reader           *recovery.Reader
 	schedulePending  bool
 	lastSchedule     micro.Time
 	scheduleInterval micro.Time // least time between passes, by what the last one took
@@ -91,6 +92,11 @@
 		Host: recordsHost{l}, Role: duties, Limits: node.Cfg, Cluster: l.cluster, Speeds: l.speeds,
 		Store: node.Store, Log: l.log,
 	})
+	l.reader = recovery.NewReader(node.Store, l.loop, log)
+	l.intake = recovery.NewIntake(recovery.IntakeDependencies{
+		Cluster: l.cluster, Objectives: l.objectives, Store: node.Store, Loop: l.loop,
+		Resign: l.resign, Now: l.Now, Wall: l.Wall, Log: log,
+	})
 	return l
 }
 
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -13,6 +13,7 @@
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -65,7 +66,7 @@
 		fleet.heartbeat(fakeAgent)
 	}
 	for i := 0; i < machines*6; i += 60 {
-		fleet.leader.addJob(
+		fleet.leader.intake.AddJob(
 			wire.Job{
 				ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 60,
 				CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i",
@@ -143,7 +144,7 @@
 	for _, n := range []int{290, 2900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
-			fleet.leader.addJob(
+			fleet.leader.intake.AddJob(
 				wire.Job{
 					ID: "j-99999999", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 9,
 					MemoryGB: 1, EstimateS: 50, Image: "i",
@@ -161,7 +162,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(
+				fleet.leader.intake.AddJob(
 					wire.Job{
 						ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600,
 						CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i",
@@ -181,7 +182,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(
+				fleet.leader.intake.AddJob(
 					wire.Job{
 						ID: fmt.Sprint("j-9999", i), Class: fmt.Sprint("c", i), Team: "team", Kind: wire.JobArray, Priority: wire.Normal,
 						Tasks: 600, CPUs: 2, MemoryGB: 60, EstimateS: 50, Image: "i",
@@ -203,7 +204,7 @@
 		ids = append(ids, id)
 	}
 	for i := range n {
-		h.leader.addJob(wire.Job{
+		h.leader.intake.AddJob(wire.Job{
 			ID: fmt.Sprintf("j-5%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1,
 			MemoryGB: 1, EstimateS: 20, Image: "i", Dependencies: []string{ids[i%len(ids)], ids[(i*7+1)%len(ids)]},
 		})
@@ -256,22 +257,22 @@
 func BenchmarkFailoverOfWaitingJobs(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			snapshot := newJobSnapshot()
+			snapshot := recovery.NewSnapshot(slog.New(slog.DiscardHandler))
 			for i := range n {
 				id := fmt.Sprintf("j-%06d", i)
-				snapshot.specs[id] = wire.Job{
+				snapshot.Specs[id] = wire.Job{
 					ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1,
 				}
 				if i >= 100 {
-					job := snapshot.specs[id]
+					job := snapshot.Specs[id]
 					job.Dependencies = []string{fmt.Sprintf("j-%06d", i-100), fmt.Sprintf("j-%06d", i/2)}
-					snapshot.specs[id] = job
+					snapshot.Specs[id] = job
 				}
 			}
 			for b.Loop() {
 				fleet := &fleet{now: 1000 * micro.Second}
 				fleet.leader = newFleet(b, 4).leader
-				fleet.leader.restoreJobs(&snapshot, fleet.now, fleet.now)
+				fleet.leader.failover.RestoreJobs(snapshot, fleet.now, fleet.now)
 			}
 		})
 	}
--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -6,6 +6,7 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/store"
 )
 
@@ -73,13 +74,13 @@
 
 // ReadJob reads a job's own keys.
 func (r jobReader) ReadJob(class store.Class, id string) (jobapi.StoredJob, error) {
-	snapshot := newJobSnapshot()
-	if err := r.node.readJob(class, id, &snapshot); err != nil {
+	snapshot := recovery.NewSnapshot(r.node.Log)
+	if err := snapshot.ReadJob(context.Background(), r.node.Store, class, id); err != nil {
 		return jobapi.StoredJob{}, err
 	}
 	var job jobapi.StoredJob
-	job.Spec, job.Accepted = snapshot.specs[id]
-	job.End, job.Over = snapshot.ends[id]
-	job.Complete = job.Accepted && snapshot.completeDependencies(&job.Spec)
+	job.Spec, job.Accepted = snapshot.Specs[id]
+	job.End, job.Over = snapshot.Ends[id]
+	job.Complete = job.Accepted && snapshot.CompleteDependencies(&job.Spec)
 	return job, nil
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -13,6 +13,7 @@
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/shard/coordinator"
 	"notchmux.dev/notchmux/internal/statestore"
 )
@@ -39,9 +40,8 @@
 	pendingCancellations     map[*cluster.Job]bool           // cancelled jobs whose users are not told yet
 	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with allocations not proven free
 	cancellationWaiters      map[string][]chan httpapi.Reply
-	dependencyLookups        map[string]bool          // awaited jobs to be looked up in the store
+	failover                 *recovery.Failover
 	recovered                bool                     // the failover has read everything
-	dependencyLookupInFlight bool                     // a look-up is under way
 	coordinator              *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
 }
 
@@ -51,7 +51,6 @@
 		instanceRequests:         map[string]*instanceRequest{},
 		pendingTerminations:      map[*cluster.Machine]uint64{},
 		cancellationWaiters:      map[string][]chan httpapi.Reply{},
-		dependencyLookups:        map[string]bool{},
 		pendingCancellations:     map[*cluster.Job]bool{},
 		unconfirmedCancellations: map[*cluster.Job]bool{},
 	}
@@ -74,6 +73,7 @@
 		}
 	}
 	l.coordinator = newCoordinator(l)
+	l.failover = newFailover(l)
 	return l
 }
 
@@ -92,7 +92,7 @@
 func (l *Leader) run(ctx context.Context) {
 	l.loop.StopWith(ctx)
 	from := l.node.Now()
-	rev, ok := l.recoverState(ctx)
+	rev, ok := l.takeOver(ctx)
 	if !ok {
 		return
 	}
@@ -101,7 +101,8 @@
 		"took over", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
 		int64((l.node.Now()-from)/micro.Millisecond),
 	)
-	go l.watchSubmissions(ctx, rev)
+	go l.intake.WatchSubmissions(ctx, rev)
+	go l.intake.RunLookups(ctx)
 	go l.pollInventory(ctx)
 	l.loop.Run(eventloop.Handlers{Now: l.node.Now, Tick: l.tick, AfterEvents: l.runPending})
 }
@@ -126,7 +127,7 @@
 		l.lastSweep = now
 		l.sweep(now)
 	}
-	l.lookUpDependencies()
+	l.intake.LookUpDependencies()
 	l.coordinator.Reconcile(now)
 	if now-l.lastPlan >= l.planInterval() {
 		l.lastPlan = now
--- a/internal/controller/leader_jobs.go
+++ b/internal/controller/leader_jobs.go
@@ -58,25 +58,13 @@
 }
 
 // KnowsJob reports whether a job is in the state.
-func (l *Leader) KnowsJob(id string) bool {
-	_, ok := l.knownJobs.Load(id)
-	return ok
-}
+func (l *Leader) KnowsJob(id string) bool { return l.intake.Knows(id) }
 
 // PendingTasks is how many tasks waited when they were last counted.
 func (l *Leader) PendingTasks() int { return int(l.pendingTasks.Load()) }
 
 // AddJob takes in a job that was accepted.
-func (l *Leader) AddJob(job wire.Job) { l.loop.Post(jobAccepted{l, job}) }
-
-// jobAccepted says that a job was accepted, by this node or by another.
-type jobAccepted struct {
-	leader *Leader
-	job    wire.Job
-}
-
-// Apply adds the job to the state.
-func (e jobAccepted) Apply() { e.leader.addJob(e.job) }
+func (l *Leader) AddJob(job wire.Job) { l.intake.PostJob(job) }
 
 // CancelJob cancels a job, and waits until that is certain; 404 if it is not in memory.
 func (l *Leader) CancelJob(id string) httpapi.Reply { return l.cancelJob(id) }
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -142,7 +142,7 @@
 			fleet.heartbeat(fakeAgent)
 			fleet.heartbeat(fakeAgent)
 		}
-		leader.addJob(
+		leader.intake.AddJob(
 			wire.Job{
 				ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1,
 				Image: "i",
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -20,7 +20,7 @@
 	var out bytes.Buffer
 	fleet.leader.log = slog.New(slog.NewTextHandler(&out, nil))
 	for i := range 10 {
-		fleet.leader.addJob(
+		fleet.leader.intake.AddJob(
 			wire.Job{
 				ID: fmt.Sprint("j-77", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 2, CPUs: 8,
 				MemoryGB: 1, EstimateS: 50,
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -33,6 +33,6 @@
 func (l *Leader) prune(pruned []*cluster.Job) {
 	for _, job := range pruned {
 		l.node.jobs.FinalStatuses().Put(job.Status())
-		l.knownJobs.Delete(job.Spec.ID)
+		l.intake.Forget(job.Spec.ID)
 	}
 }
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -39,7 +39,7 @@
 		}
 		spec, _ := sim.checker.spec(job.id)
 		currentLeader := sim.waitForLeader().runningNode().activeLeader()
-		currentLeader.post(func() { currentLeader.addJob(spec) })
+		currentLeader.post(func() { currentLeader.intake.AddJob(spec) })
 		sim.sleep(10 * micro.Second)
 		if knows() {
 			t.Error("a late copy of its acceptance brought it back")
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -7,6 +7,7 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
@@ -17,7 +18,8 @@
 // it, and where their tasks have allocations. What an earlier owner sent and is still on its
 // way fails: it carries an older version of the shard's record.
 func (o *ShardOwner) recoverShard(ctx context.Context) bool {
-	if _, ok := o.readAll(ctx, keys.FleetPrefix, o.restoreShared); !ok {
+	fleet := recovery.NewFleetRecords(o.records, nil, o.log)
+	if _, ok := o.reader.ReadAll(ctx, keys.FleetPrefix, fleet.Restore); !ok {
 		return false
 	}
 	if !o.cluster.CompactRecords {
@@ -26,7 +28,7 @@
 	}
 	now := o.node.Now()
 	var assignments []wire.Item
-	revision, ok := o.readAll(
+	revision, ok := o.reader.ReadAll(
 		ctx, shard.AssignmentPrefixFor(o.name), func(item wire.Item) { assignments = append(assignments, item) },
 	)
 	if !ok {
@@ -36,7 +38,7 @@
 	for _, item := range assignments {
 		o.applyAssignment(item.Key, item.Value, uint64(item.Version))
 	}
-	_, ok = o.readAll(
+	_, ok = o.reader.ReadAll(
 		ctx, shard.AllocationPrefixFor(o.name), func(item wire.Item) { o.restoreAllocation(item, now) },
 	)
 	if !ok {
@@ -116,7 +118,7 @@
 func (o *ShardOwner) insertAssignedJob(assignment *shard.Assignment) *cluster.Job {
 	spec := assignment.Job
 	spec.Dependencies, spec.DependencyChunks = nil, 0 // all of them are done
-	job := o.insertJob(spec, o.node.Now(), o.node.Wall())
+	job := o.intake.InsertJob(spec, o.node.Now(), o.node.Wall())
 	o.assignedAt[spec.ID] = micro.Time(assignment.AssignedAt)
 	o.log.Info(
 		"job assigned", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks,
@@ -220,7 +222,7 @@
 	delete(o.cluster.Jobs, id)
 	delete(o.finished, job)
 	delete(o.cancelling, job)
-	o.knownJobs.Delete(id)
+	o.intake.Forget(id)
 	if job.IsTerminal() {
 		for _, chunk := range job.Chunks {
 			o.records.ChunkRecord(chunk).MarkDirty(o.node.Now(), statestore.PriorityLow)
