--- a/internal/cluster/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -16,10 +16,6 @@
 	}
 }
 
-func (tc *testCluster) submitSpec(spec wire.Job) *cluster.Job {
-	return tc.cluster.AddJob(spec, tc.now, tc.now)
-}
-
 // Done in memory is not done: until the end is in the store, another leader could
 // find the awaited job withdrawn.
 func TestTaskStartsOnlyOnceEachDependencysFinalStatusIsStored(t *testing.T) {
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/cluster"
-	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -48,15 +47,6 @@
 	tc.expectScheduled(2)
 }
 
-// heartbeatWithResponseLost is a report whose answer does not arrive.
-func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
-	if machine, outcome := tc.cluster.Reconcile(
-		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
-	); outcome == cluster.Applied {
-		tc.cluster.ResponseSent(machine, tc.token)
-	}
-}
-
 // Copies of reports come seconds to minutes late. A copy of a report that was
 // read is older than what is known; one of a report that was lost looks new.
 func TestDuplicateHeartbeatsAreNoProofOfLife(t *testing.T) {
--- a/internal/cluster/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -27,9 +27,6 @@
 	return tc, m1, m2
 }
 
-// cancel is the end of a withdrawn job.
-func (tc *testCluster) cancel(id string) { tc.cluster.FinalizeJob(tc.cluster.Jobs[id], true, tc.now) }
-
 // failOverWithAgent is a new leader that finds j-1's end in the store, before its places, and
 // hears the given worker only.
 func (tc *testCluster) failOverWithAgent(revision uint64, agent *fake.Agent) {
@@ -48,32 +45,6 @@
 	tc.heartbeat(agent)
 }
 
-// expectQuotaUsed checks what of the team's limit counts as used.
-func (tc *testCluster) expectQuotaUsed(want float64) {
-	tc.t.Helper()
-	if got := tc.cluster.Teams["team"].UsedCPU; got != want {
-		tc.t.Fatalf("%v CPUs of the limit count as used, want %v", got, want)
-	}
-}
-
-// expireLeases lets go by what a worker's lease may take from now on, and gives up those
-// whose lease surely ran out, as the leader does.
-func (tc *testCluster) expireLeases(names ...string) {
-	tc.t.Helper()
-	for _, name := range names {
-		if tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
-			tc.t.Fatalf("%s was given up within its lease", name)
-		}
-	}
-	tc.now += leaseDuration + 2*micro.Second
-	for _, name := range names {
-		if !tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
-			tc.t.Fatalf("%s is never given up", name)
-		}
-		tc.cluster.ExpireMachine(tc.cluster.Machines[name], tc.now)
-	}
-}
-
 // The machines of a withdrawn job are cut off: whichever leader comes, the limit
 // counts what may still run there until the lease is out, counted anew by each.
 func TestQuotaCountsPartitionedAllocationsUnderEachLeader(t *testing.T) {
--- /dev/null
+++ b/internal/cluster/testcluster_test.go
@@ -0,0 +1,205 @@
+package cluster_test
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/scheduler"
+	"notchmux.dev/notchmux/wire"
+)
+
+const leaseDuration = 30 * micro.Second
+
+// testCluster is a leader's model among fake workers, with its records kept as the
+// store would.
+type testCluster struct {
+	t             *testing.T
+	cluster       *cluster.State
+	scheduler     *scheduler.Scheduler
+	now           micro.Time
+	token         uint64
+	dirtyChunks   map[*cluster.TaskChunk]bool
+	storedRecords map[string]map[int]cluster.ChunkRecord
+	jobs          []wire.Job
+	finishedJobs  []string
+
+	dependencyAborted, unknownDependencies []string
+	supersededRecords                      []*cluster.LegacyRecord
+}
+
+func (tc *testCluster) ChunkDirty(chunk *cluster.TaskChunk) { tc.dirtyChunks[chunk] = true }
+
+func (tc *testCluster) ChunkUrgent(*cluster.TaskChunk) {}
+
+func (tc *testCluster) DispatchSoon(*cluster.Machine) {}
+
+func (tc *testCluster) JobFinished(job *cluster.Job) {
+	tc.finishedJobs = append(tc.finishedJobs, job.Spec.ID)
+}
+
+func (tc *testCluster) DependencyAborted(job *cluster.Job) {
+	tc.dependencyAborted = append(tc.dependencyAborted, job.Spec.ID)
+}
+
+func (tc *testCluster) DependencyUnknown(id string) {
+	tc.unknownDependencies = append(tc.unknownDependencies, id)
+}
+
+func (tc *testCluster) ChunkMigrated(*cluster.TaskChunk, *cluster.LegacyRecord) {}
+
+func (tc *testCluster) LegacyRecordSuperseded(legacy *cluster.LegacyRecord) {
+	tc.supersededRecords = append(tc.supersededRecords, legacy)
+}
+
+func (tc *testCluster) AttemptCompleted(*cluster.Allocation, micro.Time) {}
+
+func (tc *testCluster) ScheduleSoon() {}
+
+func (tc *testCluster) Log(event string, args ...any) {}
+
+func newTestCluster(t *testing.T) *testCluster {
+	tc := &testCluster{t: t, now: 100 * micro.Second, storedRecords: map[string]map[int]cluster.ChunkRecord{}}
+	tc.startTerm(1)
+	return tc
+}
+
+// startTerm starts a term with an empty model, as a new leader has.
+func (tc *testCluster) startTerm(revision uint64) {
+	tc.dirtyChunks = map[*cluster.TaskChunk]bool{}
+	tc.token = revision << 24
+	tc.cluster = cluster.New(tc)
+	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt, tc.cluster.LeaseDuration = tc.token, tc.now, leaseDuration+micro.Second
+	tc.cluster.SetCatalog(
+		&wire.Catalog{
+			Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}},
+		},
+	)
+	tc.cluster.Teams["team"] = &cluster.Team{Name: "team", CPULimit: 8}
+	props := config.Defaults()
+	tc.scheduler = &scheduler.Scheduler{
+		Cluster: tc.cluster, Objectives: scheduler.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1)),
+	}
+}
+
+// failOver is lead after a crash: the records are read.
+func (tc *testCluster) failOver(revision uint64) {
+	tc.startTerm(revision)
+	for _, spec := range tc.jobs {
+		job := tc.cluster.AddJob(spec, tc.now, tc.now)
+		for index, record := range tc.storedRecords[spec.ID] {
+			tc.cluster.RestoreChunk(job, index, &record, 1, tc.now)
+		}
+	}
+	tc.cluster.FinishRestore(tc.now)
+}
+
+func (tc *testCluster) submit(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
+	spec := wire.Job{
+		ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1,
+	}
+	tc.jobs = append(tc.jobs, spec)
+	return tc.cluster.AddJob(spec, tc.now, tc.now)
+}
+
+// persist writes all records, after which starts may go out.
+func (tc *testCluster) persist() {
+	for chunk := range tc.dirtyChunks {
+		id := chunk.Job.Spec.ID
+		if tc.storedRecords[id] == nil {
+			tc.storedRecords[id] = map[int]cluster.ChunkRecord{}
+		}
+		tc.storedRecords[id][chunk.Index] = chunk.Record()
+		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
+		delete(tc.dirtyChunks, chunk)
+	}
+}
+
+// heartbeat is a report with its answer.
+func (tc *testCluster) heartbeat(agent *fake.Agent) { tc.reconcile(agent, agent.Heartbeat()) }
+
+func (tc *testCluster) reconcile(agent *fake.Agent, heartbeat *wire.Heartbeat) {
+	machine, outcome := tc.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, tc.now)
+	if outcome == cluster.Applied {
+		agent.HandleResponse(
+			wire.Commands{FencingToken: wire.Count(tc.token), Items: tc.cluster.Commands(machine, tc.token, false, tc.now)},
+			tc.now,
+		)
+	}
+}
+
+// dispatchCommands builds the direct orders to a worker.
+func (tc *testCluster) dispatchCommands(agent *fake.Agent) wire.Commands {
+	machine := tc.cluster.Machines[agent.Name]
+	return wire.Commands{
+		FencingToken: wire.Count(tc.token), AgentEpoch: wire.Count(machine.AgentEpoch),
+		Items: tc.cluster.Commands(machine, tc.token, true, tc.now),
+	}
+}
+
+func (tc *testCluster) addAgent(name, zone string) *fake.Agent {
+	agent := fake.NewAgent(name, "small", zone, leaseDuration)
+	agent.LeaseStart = tc.now
+	tc.heartbeat(agent)
+	tc.heartbeat(agent) // it counts as up once it has shown this term's token
+	return agent
+}
+
+func (tc *testCluster) expectScheduled(want int) {
+	tc.t.Helper()
+	if got := tc.scheduler.Schedule(tc.now); got != want {
+		tc.t.Fatalf("placed %d tasks, want %d", got, want)
+	}
+}
+
+func (tc *testCluster) expectAllocations(job *cluster.Job, want int) {
+	tc.t.Helper()
+	if job.AllocationCount != want {
+		tc.t.Fatalf("%d places are held, want %d", job.AllocationCount, want)
+	}
+}
+
+// heartbeatWithResponseLost is a report whose answer does not arrive.
+func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
+	if machine, outcome := tc.cluster.Reconcile(
+		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
+	); outcome == cluster.Applied {
+		tc.cluster.ResponseSent(machine, tc.token)
+	}
+}
+
+func (tc *testCluster) submitSpec(spec wire.Job) *cluster.Job {
+	return tc.cluster.AddJob(spec, tc.now, tc.now)
+}
+
+// cancel is the end of a withdrawn job.
+func (tc *testCluster) cancel(id string) { tc.cluster.FinalizeJob(tc.cluster.Jobs[id], true, tc.now) }
+
+// expectQuotaUsed checks what of the team's limit counts as used.
+func (tc *testCluster) expectQuotaUsed(want float64) {
+	tc.t.Helper()
+	if got := tc.cluster.Teams["team"].UsedCPU; got != want {
+		tc.t.Fatalf("%v CPUs of the limit count as used, want %v", got, want)
+	}
+}
+
+// expireLeases lets go by what a worker's lease may take from now on, and gives up those
+// whose lease surely ran out, as the leader does.
+func (tc *testCluster) expireLeases(names ...string) {
+	tc.t.Helper()
+	for _, name := range names {
+		if tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
+			tc.t.Fatalf("%s was given up within its lease", name)
+		}
+	}
+	tc.now += leaseDuration + 2*micro.Second
+	for _, name := range names {
+		if !tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
+			tc.t.Fatalf("%s is never given up", name)
+		}
+		tc.cluster.ExpireMachine(tc.cluster.Machines[name], tc.now)
+	}
+}
