--- a/internal/cluster/compact_test.go
+++ b/internal/cluster/compact_test.go
@@ -85,6 +85,25 @@
 	return state
 }
 
+// lineSet is the set of some lines.
+func lineSet(lines []string) map[string]bool {
+	set := map[string]bool{}
+	for _, line := range lines {
+		set[line] = true
+	}
+	return set
+}
+
+// firstMissing is the first of the lines that a set lacks, but the excepted one; "": none.
+func firstMissing(lines []string, set map[string]bool, except string) string {
+	for _, line := range lines {
+		if !set[line] && line != except {
+			return line
+		}
+	}
+	return ""
+}
+
 // A job begun under the earlier version has records of 128 tasks. Its tasks move
 // to smaller records, one change at a time, and the leader may end after any.
 func TestMigrationToCompactRecordsRestoresAfterEachStep(t *testing.T) {
@@ -114,30 +133,30 @@
 	other := newTestCluster(t)
 	check := func(step string) {
 		t.Helper()
-		restored := map[string]bool{}
-		for _, line := range describeAllocations(stored.failOver(spec, 32, tc.now, other)) {
-			restored[line] = true
-		}
-		for _, line := range before {
-			if !restored[line] && line != "j-1/3 done" { // that, the worker keeps until it is written
-				t.Fatalf("%s: a takeover misses %q", step, line)
-			}
+		restored := lineSet(describeAllocations(stored.failOver(spec, 32, tc.now, other)))
+		// The agent keeps the completion of j-1/3 until it is written.
+		if line := firstMissing(before, restored, "j-1/3 done"); line != "" {
+			t.Fatalf("%s: a failover misses %q", step, line)
 		}
 		if restored["j-1/3 done"] && restored["j-1/3 try 1 on i-1 session 1 in a"] {
 			t.Fatalf("%s: the old record still has its say", step)
 		}
 	}
-	for _, chunk := range job.Chunks {
-		record := chunk.Record()
-		stored.compact[chunk.Index] = record.Compact()
-		check(fmt.Sprint("record ", chunk.Index, " written"))
-		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
+	deleteSuperseded := func() {
+		t.Helper()
 		for _, legacy := range tc.supersededRecords {
 			if !legacy.Obsolete() {
 				t.Fatal("a record is given up that still stands for tasks")
 			}
 			delete(stored.legacy, legacy.Index)
 		}
+	}
+	for _, chunk := range job.Chunks {
+		record := chunk.Record()
+		stored.compact[chunk.Index] = record.Compact()
+		check(fmt.Sprint("record ", chunk.Index, " written"))
+		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
+		deleteSuperseded()
 		check(fmt.Sprint("record ", chunk.Index, " confirmed"))
 	}
 	if len(stored.legacy) != 0 {
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -10,13 +10,8 @@
 
 // A machine's reports arrived, but no answer and no command reached it.
 func TestMachineWhoseResponsesAreLostTakesNoTasksUntilTheyArrive(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	tc, agent, job := newClusterWithTask(t, 1)
+	tc.startTasks(agent)
 	machine := tc.cluster.Machines["m1"]
 	for range 2 {
 		tc.token++
@@ -50,11 +45,7 @@
 // Copies of reports come seconds to minutes late. A copy of a report that was
 // read is older than what is known; one of a report that was lost looks new.
 func TestDuplicateHeartbeatsAreNoProofOfLife(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	received := agent.Heartbeat()
 	tc.reconcile(agent, received)
@@ -91,11 +82,7 @@
 
 // A new leader knows no newer report, and no list of machines that are gone.
 func TestDuplicateHeartbeatsToANewLeaderChangeNothing(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 4)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, _ := newClusterWithTask(t, 4)
 	before := agent.Heartbeat() // sent before the start arrived
 	terminated := tc.addAgent("m0", "a")
 	terminatedCopy := terminated.Heartbeat()
--- a/internal/cluster/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -12,11 +12,10 @@
 // newClusterAtQuota is a site whose team's limit of 8 CPUs is used up by a job on m1 and m2,
 // each of whose tasks runs there; m3 stands empty, and j-2 waits for the limit.
 func newClusterAtQuota(t *testing.T) (tc *testCluster, m1, m2 *fake.Agent) {
+	t.Helper()
 	tc = newTestCluster(t)
 	m1, m2 = tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
-	tc.submit("j-1", wire.JobArray, 2, 4)
-	tc.expectScheduled(2)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 2, 4)
 	tc.heartbeat(m1)
 	tc.heartbeat(m2)
 	tc.heartbeat(m1)
@@ -34,7 +33,7 @@
 	for _, spec := range tc.jobs {
 		job := tc.cluster.AddJob(spec, tc.now, tc.now)
 		if spec.ID == "j-1" {
-			tc.cancel("j-1")
+			tc.cancel()
 		}
 		for index, record := range tc.storedRecords[spec.ID] {
 			tc.cluster.RestoreChunk(job, index, &record, 1, tc.now)
@@ -50,7 +49,7 @@
 func TestQuotaCountsPartitionedAllocationsUnderEachLeader(t *testing.T) {
 	tc, _, _ := newClusterAtQuota(t)
 	m3 := fake.NewAgent("m3", "small", "a", leaseDuration)
-	tc.cancel("j-1")
+	tc.cancel()
 	tc.expectQuotaUsed(8)
 	for revision := uint64(2); revision < 6; revision++ {
 		tc.now += 20 * micro.Second
@@ -70,7 +69,7 @@
 // limit is free at the next pass after that proof, not before.
 func TestQuotaCountsHungTasksUntilProvenReleased(t *testing.T) {
 	tc, m1, m2 := newClusterAtQuota(t)
-	tc.cancel("j-1")
+	tc.cancel()
 	tc.failOverWithAgent(2, m2) // its task is stopped, and shown to be
 	tc.expectQuotaUsed(4)
 	tc.expectScheduled(1)
@@ -102,9 +101,9 @@
 	tc.persist()
 	delayed := tc.dispatchCommands(agent) // on its way, the sender gave up
 	tc.cluster.Machines["m1"].DispatchUnanswered = true
-	tc.cancel("j-1")
+	tc.cancel()
 	tc.failOver(2)
-	tc.cancel("j-1")
+	tc.cancel()
 	tc.expectQuotaUsed(4)
 	if machine, outcome := tc.cluster.Reconcile(
 		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
@@ -136,7 +135,7 @@
 	tc, m1, m2 := newClusterAtQuota(t)
 	tc.failOver(2)
 	tc.expectQuotaUsed(8)
-	tc.cancel("j-1")
+	tc.cancel()
 	tc.expectQuotaUsed(8)
 	tc.addAgent("m4", "a")
 	tc.expectScheduled(0)
--- a/internal/cluster/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -41,9 +41,7 @@
 func TestPruneKeepsWhatIsStillNeeded(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
-	allocated := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	allocated := tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	tc.heartbeat(agent)
 	tc.cluster.FinalizeJob(allocated, true, tc.now)
 	tc.cluster.FinalizeJob(tc.submit("j-2", wire.JobArray, 1, 1), false, tc.now)
--- a/internal/cluster/scenario_test.go
+++ b/internal/cluster/scenario_test.go
@@ -47,9 +47,7 @@
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 4
 	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 4)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 1, 4)
 	previousRecord := tc.storedRecords["j-1"][0]
 	for _, allocation := range tc.cluster.Jobs["j-1"].Allocations() {
 		tc.cluster.StopAllocation(allocation, "preempted", 0, tc.now)
@@ -59,11 +57,8 @@
 	tc.heartbeat(agent)
 	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
 	tc.cluster.Jobs["j-1"].NotBefore = tc.now + micro.Minute
-	tc.submit("j-2", wire.JobArray, 1, 4)
-	tc.expectScheduled(1)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	tc.submitScheduled("j-2", wire.JobArray, 1, 4)
+	tc.startTasks(agent)
 	tc.storedRecords["j-1"][0] = previousRecord // what it gave up was to be written later
 	tc.failOver(2)
 	tc.heartbeat(agent)
@@ -81,9 +76,7 @@
 func TestAttemptFromAStaleHeartbeatIsNeverStartedAgain(t *testing.T) {
 	tc := newTestCluster(t)
 	first := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	tc.heartbeat(first)
 	stale := first.Heartbeat()
 	first.ExitTask("j-1/0", 1, wire.CauseError)
@@ -120,11 +113,7 @@
 }
 
 func TestLateDispatchedStartAfterAStopHoldsItsAllocationUntilItCannotRun(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, job := newClusterWithTask(t, 1)
 	late := tc.dispatchCommands(agent) // held in the network, sender has given up
 	tc.cluster.FinalizeJob(job, true, tc.now)
 	tc.heartbeat(agent)
@@ -141,9 +130,7 @@
 func TestLateCopyOfAStartIsHarmlessAfterForget(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 2, 1)
-	tc.expectScheduled(2)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 2, 1)
 	commands := tc.dispatchCommands(agent)
 	heartbeat, _ := agent.HandleDispatch(commands)
 	tc.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, tc.now)
@@ -169,11 +156,7 @@
 }
 
 func TestDoneIsForgottenOnlyOnceItIsInTheStore(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	agent.ExitTask("j-1/0", 1, wire.CauseDone)
 	tc.heartbeat(agent)
@@ -209,11 +192,7 @@
 }
 
 func TestNewLeaderWaitsForASuspectAgentsLeaseToExpire(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, _ := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	tc.failOver(2)
 	other := tc.addAgent("m2", "a")
@@ -235,11 +214,7 @@
 }
 
 func TestDelayedHeartbeatOfAnExpiredAgentEpochIsRefused(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, _ := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	delayed := agent.Heartbeat() // sent before the cut, delivered after it
 	tc.now += leaseDuration + 2*micro.Second
@@ -253,9 +228,7 @@
 	for _, started := range []bool{false, true} {
 		tc := newTestCluster(t)
 		first, second := tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
-		job := tc.submit("j-1", wire.Gang, 2, 4)
-		tc.expectScheduled(2)
-		tc.persist()
+		job := tc.submitScheduled("j-1", wire.Gang, 2, 4)
 		tc.heartbeat(first)
 		tc.heartbeat(second)
 		if started {
@@ -285,18 +258,15 @@
 	for _, name := range []string{"m1", "m2", "m3"} {
 		tc.addAgent(name, "a")
 	}
-	job := tc.submit("j-1", wire.JobArray, 3, 4)
+	tc.submit("j-1", wire.JobArray, 3, 4)
 	tc.expectScheduled(2)
 	tc.persist()
 	tc.failOver(2)
-	for _, name := range []string{"m3"} {
-		tc.addAgent(name, "a")
-	}
+	tc.addAgent("m3", "a")
 	tc.expectScheduled(0) // two starts may still be under way
 	if team := tc.cluster.Teams["team"]; team.UsedCPU != 8 {
 		t.Fatalf("%v CPUs counted", team.UsedCPU)
 	}
-	_ = job
 }
 
 // A restored place was counted under no zone until its machine was described,
@@ -319,9 +289,8 @@
 	}
 	tc.heartbeat(m1)
 	tc.failOver(2)
-	agent := tc.addAgent("m2", "a")
+	tc.addAgent("m2", "a")
 	tc.expectScheduled(0)
-	_ = agent
 	tc.addAgent("m3", "b")
 	tc.expectScheduled(0) // it may be in b as well
 	tc.heartbeat(m1)
@@ -379,11 +348,8 @@
 func TestSlowMachineIsQuarantinedAndItsTasksMove(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 2, 1)
-	tc.expectScheduled(2)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	job := tc.submitScheduled("j-1", wire.JobArray, 2, 1)
+	tc.startTasks(agent)
 	machine := tc.cluster.Machines["m1"]
 	checkOverruns := func() {
 		for _, allocation := range machine.SortedAllocations() {
@@ -424,9 +390,7 @@
 	tc.token++
 	heartbeat, _ := agent.HandleDispatch(wire.Commands{FencingToken: wire.Count(tc.token), AgentEpoch: 2})
 	tc.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, tc.now)
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	job := tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	agent.HandleDispatch(tc.dispatchCommands(agent))
 	if len(agent.StartedTasks) != 1 {
 		t.Fatal("not started")
@@ -449,14 +413,6 @@
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
 	agents := []*fake.Agent{tc.addAgent("m1", "a"), tc.addAgent("m2", "a"), tc.addAgent("m3", "a")}
-	quarantined := func() (names string) {
-		for _, machine := range tc.cluster.SortedMachines() {
-			if machine.QuarantinedUntil > tc.now {
-				names += machine.Name + " "
-			}
-		}
-		return names
-	}
 	failTasks := func(id string, on ...*fake.Agent) {
 		tc.persist()
 		for _, agent := range agents {
@@ -464,11 +420,7 @@
 			tc.heartbeat(agent)
 		}
 		for _, agent := range on {
-			for key := range agent.Tasks {
-				if job, _, _ := wire.ParseTaskName(key.Task); job == id {
-					agent.ExitTask(key.Task, key.Attempt, wire.CauseError)
-				}
-			}
+			failTasksOf(agent, id)
 			tc.heartbeat(agent)
 		}
 	}
@@ -480,7 +432,7 @@
 			t.Fatalf("%s is tried again at once", id)
 		}
 	}
-	if got := quarantined(); got != "" {
+	if got := tc.quarantinedMachines(); got != "" {
 		t.Fatalf("avoided: %s", got)
 	}
 	for _, machine := range tc.cluster.SortedMachines() {
@@ -496,7 +448,7 @@
 		tc.heartbeat(agents[0])
 		tc.heartbeat(agents[0])
 	}
-	if got := quarantined(); got != "m1 " {
+	if got := tc.quarantinedMachines(); got != "m1 " {
 		t.Fatalf("avoided: %q, want the faulty one", got)
 	}
 }
@@ -507,9 +459,7 @@
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
 	agents := []*fake.Agent{tc.addAgent("m1", "a"), tc.addAgent("m2", "a"), tc.addAgent("m3", "a"), tc.addAgent("m4", "a")}
-	job := tc.submit("j-1", wire.JobArray, 4, 4)
-	tc.expectScheduled(4)
-	tc.persist()
+	job := tc.submitScheduled("j-1", wire.JobArray, 4, 4)
 	for i, agent := range agents {
 		tc.heartbeat(agent)
 		tc.heartbeat(agent)
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -14,8 +14,7 @@
 
 const leaseDuration = 30 * micro.Second
 
-// testCluster is a leader's model among fake workers, with its records kept as the
-// store would.
+// testCluster is a leader's state among fake agents, with its records kept as the store would.
 type testCluster struct {
 	t             *testing.T
 	cluster       *cluster.State
@@ -59,20 +58,22 @@
 
 func (tc *testCluster) ScheduleSoon() {}
 
-func (tc *testCluster) Log(event string, args ...any) {}
+func (tc *testCluster) Log(string, ...any) {}
 
 func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
 	tc := &testCluster{t: t, now: 100 * micro.Second, storedRecords: map[string]map[int]cluster.ChunkRecord{}}
 	tc.startTerm(1)
 	return tc
 }
 
-// startTerm starts a term with an empty model, as a new leader has.
+// startTerm starts a term with an empty state, as a new leader has.
 func (tc *testCluster) startTerm(revision uint64) {
 	tc.dirtyChunks = map[*cluster.TaskChunk]bool{}
 	tc.token = revision << 24
 	tc.cluster = cluster.New(tc)
-	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt, tc.cluster.LeaseDuration = tc.token, tc.now, leaseDuration+micro.Second
+	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt = tc.token, tc.now
+	tc.cluster.LeaseDuration = leaseDuration + micro.Second
 	tc.cluster.SetCatalog(
 		&wire.Catalog{
 			Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}},
@@ -85,7 +86,7 @@
 	}
 }
 
-// failOver is lead after a crash: the records are read.
+// failOver is a new leader after a crash: the records are read.
 func (tc *testCluster) failOver(revision uint64) {
 	tc.startTerm(revision)
 	for _, spec := range tc.jobs {
@@ -105,6 +106,50 @@
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
 
+// submitScheduled submits a job of which so many tasks are scheduled at once, and stores that:
+// their starts may go out.
+func (tc *testCluster) submitScheduled(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
+	tc.t.Helper()
+	job := tc.submit(id, kind, tasks, cpus)
+	tc.expectScheduled(tasks)
+	tc.persist()
+	return job
+}
+
+// newClusterWithTask is a cluster of one machine, on which the only task of an array is
+// scheduled; its start may go out.
+func newClusterWithTask(t *testing.T, cpus float64) (*testCluster, *fake.Agent, *cluster.Job) {
+	t.Helper()
+	tc := newTestCluster(t)
+	agent := tc.addAgent("m1", "a")
+	return tc, agent, tc.submitScheduled("j-1", wire.JobArray, 1, cpus)
+}
+
+// startTasks is a machine's heartbeat that brings it its starts, and the one that shows them.
+func (tc *testCluster) startTasks(agent *fake.Agent) {
+	tc.heartbeat(agent)
+	tc.heartbeat(agent)
+}
+
+// quarantinedMachines names the machines that are quarantined, each followed by a space.
+func (tc *testCluster) quarantinedMachines() (names string) {
+	for _, machine := range tc.cluster.SortedMachines() {
+		if machine.QuarantinedUntil > tc.now {
+			names += machine.Name + " "
+		}
+	}
+	return names
+}
+
+// failTasksOf ends a job's tasks on an agent with an error.
+func failTasksOf(agent *fake.Agent, id string) {
+	for key := range agent.Tasks {
+		if job, _, _ := wire.ParseTaskName(key.Task); job == id {
+			agent.ExitTask(key.Task, key.Attempt, wire.CauseError)
+		}
+	}
+}
+
 // persist writes all records, after which starts may go out.
 func (tc *testCluster) persist() {
 	for chunk := range tc.dirtyChunks {
@@ -118,7 +163,7 @@
 	}
 }
 
-// heartbeat is a report with its answer.
+// heartbeat is an agent's heartbeat with its response.
 func (tc *testCluster) heartbeat(agent *fake.Agent) { tc.reconcile(agent, agent.Heartbeat()) }
 
 func (tc *testCluster) reconcile(agent *fake.Agent, heartbeat *wire.Heartbeat) {
@@ -131,7 +176,7 @@
 	}
 }
 
-// dispatchCommands builds the direct orders to a worker.
+// dispatchCommands builds the commands that are dispatched to an agent.
 func (tc *testCluster) dispatchCommands(agent *fake.Agent) wire.Commands {
 	machine := tc.cluster.Machines[agent.Name]
 	return wire.Commands{
@@ -162,7 +207,7 @@
 	}
 }
 
-// heartbeatWithResponseLost is a report whose answer does not arrive.
+// heartbeatWithResponseLost is a heartbeat whose response does not arrive.
 func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
 	if machine, outcome := tc.cluster.Reconcile(
 		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
@@ -175,10 +220,10 @@
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
 
-// cancel is the end of a withdrawn job.
-func (tc *testCluster) cancel(id string) { tc.cluster.FinalizeJob(tc.cluster.Jobs[id], true, tc.now) }
+// cancel is the final status of j-1, which was cancelled.
+func (tc *testCluster) cancel() { tc.cluster.FinalizeJob(tc.cluster.Jobs["j-1"], true, tc.now) }
 
-// expectQuotaUsed checks what of the team's limit counts as used.
+// expectQuotaUsed checks how many CPUs of the team's quota count as used.
 func (tc *testCluster) expectQuotaUsed(want float64) {
 	tc.t.Helper()
 	if got := tc.cluster.Teams["team"].UsedCPU; got != want {
@@ -186,7 +231,7 @@
 	}
 }
 
-// expireLeases lets go by what a worker's lease may take from now on, and gives up those
+// expireLeases lets pass what an agent's lease may take from now on, and expires the machines
 // whose lease surely ran out, as the leader does.
 func (tc *testCluster) expireLeases(names ...string) {
 	tc.t.Helper()
--- a/internal/cluster/wait_test.go
+++ b/internal/cluster/wait_test.go
@@ -81,13 +81,8 @@
 // A task that ran for long and was lost does not count as one that waited all the
 // time: the ordinary rules hold for it again.
 func TestRequeuedTaskRestartsItsWaitingTime(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	tc, agent, job := newClusterWithTask(t, 1)
+	tc.startTasks(agent)
 	tc.now += 10 * micro.Minute
 	tc.cluster.Machines["m1"].QuarantinedUntil = tc.now + 10*micro.Minute
 	agent.Epoch++ // it lost what it ran
