--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -63,13 +63,8 @@
 		if pool.MachineCount == 0 || !Allowed(class.LastJob, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
-		request := requestOn(class.LastJob, pool.Type)
-		for row := int(request.ScaledCPU - eps); row < pool.Rows(); row++ {
-			for _, machine := range pool.Row(row) {
-				if fits(request, machine, nil, resources{}) {
-					count++
-				}
-			}
+		for range machinesWithCapacity(pool, requestOn(class.LastJob, pool.Type)) {
+			count++
 		}
 	}
 	return count
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -238,6 +238,19 @@
 		Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot)
 }
 
+// machinesOf gives the machines of a pool, row by row.
+func machinesOf(pool *cluster.MachinePool) iter.Seq[*cluster.Machine] {
+	return func(yield func(*cluster.Machine) bool) {
+		for row := range pool.Rows() {
+			for _, machine := range pool.Row(row) {
+				if !yield(machine) {
+					return
+				}
+			}
+		}
+	}
+}
+
 // machinesWithCapacity gives the machines of a pool that have capacity for a request as they
 // are.
 func machinesWithCapacity(pool *cluster.MachinePool, request resources) iter.Seq[*cluster.Machine] {
--- a/internal/scheduler/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -49,23 +49,25 @@
 	case !withinQuota(job, needed):
 		return ReasonQuotaReserved
 	}
+	reason := s.explainMachines(job, now)
+	if reason == ReasonNextPass && needed > 1 {
+		return ReasonPartialFit
+	}
+	return reason
+}
+
+// explainMachines says what keeps a job from the machines that have capacity for one of its
+// tasks: of several reasons the first.
+func (s *Scheduler) explainMachines(job *cluster.Job, now micro.Time) PendingReason {
 	reason := ReasonInsufficientResources
 	for _, pool := range s.Cluster.Pools {
-		if pool.MachineCount == 0 || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if !isCandidatePool(job, pool, "") {
 			continue
 		}
-		request := requestOn(&job.Spec, pool.Type)
-		for row := int(request.ScaledCPU - eps); row < pool.Rows(); row++ {
-			for _, machine := range pool.Row(row) {
-				if fits(request, machine, nil, resources{}) {
-					reason = min(reason, s.explainMachine(job, pool, machine, now))
-				}
-			}
+		for machine := range machinesWithCapacity(pool, requestOn(&job.Spec, pool.Type)) {
+			reason = min(reason, s.explainMachine(job, pool, machine, now))
 		}
 	}
-	if reason == ReasonNextPass && needed > 1 {
-		return ReasonPartialFit
-	}
 	return reason
 }
 
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -16,7 +16,7 @@
 	latestStart     micro.Time
 }
 
-// Schedule places what it can, in order of rank, guarantee and nearness of the
+// Schedule places what it can, in order of priority, guarantee and nearness of the
 // objective, and reports how many tasks it placed. For work that has waited too
 // long and found no capacity, capacity is reserved.
 func (s *Scheduler) Schedule(now micro.Time) int {
@@ -24,9 +24,20 @@
 	s.expireReservations(now)
 	s.countHeadroom(now)
 	s.fillReservations(now)
-	queue := make([]queuedJob, 0, len(s.Cluster.PendingJobs))
-	waiting := 0
 	overloaded := s.overloadedClasses()
+	queue, waiting := s.buildQueue(overloaded, now)
+	s.sampling = s.Overloaded && waiting > s.Properties.SampleAbovePending
+	placed, starved := s.allocateQueue(queue, now)
+	s.startReservations(starved, len(overloaded) > 0, now)
+	return placed
+}
+
+// buildQueue lists the jobs with tasks to place in the order in which they are tried, and
+// says how many tasks they are.
+func (s *Scheduler) buildQueue(
+	overloaded map[*cluster.Class]micro.Time, now micro.Time,
+) (queue []queuedJob, waiting int) {
+	queue = make([]queuedJob, 0, len(s.Cluster.PendingJobs))
 	var images map[string]bool
 	for job := range s.Cluster.PendingJobs {
 		waiting += job.PendingTasks()
@@ -35,27 +46,39 @@
 			latestStart: s.Objectives.LatestStart(job, now),
 		}
 		if startObjective := overloaded[job.Class]; startObjective > 0 {
-			entry.latestStart = EstimatedRuntime(job)
 			if images == nil {
 				images = s.availableImages()
 			}
-			if !images[job.Spec.Image] {
-				entry.latestStart += s.fetchTime(&job.Spec) // as good as a longer run
-			}
-			entry.latestStart = now + entry.latestStart*micro.Time(len(job.Tasks))
-			entry.canStartInTime = now <= job.EligibleSince+startObjective
-			entry.withinGuarantee = entry.withinGuarantee &&
-				(s.Objectives.guaranteedStart == 0 || now <= job.EligibleSince+s.Objectives.guaranteedStart)
+			s.putShortestFirst(&entry, startObjective, images, now)
 		}
 		queue = append(queue, entry)
 	}
 	sort.Slice(queue, func(a, b int) bool { return schedulesBefore(&queue[a], &queue[b]) })
-	s.sampling = s.Overloaded && waiting > s.Properties.SampleAbovePending
+	return queue, waiting
+}
+
+// putShortestFirst ranks a job of an overloaded class by the work that it is, not by its latest
+// start: in the order of latest starts, all of a burst start just too late. A job whose
+// image is nowhere at hand is as good as one that runs for longer.
+func (s *Scheduler) putShortestFirst(
+	entry *queuedJob, startObjective micro.Time, images map[string]bool, now micro.Time,
+) {
+	job := entry.job
+	duration := EstimatedRuntime(job)
+	if !images[job.Spec.Image] {
+		duration += s.fetchTime(&job.Spec)
+	}
+	entry.latestStart = now + duration*micro.Time(len(job.Tasks))
+	entry.canStartInTime = now <= job.EligibleSince+startObjective
+	entry.withinGuarantee = entry.withinGuarantee &&
+		(s.Objectives.guaranteedStart == 0 || now <= job.EligibleSince+s.Objectives.guaranteedStart)
+}
+
+// allocateQueue tries the jobs one after the other, and lists those that have waited too long.
+func (s *Scheduler) allocateQueue(queue []queuedJob, now micro.Time) (placed int, starved []*cluster.Job) {
 	rejected := unschedulable{}
-	placed := 0
-	var starved []*cluster.Job
-	for _, entry := range queue {
-		job := entry.job
+	for i := range queue {
+		job := queue[i].job
 		if job.State != cluster.Active || job.InBackoff(now) || job.GangStopping {
 			continue
 		}
@@ -66,19 +89,21 @@
 		if rejected.covers(job, overdue) && !s.hasReservation(job) {
 			continue
 		}
-		count, noCapacity := 0, false
-		if job.Spec.Kind == wire.Gang {
-			count, noCapacity = s.allocateGang(job, overdue, now)
-		} else {
-			count, noCapacity = s.allocateTasks(job, overdue, now)
-		}
+		count, noCapacity := s.allocateJob(job, overdue, now)
 		placed += count
 		if noCapacity {
 			rejected.add(job, overdue)
 		}
 	}
-	s.startReservations(starved, len(overloaded) > 0, now)
-	return placed
+	return placed, starved
+}
+
+// allocateJob places what it can of a job, and reports whether it lacked capacity.
+func (s *Scheduler) allocateJob(job *cluster.Job, overdue bool, now micro.Time) (placed int, noCapacity bool) {
+	if job.Spec.Kind == wire.Gang {
+		return s.allocateGang(job, overdue, now)
+	}
+	return s.allocateTasks(job, overdue, now)
 }
 
 func schedulesBefore(x, y *queuedJob) bool {
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -50,6 +50,21 @@
 
 // fillReservations reserves what came free for the jobs that capacity is reserved for.
 func (s *Scheduler) fillReservations(now micro.Time) {
+	for _, job := range s.reservingJobs() {
+		reservation := s.reservations[job]
+		s.reserveFree(job, reservation.zone, now)
+		if now-reservation.since > reserveBusyAfter && s.countReserved(job) == 0 {
+			s.reserveSoonestFree(job, minAllocations(job), now)
+		}
+		if now-reservation.since > starvationReservationTTL {
+			delete(s.reservations, job) // another zone, perhaps
+		}
+	}
+}
+
+// reservingJobs lists the jobs that capacity is still reserved for, the oldest reservation
+// first, and drops the others.
+func (s *Scheduler) reservingJobs() []*cluster.Job {
 	jobs := make([]*cluster.Job, 0, len(s.reservations))
 	for job := range s.reservations {
 		if job.State != cluster.Active || job.PendingTasks() == 0 || job.Spec.Kind == wire.Gang && job.AllocationCount > 0 {
@@ -59,35 +74,35 @@
 		jobs = append(jobs, job)
 	}
 	sort.Slice(jobs, func(a, b int) bool {
-		return s.reservations[jobs[a]].since < s.reservations[jobs[b]].since ||
-			s.reservations[jobs[a]].since == s.reservations[jobs[b]].since && jobs[a].Spec.ID < jobs[b].Spec.ID
+		sinceA, sinceB := s.reservations[jobs[a]].since, s.reservations[jobs[b]].since
+		if sinceA != sinceB {
+			return sinceA < sinceB
+		}
+		return jobs[a].Spec.ID < jobs[b].Spec.ID
 	})
-	for _, job := range jobs {
-		reservation := s.reservations[job]
-		missing := minAllocations(job) - s.countReserved(job)
-		for _, pool := range s.Cluster.Pools {
-			if missing <= 0 || pool.MachineCount == 0 || reservation.zone != "" && pool.Zone != reservation.zone ||
-				!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) ||
-				!ZoneAllowed(job, pool.Zone, nil) {
+	return jobs
+}
+
+// reserveFree reserves machines that have capacity for the job as they are, as many as it
+// lacks.
+func (s *Scheduler) reserveFree(job *cluster.Job, zone string, now micro.Time) {
+	missing := minAllocations(job) - s.countReserved(job)
+	for _, pool := range s.Cluster.Pools {
+		if missing <= 0 {
+			return
+		}
+		if !isCandidatePool(job, pool, zone) || !ZoneAllowed(job, pool.Zone, nil) {
+			continue
+		}
+		for machine := range machinesWithCapacity(pool, requestOn(&job.Spec, pool.Type)) {
+			if machine.ReservedFor != nil || !s.mayUse(job, machine, now) {
 				continue
 			}
-			request := requestOn(&job.Spec, pool.Type)
-			for row := int(request.ScaledCPU - eps); row < pool.Rows() && missing > 0; row++ {
-				for _, machine := range pool.Row(row) {
-					if missing > 0 && machine.ReservedFor == nil && fits(request, machine, nil, resources{}) &&
-						s.mayUse(job, machine, now) {
-						s.reserveMachine(machine, job, true, now)
-						missing--
-					}
-				}
+			s.reserveMachine(machine, job, true, now)
+			if missing--; missing == 0 {
+				return
 			}
 		}
-		if now-reservation.since > reserveBusyAfter && s.countReserved(job) == 0 {
-			s.reserveSoonestFree(job, minAllocations(job), now)
-		}
-		if now-reservation.since > starvationReservationTTL {
-			delete(s.reservations, job) // another zone, perhaps
-		}
 	}
 }
 
@@ -101,28 +116,14 @@
 
 // startReservations begins to reserve capacity for the oldest jobs that still wait.
 func (s *Scheduler) startReservations(starved []*cluster.Job, overloaded bool, now micro.Time) {
-	limit := min(maxReservingJobs, max(len(s.Cluster.Machines)/reservedFleetDivisor, 1))
-	if overloaded {
-		// What comes free soon is enough for one at a time, and all else waits
-		// for it meanwhile.
-		limit = 1
-	}
+	limit := s.maxReservations(overloaded)
 	if len(s.reservations) >= limit || len(starved) == 0 {
 		return
 	}
 	if s.reservations == nil {
 		s.reservations = map[*cluster.Job]zoneReservation{}
 	}
-	sort.Slice(starved, func(a, b int) bool {
-		sinceA, sinceB := starved[a].EligibleSince, starved[b].EligibleSince
-		if overdueBefore := now - largeJobStartTarget; (sinceA < overdueBefore) != (sinceB < overdueBefore) {
-			return sinceB < overdueBefore
-		}
-		if sinceA != sinceB {
-			return sinceA < sinceB
-		}
-		return starved[a].Spec.ID < starved[b].Spec.ID
-	})
+	sort.Slice(starved, func(a, b int) bool { return reservesBefore(starved[a], starved[b], now) })
 	for _, job := range starved {
 		if len(s.reservations) >= limit {
 			return
@@ -130,45 +131,95 @@
 		if _, ok := s.reservations[job]; ok || job.State != cluster.Active || job.PendingTasks() == 0 {
 			continue
 		}
-		if team := job.Team; team != nil && !team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
-			if team.QuotaReservedFor == nil && job.AllocationCount == 0 && now >= team.QuotaReservableAfter {
-				// Its smaller jobs would use up each bit of its limit that comes
-				// free.
-				team.QuotaReservedFor, team.QuotaReservedAt = job, now
-			}
-			continue
-		}
-		if zone, ok := s.reservationZone(job); ok {
-			s.reservations[job] = zoneReservation{zone, now}
-			s.Cluster.Log("gather", "job", job.Spec.ID, "places", minAllocations(job), "zone", zone)
-		}
+		s.startReservation(job, now)
 	}
 }
 
-// reservationZone is the zone with most machines for the job, over what is being
-// gathered there already.
+// maxReservations is for how many jobs capacity is reserved at a time. While a class is
+// overloaded, what comes free soon is enough for one, and all else waits for it meanwhile.
+func (s *Scheduler) maxReservations(overloaded bool) int {
+	if overloaded {
+		return 1
+	}
+	return min(maxReservingJobs, s.maxReservedMachines())
+}
+
+// maxReservedMachines is the part of the fleet that may be reserved for work that waited long.
+func (s *Scheduler) maxReservedMachines() int {
+	return max(len(s.Cluster.Machines)/reservedFleetDivisor, 1)
+}
+
+// reservesBefore orders starved jobs: those that can still begin within largeJobStartTarget
+// first, then the oldest.
+func reservesBefore(x, y *cluster.Job, now micro.Time) bool {
+	lateBefore := now - largeJobStartTarget
+	xLate, yLate := x.EligibleSince < lateBefore, y.EligibleSince < lateBefore
+	if xLate != yLate {
+		return yLate
+	}
+	if x.EligibleSince != y.EligibleSince {
+		return x.EligibleSince < y.EligibleSince
+	}
+	return x.Spec.ID < y.Spec.ID
+}
+
+// startReservation begins to reserve capacity for a job, or what it lacks of its team's quota.
+func (s *Scheduler) startReservation(job *cluster.Job, now micro.Time) {
+	if team := job.Team; team != nil && !team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
+		reserveQuota(job, now)
+		return
+	}
+	if zone, ok := s.reservationZone(job); ok {
+		s.reservations[job] = zoneReservation{zone, now}
+		s.Cluster.Log("gather", "job", job.Spec.ID, "places", minAllocations(job), "zone", zone)
+	}
+}
+
+// reserveQuota saves a team's quota up for a job: its smaller jobs would use up each bit of it
+// that comes free.
+func reserveQuota(job *cluster.Job, now micro.Time) {
+	team := job.Team
+	if team.QuotaReservedFor == nil && job.AllocationCount == 0 && now >= team.QuotaReservableAfter {
+		team.QuotaReservedFor, team.QuotaReservedAt = job, now
+	}
+}
+
+// reservationZone is the zone with most machines for the job, over the jobs that machines
+// are being reserved for there already.
 func (s *Scheduler) reservationZone(job *cluster.Job) (zone string, ok bool) {
 	best := 0.0
 	for _, option := range s.candidateZones(job) {
-		machines := 0
-		for _, pool := range s.Cluster.Pools {
-			if (option == "" || pool.Zone == option) && Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
-				machines += pool.MachineCount
-			}
-		}
-		competing := 1
-		for _, reservation := range s.reservations {
-			if reservation.zone == option {
-				competing++
-			}
-		}
-		if perReservation := float64(machines) / float64(competing); machines >= 1 && perReservation > best {
+		machines := countMachines(s.Cluster.Pools, job, option)
+		perReservation := float64(machines) / float64(1+s.countReservations(option))
+		if machines >= 1 && perReservation > best {
 			zone, best, ok = option, perReservation, true
 		}
 	}
 	return zone, ok
 }
 
+// countMachines counts the machines that a job may use in a zone, or in all if it is "".
+func countMachines(pools []*cluster.MachinePool, job *cluster.Job, zone string) int {
+	count := 0
+	for _, pool := range pools {
+		if isCandidatePool(job, pool, zone) {
+			count += pool.MachineCount
+		}
+	}
+	return count
+}
+
+// countReservations counts the jobs that capacity is reserved for in a zone.
+func (s *Scheduler) countReservations(zone string) int {
+	count := 0
+	for _, reservation := range s.reservations {
+		if reservation.zone == zone {
+			count++
+		}
+	}
+	return count
+}
+
 // hasReservation reports whether machines are reserved for the job.
 func (s *Scheduler) hasReservation(job *cluster.Job) bool { return s.countReserved(job) > 0 }
 
@@ -184,7 +235,7 @@
 			reservedCount++
 		}
 	}
-	if reservedCount >= max(len(s.Cluster.Machines)/reservedFleetDivisor, 1) {
+	if reservedCount >= s.maxReservedMachines() {
 		return
 	}
 	var next *cluster.Job
@@ -229,84 +280,124 @@
 }
 
 // reserveSoonestFree reserves the machines that are soonest free for a job that waited long
-// and that nothing came free for,
-// enough for a gang in one zone, or for one task of another job.
+// and that nothing came free for, enough for a gang in one zone, or for one task of another
+// job.
 func (s *Scheduler) reserveSoonestFree(job *cluster.Job, tasks int, now micro.Time) {
-	type spot struct {
-		m    *cluster.Machine
-		n    int // tasks it could hold
-		free micro.Time
-	}
-	var best []spot
+	var best []soonFreeMachine
 	var bestAt micro.Time
 	for _, zone := range s.candidateZones(job) {
-		var options []spot
-		for _, pool := range s.Cluster.Pools {
-			if pool.MachineCount == 0 || zone != "" && pool.Zone != zone ||
-				!Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) ||
-				!ZoneAllowed(job, pool.Zone, nil) {
+		chosen := firstCovering(s.soonFreeMachines(job, zone, now), tasks)
+		if len(chosen) == 0 {
+			continue
+		}
+		if last := chosen[len(chosen)-1].freeAt; best == nil || last < bestAt {
+			best, bestAt = chosen, last
+		}
+	}
+	for _, choice := range best {
+		s.reserveMachine(choice.machine, job, true, now)
+	}
+}
+
+// soonFreeMachine is a machine that a job may use, and when.
+type soonFreeMachine struct {
+	machine *cluster.Machine
+	tasks   int // that it could hold
+	freeAt  micro.Time
+}
+
+// soonFreeMachines lists a zone's machines for a job in the order in which they come free.
+func (s *Scheduler) soonFreeMachines(job *cluster.Job, zone string, now micro.Time) []soonFreeMachine {
+	var options []soonFreeMachine
+	for _, pool := range s.Cluster.Pools {
+		if !isCandidatePool(job, pool, zone) || !ZoneAllowed(job, pool.Zone, nil) {
+			continue
+		}
+		request := requestOn(&job.Spec, pool.Type)
+		for machine := range machinesOf(pool) {
+			if !s.mayWaitFor(job, machine, now) {
 				continue
 			}
-			request := requestOn(&job.Spec, pool.Type)
-			for row := range pool.Rows() {
-				for _, machine := range pool.Row(row) {
-					if machine.ReservedFor != nil || machine.QuarantinedUntil > now || !s.Cluster.MachineReachable(machine) ||
-						job.FailedOn[machine.Name] {
-						continue
-					}
-					if at, count := s.freeAt(request, machine, now); count > 0 {
-						options = append(options, spot{machine, count, at})
-					}
-				}
+			if at, tasks := freeAt(request, machine, now); tasks > 0 {
+				options = append(options, soonFreeMachine{machine, tasks, at})
 			}
 		}
-		sort.Slice(options, func(a, b int) bool {
-			if options[a].free != options[b].free {
-				return options[a].free < options[b].free
-			}
-			return options[a].m.Name < options[b].m.Name
-		})
-		covered, count := 0, 0
-		for ; count < len(options) && covered < tasks; count++ {
-			covered += options[count].n
+	}
+	sort.Slice(options, func(a, b int) bool {
+		if options[a].freeAt != options[b].freeAt {
+			return options[a].freeAt < options[b].freeAt
 		}
-		if covered >= tasks && (best == nil || options[count-1].free < bestAt) {
-			best, bestAt = options[:count], options[count-1].free
+		return options[a].machine.Name < options[b].machine.Name
+	})
+	return options
+}
+
+// mayWaitFor reports whether a busy machine may be reserved for a job.
+func (s *Scheduler) mayWaitFor(job *cluster.Job, machine *cluster.Machine, now micro.Time) bool {
+	return machine.ReservedFor == nil && machine.QuarantinedUntil <= now && s.Cluster.MachineReachable(machine) &&
+		!job.FailedOn[machine.Name]
+}
+
+// firstCovering is the first of the machines that hold so many tasks together; none if all
+// do not.
+func firstCovering(options []soonFreeMachine, tasks int) []soonFreeMachine {
+	covered := 0
+	for i, option := range options {
+		if covered += option.tasks; covered >= tasks {
+			return options[:i+1]
 		}
 	}
-	for _, choice := range best {
-		s.reserveMachine(choice.m, job, true, now)
-	}
+	return nil
 }
 
 // freeAt is when a machine is expected to be clear of all but services, and how
 // many tasks fit then.
-func (s *Scheduler) freeAt(request resources, machine *cluster.Machine, now micro.Time) (micro.Time, int) {
-	at := now
+func freeAt(request resources, machine *cluster.Machine, now micro.Time) (at micro.Time, tasks int) {
+	at = now
 	var remaining resources
 	for _, allocation := range machine.Allocations {
-		if allocation.Job == nil || allocation.Job.Spec.Kind == wire.Service && !allocation.Stopping {
-			if allocation.Job != nil {
-				remaining.Add(allocatedResources(allocation), 1)
-			}
-			continue
-		}
-		end := now
-		if !allocation.Stopping {
-			estimate := EstimatedRuntime(allocation.Job)
-			end = now + estimate
-			if allocation.RunningSince > 0 {
-				end = max(allocation.RunningSince+estimate, now+estimate/4)
-			}
+		switch {
+		case allocation.Job == nil: // it holds nothing that is counted
+		case allocation.Job.Spec.Kind == wire.Service && !allocation.Stopping:
+			remaining.Add(allocatedResources(allocation), 1)
+		default:
+			at = max(at, expectedEnd(allocation, now))
 		}
-		at = max(at, end)
 	}
-	typ := machine.Type
-	fitting := 1 << 20
-	for _, dimension := range [][2]float64{{typ.CPUs - remaining.ScaledCPU, request.ScaledCPU}, {typ.CPUs - remaining.CPU, request.CPU}, {typ.GPUs - remaining.GPU, request.GPU}, {typ.MemoryGB - remaining.MemoryGB, request.MemoryGB}} {
-		if dimension[1] > 0 {
-			fitting = min(fitting, int(dimension[0]/dimension[1]+eps))
+	return at, tasksFitting(request, machine.Type, remaining)
+}
+
+// minRemainingDivisor is the part of its estimate that a task is expected to run for yet, at
+// the least.
+const minRemainingDivisor = 4
+
+// expectedEnd is when an allocation is expected to be over.
+func expectedEnd(allocation *cluster.Allocation, now micro.Time) micro.Time {
+	if allocation.Stopping {
+		return now
+	}
+	estimate := EstimatedRuntime(allocation.Job)
+	if allocation.RunningSince == 0 {
+		return now + estimate
+	}
+	return max(allocation.RunningSince+estimate, now+estimate/minRemainingDivisor)
+}
+
+// maxTasksOnMachine bounds the tasks of a job that asks for nothing.
+const maxTasksOnMachine = 1 << 20
+
+// tasksFitting is how many tasks fit on a machine of a type beside what remains there.
+func tasksFitting(request resources, typ *cluster.MachineType, remaining resources) int {
+	tasks := maxTasksOnMachine
+	for _, dimension := range []struct{ free, each float64 }{
+		{typ.CPUs - remaining.ScaledCPU, request.ScaledCPU},
+		{typ.CPUs - remaining.CPU, request.CPU},
+		{typ.GPUs - remaining.GPU, request.GPU},
+		{typ.MemoryGB - remaining.MemoryGB, request.MemoryGB},
+	} {
+		if dimension.each > 0 {
+			tasks = min(tasks, int(dimension.free/dimension.each+eps))
 		}
 	}
-	return at, max(fitting, 0)
+	return max(tasks, 0)
 }
