--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -32,13 +32,13 @@
 	index int
 }
 
-// Position gives itself, for machines that embed it.
-func (p *Position[M]) Position() *Position[M] { return p }
+// PoolPosition gives itself, for machines that embed it.
+func (p *Position[M]) PoolPosition() *Position[M] { return p }
 
 // Positioned is a machine that embeds its position.
 type Positioned[M any] interface {
 	*M
-	Position() *Position[M]
+	PoolPosition() *Position[M]
 }
 
 type poolKey struct {
@@ -56,7 +56,7 @@
 // PutInPool puts a machine into the row where the scheduler looks for it.
 func (x *Index[M, P]) PutInPool(machine P, machineType *MachineType, zone string, spot bool, freeCPU float64) {
 	pool, row := x.ensurePool(machineType, zone, spot), RowFor(freeCPU)
-	at := machine.Position()
+	at := machine.PoolPosition()
 	if pool == at.pool && row == at.row {
 		return
 	}
@@ -76,14 +76,14 @@
 
 // TakeFromPool takes a machine out, if it is in: it takes no new tasks.
 func (x *Index[M, P]) TakeFromPool(machine P) {
-	at := machine.Position()
+	at := machine.PoolPosition()
 	pool := at.pool
 	if pool == nil {
 		return
 	}
 	machines := pool.rows[at.row]
 	last := machines[len(machines)-1]
-	machines[at.index], P(last).Position().index = last, at.index
+	machines[at.index], P(last).PoolPosition().index = last, at.index
 	machines[len(machines)-1] = nil
 	pool.rows[at.row] = machines[:len(machines)-1]
 	pool.MachineCount--
