--- a/internal/scheduler/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -10,7 +10,7 @@
 // order in which they give way; of several the first is told.
 type PendingReason uint8
 
-// The reasons.
+// The reasons. Their names in the log are in docs/operations.md.
 const (
 	ReasonNextPass    PendingReason = iota // there is capacity: the next passes reach it
 	ReasonPartialFit                       // capacity for some of a gang's tasks
@@ -27,13 +27,25 @@
 	ReasonGangStopping
 )
 
-func (r PendingReason) String() string {
-	return [...]string{
-		"in turn", "room for a part", "room kept for GPUs", "dear room", "gathered room", "avoided machines", "unreachable machines",
-		"zone rule", "no room", "limit", "limit saved up", "backoff", "gang winding down",
-	}[r]
+var pendingReasonNames = [...]string{
+	ReasonNextPass:              "next pass",
+	ReasonPartialFit:            "partial fit",
+	ReasonGPUHeadroom:           "GPU headroom",
+	ReasonPrice:                 "price limit",
+	ReasonReserved:              "reserved",
+	ReasonQuarantined:           "quarantined machines",
+	ReasonUnreachable:           "unreachable machines",
+	ReasonZoneConstraint:        "zone constraint",
+	ReasonInsufficientResources: "insufficient resources",
+	ReasonQuota:                 "quota",
+	ReasonQuotaReserved:         "quota reserved",
+	ReasonBackoff:               "backoff",
+	ReasonGangStopping:          "gang stopping",
 }
 
+// String is the reason as operators read it in the log.
+func (r PendingReason) String() string { return pendingReasonNames[r] }
+
 // ExplainPending says why a job with tasks to place has not been given capacity. It looks at the
 // machines that have capacity for one of its tasks, so it costs about as much as a try
 // to place that.
--- a/internal/scheduler/pending_reason_test.go
+++ b/internal/scheduler/pending_reason_test.go
@@ -25,11 +25,15 @@
 		{ReasonPrice, func(tc *testCluster, _ *cluster.Job, _ *cluster.Machine) {
 			tc.scheduler.WithinPrice = func(*cluster.Job, *cluster.MachineType, bool, micro.Time) bool { return false }
 		}},
-		{ReasonReserved, func(tc *testCluster, job *cluster.Job, machine *cluster.Machine) {
+		{ReasonReserved, func(tc *testCluster, _ *cluster.Job, machine *cluster.Machine) {
 			tc.scheduler.reserveMachine(machine, tc.submitArray("j-2", 1, 1, 0), true, now)
 		}},
-		{ReasonQuarantined, func(_ *testCluster, _ *cluster.Job, machine *cluster.Machine) { machine.QuarantinedUntil = now + 1 }},
-		{ReasonUnreachable, func(_ *testCluster, _ *cluster.Job, machine *cluster.Machine) { machine.DispatchUnanswered = true }},
+		{ReasonQuarantined, func(_ *testCluster, _ *cluster.Job, machine *cluster.Machine) {
+			machine.QuarantinedUntil = now + 1
+		}},
+		{ReasonUnreachable, func(_ *testCluster, _ *cluster.Job, machine *cluster.Machine) {
+			machine.DispatchUnanswered = true
+		}},
 		{ReasonZoneConstraint, func(_ *testCluster, job *cluster.Job, _ *cluster.Machine) {
 			job.Spec.OneZone, job.AllocationsByZone["b"] = true, 1
 		}},
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -173,9 +173,9 @@
 	}
 	if s.Cluster.Verbose {
 		s.Cluster.Log(
-			"place", "task", wire.TaskName(job.Spec.ID, i), "try", attempt, "machine", machine.Name, "score",
-			Score(job.Spec.CPUs, machine.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2), "room_left",
-			machine.Type.CPUs-machine.UsedScaledCPU,
+			"allocate", "task", allocation.TaskName, "attempt", attempt, "machine", machine.Name,
+			"score", Score(job.Spec.CPUs, machine.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2),
+			"free_cpus", machine.Type.CPUs-machine.UsedScaledCPU,
 		)
 	}
 }
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -171,7 +171,7 @@
 	}
 	if zone, ok := s.reservationZone(job); ok {
 		s.reservations[job] = zoneReservation{zone, now}
-		s.Cluster.Log("gather", "job", job.Spec.ID, "places", minAllocations(job), "zone", zone)
+		s.Cluster.Log("reservation", "job", job.Spec.ID, "allocations", minAllocations(job), "zone", zone)
 	}
 }
 
