--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -44,6 +44,31 @@
 	backlogs map[*cluster.Class]*classBacklog // how much waits, and waited
 }
 
+// Config is what a planner decides by.
+type Config struct {
+	Cluster    *cluster.State
+	Objectives *scheduler.Objectives
+	Properties *config.Properties
+	// ShardDemands lists what waits in shards of other controllers; nil: nothing.
+	ShardDemands func() []ShardDemand
+	// OwnsOffer reports whether an offer's machines are in no shard; nil: all are in none.
+	OwnsOffer func(InstanceOffer) bool
+}
+
+// New makes a planner that knows of no refusal and no request.
+func New(cfg Config) *Planner {
+	return &Planner{
+		Cluster:             cfg.Cluster,
+		Objectives:          cfg.Objectives,
+		Properties:          cfg.Properties,
+		RefusedUntil:        map[InstanceOffer]micro.Time{},
+		ConsecutiveRefusals: map[InstanceOffer]int{},
+		PendingRequests:     map[string]ScaleOut{},
+		ShardDemands:        cfg.ShardDemands,
+		OwnsOffer:           cfg.OwnsOffer,
+	}
+}
+
 // maxMachinesPerPlan bounds what one plan rents, maxMachinesPerRequest what one request does, and maxMachinesPerOffer
 // what is asked of one offer at a time: how much there is shows only by asking.
 const (
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -14,6 +14,7 @@
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/persist"
+	"notchmux.dev/notchmux/internal/provision"
 	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
@@ -85,7 +86,7 @@
 		Now: func() micro.Time { return node.Now() }, Host: dispatchHost{l},
 	})
 	l.detector = detector.New(detector.Dependencies{
-		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: maxInventoryAge,
+		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: provision.MaxInventoryAge,
 		FencingTokens: l.dispatcher, Handovers: &node.handovers, Host: duties,
 	})
 	l.records = persist.New(persist.Dependencies{
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,18 +4,16 @@
 	"context"
 	"sync/atomic"
 
-	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
-	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/provision"
 	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/shard/coordinator"
-	"notchmux.dev/notchmux/internal/statestore"
 )
 
 // Leader is one term of leadership. The goroutine of its loop owns the cluster state.
@@ -23,18 +21,9 @@
 	*controlLoop
 
 	// Owned by the loop's goroutine.
-	planner                  *autoscaler.Planner
+	provisioner              *provision.Provisioner
 	lastSweep                micro.Time
-	lastPlan                 micro.Time
 	lastSpeedWrite           micro.Time
-	instanceRequests         map[string]*instanceRequest
-	instanceRequestCount     int
-	requestQueue             []*instanceRequest // instance requests whose turn is to come
-	requestsInFlight         int                // instance requests under way
-	firstProvisionedRecord   *statestore.Record
-	firstProvisioned         string                      // the first machine that the service ever requested
-	inventoryAt              micro.Time                  // when the list that was read last was asked for
-	pendingTerminations      map[*cluster.Machine]uint64 // machines to be terminated, with the version of their request's record that must be stored before
 	renewalBound             *leasekeeper.RenewalBound
 	fencedZones              atomic.Pointer[map[string]bool] // zones whose lease proxies are not answered; nil: all
 	pendingCancellations     map[*cluster.Job]bool           // cancelled jobs whose users are not told yet
@@ -48,8 +37,6 @@
 // newLeader makes the loop of a term of leadership.
 func newLeader(n *Node, t *election.Term) *Leader {
 	l := &Leader{
-		instanceRequests:         map[string]*instanceRequest{},
-		pendingTerminations:      map[*cluster.Machine]uint64{},
 		cancellationWaiters:      map[string][]chan httpapi.Reply{},
 		pendingCancellations:     map[*cluster.Job]bool{},
 		unconfirmedCancellations: map[*cluster.Job]bool{},
@@ -57,9 +44,6 @@
 	l.controlLoop = newControlLoop(
 		n, t, dispatch.FirstFencingToken(t.FencingRevision), n.Log.With("term", t.FencingRevision), l,
 	)
-	l.planner = newPlanner(l.controlLoop)
-	l.firstProvisionedRecord = l.records.Record(keys.FirstProvisioned)
-	l.firstProvisionedRecord.Build = func() (any, uint64) { return firstProvisionedRecord{l.firstProvisioned}, 0 }
 	zones := map[string]string{}
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
@@ -73,21 +57,11 @@
 		}
 	}
 	l.coordinator = newCoordinator(l)
+	l.provisioner = newProvisioner(l)
 	l.failover = newFailover(l)
 	return l
 }
 
-// newPlanner makes the planner of scale-out and scale-in, by whose prices tasks are placed.
-func newPlanner(l *controlLoop) *autoscaler.Planner {
-	planner := &autoscaler.Planner{
-		Cluster: l.cluster, Objectives: l.objectives, Properties: &l.node.Cfg.Properties,
-		RefusedUntil: map[autoscaler.InstanceOffer]micro.Time{}, ConsecutiveRefusals: map[autoscaler.InstanceOffer]int{},
-		PendingRequests: map[string]autoscaler.ScaleOut{},
-	}
-	l.scheduler.WithinPrice = planner.WithinPrice
-	return planner
-}
-
 // run is the leader's loop: it takes over what the store holds, then serves events.
 func (l *Leader) run(ctx context.Context) {
 	l.loop.StopWith(ctx)
@@ -103,7 +77,7 @@
 	)
 	go l.intake.WatchSubmissions(ctx, rev)
 	go l.intake.RunLookups(ctx)
-	go l.pollInventory(ctx)
+	go l.provisioner.PollInventory(ctx)
 	l.loop.Run(eventloop.Handlers{Now: l.node.Now, Tick: l.tick, AfterEvents: l.runPending})
 }
 
@@ -129,15 +103,13 @@
 	}
 	l.intake.LookUpDependencies()
 	l.coordinator.Reconcile(now)
-	if now-l.lastPlan >= l.planInterval() {
-		l.lastPlan = now
-		l.planScaling(now)
+	if l.provisioner.PlanIfDue(now) {
 		l.schedulePending = true // backoffs and reservations run out
 		l.reviewPendingJobs(now)
 	}
 	l.records.Images.WriteIfDue(now)
 	l.prune(l.records.PruneIfDue(now))
-	l.logStatusIfDue(now, len(l.requestQueue))
+	l.logStatusIfDue(now, l.provisioner.QueuedRequests())
 	if now-l.lastSpeedWrite >= l.node.Cfg.SpeedWriteInterval {
 		l.lastSpeedWrite = now
 		if l.speeds.TakeDirty() {
@@ -153,14 +125,3 @@
 	}
 	l.dispatcher.CheckToken(now)
 }
-
-// planInterval is how often rentals are planned: more often while nothing is there
-// to place work on.
-func (l *Leader) planInterval() micro.Time {
-	for _, p := range l.cluster.Pools {
-		if p.MachineCount > 0 {
-			return micro.Second
-		}
-	}
-	return 300 * micro.Millisecond
-}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -6,10 +6,6 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-type firstProvisionedRecord struct {
-	Machine string `msgpack:"m" json:"m"`
-}
-
 // How the records of a leader are written.
 
 // Preconditions are that the term goes on.
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -15,7 +15,7 @@
 // newFailover makes the part of a leader that takes over what the store holds.
 func newFailover(l *Leader) *recovery.Failover {
 	others := map[string]func(wire.Item){
-		keys.FirstProvisioned: l.restoreFirstProvisioned,
+		keys.FirstProvisioned: l.provisioner.RestoreFirstProvisioned,
 		shard.MarkerKey:       l.observeShardMarker,
 	}
 	return recovery.NewFailover(recovery.FailoverDependencies{
@@ -50,14 +50,6 @@
 	return revision, true
 }
 
-func (l *Leader) restoreFirstProvisioned(item wire.Item) {
-	var record firstProvisionedRecord
-	if wire.Unmarshal(item.Value, &record) == nil {
-		l.firstProvisioned = record.Machine
-		l.firstProvisionedRecord.SetVersion(uint64(item.Version))
-	}
-}
-
 // failoverHost is a leader as its failover sees it.
 type failoverHost struct{ leader *Leader }
 
@@ -69,7 +61,7 @@
 
 // RestoreInstanceRequest takes in the record of an instance request.
 func (h failoverHost) RestoreInstanceRequest(item wire.Item, now, wall micro.Time) {
-	h.leader.restoreInstanceRequest(item, now, wall)
+	h.leader.provisioner.Restore(item, now, wall)
 }
 
 // storedAssignments are the assignments to shards that a failover reads. Without shards there
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -29,8 +29,6 @@
 		Log:          l.log,
 	})
 	l.cluster.Ownership = c.ClassifyMachine
-	l.planner.ShardDemands = c.ShardDemands
-	l.planner.OwnsOffer = c.OwnsOffer
 	return c
 }
 
@@ -53,7 +51,7 @@
 
 // Terminate marks a machine to be terminated.
 func (h coordinatorHost) Terminate(machine *cluster.Machine, reason string) {
-	h.leader.terminate(machine, reason)
+	h.leader.provisioner.Terminate(machine, reason)
 }
 
 // WriteJobEnd writes the final state of a job.
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -67,7 +67,7 @@
 		reports:             ownerReports{reportedMachines: map[string]bool{}},
 	}
 	o.controlLoop = newControlLoop(n, term, o.ownership.FirstFencingToken(), log, o)
-	o.planner = newPlanner(o.controlLoop)
+	o.planner = newPlanner(o.controlLoop, autoscaler.Config{})
 	for _, team := range n.Cfg.Facts.Teams {
 		// The leader has counted all that is assigned against the quotas.
 		o.cluster.Teams[team.Name] = &cluster.Team{Name: team.Name}
