--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -26,7 +27,7 @@
 		waitUntil(b.t, "gate open", func() bool { node.checkGate(context.Background()); return node.FormatOpen() })
 		if refused {
 			replaceStore(node, refusingStore{b.store})
-			node.health.observe(probeResult{storeRefused: true})
+			node.health.Observe(health.ProbeResult{StoreRefused: true})
 		}
 		return node
 	}
--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -18,7 +18,7 @@
 		Leadership: leadership{n},
 		Peers:      otherNodes{n},
 		Catalog:    &n.catalog,
-		Health:     n,
+		Health:     n.health,
 		FormatGate: n,
 		Log:        n.Log,
 		Now:        n.Now,
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -7,6 +7,7 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
@@ -224,11 +225,11 @@
 		return node.Heartbeat(wire.MustMarshal(fake.NewAgent("i-9", "small", "a", 30*micro.Second).Heartbeat())).Status
 	}
 	node.Now = func() micro.Time { return micro.Minute }
-	node.health.observe(probeResult{storeReached: true})
+	node.health.Observe(health.ProbeResult{StoreReached: true})
 	if got := status(); got != 421 {
 		t.Fatalf("peers are refused, but the store says who leads: status %d", got)
 	}
-	node.health.observe(probeResult{storeRefused: true})
+	node.health.Observe(health.ProbeResult{StoreRefused: true})
 	if got := status(); got != 503 {
 		t.Fatalf("who leads is not known any more: status %d", got)
 	}
@@ -337,7 +338,7 @@
 	if keeps() {
 		t.Fatal("it reaches the store: another node leads soon")
 	}
-	node.health.observe(probeResult{})
+	node.health.Observe(health.ProbeResult{})
 	if !keeps() {
 		t.Fatal("without the store as well, the zone is cut off")
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -19,6 +19,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
@@ -49,7 +50,7 @@
 	leader           atomic.Pointer[Leader]
 	catalog          atomic.Pointer[wire.Catalog]
 	peerBackoffUntil sync.Map // node: time until which it is not asked
-	health           healthMonitor
+	health           *health.Monitor
 	leaseProxy       leasekeeper.Proxy
 	formatGate       atomic.Int32 // a GateState
 	handovers        detector.Handovers
@@ -82,10 +83,12 @@
 
 // Init completes a node whose parts were given.
 func (n *Node) Init() {
+	n.health = health.New(health.Config{
+		Store: n.Store, Peers: n.Peers, Log: n.Log, PeerNames: n.peerNames, Now: n.Now,
+	})
 	n.initJobAPI()
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
-	n.health.log = n.Log.Info
 	n.leaseProxy.Node, n.leaseProxy.RenewalWindow, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.LeaseProxyDuration(), n.Log.Info
 	n.election = &election.Election{
 		Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
@@ -93,6 +96,12 @@
 	}
 }
 
+// Ready reports whether the node can take requests.
+func (n *Node) Ready() bool { return n.health.Ready() }
+
+// Isolated reports whether the store was out of reach at the last probe.
+func (n *Node) Isolated() bool { return n.health.Isolated() }
+
 // initJobAPI makes what the node does for users, and the calls that it answers.
 func (n *Node) initJobAPI() {
 	n.jobs = newJobAPI(n)
@@ -122,7 +131,7 @@
 	})
 	group.Go(func() error { return n.election.Run(ctx) })
 	group.Go(func() error { return n.fetchCatalog(ctx) })
-	group.Go(func() error { return n.watchHealth(ctx) })
+	group.Go(func() error { return n.health.Run(ctx) })
 	group.Go(func() error { return n.runLeaseProxy(ctx) })
 	group.Go(func() error { return n.watchGate(ctx) })
 	group.Go(func() error { return n.runShards(ctx) })
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -29,6 +29,15 @@
 	return status, out, err
 }
 
+// peerNames lists the other nodes.
+func (n *Node) peerNames() []string {
+	names := make([]string, len(n.Cfg.Peers))
+	for i, other := range n.Cfg.Peers {
+		names[i] = other.Node
+	}
+	return names
+}
+
 // peersLeaderFirst lists the other nodes.
 func (n *Node) peersLeaderFirst() []string {
 	leader := n.election.Leader()
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -303,7 +303,7 @@
 	controller.mu.Unlock()
 	go func() { _ = node.election.Run(ctx) }()
 	go func() { _ = node.fetchCatalog(ctx) }()
-	go func() { _ = node.watchHealth(ctx) }()
+	go func() { _ = node.health.Run(ctx) }()
 	go func() { _ = node.runLeaseProxy(ctx) }()
 	go func() { _ = node.watchGate(ctx) }()
 	go func() { _ = node.runShards(ctx) }()
