--- a/internal/cluster/assignment_test.go
+++ b/internal/cluster/assignment_test.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A machine that was another controller's is heard of only after its share was taken
+// A machine that was another controller's is heard of only after its shard was taken
 // back: a start of that controller may still be on its way, under a token of this term
 // or above.
 func TestTaskOnAnAcquiredMachineIsReleasedOnlyUnderANewerToken(t *testing.T) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// A job in a share takes its part of its team's limit until its assignment is gone: less
-// as its tasks end, more where the limit has room.
+// A job in a shard takes its part of its team's quota until its assignment is gone: less
+// as its tasks end, more where the quota has room.
 func TestAssignedJobCountsAgainstTheQuota(t *testing.T) {
 	tc := newTestCluster(t)
 	team := tc.cluster.Teams["team"] // of 8 CPUs
--- a/internal/cluster/compact_test.go
+++ b/internal/cluster/compact_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// describeAllocations lists what a model holds, in a fixed order.
+// describeAllocations lists what a state holds, in a fixed order.
 func describeAllocations(state *cluster.State) []string {
 	var lines []string
 	for _, job := range state.Jobs {
--- a/internal/cluster/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -17,7 +17,7 @@
 }
 
 // Done in memory is not done: until the end is in the store, another leader could
-// find the awaited job withdrawn.
+// find the dependency cancelled.
 func TestTaskStartsOnlyOnceEachDependencysFinalStatusIsStored(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
@@ -49,7 +49,7 @@
 	}
 }
 
-// Nothing is known of an awaited job: it may have been withdrawn under an earlier
+// Nothing is known of a dependency: it may have been cancelled under an earlier
 // leader and have left the lists.
 func TestUnknownDependencyIsNeverTakenForDone(t *testing.T) {
 	tc := newTestCluster(t)
@@ -94,7 +94,7 @@
 	}
 }
 
-// A job is answered `done` to its withdrawal: what comes after it goes on.
+// A job is answered `done` to its cancellation: what comes after it goes on.
 func TestCancellationAfterCompletionLetsDependentsStart(t *testing.T) {
 	tc := newTestCluster(t)
 	dependency := tc.submitSpec(pipelineJob("j-1"))
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A machine's reports arrived, but no answer and no command reached it.
+// A machine's heartbeats arrived, but no response and no command reached it.
 func TestMachineWhoseResponsesAreLostTakesNoTasksUntilTheyArrive(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
 	tc.startTasks(agent)
@@ -16,7 +16,7 @@
 	for range 2 {
 		tc.token++
 		tc.now += 6 * micro.Second
-		tc.heartbeatWithResponseLost(agent) // its report comes, the answer is lost
+		tc.heartbeatWithResponseLost(agent) // its heartbeat comes, the response is lost
 	}
 	if machine.ResponsesLikelyLost() {
 		t.Fatal("one lost answer is no sign: the report after it was sent before the token was told")
@@ -32,18 +32,18 @@
 	tc.submit("j-2", wire.JobArray, 1, 1)
 	tc.expectScheduled(0)
 	tc.expectAllocations(job, 1) // what it runs goes elsewhere only once proven free
-	agent.Epoch++                // its lease ran out, since no answer arrived
+	agent.Epoch++                // its lease ran out, since no response arrived
 	clear(agent.Tasks)
 	tc.heartbeatWithResponseLost(agent)
 	tc.expectAllocations(job, 0)
 	tc.expectScheduled(0)
-	tc.heartbeat(agent) // now an answer arrives
+	tc.heartbeat(agent) // now a response arrives
 	tc.heartbeat(agent)
 	tc.expectScheduled(2)
 }
 
-// Copies of reports come seconds to minutes late. A copy of a report that was
-// read is older than what is known; one of a report that was lost looks new.
+// Copies of heartbeats come seconds to minutes late. A copy of a heartbeat that was
+// read is older than what is known; one of a heartbeat that was lost looks new.
 func TestDuplicateHeartbeatsAreNoProofOfLife(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
@@ -80,7 +80,7 @@
 	}
 }
 
-// A new leader knows no newer report, and no list of machines that are gone.
+// A new leader knows no newer heartbeat, and no list of machines that are gone.
 func TestDuplicateHeartbeatsToANewLeaderChangeNothing(t *testing.T) {
 	tc, agent, _ := newClusterWithTask(t, 4)
 	before := agent.Heartbeat() // sent before the start arrived
@@ -108,7 +108,7 @@
 	}
 }
 
-// Silent for a moment and back, in the same session or the next.
+// Silent for a moment and back, in the same epoch or the next.
 func TestReturningMachineKeepsItsAllocationsOnlyInTheSameAgentEpoch(t *testing.T) {
 	for _, newEpoch := range []bool{false, true} {
 		tc := newTestCluster(t)
@@ -140,7 +140,7 @@
 	}
 }
 
-// A zone was cut off. Until its machines' reports were overdue, work was placed
+// A zone was partitioned. Until its machines' heartbeats were overdue, work was placed
 // there, and stayed until the cut ended.
 func TestUnreachableMachinesTakeNoTasksUntilTheirNextHeartbeat(t *testing.T) {
 	tc := newTestCluster(t)
--- a/internal/cluster/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -9,8 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// newClusterAtQuota is a site whose team's limit of 8 CPUs is used up by a job on m1 and m2,
-// each of whose tasks runs there; m3 stands empty, and j-2 waits for the limit.
+// newClusterAtQuota is a site whose team's quota of 8 CPUs is used up by a job on m1 and m2,
+// each of whose tasks runs there; m3 stands empty, and j-2 waits for the quota.
 func newClusterAtQuota(t *testing.T) (tc *testCluster, m1, m2 *fake.Agent) {
 	t.Helper()
 	tc = newTestCluster(t)
@@ -26,8 +26,8 @@
 	return tc, m1, m2
 }
 
-// failOverWithAgent is a new leader that finds j-1's end in the store, before its places, and
-// hears the given worker only.
+// failOverWithAgent is a new leader that finds j-1's final status in the store, before its
+// allocations, and hears from the given agent only.
 func (tc *testCluster) failOverWithAgent(revision uint64, agent *fake.Agent) {
 	tc.startTerm(revision)
 	for _, spec := range tc.jobs {
@@ -44,7 +44,7 @@
 	tc.heartbeat(agent)
 }
 
-// The machines of a withdrawn job are cut off: whichever leader comes, the limit
+// The machines of a cancelled job are partitioned: whichever leader comes, the quota
 // counts what may still run there until the lease is out, counted anew by each.
 func TestQuotaCountsPartitionedAllocationsUnderEachLeader(t *testing.T) {
 	tc, _, _ := newClusterAtQuota(t)
@@ -66,7 +66,7 @@
 }
 
 // A machine hangs and comes back within its lease: its task ends then, and the
-// limit is free at the next pass after that proof, not before.
+// quota is free at the next pass after that proof, not before.
 func TestQuotaCountsHungTasksUntilProvenReleased(t *testing.T) {
 	tc, m1, m2 := newClusterAtQuota(t)
 	tc.cancel()
@@ -77,7 +77,7 @@
 	tc.heartbeat(m2) // the start
 	tc.now += 5 * micro.Second
 	tc.failOverWithAgent(3, m2)
-	tc.expectQuotaUsed(8) // what hangs, and the place that the last leader gave
+	tc.expectQuotaUsed(8) // what hangs, and the allocation that the last leader gave
 	tc.expectScheduled(0)
 	tc.heartbeat(m1) // hears of the stop
 	tc.expectQuotaUsed(8)
@@ -89,7 +89,7 @@
 }
 
 // A start that went out directly and was left unanswered may run as long as the
-// worker has not seen a newer token, whatever its reports say, and whichever
+// agent has not seen a newer token, whatever its heartbeats say, and whichever
 // leader reads them.
 func TestQuotaCountsUnansweredDispatchedStarts(t *testing.T) {
 	tc := newTestCluster(t)
@@ -128,8 +128,8 @@
 	tc.expectQuotaUsed(8)
 }
 
-// A job withdrawn under one leader is withdrawn under the next, whose picture of
-// it comes from the records: a place on a machine that nobody has described yet
+// A job cancelled under one leader is cancelled under the next, whose picture of
+// it comes from the records: an allocation on a machine that nobody has described yet
 // counts as much.
 func TestQuotaCountsAllocationsOnMachinesRegisteringAfterFailover(t *testing.T) {
 	tc, m1, m2 := newClusterAtQuota(t)
--- a/internal/cluster/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// What is over, but for a place that is not proven free, still takes part of its
-// team's limit; and an end that a waiting job names is what that job waits for.
+// What is over, but for an allocation that is not proven free, still takes part of its
+// team's quota; and a final status that a waiting job names is what that job waits for.
 func TestPruneKeepsWhatIsStillNeeded(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
--- a/internal/cluster/scenario_test.go
+++ b/internal/cluster/scenario_test.go
@@ -24,7 +24,7 @@
 	tc.expectAllocations(job, 1)
 	tc.expectScheduled(0)
 	tc.heartbeat(agent)
-	tc.expectAllocations(job, 1) // that report may be older than a start of the last term
+	tc.expectAllocations(job, 1) // that heartbeat may be older than a start of the last term
 	tc.expectScheduled(0)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 0)
@@ -40,9 +40,9 @@
 	}
 }
 
-// A leader gave a place up that had never been started and used the limit for
+// A leader gave an allocation up that had never been started and used the quota for
 // another, whose record it wrote first. The next leader read both, and started
-// both: the team was over its limit.
+// both: the team was over its quota.
 func TestAllocationReleasedByThePreviousLeaderIsNotStarted(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 4
@@ -70,7 +70,7 @@
 	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
 }
 
-// A report of an earlier attempt reached the next leader before any other. It took
+// A heartbeat of an earlier attempt reached the next leader before any other. It took
 // the attempt for one that the records lacked, wrote it down, and the leader after
 // that started it once more, while the task ran elsewhere.
 func TestAttemptFromAStaleHeartbeatIsNeverStartedAgain(t *testing.T) {
@@ -119,7 +119,7 @@
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 1) // absent, but the start may still run
 	tc.token++
-	tc.heartbeat(agent) // the worker sees the newer token
+	tc.heartbeat(agent) // the agent sees the newer token
 	tc.heartbeat(agent) // and says so
 	tc.expectAllocations(job, 0)
 	if _, ok := agent.HandleDispatch(late); ok || len(agent.StartedTasks) != 0 {
@@ -240,7 +240,7 @@
 		tc.heartbeat(first)
 		tc.heartbeat(first)
 		tc.expectAllocations(job, 1)
-		tc.expectScheduled(0) // the other member still holds its place
+		tc.expectScheduled(0) // the other member still holds its allocation
 		tc.token++
 		tc.heartbeat(second)
 		tc.heartbeat(second)
@@ -269,7 +269,7 @@
 	}
 }
 
-// A restored place was counted under no zone until its machine was described,
+// A restored allocation was counted under no zone until its machine was described,
 // and a spread service put both tasks into one zone.
 func TestSpreadHoldsForAllocationsInUnknownZones(t *testing.T) {
 	tc := newTestCluster(t)
@@ -377,13 +377,13 @@
 	}
 }
 
-// After an outage that outlived its lease, a worker answered a direct order before
-// it reported, and hung then. Its session had just begun, and was given up by the
-// last answer to the session before: its tasks started elsewhere beside it.
+// After an outage that outlived its lease, an agent responded to a dispatch before
+// it sent a heartbeat, and hung then. Its epoch had just begun, and was given up by the
+// last response to the epoch before: its tasks started elsewhere beside it.
 func TestLeaseOfAnAgentEpochSeenInADispatchResponseCountsFromThen(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	tc.now += leaseDuration + 10*micro.Second // nobody answers
+	tc.now += leaseDuration + 10*micro.Second // nobody responds
 	if !agent.ExpireLease(tc.now) {
 		t.Fatal("its lease should have run out")
 	}
--- a/internal/cluster/wait_test.go
+++ b/internal/cluster/wait_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A machine that left an order unanswered, or whose zone's controllers are out of
-// touch, takes tasks again with its next report.
+// A machine that left a dispatch unanswered, or whose zone's controllers are out of
+// touch, takes tasks again with its next heartbeat.
 func TestMachineTakesTasksAtOnceAfterItsNextHeartbeat(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
