--- a/internal/cluster/quarantine.go
+++ b/internal/cluster/quarantine.go
@@ -110,17 +110,21 @@
 	return nil
 }
 
+// MachineCount is the number of machines.
 func (f *fleetFailures) MachineCount() int { return len(f.Machines) }
 
+// ProvenElsewhere reports whether a job is known whose tasks do well elsewhere.
 func (f *fleetFailures) ProvenElsewhere(id string, now micro.Time) bool {
 	job := f.Jobs[id]
 	return job != nil && job.proven(now)
 }
 
+// Quarantined tells operators that a machine is quarantined.
 func (f *fleetFailures) Quarantined(machine string) {
 	f.Log("machine avoided", "machine", machine, "why", "several jobs failed on it")
 }
 
+// QuarantineLifted tells operators that a quarantine is over, and has tasks scheduled there.
 func (f *fleetFailures) QuarantineLifted(machine string) {
 	f.Log("machine trusted", "machine", machine, "why", "what failed on it fails elsewhere too")
 	f.ScheduleSoon()
--- a/internal/cluster/records/chunk.go
+++ b/internal/cluster/records/chunk.go
@@ -41,15 +41,15 @@
 }
 
 // AddDone notes that a task is done. Tasks are added in their order.
-func (c *Chunk) AddDone(task int) {
-	if ranges := len(c.Done); ranges > 0 && c.Done[ranges-1][1] == task-1 {
-		c.Done[ranges-1][1] = task
+func (r *Chunk) AddDone(task int) {
+	if ranges := len(r.Done); ranges > 0 && r.Done[ranges-1][1] == task-1 {
+		r.Done[ranges-1][1] = task
 		return
 	}
-	c.Done = append(c.Done, [2]int{task, task})
+	r.Done = append(r.Done, [2]int{task, task})
 }
 
 // SortAllocations puts the allocations in the order of their tasks.
-func (c *Chunk) SortAllocations() {
-	sort.Slice(c.Allocations, func(a, b int) bool { return c.Allocations[a].Index < c.Allocations[b].Index })
+func (r *Chunk) SortAllocations() {
+	sort.Slice(r.Allocations, func(a, b int) bool { return r.Allocations[a].Index < r.Allocations[b].Index })
 }
