--- a/internal/scheduler/best_effort_test.go
+++ b/internal/scheduler/best_effort_test.go
@@ -18,6 +18,7 @@
 	smallArrays []*cluster.Job
 	singleTasks []*cluster.Job
 
+	submitted     int
 	otherTeamDone int // tasks of the other teams
 	maxReserved   int // machines that were gathered at a time
 }
@@ -30,6 +31,7 @@
 func runBestEffortScenario(
 	t *testing.T, span micro.Time, otherClasses int, configure func(*Scheduler),
 ) *bestEffortScenario {
+	t.Helper()
 	scenario := &bestEffortScenario{simulation: newSimulation(t, bestEffortMachines, 0)}
 	if configure != nil {
 		configure(scenario.scheduler)
@@ -37,58 +39,70 @@
 	totalCPUs := float64(8 * bestEffortMachines)
 	scenario.cluster.Teams["host"] = &cluster.Team{Name: "host", GuaranteedCPUs: totalCPUs}
 	scenario.cluster.Teams["guest"] = &cluster.Team{Name: "guest", CPULimit: totalCPUs / 2}
-	submitted := 0
-	submit := func(team, class string, priority wire.Priority, tasks int) *cluster.Job {
-		submitted++
-		return scenario.cluster.AddJob(wire.Job{
-			ID: fmt.Sprint(healthyJobs, 10000+submitted), Team: team, Class: class, Kind: wire.JobArray, Priority: priority,
-			Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds(),
-		}, scenario.now, scenario.now)
+	scenario.keepBusy()
+	scenario.runFor(10 * micro.Second)
+	scenario.afterStep = func() {
+		scenario.keepBusy()
+		scenario.maxReserved = max(scenario.maxReserved, scenario.countReserved())
 	}
-	keepBusy := func() { // there is always more of the others' work than capacity
-		waiting := 0
-		for job := range scenario.cluster.PendingJobs {
-			if job.Team.Name == "host" {
-				waiting += job.PendingTasks()
-			}
-		}
-		for ; waiting < 8*bestEffortMachines; waiting += 16 {
-			submit("host", "report", wire.Normal, 16)
+	scenario.submitGuestJobs(otherClasses)
+	for end := scenario.now + span; scenario.now < end; {
+		if len(scenario.singleTasks) < 60 {
+			scenario.singleTasks = append(scenario.singleTasks, scenario.submit("guest", "spellcheck", wire.Low, 1))
 		}
+		scenario.runFor(4 * micro.Second)
 	}
-	keepBusy()
-	scenario.runFor(10 * micro.Second)
-	scenario.afterStep = func() {
-		keepBusy()
-		reserved := 0
-		for _, machine := range scenario.cluster.SortedMachines() {
-			if machine.StarvationReservation && machine.ReservedFor != nil {
-				reserved++
-			}
+	for _, job := range scenario.cluster.Jobs {
+		if job.Team.Name == "host" {
+			scenario.otherTeamDone += job.DoneTasks
 		}
-		scenario.maxReserved = max(scenario.maxReserved, reserved)
 	}
-	scenario.hugeArray = submit("guest", "tagging", wire.Low, 2000)
+	return scenario
+}
+
+func (b *bestEffortScenario) submit(team, class string, priority wire.Priority, tasks int) *cluster.Job {
+	b.submitted++
+	return b.cluster.AddJob(wire.Job{
+		ID: fmt.Sprint(healthyJobs, 10000+b.submitted), Team: team, Class: class, Kind: wire.JobArray, Priority: priority,
+		Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: simulatedRun.Seconds(),
+	}, b.now, b.now)
+}
+
+// submitGuestJobs submits all of the guest team's jobs but the swarm of single tasks.
+func (b *bestEffortScenario) submitGuestJobs(otherClasses int) {
+	b.hugeArray = b.submit("guest", "tagging", wire.Low, 2000)
 	for range 6 {
-		scenario.smallArrays = append(scenario.smallArrays, submit("guest", "crawl", wire.Low, 8))
+		b.smallArrays = append(b.smallArrays, b.submit("guest", "crawl", wire.Low, 8))
 	}
 	for i := range otherClasses {
 		for range 10 {
-			submit("guest", fmt.Sprint("other", i), wire.Low, 1)
+			b.submit("guest", fmt.Sprint("other", i), wire.Low, 1)
 		}
 	}
-	for end := scenario.now + span; scenario.now < end; {
-		if len(scenario.singleTasks) < 60 {
-			scenario.singleTasks = append(scenario.singleTasks, submit("guest", "spellcheck", wire.Low, 1))
+}
+
+// keepBusy submits more of the others' work than there is capacity for.
+func (b *bestEffortScenario) keepBusy() {
+	waiting := 0
+	for job := range b.cluster.PendingJobs {
+		if job.Team.Name == "host" {
+			waiting += job.PendingTasks()
 		}
-		scenario.runFor(4 * micro.Second)
 	}
-	for _, job := range scenario.cluster.Jobs {
-		if job.Team.Name == "host" {
-			scenario.otherTeamDone += job.DoneTasks
+	for ; waiting < 8*bestEffortMachines; waiting += 16 {
+		b.submit("host", "report", wire.Normal, 16)
+	}
+}
+
+// countReserved counts the machines that are held for work that waited long.
+func (b *bestEffortScenario) countReserved() int {
+	reserved := 0
+	for _, machine := range b.cluster.SortedMachines() {
+		if machine.StarvationReservation && machine.ReservedFor != nil {
+			reserved++
 		}
 	}
-	return scenario
+	return reserved
 }
 
 // countStartedWithin counts the jobs whose first task began to run within a time of their
@@ -113,7 +127,9 @@
 func TestTeamWithoutGuaranteeIsServedByStarvationReservations(t *testing.T) {
 	const limit = 4 * micro.Minute
 	scenario := runBestEffortScenario(t, bestEffortDuration, 0, nil)
-	for class, jobs := range map[string][]*cluster.Job{"tagging": {scenario.hugeArray}, "crawl": scenario.smallArrays, "spellcheck": scenario.singleTasks} {
+	for class, jobs := range map[string][]*cluster.Job{
+		"tagging": {scenario.hugeArray}, "crawl": scenario.smallArrays, "spellcheck": scenario.singleTasks,
+	} {
 		started := scenario.countStartedWithin(jobs, limit)
 		t.Logf("%s: %d of %d began within four minutes", class, started, len(jobs))
 		if 2*started < len(jobs) {
--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -53,6 +53,7 @@
 )
 
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
+	t.Helper()
 	sim := &simulation{
 		t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*cluster.TaskChunk]bool{},
 		stateSince: map[string]micro.Time{}, failsAfter: micro.Second, starts: map[string]int{}, writes: map[string]int{},
@@ -259,10 +260,8 @@
 		sim.quarantinedFor(faultyMachines).Seconds(),
 	)
 	// In five minutes: three tries at once, then pauses of 8, 16 and 32 s.
-	for id, count := range sim.starts {
-		if strings.HasPrefix(id, failingJobs) && (count > 14 || count < 4) {
-			t.Errorf("%s was started %d times", id, count)
-		}
+	for id, count := range sim.startsOutside(failingJobs, 4, 14) {
+		t.Errorf("%s was started %d times", id, count)
 	}
 	if starts > 12*failingCount || writes > 4*starts {
 		t.Errorf("%d starts and %d writes for %d jobs", starts, writes, failingCount)
@@ -289,6 +288,17 @@
 	}
 }
 
+// startsOutside lists the jobs of a name's beginning that were started more or less often.
+func (s *simulation) startsOutside(prefix string, least, most int) map[string]int {
+	found := map[string]int{}
+	for id, count := range s.starts {
+		if strings.HasPrefix(id, prefix) && (count > most || count < least) {
+			found[id] = count
+		}
+	}
+	return found
+}
+
 // An array that fails everywhere took all the capacity there was, again and again: each
 // time that it was tried, with as many tasks as fitted.
 func TestArrayThatFailsEverywhereIsRetriedWithFewTasks(t *testing.T) {
@@ -300,51 +310,60 @@
 		// After that, four at a time with 32 s between them.
 		maxStartsAfter = 60
 	)
-	for _, tasks := range []int{2000, 20000} {
-		for _, failsAfter := range []micro.Time{micro.Second, 4 * micro.Second} {
-			sim := newSimulation(t, machines, 0)
-			sim.failsAfter = failsAfter
-			job := sim.submitArray(failingJobs+"001", tasks)
-			for job.NotBefore <= sim.now {
-				sim.step()
-			}
-			atFirst := sim.starts[job.Spec.ID]
-			sim.runFor(5 * micro.Minute)
-			after := sim.starts[job.Spec.ID] - atFirst
-			t.Logf(
-				"%d tasks that fail after %v s: %d starts until it counts as failing everywhere, %d in five minutes after that, %d writes",
-				tasks,
-				failsAfter.Seconds(),
-				atFirst,
-				after,
-				sim.writes[job.Spec.ID],
+	for _, test := range []struct {
+		tasks      int
+		failsAfter micro.Time
+	}{
+		{2000, micro.Second},
+		{2000, 4 * micro.Second},
+		{20000, micro.Second},
+		{20000, 4 * micro.Second},
+	} {
+		tasks, failsAfter := test.tasks, test.failsAfter
+		sim := newSimulation(t, machines, 0)
+		sim.failsAfter = failsAfter
+		job := sim.submitArray(failingJobs+"001", tasks)
+		sim.runUntilBackoff(job)
+		atFirst := sim.starts[job.Spec.ID]
+		sim.runFor(5 * micro.Minute)
+		after := sim.starts[job.Spec.ID] - atFirst
+		t.Logf(
+			"%d tasks that fail after %v s: %d starts until it counts as failing everywhere, "+
+				"%d in five minutes after that, %d writes",
+			tasks, failsAfter.Seconds(), atFirst, after, sim.writes[job.Spec.ID],
+		)
+		if atFirst > maxStartsAtFirst || after > maxStartsAfter {
+			t.Errorf("%d tasks: %d starts at first, %d in five minutes after that", tasks, atFirst, after)
+		}
+		if after < 2 {
+			t.Errorf("%d tasks: tried %d times in five minutes", tasks, after)
+		}
+		if maxWrites := 4 * (atFirst + after); sim.writes[job.Spec.ID] > maxWrites {
+			t.Errorf("%d tasks: %d writes", tasks, sim.writes[job.Spec.ID])
+		}
+		if got := sim.quarantinedFor(healthyMachines); got > 5*micro.Second || sim.completedRuns > 0 {
+			t.Errorf("%d tasks: machines avoided for %v s, speeds learnt from %d runs", tasks, got.Seconds(), sim.completedRuns)
+		}
+		sim.cluster.FinalizeJob(job, true, sim.now)
+		sim.runFor(2 * micro.Second)
+		starts := sim.starts[job.Spec.ID]
+		sim.runFor(micro.Minute)
+		if job.AllocationCount > 0 || sim.starts[job.Spec.ID] > starts {
+			t.Errorf(
+				"%d tasks: cancelled, and %d places held, %d more starts", tasks, job.AllocationCount,
+				sim.starts[job.Spec.ID]-starts,
 			)
-			if atFirst > maxStartsAtFirst || after > maxStartsAfter {
-				t.Errorf("%d tasks: %d starts at first, %d in five minutes after that", tasks, atFirst, after)
-			}
-			if after < 2 {
-				t.Errorf("%d tasks: tried %d times in five minutes", tasks, after)
-			}
-			if maxWrites := 4 * (atFirst + after); sim.writes[job.Spec.ID] > maxWrites {
-				t.Errorf("%d tasks: %d writes", tasks, sim.writes[job.Spec.ID])
-			}
-			if got := sim.quarantinedFor(healthyMachines); got > 5*micro.Second || sim.completedRuns > 0 {
-				t.Errorf("%d tasks: machines avoided for %v s, speeds learnt from %d runs", tasks, got.Seconds(), sim.completedRuns)
-			}
-			sim.cluster.FinalizeJob(job, true, sim.now)
-			sim.runFor(2 * micro.Second)
-			starts := sim.starts[job.Spec.ID]
-			sim.runFor(micro.Minute)
-			if job.AllocationCount > 0 || sim.starts[job.Spec.ID] > starts {
-				t.Errorf(
-					"%d tasks: cancelled, and %d places held, %d more starts", tasks, job.AllocationCount,
-					sim.starts[job.Spec.ID]-starts,
-				)
-			}
 		}
 	}
 }
 
+// runUntilBackoff lets time go by until a job counts as failing everywhere.
+func (s *simulation) runUntilBackoff(job *cluster.Job) {
+	for job.NotBefore <= s.now {
+		s.step()
+	}
+}
+
 // On two machines a job never fails on three: an array went on without end, as
 // fast as its tasks failed.
 func TestArrayThatFailsOnTheOnlyTwoMachinesIsRetriedSeldom(t *testing.T) {
@@ -358,6 +377,7 @@
 
 // timeToFill is how long a large sound array takes until it has all the capacity.
 func timeToFill(t *testing.T, machines, faulty int) (*simulation, micro.Time) {
+	t.Helper()
 	sim := newSimulation(t, machines, faulty)
 	job := sim.submitArray(healthyJobs+"001", 20000)
 	from := sim.now
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -80,7 +80,8 @@
 		t.Errorf("%d machines are clear, want %d", got, gpuTasksPerWindow)
 	}
 	// All other capacity is used: whole machines, and what GPU tasks leave beside them.
-	if want := 24*(gpuMachines-1-gpuTasksPerWindow) + cpusBesideGPUTask*(1+gpuTasksPerWindow); idle.AllocationCount != want {
+	want := 24*(gpuMachines-1-gpuTasksPerWindow) + cpusBesideGPUTask*(1+gpuTasksPerWindow)
+	if idle.AllocationCount != want {
 		t.Errorf("%d idle tasks were placed, want %d", idle.AllocationCount, want)
 	}
 }
--- a/internal/scheduler/relaxation_test.go
+++ b/internal/scheduler/relaxation_test.go
@@ -22,6 +22,7 @@
 }
 
 func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(
 		&wire.Catalog{
@@ -114,7 +115,9 @@
 	fail := func(now micro.Time) { machine.QuarantinedUntil, machine.LastFaultAt = now+10*micro.Minute, now }
 	fail(micro.Second)
 	tc.addMachine("gpu-1", "gpu", "a")
-	tc.scheduler.WithinPrice = func(_ *cluster.Job, typ *cluster.MachineType, _ bool, _ micro.Time) bool { return typ.GPUs == 0 }
+	tc.scheduler.WithinPrice = func(_ *cluster.Job, typ *cluster.MachineType, _ bool, _ micro.Time) bool {
+		return typ.GPUs == 0
+	}
 	if _, machineName := tc.runUntilAllocated(
 		tc.submitArray("j-1", 1, 4, micro.Second), 1, micro.Second, nil,
 	); machineName != "gpu-1" {
@@ -335,31 +338,7 @@
 // been there for a while, and not if it fails too.
 func TestOneJobProbesAQuarantinedMachineBeforeOthers(t *testing.T) {
 	for _, fails := range []bool{false, true} {
-		tc := newTestCluster(t)
-		machine := tc.addMachine("i-1", "small", "a")
-		machine.QuarantinedUntil, machine.LastFaultAt = 10*micro.Minute, micro.Second
-		for i := range 4 {
-			tc.submitArray("j-"+strconv.Itoa(1+i), 1, 1, micro.Second)
-		}
-		first, all := micro.Time(0), micro.Time(0)
-		for now := micro.Second; now < 4*micro.Minute && all == 0; now += micro.Second {
-			tc.scheduler.Schedule(now)
-			switch count := len(machine.Allocations); {
-			case count == 1 && first == 0:
-				first = now
-				if fails {
-					tc.cluster.StopAllocation(machine.SortedAllocations()[0], "failed", 0, now) // still planned: free at once
-					machine.LastFaultAt = now
-				}
-			case count > 1:
-				all = now
-				if count < 4 && !fails {
-					t.Fatalf("%d follow", count-1)
-				}
-			case fails && count == 1:
-				all = now // the next try
-			}
-		}
+		first, all := probeQuarantinedMachine(t, fails)
 		wait := all - first
 		if first-micro.Second != overdueAfter || !fails && (wait < probationPeriod || all > maxOverdueWait) ||
 			fails && wait != overdueAfter {
@@ -367,3 +346,34 @@
 		}
 	}
 }
+
+// probeQuarantinedMachine lets four jobs wait for a machine that is avoided, and says when the
+// first tried it, and when the others followed or, if that failed, it was tried again.
+func probeQuarantinedMachine(t *testing.T, fails bool) (first, all micro.Time) {
+	t.Helper()
+	tc := newTestCluster(t)
+	machine := tc.addMachine("i-1", "small", "a")
+	machine.QuarantinedUntil, machine.LastFaultAt = 10*micro.Minute, micro.Second
+	for i := range 4 {
+		tc.submitArray("j-"+strconv.Itoa(1+i), 1, 1, micro.Second)
+	}
+	for now := micro.Second; now < 4*micro.Minute && all == 0; now += micro.Second {
+		tc.scheduler.Schedule(now)
+		switch count := len(machine.Allocations); {
+		case count == 1 && first == 0:
+			first = now
+			if fails {
+				tc.cluster.StopAllocation(machine.SortedAllocations()[0], "failed", 0, now) // still planned: free at once
+				machine.LastFaultAt = now
+			}
+		case count > 1:
+			all = now
+			if count < 4 && !fails {
+				t.Fatalf("%d follow", count-1)
+			}
+		case fails && count == 1:
+			all = now // the next try
+		}
+	}
+	return first, all
+}
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -13,11 +13,11 @@
 
 type discardEffects struct{ cluster.Effects }
 
-func (discardEffects) ScheduleSoon()                   {}
-func (discardEffects) Log(string, ...any)              {}
-func (discardEffects) ChunkDirty(*cluster.TaskChunk)   {}
-func (discardEffects) ChunkUrgent(*cluster.TaskChunk)  {}
-func (discardEffects) DispatchSoon(m *cluster.Machine) {}
+func (discardEffects) ScheduleSoon()                  {}
+func (discardEffects) Log(string, ...any)             {}
+func (discardEffects) ChunkDirty(*cluster.TaskChunk)  {}
+func (discardEffects) ChunkUrgent(*cluster.TaskChunk) {}
+func (discardEffects) DispatchSoon(*cluster.Machine)  {}
 
 // newLargeCluster is a cluster with a job of the most tasks and more machines than a
 // sample holds.
@@ -80,6 +80,42 @@
 	return best.machine
 }
 
+// holdImageOnOneInFour notes the one image on one machine in four.
+func holdImageOnOneInFour(rng *rand.Rand, images cluster.ImageRecord, machine *cluster.Machine) {
+	if rng.IntN(4) == 0 {
+		images.Machines[machine.Name] = []int{0}
+	}
+}
+
+// gpusOfOneInFour is some GPUs for one job in four.
+func gpusOfOneInFour(rng *rand.Rand) float64 {
+	if rng.IntN(4) > 0 {
+		return 0
+	}
+	return float64(1 + rng.IntN(4))
+}
+
+// releaseOneInThree releases an allocation one in three times, and lists those that are left.
+func releaseOneInThree(
+	rng *rand.Rand, state *cluster.State, allocations []*cluster.Allocation, now micro.Time,
+) []*cluster.Allocation {
+	if len(allocations) == 0 || rng.IntN(3) > 0 {
+		return allocations
+	}
+	released := rng.IntN(len(allocations))
+	state.StopAllocation(allocations[released], "over", 0, now) // still planned: free at once
+	return append(allocations[:released], allocations[released+1:]...)
+}
+
+// changeRandomMachine lets one in five times a machine fall silent, or a silent one report.
+func changeRandomMachine(state *cluster.State, rng *rand.Rand) {
+	machines := state.SortedMachines()
+	if machine := machines[rng.IntN(len(machines))]; rng.IntN(5) == 0 {
+		next := map[cluster.MachineState]cluster.MachineState{cluster.Up: cluster.Suspect, cluster.Suspect: cluster.Up}
+		state.TransitionMachine(machine, next[machine.State], "test")
+	}
+}
+
 // The rows by capacity must give the very machine that a full search gives, on any
 // fleet and through any history of allocations, freed capacity and states.
 func TestPoolRowsMatchAFullSearch(t *testing.T) {
@@ -93,16 +129,12 @@
 		}})
 		state.Types["large"].SpeedFactor, state.Types["gpu"].SpeedFactor = 0.5+rng.Float64(), 0.5+rng.Float64()
 		names := []string{"small", "large", "gpu"}
-		images, index := cluster.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}, []int{
-			0,
-		}
+		images := cluster.ImageRecord{Names: []string{"image"}, GB: []float64{9}, Machines: map[string][]int{}}
 		for i := range 60 {
 			machine := state.EnsureMachine("i-"+strconv.Itoa(100+i), 1)
 			state.DescribeMachine(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
 			state.TransitionMachine(machine, cluster.Up, "reports")
-			if rng.IntN(4) == 0 {
-				images.Machines[machine.Name] = index
-			}
+			holdImageOnOneInFour(rng, images, machine)
 		}
 		state.RestoreImages(images, 1)
 		properties := config.Defaults()
@@ -116,9 +148,7 @@
 				CPUs: float64(1+rng.IntN(60)) / 10, MemoryGB: float64(rng.IntN(200)) / 10, Image: "image",
 				ImageGB: float64(rng.IntN(9)), Spot: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0,
 			}
-			if rng.IntN(4) == 0 {
-				spec.GPUs = float64(1 + rng.IntN(4))
-			}
+			spec.GPUs = gpusOfOneInFour(rng)
 			job := state.AddJob(spec, 0, 0)
 			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(&placementRequest{job: job, now: now})
 			if want != got {
@@ -126,22 +156,11 @@
 			}
 			if got != nil {
 				found++
-				allocations = append(
-					allocations, state.Allocate(job, 0, got, 1, ScaledCPUs(spec.CPUs, got.Type.SpeedFactor, got.Type.CPUs), now),
-				)
-			}
-			if len(allocations) > 0 && rng.IntN(3) == 0 {
-				released := rng.IntN(len(allocations))
-				state.StopAllocation(allocations[released], "over", 0, now) // still planned: free at once
-				allocations = append(allocations[:released], allocations[released+1:]...)
-			}
-			if machine := state.SortedMachines()[rng.IntN(60)]; rng.IntN(5) == 0 {
-				state.TransitionMachine(
-					machine,
-					map[cluster.MachineState]cluster.MachineState{cluster.Up: cluster.Suspect, cluster.Suspect: cluster.Up}[machine.State],
-					"test",
-				)
+				scaled := ScaledCPUs(spec.CPUs, got.Type.SpeedFactor, got.Type.CPUs)
+				allocations = append(allocations, state.Allocate(job, 0, got, 1, scaled, now))
 			}
+			allocations = releaseOneInThree(rng, state, allocations, now)
+			changeRandomMachine(state, rng)
 		}
 		if found < 50 {
 			t.Fatalf("seed %d compared only %d choices", seed, found)
@@ -154,6 +173,7 @@
 func BenchmarkScheduleFull(b *testing.B) { benchmarkSchedule(b, 1<<30) }
 
 func benchmarkSchedule(b *testing.B, sampleAbove int) {
+	b.Helper()
 	scheduler := newLargeCluster(50)
 	scheduler.Properties.SampleAbovePending, scheduler.Overloaded = sampleAbove, true
 	for range 100 {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -21,6 +21,7 @@
 }
 
 func newContendedCluster(t *testing.T, machines int) *contendedCluster {
+	t.Helper()
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 16}}})
 	for i := range machines {
@@ -52,18 +53,24 @@
 	return cc.cluster.AddJob(spec, now, now)
 }
 
+// finishOldJobs ends the other jobs that have run for their 3 to 6 seconds.
+func (cc *contendedCluster) finishOldJobs(now micro.Time) {
+	for other, started := range cc.startedAt {
+		id := other.Spec.ID
+		if now-started >= micro.Time(3+len(id)%2+int(id[len(id)-1])%3)*micro.Second {
+			cc.cluster.FinalizeJob(other, true, now)
+			delete(cc.startedAt, other)
+		}
+	}
+}
+
 // runUntilAllocated lets more work come than there is capacity for, until the job holds its
 // places, and says how long that took; 0 if it never did. The other work takes
 // some seconds each, so that machines come free one by one.
 func (cc *contendedCluster) runUntilAllocated(job *cluster.Job, want int, submitMore func(now micro.Time)) micro.Time {
 	for now := micro.Second; now < 10*micro.Minute; now += micro.Second {
 		submitMore(now)
-		for other, started := range cc.startedAt {
-			if now-started >= micro.Time(3+len(other.Spec.ID)%2+int(other.Spec.ID[len(other.Spec.ID)-1])%3)*micro.Second {
-				cc.cluster.FinalizeJob(other, true, now)
-				delete(cc.startedAt, other)
-			}
-		}
+		cc.finishOldJobs(now)
 		cc.scheduler.Schedule(now)
 		if team := cc.cluster.Teams["team"]; team.UsedGPU > team.GPULimit {
 			cc.t.Fatalf("%v GPUs used of %v", team.UsedGPU, team.GPULimit)
