--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -89,7 +89,7 @@
 }
 
 // updateHeadroom keeps the count of clear machines while a pass places tasks; it is told
-// before a task takes its place on a machine.
+// before a task is allocated to a machine.
 func (s *Scheduler) updateHeadroom(job *cluster.Job, m *cluster.Machine) {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -27,7 +27,8 @@
 	return false
 }
 
-// ZoneAllowed checks one-zone and spread rules against every place still taken.
+// ZoneAllowed checks the one-zone and spread constraints against every allocation not proven
+// free, and against those that are planned by zone.
 func ZoneAllowed(job *cluster.Job, zone string, tasksByZone map[string]int) bool {
 	if job.Spec.OneZone {
 		for z, n := range job.AllocationsByZone {
@@ -36,7 +37,7 @@
 			}
 		}
 	}
-	// A place in a zone that is not known may be in this one.
+	// An allocation in a zone that is not known may be in this one.
 	if job.Spec.Spread &&
 		job.AllocationsByZone[zone]+job.AllocationsByZone[""]+tasksByZone[zone]+1 > (len(job.Tasks)+1)/2 {
 		return false
@@ -65,7 +66,7 @@
 
 // keepsGPUHeadroom reports whether a job without GPUs leaves a GPU machine capacity for the
 // GPU jobs seen so far: a GPU that lacks CPUs beside it serves nobody. Work that
-// can save, and yields to the GPU jobs' rank well within the time they have to
+// can save, and yields to the GPU jobs' priority well within the time they have to
 // start, may use the capacity meanwhile.
 func (s *Scheduler) keepsGPUHeadroom(job *cluster.Job, machine *cluster.Machine) bool {
 	if job.Spec.GPUs > 0 || machine.Type.GPUs == 0 {
@@ -299,7 +300,7 @@
 	return best.machine
 }
 
-// tooExpensive reports whether a pool's price keeps the job from it. A dear machine pinned
+// tooExpensive reports whether a pool's price keeps the job from it. An expensive machine pinned
 // by small work costs a large part of the bill; work that is overdue, or of the highest
 // priority and without other capacity, takes it nevertheless.
 func (s *Scheduler) tooExpensive(placement *placementRequest, pool *cluster.MachinePool) bool {
@@ -412,7 +413,7 @@
 }
 
 // reservedForOther reports whether a machine is kept for another job. Reservations follow
-// one another; capacity that none of them used for long is open to late work.
+// one another; capacity that none of them used for long is open to overdue work.
 func (s *Scheduler) reservedForOther(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) &&
 		(s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
@@ -420,11 +421,12 @@
 
 // reservationBlocks reports whether a machine reserved for another job is closed to this
 // one: one that is being cleared by preemption to its priority and those below, one
-// that is gathered for work that waited long to all but the highest priority.
+// that is reserved for work that waited long to all but the highest priority.
 func reservationBlocks(m *cluster.Machine, job *cluster.Job) bool {
 	holder := m.ReservedFor
 	if holder.State != cluster.Active {
 		return false
 	}
-	return holder.PriorityLevel <= job.PriorityLevel || m.StarvationReservation && job.PriorityLevel > 0
+	return holder.PriorityLevel <= job.PriorityLevel ||
+		m.StarvationReservation && job.PriorityLevel > highestPriorityLevel
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -265,7 +265,7 @@
 	return !fits(request, machine, planned, resources{}) || s.mayUse(job, machine, plan.now)
 }
 
-// rejectsPrice reports whether capacity is dear for a job that would not take it once it
+// rejectsPrice reports whether capacity is too expensive for a job that would not take it once it
 // is cleared. Machines that stood empty were reserved for such jobs, again and
 // again, and closed to all others.
 func (s *Scheduler) rejectsPrice(job *cluster.Job, pool *cluster.MachinePool, now micro.Time) bool {
--- a/internal/scheduler/relaxation.go
+++ b/internal/scheduler/relaxation.go
@@ -6,7 +6,7 @@
 )
 
 // The ordinary rules leave capacity unused for good reasons: machines that are
-// avoided, capacity beside idle GPUs, expensive capacity, capacity gathered for others. None of
+// avoided, capacity beside idle GPUs, expensive capacity, capacity reserved for others. None of
 // them knows how long a job has waited. So work that nothing was found for in
 // overdueAfter takes what fits, the ordinary choice first and the avoided machines
 // last.
@@ -21,14 +21,14 @@
 // relaxation says which of the ordinary rules give way.
 type relaxation uint8
 
-// The leeways; each includes those before it.
+// The levels; each includes those before it.
 const (
 	relaxNone         relaxation = iota
 	relaxReservations            // capacity kept for GPU work or held in vain, and expensive capacity
 	relaxQuarantine              // machines that are avoided
 )
 
-// fallbackMachine chooses a machine for a late job's task once nothing was found by the
+// fallbackMachine chooses a machine for an overdue job's task once nothing was found by the
 // ordinary rules. It looks at all machines: samples may miss the only one with
 // capacity.
 func (s *Scheduler) fallbackMachine(placement *placementRequest) *cluster.Machine {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -214,10 +214,17 @@
 	return key, request
 }
 
+// zonesNarrowedByAllocations reports whether the job's own allocations keep it from zones that
+// others like it may use.
+func zonesNarrowedByAllocations(job *cluster.Job) bool {
+	return (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0
+}
+
+// covers reports whether something that asks for no more found no capacity in this pass.
 func (u unschedulable) covers(job *cluster.Job, overdue bool) bool {
 	// Each job of the highest priority is tried by itself: one for which capacity is being
 	// cleared must not keep the next from having capacity cleared too.
-	if len(u) == 0 || job.PriorityLevel == 0 || (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 {
+	if len(u) == 0 || job.PriorityLevel == highestPriorityLevel || zonesNarrowedByAllocations(job) {
 		return false
 	}
 	key, request := unschedulableKeyOf(job, overdue)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -10,16 +10,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Scheduler places tasks on machines.
+// Scheduler chooses machines for tasks. Its fields and those of the cluster are read and changed
+// only on the goroutine that owns the cluster's state; only that calls its methods.
 type Scheduler struct {
 	Cluster    *cluster.State
 	Objectives *Objectives
 	Properties *config.Properties
 	Rand       *rand.Rand
-	// Affordable says whether a job may sit on machines of a type and kind;
+	// WithinPrice says whether a job may use machines of a type and kind, by their price;
 	// nil: always.
 	WithinPrice func(job *cluster.Job, t *cluster.MachineType, spot bool, now micro.Time) bool
-	// Busy is set while passes take too long. With many tasks waiting, each row
+	// Overloaded is set while passes take too long. With many tasks pending, each row
 	// of like machines is then looked at in samples.
 	Overloaded bool
 
@@ -29,10 +30,11 @@
 	reservedMachines map[*cluster.Machine]bool
 	reservations     map[*cluster.Job]zoneReservation
 	maxTasksByClass  map[string]int // the most tasks that a class's jobs have
-	headroom         []gpuHeadroom  // machines kept clear for GPU jobs, as this pass finds them
+	headroom         []gpuHeadroom  // machines kept free for GPU jobs, as this pass finds them
 }
 
-// resources is what a plan has taken of a machine beyond what places hold.
+// resources is what a task asks for, or what a plan has taken of a machine beyond what
+// allocations hold.
 type resources = cluster.Resources
 
 func requestOn(spec *wire.Job, t *cluster.MachineType) resources {
@@ -41,15 +43,16 @@
 	}
 }
 
+// add notes that a job found no capacity.
 func (u unschedulable) add(job *cluster.Job, overdue bool) {
-	if (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0 || len(job.FailedOn) > 0 {
+	if zonesNarrowedByAllocations(job) || len(job.FailedOn) > 0 {
 		return // it alone may have found no capacity
 	}
 	key, request := unschedulableKeyOf(job, overdue)
 	u[key] = append(u[key], request)
 }
 
-// allocationOutcome says how a try to place some of a job's tasks ended.
+// allocationOutcome says how an attempt to place some of a job's tasks ended.
 type allocationOutcome uint8
 
 const (
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,13 +8,13 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Ranks alone would let work of the lowest priority, and the largest gangs and arrays
+// Priorities alone would let work of the lowest priority, and the largest gangs and arrays
 // of any, wait for ever behind a stream of other work. So age counts: for those
-// that have waited longest, capacity is reserved, whatever their rank: machines soon
-// free take nothing else until they fit. Only a few are gathered for at a time:
-// most of the capacity still goes by rank and objective.
+// that have waited longest, capacity is reserved, whatever their priority: machines soon
+// free take nothing else until they fit. It is reserved for a few at a time only:
+// most of the capacity still goes by priority and objective.
 
-// Capacity is gathered for at most maxReservingJobs jobs at a time, and for no more than
+// Capacity is reserved for at most maxReservingJobs jobs at a time, and for no more than
 // one to so many machines.
 const (
 	maxReservingJobs     = 4
@@ -25,6 +25,10 @@
 // the ones that still can come first.
 const largeJobStartTarget = 225 * micro.Second
 
+// earlyStarvationDivisor is the part of the time after which work counts as starved that the
+// largest jobs wait, and that a class or team may go without an allocation.
+const earlyStarvationDivisor = 2
+
 // starved reports whether an old job will not be reached in its turn: the
 // largest, which what comes free is seldom enough for, and those of a class or a
 // team none of whose tasks has been placed for long.
@@ -32,7 +36,7 @@
 	if !s.waitedTooLong(job, now) {
 		return false
 	}
-	since := now - s.Properties.StarvationAfter/2
+	since := now - s.Properties.StarvationAfter/earlyStarvationDivisor
 	return s.amongLargest(job) && !job.Started || job.Class.LastPlacedAt < since ||
 		job.Team != nil && job.Team.LastPlacedAt < since
 }
@@ -44,7 +48,7 @@
 	since micro.Time
 }
 
-// reserveBusyAfter is how long capacity may be gathered from what comes free by itself.
+// reserveBusyAfter is how long capacity may be reserved from what comes free by itself.
 // After that machines are cleared for the job.
 const reserveBusyAfter = 15 * micro.Second
 
@@ -106,7 +110,7 @@
 	}
 }
 
-// minAllocations is how many places a job needs at once.
+// minAllocations is how many allocations a job needs at once.
 func minAllocations(job *cluster.Job) int {
 	if job.Spec.Kind == wire.Gang {
 		return len(job.Tasks)
@@ -223,7 +227,7 @@
 // hasReservation reports whether machines are reserved for the job.
 func (s *Scheduler) hasReservation(job *cluster.Job) bool { return s.countReserved(job) > 0 }
 
-// transferReservation keeps a machine that was gathered for a job for the next of its class and
+// transferReservation keeps a machine that was reserved for a job for the next of its class and
 // team that none was placed of, as long as it would have been kept for the first: a
 // swarm of single tasks got no more than one of them through at a time, once in a
 // minute and a half. None is handed on while one machine to reservedFleetDivisor is held
@@ -267,14 +271,14 @@
 	if tasks > s.maxTasksByClass[job.Spec.Class] {
 		s.maxTasksByClass[job.Spec.Class] = tasks
 	}
-	return tasks > 1 && 4*tasks >= 3*s.maxTasksByClass[job.Spec.Class]
+	return tasks > 1 && 4*tasks >= 3*s.maxTasksByClass[job.Spec.Class] // within a quarter
 }
 
 // waitedTooLong reports whether a job has waited too long; the largest wait half as long.
 func (s *Scheduler) waitedTooLong(job *cluster.Job, now micro.Time) bool {
 	waitLimit := s.Properties.StarvationAfter
 	if s.amongLargest(job) && !job.Started {
-		waitLimit /= 2
+		waitLimit /= earlyStarvationDivisor
 	}
 	return now-job.EligibleSince > waitLimit
 }
