--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -321,19 +321,24 @@
 			if job == nil || job.Spec.Kind == wire.Service && !allocation.Stopping {
 				continue
 			}
-			end := now
-			if !allocation.Stopping {
-				estimate := scheduler.EstimatedRuntime(job)
-				end = now + estimate + micro.FromSeconds(job.Spec.ImageGB/machine.Type.FetchGBPerS)
-				if allocation.RunningSince > 0 {
-					end = max(allocation.RunningSince+estimate, now+estimate/4)
-				}
-			}
-			free.releases = append(
-				free.releases, release{end, max(job.Spec.CPUs, allocation.ScaledCPU), job.Spec.GPUs, job.Spec.MemoryGB},
-			)
+			free.releases = append(free.releases, release{
+				expectedEnd(allocation, machine.Type, now), max(job.Spec.CPUs, allocation.ScaledCPU), job.Spec.GPUs,
+				job.Spec.MemoryGB,
+			})
 		}
 		bins = append(bins, free)
 	}
 	return bins
 }
+
+// expectedEnd is when an allocation of a known job is expected to give its room back.
+func expectedEnd(allocation *cluster.Allocation, typ *cluster.MachineType, now micro.Time) micro.Time {
+	if allocation.Stopping {
+		return now
+	}
+	estimate := scheduler.EstimatedRuntime(allocation.Job)
+	if allocation.RunningSince > 0 {
+		return max(allocation.RunningSince+estimate, now+estimate/4)
+	}
+	return now + estimate + micro.FromSeconds(allocation.Job.Spec.ImageGB/typ.FetchGBPerS)
+}
--- a/internal/autoscaler/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -1,6 +1,7 @@
 package autoscaler
 
 import (
+	"slices"
 	"sort"
 
 	"notchmux.dev/notchmux/internal/cluster"
@@ -20,20 +21,11 @@
 	cordonFleetDivisor = 50                // one machine in so many, at least one, with each plan
 )
 
-// planCordons says which machines are to take nothing more, and which again.
+// planCordons says which machines are to take no new tasks, and which are to take them again.
 func (p *Planner) planCordons(demands []taskDemand, now micro.Time) (cordon, uncordon []*cluster.Machine) {
-	hasShortage := !p.limitsCost()
-	for i := range demands {
-		hasShortage = hasShortage || demands[i].job != nil
-	}
-	if hasShortage {
+	if p.hasShortage(demands) {
 		p.noBacklogSince = 0
-		for _, machine := range p.Cluster.SortedMachines() {
-			if machine.Cordoned {
-				uncordon = append(uncordon, machine)
-			}
-		}
-		return nil, uncordon
+		return nil, p.cordonedMachines()
 	}
 	if p.noBacklogSince == 0 {
 		p.noBacklogSince = now
@@ -41,28 +33,42 @@
 	if now-p.noBacklogSince < cordonDelay {
 		return nil, nil
 	}
-	var used, available cluster.Resources
-	var candidates []*cluster.Machine
+	used, available, candidates := p.shortWorkCapacity(now)
+	sort.SliceStable(candidates, func(a, b int) bool { return pricePerCPU(candidates[a]) > pricePerCPU(candidates[b]) })
+	for _, machine := range candidates[:min(len(candidates), len(p.Cluster.Machines)/cordonFleetDivisor+1)] {
+		available.CPU -= machine.Type.CPUs
+		available.MemoryGB -= machine.Type.MemoryGB
+		if available.CPU < cordonSlack*used.CPU || available.MemoryGB < cordonSlack*used.MemoryGB {
+			break
+		}
+		cordon = append(cordon, machine)
+	}
+	return cordon, nil
+}
+
+// hasShortage reports whether a job waits for room, or cost does not matter.
+func (p *Planner) hasShortage(demands []taskDemand) bool {
+	return !p.limitsCost() || slices.ContainsFunc(demands, func(demand taskDemand) bool { return demand.job != nil })
+}
+
+func (p *Planner) cordonedMachines() []*cluster.Machine {
+	var cordoned []*cluster.Machine
+	for _, machine := range p.Cluster.SortedMachines() {
+		if machine.Cordoned {
+			cordoned = append(cordoned, machine)
+		}
+	}
+	return cordoned
+}
+
+// shortWorkCapacity is what arrays use and what there is for them, and the machines that could do
+// without.
+func (p *Planner) shortWorkCapacity(now micro.Time) (used, available cluster.Resources, candidates []*cluster.Machine) {
 	for _, machine := range p.Cluster.SortedMachines() {
 		if !machine.Schedulable(now) {
 			continue
 		}
-		free, usedByArrays, hasOtherWork := cluster.Resources{
-			CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB,
-		}, cluster.Resources{}, false
-		for _, allocation := range machine.Allocations {
-			if allocation.Job == nil {
-				continue
-			}
-			spec := &allocation.Job.Spec
-			request := cluster.Resources{CPU: spec.CPUs, MemoryGB: spec.MemoryGB}
-			if spec.Kind == wire.JobArray {
-				usedByArrays.Add(request, 1)
-			} else {
-				hasOtherWork = true
-				free.Add(request, -1)
-			}
-		}
+		usedByArrays, free, hasOtherWork := arrayCapacity(machine)
 		used.Add(usedByArrays, 1)
 		available.Add(free, 1)
 		if !hasOtherWork && !machine.Permanent && !p.usableForGPUWork(machine) && machine.ReservedFor == nil &&
@@ -70,16 +76,27 @@
 			candidates = append(candidates, machine)
 		}
 	}
-	sort.SliceStable(candidates, func(a, b int) bool { return pricePerCPU(candidates[a]) > pricePerCPU(candidates[b]) })
-	for _, machine := range candidates[:min(len(candidates), len(p.Cluster.Machines)/cordonFleetDivisor+1)] {
-		available.CPU -= machine.Type.CPUs
-		available.MemoryGB -= machine.Type.MemoryGB
-		if available.CPU < cordonSlack*used.CPU || available.MemoryGB < cordonSlack*used.MemoryGB {
-			break
+	return used, available, candidates
+}
+
+// arrayCapacity is what arrays use on a machine, what other work leaves to them, and whether
+// there is any.
+func arrayCapacity(machine *cluster.Machine) (usedByArrays, free cluster.Resources, hasOtherWork bool) {
+	free = cluster.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}
+	for _, allocation := range machine.Allocations {
+		if allocation.Job == nil {
+			continue
+		}
+		spec := &allocation.Job.Spec
+		request := cluster.Resources{CPU: spec.CPUs, MemoryGB: spec.MemoryGB}
+		if spec.Kind == wire.JobArray {
+			usedByArrays.Add(request, 1)
+		} else {
+			hasOtherWork = true
+			free.Add(request, -1)
 		}
-		cordon = append(cordon, machine)
 	}
-	return cordon, nil
+	return usedByArrays, free, hasOtherWork
 }
 
 // usableForGPUWork reports whether a class that needs GPUs may use a machine: such
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -47,37 +47,37 @@
 
 // demands lists the tasks that found no room, and the headroom that is short.
 func (p *Planner) demands(now micro.Time) []taskDemand {
-	var demands []taskDemand
-	topPriorityTasks := map[*cluster.Class]int{} // tasks of the first rank that wait
-	quotaPlanned := map[*cluster.Team][2]float64{}
+	demands, topPriorityTasks := p.jobDemands(now)
+	demands = append(demands, p.shardDemands(now)...)
+	demands = append(demands, p.bootSpares(topPriorityTasks, now)...)
+	demands = append(demands, p.headroom(now)...)
+	sort.SliceStable(demands, func(a, b int) bool {
+		if demands[a].priorityLevel != demands[b].priorityLevel {
+			return demands[a].priorityLevel < demands[b].priorityLevel
+		}
+		return demands[a].latestStart < demands[b].latestStart
+	})
+	return demands
+}
+
+// jobDemands lists the tasks of pending jobs that need room soon, as far as their teams' limits
+// leave them any; topPriorityTasks counts those of the first priority level by class.
+func (p *Planner) jobDemands(now micro.Time) (demands []taskDemand, topPriorityTasks map[*cluster.Class]int) {
+	topPriorityTasks = map[*cluster.Class]int{}
+	planned := plannedQuota{}
 	jobs := make([]*cluster.Job, 0, len(p.Cluster.PendingJobs))
 	for job := range p.Cluster.PendingJobs {
 		jobs = append(jobs, job)
 	}
 	sort.Slice(jobs, func(a, b int) bool { return jobs[a].Spec.ID < jobs[b].Spec.ID })
 	for _, job := range jobs {
-		if job.NotBefore > now+10*micro.Second && job.InBackoff(now) {
+		if job.NotBefore > now+maxBackoffAhead && job.InBackoff(now) {
 			continue
 		}
-		tasks := job.Demand(now)
+		tasks := planned.take(job, job.Demand(now))
 		if tasks == 0 {
 			continue
 		}
-		if team := job.Team; team != nil {
-			planned := quotaPlanned[team]
-			if team.CPULimit > 0 && job.Spec.CPUs > 0 {
-				tasks = min(tasks, int((team.CPULimit-team.UsedCPU-planned[0])/job.Spec.CPUs+1e-9))
-			}
-			if team.GPULimit > 0 && job.Spec.GPUs > 0 {
-				tasks = min(tasks, int((team.GPULimit-team.UsedGPU-planned[1])/job.Spec.GPUs+1e-9))
-			}
-			if tasks <= 0 || job.Spec.Kind == wire.Gang && tasks < len(job.Tasks) {
-				continue
-			}
-			planned[0] += float64(tasks) * job.Spec.CPUs
-			planned[1] += float64(tasks) * job.Spec.GPUs
-			quotaPlanned[team] = planned
-		}
 		latestStart := p.Objectives.LatestStart(job, now)
 		if !p.isUrgent(job, latestStart, now) {
 			continue
@@ -90,16 +90,36 @@
 			topPriorityTasks[job.Class] += tasks
 		}
 	}
-	demands = append(demands, p.shardDemands(now)...)
-	demands = append(demands, p.bootSpares(topPriorityTasks, now)...)
-	demands = append(demands, p.headroom(now)...)
-	sort.SliceStable(demands, func(a, b int) bool {
-		if demands[a].priorityLevel != demands[b].priorityLevel {
-			return demands[a].priorityLevel < demands[b].priorityLevel
-		}
-		return demands[a].latestStart < demands[b].latestStart
-	})
-	return demands
+	return demands, topPriorityTasks
+}
+
+// maxBackoffAhead is how far off the end of a job's backoff may be for room to be requested.
+const maxBackoffAhead = 10 * micro.Second
+
+// plannedQuota is what one plan has taken of each team's limits.
+type plannedQuota map[*cluster.Team]cluster.Resources
+
+// take takes room in the limits of a job's team for so many tasks, or as many as there is room
+// for, which it returns; 0: none, or too few for a gang.
+func (q plannedQuota) take(job *cluster.Job, tasks int) int {
+	team, spec := job.Team, &job.Spec
+	if tasks == 0 || team == nil {
+		return tasks
+	}
+	planned := q[team]
+	if team.CPULimit > 0 && spec.CPUs > 0 {
+		tasks = min(tasks, int((team.CPULimit-team.UsedCPU-planned.CPU)/spec.CPUs+1e-9))
+	}
+	if team.GPULimit > 0 && spec.GPUs > 0 {
+		tasks = min(tasks, int((team.GPULimit-team.UsedGPU-planned.GPU)/spec.GPUs+1e-9))
+	}
+	if tasks <= 0 || spec.Kind == wire.Gang && tasks < len(job.Tasks) {
+		return 0
+	}
+	planned.CPU += float64(tasks) * spec.CPUs
+	planned.GPU += float64(tasks) * spec.GPUs
+	q[team] = planned
+	return tasks
 }
 
 // shardDemands lists the tasks that wait for room in shards: their owners request no
@@ -214,8 +234,8 @@
 }
 
 // headroom asks for room for the starts expected of classes whose starts are
-// wanted sooner than a slowly booting machine is ready. Room that lower ranks hold counts: they
-// can be preempted.
+// wanted sooner than a slowly booting machine is ready. Room that lower priority levels hold
+// counts: they can be preempted.
 func (p *Planner) headroom(now micro.Time) []taskDemand {
 	var demands []taskDemand
 	names := make([]string, 0, len(p.Cluster.Classes))
@@ -229,43 +249,56 @@
 		if class.LastJob == nil || startObjective == 0 {
 			continue
 		}
-		if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.LastJob.GPUs > 0 && p.guaranteesGPUs() {
-			startObjective = min(startObjective, guaranteed)
-		}
 		boot := p.minBootTime(class.LastJob)
-		slowBootTime := boot*3/2 + bootMargin
-		if startObjective >= slowBootTime+p.minFetchTime(class)*4/3 {
-			continue // a machine rented then is ready in time
-		}
-		maxRatio := p.maxPriceRatio(nil, now)
-		expected := class.ArrivalRate(now) * boot.Seconds()
-		want := 1 + int(math.Ceil(expected*p.Properties.Headroom))
-		if startObjective >= slowBootTime {
-			want = int(math.Ceil(expected)) // in time unless the image is to be fetched
-		}
-		have := 0
-		level := class.LastJob.Priority.Level()
-		for _, machine := range p.Cluster.SortedMachines() {
-			if have >= want {
-				break
-			}
-			if !machine.Schedulable(now) ||
-				p.limitsCost() && class.LastJob.GPUs == 0 && machine.Type.GPUs > 0 &&
-					p.isExpensive(class.LastJob, machine.Type, machine.Spot, maxRatio) {
-				continue // counted on, it would never be returned
-			}
-			free := freeWithPreemption(machine, level)
-			if fitting := free.countFitting(class.LastJob); fitting > 0 {
-				have += fitting
-				machine.LastNeededForHeadroom = now
-			}
-		}
-		if have < want {
+		want := p.wantedHeadroom(class, startObjective, boot, now)
+		if have := p.countHeadroom(class, want, now); have < want {
 			spec := *class.LastJob
 			demands = append(demands, taskDemand{
-				spec: &spec, tasks: want - have, latestStart: now + boot, priorityLevel: level, eligible: p.OwnsOffer,
+				spec: &spec, tasks: want - have, latestStart: now + boot, priorityLevel: spec.Priority.Level(),
+				eligible: p.OwnsOffer,
 			})
 		}
 	}
 	return demands
 }
+
+// wantedHeadroom is for how many starts of a class room should be free; 0: none, a machine that
+// is requested once they come is ready in time.
+func (p *Planner) wantedHeadroom(class *cluster.Class, startObjective, boot, now micro.Time) int {
+	if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.LastJob.GPUs > 0 && p.guaranteesGPUs() {
+		startObjective = min(startObjective, guaranteed)
+	}
+	slowBootTime := boot*3/2 + bootMargin
+	if startObjective >= slowBootTime+p.minFetchTime(class)*4/3 {
+		return 0
+	}
+	expected := class.ArrivalRate(now) * boot.Seconds()
+	if startObjective >= slowBootTime {
+		return int(math.Ceil(expected)) // in time unless the image is to be fetched
+	}
+	return 1 + int(math.Ceil(expected*p.Properties.Headroom))
+}
+
+// countHeadroom counts the starts of a class that there is room for, up to the wanted ones, and
+// keeps the machines that it counts on.
+func (p *Planner) countHeadroom(class *cluster.Class, want int, now micro.Time) int {
+	have := 0
+	maxRatio := p.maxPriceRatio(nil, now)
+	level := class.LastJob.Priority.Level()
+	for _, machine := range p.Cluster.SortedMachines() {
+		if have >= want {
+			break
+		}
+		if !machine.Schedulable(now) ||
+			p.limitsCost() && class.LastJob.GPUs == 0 && machine.Type.GPUs > 0 &&
+				p.isExpensive(class.LastJob, machine.Type, machine.Spot, maxRatio) {
+			continue // counted on, it would never be terminated
+		}
+		free := freeWithPreemption(machine, level)
+		if fitting := free.countFitting(class.LastJob); fitting > 0 {
+			have += fitting
+			machine.LastNeededForHeadroom = now
+		}
+	}
+	return have
+}
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -64,16 +64,25 @@
 		upMachines += pool.MachineCount
 	}
 	for _, backlog := range p.backlogs {
-		if upMachines == 0 {
-			backlog.pendingBefore, backlog.measuredAt = 0, now // nothing could run yet
-		} else if backlog.pendingTasks == 0 {
+		switch {
+		case upMachines == 0: // nothing could run yet
 			backlog.pendingBefore, backlog.measuredAt = 0, now
-		} else if backlog.pendingBefore == 0 && now-backlog.measuredAt >= persistentAfter || backlog.pendingBefore > 0 && now-backlog.measuredAt >= backlogInterval {
+		case backlog.pendingTasks == 0:
+			backlog.pendingBefore, backlog.measuredAt = 0, now
+		case backlog.measurementDue(now):
 			backlog.pendingBefore, backlog.measuredAt = backlog.pendingTasks, now
 		}
 	}
 }
 
+// measurementDue reports whether it is time to note how many tasks wait.
+func (b *classBacklog) measurementDue(now micro.Time) bool {
+	if b.pendingBefore == 0 {
+		return now-b.measuredAt >= persistentAfter
+	}
+	return now-b.measuredAt >= backlogInterval
+}
+
 // persistentShortage is how many dear machines may be rented now because a class's shortage
 // lasts, whatever is expected to come free: other work takes it.
 func (p *Planner) persistentShortage(demand *taskDemand, now micro.Time) int {
@@ -212,59 +221,99 @@
 }
 
 // chooseOffer finds the offer that costs least per task, first among those whose
-// machines come up; in a zone that is cut off only if there is no other.
+// machines come up; in an unreachable zone only if there is no other.
 func (p *Planner) chooseOffer(
 	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, now micro.Time,
 ) *bin {
-	if best := p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, p.excludedUntil, now); best != nil ||
-		len(p.excludedUntil) == 0 {
-		return best
+	search := &offerSearch{
+		planner: p, demand: demand, unplaced: unplaced, tasksByZone: tasksByZone, now: now, priceLimit: math.Inf(1),
 	}
-	return p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, nil, now)
-}
-
-// cheapestOffer finds the offer that costs least per task, but for those left out.
-func (p *Planner) cheapestOffer(
-	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, excluded map[InstanceOffer]micro.Time,
-	now micro.Time,
-) *bin {
-	var best *bin
-	bestCost := 0.0
-	priceLimit := math.Inf(1)
 	if limitPrice && p.limitsCost() {
-		priceLimit = p.maxPriceRatio(demand.job, now) * p.cheapestPrice(demand.spec, unplaced)
+		search.priceLimit = p.maxPriceRatio(demand.job, now) * p.cheapestPrice(demand.spec, unplaced)
 	}
-	for _, typ := range p.Cluster.CatalogOrder {
+	best := search.cheapest(p.excludedUntil)
+	if best == nil && len(p.excludedUntil) > 0 {
+		best = search.cheapest(nil)
+	}
+	return best
+}
+
+// offerSearch looks for the offer that serves a demand at the least cost per task.
+type offerSearch struct {
+	planner     *Planner
+	demand      *taskDemand
+	unplaced    int            // tasks without room
+	tasksByZone map[string]int // tasks that the plan has put into each zone
+	now         micro.Time
+	priceLimit  float64 // the most that room for a task may cost an hour
+
+	best     *bin // the best offer so far; nil: none
+	bestCost float64
+}
+
+// cheapest finds the offer that costs least per task, but for those that are excluded now.
+func (s *offerSearch) cheapest(excludedUntil map[InstanceOffer]micro.Time) *bin {
+	s.best, s.bestCost = nil, 0
+	for _, typ := range s.planner.Cluster.CatalogOrder {
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
-				offer := InstanceOffer{typ.Name, zone, spot}
-				if p.RefusedUntil[offer] > now || excluded[offer] > now || !demand.allows(typ, zone, spot) {
-					continue
-				}
-				if demand.job != nil && !scheduler.ZoneAllowed(demand.job, zone, tasksByZone) {
-					continue
-				}
-				candidate := newBin(typ, zone, spot)
-				fitting := candidate.countFitting(demand.spec)
-				if fitting == 0 {
-					continue
-				}
-				price := typ.Price
-				if spot {
-					price = typ.SpotPrice * 1.2 // it may be taken back
-				}
-				if price/float64(min(fitting, unplaced)) > priceLimit {
-					continue
-				}
-				cost := price / float64(min(fitting, unplaced)) * (1 + typ.BootS/300)
-				moreReachable := best != nil && p.unreachableZones[best.zone] && !p.unreachableZones[zone]
-				lessReachable := best != nil && !p.unreachableZones[best.zone] && p.unreachableZones[zone]
-				if best == nil || moreReachable || cost < bestCost && !lessReachable {
-					candidate.offer = offer
-					best, bestCost = candidate, cost
+				if offer := (InstanceOffer{typ.Name, zone, spot}); excludedUntil[offer] <= s.now {
+					s.consider(offer, typ)
 				}
 			}
 		}
 	}
-	return best
+	return s.best
+}
+
+// spotRiskFactor is what is added to a spot instance's price: it may be preempted.
+const spotRiskFactor = 1.2
+
+// bootCostSeconds is the boot time, in seconds, that counts as much as the price.
+const bootCostSeconds = 300
+
+// consider takes an offer if it serves the demand better than the best so far.
+func (s *offerSearch) consider(offer InstanceOffer, typ *cluster.MachineType) {
+	if !s.serves(offer, typ) {
+		return
+	}
+	candidate := newBin(typ, offer.Zone, offer.Spot)
+	fitting := candidate.countFitting(s.demand.spec)
+	if fitting == 0 {
+		return
+	}
+	price := typ.Price
+	if offer.Spot {
+		price = typ.SpotPrice * spotRiskFactor
+	}
+	perTask := price / float64(min(fitting, s.unplaced))
+	if perTask > s.priceLimit {
+		return
+	}
+	cost := perTask * (1 + typ.BootS/bootCostSeconds)
+	if s.isBetter(offer.Zone, cost) {
+		candidate.offer = offer
+		s.best, s.bestCost = candidate, cost
+	}
+}
+
+// serves reports whether an offer may be requested for the demand now.
+func (s *offerSearch) serves(offer InstanceOffer, typ *cluster.MachineType) bool {
+	if s.planner.RefusedUntil[offer] > s.now || !s.demand.allows(typ, offer.Zone, offer.Spot) {
+		return false
+	}
+	return s.demand.job == nil || scheduler.ZoneAllowed(s.demand.job, offer.Zone, s.tasksByZone)
+}
+
+// isBetter reports whether room in a zone at a cost is better than the best so far: a
+// reachable zone goes before cost.
+func (s *offerSearch) isBetter(zone string, cost float64) bool {
+	if s.best == nil {
+		return true
+	}
+	unreachable := s.planner.unreachableZones
+	if unreachable[zone] != unreachable[s.best.zone] {
+		return unreachable[s.best.zone]
+	}
+	return cost < s.bestCost
 }
