--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -24,7 +24,11 @@
 			node.Peers = peer.NewClient(map[string]string{"n-0": addr})
 		})
 		waitUntil(b.t, "leader known", func() bool { return node.election.Leader() == "n-0" })
-		waitUntil(b.t, "gate open", func() bool { node.checkGate(context.Background()); return node.FormatOpen() })
+		waitUntil(
+			b.t,
+			"gate open",
+			func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
+		)
 		if refused {
 			replaceStore(node, refusingStore{b.store})
 			node.health.Observe(health.ProbeResult{StoreRefused: true})
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -188,4 +188,4 @@
 func (h recordsHost) JobEnded(job *cluster.Job, state wire.JobState) { h.duties.jobEnded(job, state) }
 
 // FormatRaised opens this node's format gate.
-func (h recordsHost) FormatRaised() { h.node.setGateState(GateOpen) }
+func (h recordsHost) FormatRaised() { h.node.formatGate.MarkOpen() }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -82,7 +82,7 @@
 	}
 	node.Init()
 	set(node)
-	node.initJobAPI() // from the parts that the test has put in
+	rebuildParts(node)
 	cat, _ := b.cloud.Catalog(context.Background())
 	node.catalog.Store(cat)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,6 +96,17 @@
 // replaceStore gives a node that serves already another way to the store.
 func replaceStore(node *Node, to store.Store) {
 	node.Store = to
+	rebuildParts(node)
+}
+
+// rebuildParts makes the parts of a node that take others at their construction anew, from
+// those that the test has put in. A format gate that was open stays so.
+func rebuildParts(node *Node) {
+	open := node.formatGate.FormatOpen()
+	node.formatGate = newFormatGate(node)
+	if open {
+		node.formatGate.MarkOpen()
+	}
 	node.initJobAPI()
 }
 
--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -19,7 +19,7 @@
 		Peers:      otherNodes{n},
 		Catalog:    &n.catalog,
 		Health:     n.health,
-		FormatGate: n,
+		FormatGate: n.formatGate,
 		Log:        n.Log,
 		Now:        n.Now,
 		Wall:       n.Wall,
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -19,6 +19,7 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/formatgate"
 	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/jobapi"
@@ -52,7 +53,7 @@
 	peerBackoffUntil sync.Map // node: time until which it is not asked
 	health           *health.Monitor
 	leaseProxy       leasekeeper.Proxy
-	formatGate       atomic.Int32 // a GateState
+	formatGate       *formatgate.Gate
 	handovers        detector.Handovers
 
 	jobs      *jobapi.Service
@@ -86,6 +87,7 @@
 	n.health = health.New(health.Config{
 		Store: n.Store, Peers: n.Peers, Log: n.Log, PeerNames: n.peerNames, Now: n.Now,
 	})
+	n.formatGate = newFormatGate(n)
 	n.initJobAPI()
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
@@ -133,7 +135,7 @@
 	group.Go(func() error { return n.fetchCatalog(ctx) })
 	group.Go(func() error { return n.health.Run(ctx) })
 	group.Go(func() error { return n.runLeaseProxy(ctx) })
-	group.Go(func() error { return n.watchGate(ctx) })
+	group.Go(func() error { return n.formatGate.Run(ctx) })
 	group.Go(func() error { return n.runShards(ctx) })
 	n.Log.Info("serving", "node", n.Cfg.Node, "zone", n.Cfg.Zone, "public", n.Cfg.PublicAddr, "peers", n.Cfg.PeerListen)
 	return group.Wait()
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -61,7 +61,7 @@
 	calls := map[string]peerCallHandler{
 		peer.Ping: func(context.Context, []byte) (int, []byte) { return http.StatusOK, nil },
 		peer.AnnounceVersion: func(ctx context.Context, body []byte) (int, []byte) {
-			return n.handleAnnounce(ctx, body), nil
+			return n.formatGate.HandleAnnounce(ctx, body), nil
 		},
 		peer.LeaseProxy: func(_ context.Context, body []byte) (int, []byte) { return n.handleLeaseProxy(body) },
 		peer.ShardAdmin: func(_ context.Context, body []byte) (int, []byte) { return n.handleAdmin(body) },
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -32,7 +32,7 @@
 func (b *testCluster) startLeaderWithGateOpen(name string, set func(*Node)) (*Node, func()) {
 	n, kill := b.startNodeWith(name, set)
 	waitUntil(b.t, "leading", func() bool { return n.activeLeader() != nil })
-	waitUntil(b.t, "open", func() bool { n.checkGate(context.Background()); return n.FormatOpen() })
+	waitUntil(b.t, "open", func() bool { n.formatGate.Check(context.Background()); return n.formatGate.FormatOpen() })
 	return n, kill
 }
 
@@ -86,7 +86,7 @@
 		t.Errorf("a repeat got %+v", reply)
 	}
 	// Another node, which the store refuses, knows nothing of j-1.
-	isolated, _ := env.startNodeWith("n-1", func(node *Node) { node.formatGate.Store(int32(GateOpen)) })
+	isolated, _ := env.startNodeWith("n-1", func(node *Node) { node.formatGate.MarkOpen() })
 	env.store.SetOutage(true)
 	if reply := isolated.Submit(dependentSubmission("j-5", "j-1")); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Errorf("without the store: %+v", reply)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -305,7 +305,7 @@
 	go func() { _ = node.fetchCatalog(ctx) }()
 	go func() { _ = node.health.Run(ctx) }()
 	go func() { _ = node.runLeaseProxy(ctx) }()
-	go func() { _ = node.watchGate(ctx) }()
+	go func() { _ = node.formatGate.Run(ctx) }()
 	go func() { _ = node.runShards(ctx) }()
 }
 
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -11,6 +11,7 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/formatgate"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
@@ -102,7 +103,7 @@
 	all := version1Values()
 	all["compact"] = (&cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
 	all["format"] = persist.FormatRecord{Version: 2, TasksPerChunk: 64}
-	all["node"] = nodeRecord{2}
+	all["node"] = formatgate.NodeRecord{Version: 2}
 	all["needs"] = cluster.DependencyRecord{Dependencies: []string{"j-1", "j-2"}}
 	for _, value := range all {
 		var counted any
@@ -204,7 +205,11 @@
 			t.Fatalf("%d places are known", got)
 		}
 		if open {
-			waitUntil(t, "open", func() bool { node.checkGate(context.Background()); return node.FormatOpen() })
+			waitUntil(
+				t,
+				"open",
+				func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
+			)
 			if got := held(); got != 100 {
 				t.Fatalf("%d places are known after the move", got)
 			}
@@ -241,10 +246,10 @@
 	piped := dependentSubmission("j-2", "j-1")
 	leader.Submit(submission("j-1", wire.JobArray))
 	for range 40 {
-		leader.checkGate(context.Background())
+		leader.formatGate.Check(context.Background())
 		time.Sleep(time.Millisecond)
 	}
-	if leader.FormatOpen() {
+	if leader.formatGate.FormatOpen() {
 		t.Fatal("the other node may be of the earlier version, and lead next")
 	}
 	if reply := leader.Submit(piped); reply.Status != 503 || reply.RetryAfter == 0 {
@@ -254,15 +259,15 @@
 		"n-1", func(node *Node) { pair("n-0")(node); node.election.SuspendCampaign(10 * micro.Minute) },
 	)
 	env.store.SetOutage(true)
-	other.checkGate(context.Background())
+	other.formatGate.Check(context.Background())
 	env.store.SetOutage(false)
-	if GateState(other.formatGate.Load()) != GateUnannounced {
+	if other.formatGate.State() != formatgate.Unannounced {
 		t.Fatal("it was not stored")
 	}
 	waitUntil(t, "open", func() bool {
-		other.checkGate(context.Background())
-		leader.checkGate(context.Background())
-		return leader.FormatOpen() && other.FormatOpen()
+		other.formatGate.Check(context.Background())
+		leader.formatGate.Check(context.Background())
+		return leader.formatGate.FormatOpen() && other.formatGate.FormatOpen()
 	})
 	if reply := other.Submit(piped); reply.Status != 201 {
 		t.Fatalf("%+v", reply)
@@ -270,7 +275,7 @@
 	kill()
 	restarted, _ := env.startNodeWith("n-2", pair("n-3")) // neither has announced
 	waitUntil(t, "leads", func() bool { return restarted.activeLeader() != nil })
-	waitUntil(t, "reads the new forms", restarted.FormatOpen)
+	waitUntil(t, "reads the new forms", restarted.formatGate.FormatOpen)
 }
 
 // A node was upgraded while it alone was cut from the store.
@@ -283,13 +288,13 @@
 		node.Store = unansweredGetStore{node.Store}
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader)})
 	})
-	if isolated.handleAnnounce(context.Background(), wire.MustMarshal("n-7")) != 404 {
+	if isolated.formatGate.HandleAnnounce(context.Background(), wire.MustMarshal("n-7")) != 404 {
 		t.Fatal("a node that the settings do not name")
 	}
 	waitUntil(t, "open", func() bool {
-		isolated.checkGate(context.Background())
-		leader.checkGate(context.Background())
-		return leader.FormatOpen()
+		isolated.formatGate.Check(context.Background())
+		leader.formatGate.Check(context.Background())
+		return leader.formatGate.FormatOpen()
 	})
 }
 
@@ -306,7 +311,7 @@
 	env := newTestCluster(t)
 	leader, _ := env.startNode("n-1")
 	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
-	node, _ := env.startNodeWith("n-0", func(node *Node) { node.formatGate.Store(int32(GateOpen)) })
+	node, _ := env.startNodeWith("n-0", func(node *Node) { node.formatGate.MarkOpen() })
 	waitUntil(t, "known", func() bool { return node.election.Leader() == "n-1" })
 	node.Peers = peer.NewClient(map[string]string{"n-1": env.servePeer(leader)})
 	node.Cfg.Peers = []config.Peer{{Node: "n-1"}}
