--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -3,6 +3,7 @@
 import (
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/wire"
 )
 
 // Work that can save may use machines with GPUs while these are idle. Stopping it
@@ -103,3 +104,44 @@
 		}
 	}
 }
+
+// checkpointTimeFactor is how many save times an objective on starting must leave.
+const checkpointTimeFactor = 8
+
+// keepsGPUHeadroom reports whether a job without GPUs leaves a GPU machine capacity for the
+// GPU jobs seen so far: a GPU that lacks CPUs beside it serves nobody. Work that
+// can save, and yields to the GPU jobs' priority well within the time they have to
+// start, may use the capacity meanwhile.
+func (s *Scheduler) keepsGPUHeadroom(job *cluster.Job, machine *cluster.Machine) bool {
+	if job.Spec.GPUs > 0 || machine.Type.GPUs == 0 {
+		return true
+	}
+	for _, class := range s.Cluster.Classes {
+		spec := class.LastJob
+		if spec == nil || spec.GPUs <= 0 || !Allowed(spec, machine.Type, machine.Zone, machine.Spot) {
+			continue
+		}
+		startObjective := s.Objectives.StartObjective(class.Name)
+		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointIntervalS > 0 &&
+			(startObjective == 0 || startObjective > checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS))
+		if preemptible && !s.isHeadroom(job, machine, class) {
+			continue
+		}
+		if !leavesCapacityForGPUs(job, machine, spec) {
+			return false
+		}
+	}
+	return true
+}
+
+// leavesCapacityForGPUs reports whether a job leaves capacity beside a machine's idle GPUs
+// for as many tasks of a GPU job as they are enough for.
+func leavesCapacityForGPUs(job *cluster.Job, machine *cluster.Machine, gpuJob *wire.Job) bool {
+	gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / gpuJob.GPUs))
+	if gpuTasks <= 0 {
+		return true
+	}
+	remainingCPU := machine.Type.CPUs - machine.UsedCPU - job.Spec.CPUs
+	remainingMemoryGB := machine.Type.MemoryGB - machine.UsedMemoryGB - job.Spec.MemoryGB
+	return remainingCPU >= gpuTasks*gpuJob.CPUs-eps && remainingMemoryGB >= gpuTasks*gpuJob.MemoryGB-eps
+}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,22 +8,6 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// preemptionReservationTTL is how long a machine that is being cleared stays reserved, and
-// starvationReservationTTL one that is waited for.
-const (
-	preemptionReservationTTL = 20 * micro.Second
-	starvationReservationTTL = micro.Minute
-)
-
-// reservationGap is how soon after a reservation that ended unused the next counts as
-// the same hold.
-const reservationGap = 10 * micro.Second
-
-// quotaReservationBackoff is for how long no team's limit is saved up after it was. Saved up
-// again at once, for a job that never got enough, it kept all others of its team
-// waiting for ever.
-const quotaReservationBackoff = 15 * micro.Second
-
 // Preemption looks at no more machines than this that could make capacity. Work of
 // the highest priority clears so many at a time; other arrays one: the work they stop
 // has objectives of its own.
@@ -36,62 +20,6 @@
 // be longer than for the victim to save first.
 const minStartPerCheckpoint = 3
 
-// reserveMachine reserves a machine for a job.
-func (s *Scheduler) reserveMachine(m *cluster.Machine, job *cluster.Job, starvationReservation bool, now micro.Time) {
-	if s.reservedMachines == nil {
-		s.reservedMachines = map[*cluster.Machine]bool{}
-	}
-	if m.UnusedReservationSince == 0 || now-m.UnusedReservationEndedAt > reservationGap {
-		m.UnusedReservationSince = now
-	}
-	m.ReservedFor, m.ReservedAt, m.StarvationReservation = job, now, starvationReservation
-	s.reservedMachines[m] = true
-}
-
-// expireReservations gives up reservations that are used, over or too old.
-func (s *Scheduler) expireReservations(now micro.Time) {
-	for _, team := range s.Cluster.Teams {
-		if team.QuotaReservedFor != nil && quotaReservationOver(team, now) {
-			team.QuotaReservedFor, team.QuotaReservableAfter = nil, now+quotaReservationBackoff
-		}
-	}
-	for machine := range s.reservedMachines {
-		if machine.ReservedFor != nil && reservationOver(machine, now) {
-			machine.ReservedFor, machine.UnusedReservationEndedAt = nil, now
-		}
-		if machine.ReservedFor == nil {
-			machine.StarvationReservation = false
-			delete(s.reservedMachines, machine)
-		}
-	}
-}
-
-func quotaReservationOver(team *cluster.Team, now micro.Time) bool {
-	holder := team.QuotaReservedFor
-	return holder.State != cluster.Active || holder.PendingTasks() == 0 || holder.AllocationCount > 0 ||
-		now-team.QuotaReservedAt > starvationReservationTTL
-}
-
-func reservationOver(machine *cluster.Machine, now micro.Time) bool {
-	holder, ttl := machine.ReservedFor, preemptionReservationTTL
-	if machine.StarvationReservation {
-		ttl = starvationReservationTTL
-	}
-	return holder.State != cluster.Active || holder.PendingTasks() == 0 || now-machine.ReservedAt > ttl ||
-		!machine.Schedulable(now)
-}
-
-// countReserved is how many machines are reserved for a job.
-func (s *Scheduler) countReserved(job *cluster.Job) int {
-	count := 0
-	for m := range s.reservedMachines {
-		if m.ReservedFor == job {
-			count++
-		}
-	}
-	return count
-}
-
 // preemptionPlan is what is to be stopped, and on which machines, for tasks of a job.
 type preemptionPlan struct {
 	job     *cluster.Job
@@ -196,11 +124,6 @@
 	return victim.CheckpointDurationS
 }
 
-func allocatedResources(allocation *cluster.Allocation) resources {
-	spec := &allocation.Job.Spec
-	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: allocation.ScaledCPU}
-}
-
 // victimSearch is the machine found so far where making capacity for one task loses least.
 type victimSearch struct {
 	machine  *cluster.Machine
