--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -27,6 +27,7 @@
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/shard/ownership"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -57,8 +58,8 @@
 	handovers        detector.Handovers
 
 	jobs      *jobapi.Service
-	peerCalls map[string]peerCallHandler // by the names of the calls
-	shards    *nodeShards                // nil: the feature is off
+	peerCalls map[string]peerCallHandler     // by the names of the calls
+	shards    *ownership.Owners[*ShardOwner] // nil: the feature is off
 }
 
 // New makes a node that speaks to the real services.
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -3,7 +3,6 @@
 import (
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/shard/coordinator"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
@@ -19,7 +18,7 @@
 		Config:       l.node.Cfg,
 		Cluster:      l.cluster,
 		Records:      l.records.Writer,
-		Table:        l.node.shards.table,
+		Table:        l.node.shards.Table(),
 		Store:        l.node.Store,
 		Term:         l.term,
 		RenewalBound: l.renewalBound,
@@ -104,7 +103,3 @@
 	}
 	return 200, wire.MustMarshal(reply)
 }
-
-func machineAttributes(typ, zone string, spot bool) shard.Attributes {
-	return shard.Attributes{Type: typ, Zone: zone, Spot: spot}
-}
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -38,7 +38,7 @@
 		node := w.controllerNamed(entry.Record.Owner.Node).runningNode()
 		leader := (*ShardOwner)(nil)
 		if node != nil {
-			leader = node.shards.ownerOf("east")
+			leader, _ = node.shards.Of("east")
 		}
 		return leader != nil && leader.serving.Load()
 	})
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -47,15 +47,6 @@
 	urgent           bool            // the next one goes out at once
 }
 
-// startShardOwner begins the loop of a shard that this incarnation owns.
-func (n *Node) startShardOwner(
-	ctx context.Context, entry shard.Entry, term *election.Term, self shard.Controller,
-) *ShardOwner {
-	o := newShardOwner(n, entry, term, self)
-	go o.run(ctx)
-	return o
-}
-
 // newShardOwner makes the loop of a shard that this incarnation owns.
 func newShardOwner(n *Node, entry shard.Entry, term *election.Term, self shard.Controller) *ShardOwner {
 	log := n.Log.With("shard", entry.Name, "version", entry.Version)
@@ -129,6 +120,18 @@
 	o.dispatcher.CheckToken(now)
 }
 
+// Observe hands the loop what the shard's record says now; it does not exist if the record is
+// gone. Any goroutine may call it.
+func (o *ShardOwner) Observe(entry shard.Entry, exists bool) {
+	o.loop.Post(shardRecordObserved{o, entry, exists})
+}
+
+// Stop ends the loop for good; any goroutine may call it.
+func (o *ShardOwner) Stop() { o.loop.Stop() }
+
+// Stopped reports whether the loop was stopped; any goroutine may ask.
+func (o *ShardOwner) Stopped() bool { return o.loop.Stopped() }
+
 // shardRecordObserved is what the shard's record says now.
 type shardRecordObserved struct {
 	owner  *ShardOwner
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -156,7 +156,7 @@
 			// What was missed cannot be read as changes: the shard is loaded anew.
 			o.log.Info("shard given up", "reason", "the store's history is too short to follow")
 			o.loop.Stop()
-			o.node.reconcileOwners()
+			o.node.shards.Reconcile()
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -48,8 +48,8 @@
 		if n == nil {
 			return false
 		}
-		l := n.shards.ownerOf("east")
-		return l != nil && l.serving.Load()
+		l, ok := n.shards.Of("east")
+		return ok && l.serving.Load()
 	})
 }
 
--- /dev/null
+++ b/internal/shard/ownership/ownership_test.go
@@ -0,0 +1,176 @@
+package ownership_test
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/shard/ownership"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/wire"
+)
+
+// fakeOwner is the loop of a shard that notes what it is told.
+type fakeOwner struct {
+	self    shard.Controller
+	session *election.Term
+	stopped atomic.Bool
+	gone    atomic.Bool // the record was gone at the last look
+}
+
+func (o *fakeOwner) Observe(_ shard.Entry, exists bool) { o.gone.Store(!exists) }
+func (o *fakeOwner) Stop()                              { o.stopped.Store(true) }
+func (o *fakeOwner) Stopped() bool                      { return o.stopped.Load() }
+
+// fakeHost is a controller that counts the loops that it starts.
+type fakeHost struct {
+	ready   atomic.Bool
+	started atomic.Int32
+	changes atomic.Int32
+}
+
+func (h *fakeHost) Ready() bool   { return h.ready.Load() }
+func (h *fakeHost) TableChanged() { h.changes.Add(1) }
+
+func (h *fakeHost) StartOwner(
+	_ context.Context, _ shard.Entry, session *election.Term, self shard.Controller,
+) *fakeOwner {
+	h.started.Add(1)
+	return &fakeOwner{self: self, session: session}
+}
+
+type testOwners struct {
+	*ownership.Owners[*fakeOwner]
+	t     *testing.T
+	host  *fakeHost
+	store *fake.Store
+}
+
+// runOwners runs the part of n-1 until the test ends.
+func runOwners(t *testing.T) *testOwners {
+	t.Helper()
+	test := &testOwners{t: t, host: &fakeHost{}, store: fake.NewStore()}
+	test.Owners = ownership.New(
+		ownership.Config{Node: "n-1", SessionTTL: 2 * micro.Second, RenewInterval: 200 * micro.Millisecond},
+		ownership.Dependencies[*fakeOwner]{
+			Host: test.host, Store: test.store, Now: micro.Now, Log: slog.New(slog.DiscardHandler),
+		},
+	)
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- test.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		<-ended
+	})
+	return test
+}
+
+func (test *testOwners) waitUntil(what string, condition func() bool) {
+	test.t.Helper()
+	for until := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(until) {
+			test.t.Fatalf("not in time: %s", what)
+		}
+	}
+}
+
+// session waits for the session, and returns this incarnation.
+func (test *testOwners) session() shard.Controller {
+	test.t.Helper()
+	var item wire.Item
+	test.waitUntil("the session is there", func() (ok bool) {
+		var err error
+		item, err = test.store.Get(test.t.Context(), store.Routine, shard.SessionKey("n-1"))
+		return err == nil
+	})
+	return shard.Controller{Node: "n-1", SessionVersion: item.Version}
+}
+
+func (test *testOwners) commit(change wire.Change) {
+	test.t.Helper()
+	transaction := wire.Transaction{Then: []wire.Change{change}}
+	if _, err := test.store.Commit(test.t.Context(), store.Routine, transaction); err != nil {
+		test.t.Fatal(err)
+	}
+}
+
+func (test *testOwners) giveTo(owner shard.Controller) {
+	test.t.Helper()
+	record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
+	record.State, record.Owner = shard.Owned, owner
+	test.commit(wire.Change{Put: shard.RecordKey("east"), Value: record})
+}
+
+func (test *testOwners) waitOwned() *fakeOwner {
+	test.t.Helper()
+	var owner *fakeOwner
+	test.waitUntil("the shard's loop runs", func() (ok bool) {
+		owner, ok = test.Of("east")
+		return ok && !owner.Stopped()
+	})
+	return owner
+}
+
+// Without the machine types a shard could be given to a controller that answers none of its
+// machines.
+func TestSessionWaitsForTheMachineTypes(t *testing.T) {
+	test := runOwners(t)
+	test.waitUntil("the table was read", test.Table().HasRead)
+	time.Sleep(2 * shard.ReadRetry.Duration())
+	if _, err := test.store.Get(t.Context(), store.Routine, shard.SessionKey("n-1")); err == nil {
+		t.Error("there is a session without machine types")
+	}
+	test.host.ready.Store(true)
+	test.session()
+}
+
+func TestLoopOfAShardFollowsItsRecord(t *testing.T) {
+	test := runOwners(t)
+	test.host.ready.Store(true)
+	self := test.session()
+	test.giveTo(shard.Controller{Node: "n-1", SessionVersion: self.SessionVersion + 1})
+	test.waitUntil("the table is read", func() bool { return test.Table().Snapshot().Len() == 1 })
+	if _, ok := test.Of("east"); ok {
+		t.Error("the shard of another incarnation runs")
+	}
+	test.giveTo(self)
+	owner := test.waitOwned()
+	if owner.self != self || test.host.started.Load() != 1 || test.host.changes.Load() == 0 {
+		t.Errorf("%d loops were started, as %v", test.host.started.Load(), owner.self)
+	}
+	test.commit(wire.Change{Delete: shard.RecordKey("east")})
+	test.waitUntil("the loop is told that the record is gone", owner.gone.Load)
+}
+
+// A loop that gives up by itself, as after a gap in the store's history, is begun anew.
+func TestLoopThatEndedByItselfIsStartedAgain(t *testing.T) {
+	test := runOwners(t)
+	test.host.ready.Store(true)
+	test.giveTo(test.session())
+	first := test.waitOwned()
+	first.Stop()
+	if second := test.waitOwned(); second == first || test.host.started.Load() != 2 {
+		t.Errorf("%d loops were started", test.host.started.Load())
+	}
+}
+
+func TestLoopsEndWithTheSession(t *testing.T) {
+	test := runOwners(t)
+	test.host.ready.Store(true)
+	test.giveTo(test.session())
+	owner := test.waitOwned()
+	if err := test.store.Revoke(t.Context(), owner.session.Lease); err != nil {
+		t.Fatal(err)
+	}
+	test.waitUntil("the loop of the session that ended is stopped", owner.Stopped)
+	if _, ok := test.Of("east"); ok {
+		t.Error("a shard of the session that ended is still owned")
+	}
+}
