--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -18,7 +18,7 @@
 // When an owner tells the leader how it fares, and how exactly.
 const (
 	statusUpdateInterval = micro.Second
-	maxCapacityKinds     = 64 // kinds of room
+	maxCapacityKinds     = 64 // kinds of free capacity
 	urgentStatusPause    = 50 * micro.Millisecond
 	cpuRounding          = 1 // machines with so many free CPUs more or less are told together
 )
@@ -168,8 +168,8 @@
 	}
 }
 
-// allocationsNeeded is how many places a job's tasks may have at once from now on, by what
-// the records say: whoever owns the share next knows no more.
+// allocationsNeeded is how many allocations a job's tasks may have at once from now on, by what
+// the records say: whoever owns the shard next knows no more.
 func allocationsNeeded(job *cluster.Job) int {
 	if !fullyRecorded(job) {
 		return -1
@@ -200,7 +200,7 @@
 	return open
 }
 
-// capacityKey is what makes machines' room alike.
+// capacityKey is what makes the free capacity of machines alike.
 type capacityKey struct {
 	pool *cluster.MachinePool
 	cpu  int
@@ -208,7 +208,7 @@
 	mem  int
 }
 
-// freeCapacity lists what is free, by like machines, the largest first. What waits for room
+// freeCapacity lists what is free, by like machines, the largest first. What waits for capacity
 // in the shard comes before jobs that are yet to be assigned: while any does, none is.
 func (o *ShardOwner) freeCapacity(now micro.Time) []shard.FreeCapacity {
 	for job := range o.cluster.PendingJobs {
@@ -218,15 +218,7 @@
 	}
 	counts := map[capacityKey]int{}
 	for _, pool := range o.cluster.Pools {
-		for row := range pool.Rows() {
-			for _, machine := range pool.Row(row) {
-				if !machine.Schedulable(now) || machine.ReservedFor != nil {
-					continue
-				}
-				cpu := min(machine.Type.CPUs-machine.UsedScaledCPU, machine.Type.CPUs-machine.UsedCPU)
-				counts[capacityKey{pool, int(cpu) / cpuRounding, int(machine.Type.GPUs - machine.UsedGPU), int(machine.Type.MemoryGB - machine.UsedMemoryGB)}]++
-			}
-		}
+		countFreeCapacity(pool, counts, now)
 	}
 	capacity := make([]shard.FreeCapacity, 0, len(counts))
 	for key, count := range counts {
@@ -241,7 +233,28 @@
 	return capacity[:min(len(capacity), maxCapacityKinds)]
 }
 
-// hasMoreCapacity orders kinds of room; the order of equal ones is fixed, so that runs repeat.
+// countFreeCapacity adds the machines of a pool that take tasks, by what is free on them.
+func countFreeCapacity(pool *cluster.MachinePool, counts map[capacityKey]int, now micro.Time) {
+	for row := range pool.Rows() {
+		for _, machine := range pool.Row(row) {
+			if machine.Schedulable(now) && machine.ReservedFor == nil {
+				counts[capacityOf(pool, machine)]++
+			}
+		}
+	}
+}
+
+func capacityOf(pool *cluster.MachinePool, machine *cluster.Machine) capacityKey {
+	cpu := min(machine.Type.CPUs-machine.UsedScaledCPU, machine.Type.CPUs-machine.UsedCPU)
+	return capacityKey{
+		pool: pool,
+		cpu:  int(cpu) / cpuRounding,
+		gpu:  int(machine.Type.GPUs - machine.UsedGPU),
+		mem:  int(machine.Type.MemoryGB - machine.UsedMemoryGB),
+	}
+}
+
+// hasMoreCapacity orders kinds of free capacity; the order of equal ones is fixed, so that runs repeat.
 func hasMoreCapacity(a, b shard.FreeCapacity) bool {
 	switch {
 	case a.GPU != b.GPU:
@@ -298,7 +311,7 @@
 	}
 }
 
-// applyLeaderBound notes until when keepers may have renewed leases, by this node's clock, as of
+// applyLeaderBound notes until when proxies may have renewed leases, by this node's clock, as of
 // the leader's answer: that was given after the status update was sent.
 func (o *ShardOwner) applyLeaderBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
 	o.renewedUntil = map[string]micro.Time{}
@@ -320,7 +333,7 @@
 	}
 }
 
-// updateBoundFromLeader brings the model up to date on what keepers may have renewed. Only the
+// updateBoundFromLeader brings the cluster state up to date on what proxies may have renewed. Only the
 // leader is in touch with them: without its answer nothing is proven by a lease.
 func (o *ShardOwner) updateBoundFromLeader(now micro.Time) {
 	for _, zone := range append([]string{""}, o.node.Cfg.Facts.Zones...) {
--- a/internal/controller/status_log.go
+++ b/internal/controller/status_log.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -20,28 +21,40 @@
 	}
 }
 
-func (l *controlLoop) logStatus(queuedRequests int) {
-	usable := 0
+// describeFleet counts the machines that take tasks, and describes them by pool.
+func (l *controlLoop) describeFleet() (usable int, description string) {
 	var fleet strings.Builder
 	for _, pool := range l.cluster.Pools {
 		if pool.MachineCount == 0 {
 			continue
 		}
 		usable += pool.MachineCount
-		empty := 0
-		for row := range pool.Rows() {
-			for _, machine := range pool.Row(row) {
-				if len(machine.Allocations) == 0 {
-					empty++
-				}
-			}
-		}
 		kind := "ordinary"
 		if pool.Spot {
 			kind = "spot"
 		}
-		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
+		fmt.Fprintf(
+			&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, emptyMachines(pool),
+		)
 	}
+	return usable, fleet.String()
+}
+
+// emptyMachines counts the machines of a pool without any allocation.
+func emptyMachines(pool *cluster.MachinePool) int {
+	empty := 0
+	for row := range pool.Rows() {
+		for _, machine := range pool.Row(row) {
+			if len(machine.Allocations) == 0 {
+				empty++
+			}
+		}
+	}
+	return empty
+}
+
+func (l *controlLoop) logStatus(queuedRequests int) {
+	usable, fleet := l.describeFleet()
 	l.log.Info(
 		"leading",
 		"live",
@@ -81,6 +94,6 @@
 		"rentals_waiting",
 		queuedRequests,
 		"fleet",
-		fleet.String(),
+		fleet,
 	)
 }
--- a/internal/shard/ownership/ownership.go
+++ b/internal/shard/ownership/ownership.go
@@ -108,7 +108,10 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return o.holdSession(ctx) })
 	group.Go(func() error { return o.table.Run(ctx) })
-	group.Go(func() error { return o.reconcilePeriodically(ctx) })
+	group.Go(func() error {
+		o.reconcilePeriodically(ctx)
+		return nil
+	})
 	return group.Wait()
 }
 
@@ -132,12 +135,11 @@
 
 // reconcilePeriodically looks after the loops also when the table does not change: one may have
 // ended by itself.
-func (o *Owners[O]) reconcilePeriodically(ctx context.Context) error {
+func (o *Owners[O]) reconcilePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, reconcileInterval)
 		o.Reconcile()
 	}
-	return nil
 }
 
 func (o *Owners[O]) sessionStarted(term *election.Term) {
--- a/internal/shard/ownership/ownership_test.go
+++ b/internal/shard/ownership/ownership_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"sync/atomic"
 	"testing"
@@ -67,7 +68,9 @@
 	go func() { ended <- test.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
+			t.Error(err)
+		}
 	})
 	return test
 }
