--- a/internal/persist/records.go
+++ b/internal/persist/records.go
@@ -140,10 +140,23 @@
 // writerHost is what the writer of the records needs of them and of their host.
 type writerHost struct{ records *Records }
 
-func (h writerHost) Now() micro.Time                    { return h.records.host.Now() }
-func (h writerHost) HoldsLease() bool                   { return h.records.host.HoldsLease() }
+// Now is the steady clock.
+func (h writerHost) Now() micro.Time { return h.records.host.Now() }
+
+// HoldsLease reports whether the host may still write.
+func (h writerHost) HoldsLease() bool { return h.records.host.HoldsLease() }
+
+// Preconditions are those of the role.
 func (h writerHost) Preconditions() []wire.Precondition { return h.records.role.Preconditions() }
-func (h writerHost) Post(event eventloop.Event)         { h.records.host.Post(event) }
-func (h writerHost) MaxValueBytes() int                 { return h.records.MaxValueBytes() }
-func (h writerHost) MaxTransactionOps() int             { return h.records.limits.MaxTxnOps() }
-func (h writerHost) ObserveCommit(took micro.Time)      { h.records.host.ObserveCommit(took) }
+
+// Post hands the host's loop an event.
+func (h writerHost) Post(event eventloop.Event) { h.records.host.Post(event) }
+
+// MaxValueBytes is what a value may take now.
+func (h writerHost) MaxValueBytes() int { return h.records.MaxValueBytes() }
+
+// MaxTransactionOps is how many changes a transaction may have.
+func (h writerHost) MaxTransactionOps() int { return h.records.limits.MaxTxnOps() }
+
+// ObserveCommit is told how long a transaction took.
+func (h writerHost) ObserveCommit(took micro.Time) { h.records.host.ObserveCommit(took) }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -30,6 +30,11 @@
 func (i *testIntake) DependencyAborted(*cluster.Job) {}
 func (i *testIntake) ChunkDirty(*cluster.TaskChunk)  {}
 
+func (i *testIntake) LegacyRecordSuperseded(*cluster.LegacyRecord)            {}
+func (i *testIntake) ChunkMigrated(*cluster.TaskChunk, *cluster.LegacyRecord) {}
+func (i *testIntake) ChunkUrgent(*cluster.TaskChunk)                          {}
+func (i *testIntake) DispatchSoon(*cluster.Machine)                           {}
+
 func newTestIntake(t *testing.T, from store.Store) *testIntake {
 	t.Helper()
 	intake := &testIntake{now: 1000 * micro.Second}
