--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -72,7 +72,7 @@
 }
 
 // bootTimeoutFactor is how many of a type's boot times a machine may take and still
-// count as room to come; beyond it another is rented.
+// count as room to come; beyond it another is requested.
 const bootTimeoutFactor = 1.6
 
 // offerCapacity is the room of machines of one offer that are expected to come up.
@@ -110,7 +110,7 @@
 	return (len(job.Tasks)+1)/2 - job.AllocationsByZone[zone] - job.AllocationsByZone[""] - tasksByZone[zone]
 }
 
-// reserve puts up to n of a demand's tasks into the stock of the zones that are cut off,
+// reserve puts up to so many of a demand's tasks into the capacity of the unreachable zones,
 // or of the others, and says how many fit.
 func (c *capacity) reserve(
 	demand *taskDemand, tasks int, tasksByZone map[string]int, unreachable map[string]bool, inUnreachable bool,
@@ -146,8 +146,8 @@
 // serviceOccupancy stands for the time that a service takes.
 const serviceOccupancy = 10 * micro.Minute
 
-// reserveTurnover is how many of n tasks the machines of the stock could start by a
-// time, after what the plan has put on them, on room that is not dear. It takes
+// reserveTurnover is how many of the tasks the machines of the capacity could start by a
+// time, after what the plan has put on them, on room that is not expensive. It takes
 // what it counts.
 func (c *capacity) reserveTurnover(
 	demand *taskDemand, tasks int, now, deadline micro.Time, expensive func(*offerCapacity) bool,
@@ -202,7 +202,7 @@
 // reserveReleased is how many of n tasks fit on running machines by a time; it takes
 // what it counts. Room in a zone where the job may have no more is none: a spread
 // service once waited for good for room beside its own tasks, since as much of it
-// was about to come free, and nothing was rented in the other zone.
+// was about to come free, and nothing was requested in the other zone.
 func reserveReleased(bins []*bin, demand *taskDemand, tasks int, tasksByZone map[string]int, at micro.Time) int {
 	reserved := 0
 	reservedByZone := map[string]int{}
@@ -247,7 +247,7 @@
 }
 
 // bootFailureExclusion is for how long an offer is left out whose machines did not come up: once
-// they are returned nothing else tells.
+// they are terminated nothing else tells.
 const bootFailureExclusion = 2 * micro.Minute
 
 // minOverdueBoots is how many machines of an offer must be late for that: one alone
--- a/internal/autoscaler/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -11,8 +11,8 @@
 )
 
 // A large machine with a dozen short tasks is never empty by chance, since the
-// tightest fit fills it again: where money is looked at and nothing waits, the
-// dearest machines that are not needed take nothing more, and go back once they
+// tightest fit fills it again: where cost matters and nothing waits, the
+// most expensive machines that are not needed are cordoned, and terminated once they
 // are empty.
 
 const (
@@ -100,7 +100,7 @@
 }
 
 // usableForGPUWork reports whether a class that needs GPUs may use a machine: such
-// machines are few, slow to get ready, and go back when idle.
+// machines are few, slow to get ready, and terminated when idle.
 func (p *Planner) usableForGPUWork(m *cluster.Machine) bool {
 	if m.Type.GPUs == 0 {
 		return false
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -27,9 +27,9 @@
 		(d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
 }
 
-// eligibleOffers tells the offers that help a job: those of shares only if it can still be
+// eligibleOffers tells the offers that help a job: those of shards only if it can still be
 // assigned to one as a whole. A service with one replica in place once had machines
-// rented into a share, again and again, for the other.
+// requested into a shard, again and again, for the other.
 func (p *Planner) eligibleOffers(job *cluster.Job) func(InstanceOffer) bool {
 	if job.NeverAllocated() {
 		return nil
@@ -37,12 +37,12 @@
 	return p.OwnsOffer
 }
 
-// ShardDemand is a number of tasks that wait for room in a share of the machines, which
+// ShardDemand is a number of tasks that wait for room in a shard of the machines, which
 // another controller owns.
 type ShardDemand struct {
 	Job     *cluster.Job
 	Tasks   int
-	InShard func(InstanceOffer) bool // the offers whose machines are in the share
+	InShard func(InstanceOffer) bool // the offers whose machines are in the shard
 }
 
 // demands lists the tasks that found no room, and the headroom that is short.
@@ -139,8 +139,8 @@
 	return demands
 }
 
-// bootSpareFactor is how much more room than it needs is rented for work of the first
-// rank that is wanted sooner than machines boot: boots take 0.6 to 1.5 times as
+// bootSpareFactor is how much more room than it needs is requested for work of the first
+// priority level that is wanted sooner than machines boot: boots take 0.6 to 1.5 times as
 // long as they should, and with spares the quickest of them are enough.
 const bootSpareFactor = 0.5
 
@@ -164,7 +164,7 @@
 }
 
 // scaleOutDelay is how long a job with time in hand waits for room to come free
-// before room is rented for it.
+// before room is requested for it.
 const scaleOutDelay = 8 * micro.Second
 
 func (p *Planner) isUrgent(job *cluster.Job, latestStart, now micro.Time) bool {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -1,5 +1,6 @@
-// Package autoscaler decides what to rent and what to return, from the queue, the
-// objectives and the prices. It reads no clock and does no I/O.
+// Package autoscaler decides which instances to request and which machines to terminate, from
+// the queue, the objectives and the prices. It reads no clock and does no I/O. The goroutine
+// that owns the cluster state owns a Planner too.
 package autoscaler
 
 import (
@@ -9,19 +10,19 @@
 	"notchmux.dev/notchmux/internal/scheduler"
 )
 
-// InstanceOffer is what the cloud rents: a type in a zone, spot or ordinary.
+// InstanceOffer is what the cloud offers: a type in a zone, spot or on-demand.
 type InstanceOffer struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// ScaleOut is a number of machines to rent.
+// ScaleOut is a number of machines to be requested.
 type ScaleOut struct {
 	InstanceOffer
 	Count         int
 	Class         string // the class whose work asked for the first of them
-	PriorityLevel int    // and its rank
+	PriorityLevel int    // and its priority level
 }
 
 // Planner remembers what the cloud refused and what is under way.
@@ -31,11 +32,11 @@
 	Properties          *config.Properties
 	RefusedUntil        map[InstanceOffer]micro.Time // until when not to ask again
 	ConsecutiveRefusals map[InstanceOffer]int        // refusals in a row
-	PendingRequests     map[string]ScaleOut          // rentals without an answer yet, by request
-	ShardDemands        func() []ShardDemand         // what waits in shares of other controllers; nil: nothing
-	OwnsOffer           func(InstanceOffer) bool     // the offers whose machines are in no share; nil: all are
+	PendingRequests     map[string]ScaleOut          // instance requests without an answer yet, by name
+	ShardDemands        func() []ShardDemand         // what waits in shards of other controllers; nil: nothing
+	OwnsOffer           func(InstanceOffer) bool     // the offers whose machines are in no shard; nil: all are
 
-	unreachableZones map[string]bool // zones that are out of reach, by the last plan
+	unreachableZones map[string]bool // unreachable zones, by the last plan
 	permanentFleet   bool            // operators keep machines of their own, by the last plan
 	noBacklogSince   micro.Time      // since when nothing has waited for room; 0: something does
 
@@ -69,8 +70,9 @@
 	}
 }
 
-// maxMachinesPerPlan bounds what one plan rents, maxMachinesPerRequest what one request does, and maxMachinesPerOffer
-// what is asked of one offer at a time: how much there is shows only by asking.
+// maxMachinesPerPlan bounds what one plan requests, maxMachinesPerRequest what one request asks
+// for, and maxMachinesPerOffer what is asked of one offer at a time: how much there is shows
+// only by asking.
 const (
 	maxMachinesPerPlan    = 250
 	maxMachinesPerRequest = 50
@@ -84,7 +86,7 @@
 	maxBackoffShift = 2
 )
 
-// RecordAnswer takes in what came of a rental.
+// RecordAnswer takes in the answer to an instance request.
 func (p *Planner) RecordAnswer(offer InstanceOffer, requested, granted int, now micro.Time) {
 	switch {
 	case granted == requested:
@@ -98,7 +100,7 @@
 	}
 }
 
-// Plan says what to rent and which machines to return for being idle.
+// Plan says which instances to request and which machines to terminate for being idle.
 func (p *Planner) Plan(now micro.Time) (scaleOuts []ScaleOut, idle []*cluster.Machine) {
 	p.permanentFleet = p.hasPermanentMachines()
 	p.unreachableZones = p.listUnreachableZones()
@@ -122,7 +124,7 @@
 	return plan.requests(), p.IdleMachines(now)
 }
 
-// bestOffer is what to rent for a demand: work of the first rank at any price.
+// bestOffer is what to request for a demand: for work of the first priority level at any price.
 func (p *Planner) bestOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, now micro.Time) *bin {
 	best := p.chooseOffer(demand, unplaced, tasksByZone, true, now)
 	if best == nil && demand.priorityLevel == 0 {
@@ -131,9 +133,9 @@
 	return best
 }
 
-// listUnreachableZones lists the zones that are out of reach. What is rented there reports to
-// nobody until the cut ends: tasks that were killed in such a zone once waited while
-// machines were rented there again and again.
+// listUnreachableZones lists the zones that a partition cuts off. The heartbeats of what is
+// created there reach nobody until it ends: tasks that were killed in such a zone once waited
+// while machines were requested there again and again.
 func (p *Planner) listUnreachableZones() map[string]bool {
 	unreachable := map[string]bool{}
 	for zone := range p.Cluster.ZoneUnreachableSince {
@@ -152,10 +154,11 @@
 	return maxMachinesPerOffer
 }
 
-// permanentFleetIdleFactor is how much longer rented machines are kept where readiness wins.
+// permanentFleetIdleFactor is how much longer idle machines are kept where readiness wins.
 const permanentFleetIdleFactor = 6
 
-// IdleMachines lists rented machines that nobody has needed for a while.
+// IdleMachines lists the machines, but for the operators' own, that nobody has needed for a
+// while.
 func (p *Planner) IdleMachines(now micro.Time) []*cluster.Machine {
 	var idle []*cluster.Machine
 	idleTimeout := p.Properties.IdleTerminateAfter
@@ -174,7 +177,7 @@
 		}
 		timeout := idleTimeout
 		if p.limitsCost() && machine.Type != nil && machine.Type.GPUs > 0 {
-			timeout /= 2 // the dearest; those that are expected to be needed are wanted
+			timeout /= 2 // the most expensive; those that are expected to be needed are wanted
 		}
 		if now-machine.IdleSince > timeout && now-machine.LastNeededForHeadroom > 5*micro.Second {
 			idle = append(idle, machine)
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -9,14 +9,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// maxExpensiveDelay is the longest that work waits for room to come free where only dear
-// room can be rented.
+// maxExpensiveDelay is the longest that work waits for room to come free where only expensive
+// room can be requested.
 const maxExpensiveDelay = 3 * micro.Minute
 
 // slowBootFactor is how many times its type's boot time a machine may well take.
 const slowBootFactor = 1.5
 
-// meetsObjective reports whether a machine rented now would let a demand meet an
+// meetsObjective reports whether a machine requested now would let a demand meet an
 // objective. Work that has waited very long gets one in any case.
 func (p *Planner) meetsObjective(demand *taskDemand, typ *cluster.MachineType, now micro.Time) bool {
 	if demand.job != nil && now-demand.job.EligibleSince > maxExpensiveDelay {
@@ -29,12 +29,12 @@
 // classBacklog is how many of a class's tasks wait, now and a while ago.
 type classBacklog struct {
 	pendingTasks, pendingBefore int
-	measuredAt                  micro.Time // when was was taken
-	lastExpensiveAt             micro.Time // when dear room was last rented because it lasts
+	measuredAt                  micro.Time // when pendingBefore was noted
+	lastExpensiveAt             micro.Time // when expensive room was last requested because it lasts
 }
 
 // A shortage lasts if, with machines up for persistentAfter, no fewer tasks wait than
-// a good while ago. Then dear room is rented for one part in expensiveFleetDivisor of the
+// a good while ago. Then expensive room is requested for one part in expensiveFleetDivisor of the
 // fleet at a time.
 const (
 	backlogInterval       = 20 * micro.Second
@@ -83,7 +83,7 @@
 	return now-b.measuredAt >= backlogInterval
 }
 
-// persistentShortage is how many dear machines may be rented now because a class's shortage
+// persistentShortage is how many expensive machines may be requested now because a class's shortage
 // lasts, whatever is expected to come free: other work takes it.
 func (p *Planner) persistentShortage(demand *taskDemand, now micro.Time) int {
 	if demand.job == nil {
@@ -117,7 +117,7 @@
 	return sum
 }
 
-// minReadyTime is how soon a rented machine could run the job's task.
+// minReadyTime is how soon a requested machine could run the job's task.
 func (p *Planner) minReadyTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
 	for _, typ := range p.Cluster.CatalogOrder {
@@ -130,7 +130,7 @@
 	return best
 }
 
-// cheapestPrice is what the cheapest ordinary type asks for a task's room, where n
+// cheapestPrice is what the cheapest on-demand type asks for a task's room, where n
 // like it are waiting.
 func (p *Planner) cheapestPrice(spec *wire.Job, n int) float64 {
 	best := math.Inf(1)
@@ -148,10 +148,10 @@
 // urgentPriceFactor is how much more room may cost for work that would be late.
 const urgentPriceFactor = 2.2
 
-// urgentAfter is how long work waits before it counts as pressing.
+// urgentAfter is how long work waits before it counts as urgent.
 const urgentAfter = micro.Minute
 
-// limitsCost reports whether money is looked at: where operators keep a fleet of
+// limitsCost reports whether cost matters: where operators keep a fleet of
 // their own, readiness wins.
 func (p *Planner) limitsCost() bool { return !p.permanentFleet }
 
@@ -165,7 +165,7 @@
 }
 
 // WithinPrice reports whether work that needs no GPU may sit on a machine with
-// GPUs. Most are dear, and work that sits on one keeps it from being returned: a
+// GPUs. Most are expensive, and work on one keeps it from being terminated: a
 // service for as long as it lives.
 func (p *Planner) WithinPrice(job *cluster.Job, typ *cluster.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
@@ -176,7 +176,7 @@
 }
 
 // occupancyPriceRatio is the most that the room of a machine may cost, over the cheapest
-// ordinary room, for a job to sit there without need.
+// on-demand room, for a job to take it without need.
 func (p *Planner) occupancyPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
@@ -184,28 +184,28 @@
 	return p.maxPriceRatio(nil, now)
 }
 
-// onlyCostMatters reports whether a job takes no dear room: it is of the last rank and
+// onlyCostMatters reports whether a job takes no expensive room: it is of the last priority level and
 // nothing says when it should start or end, so only its cost counts. Arrays of
-// thousands of such tasks had hundreds of ordinary GPU machines rented, and kept
-// those that other work had needed from being returned. A job none of whose tasks
-// found a place for maxExpensiveDelay takes what there is.
+// thousands of such tasks had hundreds of on-demand GPU machines requested, and kept
+// those that other work had needed from being terminated. A job none of whose tasks
+// had an allocation for maxExpensiveDelay takes what there is.
 func (p *Planner) onlyCostMatters(job *cluster.Job, now micro.Time) bool {
 	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) &&
 		now-job.WaitingSince <= maxExpensiveDelay
 }
 
-// lowestPriorityLevel is the rank of idle work.
+// lowestPriorityLevel is that of best-effort work.
 var lowestPriorityLevel = wire.Low.Level()
 
 // isExpensive reports whether a machine's room costs more than so many times the
-// cheapest ordinary room, for tasks like this.
+// cheapest on-demand room, for tasks like this.
 func (p *Planner) isExpensive(spec *wire.Job, typ *cluster.MachineType, spot bool, ratio float64) bool {
 	k := newBin(typ, "", false).countRoom(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
 
 // maxPriceRatio is the most that room for a job's tasks may cost, over the cheapest
-// ordinary room. Work that has waited long and would soon be late may cost more:
+// on-demand room. Work that has waited long and would soon be late may cost more:
 // then the cheap room has run out.
 func (p *Planner) maxPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -2,20 +2,20 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// scaleOutPlan collects what one plan rents, demand by demand.
+// scaleOutPlan collects what one plan requests, demand by demand.
 type scaleOutPlan struct {
 	planner    *Planner
 	now        micro.Time
-	limitsCost bool    // money is looked at
+	limitsCost bool    // cost matters
 	hourlyCost float64 // what the fleet costs an hour
 
-	expected    *capacity // machines that are expected to come up, rented ones included
+	expected    *capacity // machines that are expected to come up, requested ones included
 	runningBins []*bin    // room of running machines; listed when first needed
 
-	pendingMachines map[InstanceOffer]int // machines asked for without an answer yet
-	plannedMachines map[InstanceOffer]int // machines that this plan rents
+	pendingMachines map[InstanceOffer]int // machines requested without an answer yet
+	plannedMachines map[InstanceOffer]int // machines that this plan requests
 	firstDemand     map[InstanceOffer]*taskDemand
-	offerOrder      []InstanceOffer // the offers of rented, in the order of the demands
+	offerOrder      []InstanceOffer // the offers of plannedMachines, in the order of the demands
 	total           int
 }
 
@@ -36,7 +36,7 @@
 	return plan
 }
 
-// requests are the rentals, each at most as large as one request may be.
+// requests are the scale-outs, each at most as large as one request may be.
 func (plan *scaleOutPlan) requests() []ScaleOut {
 	var scaleOuts []ScaleOut
 	for _, offer := range plan.offerOrder {
@@ -48,19 +48,19 @@
 	return scaleOuts
 }
 
-// shortage is what a demand still lacks while room is rented for it.
+// shortage is what a demand still lacks while room is requested for it.
 type shortage struct {
 	*taskDemand
 	tasksByZone map[string]int // tasks that the plan has put into each zone
 	unplaced    int            // tasks without room
 	freedInTime int            // of these, how many fit on room that comes free in time
 
-	expensiveAllowed bool // dear room may be rented
+	expensiveAllowed bool // expensive room may be requested
 	persistent       bool // because the shortage of its class lasts
-	turnoverCounted  bool // soon holds all room that comes free before dear room would help
+	turnoverCounted  bool // freedInTime holds all room that comes free before expensive room would help
 }
 
-// satisfy rents room for a demand, the cheapest offer first.
+// satisfy requests room for a demand, the cheapest offer first.
 func (plan *scaleOutPlan) satisfy(demand *taskDemand) {
 	short := &shortage{taskDemand: demand, tasksByZone: map[string]int{}}
 	short.unplaced = demand.tasks - plan.reserveExpected(short)
@@ -77,7 +77,7 @@
 	}
 }
 
-// addNextOffer rents of the best offer; false if nothing more is to be rented for the
+// addNextOffer takes of the best offer; false if nothing more is to be requested for the
 // demand.
 func (plan *scaleOutPlan) addNextOffer(short *shortage) bool {
 	best := plan.planner.bestOffer(short.taskDemand, short.unplaced, short.tasksByZone, plan.now)
@@ -110,7 +110,7 @@
 }
 
 // reserveExpected puts a demand's tasks on machines that are expected to come up and says
-// how many fit. Room beyond a cut is left to what can go nowhere else.
+// how many fit. Room in an unreachable zone is left to what can go nowhere else.
 func (plan *scaleOutPlan) reserveExpected(short *shortage) int {
 	unreachable := plan.planner.unreachableZones
 	reserved := plan.expected.reserve(short.taskDemand, short.tasks, short.tasksByZone, unreachable, false)
@@ -125,7 +125,7 @@
 	return reserved
 }
 
-// allowExpensive reports whether an offer may be rented although it is dear: not for
+// allowExpensive reports whether an offer may be requested although it is expensive: not for
 // what it cannot help, nor for what can start in time on room that comes free.
 func (plan *scaleOutPlan) allowExpensive(short *shortage, best *bin) bool {
 	planner := plan.planner
@@ -143,7 +143,7 @@
 	return true
 }
 
-// countTurnover counts, once, the room that comes free before dear room would
+// countTurnover counts, once, the room that comes free before expensive room would
 // help, on running machines and on those that come up.
 func (plan *scaleOutPlan) countTurnover(short *shortage) {
 	if short.persistent || short.turnoverCounted {
@@ -166,7 +166,7 @@
 	)
 }
 
-// machineCount is how many machines of an offer are rented at a time for so many tasks.
+// machineCount is how many machines of an offer are requested at a time for so many tasks.
 func (plan *scaleOutPlan) machineCount(short *shortage, best *bin, tasks, perMachine int) int {
 	limit := plan.planner.maxPending(best.offer) - plan.pendingMachines[best.offer] - plan.plannedMachines[best.offer]
 	count := min(ceilDiv(tasks, perMachine), maxMachinesPerPlan-plan.total, limit)
