--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -20,7 +20,6 @@
 	beside := func(name string, refused bool) *Node {
 		node, _ := b.startNodeWith(name, func(node *Node) {
 			node.Cfg.Peers = []config.Peer{{Node: "n-0"}}
-			node.Init()
 			node.Peers = peer.NewClient(map[string]string{"n-0": addr})
 		})
 		waitUntil(b.t, "leader known", func() bool { return node.election.Leader() == "n-0" })
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -76,11 +76,10 @@
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
 	// Nothing waits for room to come free: machines are rented at once.
 	cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
-	node := &Node{
+	node := NewWith(Dependencies{
 		Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(), Now: micro.Now, Wall: micro.WallNow,
-	}
-	node.Init()
+	})
 	set(node)
 	rebuildParts(node)
 	cat, _ := b.cloud.Catalog(context.Background())
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -41,12 +41,11 @@
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
 	cfg.Facts.Teams = []config.Team{{Name: "team"}}
 	cfg.DeriveDefaults()
-	node := &Node{
+	node := NewWith(Dependencies{
 		Cfg: cfg, Store: fake.NewStore(), Cloud: fake.NewCloud(0), Agent: unansweredDispatch{},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(),
 		Now: func() micro.Time { return fleet.now }, Wall: func() micro.Time { return fleet.now },
-	}
-	node.Init()
+	})
 	cat := &wire.Catalog{}
 	for i := range 4 {
 		cat.Types = append(
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -26,7 +26,6 @@
 	now := micro.Minute
 	inside, _ := env.startNodeWith("n-1", func(node *Node) {
 		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{{Node: "n-0", Zone: "a"}, {Node: "n-2", Zone: "b"}}
-		node.Init()
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader), "n-2": env.servePeer(neighbor)})
 	})
 	waitUntil(t, "leader known", func() bool { return inside.election.Leader() == "n-0" })
@@ -317,7 +316,6 @@
 		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{
 			{Node: "n-0", Zone: "b"}, {Node: "n-2", Zone: "b"}, {Node: "n-3", Zone: "a"},
 		}
-		node.Init()
 		node.election.SuspendCampaign(10 * micro.Minute)
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader), "n-2": env.servePeer(neighbor)})
 	})
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -36,8 +36,8 @@
 // writes, can be set.
 type BudgetFractionSetter interface{ SetBudgetFraction(reads, writes float64) }
 
-// Node is one controller.
-type Node struct {
+// Dependencies are the settings and the outside services that a node is built on.
+type Dependencies struct {
 	Cfg     *config.Config
 	Store   store.Store
 	Cloud   cloud.Provider
@@ -45,8 +45,13 @@
 	Peers   peer.Caller
 	Log     *slog.Logger
 	Metrics *metrics.Set
-	Now     func() micro.Time
-	Wall    func() micro.Time
+	Now     func() micro.Time // the steady clock
+	Wall    func() micro.Time // the wall clock
+}
+
+// Node is one controller.
+type Node struct {
+	Dependencies
 
 	election         *election.Election
 	leader           atomic.Pointer[Leader]
@@ -68,7 +73,7 @@
 	for _, other := range cfg.Peers {
 		addrs[other.Node] = other.Addr
 	}
-	node := &Node{
+	return NewWith(Dependencies{
 		Cfg:     cfg,
 		Store:   store.NewClient(cfg.External.State, cfg.Facts.State.RPS, cfg.Facts.State.WriteRPS),
 		Cloud:   cloud.NewClient(cfg.External.Cloud, cfg.Facts.Cloud.RPS),
@@ -78,13 +83,12 @@
 		Metrics: metrics.New(),
 		Now:     micro.Now,
 		Wall:    micro.WallNow,
-	}
-	node.Init()
-	return node
+	})
 }
 
-// Init completes a node whose parts were given.
-func (n *Node) Init() {
+// NewWith makes a node that speaks to the given services.
+func NewWith(deps Dependencies) *Node {
+	n := &Node{Dependencies: deps}
 	n.health = health.New(health.Config{
 		Store: n.Store, Peers: n.Peers, Log: n.Log, PeerNames: n.peerNames, Now: n.Now,
 	})
@@ -97,6 +101,7 @@
 		Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
 		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenewInterval, Log: n.Log, Now: n.Now,
 	}
+	return n
 }
 
 // Ready reports whether the node can take requests.
--- /dev/null
+++ b/internal/controller/peers_test.go
@@ -0,0 +1,58 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/wire"
+)
+
+// What other nodes, also those of the version before, are answered to calls that cannot be
+// served: the statuses are a fixed format.
+func TestPeerCallsThatCannotBeServedGetTheirStatuses(t *testing.T) {
+	env := newTestCluster(t)
+	leader, _ := env.startNode("n-0")
+	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil && leader.activeLeader().serving.Load() })
+	follower, _ := env.startNode("n-1")
+	waitUntil(t, "leader known", func() bool { return follower.election.Leader() == "n-0" })
+	const garbage = "\xc1" // no value begins so
+	ids := string(wire.MustMarshal([]string{"j-000001"}))
+	for _, test := range []struct {
+		call, body       string
+		leader, follower int
+	}{
+		{peer.Ping, garbage, http.StatusOK, http.StatusOK},
+		{peer.Status, "j-000001", http.StatusServiceUnavailable, http.StatusMisdirectedRequest},
+		{peer.Status, garbage, http.StatusServiceUnavailable, http.StatusMisdirectedRequest},
+		{peer.StatusBatch, garbage, http.StatusBadRequest, http.StatusMisdirectedRequest},
+		{peer.StatusBatch, ids, http.StatusOK, http.StatusMisdirectedRequest},
+		{peer.Cancel, garbage, http.StatusBadRequest, http.StatusMisdirectedRequest},
+		{peer.Cancel, "j-000001", http.StatusNotFound, http.StatusMisdirectedRequest},
+		{peer.JobAccepted, garbage, http.StatusBadRequest, http.StatusMisdirectedRequest},
+		{peer.JobAccepted, string(wire.MustMarshal(wire.Job{ID: "j-000001"})), http.StatusBadRequest, http.StatusMisdirectedRequest},
+		{peer.ShardOwner, garbage, http.StatusServiceUnavailable, http.StatusMisdirectedRequest},
+		{peer.Submit, garbage, http.StatusBadRequest, http.StatusBadRequest},
+		{peer.AcceptedJobs, garbage, http.StatusBadRequest, http.StatusBadRequest},
+		{peer.AcceptedJobs, ids, http.StatusOK, http.StatusOK},
+		{peer.AcceptedJobsBudgeted, garbage, http.StatusBadRequest, http.StatusBadRequest},
+		{peer.AcceptedJobsBudgeted, ids, http.StatusOK, http.StatusOK},
+		{peer.StoredStatus, garbage, http.StatusNotFound, http.StatusNotFound},
+		{peer.StoredStatus, "j-000001", http.StatusNotFound, http.StatusNotFound},
+		{peer.AnnounceVersion, garbage, http.StatusBadRequest, http.StatusBadRequest},
+		{peer.LeaseProxy, garbage, http.StatusBadRequest, http.StatusMisdirectedRequest},
+		{peer.ShardAdmin, garbage, http.StatusBadRequest, http.StatusBadRequest},
+		{"/peer/later", garbage, http.StatusNotFound, http.StatusNotFound},
+	} {
+		for node, want := range map[*Node]int{leader: test.leader, follower: test.follower} {
+			if got, _ := node.handlePeerCall(context.Background(), test.call, []byte(test.body)); got != want {
+				t.Errorf("%s of %q to %s: %d, want %d", test.call, test.body, node.Cfg.Node, got, want)
+			}
+		}
+	}
+	found, out := leader.handlePeerCall(context.Background(), peer.StatusBatch, []byte(ids))
+	if want := string(wire.MustMarshal([]wire.JobStatus{})); found != http.StatusOK || string(out) != want {
+		t.Errorf("no job found is %q, want %q", out, want)
+	}
+}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -275,7 +275,7 @@
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	began := w.now()
-	node := &Node{
+	parts := Dependencies{
 		Cfg:     &cfg,
 		Store:   link,
 		Cloud:   &cloudClient{w.cloud, controller, link},
@@ -289,9 +289,9 @@
 		Wall: micro.WallNow,
 	}
 	if w.wrapStore != nil {
-		node.Store = w.wrapStore(link)
+		parts.Store = w.wrapStore(link)
 	}
-	node.Init()
+	node := NewWith(parts)
 	node.election.OnStartedLeading = func(t *election.Term) { node.startLeader(ctx, t) }
 	node.election.OnStoppedLeading = node.stopLeader
 	controller.mu.Lock()
