--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,11 +57,11 @@
 		Teams      []Team      `toml:"teams"`
 		Objectives []Objective `toml:"objectives"`
 		Workers    struct {
-			ReportS   float64 `toml:"report_s"`
-			LeaseS    float64 `toml:"lease_s"`
-			GangWaitS float64 `toml:"gang_wait_s"`
-			GangPeerS float64 `toml:"gang_peer_s"`
-			CancelS   float64 `toml:"cancel_s"`
+			HeartbeatIntervalS float64 `toml:"report_s"`
+			LeaseS             float64 `toml:"lease_s"`
+			GangWaitS          float64 `toml:"gang_wait_s"`
+			GangPeerS          float64 `toml:"gang_peer_s"`
+			CancelS            float64 `toml:"cancel_s"`
 		} `toml:"workers"`
 		State struct {
 			RPS      float64 `toml:"rps"`
@@ -141,7 +141,8 @@
 	if maxLeaderLease >= Defaults().LeaderLease {
 		// It is the operators' own value that breaks the bound.
 		return fmt.Errorf(
-			"%s: key %q: must be at most %v: after a cancellation the leader's lease and then the workers' must be over within facts.workers.cancel_s",
+			"%s: key %q: must be at most %v: after a cancellation the leader's lease "+
+				"and then the workers' must be over within facts.workers.cancel_s",
 			propertiesPath,
 			"leader.lease.s",
 			maxLeaderLease.Seconds(),
@@ -149,7 +150,8 @@
 	}
 	if c.LeaseExpiredAfter()+CancelSlack > cancelRetryWindow {
 		return fmt.Errorf(
-			"%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, and users repeat a withdrawal for too short a time to wait for that",
+			"%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, "+
+				"and users repeat a withdrawal for too short a time to wait for that",
 			path,
 			"facts.workers.cancel_s",
 			c.MaxCancelledTaskLife().Seconds(),
@@ -221,7 +223,7 @@
 
 // MaxHeartbeatInterval is the longest time between two heartbeats of a live agent.
 func (c *Config) MaxHeartbeatInterval() micro.Time {
-	return micro.FromSeconds(c.Facts.Workers.ReportS * maxHeartbeatDelay)
+	return micro.FromSeconds(c.Facts.Workers.HeartbeatIntervalS * maxHeartbeatDelay)
 }
 
 // HeartbeatOverdueAfter is how long after its last heartbeat a machine's next one is overdue.
@@ -232,14 +234,15 @@
 // RegistrationWindow is how long after a failover every live agent has surely tried all
 // nodes, those out of reach included.
 func (c *Config) RegistrationWindow() micro.Time {
-	return micro.FromSeconds(c.Facts.Workers.ReportS*maxHeartbeatDelay + float64(len(c.Peers)+1)*(heartbeatTimeoutS+1))
+	longestInterval := c.Facts.Workers.HeartbeatIntervalS * maxHeartbeatDelay
+	return micro.FromSeconds(longestInterval + float64(len(c.Peers)+1)*(heartbeatTimeoutS+1))
 }
 
 // DeriveDefaults fills in what follows from the platform's facts where no property says
 // otherwise.
 func (c *Config) DeriveDefaults() {
 	if c.SuspectAfter == 0 {
-		c.SuspectAfter = micro.FromSeconds(c.Facts.Workers.ReportS*maxHeartbeatDelay + heartbeatTimeoutS)
+		c.SuspectAfter = micro.FromSeconds(c.Facts.Workers.HeartbeatIntervalS*maxHeartbeatDelay + heartbeatTimeoutS)
 	}
 }
 
@@ -343,7 +346,7 @@
 		value float64
 		zero  bool // may be zero
 	}{
-		{"facts.workers.report_s", facts.Workers.ReportS, false},
+		{"facts.workers.report_s", facts.Workers.HeartbeatIntervalS, false},
 		{"facts.workers.lease_s", facts.Workers.LeaseS, false},
 		{"facts.workers.gang_wait_s", facts.Workers.GangWaitS, true},
 		{"facts.workers.gang_peer_s", facts.Workers.GangPeerS, true},
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -73,11 +73,9 @@
 		func(p *Properties, v float64) { p.MaxPriceRatio = v },
 	},
 	{
-		"scale.dear.ratio",
-		1.8,
-		1,
-		1000,
-		"room dearer than so many times the cheapest ordinary room is rented only for work that could not start in time on room that comes free",
+		"scale.dear.ratio", 1.8, 1, 1000,
+		"room dearer than so many times the cheapest ordinary room is rented only for work " +
+			"that could not start in time on room that comes free",
 		func(p *Properties, v float64) { p.HighPriceRatio = v },
 	},
 	{
@@ -157,6 +155,15 @@
 }
 
 func applyProperties(path string, values map[string]string, target *Properties) error {
+	if err := setProperties(path, values, target); err != nil {
+		return err
+	}
+	return checkProperties(path, target)
+}
+
+// setProperties takes the values over; the error names the first that is no number, out of
+// its bounds or unknown.
+func setProperties(path string, values map[string]string, target *Properties) error {
 	unmatched := len(values)
 	for _, known := range knownProperties {
 		text, ok := values[known.key]
@@ -173,13 +180,19 @@
 		}
 		known.set(target, number)
 	}
-	if unmatched > 0 {
-		for key := range values {
-			if !isKnown(key) {
-				return fmt.Errorf("%s: key %q: is unknown", path, key)
-			}
+	if unmatched == 0 {
+		return nil
+	}
+	for key := range values {
+		if !isKnown(key) {
+			return fmt.Errorf("%s: key %q: is unknown", path, key)
 		}
 	}
+	return nil
+}
+
+// checkProperties checks the values against each other.
+func checkProperties(path string, target *Properties) error {
 	if target.SuspectAfter > 0 && target.SuspectAfter < 3*micro.Second {
 		return fmt.Errorf("%s: key %q: must be 0 or at least 3", path, "machine.silent.s")
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -71,7 +71,7 @@
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node = name
 	cfg.LeaderLease, cfg.LeaderRenewInterval = 600*micro.Millisecond, 100*micro.Millisecond
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
 	cfg.Facts.Workers.CancelS = 50
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
 	// Nothing waits for room to come free: machines are rented at once.
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -38,7 +38,7 @@
 	fleet := &fleet{now: 1000 * micro.Second}
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node = "n-0"
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
 	cfg.Facts.Teams = []config.Team{{Name: "team"}}
 	cfg.DeriveDefaults()
 	node := NewWith(Dependencies{
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -131,7 +131,7 @@
 	n.election.OnStoppedLeading = n.stopLeader
 	server := &httpapi.Server{
 		Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets,
-		HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS),
+		HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.HeartbeatIntervalS),
 	}
 	group.Go(func() error { return server.Serve(ctx, public) })
 	group.Go(func() error {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -147,7 +147,7 @@
 	sim.config = config.Config{Properties: config.Defaults()}
 	f := &sim.config.Facts
 	f.Zones = []string{"a", "b"}
-	f.Workers.LeaseS, f.Workers.ReportS, f.Workers.CancelS, f.Workers.GangWaitS, f.Workers.GangPeerS = leaseS, heartbeatS, cancelS, 40, 8
+	f.Workers.LeaseS, f.Workers.HeartbeatIntervalS, f.Workers.CancelS, f.Workers.GangWaitS, f.Workers.GangPeerS = leaseS, heartbeatS, cancelS, 40, 8
 	f.State.ValueKB, f.State.TxnOps = 16, 24
 	f.Cloud.ListLagS = 2
 	f.Quota.MaxSockets = 3000
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -58,7 +58,7 @@
 func newTestDetector() *testDetector {
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node, cfg.Peers = "n-0", []config.Peer{{Node: "n-1"}, {Node: "n-2"}}
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.Cloud.ListLagS = 30, 6, 5
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.Cloud.ListLagS = 30, 6, 5
 	cfg.DeriveDefaults()
 	state := cluster.New(noEffects{})
 	state.TermStartedAt, state.LeaseDuration = termStart, 31*micro.Second
