--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,13 +55,18 @@
 			MaxIdemponentCallAttempts: 1,
 			NoDefaultUserAgentHeader:  true,
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-			Dial:                      func(hostAddr string) (net.Conn, error) { return fasthttp.DialTimeout(hostAddr, time.Second) },
+			Dial:                      dial,
 		}
 		c.hostClients[addr] = client
 	}
 	return client
 }
 
+// dialTimeout is how long a connection to an agent may take to come about.
+const dialTimeout = time.Second
+
+func dial(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, dialTimeout) }
+
 // Send posts the commands.
 func (c *Client) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -71,12 +76,12 @@
 	req.SetRequestURI("http://" + addr + "/orders")
 	req.SetBodyRaw(wire.MustMarshal(commands))
 	if err := c.hostClient(addr).DoTimeout(req, resp, c.timeout.Duration()); err != nil {
-		return nil, false, fmt.Errorf("%w: %v", ErrUncertain, err)
+		return nil, false, fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
 	status := resp.StatusCode()
-	if status != 200 && status != 409 {
+	if status != fasthttp.StatusOK && status != fasthttp.StatusConflict {
 		return nil, false, fmt.Errorf("agent: status %d", status)
 	}
 	heartbeat, err := wire.DecodeHeartbeat(resp.Body())
-	return heartbeat, status == 200, err
+	return heartbeat, status == fasthttp.StatusOK, err
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -21,7 +21,7 @@
 // serve answers on loopback until the test ends.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (addr string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	if _, executed, err := client.Send(unresponsive, startCommand(1, 1)); !errors.Is(err, ErrUncertain) || executed {
 		t.Errorf("silent: executed %v, %v", executed, err)
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -79,23 +79,23 @@
 		req.SetBodyRaw(wire.MustMarshal(request))
 	}
 	if err := c.httpClient.DoDeadline(req, resp, time.Now().Add(c.timeout)); err != nil {
-		return fmt.Errorf("%w: %v", ErrUncertain, err)
+		return fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
 	switch resp.StatusCode() {
-	case 200:
+	case fasthttp.StatusOK:
 		if response == nil {
 			return nil
 		}
 		return wire.Unmarshal(resp.Body(), response)
-	case 503:
+	case fasthttp.StatusServiceUnavailable:
 		var failure errorResponse
 		if wire.Unmarshal(resp.Body(), &failure) == nil && failure.Error == "no capacity" {
 			return ErrNoCapacity
 		}
 		return ErrUnavailable
-	case 429:
+	case fasthttp.StatusTooManyRequests:
 		return ErrRateLimited
-	case 400:
+	case fasthttp.StatusBadRequest:
 		return ErrMalformed
 	}
 	return fmt.Errorf("%w: status %d", ErrUncertain, resp.StatusCode())
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -20,7 +20,7 @@
 // serve answers on loopback until the test ends.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (addr string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cloud/timeout_test.go
+++ b/internal/cloud/timeout_test.go
@@ -13,7 +13,7 @@
 
 // What the cloud does not answer in time may still have been carried out.
 func TestTimedOutCallIsUncertain(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -3,6 +3,7 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -55,7 +56,8 @@
 
 // explain puts an error of the compiler into one line.
 func explain(err error) error {
-	if located, ok := err.(*file.Error); ok {
+	var located *file.Error
+	if errors.As(err, &located) {
 		return fmt.Errorf("line %d, column %d: %s", located.Line, located.Column+1, located.Message)
 	}
 	return fmt.Errorf("%s", strings.ReplaceAll(err.Error(), "\n", " "))
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -58,7 +58,7 @@
 		}
 	}()
 	if err := msgpack.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %v", ErrMalformed, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -78,9 +78,12 @@
 	CheckpointIntervalS float64  `msgpack:"bookmarkS" json:"bookmarkS"`
 	CheckpointDurationS float64  `msgpack:"stashS" json:"stashS"`
 	DeadlineS           *float64 `msgpack:"dueS" json:"dueS"`
-	Dependencies        []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`     // jobs to be done before any task starts
-	DependencyChunks    int      `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"` // stored only: further keys that hold more of them
-	SubmittedAt         int64    `msgpack:"at,omitempty" json:"at,omitempty"`             // stored only: wall clock, microseconds
+	// Dependencies are the jobs to be done before any task starts.
+	Dependencies []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`
+	// DependencyChunks is stored only: further keys that hold more of them.
+	DependencyChunks int `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"`
+	// SubmittedAt is stored only: wall clock, microseconds.
+	SubmittedAt int64 `msgpack:"at,omitempty" json:"at,omitempty"`
 }
 
 // JobStatus answers a submission, a status query or a cancellation.
