--- a/internal/cluster/allocation_lifecycle.go
+++ b/internal/cluster/allocation_lifecycle.go
@@ -87,8 +87,17 @@
 	}
 	if s.Verbose {
 		s.Log(
-			"stop", "task", allocation.TaskName, "try", allocation.Attempt, "machine", allocation.Machine.Name, "why", reason,
-			"grace_s", graceS,
+			"stop",
+			"task",
+			allocation.TaskName,
+			"attempt",
+			allocation.Attempt,
+			"machine",
+			allocation.Machine.Name,
+			"reason",
+			reason,
+			"grace_s",
+			graceS,
 		)
 	}
 	s.DispatchSoon(allocation.Machine)
--- a/internal/cluster/contact.go
+++ b/internal/cluster/contact.go
@@ -49,7 +49,7 @@
 		return
 	}
 	machine.ResponsesLost, machine.ResponsesLostSince = lost, now
-	s.Log("machine hears", "machine", machine.Name, "hears", !lost)
+	s.Log("heartbeat responses lost", "machine", machine.Name, "lost", lost)
 	s.updatePool(machine)
 	s.ScheduleSoon()
 }
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -20,7 +20,7 @@
 
 // String is the state as operators and logs name it.
 func (s AllocationState) String() string {
-	return [...]string{"planned", "starting", "fetching", "waiting", "running", "saving", "ended"}[s]
+	return [...]string{"planned", "starting", "fetching", "waiting", "running", "checkpointing", "released"}[s]
 }
 
 // allocationTransitions lists the states that may follow each state. Released is final. A
--- a/internal/cluster/lifecycle/job.go
+++ b/internal/cluster/lifecycle/job.go
@@ -16,7 +16,7 @@
 
 // String is the state as operators and logs name it.
 func (s JobState) String() string {
-	return [...]string{"active", "finishing", "aborting", "done", "aborted", "awaiting", "assigned"}[s]
+	return [...]string{"active", "finishing", "aborting", "done", "aborted", "blocked", "assigned"}[s]
 }
 
 // jobTransitions lists the states that may follow each state. Done and Aborted are final.
--- a/internal/cluster/lifecycle/machine.go
+++ b/internal/cluster/lifecycle/machine.go
@@ -15,7 +15,7 @@
 
 // String is the state as operators and logs name it.
 func (s MachineState) String() string {
-	return [...]string{"unheard", "up", "silent", "lost", "returning", "gone"}[s]
+	return [...]string{"registering", "up", "suspect", "expired", "terminating", "terminated"}[s]
 }
 
 // machineTransitions lists the states that may follow each state. Terminated is final.
--- a/internal/cluster/machine_lifecycle.go
+++ b/internal/cluster/machine_lifecycle.go
@@ -11,8 +11,8 @@
 		return false
 	}
 	s.Log(
-		"machine", "machine", machine.Name, "type", machine.TypeName, "spot", machine.Spot, "was", machine.State.String(),
-		"is", to.String(), "why", reason,
+		"machine", "machine", machine.Name, "type", machine.TypeName, "spot", machine.Spot,
+		"from", machine.State.String(), "to", to.String(), "reason", reason,
 	)
 	machine.State = to
 	s.updatePool(machine)
--- a/internal/cluster/quarantine.go
+++ b/internal/cluster/quarantine.go
@@ -121,12 +121,12 @@
 
 // Quarantined tells operators that a machine is quarantined.
 func (f *fleetFailures) Quarantined(machine string) {
-	f.Log("machine avoided", "machine", machine, "why", "several jobs failed on it")
+	f.Log("machine quarantined", "machine", machine, "reason", "several jobs failed on it")
 }
 
 // QuarantineLifted tells operators that a quarantine is over, and has tasks scheduled there.
 func (f *fleetFailures) QuarantineLifted(machine string) {
-	f.Log("machine trusted", "machine", machine, "why", "what failed on it fails elsewhere too")
+	f.Log("machine quarantine lifted", "machine", machine, "reason", "what failed on it fails elsewhere too")
 	f.ScheduleSoon()
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	if machine.QuarantineSlow(now) {
-		s.Log("machine avoided", "machine", machine.Name, "why", "much slower than its type")
+		s.Log("machine quarantined", "machine", machine.Name, "reason", "much slower than its type")
 	}
 	// A task that found no other machine would be stopped over and over.
 	if len(allocation.Job.FailedOn) == 0 && allocation.Job.Spec.Kind == wire.JobArray && !allocation.LastResort {
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -207,7 +207,7 @@
 	task := &job.Tasks[allocation.Index]
 	if s.Verbose && (!allocation.Stopping || status.Cause != wire.CauseStopped) || status.Cause == wire.CauseError {
 		s.Log(
-			"exit", "task", allocation.TaskName, "try", allocation.Attempt, "machine", machine.Name, "cause",
+			"exit", "task", allocation.TaskName, "attempt", allocation.Attempt, "machine", machine.Name, "cause",
 			string(status.Cause),
 		)
 	}
@@ -226,7 +226,7 @@
 // handlePreemptionNotice reacts to the cloud's notice that it takes a spot instance back: what
 // can write a checkpoint does so at once; the rest may still complete in time.
 func (s *State) handlePreemptionNotice(machine *Machine, now micro.Time) {
-	s.Log("notice", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
+	s.Log("preemption notice", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
 	for _, allocation := range machine.SortedAllocations() {
 		if allocation.taskKnown && allocation.State == Running && allocation.Job.Spec.CheckpointIntervalS > 0 {
 			s.StopAllocation(allocation, "spot notice", allocation.Job.Spec.CheckpointDurationS, now)
--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -54,7 +54,7 @@
 
 // DependencyAborted writes the end of a job that needs an aborted one.
 func (l *Leader) DependencyAborted(j *cluster.Job) {
-	l.log.Info("job falls with another", "job", j.Spec.ID)
+	l.log.Info("dependency aborted", "job", j.Spec.ID)
 	l.records.WriteJobEnd(j, wire.JobAborted)
 }
 
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -157,7 +157,7 @@
 
 // resign ends the term; any goroutine may call it.
 func (l *controlLoop) resign(reason string) {
-	l.log.Info("resigning", "why", reason)
+	l.log.Info("resigning", "reason", reason)
 	l.term.End()
 	l.node.election.SuspendCampaign(resignCooldown)
 	go func() { _ = l.node.Store.Revoke(context.Background(), l.term.Lease) }()
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -72,7 +72,7 @@
 	}
 	l.serving.Store(true)
 	l.log.Info(
-		"took over", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
+		"failover complete", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
 		int64((l.node.Now()-from)/micro.Millisecond),
 	)
 	go l.intake.WatchSubmissions(ctx, rev)
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -114,7 +114,10 @@
 }
 
 func leaseProxyReply(heartbeat *wire.Heartbeat) httpapi.Reply {
-	return httpapi.Reply{Status: http.StatusOK, Body: wire.Commands{FencingToken: heartbeat.FencingToken, Items: []wire.Command{}}}
+	return httpapi.Reply{
+		Status: http.StatusOK,
+		Body:   wire.Commands{FencingToken: heartbeat.FencingToken, Items: []wire.Command{}},
+	}
 }
 
 // handleLeaseProxy answers another node's lease proxy, while this node leads.
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -34,7 +34,7 @@
 func (l *controlLoop) logWaitReason(j *cluster.Job, now micro.Time) {
 	j.WaitReasonLoggedAt = now
 	l.log.Info(
-		"job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "why",
+		"job waits", "job", j.Spec.ID, "since_s", int64((now-j.WaitingSince)/micro.Second), "reason",
 		l.scheduler.ExplainPending(j, now).String(),
 	)
 }
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -50,7 +50,8 @@
 	if logged != 10 || fleet.leader.pendingTasks.Load() != 20 {
 		t.Fatalf("%d of 10 told, %d tasks counted", logged, fleet.leader.pendingTasks.Load())
 	}
-	if !strings.Contains(out.String(), "job=j-770 since_s=3") || !strings.Contains(out.String(), "why=\"insufficient resources\"") {
+	if !strings.Contains(out.String(), "job=j-770 since_s=3") ||
+		!strings.Contains(out.String(), "reason=\"insufficient resources\"") {
 		t.Fatal(out.String())
 	}
 	fleet.now += 5 * micro.Minute
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -79,7 +79,7 @@
 	}
 	o.serving.Store(true)
 	o.log.Info(
-		"took over shard", "jobs", len(o.cluster.Jobs), "machines", len(o.cluster.Machines), "took_ms",
+		"shard failover complete", "jobs", len(o.cluster.Jobs), "machines", len(o.cluster.Machines), "took_ms",
 		int64((o.node.Now()-from)/micro.Millisecond),
 	)
 	go o.watchAssignments(ctx, o.assignmentRevision)
--- a/internal/jobapi/submission.go
+++ b/internal/jobapi/submission.go
@@ -55,7 +55,7 @@
 		// Known already: a repeat, or a write whose answer was lost.
 		return s.repeatedSubmissionStatus(job.ID)
 	case errors.Is(err, store.ErrMalformed):
-		s.log.Error("description not taken by the store", "job", job.ID, "bytes", wire.JSONSize(job))
+		s.log.Error("job spec rejected by the store", "job", job.ID, "bytes", wire.JSONSize(job))
 		return httpapi.RetryReply(http.StatusServiceUnavailable, malformedRetrySeconds)
 	}
 	s.log.Debug("submission not stored", "job", job.ID, "err", err)
--- a/internal/recovery/intake.go
+++ b/internal/recovery/intake.go
@@ -86,7 +86,7 @@
 		"kind", string(spec.Kind),
 		"tasks", spec.Tasks,
 		"state", job.State.String(),
-		"awaits", spec.Dependencies,
+		"dependencies", spec.Dependencies,
 		"unmet", job.UnmetDependencies,
 	)
 }
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -66,7 +66,7 @@
 	for _, allowed := range ownerTransitions[o.state] {
 		if allowed == to {
 			o.log(
-				"shard owner", "share", o.entry.Name, "from", o.state.String(), "to", to.String(), "reason", reason,
+				"shard owner", "shard", o.entry.Name, "from", o.state.String(), "to", to.String(), "reason", reason,
 				"version", o.entry.Version,
 			)
 			o.state = to
