--- /dev/null
+++ b/internal/shard/coordinator/guards_test.go
@@ -0,0 +1,122 @@
+package coordinator
+
+import (
+	"context"
+	"slices"
+	"testing"
+
+	"notchmux.dev/notchmux/internal/cluster"
+	"notchmux.dev/notchmux/internal/shard"
+	"notchmux.dev/notchmux/internal/statestore"
+	"notchmux.dev/notchmux/internal/store"
+	"notchmux.dev/notchmux/wire"
+)
+
+// interceptedStore has a test look at each transaction.
+type interceptedStore struct {
+	store.Store
+	sent chan wire.Transaction
+}
+
+func (s interceptedStore) Commit(_ context.Context, _ store.Class, transaction wire.Transaction) (uint64, error) {
+	s.sent <- transaction
+	return 0, nil
+}
+
+// assigned assigns a job of one task to the shard, as stored at a version; 0: not yet.
+func (test *testCoordinator) assigned(version uint64) (*cluster.Job, *assignedJob) {
+	test.t.Helper()
+	job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1, MemoryGB: 1})
+	if test.Cluster.Assign(job, "east") != 1 {
+		test.t.Fatal("not assigned")
+	}
+	assigned := test.storeAssignment("east", job, shard.Assignment{Job: job.Spec, MaxAllocations: 1})
+	assigned.stored = version > 0
+	assigned.storeRecord.SetVersion(version)
+	return job, assigned
+}
+
+// A first write of an assignment may be executed late: it fails once the job has an end, or
+// the shard's record is another.
+func TestFirstWriteOfAnAssignmentFailsOnceTheJobHasEndedOrTheShardHasMoved(t *testing.T) {
+	test := newTestCoordinator(t)
+	_, assigned := test.assigned(0)
+	entry, _ := test.table().Get("east")
+	want := []wire.Precondition{{Key: "job/j-1/end"}, {Key: "share/east", Version: wire.Count(entry.Version)}}
+	if got := assigned.storeRecord.Preconditions(); !slices.Equal(got, want) || entry.Version == 0 {
+		t.Errorf("preconditions %+v, want %+v", got, want)
+	}
+	assigned.storeRecord.SetVersion(11)
+	if got := assigned.storeRecord.Preconditions(); len(got) > 0 {
+		t.Errorf("a later write carries its key's version, and %+v", got)
+	}
+}
+
+// A job that an owner handed back is the leader's only once the shard's record has a later
+// version, under which a late write cannot assign it again.
+func TestJobHandedBackIsTheLeadersOnlyOnceTheShardRecordHasChanged(t *testing.T) {
+	test := newTestCoordinator(t)
+	sent := make(chan wire.Transaction, 1)
+	test.Store = interceptedStore{test.store, sent}
+	job, assigned := test.assigned(11)
+	test.applyAssignmentDeletions(wire.Events{Events: []wire.Event{{Delete: assigned.storeRecord.Key, Version: 12}}})
+	if !assigned.handedBack || job.State != cluster.Assigned {
+		t.Fatalf("handed back %v, state %v", assigned.handedBack, job.State)
+	}
+	entry, _ := test.table().Get("east")
+	test.reconcileHandedBack()
+	if job.State != cluster.Assigned || !test.commitsInFlight["east"] {
+		t.Fatalf("state %v, the shard's record is rewritten: %v", job.State, test.commitsInFlight["east"])
+	}
+	want := []wire.Precondition{{Key: "leader", Version: 7}, {Key: "share/east", Version: wire.Count(entry.Version)}}
+	if transaction := <-sent; !slices.Equal(transaction.If, want) || entry.Version == 0 {
+		t.Errorf("the record is rewritten under %+v, want %+v", transaction.If, want)
+	}
+	if job.State != cluster.Assigned || assigned.lookupInFlight {
+		t.Fatal("the leader's again before the shard's record changed")
+	}
+	test.writeShard(shard.Owned, "n-1")
+	test.reconcileHandedBack()
+	if !assigned.lookupInFlight {
+		t.Fatal("not looked up once the shard's record has changed")
+	}
+}
+
+// A shard that is taken back may have had tokens above the leader's; and what its records
+// hold is in the leader's own before they go.
+func TestReclaimRaisesTheTokensAndDeletesRecordsOnlyOnceTheLeadersAreStored(t *testing.T) {
+	test := newTestCoordinator(t)
+	job, _ := test.assigned(11)
+	for range 70 {
+		test.put("another", true) // the revision that released the shard is above the term's
+	}
+	entry := test.writeShard(shard.Released, "")
+	lowest := entry.Version << 24
+	if entry.Version < 70 || test.Cluster.MinFencingToken >= lowest {
+		t.Fatalf("released at revision %d, tokens begin at %x", entry.Version, test.Cluster.MinFencingToken)
+	}
+	record := cluster.CompactRecord{
+		Zones: []string{"c"}, Machines: []string{"i-1"}, MachineZones: []int{0},
+		Allocations: [][4]wire.Count{{0, 3, 0, 2}}, Done: [][2]int{}, Attempts: [][2]int{},
+	}
+	item := wire.Item{Key: shard.AllocationKey("east", "j-1", 0), Version: 60, Value: wire.MustMarshal(record)}
+	progress := &reclaim{pendingDeletes: map[string]*statestore.Record{}}
+	test.restoreReleasedShard(entry, progress, []wire.Item{item})
+	if test.host.fencingToken < lowest || test.Cluster.MinFencingToken < lowest {
+		t.Errorf(
+			"tokens go on at %x, the lowest of this leader's counts as %x", test.host.fencingToken,
+			test.Cluster.MinFencingToken,
+		)
+	}
+	if job.AllocationCount != 1 {
+		t.Fatalf("%d allocations are held, want 1", job.AllocationCount)
+	}
+	pending := progress.pendingDeletes[item.Key]
+	if value, _ := pending.Build(); value != any(statestore.NotReady) {
+		t.Errorf("the shard's record becomes %v before the leader's own is stored", value)
+	}
+	test.Cluster.ChunkPersisted(job.Chunk(0), job.Chunk(0).MemoryVersion)
+	if value, _ := pending.Build(); value != nil {
+		t.Errorf("the shard's record becomes %v, and is not deleted", value)
+	}
+}
