--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -1,8 +1,12 @@
 package controller
 
 import (
+	"net/http"
+
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/eventloop"
+	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
@@ -90,3 +94,48 @@
 		l.records.WriteJobEnd(job, wire.JobAborted)
 	}
 }
+
+// cancellationTimeout is how long the user of a cancelled job waits at the leader for its end.
+const cancellationTimeout = 1500 * micro.Millisecond
+
+// cancelJob cancels a job: its end is created before anyone is told.
+func (l *Leader) cancelJob(id string) httpapi.Reply {
+	event := func(reply eventloop.Reply[httpapi.Reply]) eventloop.Event {
+		return cancellationRequested{l, id, reply}
+	}
+	answer, ok := eventloop.Call(l.loop, eventloop.Events, cancellationTimeout, event)
+	// The lease may have lapsed meanwhile: then nothing may be said.
+	if !ok || !l.holdsLease() {
+		return httpapi.RetryReply(http.StatusServiceUnavailable, 1)
+	}
+	return answer
+}
+
+// cancellationRequested says that a user cancels a job.
+type cancellationRequested struct {
+	leader *Leader
+	job    string
+	reply  eventloop.Reply[httpapi.Reply]
+}
+
+// Apply begins the cancellation; the user is answered at once if there is nothing to cancel,
+// else with the job's end.
+func (e cancellationRequested) Apply() {
+	l := e.leader
+	job := l.cluster.Jobs[e.job]
+	switch {
+	case job == nil:
+		e.reply.Send(httpapi.Reply{Status: http.StatusNotFound})
+		return
+	case job.State == cluster.Done || job.State == cluster.Aborted:
+		e.reply.Send(httpapi.Reply{Status: http.StatusOK, Body: job.Status()})
+		return
+	}
+	l.cancellationWaiters[e.job] = append(l.cancellationWaiters[e.job], e.reply)
+	switch job.State {
+	case cluster.Active, cluster.Blocked:
+		l.beginCancellation(job)
+	case cluster.Assigned:
+		l.coordinator.BeginCancellation(job)
+	}
+}
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -11,7 +11,6 @@
 	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
-	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/persist"
 	"notchmux.dev/notchmux/internal/provision"
@@ -106,28 +105,6 @@
 	return l.duties.mayRespond() && l.term.HoldsLease(l.node.Now())
 }
 
-// post hands the loop something to do; it is dropped once the term is over.
-func (l *controlLoop) post(f func()) { l.loop.Post(funcEvent(f)) }
-
-// funcEvent is an event that has no type of its own yet.
-type funcEvent func()
-
-// Apply runs it.
-func (f funcEvent) Apply() { f() }
-
-// callLoop runs f in the loop and waits for its reply, but not for long. Heartbeats and
-// cancellations go before queries.
-func (l *controlLoop) callLoop(
-	queue eventloop.Queue, timeout micro.Time, f func(reply func(httpapi.Reply)),
-) (httpapi.Reply, bool) {
-	event := func(reply eventloop.Reply[httpapi.Reply]) eventloop.Event {
-		return funcEvent(func() { f(reply.Send) })
-	}
-	answer, ok := eventloop.Call(l.loop, queue, timeout, event)
-	// The lease may have lapsed meanwhile: then nothing may be said.
-	return answer, ok && l.holdsLease()
-}
-
 // schedule places tasks if something has changed since the last pass, and it is time.
 func (l *controlLoop) schedule(now micro.Time) {
 	if !l.schedulePending || now-l.lastSchedule <= l.scheduleInterval {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/job_ends.go
@@ -1,10 +1,10 @@
 package controller
 
 import (
+	"net/http"
+
 	"notchmux.dev/notchmux/internal/cluster"
-	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/httpapi"
-	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -37,39 +37,6 @@
 	return false
 }
 
-// cancelJob cancels a job: its end is created before anyone is told.
-func (l *Leader) cancelJob(id string) httpapi.Reply {
-	response, ok := l.callLoop(eventloop.Events, 1500*micro.Millisecond, func(reply func(httpapi.Reply)) {
-		job := l.cluster.Jobs[id]
-		switch {
-		case job == nil:
-			reply(httpapi.Reply{Status: 404})
-		case job.State == cluster.Done || job.State == cluster.Aborted:
-			reply(httpapi.Reply{Status: 200, Body: job.Status()})
-		default:
-			replies := make(chan httpapi.Reply, 1)
-			l.cancellationWaiters[id] = append(l.cancellationWaiters[id], replies)
-			go func() {
-				select {
-				case response := <-replies:
-					reply(response)
-				case <-l.loop.Done():
-				}
-			}()
-			switch job.State {
-			case cluster.Active, cluster.Blocked:
-				l.beginCancellation(job)
-			case cluster.Assigned:
-				l.coordinator.BeginCancellation(job)
-			}
-		}
-	})
-	if !ok {
-		return httpapi.RetryReply(503, 1)
-	}
-	return response
-}
-
 // jobEnded settles a job whose end is in the store.
 func (l *Leader) jobEnded(job *cluster.Job, state wire.JobState) {
 	now := l.node.Now()
@@ -89,8 +56,8 @@
 	for _, ch := range job.Chunks {
 		l.ChunkDirty(ch)
 	}
-	for _, ch := range l.cancellationWaiters[job.Spec.ID] {
-		ch <- httpapi.Reply{Status: 200, Body: job.Status()}
+	for _, reply := range l.cancellationWaiters[job.Spec.ID] {
+		reply.Send(httpapi.Reply{Status: http.StatusOK, Body: job.Status()})
 	}
 	delete(l.cancellationWaiters, job.Spec.ID)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -28,7 +28,7 @@
 	fencedZones              atomic.Pointer[map[string]bool] // zones whose lease proxies are not answered; nil: all
 	pendingCancellations     map[*cluster.Job]bool           // cancelled jobs whose users are not told yet
 	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with allocations not proven free
-	cancellationWaiters      map[string][]chan httpapi.Reply
+	cancellationWaiters      map[string][]eventloop.Reply[httpapi.Reply]
 	failover                 *recovery.Failover
 	recovered                bool                     // the failover has read everything
 	coordinator              *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
@@ -37,7 +37,7 @@
 // newLeader makes the loop of a term of leadership.
 func newLeader(n *Node, t *election.Term) *Leader {
 	l := &Leader{
-		cancellationWaiters:      map[string][]chan httpapi.Reply{},
+		cancellationWaiters:      map[string][]eventloop.Reply[httpapi.Reply]{},
 		pendingCancellations:     map[*cluster.Job]bool{},
 		unconfirmedCancellations: map[*cluster.Job]bool{},
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -156,7 +156,7 @@
 			if err == nil && len(catalog.Types) > 0 {
 				n.catalog.Store(catalog)
 				if l := n.activeLeader(); l != nil {
-					l.post(func() { l.cluster.SetCatalog(catalog) })
+					l.loop.Post(catalogRead{l, catalog})
 				}
 				wait = 20 * time.Second
 			} else {
@@ -172,6 +172,16 @@
 	return nil
 }
 
+// catalogRead is the cloud's catalog of machine types and prices.
+type catalogRead struct {
+	leader  *Leader
+	catalog *wire.Catalog
+}
+
+// Apply takes the catalog in.
+func (e catalogRead) Apply() { e.leader.cluster.SetCatalog(e.catalog) }
+
+// activeLeader is the node's own leader while its lease holds, else nil.
 func (n *Node) activeLeader() *Leader {
 	l := n.leader.Load()
 	if l == nil || !l.term.HoldsLease(n.Now()) {
