--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -11,17 +11,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// bin is a machine's free room in a plan.
+// bin is a machine's free capacity in a plan.
 type bin struct {
 	typ           *cluster.MachineType
 	zone          string
 	spot          bool
 	cpu, gpu, mem float64
 	offer         InstanceOffer
-	releases      []release // room that running tasks are expected to give back
+	releases      []release // capacity that running tasks are expected to give back
 }
 
-// release is room that comes free at a time.
+// release is capacity that comes free at a time.
 type release struct {
 	at            micro.Time
 	cpu, gpu, mem float64
@@ -47,7 +47,7 @@
 	return b.countRoom(spec)
 }
 
-// countRoom is how many tasks the bin has room for, allowed or not.
+// countRoom is how many tasks the bin has capacity for, allowed or not.
 func (b *bin) countRoom(spec *wire.Job) int {
 	count := math.MaxInt32
 	limit := func(free, need float64) {
@@ -72,10 +72,10 @@
 }
 
 // bootTimeoutFactor is how many of a type's boot times a machine may take and still
-// count as room to come; beyond it another is requested.
+// count as capacity to come; beyond it another is requested.
 const bootTimeoutFactor = 1.6
 
-// offerCapacity is the room of machines of one offer that are expected to come up.
+// offerCapacity is the capacity of machines of one offer that are expected to come up.
 type offerCapacity struct {
 	InstanceOffer
 	typ             *cluster.MachineType
@@ -85,7 +85,7 @@
 	committedTime   micro.Time // how long what the plan has put on them takes, over all machines
 }
 
-// capacity is all room that is expected to come up, by offer.
+// capacity is all capacity that is expected to come up, by offer.
 type capacity struct {
 	groups  []*offerCapacity
 	byOffer map[InstanceOffer]*offerCapacity
@@ -147,7 +147,7 @@
 const serviceOccupancy = 10 * micro.Minute
 
 // reserveTurnover is how many of the tasks the machines of the capacity could start by a
-// time, after what the plan has put on them, on room that is not expensive. It takes
+// time, after what the plan has put on them, on capacity that is not expensive. It takes
 // what it counts.
 func (c *capacity) reserveTurnover(
 	demand *taskDemand, tasks int, now, deadline micro.Time, expensive func(*offerCapacity) bool,
@@ -200,8 +200,8 @@
 }
 
 // reserveReleased is how many of n tasks fit on running machines by a time; it takes
-// what it counts. Room in a zone where the job may have no more is none: a spread
-// service once waited for good for room beside its own tasks, since as much of it
+// what it counts. Capacity in a zone where the job may have no more is none: a spread
+// service once waited for good for capacity beside its own tasks, since as much of it
 // was about to come free, and nothing was requested in the other zone.
 func reserveReleased(bins []*bin, demand *taskDemand, tasks int, tasksByZone map[string]int, at micro.Time) int {
 	reserved := 0
@@ -226,7 +226,7 @@
 	return reserved
 }
 
-// boundElsewhere reports whether the demand's job must be in one zone and holds places in
+// boundElsewhere reports whether the demand's job must be in one zone and holds allocations in
 // another than the given one.
 func (d *taskDemand) boundElsewhere(zone string) bool {
 	if d.job == nil || !d.spec.OneZone {
@@ -241,7 +241,7 @@
 }
 
 // bootOverdue reports whether a machine takes longer to come up than it may to count as
-// room to come.
+// capacity to come.
 func bootOverdue(m *cluster.Machine, now micro.Time) bool {
 	return now-m.RequestedAt > micro.Time(float64(micro.FromSeconds(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
 }
@@ -278,7 +278,7 @@
 	maps.DeleteFunc(p.excludedUntil, func(_ InstanceOffer, until micro.Time) bool { return until <= now })
 }
 
-// expectedCapacity lists the room of machines that are expected to come up.
+// expectedCapacity lists the capacity of machines that are expected to come up.
 func (p *Planner) expectedCapacity(now micro.Time) *capacity {
 	expected := &capacity{byOffer: map[InstanceOffer]*offerCapacity{}}
 	for _, machine := range p.Cluster.SortedMachines() {
@@ -305,7 +305,7 @@
 	return expected
 }
 
-// runningBins lists the room of machines that are up, with what is expected to come
+// runningBins lists the capacity of machines that are up, with what is expected to come
 // free.
 func (p *Planner) runningBins(now micro.Time) []*bin {
 	var bins []*bin
@@ -331,7 +331,7 @@
 	return bins
 }
 
-// expectedEnd is when an allocation of a known job is expected to give its room back.
+// expectedEnd is when an allocation of a known job is expected to give its capacity back.
 func expectedEnd(allocation *cluster.Allocation, typ *cluster.MachineType, now micro.Time) micro.Time {
 	if allocation.Stopping {
 		return now
--- a/internal/autoscaler/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -17,7 +17,7 @@
 
 const (
 	cordonDelay        = 10 * micro.Second // how long nothing must have waited
-	cordonSlack        = 1.35              // room kept, over what short work uses
+	cordonSlack        = 1.35              // capacity kept, over what short work uses
 	cordonFleetDivisor = 50                // one machine in so many, at least one, with each plan
 )
 
@@ -46,7 +46,7 @@
 	return cordon, nil
 }
 
-// hasShortage reports whether a job waits for room, or cost does not matter.
+// hasShortage reports whether a job waits for capacity, or cost does not matter.
 func (p *Planner) hasShortage(demands []taskDemand) bool {
 	return !p.limitsCost() || slices.ContainsFunc(demands, func(demand taskDemand) bool { return demand.job != nil })
 }
--- a/internal/autoscaler/decisions_test.go
+++ b/internal/autoscaler/decisions_test.go
@@ -333,7 +333,7 @@
 	}
 }
 
-// placeTasks puts tasks on the first machines with room, but for one in four.
+// placeTasks puts tasks on the first machines with capacity, but for one in four.
 func (d *decisionScenario) placeTasks() {
 	for _, job := range d.jobs {
 		if !d.state.PendingJobs[job] {
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// taskDemand is a number of like tasks that need room.
+// taskDemand is a number of like tasks that need capacity.
 type taskDemand struct {
 	job           *cluster.Job // nil: headroom
 	spec          *wire.Job
@@ -37,7 +37,7 @@
 	return p.OwnsOffer
 }
 
-// ShardDemand is a number of tasks that wait for room in a shard of the machines, which
+// ShardDemand is a number of tasks that wait for capacity in a shard of the machines, which
 // another controller owns.
 type ShardDemand struct {
 	Job     *cluster.Job
@@ -45,7 +45,7 @@
 	InShard func(InstanceOffer) bool // the offers whose machines are in the shard
 }
 
-// demands lists the tasks that found no room, and the headroom that is short.
+// demands lists the tasks that found no capacity, and the headroom that is short.
 func (p *Planner) demands(now micro.Time) []taskDemand {
 	demands, topPriorityTasks := p.jobDemands(now)
 	demands = append(demands, p.shardDemands(now)...)
@@ -60,7 +60,7 @@
 	return demands
 }
 
-// jobDemands lists the tasks of pending jobs that need room soon, as far as their teams' limits
+// jobDemands lists the tasks of pending jobs that need capacity soon, as far as their teams' limits
 // leave them any; topPriorityTasks counts those of the first priority level by class.
 func (p *Planner) jobDemands(now micro.Time) (demands []taskDemand, topPriorityTasks map[*cluster.Class]int) {
 	topPriorityTasks = map[*cluster.Class]int{}
@@ -93,13 +93,13 @@
 	return demands, topPriorityTasks
 }
 
-// maxBackoffAhead is how far off the end of a job's backoff may be for room to be requested.
+// maxBackoffAhead is how far off the end of a job's backoff may be for capacity to be requested.
 const maxBackoffAhead = 10 * micro.Second
 
 // plannedQuota is what one plan has taken of each team's limits.
 type plannedQuota map[*cluster.Team]cluster.Resources
 
-// take takes room in the limits of a job's team for so many tasks, or as many as there is room
+// take takes capacity in the limits of a job's team for so many tasks, or as many as there is capacity
 // for, which it returns; 0: none, or too few for a gang.
 func (q plannedQuota) take(job *cluster.Job, tasks int) int {
 	team, spec := job.Team, &job.Spec
@@ -122,7 +122,7 @@
 	return tasks
 }
 
-// shardDemands lists the tasks that wait for room in shards: their owners request no
+// shardDemands lists the tasks that wait for capacity in shards: their owners request no
 // instances.
 func (p *Planner) shardDemands(now micro.Time) []taskDemand {
 	if p.ShardDemands == nil {
@@ -139,7 +139,7 @@
 	return demands
 }
 
-// bootSpareFactor is how much more room than it needs is requested for work of the first
+// bootSpareFactor is how much more capacity than it needs is requested for work of the first
 // priority level that is wanted sooner than machines boot: boots take 0.6 to 1.5 times as
 // long as they should, and with spares the quickest of them are enough.
 const bootSpareFactor = 0.5
@@ -163,8 +163,8 @@
 	return demands
 }
 
-// scaleOutDelay is how long a job with time in hand waits for room to come free
-// before room is requested for it.
+// scaleOutDelay is how long a job with time in hand waits for capacity to come free
+// before capacity is requested for it.
 const scaleOutDelay = 8 * micro.Second
 
 func (p *Planner) isUrgent(job *cluster.Job, latestStart, now micro.Time) bool {
@@ -233,8 +233,8 @@
 	}
 }
 
-// headroom asks for room for the starts expected of classes whose starts are
-// wanted sooner than a slowly booting machine is ready. Room that lower priority levels hold
+// headroom asks for capacity for the starts expected of classes whose starts are
+// wanted sooner than a slowly booting machine is ready. Capacity that lower priority levels hold
 // counts: they can be preempted.
 func (p *Planner) headroom(now micro.Time) []taskDemand {
 	var demands []taskDemand
@@ -262,7 +262,7 @@
 	return demands
 }
 
-// wantedHeadroom is for how many starts of a class room should be free; 0: none, a machine that
+// wantedHeadroom is for how many starts of a class capacity should be free; 0: none, a machine that
 // is requested once they come is ready in time.
 func (p *Planner) wantedHeadroom(class *cluster.Class, startObjective, boot, now micro.Time) int {
 	if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.LastJob.GPUs > 0 && p.guaranteesGPUs() {
@@ -279,7 +279,7 @@
 	return 1 + int(math.Ceil(expected*p.Properties.Headroom))
 }
 
-// countHeadroom counts the starts of a class that there is room for, up to the wanted ones, and
+// countHeadroom counts the starts of a class that there is capacity for, up to the wanted ones, and
 // keeps the machines that it counts on.
 func (p *Planner) countHeadroom(class *cluster.Class, want int, now micro.Time) int {
 	have := 0
--- a/internal/autoscaler/failing_jobs_test.go
+++ b/internal/autoscaler/failing_jobs_test.go
@@ -14,7 +14,7 @@
 	return total
 }
 
-// For an array that fails everywhere room was rented for all of its tasks, for the
+// For an array that fails everywhere capacity was rented for all of its tasks, for the
 // last seconds of each pause between its tries.
 func TestScaleOutIsBoundedForAJobThatFailsEverywhere(t *testing.T) {
 	planner := newTestPlanner()
@@ -37,7 +37,7 @@
 	}
 }
 
-// An array that is held back beside free room needs no other room yet.
+// An array that is held back beside free capacity needs no other capacity yet.
 func TestNoScaleOutForThrottledJobsBesideFreeCapacity(t *testing.T) {
 	planner := newTestPlanner()
 	job := planner.submit("j-1", 5000, 1, false)
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -38,7 +38,7 @@
 
 	unreachableZones map[string]bool // unreachable zones, by the last plan
 	permanentFleet   bool            // operators keep machines of their own, by the last plan
-	noBacklogSince   micro.Time      // since when nothing has waited for room; 0: something does
+	noBacklogSince   micro.Time      // since when nothing has waited for capacity; 0: something does
 
 	excludedUntil map[InstanceOffer]micro.Time // until when offers are left out whose machines did not come up
 
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// Short tasks kept a dear machine from ever being empty, long after the burst
+// Short tasks kept a expensive machine from ever being empty, long after the burst
 // that it was rented for.
 func TestExpensiveMachinesAreCordonedWithoutBacklogAndUncordonedWithIt(t *testing.T) {
 	planner := newTestPlanner()
@@ -154,8 +154,8 @@
 	}
 }
 
-// A spread service had one task beside free room in one zone and may have no more
-// there. That room came free, by the plan, so nothing was rented in the other zone.
+// A spread service had one task beside free capacity in one zone and may have no more
+// there. That capacity came free, by the plan, so nothing was rented in the other zone.
 func TestCapacityBeyondASpreadLimitIsNotAwaited(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
@@ -200,7 +200,7 @@
 	}
 }
 
-// Work with time in hand waits a few seconds for room to come free; drained
+// Work with time in hand waits a few seconds for capacity to come free; drained
 // machines must not be kept from it for longer.
 func TestCordonedMachineIsUncordonedForWorkThatCanWait(t *testing.T) {
 	planner := newTestPlanner()
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -9,8 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// maxExpensiveDelay is the longest that work waits for room to come free where only expensive
-// room can be requested.
+// maxExpensiveDelay is the longest that work waits for capacity to come free where only expensive
+// capacity can be requested.
 const maxExpensiveDelay = 3 * micro.Minute
 
 // slowBootFactor is how many times its type's boot time a machine may well take.
@@ -30,11 +30,11 @@
 type classBacklog struct {
 	pendingTasks, pendingBefore int
 	measuredAt                  micro.Time // when pendingBefore was noted
-	lastExpensiveAt             micro.Time // when expensive room was last requested because it lasts
+	lastExpensiveAt             micro.Time // when expensive capacity was last requested because it lasts
 }
 
 // A shortage lasts if, with machines up for persistentAfter, no fewer tasks wait than
-// a good while ago. Then expensive room is requested for one part in expensiveFleetDivisor of the
+// a good while ago. Then expensive capacity is requested for one part in expensiveFleetDivisor of the
 // fleet at a time.
 const (
 	backlogInterval       = 20 * micro.Second
@@ -130,7 +130,7 @@
 	return best
 }
 
-// cheapestPrice is what the cheapest on-demand type asks for a task's room, where n
+// cheapestPrice is what the cheapest on-demand type asks for a task's capacity, where n
 // like it are waiting.
 func (p *Planner) cheapestPrice(spec *wire.Job, n int) float64 {
 	best := math.Inf(1)
@@ -145,7 +145,7 @@
 	return best
 }
 
-// urgentPriceFactor is how much more room may cost for work that would be late.
+// urgentPriceFactor is how much more capacity may cost for work that would be late.
 const urgentPriceFactor = 2.2
 
 // urgentAfter is how long work waits before it counts as urgent.
@@ -175,8 +175,8 @@
 	return !p.isExpensive(spec, typ, spot, p.occupancyPriceRatio(job, now))
 }
 
-// occupancyPriceRatio is the most that the room of a machine may cost, over the cheapest
-// on-demand room, for a job to take it without need.
+// occupancyPriceRatio is the most that the capacity of a machine may cost, over the cheapest
+// on-demand capacity, for a job to take it without need.
 func (p *Planner) occupancyPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
@@ -184,7 +184,7 @@
 	return p.maxPriceRatio(nil, now)
 }
 
-// onlyCostMatters reports whether a job takes no expensive room: it is of the last priority level and
+// onlyCostMatters reports whether a job takes no expensive capacity: it is of the last priority level and
 // nothing says when it should start or end, so only its cost counts. Arrays of
 // thousands of such tasks had hundreds of on-demand GPU machines requested, and kept
 // those that other work had needed from being terminated. A job none of whose tasks
@@ -197,16 +197,16 @@
 // lowestPriorityLevel is that of best-effort work.
 var lowestPriorityLevel = wire.Low.Level()
 
-// isExpensive reports whether a machine's room costs more than so many times the
-// cheapest on-demand room, for tasks like this.
+// isExpensive reports whether a machine's capacity costs more than so many times the
+// cheapest on-demand capacity, for tasks like this.
 func (p *Planner) isExpensive(spec *wire.Job, typ *cluster.MachineType, spot bool, ratio float64) bool {
 	k := newBin(typ, "", false).countRoom(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
 
-// maxPriceRatio is the most that room for a job's tasks may cost, over the cheapest
-// on-demand room. Work that has waited long and would soon be late may cost more:
-// then the cheap room has run out.
+// maxPriceRatio is the most that capacity for a job's tasks may cost, over the cheapest
+// on-demand capacity. Work that has waited long and would soon be late may cost more:
+// then the cheap capacity has run out.
 func (p *Planner) maxPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
@@ -242,10 +242,10 @@
 type offerSearch struct {
 	planner     *Planner
 	demand      *taskDemand
-	unplaced    int            // tasks without room
+	unplaced    int            // tasks without capacity
 	tasksByZone map[string]int // tasks that the plan has put into each zone
 	now         micro.Time
-	priceLimit  float64 // the most that room for a task may cost an hour
+	priceLimit  float64 // the most that capacity for a task may cost an hour
 
 	best     *bin // the best offer so far; nil: none
 	bestCost float64
@@ -305,7 +305,7 @@
 	return s.demand.job == nil || scheduler.ZoneAllowed(s.demand.job, offer.Zone, s.tasksByZone)
 }
 
-// isBetter reports whether room in a zone at a cost is better than the best so far: a
+// isBetter reports whether capacity in a zone at a cost is better than the best so far: a
 // reachable zone goes before cost.
 func (s *offerSearch) isBetter(zone string, cost float64) bool {
 	if s.best == nil {
--- a/internal/autoscaler/price_test.go
+++ b/internal/autoscaler/price_test.go
@@ -11,7 +11,7 @@
 )
 
 // newExpensiveOfferPlanner has a cheap type, whose offers are all refused, and one with GPUs
-// that asks three times as much for the room of a task: dear, but not beyond the
+// that asks three times as much for the capacity of a task: dear, but not beyond the
 // price ratio.
 func newExpensiveOfferPlanner() *Planner {
 	planner := newTestPlanner()
@@ -72,7 +72,7 @@
 	}
 }
 
-// On a dear machine that other work had needed, such tasks kept it from being
+// On a expensive machine that other work had needed, such tasks kept it from being
 // returned: new ones came as long as any waited.
 func TestLowPriorityWorkWithoutObjectiveKeepsNoExpensiveMachine(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -10,7 +10,7 @@
 	hourlyCost float64 // what the fleet costs an hour
 
 	expected    *capacity // machines that are expected to come up, requested ones included
-	runningBins []*bin    // room of running machines; listed when first needed
+	runningBins []*bin    // capacity of running machines; listed when first needed
 
 	pendingMachines map[InstanceOffer]int // machines requested without an answer yet
 	plannedMachines map[InstanceOffer]int // machines that this plan requests
@@ -48,24 +48,24 @@
 	return scaleOuts
 }
 
-// shortage is what a demand still lacks while room is requested for it.
+// shortage is what a demand still lacks while capacity is requested for it.
 type shortage struct {
 	*taskDemand
 	tasksByZone map[string]int // tasks that the plan has put into each zone
-	unplaced    int            // tasks without room
-	freedInTime int            // of these, how many fit on room that comes free in time
+	unplaced    int            // tasks without capacity
+	freedInTime int            // of these, how many fit on capacity that comes free in time
 
-	expensiveAllowed bool // expensive room may be requested
+	expensiveAllowed bool // expensive capacity may be requested
 	persistent       bool // because the shortage of its class lasts
-	turnoverCounted  bool // freedInTime holds all room that comes free before expensive room would help
+	turnoverCounted  bool // freedInTime holds all capacity that comes free before expensive capacity would help
 }
 
-// satisfy requests room for a demand, the cheapest offer first.
+// satisfy requests capacity for a demand, the cheapest offer first.
 func (plan *scaleOutPlan) satisfy(demand *taskDemand) {
 	short := &shortage{taskDemand: demand, tasksByZone: map[string]int{}}
 	short.unplaced = demand.tasks - plan.reserveExpected(short)
 	if short.unplaced > 0 && demand.priorityLevel > 0 && plan.limitsCost {
-		// A machine would take this long to start the work: room that comes free
+		// A machine would take this long to start the work: capacity that comes free
 		// by then makes it a waste.
 		deadline := plan.now + plan.planner.minReadyTime(demand.spec)/2
 		short.freedInTime = reserveReleased(plan.runningCapacity(), demand, short.unplaced, short.tasksByZone, deadline)
@@ -110,7 +110,7 @@
 }
 
 // reserveExpected puts a demand's tasks on machines that are expected to come up and says
-// how many fit. Room in an unreachable zone is left to what can go nowhere else.
+// how many fit. Capacity in an unreachable zone is left to what can go nowhere else.
 func (plan *scaleOutPlan) reserveExpected(short *shortage) int {
 	unreachable := plan.planner.unreachableZones
 	reserved := plan.expected.reserve(short.taskDemand, short.tasks, short.tasksByZone, unreachable, false)
@@ -126,7 +126,7 @@
 }
 
 // allowExpensive reports whether an offer may be requested although it is expensive: not for
-// what it cannot help, nor for what can start in time on room that comes free.
+// what it cannot help, nor for what can start in time on capacity that comes free.
 func (plan *scaleOutPlan) allowExpensive(short *shortage, best *bin) bool {
 	planner := plan.planner
 	if short.expensiveAllowed || !plan.limitsCost || short.priorityLevel == 0 ||
@@ -143,7 +143,7 @@
 	return true
 }
 
-// countTurnover counts, once, the room that comes free before expensive room would
+// countTurnover counts, once, the capacity that comes free before expensive capacity would
 // help, on running machines and on those that come up.
 func (plan *scaleOutPlan) countTurnover(short *shortage) {
 	if short.persistent || short.turnoverCounted {
@@ -192,7 +192,7 @@
 	short.unplaced -= reserved
 }
 
-// runningCapacity lists the room of running machines, once a plan.
+// runningCapacity lists the capacity of running machines, once a plan.
 func (plan *scaleOutPlan) runningCapacity() []*bin {
 	if plan.runningBins == nil {
 		plan.runningBins = plan.planner.runningBins(plan.now)
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -24,7 +24,7 @@
 }
 
 // Assign gives a waiting job to a shard, and says how many of its tasks its team's quota has
-// room for: all of them, or some of an array's; 0: it was not assigned.
+// capacity for: all of them, or some of an array's; 0: it was not assigned.
 func (s *State) Assign(job *Job, shard string) int {
 	if job.State != Active || !job.NeverAllocated() {
 		return 0
--- a/internal/cluster/assignment_test.go
+++ b/internal/cluster/assignment_test.go
@@ -29,7 +29,7 @@
 }
 
 // A job in a shard takes its part of its team's quota until its assignment is gone: less
-// as its tasks end, more where the quota has room.
+// as its tasks end, more where the quota has capacity.
 func TestAssignedJobCountsAgainstTheQuota(t *testing.T) {
 	tc := newTestCluster(t)
 	team := tc.cluster.Teams["team"] // of 8 CPUs
--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -6,7 +6,7 @@
 
 // Pool holds the machines of one type, zone and kind that take new tasks, in rows by their
 // whole scaled CPUs free. The design's score depends on the type alone, so the tightest fit
-// is found in the first rows that have room, and no other machine needs to be looked at.
+// is found in the first rows that have capacity, and no other machine needs to be looked at.
 type Pool[M any] struct {
 	Type         *MachineType
 	Zone         string
@@ -63,7 +63,7 @@
 	x.TakeFromPool(machine)
 	at.pool, at.row = pool, row
 	for len(pool.rows) <= row {
-		if len(pool.rows) < cap(pool.rows) { // keeps the rows' own room
+		if len(pool.rows) < cap(pool.rows) { // keeps the rows' own capacity
 			pool.rows = pool.rows[:len(pool.rows)+1]
 		} else {
 			pool.rows = append(pool.rows, nil)
--- a/internal/cluster/contact.go
+++ b/internal/cluster/contact.go
@@ -42,7 +42,7 @@
 }
 
 // SetResponsesLost marks a machine whose agent gets no responses (a one-way partition): it takes
-// no new tasks, and what it has runs elsewhere only once it is proven free. It is used again as
+// no new tasks, and what it has runs elsewhere only once it is proven released. It is used again as
 // soon as a heartbeat shows that responses arrive.
 func (s *State) SetResponsesLost(machine *Machine, lost bool, now micro.Time) {
 	if machine.ResponsesLost == lost {
--- a/internal/cluster/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -113,7 +113,7 @@
 	tc.cluster.FinalStatuses["j-5"] = cluster.FinalStatus{EndedAt: tc.now - 9*micro.Second}
 	third, second := tc.submitSpec(pipelineJob("j-3", "j-2")), tc.submitSpec(
 		pipelineJob("j-2", "j-1"),
-	) // read in any order
+	) // read in any command
 	if second.Status().State != wire.JobAborted || third.Status().State != wire.JobAborted ||
 		len(tc.dependencyAborted) != 2 {
 		t.Fatalf("%v, %v", second.Status().State, third.Status().State)
--- a/internal/cluster/imagecache/pages.go
+++ b/internal/cluster/imagecache/pages.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// add takes a machine into the record; false if there is no room for it.
+// add takes a machine into the record; false if there is no capacity for it.
 func (p *page) add(holder *Holder) bool {
 	p.remaining -= len(holder.Machine) + machineOverheadBytes
 	var indices []int
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -46,7 +46,7 @@
 type Progress struct {
 	DoneTasks         int
 	RunningTasks      int
-	AllocationCount   int // allocations that are not proven free
+	AllocationCount   int // allocations that are not proven released
 	AllocationsByZone map[string]int
 	Started           bool   // a task of it has run
 	GangAttempt       uint32 // the gang's highest attempt number
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -31,7 +31,7 @@
 	tc.cluster.SetResponsesLost(machine, true, tc.now)
 	tc.submit("j-2", wire.JobArray, 1, 1)
 	tc.expectScheduled(0)
-	tc.expectAllocations(job, 1) // what it runs goes elsewhere only once proven free
+	tc.expectAllocations(job, 1) // what it runs goes elsewhere only once proven released
 	agent.Epoch++                // its lease ran out, since no response arrived
 	clear(agent.Tasks)
 	tc.heartbeatWithResponseLost(agent)
@@ -99,7 +99,7 @@
 	}
 	tc.expectAllocations(job, 1) // the copy lacks the task, which frees nothing
 	tc.submit("j-2", wire.JobArray, 1, 1)
-	tc.expectScheduled(0) // and it offers no room
+	tc.expectScheduled(0) // and it offers no capacity
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 1)
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -15,7 +15,7 @@
 	Waiting
 	Running
 	Checkpointing
-	Released // proven free
+	Released // proven released
 )
 
 // String is the state as operators and logs name it.
--- a/internal/cluster/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -61,7 +61,7 @@
 	tc.expireLeases("m1", "m2")
 	tc.expectQuotaUsed(0)
 	tc.heartbeat(m3)
-	tc.expectScheduled(1) // m3 has room for one
+	tc.expectScheduled(1) // m3 has capacity for one
 	tc.expectQuotaUsed(4)
 }
 
--- a/internal/cluster/retention.go
+++ b/internal/cluster/retention.go
@@ -19,7 +19,7 @@
 )
 
 // Prune forgets what has been over for long, and lists the jobs that it forgot. A job stays
-// while an allocation of it is not proven free, or while settled says that something of it has
+// while an allocation of it is not proven released, or while settled says that something of it has
 // still to be written.
 func (s *State) Prune(now micro.Time, settled func(*Job) bool) []*Job {
 	var pruned []*Job
--- a/internal/cluster/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// What is over, but for an allocation that is not proven free, still takes part of its
+// What is over, but for an allocation that is not proven released, still takes part of its
 // team's quota; and a final status that a waiting job names is what that job waits for.
 func TestPruneKeepsWhatIsStillNeeded(t *testing.T) {
 	tc := newTestCluster(t)
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -3,7 +3,7 @@
 // what agents report. It does no I/O and reads no clock. One goroutine, the event loop of the
 // leader or of a shard's owner, owns a State and all that it holds: nothing is locked.
 //
-// An allocation counts until it is proven free. See State.release for the proofs.
+// An allocation counts until it is proven released. See State.release for the proofs.
 package cluster
 
 import (
@@ -98,7 +98,7 @@
 	dependents map[string][]*Job // jobs by each of those that they wait for
 }
 
-// MachineSets are the machines in the orders in which they are looked for.
+// MachineSets are the machines in the commands in which they are looked for.
 type MachineSets struct {
 	poolIndex // Pools: the machines that take new tasks
 
--- a/internal/cluster/taskqueue/queue.go
+++ b/internal/cluster/taskqueue/queue.go
@@ -12,7 +12,7 @@
 // Task is one task of a job.
 type Task struct {
 	Attempt         uint32 // the highest attempt number used
-	AllocationCount uint8  // allocations not proven free
+	AllocationCount uint8  // allocations not proven released
 	Done            bool
 	Queued          bool // put back, and waits for an allocation
 	Failures        uint8
--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -61,7 +61,7 @@
 					sim.killController(leader)
 				}
 				sim.waitUntil("another leads", micro.Minute, func() bool { x := sim.leader(); return x != nil && x != leader })
-				sim.sleep(3 * micro.Second) // its workers report to it
+				sim.sleep(3 * micro.Second) // its agents report to it
 				next := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 3 * micro.Second}).submit()
 				sim.waitUntil(
 					"done on another machine", micro.Minute,
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -36,7 +36,7 @@
 	return micro.FromSeconds(w.randomDuration(least, most).Seconds())
 }
 
-// holdsLease reports whether the node has the right to act.
+// holdsLease reports whether the node has the leadership lease.
 func (p *controllerProcess) holdsLease() bool {
 	n := p.runningNode()
 	return n != nil && n.activeLeader() != nil
@@ -73,7 +73,7 @@
 				"%s: told at %v (%v), the outage lasts from %v to %v: they don't meet", job.id, at, ok, from, from+outageSpan,
 			)
 		}
-		// Without keepers the bound is a narrower one: see the design, "The bound
+		// Without lease proxies the bound is a narrower one: see the design, "The bound
 		// for cancellations".
 		bound, last := cancelSpan, at
 		if w.config.LeaseProxyFactor == 0 {
@@ -118,11 +118,11 @@
 	}
 }
 
-// The state service refused the leader alone, another node led and told users that
-// their jobs are cancelled, and then the service was down for all. The workers had
+// The store refused the leader alone, another node led and told users that
+// their jobs are cancelled, and then the service was down for all. The agents had
 // reported to the old leader all the time: had that gone on answering after its
 // right lapsed, the tasks would have run on through the whole outage. Where a zone
-// has no keepers the end is written while the tasks run; else they are gone before.
+// has no lease proxies the end is written while the tasks run; else they are gone before.
 func TestCancelledByTheNextLeaderBeforeAnOutage(t *testing.T) {
 	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{
 		kind: wire.JobArray, tasks: 3, runTime: endlessRun,
@@ -137,7 +137,7 @@
 		keepers bool
 		o       jobRequest
 		when    string // the cancellation is first sent within the refusal, or once another leads
-		far     bool   // no worker hears the next leader
+		far     bool   // no agent hears the next leader
 		trouble func(sim *simCluster, machine *fakeMachine)
 		left    string // which tasks run when the user is told
 	}{
@@ -263,7 +263,7 @@
 	}, []string{"told", "running", "told by another"}},
 }
 
-// Jobs were cancelled at the very moment at which the state service refused the
+// Jobs were cancelled at the very moment at which the store refused the
 // leader alone, and a second later it was out for all. Some users were told in
 // between, before another could lead. Where the refusal is shorter than the
 // leader's lease, the same term goes on after the outage; else another leads.
@@ -362,7 +362,7 @@
 	}
 }
 
-// leaseEnd is when a node's right to act ends, as far as it knows now.
+// leaseEnd is when a node's leadership lease ends, as far as it knows now.
 func leaseEnd(term *election.Term, controller *controllerProcess) micro.Time {
 	now := controller.runningNode().Now()
 	var d micro.Time
@@ -404,7 +404,7 @@
 
 // The write of a cancellation was carried out and its answer lost: the leader that
 // sent it didn't know yet when another node read the end from the store and told
-// the user, by a poll or by a repeat of the submission. Then the store was down for
+// the user, by a status query or by a repeat of the submission. Then the store was down for
 // all, while the old leader, which the store had refused alone, was reported to.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
@@ -412,7 +412,7 @@
 	for _, test := range []struct {
 		name    string
 		o       jobRequest
-		far     bool // no worker hears the next leader
+		far     bool // no agent hears the next leader
 		repeats bool
 		awaited bool // it awaits a job that is done, and another awaits it
 	}{
@@ -494,10 +494,10 @@
 	}
 }
 
-// A zone was cut off with its keepers when a job there was cancelled. The user may
+// A zone was cut off with its lease proxies when a job there was cancelled. The user may
 // be told only once they can't keep the tasks alive for longer than cancel_s. Then
-// the cut was over for the keepers, not for the workers, whom no leader heard; had
-// a keeper been answered then, it would have kept the tasks alive through a second
+// the cut was over for the lease proxies, not for the agents, whom no leader heard; had
+// a lease proxy been answered then, it would have kept the tasks alive through a second
 // cut and the outage.
 func TestCancelledInAZoneWhoseLeasesProxiesRenewed(t *testing.T) {
 	for _, test := range []struct {
@@ -553,7 +553,7 @@
 					sim.sleep(sim.randomTime(500*micro.Millisecond, micro.Second))
 				}
 				if test.then {
-					sim.sleep(micro.Second) // what keepers ask in vain with the other two
+					sim.sleep(micro.Second) // what lease proxies ask in vain with the other two
 				}
 				sim.outlastCancelSpan(soon, job)
 				sim.checkRecovery()
@@ -562,16 +562,16 @@
 	}
 }
 
-// A leader lost the state service and the other controllers, while workers and
+// A leader lost the store and the other controllers, while agents and
 // users still reached it. Jobs were cancelled through the next one: the old leader
-// must not go on answering workers, or say that the jobs run.
+// must not go on answering agents, or say that the jobs run.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestCancelledThroughTheNextLeaderWhileTheOldOneIsReachable(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		keepers bool
-		far     bool // no worker hears the next leader
+		far     bool // no agent hears the next leader
 		trouble func(sim *simCluster, machine *fakeMachine)
 	}{
 		{"keepers", true, false, nil},
@@ -631,7 +631,7 @@
 						reported++
 					}
 				}
-				// A leader whom no worker reports to hands over: so it may where all
+				// A leader whom no agent reports to hands over: so it may where all
 				// machines hang.
 				if test.trouble == nil && reported == 0 || test.trouble == nil && !test.far && !next.holdsLease() ||
 					old.holdsLease() {
@@ -667,8 +667,8 @@
 }
 
 // Every team was at its limit while jobs were cancelled whose machines were cut
-// off or hung, and the leader changed, twice. What was not proven free counts for
-// the team, whoever leads; room that is proven free is used within seconds.
+// off or hung, and the leader changed, twice. What was not proven released counts for
+// the team, whoever leads; capacity that is proven released is used within seconds.
 func TestTeamsAtTheirQuotasWhileJobsOnLostMachinesAreCancelled(t *testing.T) {
 	far := func(sim *simCluster, machine *fakeMachine) {
 		duration := sim.randomTime(10*micro.Second, 50*micro.Second)
@@ -752,7 +752,7 @@
 							n++
 						}
 					}
-					return n >= 3+4 // room for three services, and for all arrays
+					return n >= 3+4 // capacity for three services, and for all arrays
 				})
 				t.Logf("served %.1f s after the last proof", (sim.now() - from).Seconds())
 				for _, job := range cancelled {
@@ -776,7 +776,7 @@
 	return l
 }
 
-// allAllocationsReleased reports whether the leader takes all places of some jobs for free.
+// allAllocationsReleased reports whether the leader takes all allocations of some jobs for free.
 func (w *simCluster) allAllocationsReleased(jobs ...*userJob) bool {
 	controller := w.leader()
 	if controller == nil {
@@ -1017,7 +1017,7 @@
 }
 
 // A user had been told that a job is cancelled, and its machines heard nothing of
-// it; then the leader changed. The next one answers their reports, and so renews
+// it; then the leader changed. The next one answers their heartbeats, and so renews
 // their leases: it must order the tasks to stop, though no user asks it to.
 func TestNextLeaderStopsWhatWasCancelledBeforeIt(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -23,7 +23,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// fakeAgents passes direct orders to fake workers.
+// fakeAgents passes dispatched commands to fake agents.
 type fakeAgents struct {
 	mu        sync.Mutex
 	byMachine map[string]*fake.Agent
@@ -74,7 +74,7 @@
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
 	cfg.Facts.Workers.CancelS = 50
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
-	// Nothing waits for room to come free: machines are rented at once.
+	// Nothing waits for capacity to come free: machines are rented at once.
 	cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
 	node := NewWith(Dependencies{
 		Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -20,7 +20,7 @@
 	return len(ev.Events)
 }
 
-// schedulingPasses is how often the process looked for room.
+// schedulingPasses is how often the process looked for capacity.
 func (p *controllerProcess) schedulingPasses() int {
 	var b strings.Builder
 	p.runningNode().Metrics.Write(&b)
@@ -34,7 +34,7 @@
 }
 
 // Jobs submitted with a mistake, many at once and one of thousands of tasks, cost
-// so many starts, records, rentals and passes, whatever their number of tasks;
+// so many starts, records, instance requests and passes, whatever their number of tasks;
 // another team's work is served beside them, and they are cancelled like any.
 func TestManyJobsThatFailOnEveryMachineCostLittle(t *testing.T) {
 	const (
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -18,7 +18,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// unansweredDispatch answers no direct order.
+// unansweredDispatch answers no dispatched command.
 type unansweredDispatch struct{}
 
 func (unansweredDispatch) Send(string, wire.Commands) (*wire.Heartbeat, bool, error) {
@@ -257,7 +257,7 @@
 	}
 }
 
-// A takeover costs the reading of what waits, and no more than so much for each.
+// A failover costs the reading of what waits, and no more than so much for each.
 func BenchmarkFailoverOfWaitingJobs(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -17,9 +17,9 @@
 )
 
 // Where the fleet changes: machines that come and go while writes lag, more work
-// than room, and a stream of small jobs.
+// than capacity, and a stream of small jobs.
 
-// allocationStored reports whether the store holds the record of a place.
+// allocationStored reports whether the store holds the record of an allocation.
 func (w *simCluster) allocationStored(machine string, key fake.AttemptKey) bool {
 	id, index, _ := wire.ParseTaskName(key.Task)
 	page, err := w.store.Range(context.Background(), store.Routine, keys.ChunkPrefixFor(id), "", 1000)
@@ -53,7 +53,7 @@
 }
 
 // New machines are up within two seconds and get work at once while writes lag,
-// answers of rentals are lost, and the leader ends. The next one adopts them: none
+// answers of instance requests are lost, and the leader ends. The next one adopts them: none
 // is rented twice or returned, and no task starts without its record.
 //
 //revive:disable-next-line:cognitive-complexity,function-length a scenario in one piece, still to be split
@@ -106,7 +106,7 @@
 				if !out {
 					return false
 				}
-				sim.sleep(300 * micro.Millisecond) // a rental would be answered by now
+				sim.sleep(300 * micro.Millisecond) // an instance request would be answered by now
 				leader.resignTerm()
 				return true
 			}
@@ -191,7 +191,7 @@
 	}
 }
 
-// resignTerm has a leader give up its term, as one does that no worker reaches.
+// resignTerm has a leader give up its term, as one does that no agent reaches.
 func (p *controllerProcess) resignTerm() {
 	if l := p.runningNode().activeLeader(); l != nil {
 		l.post(func() { l.resign("for a scenario") })
@@ -201,7 +201,7 @@
 // startsSoFar is how many tasks began so far.
 func (c *checker) startsSoFar() int { c.mu.Lock(); defer c.mu.Unlock(); return c.startCount }
 
-// There is more work than room, and store and workers are slow to answer. Urgent
+// There is more work than capacity, and store and agents are slow to answer. Urgent
 // jobs take the place of others without ever meeting them there.
 func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
 	for seed := range uint64(4) {
@@ -426,7 +426,7 @@
 	}
 }
 
-// All machines die at once. No node hears a worker then, and none must take that for
+// All machines die at once. No node hears an agent then, and none must take that for
 // its own fault for ever: handing the lead round, the nodes once never found the
 // machines dead, and never rented others.
 func TestAllMachinesDieAndAreReplaced(t *testing.T) {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -114,7 +114,7 @@
 	<-done
 }
 
-// A cold start, a burst beside it, polls, a takeover, and the loss of half of the
+// A cold start, a burst beside it, status queries, a failover, and the loss of half of the
 // machines: the fleet fills, none of its work is lost or started twice, and what the
 // store is asked grows with the records, not with machines times time.
 func TestFleetsOfThousandsOfMachines(t *testing.T) {
@@ -146,7 +146,7 @@
 	if all > f.machines+f.machines/10 {
 		f.t.Errorf("%d machines rented for work that fills %d", all, f.machines)
 	}
-	// A description, records of 128 tasks and an answered rental of up to 50 machines,
+	// A description, records of 128 tasks and an answered instance request of up to 50 machines,
 	// each written a few times while tasks come to run.
 	if most := int64(f.machines) / 2; changes > most {
 		f.t.Errorf("%d changes for the cold start, %d at the most", changes, most)
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/internal/health"
 )
 
-// A controller lost the store and its peers, but kept its workers and users: it
+// A controller lost the store and its peers, but kept its agents and users: it
 // went on answering 503 to users whom others could have served.
 func TestControllerPartitionedFromAllButItsUsersIsNotReady(t *testing.T) {
 	env := newTestCluster(t)
--- a/internal/controller/isolation_test.go
+++ b/internal/controller/isolation_test.go
@@ -13,7 +13,7 @@
 // checker's rules and in what should work meanwhile. Zones and machines that are
 // isolated have files of their own.
 
-// handoverBound is at most how long a leader that no worker reaches keeps the lead:
+// handoverBound is at most how long a leader that no agent reaches keeps the lead:
 // its machines become silent, and it waits a second and a scan more. The election
 // of the next leader is included.
 func (w *simCluster) handoverBound() micro.Time {
@@ -50,7 +50,7 @@
 	return job
 }
 
-// waitAnsweredBy waits until a poll of the job gets an answer from this node.
+// waitAnsweredBy waits until a status query of the job gets an answer from this node.
 func (w *simCluster) waitAnsweredBy(job *userJob, controller *controllerProcess, most micro.Time) {
 	w.t.Helper()
 	w.waitUntil(
@@ -59,7 +59,7 @@
 	)
 }
 
-// checkServing checks that submissions, polls and starts work through these nodes, each
+// checkServing checks that submissions, status queries and starts work through these nodes, each
 // within a bound.
 func (w *simCluster) checkServing(nodes []*controllerProcess) {
 	w.t.Helper()
@@ -82,8 +82,8 @@
 	}
 }
 
-// Fault: two of three nodes, one of them the leader, are cut off from all workers,
-// and reach the store and each other. The third one, which the workers reach, comes
+// Fault: two of three nodes, one of them the leader, are cut off from all agents,
+// and reach the store and each other. The third one, which the agents reach, comes
 // to lead once each of the two has tried at most once.
 func TestNodeThatAgentsReachComesToLead(t *testing.T) {
 	runSeeds(t, 16, 3, func(sim *simCluster) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// Fault: the store refuses the leader alone, for longer than a worker's lease, while
-// peers, workers and users reach it. Another node leads, tasks run on, and users are
+// Fault: the store refuses the leader alone, for longer than an agent's lease, while
+// peers, agents and users reach it. Another node leads, tasks run on, and users are
 // served through every node, the refused one included.
 func TestStoreRefusesTheLeaderAloneBeyondALease(t *testing.T) {
 	const refusedFor = 70 * micro.Second
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -27,7 +27,7 @@
 	renewalBound             *leasekeeper.RenewalBound
 	fencedZones              atomic.Pointer[map[string]bool] // zones whose lease proxies are not answered; nil: all
 	pendingCancellations     map[*cluster.Job]bool           // cancelled jobs whose users are not told yet
-	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with allocations not proven free
+	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with allocations not proven released
 	cancellationWaiters      map[string][]eventloop.Reply[httpapi.Reply]
 	failover                 *recovery.Failover
 	recovered                bool                     // the failover has read everything
--- a/internal/controller/leader_faults_test.go
+++ b/internal/controller/leader_faults_test.go
@@ -67,7 +67,7 @@
 
 // A direct start was held up, its job was cancelled, and the machine's reports,
 // which showed nothing of it, were taken for proof that it would never run: its
-// team's room went to another job, and the start arrived.
+// team's capacity went to another job, and the start arrived.
 func TestStartDelayedBeyondACancellationKeepsItsTeamsQuota(t *testing.T) {
 	runSeeds(t, 4, 3, func(sim *simCluster) {
 		sim.fillZone("a", 3)
@@ -114,7 +114,7 @@
 	}
 }
 
-// Half of a zone's workers reached no controller, while orders reached them: they
+// Half of a zone's agents reached no controller, while orders reached them: they
 // went on with their tasks, which must not begin elsewhere before their leases ran
 // out, whoever leads.
 func TestAgentsThatReachNoControllerKeepTheirTasks(t *testing.T) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// Workers that reach no controller for long end their tasks with their leases,
-// though direct orders still arrive, which renew nothing: the tasks begin elsewhere
+// Agents that reach no controller for long end their tasks with their leases,
+// though dispatched commands still arrive, which renew nothing: the tasks begin elsewhere
 // as soon as that is sure, and not only once their machines are given up.
 func TestTasksOfAgentsPartitionedBeyondALeaseRestartElsewhere(t *testing.T) {
 	for _, changes := range []bool{false, true} {
@@ -321,7 +321,7 @@
 }
 
 // A zone with two or three of five controllers was cut off for longer than the
-// workers' leases, which its controllers kept: what runs there runs on, once.
+// agents' leases, which its controllers kept: what runs there runs on, once.
 func TestZonePartitionedForLongerThanALeaseKeepsItsTasks(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
 		t.Run(zone, func(t *testing.T) {
@@ -349,7 +349,7 @@
 }
 
 // The tasks of a job end far apart, and the leader ends soon after the first: its
-// completion is not forgotten by the worker before the next leader can read of it.
+// completion is not forgotten by the agent before the next leader can read of it.
 func TestTasksThatEndFarApartAcrossAChangeOfLeaderRunOnce(t *testing.T) {
 	for _, tasks := range []int{2, 3} {
 		for _, after := range []micro.Time{700, 900, 1100, 1300, 8000} {
@@ -379,7 +379,7 @@
 	}
 }
 
-// A report from before a task began arrives after newer ones, also under another
+// A heartbeat from before a task began arrives after newer ones, also under another
 // leader that has acted: that the task is missing in it proves nothing.
 func TestHeartbeatFromBeforeATaskStartedReleasesNothing(t *testing.T) {
 	for _, changes := range []bool{false, true} {
@@ -403,7 +403,7 @@
 	}
 }
 
-// An old report reaches every controller just as a new leader begins, which has
+// An old heartbeat reaches every controller just as a new leader begins, which has
 // heard nothing newer: a cancelled job's task is missing in it, and yet runs.
 func TestStaleHeartbeatToANewLeaderReleasesNoCancelledTask(t *testing.T) {
 	runSeeds(t, 4, 3, func(sim *simCluster) {
@@ -426,7 +426,7 @@
 	})
 }
 
-// A machine died with a report on its way, which arrives once a new leader has
+// A machine died with a heartbeat on its way, which arrives once a new leader has
 // begun: it is no sign of life, and work that waits is not sent there.
 func TestHeartbeatDelayedUntilAnotherLeaderActsIsNoSignOfLife(t *testing.T) {
 	runSeeds(t, 3, 3, func(sim *simCluster) {
@@ -446,8 +446,8 @@
 	})
 }
 
-// A report of an earlier attempt arrives while the next one runs elsewhere. To
-// the leader that knows its lease ran out it means nothing, not even room that is
+// A heartbeat of an earlier attempt arrives while the next one runs elsewhere. To
+// the leader that knows its lease ran out it means nothing, not even capacity that is
 // taken; the next leader counts what it shows until it is proven gone. Neither
 // starts anything for it.
 func TestHeartbeatOfAnEarlierAttemptStartsNothing(t *testing.T) {
@@ -481,7 +481,7 @@
 	}
 }
 
-// A report of a session that is over arrives under a new leader, which has heard
+// A heartbeat of a session that is over arrives under a new leader, which has heard
 // of the next session, and of a task that runs in it.
 func TestHeartbeatOfAnEarlierEpochChangesNothing(t *testing.T) {
 	runSeeds(t, 2, 3, func(sim *simCluster) {
@@ -544,7 +544,7 @@
 	})
 }
 
-// All controllers were away for longer than the workers' leases, which killed
+// All controllers were away for longer than the agents' leases, which killed
 // their tasks: each begins again, once.
 func TestAllControllersDownForLongerThanALease(t *testing.T) {
 	for _, away := range []micro.Time{32, 45, 70} {
@@ -569,7 +569,7 @@
 
 // The leader ended while machines with long tasks could not be reached, or heard
 // no answer. The next one has heard nothing of them, and counts their leases from
-// its takeover, since the last leader may have renewed them until then.
+// its failover, since the last leader may have renewed them until then.
 func TestLeaderEndsWhileMachinesWithLongTasksAreUnreachable(t *testing.T) {
 	for what, cut := range map[string]func(*fakeMachine, micro.Time){"unreachable": (*fakeMachine).isolate, "deaf": (*fakeMachine).loseResponses} {
 		for _, zone := range []string{"a", "b"} {
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -14,7 +14,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A zone was cut off for a minute. Its workers' leases ran out after half of it,
+// A zone was cut off for a minute. Its agents' leases ran out after half of it,
 // though two controllers were there with them.
 func TestControllersInAPartitionedZoneRenewItsLeases(t *testing.T) {
 	env := newTestCluster(t)
@@ -65,7 +65,7 @@
 }
 
 // A user was told that a job was cancelled; had the zone been cut off then, its
-// keepers would have kept the job's tasks alive for longer than a cancellation
+// lease proxies would have kept the job's tasks alive for longer than a cancellation
 // may take.
 func TestCancellationIsConfirmedOnceNoProxyCanKeepItsTasksAlive(t *testing.T) {
 	env := newTestCluster(t)
@@ -84,7 +84,7 @@
 	waitUntil(t, "running", func() bool { return jobState(node, "j-9") == wire.JobRunning })
 	close(stop)
 	<-stopped
-	// The workers are out of reach from here on.
+	// The agents are out of reach from here on.
 	env.agents.mu.Lock()
 	unreachable := env.agents.byMachine
 	env.agents.byMachine = map[string]*fake.Agent{}
@@ -105,7 +105,7 @@
 }
 
 // Where leases are too long for the time that a cancellation may take, a user who
-// was told at once was told what could not be kept: the workers were out of reach.
+// was told at once was told what could not be kept: the agents were out of reach.
 func TestCancellationWaitsForConfirmationWhereLeasesAreTooLong(t *testing.T) {
 	for _, test := range []struct {
 		cancelS float64
@@ -130,7 +130,7 @@
 }
 
 // A start sent directly was held back by the network, or by a machine that hung,
-// until its job was withdrawn. It may run as long as the worker has seen no newer
+// until its job was cancelled. It may run as long as the agent has seen no newer
 // token: what reports it is told to stop it, and with the next token it is refused.
 func TestStartDelayedBeyondACancellationEndsWithTheNextResponse(t *testing.T) {
 	for _, sooner := range []bool{true, false} {
@@ -188,7 +188,7 @@
 	}
 }
 
-// The end was written by what keepers might do if none was answered from then on;
+// The end was written by what lease proxies might do if none was answered from then on;
 // yet they were answered until the leader's next look around, however late.
 func TestLeaseProxiesAreFencedFromWhenTheEndIsWritten(t *testing.T) {
 	fleet := newFleet(t, 2)
@@ -213,7 +213,7 @@
 }
 
 // Two nodes had lost the store, one of them the leader until then. It sent its
-// workers on, and the other sent them back.
+// agents on, and the other sent them back.
 func TestNodeWithoutTheStoreNamesNoLeaderItCannotReach(t *testing.T) {
 	env := newTestCluster(t)
 	leader, _ := env.startNode("n-0")
@@ -260,7 +260,7 @@
 	if fleet.machinesInState(cluster.Suspect) != 20 {
 		t.Fatalf("%d machines are silent, want those of the zone that was cut off", fleet.machinesInState(cluster.Suspect))
 	}
-	fleet.now += 15 * micro.Second // the outage: no report was answered
+	fleet.now += 15 * micro.Second // the outage: no heartbeat was answered
 	for range 3 {
 		second("a")
 	}
@@ -269,7 +269,7 @@
 	}
 }
 
-// A cut ended, and its zone came back one report at a time. When most of it was
+// A cut ended, and its zone came back one heartbeat at a time. When most of it was
 // heard, the rest looked like a few dead machines, and were returned.
 func TestRestOfARecoveringZoneIsNotTerminated(t *testing.T) {
 	fleet := newFleet(t, 40)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -29,7 +29,7 @@
 	n.Cfg.Facts.Teams[0].CPUsMax = 0
 }
 
-// The state service lowers its limits without notice, while a job begun under the
+// The store lowers its limits without notice, while a job begun under the
 // earlier version, with records far over the new limit, still runs.
 func TestLimitsAreLoweredWithoutNoticeAndNothingIsRefused(t *testing.T) {
 	env := newTestCluster(t)
@@ -157,7 +157,7 @@
 	}
 }
 
-// Rentals name up to fifty machines.
+// Instance requests name up to fifty machines.
 func TestRecordsOfTheFleetFitTheSmallerLimit(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
--- a/internal/controller/lost_responses_test.go
+++ b/internal/controller/lost_responses_test.go
@@ -8,14 +8,14 @@
 )
 
 // Fault: machines are deaf for longer than a lease, and the leader changes
-// meanwhile: their reports arrive, answers and direct orders don't. Their tasks,
+// meanwhile: their heartbeats arrive, answers and dispatched commands don't. Their tasks,
 // killed with their leases, run again elsewhere, none twice.
 func TestMachinesLosingResponsesBeyondALeaseAcrossAChangeOfLeader(t *testing.T) {
 	const (
 		deafFor = 140 * micro.Second
-		// A lease, and what detection and rentals take.
+		// A lease, and what detection and instance requests take.
 		againWithin = 60 * micro.Second
-		// Each worker's reports come to one node after the other, since none seems to
+		// Each agent's reports come to one node after the other, since none seems to
 		// answer. Where all machines are deaf no node hears enough of them, and each
 		// hands over before it finds their leases run out.
 		allDeafWithin = 2 * micro.Minute
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,4 +1,4 @@
-// Package controller wires a node together: the users' and workers' interface,
+// Package controller wires a node together: the users' and agents' interface,
 // the peers, the election and, while this node leads, the leader's loop.
 package controller
 
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// The leader ends after the withdrawal is stored and before what needs the job is:
+// The leader ends after the cancellation is stored and before what needs the job is:
 // the next one finishes it, at few changes a transaction; a node that reads the
 // store says the same meanwhile.
 func TestCancellationCascadesToDependentsAcrossAChangeOfLeader(t *testing.T) {
@@ -338,7 +338,7 @@
 	}
 }
 
-// The same of a withdrawal, and of what needs the withdrawn job.
+// The same of a cancellation, and of what needs the cancelled job.
 func TestLeaderDoesNotCallPendingWhatAnEndInFlightAborts(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen(
@@ -358,7 +358,7 @@
 	}
 }
 
-// An old leader's last copy of a withdrawal, and its last task's completion, race:
+// An old leader's last copy of a cancellation, and its last task's completion, race:
 // whichever end is created first is the only one, for what awaits the job too.
 func TestLateDuplicateOfAnEndDecidesNothingTwice(t *testing.T) {
 	env := newTestCluster(t)
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -112,7 +112,7 @@
 			return
 		}
 		time.Sleep(time.Second)
-		// Whoever runs for ever makes room for the rest by and by.
+		// Whoever runs for ever makes capacity for the rest by and by.
 		if sim.now() > calmSince+30*micro.Second {
 			for _, job := range jobs {
 				if jd := sim.checker.jobNamed(job.id); jd.accepted && !jd.cancelRequested &&
@@ -178,7 +178,7 @@
 			t.Parallel()
 			runScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 				withShard(sim)
-				// Not a whole zone: services that are spread over both would find no room.
+				// Not a whole zone: services that are spread over both would find no capacity.
 				sim.config.Shards.Declared[0].Selector = shard.Selector{
 					Kind: []shard.InstanceKind{shard.SpotOnly, shard.OnDemandOnly}[seed%2],
 				}
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A leader of many workers loses all of them at once, and nothing else. Single
+// A leader of many agents loses all of them at once, and nothing else. Single
 // machines count as silent after 7.75 s, the last of them 3.75 s later; another node
 // must lead well before, and no task may begin twice.
 func TestLeaderPartitionedFromManyAgentsHandsOverWithinSeconds(t *testing.T) {
@@ -19,7 +19,7 @@
 	for seed := range uint64(3) {
 		runScenario(t, seed, 3, func(sim *simCluster) {
 			sim.fastBoot = true
-			// Room for one task on each machine.
+			// Capacity for one task on each machine.
 			tiny := wire.MachineType{
 				Name: "tiny", CPUs: cpus, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 5, FetchGBPerS: 1,
 				Zones: []string{"a", "b"},
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// After a takeover, half of the machines took no work for six to ten seconds:
-// their workers had just reported of a new token, and did so again only with
-// their next report.
+// After a failover, half of the machines took no work for six to ten seconds:
+// their agents had just reported of a new token, and did so again only with
+// their next heartbeat.
 func TestMachineProvesItselfAliveByAnsweringAnEmptyDispatch(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A job is done, and the leader forgets it: polls, a repeated submission and a late
+// A job is done, and the leader forgets it: status queries, a repeated submission and a late
 // word of its acceptance must not find it any other way than done.
 func TestPrunedJobStaysDone(t *testing.T) {
 	runScenario(t, 4, 3, nil, func(sim *simCluster) {
@@ -59,7 +59,7 @@
 	return len(p.Items)
 }
 
-// A record that is yet to be deleted is the next leader's only word of a place.
+// A record that is yet to be deleted is the next leader's only word of an allocation.
 func TestJobWithAnOpenRecordIsNotPruned(t *testing.T) {
 	fleet := newFleet(t, 4)
 	job := fleet.leader.cluster.SortedMachines()[0].SortedAllocations()[0].Job
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -70,7 +70,7 @@
 }
 
 // CancellationUnconfirmed notes that the user of a cancelled job was told, and that
-// allocations of it are not proven free.
+// allocations of it are not proven released.
 func (h coordinatorHost) CancellationUnconfirmed(job *cluster.Job) {
 	h.leader.unconfirmedCancellations[job] = true
 }
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -15,10 +15,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What meets a move of a share. The checker of the rules judges each scenario: no task
+// What meets a move of a shard. The checker of the rules judges each scenario: no task
 // on two machines, no limit passed, nothing on after its cancellation.
 
-// startShardWorkload waits until n-2 owns the share and runs a service of three replicas in it.
+// startShardWorkload waits until n-2 owns the shard and runs a service of three replicas in it.
 func (w *simCluster) startShardWorkload() *userJob {
 	w.t.Helper()
 	w.waitShardOwned("n-2", 2*micro.Minute)
@@ -27,7 +27,7 @@
 	return job
 }
 
-// waitShardSettled waits until some controller owns the share and all of a service runs.
+// waitShardSettled waits until some controller owns the shard and all of a service runs.
 func (w *simCluster) waitShardSettled(job *userJob, replicas int) {
 	w.t.Helper()
 	w.waitUntil("the share is owned again", 3*micro.Minute, func() bool {
@@ -45,7 +45,7 @@
 	w.waitUntil("all replicas run", 3*micro.Minute, func() bool { return job.runningTasks() == replicas })
 }
 
-// requestMove asks for a move to a controller until it is taken: another change of the share
+// requestMove asks for a move to a controller until it is taken: another change of the shard
 // may be under way.
 func (w *simCluster) requestMove(to string) {
 	w.t.Helper()
@@ -95,7 +95,7 @@
 	}
 }
 
-// The start of a task is held up on its way, the share moves, and it arrives a minute
+// The start of a task is held up on its way, the shard moves, and it arrives a minute
 // after the job was cancelled through the next owner.
 func TestStartDelayedBeyondAShardMoveChangesNothing(t *testing.T) {
 	runShardScenario(t, 12, 3, func(sim *simCluster) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// The transaction that hands over gets no answer: it was carried out, or will be seconds
+// The transaction that transfers gets no answer: it was carried out, or will be seconds
 // later, or never.
 func TestShardTransferWithoutAnAnswer(t *testing.T) {
 	for name, fate := range map[string]fake.CommitFault{
@@ -206,7 +206,7 @@
 	}
 }
 
-// Late copies of reports of the old owner's time reach the next one, machines hang
+// Late copies of heartbeats of the old owner's time reach the next one, machines hang
 // through the whole move, others hear nothing.
 func TestLateHeartbeatsAndHungMachinesDuringAShardMove(t *testing.T) {
 	for seed := range uint64(4) {
@@ -290,7 +290,7 @@
 	})
 }
 
-// Machines of a share die, are taken, and are replaced, while it moves: its work runs on
+// Machines of a shard die, are taken, and are replaced, while it moves: its work runs on
 // machines that the leader rents for it, and the dead ones are returned.
 func TestMachinesOfAMovingShardAreReplaced(t *testing.T) {
 	runShardScenario(t, 37, 3, func(sim *simCluster) {
@@ -314,7 +314,7 @@
 	})
 }
 
-// A share is given back to the leader with all its work, the controllers restart without
+// A shard is given back to the leader with all its work, the controllers restart without
 // the feature, and nothing starts anew.
 func TestDissolvedShardIsTakenBackWithItsWork(t *testing.T) {
 	for seed := range uint64(3) {
@@ -352,7 +352,7 @@
 	w.waitForRestoredLeader()
 }
 
-// shardKeys lists the keys of shares in the store, sessions excepted.
+// shardKeys lists the keys of shards in the store, sessions excepted.
 func (w *simCluster) shardKeys() []string {
 	var out []string
 	for _, prefix := range []string{shard.RecordPrefix, shard.AssignmentPrefix, shard.AllocationPrefix, shard.MarkerKey} {
@@ -367,7 +367,7 @@
 	return out
 }
 
-// A controller that runs without shares would take all machines for its own.
+// A controller that runs without shards would take all machines for its own.
 func TestControllerWithoutShardsDoesNotLeadWhereThereAreShards(t *testing.T) {
 	runShardScenario(t, 43, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
@@ -410,7 +410,7 @@
 	})
 }
 
-// Two policies want one share, and one of them flaps each minute: the first by name
+// Two policies want one shard, and one of them flaps each minute: the first by name
 // counts, and the least time between moves holds.
 func TestPoliciesDoNotMoveAShardToAndFro(t *testing.T) {
 	condition := func(text string) *policy.Condition {
@@ -446,7 +446,7 @@
 	})
 }
 
-// How long a share goes without placing, by the simulated clock: from the command to the
+// How long a shard goes without placing, by the simulated clock: from the command to the
 // first order of the next owner.
 func TestShardMoveTakesLessThanASecond(t *testing.T) {
 	runShardScenario(t, 46, 3, func(sim *simCluster) {
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -19,7 +19,7 @@
 
 // Measures moves on the simulated cluster, with a store that answers in 4 to 12 ms:
 //
-//	go test ./internal/controller -run TestMeasureShardMoves -v -share.measure 40
+//	go test ./internal/controller -run TestMeasureShardMoves -v -shard.measure 40
 func TestMeasureShardMoves(t *testing.T) {
 	for _, machines := range []int{1, 16, 256} {
 		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -184,12 +184,12 @@
 	e.owner.assignmentRevision = max(e.owner.assignmentRevision, uint64(e.events.Revision))
 }
 
-// How long a job may wait in a shard without ever having had a place before it is handed
-// back: there may be room elsewhere by now.
+// How long a job may wait in a shard without ever having had an allocation before it is handed
+// back: there may be capacity elsewhere by now.
 const handBackTimeout = 30 * micro.Second
 
 // deleteFinishedAssignments deletes the assignments of jobs that are over and of which nothing is
-// left in the shard, and of those that found no room in it.
+// left in the shard, and of those that found no capacity in it.
 func (o *ShardOwner) deleteFinishedAssignments(now micro.Time) {
 	for id, record := range o.assignments {
 		job := o.cluster.Jobs[id]
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -79,7 +79,7 @@
 	return reply, err == nil && status == http.StatusOK && wire.Unmarshal(response, &reply) == nil
 }
 
-// buildShardUpdate puts together what the leader is told. The caller has the right to act.
+// buildShardUpdate puts together what the leader is told. The caller has the leadership lease.
 func (o *ShardOwner) buildShardUpdate(now micro.Time) shard.ShardUpdate {
 	report := shard.ShardUpdate{
 		Name: o.name, AssignmentRevision: o.assignmentRevision, FreeCapacity: update.FreeCapacity(o.cluster, now),
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -10,9 +10,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Shares on the simulated cluster: what moves while jobs run, and what meets it.
+// Shards on the simulated cluster: what moves while jobs run, and what meets it.
 
-// withShard declares a share of zone b, owned by n-2 at first.
+// withShard declares a shard of zone b, owned by n-2 at first.
 func withShard(sim *simCluster) {
 	sim.config.Shards = &config.Shards{
 		MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000,
@@ -20,13 +20,13 @@
 	}
 }
 
-// runShardScenario plays a scenario on a cluster with a share.
+// runShardScenario plays a scenario on a cluster with a shard.
 func runShardScenario(t *testing.T, seed uint64, nodes int, scenario func(sim *simCluster)) {
 	t.Helper()
 	runScenario(t, seed, nodes, withShard, scenario)
 }
 
-// shardRecord reads the record of the share from the store.
+// shardRecord reads the record of the shard from the store.
 func (w *simCluster) shardRecord() (shard.Entry, bool) {
 	it, err := w.store.Get(w.ctx, store.Routine, shard.RecordKey("east"))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return entry, err == nil
 }
 
-// waitShardOwned waits until a controller owns the share, and its loop serves.
+// waitShardOwned waits until a controller owns the shard, and its loop serves.
 func (w *simCluster) waitShardOwned(by string, most micro.Time) {
 	w.t.Helper()
 	w.waitUntil("the share is "+by+"'s", most, func() bool {
@@ -77,14 +77,14 @@
 	return reply
 }
 
-// moveShard has the share moved.
+// moveShard has the shard moved.
 func (w *simCluster) moveShard(to string) {
 	w.t.Helper()
 	w.requestMove(to)
 	w.waitShardOwned(to, micro.Minute)
 }
 
-// A share is formed, its jobs run on its machines, and it moves to and fro while they do.
+// A shard is formed, its jobs run on its machines, and it moves to and fro while they do.
 func TestShardMovesWhileItsJobsRun(t *testing.T) {
 	for seed := range uint64(3) {
 		runShardScenario(t, seed, 3, func(sim *simCluster) {
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -58,7 +58,7 @@
 	)
 }
 
-// partitionZone keeps a zone's nodes and workers from everything outside.
+// partitionZone keeps a zone's nodes and agents from everything outside.
 func (w *simCluster) partitionZone(zone string, d micro.Time) func() {
 	set := func(on bool) func() {
 		return func() {
@@ -133,14 +133,14 @@
 	w.injectFault(d, set(delay), set(0))
 }
 
-// slowAgents makes every report, direct command and answer of workers take half
+// slowAgents makes every heartbeat, direct command and answer of agents take half
 // to one and a half times so long.
 func (w *simCluster) slowAgents(delay, d micro.Time) {
 	set := func(x micro.Time) func() { return func() { w.mu.Lock(); w.agentLatency = x; w.mu.Unlock() } }
 	w.injectFault(d, set(delay), set(0))
 }
 
-// waitAgentLatency is one way between a worker and a node.
+// waitAgentLatency is one way between an agent and a node.
 func (w *simCluster) waitAgentLatency() {
 	w.mu.Lock()
 	d := w.agentLatency
@@ -150,7 +150,7 @@
 	}
 }
 
-// replayHeartbeats has copies of reports come late.
+// replayHeartbeats has copies of heartbeats come late.
 func (w *simCluster) replayHeartbeats(share float64, most, d micro.Time) {
 	set := func(s float64, m micro.Time) func() {
 		return func() {
@@ -162,7 +162,7 @@
 	w.injectFault(d, set(share, most), set(0, most))
 }
 
-// holdDispatch has the network hold up the next direct order to a machine, until it is
+// holdDispatch has the network hold up the next dispatched command to a machine, until it is
 // released: long after its sender gave up, and after what was sent later.
 func (h *fakeMachine) holdDispatch() { h.mu.Lock(); h.holdNextDispatch = true; h.mu.Unlock() }
 
@@ -199,7 +199,7 @@
 // startRecording keeps what all machines report from now on.
 func (w *simCluster) startRecording() { w.mu.Lock(); w.recording = true; w.mu.Unlock() }
 
-// replayHeartbeatWithout delivers a copy of the machine's last report from before a job's task was
+// replayHeartbeatWithout delivers a copy of the machine's last heartbeat from before a job's task was
 // on it to every node, and replayHeartbeatWith one of the last that shows the task.
 func (h *fakeMachine) replayHeartbeatWithout(job *userJob) { h.replayHeartbeat(job, false) }
 
--- a/internal/controller/simulation_machines_test.go
+++ b/internal/controller/simulation_machines_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// fakeMachine is a machine with its worker.
+// fakeMachine is a machine with its agent.
 type fakeMachine struct {
 	sim *simCluster
 
@@ -21,7 +21,7 @@
 	hungUntil           micro.Time      // it stands still until then
 	responsesLostUntil  micro.Time      // nothing that is sent to it arrives until then
 	heartbeatsLostUntil micro.Time      // it reaches no controller until then
-	holdNextDispatch    bool            // the network holds up the next direct order
+	holdNextDispatch    bool            // the network holds up the next dispatched command
 	heldDispatches      []wire.Commands // those that it holds up
 	sentHeartbeats      [][]byte        // in the order in which they were sent
 	stateSince          map[fake.AttemptKey]micro.Time
@@ -217,7 +217,7 @@
 	h.changed = true
 }
 
-// sendHeartbeat sends one report and takes its answer.
+// sendHeartbeat sends one heartbeat and takes its answer.
 func (h *fakeMachine) sendHeartbeat(heartbeat *wire.Heartbeat, body []byte, sent micro.Time) {
 	sim := h.sim
 	h.mu.Lock()
@@ -280,7 +280,7 @@
 	h.controllerIndex, h.nextHeartbeat = (h.controllerIndex+1)%len(sim.controllers), now+micro.Second
 }
 
-// replayHeartbeat delivers a copy of a report once more, much later, to any node, or to
+// replayHeartbeat delivers a copy of a heartbeat once more, much later, to any node, or to
 // all just as another leader has begun.
 func (w *simCluster) replayHeartbeat(body []byte) {
 	w.mu.Lock()
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -35,13 +35,13 @@
 var simulationLog = flag.String("sim.log", "", "folder for the nodes' logs of simulations that failed")
 
 // A simCluster is a whole site in fake time: nodes with all their parts but the
-// sockets, workers, the cloud, the store and users, with the troubles that the
+// sockets, agents, the cloud, the store and users, with the troubles that the
 // protocol and the users foresee. A checker of the rules sees every start, exit
 // and answer. Scenarios bring one meeting of troubles about; the random test draws
 // them.
 type simCluster struct {
 	t                    testing.TB
-	mu                   sync.Mutex // of rand, workers and troubles
+	mu                   sync.Mutex // of rand, agents and troubles
 	rand                 *rand.Rand
 	startedAt            time.Time
 	store                *fake.Store
@@ -58,10 +58,10 @@
 	onTaskStart          func(machine *fakeMachine, key fake.AttemptKey) // told of every start that takes effect
 	wrapStore            func(l *fake.Link) store.Store                  // what the nodes have of the store; nil: the link itself
 	unansweredHeartbeats atomic.Int64                                    // reports that got neither orders nor a leader's name
-	maxReplayDelay       micro.Time                                      // how late copies of reports come at the most; 0: none come
-	replayRatio          float64                                         // of the reports that are copied
+	maxReplayDelay       micro.Time                                      // how late copies of heartbeats come at the most; 0: none come
+	replayRatio          float64                                         // of the heartbeats that are copied
 	partitionedZones     map[string]bool                                 // zones that are cut off from the others
-	agentLatency         micro.Time                                      // how long what workers send or are sent is on its way; 0: no time
+	agentLatency         micro.Time                                      // how long what agents send or are sent is on its way; 0: no time
 	activeFaults         int                                             // troubles that are not over
 	recording            bool                                            // reports are kept, so that copies can come late
 	newLogger            func(node string) *slog.Logger
@@ -241,7 +241,7 @@
 	cancel            context.CancelFunc
 	alive             bool
 	frozenUntil       time.Time       // it stands still until then
-	partitions        map[string]bool // what the network keeps from it: state, peers, workers, users
+	partitions        map[string]bool // what the network keeps from it: state, peers, agents, users
 	storeReachability fake.Reachability
 
 	peerDelay micro.Time // how long it takes over each answer to another node
@@ -409,7 +409,7 @@
 	return p.node
 }
 
-// leader is the node with the right to act, nil if there is none.
+// leader is the node with the leadership lease, nil if there is none.
 func (w *simCluster) leader() *controllerProcess {
 	for _, controller := range w.controllers {
 		if n := controller.runningNode(); n != nil && n.activeLeader() != nil {
@@ -507,13 +507,13 @@
 	}
 }
 
-// dispatchSender carry the direct orders of one process.
+// dispatchSender carry the dispatched commands of one process.
 type dispatchSender struct {
 	process *controllerProcess
 	link    *fake.Link
 }
 
-// Send delivers orders to a worker. A machine that hangs keeps them until it
+// Send delivers orders to an agent. A machine that hangs keeps them until it
 // goes on, long after the sender has given up.
 func (s *dispatchSender) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	s.process.waitWhileFrozen()
@@ -552,13 +552,13 @@
 	}
 }
 
-// fakeCloud are the cloud, which boots workers.
+// fakeCloud are the cloud, which boots agents.
 type fakeCloud struct {
 	*fake.Cloud
 	sim              *simCluster
 	unavailable      bool
 	bootFailureRatio float64  // share of machines that never come up
-	lostAnswerRatio  float64  // share of rentals whose answer is lost
+	lostAnswerRatio  float64  // share of instance requests whose answer is lost
 	terminated       []string // machines that were returned
 	// whose boot fails; nil: none beside the share above
 	failsBoot func(r wire.InstanceRequest) bool
--- a/internal/controller/status_bench_test.go
+++ b/internal/controller/status_bench_test.go
@@ -37,7 +37,7 @@
 	return leader, follower
 }
 
-// A poll at the leader, and one at a follower, which asks the leader.
+// A status query at the leader, and one at a follower, which asks the leader.
 func BenchmarkStatusQuery(b *testing.B) {
 	leader, follower := startBenchmarkNodes(b)
 	for name, node := range map[string]*Node{"leader": leader, "follower": follower} {
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -153,7 +153,7 @@
 	unknownIDBase      = 7_000_000
 )
 
-// A storm polls for ids that nobody submitted, at every node.
+// A storm status queries for ids that nobody submitted, at every node.
 type queryStorm struct {
 	sim        *simCluster
 	mu         sync.Mutex
@@ -212,9 +212,9 @@
 	}
 }
 
-// A storm of polls for unknown ids holds back no renewal, no write and no
+// A storm of status queries for unknown ids holds back no renewal, no write and no
 // submission, in calm, while the store refuses all, and while a leader is elected.
-// All look-ups together stay within the polls' part of the store's limit.
+// All look-ups together stay within the status queries' part of the store's limit.
 func TestStormOfStatusQueriesDelaysNothingElse(t *testing.T) {
 	const stormS = 20
 	for name, trouble := range map[string]func(sim *simCluster, leader *controllerProcess){
@@ -338,7 +338,7 @@
 }
 
 // Beside nodes of the version before, a node that the store refuses still has
-// them read jobs for its polls.
+// them read jobs for its status queries.
 func TestRefusedNodeAnswersStatusQueriesThroughPeersOfTheVersionBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestCluster(t)
@@ -375,7 +375,7 @@
 }
 
 // What is over a node's own budget gets 503 at once, and is not handed on to the
-// other nodes, which have polls of their own.
+// other nodes, which have status queries of their own.
 func TestStatusQueriesOverTheBudgetAreNotRelayed(t *testing.T) {
 	env := newTestCluster(t)
 	peers := &countingPeer{}
@@ -441,7 +441,7 @@
 }
 
 // While nobody leads, a finished job is read from the store within a bound, also
-// in a flood of unknown ids that uses up the polls' budget again and again.
+// in a flood of unknown ids that uses up the status queries' budget again and again.
 func TestFinishedJobIsReadInAFloodWhileNobodyLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestCluster(t)
@@ -484,7 +484,7 @@
 }
 
 // A node that reads every job from the store, and may read far fewer than it is
-// polled for, answers for each of them in turn: none is left without an answer.
+// queried for, answers for each of them in turn: none is left without an answer.
 func TestJobsTakeTurnsWhileTheLookupBudgetIsShort(t *testing.T) {
 	const (
 		jobs    = 80
@@ -596,7 +596,7 @@
 }
 
 // A look-up that has read that a job is unknown, and is slow to say so, must not
-// answer a poll that came after another node accepted the job.
+// answer a status query that came after another node accepted the job.
 func TestStatusQuerySharesNoLookupBegunBeforeTheJobWasAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env, node, _, gate := startGatedNode(t)
@@ -617,7 +617,7 @@
 }
 
 // The same for a read of a job that was accepted: what began before the job was
-// over must not answer a poll that came after another node said that it is.
+// over must not answer a status query that came after another node said that it is.
 func TestStatusQuerySharesNoReadBegunBeforeTheJobWasOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env, node, _, gate := startGatedNode(t)
@@ -646,7 +646,7 @@
 	})
 }
 
-// Equal polls at the same time, and polls for many unknown ids, share requests.
+// Equal polls at the same time, and status queries for many unknown ids, share requests.
 func TestConcurrentStatusQueriesShareRequests(t *testing.T) {
 	const polls = 500
 	for name, test := range map[string]struct {
@@ -715,7 +715,7 @@
 	}
 }
 
-// Polls come last in what is left of a node's budget.
+// Status queries come last in what is left of a node's budget.
 func TestStatusQueriesComeLastInTheBudget(t *testing.T) {
 	for _, c := range []store.Class{store.Leadership, store.Urgent, store.Routine, store.Deferrable} {
 		lim := rate.NewLimiter(0, 100)
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -15,7 +15,7 @@
 )
 
 // Where users' questions meet writes: none is answered with something older than
-// what a user was told, whatever the state service does with the writes.
+// what a user was told, whatever the store does with the writes.
 
 // waitForRestoredLeader waits for a leader and gives it, and the others.
 func (w *simCluster) waitForRestoredLeader() (*controllerProcess, []*controllerProcess) {
@@ -353,7 +353,7 @@
 }
 
 // Jobs are cancelled, asked for and submitted again at the end of their last task,
-// with no other trouble; the store and the workers take their usual time. Each has one end, and all
+// with no other trouble; the store and the agents take their usual time. Each has one end, and all
 // nodes name it for ever.
 func TestCancellationMeetsTheEndOfTheLastTask(t *testing.T) {
 	runScenario(t, 6, 3, nil, func(sim *simCluster) {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// A place that one version misses in the other's records runs twice.
+// An allocation that one version misses in the other's records runs twice.
 func TestRunningTasksOfTheEarlierVersionAreKnownBeforeAndAfterTheGateOpens(t *testing.T) {
 	env := newTestCluster(t)
 	var places []cluster.AllocationRecord
--- a/internal/controller/zone_cut_test.go
+++ b/internal/controller/zone_cut_test.go
@@ -78,7 +78,7 @@
 }
 
 // renewalBound is until when after the beginning of a cut tasks inside may run on: a
-// leader inside loses its right, the keepers' span begins with that, and the lease
+// leader inside loses its right, the lease proxies' span begins with that, and the lease
 // that they renewed last runs out.
 func (w *simCluster) renewalBound() micro.Time {
 	cfg := w.controllers[0].runningNode().Cfg
@@ -86,14 +86,14 @@
 }
 
 // rescheduleBound is how long after that the tasks run elsewhere at the latest:
-// the leader adds room for drift, and rents machines, whose workers try all nodes,
+// the leader adds capacity for drift, and rents machines, whose agents try all nodes,
 // those out of reach included.
 func (w *simCluster) rescheduleBound() micro.Time {
 	const rentAndBoot = 12 * micro.Second
 	return rentAndBoot + w.controllers[0].runningNode().Cfg.RegistrationWindow()
 }
 
-// Fault: a zone with controllers is cut off for longer than its keepers may renew
+// Fault: a zone with controllers is cut off for longer than its lease proxies may renew
 // leases. Its tasks, killed there with their leases, run again elsewhere, none
 // twice, and once the cut is over the zone serves again.
 func TestZonePartitionedBeyondTheRenewalSpan(t *testing.T) {
@@ -110,8 +110,8 @@
 	if outside {
 		sim.fillBothZones()
 	} else {
-		// No leader outside hears a worker: each hands over in vain before one stays,
-		// and counts what keepers may have renewed from its takeover.
+		// No leader outside hears an agent: each hands over in vain before one stays,
+		// and counts what lease proxies may have renewed from its failover.
 		most += micro.Time(len(sim.controllersOutside(zone))*detector.MaxHandovers) * sim.handoverBound()
 	}
 	sim.sleep(5 * micro.Second)
@@ -141,8 +141,8 @@
 }
 
 // Fault: the leader outside a zone that is cut off ends during the cut. The next
-// one, outside too, does not know when the keepers inside were last answered, and
-// counts what they may have renewed from its takeover: for short cuts the tasks run
+// one, outside too, does not know when the lease proxies inside were last answered, and
+// counts what they may have renewed from its failover: for short cuts the tasks run
 // on, for long ones they run again elsewhere, none twice.
 func TestLeaderEndsWhileProxiesRenewInAPartitionedZone(t *testing.T) {
 	for _, test := range []struct {
@@ -156,7 +156,7 @@
 					job, zone := sim.fillOneZone(4) // all that the team may have
 					sim.fillBothZones()
 					was := sim.ensureLeaderOutside(zone)
-					sim.sleep(10 * micro.Second) // keepers are in touch with it
+					sim.sleep(10 * micro.Second) // lease proxies are in touch with it
 					from := sim.now()
 					sim.partitionZone(zone, test.lasts)
 					sim.sleep(after)
@@ -166,7 +166,7 @@
 						sim.t.Fatal("another node outside should lead")
 					}
 					took := sim.now()
-					// It competes for the team's room, which is not free.
+					// It competes for the team's capacity, which is not free.
 					waiting := sim.submitThrough(
 						sim.otherControllers(), micro.Minute,
 						jobRequest{kind: wire.JobArray, tasks: 1, cpus: 4, runTime: 2 * micro.Second},
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -197,8 +197,8 @@
 // sweepInterval is how often these tests look for reports, as the leader's scan does.
 const sweepInterval = 500 * micro.Millisecond
 
-// sweepsUntilGapTooLong counts the looks, without a report between them, after which the
-// silence of so many live workers is too long; at most so many looks are made.
+// sweepsUntilGapTooLong counts the looks, without a heartbeat between them, after which the
+// silence of so many live agents is too long; at most so many looks are made.
 func sweepsUntilGapTooLong(s *heartbeatGap, up, most int, from micro.Time) int {
 	const interval = 7500 * micro.Millisecond
 	s.exceeded(1, up, from, interval)
@@ -213,7 +213,7 @@
 func TestHeartbeatGapOfAllAgentsIsTooLongByTheHeartbeatsDue(t *testing.T) {
 	for _, row := range []struct{ up, looks int }{
 		{1500, 5}, // 2.5 s, the shortest spell
-		{60, 10},  // 40 reports of 60 workers that report each 7.5 s take 5 s
+		{60, 10},  // 40 reports of 60 agents that heartbeat each 7.5 s take 5 s
 		{10, 0},   // single machines are found silent sooner
 		{0, 0},
 	} {
@@ -227,7 +227,7 @@
 func TestOneHeartbeatEndsAGap(t *testing.T) {
 	s := heartbeatGap{}
 	const interval = 7500 * micro.Millisecond
-	for n := range micro.Time(40) { // one report in each second look
+	for n := range micro.Time(40) { // one heartbeat in each second look
 		if s.exceeded(uint64(n/2), 1500, micro.Second+n*sweepInterval, interval) {
 			t.Fatalf("look %d: too long while workers report", n)
 		}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -110,7 +110,7 @@
 	return test.cluster.AddJob(spec, test.at, test.at)
 }
 
-// An overloaded leader sends directly what cannot wait for the machine's next report.
+// An overloaded leader sends directly what cannot wait for the machine's next heartbeat.
 func TestOverloadedLeaderDispatchesOnlyUrgentCommands(t *testing.T) {
 	test := newTestDispatcher(t, 8)
 	machines := test.cluster.SortedMachines()
--- a/internal/jobapi/status_batcher_test.go
+++ b/internal/jobapi/status_batcher_test.go
@@ -89,7 +89,7 @@
 	return slices.Clone(s.calls)
 }
 
-// queryWhileLeaderIsSlow sends polls for jobs 0 to n-1, one after another, while
+// queryWhileLeaderIsSlow sends status queries for jobs 0 to n-1, one after another, while
 // no call is answered, then lets all be answered.
 func queryWhileLeaderIsSlow(t *testing.T, leader *slowLeader, n int) (answers map[string]wire.JobState) {
 	t.Helper()
@@ -118,7 +118,7 @@
 	return answers
 }
 
-// Polls that came while calls were under way went out one by one, and the calls used
+// Status queries that came while calls were under way went out one by one, and the calls used
 // up the leader's processor.
 func TestStatusQueriesInAStormShareCallsToTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/jobapi/status_lookup.go
+++ b/internal/jobapi/status_lookup.go
@@ -240,8 +240,8 @@
 	return batch
 }
 
-// awaitBudget waits a little until the budget has room for a batch. It leaves
-// room for reading a job: that many unknown IDs are asked for must not keep an
+// awaitBudget waits a little until the budget has capacity for a batch. It leaves
+// capacity for reading a job: that many unknown IDs are asked for must not keep an
 // accepted job from its answer.
 func (l *statusLookups) awaitBudget() bool {
 	for waited := micro.Time(0); ; waited += budgetCheckInterval {
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -107,7 +107,7 @@
 	return append(allocations[:released], allocations[released+1:]...)
 }
 
-// changeRandomMachine lets one in five times a machine fall silent, or a silent one report.
+// changeRandomMachine lets one in five times a machine fall silent, or a silent one heartbeat.
 func changeRandomMachine(state *cluster.State, rng *rand.Rand) {
 	machines := state.SortedMachines()
 	if machine := machines[rng.IntN(len(machines))]; rng.IntN(5) == 0 {
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -21,7 +21,7 @@
 	maxCapacityAge = 3 * micro.Second
 	// assignDelay is how long a job waits for capacity among the leader's own machines
 	// before it goes to a shard, and partialAssignDelay before an array or a service goes
-	// to one that has room for a part of it.
+	// to one that has capacity for a part of it.
 	assignDelay        = micro.Second
 	partialAssignDelay = 15 * micro.Second
 	// maxAssignmentsPerRound is how many jobs are assigned in one round.
@@ -46,7 +46,7 @@
 	lookupInFlight bool   // whether the record is really gone is being looked up
 }
 
-// assignJobs gives jobs that wait to shards that have room for them.
+// assignJobs gives jobs that wait to shards that have capacity for them.
 func (c *Coordinator) assignJobs(now micro.Time) {
 	open := c.shardsWithCapacity(now)
 	if len(open) == 0 {
@@ -77,7 +77,7 @@
 	return open
 }
 
-// assignableJobs lists the jobs that may be assigned, in the order in which they get room.
+// assignableJobs lists the jobs that may be assigned, in the order in which they get capacity.
 func (c *Coordinator) assignableJobs() []*cluster.Job {
 	var jobs []*cluster.Job
 	for job := range c.Cluster.PendingJobs {
@@ -98,7 +98,7 @@
 	return jobs
 }
 
-// assignToShard assigns a job to a shard if that has room for it.
+// assignToShard assigns a job to a shard if that has capacity for it.
 func (c *Coordinator) assignToShard(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
 	waited := now - job.WaitingSince
 	if !slices.Contains(entry.Record.Teams, job.Spec.Team) && (len(entry.Record.Teams) > 0 || waited < assignDelay) {
@@ -305,7 +305,7 @@
 }
 
 // adjustReservation fits what a job takes of its team's quota to what its tasks still need:
-// less as they end, and more, up to all of them, where the quota leaves room.
+// less as they end, and more, up to all of them, where the quota leaves capacity.
 func (c *Coordinator) adjustReservation(job *cluster.Job, needed int) {
 	assigned := c.assignedJobs[job.Spec.ID]
 	if needed < 0 || assigned == nil || assigned.cancelling {
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -46,7 +46,7 @@
 	// user may be told.
 	CancellationPending(job *cluster.Job)
 	// CancellationUnconfirmed notes that the user of a cancelled job was told, and that
-	// allocations of it are not proven free.
+	// allocations of it are not proven released.
 	CancellationUnconfirmed(job *cluster.Job)
 	// UpdateFencedZones notes anew in which zones leases must not be renewed by proxy.
 	UpdateFencedZones()
@@ -105,7 +105,7 @@
 	idleMachines       int
 	pendingTasks       int
 	unreachable        bool
-	allMachinesKnownAt micro.Time // since when this leader knows of all machines that report to the owner; 0: not yet
+	allMachinesKnownAt micro.Time // since when this leader knows of all machines that heartbeat to the owner; 0: not yet
 	handovers          int        // moves in a row because no agent reached the owner
 	handedOverAt       micro.Time // the last of them
 	demand             []shard.Demand
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -87,7 +87,7 @@
 // allocationsIn counts the allocations on the machines of a shard that is being formed, and on
 // those of which it is not known yet whether they are in it: read from the records, a machine
 // has no type until its first heartbeat. Given away with such an allocation on it, a machine
-// was never proven free of it.
+// was never proven released of it.
 func (c *Coordinator) allocationsIn(entry shard.Entry) int {
 	held := 0
 	for _, machine := range c.Cluster.SortedMachines() {
--- a/internal/shard/update/update.go
+++ b/internal/shard/update/update.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxCapacityKinds is how many kinds of free capacity one report has at the most.
+	// maxCapacityKinds is how many kinds of free capacity one heartbeat has at the most.
 	maxCapacityKinds = 64
 	// cpuRounding: machines with so many free CPUs more or less are reported together.
 	cpuRounding = 1
