--- a/internal/controller/guards_leader_test.go
+++ b/internal/controller/guards_leader_test.go
@@ -33,11 +33,11 @@
 func (c leaderCancellation) check(t *testing.T) {
 	l := newGuardedLeader(t, func(n *Node) { n.Cfg.Facts.Workers.CancelS = c.cancelS })
 	job, machine := l.allocated(c.zone)
-	l.updateFencedZones()
-	if l.zoneFenced(c.zone) || l.proxyStatus() != 200 {
+	l.cancellations.UpdateFencedZones()
+	if l.cancellations.ZoneFenced(c.zone) || l.proxyStatus() != 200 {
 		t.Fatal("proxies are not answered before the cancellation")
 	}
-	l.beginCancellation(job)
+	l.cancellations.Begin(job)
 	if got := l.writesEnd(); got != (c.wait == 0) {
 		t.Fatalf("the end is written at once: %v", got)
 	}
@@ -45,7 +45,7 @@
 	if !l.writesEnd() {
 		t.Fatal("the end is not written")
 	}
-	if got := l.zoneFenced(c.zone); got != (c.wait >= 0) {
+	if got := l.cancellations.ZoneFenced(c.zone); got != (c.wait >= 0) {
 		t.Errorf("the zone is fenced: %v", got)
 	}
 	if c.zone == "b" && l.proxyStatus() != 503 {
@@ -58,14 +58,14 @@
 	t.Helper()
 	if c.wait != 0 {
 		l.clock.pass(max(c.wait, micro.Second))
-		l.completeCancellation(job, l.node.Now())
+		l.cancellations.Complete(job, l.node.Now())
 	}
 	if c.wait < 0 {
 		if l.writesEnd() {
 			t.Fatal("the end is written while the task may run")
 		}
 		l.cluster.ExpireMachine(machine, l.node.Now())
-		l.completeCancellation(job, l.node.Now())
+		l.cancellations.Complete(job, l.node.Now())
 	}
 }
 
@@ -74,15 +74,15 @@
 func TestZoneIsFencedWhileATaskOfACancelledJobIsNotProvenGone(t *testing.T) {
 	l := newGuardedLeader(t, func(*Node) {})
 	job, machine := l.allocated("b")
-	l.updateFencedZones()
+	l.cancellations.UpdateFencedZones()
 	l.jobEnded(job, wire.JobAborted)
-	l.updateFencedZones()
-	if !l.zoneFenced("b") || l.zoneFenced("a") || l.proxyStatus() != 503 {
-		t.Errorf("zone b is fenced %v, zone a %v", l.zoneFenced("b"), l.zoneFenced("a"))
+	l.cancellations.UpdateFencedZones()
+	if !l.cancellations.ZoneFenced("b") || l.cancellations.ZoneFenced("a") || l.proxyStatus() != 503 {
+		t.Errorf("zone b is fenced %v, zone a %v", l.cancellations.ZoneFenced("b"), l.cancellations.ZoneFenced("a"))
 	}
 	l.cluster.ExpireMachine(machine, l.node.Now())
-	l.updateFencedZones()
-	if l.zoneFenced("b") || l.proxyStatus() != 200 {
+	l.cancellations.UpdateFencedZones()
+	if l.cancellations.ZoneFenced("b") || l.proxyStatus() != 200 {
 		t.Error("zone b is fenced though the task is gone")
 	}
 }
@@ -92,7 +92,7 @@
 func TestLeaseProxyGetsNoAnswerOnceTheLeaderLeaseHasLapsed(t *testing.T) {
 	for looks := range 4 {
 		l := newGuardedLeader(t, func(*Node) {})
-		l.updateFencedZones()
+		l.cancellations.UpdateFencedZones()
 		l.clock.jumpAfter(looks, leaseSpan)
 		status := l.proxyStatus()
 		holds := l.holdsLease()
@@ -159,7 +159,7 @@
 func TestLeaderRenewsNoLeaseOfItsOwnZoneWhileThatIsFenced(t *testing.T) {
 	for _, fenced := range []bool{false, true} {
 		l := newGuardedLeader(t, func(n *Node) { n.leaseProxy.RenewalWindow = 45 * micro.Second })
-		l.fencedZones.Store(&map[string]bool{"a": fenced})
+		l.cancellations.FenceZones(map[string]bool{"a": fenced})
 		l.node.contactLeader(t.Context())
 		l.clock.pass(10 * micro.Second)
 		l.node.leaseProxy.RecordProbe(true, false, l.clock.now)
--- a/internal/controller/guards_shards_test.go
+++ b/internal/controller/guards_shards_test.go
@@ -94,7 +94,7 @@
 func (c shardCancellation) check(t *testing.T) {
 	l := newGuardedShardLeader(t, func(n *Node) { n.Cfg.Facts.Workers.CancelS = c.cancelS })
 	job := l.assigned(t)
-	l.updateFencedZones()
+	l.cancellations.UpdateFencedZones()
 	stopping := shard.StoppingJob{Job: "j-1", UnreleasedAllocations: c.held, Zones: []string{c.zone}}
 	l.shardCancellationProgress(t, stopping)
 	if l.writesEnd() {
@@ -110,14 +110,18 @@
 	}
 	l.clock.pass(max(c.wait, micro.Second))
 	l.shardCancellationProgress(t, stopping)
-	if got := l.writesEnd(); got != (c.wait >= 0) || l.zoneFenced(c.zone) != c.fenced {
-		t.Errorf("the end is written %v, the zone is fenced %v", got, l.zoneFenced(c.zone))
+	if got := l.writesEnd(); got != (c.wait >= 0) || l.cancellations.ZoneFenced(c.zone) != c.fenced {
+		t.Errorf("the end is written %v, the zone is fenced %v", got, l.cancellations.ZoneFenced(c.zone))
 	}
 	stopping.UnreleasedAllocations = 0
 	l.shardCancellationProgress(t, stopping)
-	l.updateFencedZones()
-	if !l.writesEnd() || l.zoneFenced(c.zone) {
-		t.Errorf("with none held the end is written %v, the zone is fenced %v", l.writesEnd(), l.zoneFenced(c.zone))
+	l.cancellations.UpdateFencedZones()
+	if !l.writesEnd() || l.cancellations.ZoneFenced(c.zone) {
+		t.Errorf(
+			"with none held the end is written %v, the zone is fenced %v",
+			l.writesEnd(),
+			l.cancellations.ZoneFenced(c.zone),
+		)
 	}
 }
 
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -1,10 +1,7 @@
 package controller
 
 import (
-	"net/http"
-
 	"notchmux.dev/notchmux/internal/cluster"
-	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/wire"
 )
 
@@ -47,7 +44,7 @@
 		l.speeds.DropSamples(job.Spec.ID)
 	}
 	if job.AllocationCount > 0 && state == wire.JobAborted {
-		l.unconfirmedCancellations[job] = true
+		l.cancellations.MarkUnconfirmed(job)
 	}
 	l.log.Info(
 		"job over", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s",
@@ -56,8 +53,5 @@
 	for _, ch := range job.Chunks {
 		l.ChunkDirty(ch)
 	}
-	for _, reply := range l.cancellationWaiters[job.Spec.ID] {
-		reply.Send(httpapi.Reply{Status: http.StatusOK, Body: job.Status()})
-	}
-	delete(l.cancellationWaiters, job.Spec.ID)
+	l.cancellations.JobEnded(job)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"sync/atomic"
 
+	"notchmux.dev/notchmux/internal/cancellation"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
-	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/provision"
@@ -21,26 +20,19 @@
 	*controlLoop
 
 	// Owned by the loop's goroutine.
-	provisioner              *provision.Provisioner
-	lastSweep                micro.Time
-	lastSpeedWrite           micro.Time
-	renewalBound             *leasekeeper.RenewalBound
-	fencedZones              atomic.Pointer[map[string]bool] // zones whose lease proxies are not answered; nil: all
-	pendingCancellations     map[*cluster.Job]bool           // cancelled jobs whose users are not told yet
-	unconfirmedCancellations map[*cluster.Job]bool           // those whose users were told, with allocations not proven released
-	cancellationWaiters      map[string][]eventloop.Reply[httpapi.Reply]
-	failover                 *recovery.Failover
-	recovered                bool                     // the failover has read everything
-	coordinator              *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
+	provisioner    *provision.Provisioner
+	lastSweep      micro.Time
+	lastSpeedWrite micro.Time
+	renewalBound   *leasekeeper.RenewalBound
+	cancellations  *cancellation.Manager
+	failover       *recovery.Failover
+	recovered      bool                     // the failover has read everything
+	coordinator    *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
 }
 
 // newLeader makes the loop of a term of leadership.
 func newLeader(n *Node, t *election.Term) *Leader {
-	l := &Leader{
-		cancellationWaiters:      map[string][]eventloop.Reply[httpapi.Reply]{},
-		pendingCancellations:     map[*cluster.Job]bool{},
-		unconfirmedCancellations: map[*cluster.Job]bool{},
-	}
+	l := &Leader{}
 	l.controlLoop = newControlLoop(
 		n, t, dispatch.FirstFencingToken(t.FencingRevision), n.Log.With("term", t.FencingRevision), l,
 	)
@@ -57,6 +49,7 @@
 		}
 	}
 	l.coordinator = newCoordinator(l)
+	l.cancellations = newCancellations(l)
 	l.provisioner = newProvisioner(l)
 	l.failover = newFailover(l)
 	return l
@@ -87,9 +80,7 @@
 		return
 	}
 	l.schedule(now)
-	for job := range l.pendingCancellations {
-		l.completeCancellation(job, now)
-	}
+	l.cancellations.CompletePending(now)
 	l.flush(now)
 }
 
--- a/internal/controller/leader_jobs.go
+++ b/internal/controller/leader_jobs.go
@@ -67,4 +67,4 @@
 func (l *Leader) AddJob(job wire.Job) { l.intake.PostJob(job) }
 
 // CancelJob cancels a job, and waits until that is certain; 404 if it is not in memory.
-func (l *Leader) CancelJob(id string) httpapi.Reply { return l.cancelJob(id) }
+func (l *Leader) CancelJob(id string) httpapi.Reply { return l.cancellations.Cancel(id) }
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -28,7 +28,7 @@
 
 func (n *Node) contactLeader(ctx context.Context) {
 	if l := n.activeLeader(); l != nil {
-		if !l.zoneFenced(n.Cfg.Zone) {
+		if !l.cancellations.ZoneFenced(n.Cfg.Zone) {
 			n.leaseProxy.NoteLeading(n.Now())
 		}
 		return
@@ -131,7 +131,7 @@
 		return http.StatusBadRequest, nil
 	}
 	for _, other := range n.Cfg.Peers {
-		if other.Node == request.Node && l.zoneFenced(other.Zone) {
+		if other.Node == request.Node && l.cancellations.ZoneFenced(other.Zone) {
 			return http.StatusServiceUnavailable, nil
 		}
 	}
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -114,8 +114,8 @@
 		fleet := newFleet(t, 2)
 		fleet.leader.node.Cfg.Facts.Workers.CancelS = test.cancelS
 		job := fleet.leader.cluster.Jobs["j-000000"]
-		fleet.leader.beginCancellation(job)
-		if written := !fleet.leader.pendingCancellations[job]; written != test.told {
+		fleet.leader.cancellations.Begin(job)
+		if written := !fleet.leader.cancellations.Pending(job); written != test.told {
 			t.Fatalf("within %v s, with tasks that may run on: written: %v", test.cancelS, written)
 		}
 		for _, fakeAgent := range fleet.agents {
@@ -123,7 +123,7 @@
 			fleet.heartbeat(fakeAgent)
 		}
 		fleet.leader.runPending(fleet.now)
-		if job.AllocationCount > 0 || fleet.leader.pendingCancellations[job] {
+		if job.AllocationCount > 0 || fleet.leader.cancellations.Pending(job) {
 			t.Fatalf("within %v s, all gone: not written", test.cancelS)
 		}
 	}
@@ -137,7 +137,7 @@
 		fleet := newFleet(t, 2)
 		leader := fleet.leader
 		leader.node.Cfg.Facts.Workers.CancelS = 50
-		leader.beginCancellation(leader.cluster.Jobs["j-000000"])
+		leader.cancellations.Begin(leader.cluster.Jobs["j-000000"])
 		for _, fakeAgent := range fleet.agents {
 			fleet.heartbeat(fakeAgent)
 			fleet.heartbeat(fakeAgent)
@@ -163,8 +163,8 @@
 				fakeAgent = x
 			}
 		}
-		leader.beginCancellation(job)
-		if leader.pendingCancellations[job] || job.AllocationCount != 1 {
+		leader.cancellations.Begin(job)
+		if leader.cancellations.Pending(job) || job.AllocationCount != 1 {
 			t.Fatal("no keepers: the end is written, with the start under way")
 		}
 		fleet.now += micro.Second
@@ -197,17 +197,18 @@
 	fleet.leader.renewalBound = leasekeeper.NewRenewalBound(
 		7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c",
 	)
+	fleet.leader.cancellations = newCancellations(fleet.leader)
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
-	if fleet.leader.zoneFenced("a") {
+	if fleet.leader.cancellations.ZoneFenced("a") {
 		t.Fatal("barred though nobody was told of an end")
 	}
 	job := fleet.leader.cluster.Jobs["j-000000"]
-	fleet.leader.beginCancellation(job)
-	if fleet.leader.pendingCancellations[job] || job.AllocationCount == 0 {
+	fleet.leader.cancellations.Begin(job)
+	if fleet.leader.cancellations.Pending(job) || job.AllocationCount == 0 {
 		t.Fatal("no keeper can keep its tasks alive for too long: its end may be written")
 	}
-	if !fleet.leader.zoneFenced("a") {
+	if !fleet.leader.cancellations.ZoneFenced("a") {
 		t.Fatal("a keeper that asks now may keep the tasks alive for too long")
 	}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -42,7 +42,7 @@
 	}
 	for _, job := range l.cluster.Jobs {
 		if job.State == cluster.Aborted && job.AllocationCount > 0 {
-			l.unconfirmedCancellations[job] = true
+			l.cancellations.MarkUnconfirmed(job)
 		}
 	}
 	l.recovered = true
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -66,17 +66,17 @@
 // CancellationPending notes that the end of a cancelled job is to be written once its user
 // may be told.
 func (h coordinatorHost) CancellationPending(job *cluster.Job) {
-	h.leader.pendingCancellations[job] = true
+	h.leader.cancellations.MarkPending(job)
 }
 
 // CancellationUnconfirmed notes that the user of a cancelled job was told, and that
 // allocations of it are not proven released.
 func (h coordinatorHost) CancellationUnconfirmed(job *cluster.Job) {
-	h.leader.unconfirmedCancellations[job] = true
+	h.leader.cancellations.MarkUnconfirmed(job)
 }
 
 // UpdateFencedZones notes anew in which zones leases must not be renewed by proxy.
-func (h coordinatorHost) UpdateFencedZones() { h.leader.updateFencedZones() }
+func (h coordinatorHost) UpdateFencedZones() { h.leader.cancellations.UpdateFencedZones() }
 
 // shardTableChanged says that the table of shards has changed.
 type shardTableChanged struct{ leader *Leader }
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -142,7 +142,7 @@
 // stopAllocations tells all tasks of a cancelled job to stop.
 func (o *ShardOwner) stopAllocations(j *cluster.Job, now micro.Time) {
 	for _, p := range j.Allocations() {
-		o.cluster.StopAllocation(p, "withdrawn", 0, now)
+		o.cluster.StopAllocation(p, "cancelled", 0, now)
 	}
 }
 
--- a/internal/shard/coordinator/reclaim.go
+++ b/internal/shard/coordinator/reclaim.go
@@ -117,7 +117,7 @@
 	if assigned.cancelling && !assigned.endRequested && job.State == cluster.Aborting {
 		assigned.endRequested = true // the usual way, from here on
 		for _, allocation := range job.Allocations() {
-			c.Cluster.StopAllocation(allocation, "withdrawn", 0, now)
+			c.Cluster.StopAllocation(allocation, "cancelled", 0, now)
 		}
 		c.Host.CancellationPending(job)
 	}
