--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -22,6 +22,19 @@
 // Row lists the machines with this many whole scaled CPUs free, in no order.
 func (p *Pool[M]) Row(n int) []*M { return p.rows[n] }
 
+// CountIf is how many machines of the pool match.
+func (p *Pool[M]) CountIf(matches func(*M) bool) int {
+	count := 0
+	for _, row := range p.rows {
+		for _, machine := range row {
+			if matches(machine) {
+				count++
+			}
+		}
+	}
+	return count
+}
+
 // RowFor is the row of a machine with so many scaled CPUs free.
 func RowFor(freeCPU float64) int { return max(int(freeCPU+1e-9), 0) }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -193,6 +193,16 @@
 	return nil
 }
 
+// InOtherZone reports whether another node of the settings is in another zone than this one.
+func (c *Config) InOtherZone(node string) bool {
+	for _, other := range c.Peers {
+		if other.Node == node {
+			return other.Zone != c.Zone
+		}
+	}
+	return false
+}
+
 // Load reads and checks the platform's file and the properties. An empty
 // propertiesPath means defaults. Errors name file, key and reason in one line.
 func Load(path, propertiesPath string) (*Config, error) {
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -5,8 +5,6 @@
 	"net/http"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/peer"
@@ -45,47 +43,19 @@
 		}
 	}
 	if n.leaseProxy.RenewalWindow > 0 && n.leaseProxy.Disconnected(n.Now()) {
-		sameZone, otherZone := n.probePeerZones(ctx)
+		sameZone, otherZone := leasekeeper.ProbeZones(ctx, n.Cfg.Peers, n.Cfg.Zone, n.pingPeer)
 		// With the store in reach, only a leader beyond the cut is missed: one of
 		// this zone that died is replaced by this zone's nodes. Keeping the
 		// agents meanwhile once hid half of the fleet from the next leader.
-		canElect := !n.Isolated() && !n.inOtherZone(leader)
+		canElect := !n.Isolated() && !n.Cfg.InOtherZone(leader)
 		n.leaseProxy.RecordProbe(sameZone, otherZone || answered || canElect, n.Now())
 	}
 }
 
-// probePeerZones looks which other nodes answer: any of this zone, any of another.
-func (n *Node) probePeerZones(ctx context.Context) (sameZone, otherZone bool) {
-	var group errgroup.Group
-	answers := make(chan string, len(n.Cfg.Peers))
-	for _, other := range n.Cfg.Peers {
-		group.Go(func() error {
-			if _, _, err := n.Peers.Call(ctx, other.Node, peer.Ping, nil, peerCallTimeout); err == nil {
-				answers <- other.Zone
-			}
-			return nil
-		})
-	}
-	_ = group.Wait()
-	close(answers)
-	for zone := range answers {
-		if zone == n.Cfg.Zone {
-			sameZone = true
-		} else {
-			otherZone = true
-		}
-	}
-	return sameZone, otherZone
-}
-
-// inOtherZone reports whether a node is in another zone.
-func (n *Node) inOtherZone(node string) bool {
-	for _, p := range n.Cfg.Peers {
-		if p.Node == node {
-			return p.Zone != n.Cfg.Zone
-		}
-	}
-	return false
+// pingPeer reports whether another node answers.
+func (n *Node) pingPeer(ctx context.Context, node string) bool {
+	_, _, err := n.Peers.Call(ctx, node, peer.Ping, nil, peerCallTimeout)
+	return err == nil
 }
 
 // leaderUnreachable reports whether whom this node takes for the leader is out of its reach,
@@ -94,7 +64,8 @@
 // once sent hundreds of agents to one another until their leases ran out.
 func (n *Node) leaderUnreachable(leader string) bool {
 	now := n.Now()
-	return n.leaseProxy.Disconnected(now) && (n.Isolated() || n.inOtherZone(leader) && n.leaseProxy.ZonePartitioned(now))
+	return n.leaseProxy.Disconnected(now) &&
+		(n.Isolated() || n.Cfg.InOtherZone(leader) && n.leaseProxy.ZonePartitioned(now))
 }
 
 // proxyHeartbeat answers a heartbeat of this zone's agent in place of the leader, if
--- a/internal/controller/status_log.go
+++ b/internal/controller/status_log.go
@@ -34,24 +34,14 @@
 			kind = "spot"
 		}
 		fmt.Fprintf(
-			&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, emptyMachines(pool),
+			&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, pool.CountIf(isEmpty),
 		)
 	}
 	return usable, fleet.String()
 }
 
-// emptyMachines counts the machines of a pool without any allocation.
-func emptyMachines(pool *cluster.MachinePool) int {
-	empty := 0
-	for row := range pool.Rows() {
-		for _, machine := range pool.Row(row) {
-			if len(machine.Allocations) == 0 {
-				empty++
-			}
-		}
-	}
-	return empty
-}
+// isEmpty reports whether a machine has no allocation.
+func isEmpty(machine *cluster.Machine) bool { return len(machine.Allocations) == 0 }
 
 func (l *controlLoop) logStatus(queuedRequests int) {
 	usable, fleet := l.describeFleet()
