--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -118,11 +118,12 @@
 
 // Run serves until the context ends or a part fails.
 func (n *Node) Run(ctx context.Context) error {
-	public, err := net.Listen("tcp4", n.Cfg.PublicAddr)
+	listener := net.ListenConfig{}
+	public, err := listener.Listen(ctx, "tcp4", n.Cfg.PublicAddr)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp4", n.Cfg.PeerListen)
+	peers, err := listener.Listen(ctx, "tcp4", n.Cfg.PeerListen)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -19,7 +19,7 @@
 func (n *Node) callPeer(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
-	if until, ok := n.peerBackoffUntil.Load(node); ok && n.Now() < until.(micro.Time) {
+	if n.backingOff(node) {
 		return 0, nil, peer.ErrUnreachable
 	}
 	status, out, err := n.Peers.Call(ctx, node, call, body, timeout)
@@ -29,6 +29,16 @@
 	return status, out, err
 }
 
+// backingOff reports whether a peer is left alone, since it lately did not answer.
+func (n *Node) backingOff(node string) bool {
+	value, ok := n.peerBackoffUntil.Load(node)
+	if !ok {
+		return false
+	}
+	until, ok := value.(micro.Time)
+	return ok && n.Now() < until
+}
+
 // peerNames lists the other nodes.
 func (n *Node) peerNames() []string {
 	names := make([]string, len(n.Cfg.Peers))
--- a/internal/shard/property_test.go
+++ b/internal/shard/property_test.go
@@ -92,7 +92,10 @@
 	if err != nil {
 		sim.fail("%v", err)
 	}
-	sim.commit(wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(shardName), Value: rec}}})
+	create := wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(shardName), Value: rec}}}
+	if _, err := sim.commit(create); err != nil {
+		sim.fail("%v", err)
+	}
 	return sim
 }
 
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -43,18 +43,21 @@
 // Writer batches the changes: one transaction at a time, and a few more while the
 // store is slow to answer. A key is in one of them at most.
 type Writer struct {
-	host                 Host
-	store                store.Store
-	log                  *slog.Logger
-	records              map[string]*Record
-	queues               [priorityCount][]*Record // in the order in which they became due; a record counts in that of its priority
-	rejected             []*Record                // rejected by the store, to be tried again
-	changeCounts         map[string]int           // stored since ChangeCounts was called, by cause
-	singleChangeBatches  int                      // so many transactions of one change come next, to find what the store rejects
-	inFlight             int                      // transactions, and reads of uncertain keys, in flight
-	lastSent             micro.Time               // when the last of them went out
-	notBefore            micro.Time               // no transaction before
-	lowPriorityNotBefore micro.Time               // no transaction of low priorities alone before
+	host    Host
+	store   store.Store
+	log     *slog.Logger
+	records map[string]*Record
+
+	// Records in the order in which they became due; one counts in the queue of its priority.
+	queues       [priorityCount][]*Record
+	rejected     []*Record      // rejected by the store, to be tried again
+	changeCounts map[string]int // stored since ChangeCounts was called, by cause
+
+	singleChangeBatches  int        // so many transactions of one change come next, to find what is rejected
+	inFlight             int        // transactions, and reads of uncertain keys, in flight
+	lastSent             micro.Time // when the last of them went out
+	notBefore            micro.Time // no transaction before
+	lowPriorityNotBefore micro.Time // no transaction of low priorities alone before
 }
 
 // New makes a writer for a host's loop.
