--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -9,14 +9,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// maxExpensiveDelay is the longest that work waits for room to come free where only dear
-// room can be rented.
+// maxExpensiveDelay is the longest that work waits for capacity to come free where only expensive
+// capacity can be requested.
 const maxExpensiveDelay = 3 * micro.Minute
 
 // slowBootFactor is how many times its type's boot time a machine may well take.
 const slowBootFactor = 1.5
 
-// meetsObjective reports whether a machine rented now would let a demand meet an
+// meetsObjective reports whether a machine requested now would let a demand meet an
 // objective. Work that has waited very long gets one in any case.
 func (p *Planner) meetsObjective(demand *taskDemand, typ *cluster.MachineType, now micro.Time) bool {
 	if demand.job != nil && now-demand.job.EligibleSince > maxExpensiveDelay {
@@ -29,12 +29,12 @@
 // classBacklog is how many of a class's tasks wait, now and a while ago.
 type classBacklog struct {
 	pendingTasks, pendingBefore int
-	measuredAt                  micro.Time // when was was taken
-	lastExpensiveAt             micro.Time // when dear room was last rented because it lasts
+	measuredAt                  micro.Time // when pendingBefore was noted
+	lastExpensiveAt             micro.Time // when expensive capacity was last requested because it lasts
 }
 
 // A shortage lasts if, with machines up for persistentAfter, no fewer tasks wait than
-// a good while ago. Then dear room is rented for one part in expensiveFleetDivisor of the
+// a good while ago. Then expensive capacity is requested for one part in expensiveFleetDivisor of the
 // fleet at a time.
 const (
 	backlogInterval       = 20 * micro.Second
@@ -64,17 +64,26 @@
 		upMachines += pool.MachineCount
 	}
 	for _, backlog := range p.backlogs {
-		if upMachines == 0 {
-			backlog.pendingBefore, backlog.measuredAt = 0, now // nothing could run yet
-		} else if backlog.pendingTasks == 0 {
+		switch {
+		case upMachines == 0: // nothing could run yet
 			backlog.pendingBefore, backlog.measuredAt = 0, now
-		} else if backlog.pendingBefore == 0 && now-backlog.measuredAt >= persistentAfter || backlog.pendingBefore > 0 && now-backlog.measuredAt >= backlogInterval {
+		case backlog.pendingTasks == 0:
+			backlog.pendingBefore, backlog.measuredAt = 0, now
+		case backlog.measurementDue(now):
 			backlog.pendingBefore, backlog.measuredAt = backlog.pendingTasks, now
 		}
 	}
 }
 
-// persistentShortage is how many dear machines may be rented now because a class's shortage
+// measurementDue reports whether it is time to note how many tasks wait.
+func (b *classBacklog) measurementDue(now micro.Time) bool {
+	if b.pendingBefore == 0 {
+		return now-b.measuredAt >= persistentAfter
+	}
+	return now-b.measuredAt >= backlogInterval
+}
+
+// persistentShortage is how many expensive machines may be requested now because a class's shortage
 // lasts, whatever is expected to come free: other work takes it.
 func (p *Planner) persistentShortage(demand *taskDemand, now micro.Time) int {
 	if demand.job == nil {
@@ -108,7 +117,7 @@
 	return sum
 }
 
-// minReadyTime is how soon a rented machine could run the job's task.
+// minReadyTime is how soon a requested machine could run the job's task.
 func (p *Planner) minReadyTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
 	for _, typ := range p.Cluster.CatalogOrder {
@@ -121,7 +130,7 @@
 	return best
 }
 
-// cheapestPrice is what the cheapest ordinary type asks for a task's room, where n
+// cheapestPrice is what the cheapest on-demand type asks for a task's capacity, where n
 // like it are waiting.
 func (p *Planner) cheapestPrice(spec *wire.Job, n int) float64 {
 	best := math.Inf(1)
@@ -136,13 +145,13 @@
 	return best
 }
 
-// urgentPriceFactor is how much more room may cost for work that would be late.
+// urgentPriceFactor is how much more capacity may cost for work that would be late.
 const urgentPriceFactor = 2.2
 
-// urgentAfter is how long work waits before it counts as pressing.
+// urgentAfter is how long work waits before it counts as urgent.
 const urgentAfter = micro.Minute
 
-// limitsCost reports whether money is looked at: where operators keep a fleet of
+// limitsCost reports whether cost matters: where operators keep a fleet of
 // their own, readiness wins.
 func (p *Planner) limitsCost() bool { return !p.permanentFleet }
 
@@ -156,7 +165,7 @@
 }
 
 // WithinPrice reports whether work that needs no GPU may sit on a machine with
-// GPUs. Most are dear, and work that sits on one keeps it from being returned: a
+// GPUs. Most are expensive, and work on one keeps it from being terminated: a
 // service for as long as it lives.
 func (p *Planner) WithinPrice(job *cluster.Job, typ *cluster.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
@@ -166,8 +175,8 @@
 	return !p.isExpensive(spec, typ, spot, p.occupancyPriceRatio(job, now))
 }
 
-// occupancyPriceRatio is the most that the room of a machine may cost, over the cheapest
-// ordinary room, for a job to sit there without need.
+// occupancyPriceRatio is the most that the capacity of a machine may cost, over the cheapest
+// on-demand capacity, for a job to take it without need.
 func (p *Planner) occupancyPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
@@ -175,29 +184,29 @@
 	return p.maxPriceRatio(nil, now)
 }
 
-// onlyCostMatters reports whether a job takes no dear room: it is of the last rank and
+// onlyCostMatters reports whether a job takes no expensive capacity: it is of the last priority level and
 // nothing says when it should start or end, so only its cost counts. Arrays of
-// thousands of such tasks had hundreds of ordinary GPU machines rented, and kept
-// those that other work had needed from being returned. A job none of whose tasks
-// found a place for maxExpensiveDelay takes what there is.
+// thousands of such tasks had hundreds of on-demand GPU machines requested, and kept
+// those that other work had needed from being terminated. A job none of whose tasks
+// had an allocation for maxExpensiveDelay takes what there is.
 func (p *Planner) onlyCostMatters(job *cluster.Job, now micro.Time) bool {
 	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) &&
 		now-job.WaitingSince <= maxExpensiveDelay
 }
 
-// lowestPriorityLevel is the rank of idle work.
+// lowestPriorityLevel is that of best-effort work.
 var lowestPriorityLevel = wire.Low.Level()
 
-// isExpensive reports whether a machine's room costs more than so many times the
-// cheapest ordinary room, for tasks like this.
+// isExpensive reports whether a machine's capacity costs more than so many times the
+// cheapest on-demand capacity, for tasks like this.
 func (p *Planner) isExpensive(spec *wire.Job, typ *cluster.MachineType, spot bool, ratio float64) bool {
 	k := newBin(typ, "", false).countRoom(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
 
-// maxPriceRatio is the most that room for a job's tasks may cost, over the cheapest
-// ordinary room. Work that has waited long and would soon be late may cost more:
-// then the cheap room has run out.
+// maxPriceRatio is the most that capacity for a job's tasks may cost, over the cheapest
+// on-demand capacity. Work that has waited long and would soon be late may cost more:
+// then the cheap capacity has run out.
 func (p *Planner) maxPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
 		return p.Properties.HighPriceRatio
@@ -212,59 +221,99 @@
 }
 
 // chooseOffer finds the offer that costs least per task, first among those whose
-// machines come up; in a zone that is cut off only if there is no other.
+// machines come up; in an unreachable zone only if there is no other.
 func (p *Planner) chooseOffer(
 	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, now micro.Time,
 ) *bin {
-	if best := p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, p.excludedUntil, now); best != nil ||
-		len(p.excludedUntil) == 0 {
-		return best
+	search := &offerSearch{
+		planner: p, demand: demand, unplaced: unplaced, tasksByZone: tasksByZone, now: now, priceLimit: math.Inf(1),
 	}
-	return p.cheapestOffer(demand, unplaced, tasksByZone, limitPrice, nil, now)
-}
-
-// cheapestOffer finds the offer that costs least per task, but for those left out.
-func (p *Planner) cheapestOffer(
-	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, excluded map[InstanceOffer]micro.Time,
-	now micro.Time,
-) *bin {
-	var best *bin
-	bestCost := 0.0
-	priceLimit := math.Inf(1)
 	if limitPrice && p.limitsCost() {
-		priceLimit = p.maxPriceRatio(demand.job, now) * p.cheapestPrice(demand.spec, unplaced)
+		search.priceLimit = p.maxPriceRatio(demand.job, now) * p.cheapestPrice(demand.spec, unplaced)
 	}
-	for _, typ := range p.Cluster.CatalogOrder {
+	best := search.cheapest(p.excludedUntil)
+	if best == nil && len(p.excludedUntil) > 0 {
+		best = search.cheapest(nil)
+	}
+	return best
+}
+
+// offerSearch looks for the offer that serves a demand at the least cost per task.
+type offerSearch struct {
+	planner     *Planner
+	demand      *taskDemand
+	unplaced    int            // tasks without capacity
+	tasksByZone map[string]int // tasks that the plan has put into each zone
+	now         micro.Time
+	priceLimit  float64 // the most that capacity for a task may cost an hour
+
+	best     *bin // the best offer so far; nil: none
+	bestCost float64
+}
+
+// cheapest finds the offer that costs least per task, but for those that are excluded now.
+func (s *offerSearch) cheapest(excludedUntil map[InstanceOffer]micro.Time) *bin {
+	s.best, s.bestCost = nil, 0
+	for _, typ := range s.planner.Cluster.CatalogOrder {
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
-				offer := InstanceOffer{typ.Name, zone, spot}
-				if p.RefusedUntil[offer] > now || excluded[offer] > now || !demand.allows(typ, zone, spot) {
-					continue
-				}
-				if demand.job != nil && !scheduler.ZoneAllowed(demand.job, zone, tasksByZone) {
-					continue
-				}
-				candidate := newBin(typ, zone, spot)
-				fitting := candidate.countFitting(demand.spec)
-				if fitting == 0 {
-					continue
-				}
-				price := typ.Price
-				if spot {
-					price = typ.SpotPrice * 1.2 // it may be taken back
-				}
-				if price/float64(min(fitting, unplaced)) > priceLimit {
-					continue
-				}
-				cost := price / float64(min(fitting, unplaced)) * (1 + typ.BootS/300)
-				moreReachable := best != nil && p.unreachableZones[best.zone] && !p.unreachableZones[zone]
-				lessReachable := best != nil && !p.unreachableZones[best.zone] && p.unreachableZones[zone]
-				if best == nil || moreReachable || cost < bestCost && !lessReachable {
-					candidate.offer = offer
-					best, bestCost = candidate, cost
+				if offer := (InstanceOffer{typ.Name, zone, spot}); excludedUntil[offer] <= s.now {
+					s.consider(offer, typ)
 				}
 			}
 		}
 	}
-	return best
+	return s.best
+}
+
+// spotRiskFactor is what is added to a spot instance's price: it may be preempted.
+const spotRiskFactor = 1.2
+
+// bootCostSeconds is the boot time, in seconds, that counts as much as the price.
+const bootCostSeconds = 300
+
+// consider takes an offer if it serves the demand better than the best so far.
+func (s *offerSearch) consider(offer InstanceOffer, typ *cluster.MachineType) {
+	if !s.serves(offer, typ) {
+		return
+	}
+	candidate := newBin(typ, offer.Zone, offer.Spot)
+	fitting := candidate.countFitting(s.demand.spec)
+	if fitting == 0 {
+		return
+	}
+	price := typ.Price
+	if offer.Spot {
+		price = typ.SpotPrice * spotRiskFactor
+	}
+	perTask := price / float64(min(fitting, s.unplaced))
+	if perTask > s.priceLimit {
+		return
+	}
+	cost := perTask * (1 + typ.BootS/bootCostSeconds)
+	if s.isBetter(offer.Zone, cost) {
+		candidate.offer = offer
+		s.best, s.bestCost = candidate, cost
+	}
+}
+
+// serves reports whether an offer may be requested for the demand now.
+func (s *offerSearch) serves(offer InstanceOffer, typ *cluster.MachineType) bool {
+	if s.planner.RefusedUntil[offer] > s.now || !s.demand.allows(typ, offer.Zone, offer.Spot) {
+		return false
+	}
+	return s.demand.job == nil || scheduler.ZoneAllowed(s.demand.job, offer.Zone, s.tasksByZone)
+}
+
+// isBetter reports whether capacity in a zone at a cost is better than the best so far: a
+// reachable zone goes before cost.
+func (s *offerSearch) isBetter(zone string, cost float64) bool {
+	if s.best == nil {
+		return true
+	}
+	unreachable := s.planner.unreachableZones
+	if unreachable[zone] != unreachable[s.best.zone] {
+		return unreachable[s.best.zone]
+	}
+	return cost < s.bestCost
 }
--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -6,7 +6,7 @@
 
 // Pool holds the machines of one type, zone and kind that take new tasks, in rows by their
 // whole scaled CPUs free. The design's score depends on the type alone, so the tightest fit
-// is found in the first rows that have room, and no other machine needs to be looked at.
+// is found in the first rows that have capacity, and no other machine needs to be looked at.
 type Pool[M any] struct {
 	Type         *MachineType
 	Zone         string
@@ -22,6 +22,19 @@
 // Row lists the machines with this many whole scaled CPUs free, in no order.
 func (p *Pool[M]) Row(n int) []*M { return p.rows[n] }
 
+// CountIf is how many machines of the pool match.
+func (p *Pool[M]) CountIf(matches func(*M) bool) int {
+	count := 0
+	for _, row := range p.rows {
+		for _, machine := range row {
+			if matches(machine) {
+				count++
+			}
+		}
+	}
+	return count
+}
+
 // RowFor is the row of a machine with so many scaled CPUs free.
 func RowFor(freeCPU float64) int { return max(int(freeCPU+1e-9), 0) }
 
@@ -32,13 +45,13 @@
 	index int
 }
 
-// Position gives itself, for machines that embed it.
-func (p *Position[M]) Position() *Position[M] { return p }
+// PoolPosition gives itself, for machines that embed it.
+func (p *Position[M]) PoolPosition() *Position[M] { return p }
 
 // Positioned is a machine that embeds its position.
 type Positioned[M any] interface {
 	*M
-	Position() *Position[M]
+	PoolPosition() *Position[M]
 }
 
 type poolKey struct {
@@ -56,14 +69,14 @@
 // PutInPool puts a machine into the row where the scheduler looks for it.
 func (x *Index[M, P]) PutInPool(machine P, machineType *MachineType, zone string, spot bool, freeCPU float64) {
 	pool, row := x.ensurePool(machineType, zone, spot), RowFor(freeCPU)
-	at := machine.Position()
+	at := machine.PoolPosition()
 	if pool == at.pool && row == at.row {
 		return
 	}
 	x.TakeFromPool(machine)
 	at.pool, at.row = pool, row
 	for len(pool.rows) <= row {
-		if len(pool.rows) < cap(pool.rows) { // keeps the rows' own room
+		if len(pool.rows) < cap(pool.rows) { // keeps the rows' own capacity
 			pool.rows = pool.rows[:len(pool.rows)+1]
 		} else {
 			pool.rows = append(pool.rows, nil)
@@ -76,14 +89,14 @@
 
 // TakeFromPool takes a machine out, if it is in: it takes no new tasks.
 func (x *Index[M, P]) TakeFromPool(machine P) {
-	at := machine.Position()
+	at := machine.PoolPosition()
 	pool := at.pool
 	if pool == nil {
 		return
 	}
 	machines := pool.rows[at.row]
 	last := machines[len(machines)-1]
-	machines[at.index], P(last).Position().index = last, at.index
+	machines[at.index], P(last).PoolPosition().index = last, at.index
 	machines[len(machines)-1] = nil
 	pool.rows[at.row] = machines[:len(machines)-1]
 	pool.MachineCount--
--- a/internal/cluster/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -16,12 +16,8 @@
 	}
 }
 
-func (tc *testCluster) submitSpec(spec wire.Job) *cluster.Job {
-	return tc.cluster.AddJob(spec, tc.now, tc.now)
-}
-
 // Done in memory is not done: until the end is in the store, another leader could
-// find the awaited job withdrawn.
+// find the dependency cancelled.
 func TestTaskStartsOnlyOnceEachDependencysFinalStatusIsStored(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
@@ -53,7 +49,7 @@
 	}
 }
 
-// Nothing is known of an awaited job: it may have been withdrawn under an earlier
+// Nothing is known of a dependency: it may have been cancelled under an earlier
 // leader and have left the lists.
 func TestUnknownDependencyIsNeverTakenForDone(t *testing.T) {
 	tc := newTestCluster(t)
@@ -98,7 +94,7 @@
 	}
 }
 
-// A job is answered `done` to its withdrawal: what comes after it goes on.
+// A job is answered `done` to its cancellation: what comes after it goes on.
 func TestCancellationAfterCompletionLetsDependentsStart(t *testing.T) {
 	tc := newTestCluster(t)
 	dependency := tc.submitSpec(pipelineJob("j-1"))
@@ -117,7 +113,7 @@
 	tc.cluster.FinalStatuses["j-5"] = cluster.FinalStatus{EndedAt: tc.now - 9*micro.Second}
 	third, second := tc.submitSpec(pipelineJob("j-3", "j-2")), tc.submitSpec(
 		pipelineJob("j-2", "j-1"),
-	) // read in any order
+	) // read in any command
 	if second.Status().State != wire.JobAborted || third.Status().State != wire.JobAborted ||
 		len(tc.dependencyAborted) != 2 {
 		t.Fatalf("%v, %v", second.Status().State, third.Status().State)
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -4,25 +4,19 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/cluster"
-	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/wire"
 )
 
-// A machine's reports arrived, but no answer and no command reached it.
+// A machine's heartbeats arrived, but no response and no command reached it.
 func TestMachineWhoseResponsesAreLostTakesNoTasksUntilTheyArrive(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	tc, agent, job := newClusterWithTask(t, 1)
+	tc.startTasks(agent)
 	machine := tc.cluster.Machines["m1"]
 	for range 2 {
 		tc.token++
 		tc.now += 6 * micro.Second
-		tc.heartbeatWithResponseLost(agent) // its report comes, the answer is lost
+		tc.heartbeatWithResponseLost(agent) // its heartbeat comes, the response is lost
 	}
 	if machine.ResponsesLikelyLost() {
 		t.Fatal("one lost answer is no sign: the report after it was sent before the token was told")
@@ -37,34 +31,21 @@
 	tc.cluster.SetResponsesLost(machine, true, tc.now)
 	tc.submit("j-2", wire.JobArray, 1, 1)
 	tc.expectScheduled(0)
-	tc.expectAllocations(job, 1) // what it runs goes elsewhere only once proven free
-	agent.Epoch++                // its lease ran out, since no answer arrived
+	tc.expectAllocations(job, 1) // what it runs goes elsewhere only once proven released
+	agent.Epoch++                // its lease ran out, since no response arrived
 	clear(agent.Tasks)
 	tc.heartbeatWithResponseLost(agent)
 	tc.expectAllocations(job, 0)
 	tc.expectScheduled(0)
-	tc.heartbeat(agent) // now an answer arrives
+	tc.heartbeat(agent) // now a response arrives
 	tc.heartbeat(agent)
 	tc.expectScheduled(2)
 }
 
-// heartbeatWithResponseLost is a report whose answer does not arrive.
-func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
-	if machine, outcome := tc.cluster.Reconcile(
-		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
-	); outcome == cluster.Applied {
-		tc.cluster.ResponseSent(machine, tc.token)
-	}
-}
-
-// Copies of reports come seconds to minutes late. A copy of a report that was
-// read is older than what is known; one of a report that was lost looks new.
+// Copies of heartbeats come seconds to minutes late. A copy of a heartbeat that was
+// read is older than what is known; one of a heartbeat that was lost looks new.
 func TestDuplicateHeartbeatsAreNoProofOfLife(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	received := agent.Heartbeat()
 	tc.reconcile(agent, received)
@@ -99,13 +80,9 @@
 	}
 }
 
-// A new leader knows no newer report, and no list of machines that are gone.
+// A new leader knows no newer heartbeat, and no list of machines that are gone.
 func TestDuplicateHeartbeatsToANewLeaderChangeNothing(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 4)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, _ := newClusterWithTask(t, 4)
 	before := agent.Heartbeat() // sent before the start arrived
 	terminated := tc.addAgent("m0", "a")
 	terminatedCopy := terminated.Heartbeat()
@@ -122,7 +99,7 @@
 	}
 	tc.expectAllocations(job, 1) // the copy lacks the task, which frees nothing
 	tc.submit("j-2", wire.JobArray, 1, 1)
-	tc.expectScheduled(0) // and it offers no room
+	tc.expectScheduled(0) // and it offers no capacity
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 1)
@@ -131,7 +108,7 @@
 	}
 }
 
-// Silent for a moment and back, in the same session or the next.
+// Silent for a moment and back, in the same epoch or the next.
 func TestReturningMachineKeepsItsAllocationsOnlyInTheSameAgentEpoch(t *testing.T) {
 	for _, newEpoch := range []bool{false, true} {
 		tc := newTestCluster(t)
@@ -163,7 +140,7 @@
 	}
 }
 
-// A zone was cut off. Until its machines' reports were overdue, work was placed
+// A zone was partitioned. Until its machines' heartbeats were overdue, work was placed
 // there, and stayed until the cut ended.
 func TestUnreachableMachinesTakeNoTasksUntilTheirNextHeartbeat(t *testing.T) {
 	tc := newTestCluster(t)
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -15,12 +15,12 @@
 	Waiting
 	Running
 	Checkpointing
-	Released // proven free
+	Released // proven released
 )
 
 // String is the state as operators and logs name it.
 func (s AllocationState) String() string {
-	return [...]string{"planned", "starting", "fetching", "waiting", "running", "saving", "ended"}[s]
+	return [...]string{"planned", "starting", "fetching", "waiting", "running", "checkpointing", "released"}[s]
 }
 
 // allocationTransitions lists the states that may follow each state. Released is final. A
--- a/internal/cluster/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -36,14 +36,12 @@
 	}
 }
 
-// What is over, but for a place that is not proven free, still takes part of its
-// team's limit; and an end that a waiting job names is what that job waits for.
+// What is over, but for an allocation that is not proven released, still takes part of its
+// team's quota; and a final status that a waiting job names is what that job waits for.
 func TestPruneKeepsWhatIsStillNeeded(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
-	allocated := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	allocated := tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	tc.heartbeat(agent)
 	tc.cluster.FinalizeJob(allocated, true, tc.now)
 	tc.cluster.FinalizeJob(tc.submit("j-2", wire.JobArray, 1, 1), false, tc.now)
--- a/internal/cluster/scenario_test.go
+++ b/internal/cluster/scenario_test.go
@@ -2,159 +2,14 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
 
 	"notchmux.dev/notchmux/internal/cluster"
-	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
 
-const leaseDuration = 30 * micro.Second
-
-// testCluster is a leader's model among fake workers, with its records kept as the
-// store would.
-type testCluster struct {
-	t             *testing.T
-	cluster       *cluster.State
-	scheduler     *scheduler.Scheduler
-	now           micro.Time
-	token         uint64
-	dirtyChunks   map[*cluster.TaskChunk]bool
-	storedRecords map[string]map[int]cluster.ChunkRecord
-	jobs          []wire.Job
-	finishedJobs  []string
-
-	dependencyAborted, unknownDependencies []string
-	supersededRecords                      []*cluster.LegacyRecord
-}
-
-func (tc *testCluster) ChunkDirty(chunk *cluster.TaskChunk) { tc.dirtyChunks[chunk] = true }
-func (tc *testCluster) ChunkUrgent(*cluster.TaskChunk)      {}
-func (tc *testCluster) DispatchSoon(*cluster.Machine)       {}
-func (tc *testCluster) JobFinished(job *cluster.Job) {
-	tc.finishedJobs = append(tc.finishedJobs, job.Spec.ID)
-}
-
-func (tc *testCluster) DependencyAborted(job *cluster.Job) {
-	tc.dependencyAborted = append(tc.dependencyAborted, job.Spec.ID)
-}
-
-func (tc *testCluster) DependencyUnknown(id string) {
-	tc.unknownDependencies = append(tc.unknownDependencies, id)
-}
-func (tc *testCluster) ChunkMigrated(*cluster.TaskChunk, *cluster.LegacyRecord) {}
-func (tc *testCluster) LegacyRecordSuperseded(legacy *cluster.LegacyRecord) {
-	tc.supersededRecords = append(tc.supersededRecords, legacy)
-}
-func (tc *testCluster) AttemptCompleted(*cluster.Allocation, micro.Time) {}
-func (tc *testCluster) ScheduleSoon()                                    {}
-func (tc *testCluster) Log(event string, args ...any)                    {}
-
-func newTestCluster(t *testing.T) *testCluster {
-	tc := &testCluster{t: t, now: 100 * micro.Second, storedRecords: map[string]map[int]cluster.ChunkRecord{}}
-	tc.startTerm(1)
-	return tc
-}
-
-// startTerm starts a term with an empty model, as a new leader has.
-func (tc *testCluster) startTerm(revision uint64) {
-	tc.dirtyChunks = map[*cluster.TaskChunk]bool{}
-	tc.token = revision << 24
-	tc.cluster = cluster.New(tc)
-	tc.cluster.MinFencingToken, tc.cluster.TermStartedAt, tc.cluster.LeaseDuration = tc.token, tc.now, leaseDuration+micro.Second
-	tc.cluster.SetCatalog(
-		&wire.Catalog{
-			Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}, FetchGBPerS: 1}},
-		},
-	)
-	tc.cluster.Teams["team"] = &cluster.Team{Name: "team", CPULimit: 8}
-	props := config.Defaults()
-	tc.scheduler = &scheduler.Scheduler{
-		Cluster: tc.cluster, Objectives: scheduler.NewObjectives(nil), Properties: &props, Rand: rand.New(rand.NewPCG(1, 1)),
-	}
-}
-
-// failOver is lead after a crash: the records are read.
-func (tc *testCluster) failOver(revision uint64) {
-	tc.startTerm(revision)
-	for _, spec := range tc.jobs {
-		job := tc.cluster.AddJob(spec, tc.now, tc.now)
-		for index, record := range tc.storedRecords[spec.ID] {
-			tc.cluster.RestoreChunk(job, index, &record, 1, tc.now)
-		}
-	}
-	tc.cluster.FinishRestore(tc.now)
-}
-
-func (tc *testCluster) submit(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
-	spec := wire.Job{
-		ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1,
-	}
-	tc.jobs = append(tc.jobs, spec)
-	return tc.cluster.AddJob(spec, tc.now, tc.now)
-}
-
-// persist writes all records, after which starts may go out.
-func (tc *testCluster) persist() {
-	for chunk := range tc.dirtyChunks {
-		id := chunk.Job.Spec.ID
-		if tc.storedRecords[id] == nil {
-			tc.storedRecords[id] = map[int]cluster.ChunkRecord{}
-		}
-		tc.storedRecords[id][chunk.Index] = chunk.Record()
-		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
-		delete(tc.dirtyChunks, chunk)
-	}
-}
-
-// heartbeat is a report with its answer.
-func (tc *testCluster) heartbeat(agent *fake.Agent) { tc.reconcile(agent, agent.Heartbeat()) }
-
-func (tc *testCluster) reconcile(agent *fake.Agent, heartbeat *wire.Heartbeat) {
-	machine, outcome := tc.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, tc.now)
-	if outcome == cluster.Applied {
-		agent.HandleResponse(
-			wire.Commands{FencingToken: wire.Count(tc.token), Items: tc.cluster.Commands(machine, tc.token, false, tc.now)},
-			tc.now,
-		)
-	}
-}
-
-// dispatchCommands builds the direct orders to a worker.
-func (tc *testCluster) dispatchCommands(agent *fake.Agent) wire.Commands {
-	machine := tc.cluster.Machines[agent.Name]
-	return wire.Commands{
-		FencingToken: wire.Count(tc.token), AgentEpoch: wire.Count(machine.AgentEpoch),
-		Items: tc.cluster.Commands(machine, tc.token, true, tc.now),
-	}
-}
-
-func (tc *testCluster) addAgent(name, zone string) *fake.Agent {
-	agent := fake.NewAgent(name, "small", zone, leaseDuration)
-	agent.LeaseStart = tc.now
-	tc.heartbeat(agent)
-	tc.heartbeat(agent) // it counts as up once it has shown this term's token
-	return agent
-}
-
-func (tc *testCluster) expectScheduled(want int) {
-	tc.t.Helper()
-	if got := tc.scheduler.Schedule(tc.now); got != want {
-		tc.t.Fatalf("placed %d tasks, want %d", got, want)
-	}
-}
-
-func (tc *testCluster) expectAllocations(job *cluster.Job, want int) {
-	tc.t.Helper()
-	if job.AllocationCount != want {
-		tc.t.Fatalf("%d places are held, want %d", job.AllocationCount, want)
-	}
-}
-
 func TestLeaderLostBetweenPersistAndStart(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
@@ -169,7 +24,7 @@
 	tc.expectAllocations(job, 1)
 	tc.expectScheduled(0)
 	tc.heartbeat(agent)
-	tc.expectAllocations(job, 1) // that report may be older than a start of the last term
+	tc.expectAllocations(job, 1) // that heartbeat may be older than a start of the last term
 	tc.expectScheduled(0)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 0)
@@ -185,16 +40,14 @@
 	}
 }
 
-// A leader gave a place up that had never been started and used the limit for
+// A leader gave an allocation up that had never been started and used the quota for
 // another, whose record it wrote first. The next leader read both, and started
-// both: the team was over its limit.
+// both: the team was over its quota.
 func TestAllocationReleasedByThePreviousLeaderIsNotStarted(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 4
 	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 4)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 1, 4)
 	previousRecord := tc.storedRecords["j-1"][0]
 	for _, allocation := range tc.cluster.Jobs["j-1"].Allocations() {
 		tc.cluster.StopAllocation(allocation, "preempted", 0, tc.now)
@@ -204,11 +57,8 @@
 	tc.heartbeat(agent)
 	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
 	tc.cluster.Jobs["j-1"].NotBefore = tc.now + micro.Minute
-	tc.submit("j-2", wire.JobArray, 1, 4)
-	tc.expectScheduled(1)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	tc.submitScheduled("j-2", wire.JobArray, 1, 4)
+	tc.startTasks(agent)
 	tc.storedRecords["j-1"][0] = previousRecord // what it gave up was to be written later
 	tc.failOver(2)
 	tc.heartbeat(agent)
@@ -220,15 +70,13 @@
 	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
 }
 
-// A report of an earlier attempt reached the next leader before any other. It took
+// A heartbeat of an earlier attempt reached the next leader before any other. It took
 // the attempt for one that the records lacked, wrote it down, and the leader after
 // that started it once more, while the task ran elsewhere.
 func TestAttemptFromAStaleHeartbeatIsNeverStartedAgain(t *testing.T) {
 	tc := newTestCluster(t)
 	first := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	tc.heartbeat(first)
 	stale := first.Heartbeat()
 	first.ExitTask("j-1/0", 1, wire.CauseError)
@@ -265,17 +113,13 @@
 }
 
 func TestLateDispatchedStartAfterAStopHoldsItsAllocationUntilItCannotRun(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, job := newClusterWithTask(t, 1)
 	late := tc.dispatchCommands(agent) // held in the network, sender has given up
 	tc.cluster.FinalizeJob(job, true, tc.now)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 1) // absent, but the start may still run
 	tc.token++
-	tc.heartbeat(agent) // the worker sees the newer token
+	tc.heartbeat(agent) // the agent sees the newer token
 	tc.heartbeat(agent) // and says so
 	tc.expectAllocations(job, 0)
 	if _, ok := agent.HandleDispatch(late); ok || len(agent.StartedTasks) != 0 {
@@ -286,9 +130,7 @@
 func TestLateCopyOfAStartIsHarmlessAfterForget(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 2, 1)
-	tc.expectScheduled(2)
-	tc.persist()
+	tc.submitScheduled("j-1", wire.JobArray, 2, 1)
 	commands := tc.dispatchCommands(agent)
 	heartbeat, _ := agent.HandleDispatch(commands)
 	tc.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, tc.now)
@@ -314,11 +156,7 @@
 }
 
 func TestDoneIsForgottenOnlyOnceItIsInTheStore(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	agent.ExitTask("j-1/0", 1, wire.CauseDone)
 	tc.heartbeat(agent)
@@ -354,11 +192,7 @@
 }
 
 func TestNewLeaderWaitsForASuspectAgentsLeaseToExpire(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, _ := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	tc.failOver(2)
 	other := tc.addAgent("m2", "a")
@@ -380,11 +214,7 @@
 }
 
 func TestDelayedHeartbeatOfAnExpiredAgentEpochIsRefused(t *testing.T) {
-	tc := newTestCluster(t)
-	agent := tc.addAgent("m1", "a")
-	tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	tc, agent, _ := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	delayed := agent.Heartbeat() // sent before the cut, delivered after it
 	tc.now += leaseDuration + 2*micro.Second
@@ -398,9 +228,7 @@
 	for _, started := range []bool{false, true} {
 		tc := newTestCluster(t)
 		first, second := tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
-		job := tc.submit("j-1", wire.Gang, 2, 4)
-		tc.expectScheduled(2)
-		tc.persist()
+		job := tc.submitScheduled("j-1", wire.Gang, 2, 4)
 		tc.heartbeat(first)
 		tc.heartbeat(second)
 		if started {
@@ -412,7 +240,7 @@
 		tc.heartbeat(first)
 		tc.heartbeat(first)
 		tc.expectAllocations(job, 1)
-		tc.expectScheduled(0) // the other member still holds its place
+		tc.expectScheduled(0) // the other member still holds its allocation
 		tc.token++
 		tc.heartbeat(second)
 		tc.heartbeat(second)
@@ -430,21 +258,18 @@
 	for _, name := range []string{"m1", "m2", "m3"} {
 		tc.addAgent(name, "a")
 	}
-	job := tc.submit("j-1", wire.JobArray, 3, 4)
+	tc.submit("j-1", wire.JobArray, 3, 4)
 	tc.expectScheduled(2)
 	tc.persist()
 	tc.failOver(2)
-	for _, name := range []string{"m3"} {
-		tc.addAgent(name, "a")
-	}
+	tc.addAgent("m3", "a")
 	tc.expectScheduled(0) // two starts may still be under way
 	if team := tc.cluster.Teams["team"]; team.UsedCPU != 8 {
 		t.Fatalf("%v CPUs counted", team.UsedCPU)
 	}
-	_ = job
 }
 
-// A restored place was counted under no zone until its machine was described,
+// A restored allocation was counted under no zone until its machine was described,
 // and a spread service put both tasks into one zone.
 func TestSpreadHoldsForAllocationsInUnknownZones(t *testing.T) {
 	tc := newTestCluster(t)
@@ -464,9 +289,8 @@
 	}
 	tc.heartbeat(m1)
 	tc.failOver(2)
-	agent := tc.addAgent("m2", "a")
+	tc.addAgent("m2", "a")
 	tc.expectScheduled(0)
-	_ = agent
 	tc.addAgent("m3", "b")
 	tc.expectScheduled(0) // it may be in b as well
 	tc.heartbeat(m1)
@@ -524,11 +348,8 @@
 func TestSlowMachineIsQuarantinedAndItsTasksMove(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	job := tc.submit("j-1", wire.JobArray, 2, 1)
-	tc.expectScheduled(2)
-	tc.persist()
-	tc.heartbeat(agent)
-	tc.heartbeat(agent)
+	job := tc.submitScheduled("j-1", wire.JobArray, 2, 1)
+	tc.startTasks(agent)
 	machine := tc.cluster.Machines["m1"]
 	checkOverruns := func() {
 		for _, allocation := range machine.SortedAllocations() {
@@ -556,22 +377,20 @@
 	}
 }
 
-// After an outage that outlived its lease, a worker answered a direct order before
-// it reported, and hung then. Its session had just begun, and was given up by the
-// last answer to the session before: its tasks started elsewhere beside it.
+// After an outage that outlived its lease, an agent responded to a dispatch before
+// it sent a heartbeat, and hung then. Its epoch had just begun, and was given up by the
+// last response to the epoch before: its tasks started elsewhere beside it.
 func TestLeaseOfAnAgentEpochSeenInADispatchResponseCountsFromThen(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	tc.now += leaseDuration + 10*micro.Second // nobody answers
+	tc.now += leaseDuration + 10*micro.Second // nobody responds
 	if !agent.ExpireLease(tc.now) {
 		t.Fatal("its lease should have run out")
 	}
 	tc.token++
 	heartbeat, _ := agent.HandleDispatch(wire.Commands{FencingToken: wire.Count(tc.token), AgentEpoch: 2})
 	tc.cluster.Reconcile(heartbeat, cluster.FromDispatchResponse, tc.now)
-	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	tc.expectScheduled(1)
-	tc.persist()
+	job := tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	agent.HandleDispatch(tc.dispatchCommands(agent))
 	if len(agent.StartedTasks) != 1 {
 		t.Fatal("not started")
@@ -594,14 +413,6 @@
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
 	agents := []*fake.Agent{tc.addAgent("m1", "a"), tc.addAgent("m2", "a"), tc.addAgent("m3", "a")}
-	quarantined := func() (names string) {
-		for _, machine := range tc.cluster.SortedMachines() {
-			if machine.QuarantinedUntil > tc.now {
-				names += machine.Name + " "
-			}
-		}
-		return names
-	}
 	failTasks := func(id string, on ...*fake.Agent) {
 		tc.persist()
 		for _, agent := range agents {
@@ -609,11 +420,7 @@
 			tc.heartbeat(agent)
 		}
 		for _, agent := range on {
-			for key := range agent.Tasks {
-				if job, _, _ := wire.ParseTaskName(key.Task); job == id {
-					agent.ExitTask(key.Task, key.Attempt, wire.CauseError)
-				}
-			}
+			failTasksOf(agent, id)
 			tc.heartbeat(agent)
 		}
 	}
@@ -625,7 +432,7 @@
 			t.Fatalf("%s is tried again at once", id)
 		}
 	}
-	if got := quarantined(); got != "" {
+	if got := tc.quarantinedMachines(); got != "" {
 		t.Fatalf("avoided: %s", got)
 	}
 	for _, machine := range tc.cluster.SortedMachines() {
@@ -641,7 +448,7 @@
 		tc.heartbeat(agents[0])
 		tc.heartbeat(agents[0])
 	}
-	if got := quarantined(); got != "m1 " {
+	if got := tc.quarantinedMachines(); got != "m1 " {
 		t.Fatalf("avoided: %q, want the faulty one", got)
 	}
 }
@@ -652,9 +459,7 @@
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
 	agents := []*fake.Agent{tc.addAgent("m1", "a"), tc.addAgent("m2", "a"), tc.addAgent("m3", "a"), tc.addAgent("m4", "a")}
-	job := tc.submit("j-1", wire.JobArray, 4, 4)
-	tc.expectScheduled(4)
-	tc.persist()
+	job := tc.submitScheduled("j-1", wire.JobArray, 4, 4)
 	for i, agent := range agents {
 		tc.heartbeat(agent)
 		tc.heartbeat(agent)
--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/config"
+	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/internal/store"
@@ -19,14 +20,17 @@
 	beside := func(name string, refused bool) *Node {
 		node, _ := b.startNodeWith(name, func(node *Node) {
 			node.Cfg.Peers = []config.Peer{{Node: "n-0"}}
-			node.Init()
 			node.Peers = peer.NewClient(map[string]string{"n-0": addr})
 		})
 		waitUntil(b.t, "leader known", func() bool { return node.election.Leader() == "n-0" })
-		waitUntil(b.t, "gate open", func() bool { node.checkGate(context.Background()); return node.FormatOpen() })
+		waitUntil(
+			b.t,
+			"gate open",
+			func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
+		)
 		if refused {
 			replaceStore(node, refusingStore{b.store})
-			node.health.observe(probeResult{storeRefused: true})
+			node.health.Observe(health.ProbeResult{StoreRefused: true})
 		}
 		return node
 	}
--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -61,7 +61,7 @@
 					sim.killController(leader)
 				}
 				sim.waitUntil("another leads", micro.Minute, func() bool { x := sim.leader(); return x != nil && x != leader })
-				sim.sleep(3 * micro.Second) // its workers report to it
+				sim.sleep(3 * micro.Second) // its agents report to it
 				next := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 4, cpus: 2, runTime: 3 * micro.Second}).submit()
 				sim.waitUntil(
 					"done on another machine", micro.Minute,
@@ -103,8 +103,8 @@
 			found := map[string]bool{}
 			for _, name := range []string{busy, idle} {
 				machine := currentLeader.cluster.Machines[name]
-				currentLeader.terminate(machine, "for a test")
-				found[name] = !currentLeader.terminationRecorded(machine)
+				currentLeader.provisioner.Terminate(machine, "for a test")
+				found[name] = !currentLeader.provisioner.TerminationRecorded(machine)
 			}
 			waits <- found
 		})
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -4,7 +4,6 @@
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"sync"
 	"sync/atomic"
 
 	"notchmux.dev/notchmux/internal/cluster"
@@ -12,9 +11,10 @@
 	"notchmux.dev/notchmux/internal/dispatch"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/eventloop"
-	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/persist"
+	"notchmux.dev/notchmux/internal/provision"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/scheduler"
 	"notchmux.dev/notchmux/wire"
 )
@@ -30,8 +30,7 @@
 	duties duties
 
 	pendingTasks atomic.Int64
-	knownJobs    sync.Map    // ids of jobs in the cluster state
-	serving      atomic.Bool // all that the store holds was read: knownJobs is complete
+	serving      atomic.Bool // all that the store holds was read: the intake knows all jobs
 
 	// Owned by the loop's goroutine.
 	cluster          *cluster.State
@@ -41,6 +40,8 @@
 	records          *persist.Records
 	dispatcher       *dispatch.Dispatcher
 	detector         *detector.Detector
+	intake           *recovery.Intake
+	reader           *recovery.Reader
 	schedulePending  bool
 	lastSchedule     micro.Time
 	scheduleInterval micro.Time // least time between passes, by what the last one took
@@ -84,13 +85,18 @@
 		Now: func() micro.Time { return node.Now() }, Host: dispatchHost{l},
 	})
 	l.detector = detector.New(detector.Dependencies{
-		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: maxInventoryAge,
+		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: provision.MaxInventoryAge,
 		FencingTokens: l.dispatcher, Handovers: &node.handovers, Host: duties,
 	})
 	l.records = persist.New(persist.Dependencies{
 		Host: recordsHost{l}, Role: duties, Limits: node.Cfg, Cluster: l.cluster, Speeds: l.speeds,
 		Store: node.Store, Log: l.log,
 	})
+	l.reader = recovery.NewReader(node.Store, l.loop, log)
+	l.intake = recovery.NewIntake(recovery.IntakeDependencies{
+		Cluster: l.cluster, Objectives: l.objectives, Store: node.Store, Loop: l.loop,
+		Resign: l.resign, Now: l.Now, Wall: l.Wall, Log: log,
+	})
 	return l
 }
 
@@ -99,28 +105,6 @@
 	return l.duties.mayRespond() && l.term.HoldsLease(l.node.Now())
 }
 
-// post hands the loop something to do; it is dropped once the term is over.
-func (l *controlLoop) post(f func()) { l.loop.Post(funcEvent(f)) }
-
-// funcEvent is an event that has no type of its own yet.
-type funcEvent func()
-
-// Apply runs it.
-func (f funcEvent) Apply() { f() }
-
-// callLoop runs f in the loop and waits for its reply, but not for long. Heartbeats and
-// cancellations go before queries.
-func (l *controlLoop) callLoop(
-	queue eventloop.Queue, timeout micro.Time, f func(reply func(httpapi.Reply)),
-) (httpapi.Reply, bool) {
-	event := func(reply eventloop.Reply[httpapi.Reply]) eventloop.Event {
-		return funcEvent(func() { f(reply.Send) })
-	}
-	answer, ok := eventloop.Call(l.loop, queue, timeout, event)
-	// The lease may have lapsed meanwhile: then nothing may be said.
-	return answer, ok && l.holdsLease()
-}
-
 // schedule places tasks if something has changed since the last pass, and it is time.
 func (l *controlLoop) schedule(now micro.Time) {
 	if !l.schedulePending || now-l.lastSchedule <= l.scheduleInterval {
@@ -150,7 +134,7 @@
 
 // resign ends the term; any goroutine may call it.
 func (l *controlLoop) resign(reason string) {
-	l.log.Info("resigning", "why", reason)
+	l.log.Info("resigning", "reason", reason)
 	l.term.End()
 	l.node.election.SuspendCampaign(resignCooldown)
 	go func() { _ = l.node.Store.Revoke(context.Background(), l.term.Lease) }()
@@ -181,4 +165,4 @@
 func (h recordsHost) JobEnded(job *cluster.Job, state wire.JobState) { h.duties.jobEnded(job, state) }
 
 // FormatRaised opens this node's format gate.
-func (h recordsHost) FormatRaised() { h.node.setGateState(GateOpen) }
+func (h recordsHost) FormatRaised() { h.node.formatGate.MarkOpen() }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -23,7 +23,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// fakeAgents passes direct orders to fake workers.
+// fakeAgents passes dispatched commands to fake agents.
 type fakeAgents struct {
 	mu        sync.Mutex
 	byMachine map[string]*fake.Agent
@@ -71,18 +71,17 @@
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node = name
 	cfg.LeaderLease, cfg.LeaderRenewInterval = 600*micro.Millisecond, 100*micro.Millisecond
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
 	cfg.Facts.Workers.CancelS = 50
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
-	// Nothing waits for room to come free: machines are rented at once.
+	// Nothing waits for capacity to come free: machines are rented at once.
 	cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
-	node := &Node{
+	node := NewWith(Dependencies{
 		Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(), Now: micro.Now, Wall: micro.WallNow,
-	}
-	node.Init()
+	})
 	set(node)
-	node.initJobAPI() // from the parts that the test has put in
+	rebuildParts(node)
 	cat, _ := b.cloud.Catalog(context.Background())
 	node.catalog.Store(cat)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,6 +95,17 @@
 // replaceStore gives a node that serves already another way to the store.
 func replaceStore(node *Node, to store.Store) {
 	node.Store = to
+	rebuildParts(node)
+}
+
+// rebuildParts makes the parts of a node that take others at their construction anew, from
+// those that the test has put in. A format gate that was open stays so.
+func rebuildParts(node *Node) {
+	open := node.formatGate.FormatOpen()
+	node.formatGate = newFormatGate(node)
+	if open {
+		node.formatGate.MarkOpen()
+	}
 	node.initJobAPI()
 }
 
@@ -373,22 +383,6 @@
 	}
 }
 
-// By age, a machine of the operators' own once looked rented, and a rented one
-// that was gone looked like their own.
-func TestOwnMachinesAreThoseCreatedBeforeTheFirstInstanceRequest(t *testing.T) {
-	l := &Leader{}
-	if !l.isOperatorOwned(&cluster.Machine{Name: "i-000007"}) ||
-		l.isOperatorOwned(&cluster.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
-		t.Error("before any rental is answered, what was not rented is their own")
-	}
-	l.firstProvisioned = "i-000024"
-	for name, want := range map[string]bool{"i-000023": true, "i-000024": false, "i-000100": false, "i-1000000": false} {
-		if l.isOperatorOwned(&cluster.Machine{Name: name}) != want {
-			t.Errorf("%s: own is %v", name, !want)
-		}
-	}
-}
-
 // A job of the most tasks has more records than a page holds, and they come
 // before its description: read by one page, it would be called unknown.
 func TestLargestJobIsKnownToANodeThatReadsTheStore(t *testing.T) {
@@ -424,7 +418,7 @@
 	machine := leader.cluster.EnsureMachine("i-1", 0)
 	machine.LastHeartbeat = 100 * micro.Second
 	leader.detector.ObserveLease(true, 100*micro.Second)
-	leader.lastSweep, leader.lastPlan, leader.lastSpeedWrite = 2000*micro.Second, 2000*micro.Second, 2000*micro.Second
+	leader.lastSweep, leader.lastSpeedWrite = 2000*micro.Second, 2000*micro.Second
 	leader.term.End()
 	leader.tick(101 * micro.Second)
 	leader.term = election.NewTerm(9, 1000*micro.Second)
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -7,16 +7,18 @@
 	"testing"
 
 	"notchmux.dev/notchmux/internal/agent"
+	"notchmux.dev/notchmux/internal/autoscaler"
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/election"
 	"notchmux.dev/notchmux/internal/fake"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/wire"
 )
 
-// unansweredDispatch answers no direct order.
+// unansweredDispatch answers no dispatched command.
 type unansweredDispatch struct{}
 
 func (unansweredDispatch) Send(string, wire.Commands) (*wire.Heartbeat, bool, error) {
@@ -36,15 +38,14 @@
 	fleet := &fleet{now: 1000 * micro.Second}
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node = "n-0"
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.ReportS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 6, 16, 24
 	cfg.Facts.Teams = []config.Team{{Name: "team"}}
 	cfg.DeriveDefaults()
-	node := &Node{
+	node := NewWith(Dependencies{
 		Cfg: cfg, Store: fake.NewStore(), Cloud: fake.NewCloud(0), Agent: unansweredDispatch{},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics.New(),
 		Now: func() micro.Time { return fleet.now }, Wall: func() micro.Time { return fleet.now },
-	}
-	node.Init()
+	})
 	cat := &wire.Catalog{}
 	for i := range 4 {
 		cat.Types = append(
@@ -65,7 +66,7 @@
 		fleet.heartbeat(fakeAgent)
 	}
 	for i := 0; i < machines*6; i += 60 {
-		fleet.leader.addJob(
+		fleet.leader.intake.AddJob(
 			wire.Job{
 				ID: fmt.Sprintf("j-%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 60,
 				CPUs: 1, MemoryGB: 1, EstimateS: 50, Image: "i",
@@ -143,14 +144,18 @@
 	for _, n := range []int{290, 2900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
-			fleet.leader.addJob(
+			fleet.leader.intake.AddJob(
 				wire.Job{
 					ID: "j-99999999", Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600, CPUs: 9,
 					MemoryGB: 1, EstimateS: 50, Image: "i",
 				},
 			)
+			planner := autoscaler.New(autoscaler.Config{
+				Cluster: fleet.leader.cluster, Objectives: fleet.leader.objectives,
+				Properties: &fleet.leader.node.Cfg.Properties,
+			})
 			for b.Loop() {
-				fleet.leader.planner.Plan(fleet.now)
+				planner.Plan(fleet.now)
 			}
 		})
 	}
@@ -161,7 +166,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(
+				fleet.leader.intake.AddJob(
 					wire.Job{
 						ID: fmt.Sprint("j-9999", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 600,
 						CPUs: 7, MemoryGB: 1, EstimateS: 50, Image: "i",
@@ -181,7 +186,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
 			for i := range 300 {
-				fleet.leader.addJob(
+				fleet.leader.intake.AddJob(
 					wire.Job{
 						ID: fmt.Sprint("j-9999", i), Class: fmt.Sprint("c", i), Team: "team", Kind: wire.JobArray, Priority: wire.Normal,
 						Tasks: 600, CPUs: 2, MemoryGB: 60, EstimateS: 50, Image: "i",
@@ -203,7 +208,7 @@
 		ids = append(ids, id)
 	}
 	for i := range n {
-		h.leader.addJob(wire.Job{
+		h.leader.intake.AddJob(wire.Job{
 			ID: fmt.Sprintf("j-5%06d", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1,
 			MemoryGB: 1, EstimateS: 20, Image: "i", Dependencies: []string{ids[i%len(ids)], ids[(i*7+1)%len(ids)]},
 		})
@@ -252,26 +257,26 @@
 	}
 }
 
-// A takeover costs the reading of what waits, and no more than so much for each.
+// A failover costs the reading of what waits, and no more than so much for each.
 func BenchmarkFailoverOfWaitingJobs(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			snapshot := newJobSnapshot()
+			snapshot := recovery.NewSnapshot(slog.New(slog.DiscardHandler))
 			for i := range n {
 				id := fmt.Sprintf("j-%06d", i)
-				snapshot.specs[id] = wire.Job{
+				snapshot.Specs[id] = wire.Job{
 					ID: id, Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 20, CPUs: 1, MemoryGB: 1,
 				}
 				if i >= 100 {
-					job := snapshot.specs[id]
+					job := snapshot.Specs[id]
 					job.Dependencies = []string{fmt.Sprintf("j-%06d", i-100), fmt.Sprintf("j-%06d", i/2)}
-					snapshot.specs[id] = job
+					snapshot.Specs[id] = job
 				}
 			}
 			for b.Loop() {
 				fleet := &fleet{now: 1000 * micro.Second}
 				fleet.leader = newFleet(b, 4).leader
-				fleet.leader.restoreJobs(&snapshot, fleet.now, fleet.now)
+				fleet.leader.failover.RestoreJobs(snapshot, fleet.now, fleet.now)
 			}
 		})
 	}
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -7,13 +7,14 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/fake"
+	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
 	"notchmux.dev/notchmux/wire"
 )
 
-// A zone was cut off for a minute. Its workers' leases ran out after half of it,
+// A zone was cut off for a minute. Its agents' leases ran out after half of it,
 // though two controllers were there with them.
 func TestControllersInAPartitionedZoneRenewItsLeases(t *testing.T) {
 	env := newTestCluster(t)
@@ -25,7 +26,6 @@
 	now := micro.Minute
 	inside, _ := env.startNodeWith("n-1", func(node *Node) {
 		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{{Node: "n-0", Zone: "a"}, {Node: "n-2", Zone: "b"}}
-		node.Init()
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader), "n-2": env.servePeer(neighbor)})
 	})
 	waitUntil(t, "leader known", func() bool { return inside.election.Leader() == "n-0" })
@@ -65,7 +65,7 @@
 }
 
 // A user was told that a job was cancelled; had the zone been cut off then, its
-// keepers would have kept the job's tasks alive for longer than a cancellation
+// lease proxies would have kept the job's tasks alive for longer than a cancellation
 // may take.
 func TestCancellationIsConfirmedOnceNoProxyCanKeepItsTasksAlive(t *testing.T) {
 	env := newTestCluster(t)
@@ -84,7 +84,7 @@
 	waitUntil(t, "running", func() bool { return jobState(node, "j-9") == wire.JobRunning })
 	close(stop)
 	<-stopped
-	// The workers are out of reach from here on.
+	// The agents are out of reach from here on.
 	env.agents.mu.Lock()
 	unreachable := env.agents.byMachine
 	env.agents.byMachine = map[string]*fake.Agent{}
@@ -105,7 +105,7 @@
 }
 
 // Where leases are too long for the time that a cancellation may take, a user who
-// was told at once was told what could not be kept: the workers were out of reach.
+// was told at once was told what could not be kept: the agents were out of reach.
 func TestCancellationWaitsForConfirmationWhereLeasesAreTooLong(t *testing.T) {
 	for _, test := range []struct {
 		cancelS float64
@@ -114,8 +114,8 @@
 		fleet := newFleet(t, 2)
 		fleet.leader.node.Cfg.Facts.Workers.CancelS = test.cancelS
 		job := fleet.leader.cluster.Jobs["j-000000"]
-		fleet.leader.beginCancellation(job)
-		if written := !fleet.leader.pendingCancellations[job]; written != test.told {
+		fleet.leader.cancellations.Begin(job)
+		if written := !fleet.leader.cancellations.Pending(job); written != test.told {
 			t.Fatalf("within %v s, with tasks that may run on: written: %v", test.cancelS, written)
 		}
 		for _, fakeAgent := range fleet.agents {
@@ -123,26 +123,26 @@
 			fleet.heartbeat(fakeAgent)
 		}
 		fleet.leader.runPending(fleet.now)
-		if job.AllocationCount > 0 || fleet.leader.pendingCancellations[job] {
+		if job.AllocationCount > 0 || fleet.leader.cancellations.Pending(job) {
 			t.Fatalf("within %v s, all gone: not written", test.cancelS)
 		}
 	}
 }
 
 // A start sent directly was held back by the network, or by a machine that hung,
-// until its job was withdrawn. It may run as long as the worker has seen no newer
+// until its job was cancelled. It may run as long as the agent has seen no newer
 // token: what reports it is told to stop it, and with the next token it is refused.
 func TestStartDelayedBeyondACancellationEndsWithTheNextResponse(t *testing.T) {
 	for _, sooner := range []bool{true, false} {
 		fleet := newFleet(t, 2)
 		leader := fleet.leader
 		leader.node.Cfg.Facts.Workers.CancelS = 50
-		leader.beginCancellation(leader.cluster.Jobs["j-000000"])
+		leader.cancellations.Begin(leader.cluster.Jobs["j-000000"])
 		for _, fakeAgent := range fleet.agents {
 			fleet.heartbeat(fakeAgent)
 			fleet.heartbeat(fakeAgent)
 		}
-		leader.addJob(
+		leader.intake.AddJob(
 			wire.Job{
 				ID: "j-9", Class: "c", Team: "team", Kind: wire.Service, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1,
 				Image: "i",
@@ -163,8 +163,8 @@
 				fakeAgent = x
 			}
 		}
-		leader.beginCancellation(job)
-		if leader.pendingCancellations[job] || job.AllocationCount != 1 {
+		leader.cancellations.Begin(job)
+		if leader.cancellations.Pending(job) || job.AllocationCount != 1 {
 			t.Fatal("no keepers: the end is written, with the start under way")
 		}
 		fleet.now += micro.Second
@@ -188,7 +188,7 @@
 	}
 }
 
-// The end was written by what keepers might do if none was answered from then on;
+// The end was written by what lease proxies might do if none was answered from then on;
 // yet they were answered until the leader's next look around, however late.
 func TestLeaseProxiesAreFencedFromWhenTheEndIsWritten(t *testing.T) {
 	fleet := newFleet(t, 2)
@@ -197,23 +197,24 @@
 	fleet.leader.renewalBound = leasekeeper.NewRenewalBound(
 		7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c",
 	)
+	fleet.leader.cancellations = newCancellations(fleet.leader)
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
-	if fleet.leader.zoneFenced("a") {
+	if fleet.leader.cancellations.ZoneFenced("a") {
 		t.Fatal("barred though nobody was told of an end")
 	}
 	job := fleet.leader.cluster.Jobs["j-000000"]
-	fleet.leader.beginCancellation(job)
-	if fleet.leader.pendingCancellations[job] || job.AllocationCount == 0 {
+	fleet.leader.cancellations.Begin(job)
+	if fleet.leader.cancellations.Pending(job) || job.AllocationCount == 0 {
 		t.Fatal("no keeper can keep its tasks alive for too long: its end may be written")
 	}
-	if !fleet.leader.zoneFenced("a") {
+	if !fleet.leader.cancellations.ZoneFenced("a") {
 		t.Fatal("a keeper that asks now may keep the tasks alive for too long")
 	}
 }
 
 // Two nodes had lost the store, one of them the leader until then. It sent its
-// workers on, and the other sent them back.
+// agents on, and the other sent them back.
 func TestNodeWithoutTheStoreNamesNoLeaderItCannotReach(t *testing.T) {
 	env := newTestCluster(t)
 	leader, _ := env.startNode("n-0")
@@ -224,11 +225,11 @@
 		return node.Heartbeat(wire.MustMarshal(fake.NewAgent("i-9", "small", "a", 30*micro.Second).Heartbeat())).Status
 	}
 	node.Now = func() micro.Time { return micro.Minute }
-	node.health.observe(probeResult{storeReached: true})
+	node.health.Observe(health.ProbeResult{StoreReached: true})
 	if got := status(); got != 421 {
 		t.Fatalf("peers are refused, but the store says who leads: status %d", got)
 	}
-	node.health.observe(probeResult{storeRefused: true})
+	node.health.Observe(health.ProbeResult{StoreRefused: true})
 	if got := status(); got != 503 {
 		t.Fatalf("who leads is not known any more: status %d", got)
 	}
@@ -260,7 +261,7 @@
 	if fleet.machinesInState(cluster.Suspect) != 20 {
 		t.Fatalf("%d machines are silent, want those of the zone that was cut off", fleet.machinesInState(cluster.Suspect))
 	}
-	fleet.now += 15 * micro.Second // the outage: no report was answered
+	fleet.now += 15 * micro.Second // the outage: no heartbeat was answered
 	for range 3 {
 		second("a")
 	}
@@ -269,7 +270,7 @@
 	}
 }
 
-// A cut ended, and its zone came back one report at a time. When most of it was
+// A cut ended, and its zone came back one heartbeat at a time. When most of it was
 // heard, the rest looked like a few dead machines, and were returned.
 func TestRestOfARecoveringZoneIsNotTerminated(t *testing.T) {
 	fleet := newFleet(t, 40)
@@ -316,7 +317,6 @@
 		node.Cfg.Zone, node.Cfg.Peers = "b", []config.Peer{
 			{Node: "n-0", Zone: "b"}, {Node: "n-2", Zone: "b"}, {Node: "n-3", Zone: "a"},
 		}
-		node.Init()
 		node.election.SuspendCampaign(10 * micro.Minute)
 		node.Peers = peer.NewClient(map[string]string{"n-0": env.servePeer(leader), "n-2": env.servePeer(neighbor)})
 	})
@@ -337,7 +337,7 @@
 	if keeps() {
 		t.Fatal("it reaches the store: another node leads soon")
 	}
-	node.health.observe(probeResult{})
+	node.health.Observe(health.ProbeResult{})
 	if !keeps() {
 		t.Fatal("without the store as well, the zone is cut off")
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -14,6 +14,7 @@
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/persist"
+	"notchmux.dev/notchmux/internal/provision"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
@@ -28,7 +29,7 @@
 	n.Cfg.Facts.Teams[0].CPUsMax = 0
 }
 
-// The state service lowers its limits without notice, while a job begun under the
+// The store lowers its limits without notice, while a job begun under the
 // earlier version, with records far over the new limit, still runs.
 func TestLimitsAreLoweredWithoutNoticeAndNothingIsRefused(t *testing.T) {
 	env := newTestCluster(t)
@@ -156,13 +157,13 @@
 	}
 }
 
-// Rentals name up to fifty machines.
+// Instance requests name up to fifty machines.
 func TestRecordsOfTheFleetFitTheSmallerLimit(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
 	leader := newLeader(node, node.activeLeader().term)
 	leader.cluster.EnableCompactRecords(64)
-	rec := instanceRequestRecord{
+	rec := provision.InstanceRequestRecord{
 		Request: wire.InstanceRequest{
 			RequestID: "r-1234567-1234", Type: "a-machine-type", Zone: "a-long-zones-name", Spot: true, Count: 50,
 		},
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,4 +1,4 @@
-// Package controller wires a node together: the users' and workers' interface,
+// Package controller wires a node together: the users' and agents' interface,
 // the peers, the election and, while this node leads, the leader's loop.
 package controller
 
@@ -19,12 +19,15 @@
 	"notchmux.dev/notchmux/internal/config"
 	"notchmux.dev/notchmux/internal/detector"
 	"notchmux.dev/notchmux/internal/election"
+	"notchmux.dev/notchmux/internal/formatgate"
+	"notchmux.dev/notchmux/internal/health"
 	"notchmux.dev/notchmux/internal/httpapi"
 	"notchmux.dev/notchmux/internal/jobapi"
 	"notchmux.dev/notchmux/internal/leasekeeper"
 	"notchmux.dev/notchmux/internal/metrics"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/peer"
+	"notchmux.dev/notchmux/internal/shard/ownership"
 	"notchmux.dev/notchmux/internal/store"
 	"notchmux.dev/notchmux/wire"
 )
@@ -33,8 +36,8 @@
 // writes, can be set.
 type BudgetFractionSetter interface{ SetBudgetFraction(reads, writes float64) }
 
-// Node is one controller.
-type Node struct {
+// Dependencies are the settings and the outside services that a node is built on.
+type Dependencies struct {
 	Cfg     *config.Config
 	Store   store.Store
 	Cloud   cloud.Provider
@@ -42,21 +45,26 @@
 	Peers   peer.Caller
 	Log     *slog.Logger
 	Metrics *metrics.Set
-	Now     func() micro.Time
-	Wall    func() micro.Time
+	Now     func() micro.Time // the steady clock
+	Wall    func() micro.Time // the wall clock
+}
+
+// Node is one controller.
+type Node struct {
+	Dependencies
 
 	election         *election.Election
 	leader           atomic.Pointer[Leader]
 	catalog          atomic.Pointer[wire.Catalog]
 	peerBackoffUntil sync.Map // node: time until which it is not asked
-	health           healthMonitor
+	health           *health.Monitor
 	leaseProxy       leasekeeper.Proxy
-	formatGate       atomic.Int32 // a GateState
+	formatGate       *formatgate.Gate
 	handovers        detector.Handovers
 
 	jobs      *jobapi.Service
-	peerCalls map[string]peerCallHandler // by the names of the calls
-	shards    *nodeShards                // nil: the feature is off
+	peerCalls map[string]peerCallHandler     // by the names of the calls
+	shards    *ownership.Owners[*ShardOwner] // nil: the feature is off
 }
 
 // New makes a node that speaks to the real services.
@@ -65,7 +73,7 @@
 	for _, other := range cfg.Peers {
 		addrs[other.Node] = other.Addr
 	}
-	node := &Node{
+	return NewWith(Dependencies{
 		Cfg:     cfg,
 		Store:   store.NewClient(cfg.External.State, cfg.Facts.State.RPS, cfg.Facts.State.WriteRPS),
 		Cloud:   cloud.NewClient(cfg.External.Cloud, cfg.Facts.Cloud.RPS),
@@ -75,24 +83,33 @@
 		Metrics: metrics.New(),
 		Now:     micro.Now,
 		Wall:    micro.WallNow,
-	}
-	node.Init()
-	return node
+	})
 }
 
-// Init completes a node whose parts were given.
-func (n *Node) Init() {
+// NewWith makes a node that speaks to the given services.
+func NewWith(deps Dependencies) *Node {
+	n := &Node{Dependencies: deps}
+	n.health = health.New(health.Config{
+		Store: n.Store, Peers: n.Peers, Log: n.Log, PeerNames: n.peerNames, Now: n.Now,
+	})
+	n.formatGate = newFormatGate(n)
 	n.initJobAPI()
 	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
 	n.initShards()
-	n.health.log = n.Log.Info
 	n.leaseProxy.Node, n.leaseProxy.RenewalWindow, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.LeaseProxyDuration(), n.Log.Info
 	n.election = &election.Election{
 		Node: n.Cfg.Node, Nonce: rand.Text(), Store: n.Store,
 		TTL: n.Cfg.LeaderLease, RenewInterval: n.Cfg.LeaderRenewInterval, Log: n.Log, Now: n.Now,
 	}
+	return n
 }
 
+// Ready reports whether the node can take requests.
+func (n *Node) Ready() bool { return n.health.Ready() }
+
+// Isolated reports whether the store was out of reach at the last probe.
+func (n *Node) Isolated() bool { return n.health.Isolated() }
+
 // initJobAPI makes what the node does for users, and the calls that it answers.
 func (n *Node) initJobAPI() {
 	n.jobs = newJobAPI(n)
@@ -101,11 +118,12 @@
 
 // Run serves until the context ends or a part fails.
 func (n *Node) Run(ctx context.Context) error {
-	public, err := net.Listen("tcp4", n.Cfg.PublicAddr)
+	listener := net.ListenConfig{}
+	public, err := listener.Listen(ctx, "tcp4", n.Cfg.PublicAddr)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp4", n.Cfg.PeerListen)
+	peers, err := listener.Listen(ctx, "tcp4", n.Cfg.PeerListen)
 	if err != nil {
 		return err
 	}
@@ -114,7 +132,7 @@
 	n.election.OnStoppedLeading = n.stopLeader
 	server := &httpapi.Server{
 		Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets,
-		HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.ReportS),
+		HeartbeatInterval: micro.FromSeconds(n.Cfg.Facts.Workers.HeartbeatIntervalS),
 	}
 	group.Go(func() error { return server.Serve(ctx, public) })
 	group.Go(func() error {
@@ -122,9 +140,9 @@
 	})
 	group.Go(func() error { return n.election.Run(ctx) })
 	group.Go(func() error { return n.fetchCatalog(ctx) })
-	group.Go(func() error { return n.watchHealth(ctx) })
+	group.Go(func() error { return n.health.Run(ctx) })
 	group.Go(func() error { return n.runLeaseProxy(ctx) })
-	group.Go(func() error { return n.watchGate(ctx) })
+	group.Go(func() error { return n.formatGate.Run(ctx) })
 	group.Go(func() error { return n.runShards(ctx) })
 	n.Log.Info("serving", "node", n.Cfg.Node, "zone", n.Cfg.Zone, "public", n.Cfg.PublicAddr, "peers", n.Cfg.PeerListen)
 	return group.Wait()
@@ -139,7 +157,7 @@
 			if err == nil && len(catalog.Types) > 0 {
 				n.catalog.Store(catalog)
 				if l := n.activeLeader(); l != nil {
-					l.post(func() { l.cluster.SetCatalog(catalog) })
+					l.loop.Post(catalogRead{l, catalog})
 				}
 				wait = 20 * time.Second
 			} else {
@@ -155,6 +173,16 @@
 	return nil
 }
 
+// catalogRead is the cloud's catalog of machine types and prices.
+type catalogRead struct {
+	leader  *Leader
+	catalog *wire.Catalog
+}
+
+// Apply takes the catalog in.
+func (e catalogRead) Apply() { e.leader.cluster.SetCatalog(e.catalog) }
+
+// activeLeader is the node's own leader while its lease holds, else nil.
 func (n *Node) activeLeader() *Leader {
 	l := n.leader.Load()
 	if l == nil || !l.term.HoldsLease(n.Now()) {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -19,7 +19,7 @@
 func (n *Node) callPeer(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
-	if until, ok := n.peerBackoffUntil.Load(node); ok && n.Now() < until.(micro.Time) {
+	if n.backingOff(node) {
 		return 0, nil, peer.ErrUnreachable
 	}
 	status, out, err := n.Peers.Call(ctx, node, call, body, timeout)
@@ -29,6 +29,25 @@
 	return status, out, err
 }
 
+// backingOff reports whether a peer is left alone, since it lately did not answer.
+func (n *Node) backingOff(node string) bool {
+	value, ok := n.peerBackoffUntil.Load(node)
+	if !ok {
+		return false
+	}
+	until, ok := value.(micro.Time)
+	return ok && n.Now() < until
+}
+
+// peerNames lists the other nodes.
+func (n *Node) peerNames() []string {
+	names := make([]string, len(n.Cfg.Peers))
+	for i, other := range n.Cfg.Peers {
+		names[i] = other.Node
+	}
+	return names
+}
+
 // peersLeaderFirst lists the other nodes.
 func (n *Node) peersLeaderFirst() []string {
 	leader := n.election.Leader()
@@ -52,7 +71,7 @@
 	calls := map[string]peerCallHandler{
 		peer.Ping: func(context.Context, []byte) (int, []byte) { return http.StatusOK, nil },
 		peer.AnnounceVersion: func(ctx context.Context, body []byte) (int, []byte) {
-			return n.handleAnnounce(ctx, body), nil
+			return n.formatGate.HandleAnnounce(ctx, body), nil
 		},
 		peer.LeaseProxy: func(_ context.Context, body []byte) (int, []byte) { return n.handleLeaseProxy(body) },
 		peer.ShardAdmin: func(_ context.Context, body []byte) (int, []byte) { return n.handleAdmin(body) },
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -20,7 +20,7 @@
 	var out bytes.Buffer
 	fleet.leader.log = slog.New(slog.NewTextHandler(&out, nil))
 	for i := range 10 {
-		fleet.leader.addJob(
+		fleet.leader.intake.AddJob(
 			wire.Job{
 				ID: fmt.Sprint("j-77", i), Class: "c", Team: "team", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 2, CPUs: 8,
 				MemoryGB: 1, EstimateS: 50,
@@ -50,7 +50,8 @@
 	if logged != 10 || fleet.leader.pendingTasks.Load() != 20 {
 		t.Fatalf("%d of 10 told, %d tasks counted", logged, fleet.leader.pendingTasks.Load())
 	}
-	if !strings.Contains(out.String(), "job=j-770 since_s=3") || !strings.Contains(out.String(), "why=\"no room\"") {
+	if !strings.Contains(out.String(), "job=j-770 since_s=3") ||
+		!strings.Contains(out.String(), "reason=\"insufficient resources\"") {
 		t.Fatal(out.String())
 	}
 	fleet.now += 5 * micro.Minute
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -32,7 +32,7 @@
 func (b *testCluster) startLeaderWithGateOpen(name string, set func(*Node)) (*Node, func()) {
 	n, kill := b.startNodeWith(name, set)
 	waitUntil(b.t, "leading", func() bool { return n.activeLeader() != nil })
-	waitUntil(b.t, "open", func() bool { n.checkGate(context.Background()); return n.FormatOpen() })
+	waitUntil(b.t, "open", func() bool { n.formatGate.Check(context.Background()); return n.formatGate.FormatOpen() })
 	return n, kill
 }
 
@@ -86,7 +86,7 @@
 		t.Errorf("a repeat got %+v", reply)
 	}
 	// Another node, which the store refuses, knows nothing of j-1.
-	isolated, _ := env.startNodeWith("n-1", func(node *Node) { node.formatGate.Store(int32(GateOpen)) })
+	isolated, _ := env.startNodeWith("n-1", func(node *Node) { node.formatGate.MarkOpen() })
 	env.store.SetOutage(true)
 	if reply := isolated.Submit(dependentSubmission("j-5", "j-1")); reply.Status != 503 || reply.RetryAfter == 0 {
 		t.Errorf("without the store: %+v", reply)
@@ -177,7 +177,7 @@
 	}
 }
 
-// The leader ends after the withdrawal is stored and before what needs the job is:
+// The leader ends after the cancellation is stored and before what needs the job is:
 // the next one finishes it, at few changes a transaction; a node that reads the
 // store says the same meanwhile.
 func TestCancellationCascadesToDependentsAcrossAChangeOfLeader(t *testing.T) {
@@ -338,7 +338,7 @@
 	}
 }
 
-// The same of a withdrawal, and of what needs the withdrawn job.
+// The same of a cancellation, and of what needs the cancelled job.
 func TestLeaderDoesNotCallPendingWhatAnEndInFlightAborts(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startLeaderWithGateOpen(
@@ -358,7 +358,7 @@
 	}
 }
 
-// An old leader's last copy of a withdrawal, and its last task's completion, race:
+// An old leader's last copy of a cancellation, and its last task's completion, race:
 // whichever end is created first is the only one, for what awaits the job too.
 func TestLateDuplicateOfAnEndDecidesNothingTwice(t *testing.T) {
 	env := newTestCluster(t)
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -6,10 +6,6 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-type firstProvisionedRecord struct {
-	Machine string `msgpack:"m" json:"m"`
-}
-
 // How the records of a leader are written.
 
 // Preconditions are that the term goes on.
@@ -33,6 +29,6 @@
 func (l *Leader) prune(pruned []*cluster.Job) {
 	for _, job := range pruned {
 		l.node.jobs.FinalStatuses().Put(job.Status())
-		l.knownJobs.Delete(job.Spec.ID)
+		l.intake.Forget(job.Spec.ID)
 	}
 }
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A job is done, and the leader forgets it: polls, a repeated submission and a late
+// A job is done, and the leader forgets it: status queries, a repeated submission and a late
 // word of its acceptance must not find it any other way than done.
 func TestPrunedJobStaysDone(t *testing.T) {
 	runScenario(t, 4, 3, nil, func(sim *simCluster) {
@@ -39,7 +39,7 @@
 		}
 		spec, _ := sim.checker.spec(job.id)
 		currentLeader := sim.waitForLeader().runningNode().activeLeader()
-		currentLeader.post(func() { currentLeader.addJob(spec) })
+		currentLeader.post(func() { currentLeader.intake.AddJob(spec) })
 		sim.sleep(10 * micro.Second)
 		if knows() {
 			t.Error("a late copy of its acceptance brought it back")
@@ -59,7 +59,7 @@
 	return len(p.Items)
 }
 
-// A record that is yet to be deleted is the next leader's only word of a place.
+// A record that is yet to be deleted is the next leader's only word of an allocation.
 func TestJobWithAnOpenRecordIsNotPruned(t *testing.T) {
 	fleet := newFleet(t, 4)
 	job := fleet.leader.cluster.SortedMachines()[0].SortedAllocations()[0].Job
@@ -84,18 +84,3 @@
 		t.Errorf("polls for it are not answered from memory: %+v", status)
 	}
 }
-
-// Lists of 4,000 machines once took a third of the cloud's rate.
-func TestListOfALargeFleetLeavesTheCloudsRateToInstanceRequests(t *testing.T) {
-	for _, machines := range []int{40, 2000, 4000, 6000, 20000} {
-		pages := (machines + 499) / 500
-		pause := inventoryPause(pages, 4)
-		if pause < inventoryInterval || pause > maxInventoryPause ||
-			pause+micro.Time(pages)*300*micro.Millisecond > maxInventoryAge+maxInventoryPause {
-			t.Errorf("%d machines: a pause of %v", machines, pause)
-		}
-		if rate := float64(pages) / pause.Seconds(); machines <= 4000 && rate > 1 {
-			t.Errorf("%d machines: the list takes %.2f of 4 calls a second", machines, rate)
-		}
-	}
-}
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -3,7 +3,6 @@
 import (
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
-	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/shard/coordinator"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/wire"
@@ -19,7 +18,7 @@
 		Config:       l.node.Cfg,
 		Cluster:      l.cluster,
 		Records:      l.records.Writer,
-		Table:        l.node.shards.table,
+		Table:        l.node.shards.Table(),
 		Store:        l.node.Store,
 		Term:         l.term,
 		RenewalBound: l.renewalBound,
@@ -29,8 +28,6 @@
 		Log:          l.log,
 	})
 	l.cluster.Ownership = c.ClassifyMachine
-	l.planner.ShardDemands = c.ShardDemands
-	l.planner.OwnsOffer = c.OwnsOffer
 	return c
 }
 
@@ -53,7 +50,7 @@
 
 // Terminate marks a machine to be terminated.
 func (h coordinatorHost) Terminate(machine *cluster.Machine, reason string) {
-	h.leader.terminate(machine, reason)
+	h.leader.provisioner.Terminate(machine, reason)
 }
 
 // WriteJobEnd writes the final state of a job.
@@ -69,17 +66,17 @@
 // CancellationPending notes that the end of a cancelled job is to be written once its user
 // may be told.
 func (h coordinatorHost) CancellationPending(job *cluster.Job) {
-	h.leader.pendingCancellations[job] = true
+	h.leader.cancellations.MarkPending(job)
 }
 
 // CancellationUnconfirmed notes that the user of a cancelled job was told, and that
-// allocations of it are not proven free.
+// allocations of it are not proven released.
 func (h coordinatorHost) CancellationUnconfirmed(job *cluster.Job) {
-	h.leader.unconfirmedCancellations[job] = true
+	h.leader.cancellations.MarkUnconfirmed(job)
 }
 
 // UpdateFencedZones notes anew in which zones leases must not be renewed by proxy.
-func (h coordinatorHost) UpdateFencedZones() { h.leader.updateFencedZones() }
+func (h coordinatorHost) UpdateFencedZones() { h.leader.cancellations.UpdateFencedZones() }
 
 // shardTableChanged says that the table of shards has changed.
 type shardTableChanged struct{ leader *Leader }
@@ -106,7 +103,3 @@
 	}
 	return 200, wire.MustMarshal(reply)
 }
-
-func machineAttributes(typ, zone string, spot bool) shard.Attributes {
-	return shard.Attributes{Type: typ, Zone: zone, Spot: spot}
-}
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -7,6 +7,7 @@
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/keys"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/internal/recovery"
 	"notchmux.dev/notchmux/internal/shard"
 	"notchmux.dev/notchmux/internal/statestore"
 	"notchmux.dev/notchmux/internal/store"
@@ -17,7 +18,8 @@
 // it, and where their tasks have allocations. What an earlier owner sent and is still on its
 // way fails: it carries an older version of the shard's record.
 func (o *ShardOwner) recoverShard(ctx context.Context) bool {
-	if _, ok := o.readAll(ctx, keys.FleetPrefix, o.restoreShared); !ok {
+	fleet := recovery.NewFleetRecords(o.records, nil, o.log)
+	if _, ok := o.reader.ReadAll(ctx, keys.FleetPrefix, fleet.Restore); !ok {
 		return false
 	}
 	if !o.cluster.CompactRecords {
@@ -26,7 +28,7 @@
 	}
 	now := o.node.Now()
 	var assignments []wire.Item
-	revision, ok := o.readAll(
+	revision, ok := o.reader.ReadAll(
 		ctx, shard.AssignmentPrefixFor(o.name), func(item wire.Item) { assignments = append(assignments, item) },
 	)
 	if !ok {
@@ -36,7 +38,7 @@
 	for _, item := range assignments {
 		o.applyAssignment(item.Key, item.Value, uint64(item.Version))
 	}
-	_, ok = o.readAll(
+	_, ok = o.reader.ReadAll(
 		ctx, shard.AllocationPrefixFor(o.name), func(item wire.Item) { o.restoreAllocation(item, now) },
 	)
 	if !ok {
@@ -116,7 +118,7 @@
 func (o *ShardOwner) insertAssignedJob(assignment *shard.Assignment) *cluster.Job {
 	spec := assignment.Job
 	spec.Dependencies, spec.DependencyChunks = nil, 0 // all of them are done
-	job := o.insertJob(spec, o.node.Now(), o.node.Wall())
+	job := o.intake.InsertJob(spec, o.node.Now(), o.node.Wall())
 	o.assignedAt[spec.ID] = micro.Time(assignment.AssignedAt)
 	o.log.Info(
 		"job assigned", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks,
@@ -140,7 +142,7 @@
 // stopAllocations tells all tasks of a cancelled job to stop.
 func (o *ShardOwner) stopAllocations(j *cluster.Job, now micro.Time) {
 	for _, p := range j.Allocations() {
-		o.cluster.StopAllocation(p, "withdrawn", 0, now)
+		o.cluster.StopAllocation(p, "cancelled", 0, now)
 	}
 }
 
@@ -154,7 +156,7 @@
 			// What was missed cannot be read as changes: the shard is loaded anew.
 			o.log.Info("shard given up", "reason", "the store's history is too short to follow")
 			o.loop.Stop()
-			o.node.reconcileOwners()
+			o.node.shards.Reconcile()
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
@@ -182,12 +184,12 @@
 	e.owner.assignmentRevision = max(e.owner.assignmentRevision, uint64(e.events.Revision))
 }
 
-// How long a job may wait in a shard without ever having had a place before it is handed
-// back: there may be room elsewhere by now.
+// How long a job may wait in a shard without ever having had an allocation before it is handed
+// back: there may be capacity elsewhere by now.
 const handBackTimeout = 30 * micro.Second
 
 // deleteFinishedAssignments deletes the assignments of jobs that are over and of which nothing is
-// left in the shard, and of those that found no room in it.
+// left in the shard, and of those that found no capacity in it.
 func (o *ShardOwner) deleteFinishedAssignments(now micro.Time) {
 	for id, record := range o.assignments {
 		job := o.cluster.Jobs[id]
@@ -220,7 +222,7 @@
 	delete(o.cluster.Jobs, id)
 	delete(o.finished, job)
 	delete(o.cancelling, job)
-	o.knownJobs.Delete(id)
+	o.intake.Forget(id)
 	if job.IsTerminal() {
 		for _, chunk := range job.Chunks {
 			o.records.ChunkRecord(chunk).MarkDirty(o.node.Now(), statestore.PriorityLow)
--- a/internal/controller/status_log.go
+++ b/internal/controller/status_log.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 
+	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/eventloop"
 	"notchmux.dev/notchmux/internal/micro"
 	"notchmux.dev/notchmux/internal/statestore"
@@ -20,67 +21,49 @@
 	}
 }
 
-func (l *controlLoop) logStatus(queuedRequests int) {
-	usable := 0
+// describeFleet counts the machines that take tasks, and describes them by pool.
+func (l *controlLoop) describeFleet() (usable int, description string) {
 	var fleet strings.Builder
 	for _, pool := range l.cluster.Pools {
 		if pool.MachineCount == 0 {
 			continue
 		}
 		usable += pool.MachineCount
-		empty := 0
-		for row := range pool.Rows() {
-			for _, machine := range pool.Row(row) {
-				if len(machine.Allocations) == 0 {
-					empty++
-				}
-			}
-		}
 		kind := "ordinary"
 		if pool.Spot {
 			kind = "spot"
 		}
-		fmt.Fprintf(&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, empty)
+		fmt.Fprintf(
+			&fleet, "%s %s %s %d, %d empty; ", pool.Type.Name, pool.Zone, kind, pool.MachineCount, pool.CountIf(isEmpty),
+		)
 	}
+	return usable, fleet.String()
+}
+
+// isEmpty reports whether a machine has no allocation.
+func isEmpty(machine *cluster.Machine) bool { return len(machine.Allocations) == 0 }
+
+func (l *controlLoop) logStatus(queuedRequests int) {
+	usable, fleet := l.describeFleet()
 	l.log.Info(
-		"leading",
-		"live",
-		len(l.cluster.ActiveJobs),
-		"awaiting",
-		l.cluster.BlockedJobs,
-		"pending",
-		len(l.cluster.PendingJobs),
-		"tasks",
-		l.pendingTasks.Load(),
-		"usable",
-		usable,
-		"known",
-		len(l.cluster.Machines),
-		"writes_first",
-		l.records.Queued(statestore.PriorityUrgent),
-		"writes_soon",
-		l.records.Queued(statestore.PriorityHigh),
-		"writes_lazy",
-		l.records.Queued(statestore.PriorityLow),
-		"writes_idle",
-		l.records.Queued(statestore.PriorityBackground),
-		"written",
-		l.records.ChangeCounts(),
-		"pass_gap_ms",
-		int64(
-			l.scheduleInterval/micro.Millisecond,
-		),
-		"events",
-		l.loop.Len(eventloop.Events),
-		"asks",
-		l.loop.Len(eventloop.Queries),
-		"directs",
-		l.dispatcher.InFlight(),
-		"kicked",
-		l.dispatcher.Pending(),
-		"rentals_waiting",
-		queuedRequests,
-		"fleet",
-		fleet.String(),
+		"leader status",
+		"live", len(l.cluster.ActiveJobs),
+		"blocked", l.cluster.BlockedJobs,
+		"pending", len(l.cluster.PendingJobs),
+		"tasks", l.pendingTasks.Load(),
+		"usable", usable,
+		"known", len(l.cluster.Machines),
+		"writes_urgent", l.records.Queued(statestore.PriorityUrgent),
+		"writes_high", l.records.Queued(statestore.PriorityHigh),
+		"writes_low", l.records.Queued(statestore.PriorityLow),
+		"writes_background", l.records.Queued(statestore.PriorityBackground),
+		"written", l.records.ChangeCounts(),
+		"schedule_interval_ms", int64(l.scheduleInterval/micro.Millisecond),
+		"events", l.loop.Len(eventloop.Events),
+		"queries", l.loop.Len(eventloop.Queries),
+		"dispatches_in_flight", l.dispatcher.InFlight(),
+		"dispatches_pending", l.dispatcher.Pending(),
+		"instance_requests_queued", queuedRequests,
+		"fleet", fleet,
 	)
 }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -3,6 +3,7 @@
 import (
 	"notchmux.dev/notchmux/internal/cluster"
 	"notchmux.dev/notchmux/internal/micro"
+	"notchmux.dev/notchmux/wire"
 )
 
 // Work that can save may use machines with GPUs while these are idle. Stopping it
@@ -63,13 +64,8 @@
 		if pool.MachineCount == 0 || !Allowed(class.LastJob, pool.Type, pool.Zone, pool.Spot) {
 			continue
 		}
-		request := requestOn(class.LastJob, pool.Type)
-		for row := int(request.ScaledCPU - eps); row < pool.Rows(); row++ {
-			for _, machine := range pool.Row(row) {
-				if fits(request, machine, nil, resources{}) {
-					count++
-				}
-			}
+		for range machinesWithCapacity(pool, requestOn(class.LastJob, pool.Type)) {
+			count++
 		}
 	}
 	return count
@@ -94,7 +90,7 @@
 }
 
 // updateHeadroom keeps the count of clear machines while a pass places tasks; it is told
-// before a task takes its place on a machine.
+// before a task is allocated to a machine.
 func (s *Scheduler) updateHeadroom(job *cluster.Job, m *cluster.Machine) {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
@@ -108,3 +104,44 @@
 		}
 	}
 }
+
+// checkpointTimeFactor is how many save times an objective on starting must leave.
+const checkpointTimeFactor = 8
+
+// keepsGPUHeadroom reports whether a job without GPUs leaves a GPU machine capacity for the
+// GPU jobs seen so far: a GPU that lacks CPUs beside it serves nobody. Work that
+// can save, and yields to the GPU jobs' priority well within the time they have to
+// start, may use the capacity meanwhile.
+func (s *Scheduler) keepsGPUHeadroom(job *cluster.Job, machine *cluster.Machine) bool {
+	if job.Spec.GPUs > 0 || machine.Type.GPUs == 0 {
+		return true
+	}
+	for _, class := range s.Cluster.Classes {
+		spec := class.LastJob
+		if spec == nil || spec.GPUs <= 0 || !Allowed(spec, machine.Type, machine.Zone, machine.Spot) {
+			continue
+		}
+		startObjective := s.Objectives.StartObjective(class.Name)
+		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointIntervalS > 0 &&
+			(startObjective == 0 || startObjective > checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS))
+		if preemptible && !s.isHeadroom(job, machine, class) {
+			continue
+		}
+		if !leavesCapacityForGPUs(job, machine, spec) {
+			return false
+		}
+	}
+	return true
+}
+
+// leavesCapacityForGPUs reports whether a job leaves capacity beside a machine's idle GPUs
+// for as many tasks of a GPU job as they are enough for.
+func leavesCapacityForGPUs(job *cluster.Job, machine *cluster.Machine, gpuJob *wire.Job) bool {
+	gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / gpuJob.GPUs))
+	if gpuTasks <= 0 {
+		return true
+	}
+	remainingCPU := machine.Type.CPUs - machine.UsedCPU - job.Spec.CPUs
+	remainingMemoryGB := machine.Type.MemoryGB - machine.UsedMemoryGB - job.Spec.MemoryGB
+	return remainingCPU >= gpuTasks*gpuJob.CPUs-eps && remainingMemoryGB >= gpuTasks*gpuJob.MemoryGB-eps
+}
--- a/internal/scheduler/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -10,7 +10,7 @@
 // order in which they give way; of several the first is told.
 type PendingReason uint8
 
-// The reasons.
+// The reasons. Their names in the log are in docs/operations.md.
 const (
 	ReasonNextPass    PendingReason = iota // there is capacity: the next passes reach it
 	ReasonPartialFit                       // capacity for some of a gang's tasks
@@ -27,13 +27,25 @@
 	ReasonGangStopping
 )
 
-func (r PendingReason) String() string {
-	return [...]string{
-		"in turn", "room for a part", "room kept for GPUs", "dear room", "gathered room", "avoided machines", "unreachable machines",
-		"zone rule", "no room", "limit", "limit saved up", "backoff", "gang winding down",
-	}[r]
+var pendingReasonNames = [...]string{
+	ReasonNextPass:              "next pass",
+	ReasonPartialFit:            "partial fit",
+	ReasonGPUHeadroom:           "GPU headroom",
+	ReasonPrice:                 "price limit",
+	ReasonReserved:              "reserved",
+	ReasonQuarantined:           "quarantined machines",
+	ReasonUnreachable:           "unreachable machines",
+	ReasonZoneConstraint:        "zone constraint",
+	ReasonInsufficientResources: "insufficient resources",
+	ReasonQuota:                 "quota",
+	ReasonQuotaReserved:         "quota reserved",
+	ReasonBackoff:               "backoff",
+	ReasonGangStopping:          "gang stopping",
 }
 
+// String is the reason as operators read it in the log.
+func (r PendingReason) String() string { return pendingReasonNames[r] }
+
 // ExplainPending says why a job with tasks to place has not been given capacity. It looks at the
 // machines that have capacity for one of its tasks, so it costs about as much as a try
 // to place that.
@@ -49,23 +61,25 @@
 	case !withinQuota(job, needed):
 		return ReasonQuotaReserved
 	}
+	reason := s.explainMachines(job, now)
+	if reason == ReasonNextPass && needed > 1 {
+		return ReasonPartialFit
+	}
+	return reason
+}
+
+// explainMachines says what keeps a job from the machines that have capacity for one of its
+// tasks: of several reasons the first.
+func (s *Scheduler) explainMachines(job *cluster.Job, now micro.Time) PendingReason {
 	reason := ReasonInsufficientResources
 	for _, pool := range s.Cluster.Pools {
-		if pool.MachineCount == 0 || !Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) {
+		if !isCandidatePool(job, pool, "") {
 			continue
 		}
-		request := requestOn(&job.Spec, pool.Type)
-		for row := int(request.ScaledCPU - eps); row < pool.Rows(); row++ {
-			for _, machine := range pool.Row(row) {
-				if fits(request, machine, nil, resources{}) {
-					reason = min(reason, s.explainMachine(job, pool, machine, now))
-				}
-			}
+		for machine := range machinesWithCapacity(pool, requestOn(&job.Spec, pool.Type)) {
+			reason = min(reason, s.explainMachine(job, pool, machine, now))
 		}
 	}
-	if reason == ReasonNextPass && needed > 1 {
-		return ReasonPartialFit
-	}
 	return reason
 }
 
