--- a/internal/ci/lint_test.go
+++ b/internal/ci/lint_test.go
@@ -84,77 +84,75 @@
 }
 
 // dirty has a finding of each kind that golangci-lint alone makes over the whole tree.
-func dirty() []planted {
-	return []planted{
-		{"ignored_error", "import \"os\"\n\n// Do1 removes.\nfunc Do1() { os.Remove(\"x\") }\n", "errcheck"},
-		{
-			"compared_error", "import \"io\"\n\n// Do2 compares.\nfunc Do2(err error) bool { return err == io.EOF }\n",
-			"errorlint",
-		},
-		{
-			"lost_assignment", "// Do3 assigns.\n" +
-				"func Do3(n int) int {\n\tm := 1\n\tif n > 0 {\n\t\tm = 2\n\t} else {\n\t\tm = 3\n\t}\n\treturn m\n}\n",
-			"ineffassign",
-		},
-		{
-			"lost_error", "// Do4 loses it.\n" +
-				"func Do4(err error) error {\n\tif err != nil {\n\t\treturn nil\n\t}\n\treturn err\n}\n",
-			"nilerr",
-		},
-		{"misspelled", "// Do5 reci" + "eves nothing.\nfunc Do5() {}\n", "misspell"},
-		{
-			"rule_of_revive", "// Do6 compares.\n" +
-				"func Do6(n int) int {\n\tif n > 0 {\n\t\treturn 1\n\t} else {\n\t\treturn 2\n\t}\n}\n",
-			"revive",
-		},
-		{
-			"dir_test", "import (\n\t\"os\"\n\t\"testing\"\n)\n\n" +
-				"func TestIt(t *testing.T) {\n\tt.Log(os.MkdirTemp(\"\", \"x\"))\n}\n",
-			"usetesting",
-		},
-		{
-			"helper_test", "import \"testing\"\n\nfunc TestThis(t *testing.T) { this(1, t) }\n\n" +
-				"func this(n int, t *testing.T) {\n\tt.Helper()\n\tt.Log(n)\n}\n",
-			"thelper",
-		},
-		{
-			"nolint_without_reason", "import \"os\"\n\n// Do7 removes.\n" +
-				"func Do7() {\n\tos.Remove(\"x\") //nolint:errcheck\n}\n",
-			"nolintlint",
-		},
-		{
-			"nolint_without_linter", "import \"os\"\n\n// Do8 removes.\n" +
-				"func Do8() {\n\tos.Remove(\"x\") //nolint // it may be gone\n}\n",
-			"nolintlint",
-		},
-		{
-			"import_order", "import (\n\t\"errors\"\n\n\t\"io\"\n)\n\n" +
-				"// Err is small.\nvar Err = errors.Join(io.EOF)\n",
-			"gci",
-		},
-		{"empty_line", "// Do13 prints.\nfunc Do13() {\n\n\tprintln()\n}\n", "gofumpt"},
-		{"not_formatted", "// Do9 does nothing.\nfunc  Do9() {}\n", "gofmt"},
-		{
-			"increment", "// Do10 counts.\nfunc Do10(n int) int {\n\tn = n + 1\n\treturn n\n}\n",
-			"gocritic",
-		},
-		{
-			"chain", "// Do12 prints.\nfunc Do12(n int) {\n" +
-				"\tif n == 1 {\n\t\tprintln(1)\n\t} else if n == 2 {\n\t\tprintln(2)\n\t}\n}\n",
-			"staticcheck",
-		},
-		{
-			"nolint_with_reason", "import \"os\"\n\n// Do11 removes.\n" +
-				"func Do11() {\n\tos.Remove(\"x\") //nolint:errcheck // it may be gone\n}\n",
-			"",
-		},
-	}
+var dirty = []planted{
+	{"ignored_error", "import \"os\"\n\n// Do1 removes.\nfunc Do1() { os.Remove(\"x\") }\n", "errcheck"},
+	{
+		"compared_error", "import \"io\"\n\n// Do2 compares.\nfunc Do2(err error) bool { return err == io.EOF }\n",
+		"errorlint",
+	},
+	{
+		"lost_assignment", "// Do3 assigns.\n" +
+			"func Do3(n int) int {\n\tm := 1\n\tif n > 0 {\n\t\tm = 2\n\t} else {\n\t\tm = 3\n\t}\n\treturn m\n}\n",
+		"ineffassign",
+	},
+	{
+		"lost_error", "// Do4 loses it.\n" +
+			"func Do4(err error) error {\n\tif err != nil {\n\t\treturn nil\n\t}\n\treturn err\n}\n",
+		"nilerr",
+	},
+	{"misspelled", "// Do5 reci" + "eves nothing.\nfunc Do5() {}\n", "misspell"},
+	{
+		"rule_of_revive", "// Do6 compares.\n" +
+			"func Do6(n int) int {\n\tif n > 0 {\n\t\treturn 1\n\t} else {\n\t\treturn 2\n\t}\n}\n",
+		"revive",
+	},
+	{
+		"dir_test", "import (\n\t\"os\"\n\t\"testing\"\n)\n\n" +
+			"func TestIt(t *testing.T) {\n\tt.Log(os.MkdirTemp(\"\", \"x\"))\n}\n",
+		"usetesting",
+	},
+	{
+		"helper_test", "import \"testing\"\n\nfunc TestThis(t *testing.T) { this(1, t) }\n\n" +
+			"func this(n int, t *testing.T) {\n\tt.Helper()\n\tt.Log(n)\n}\n",
+		"thelper",
+	},
+	{
+		"nolint_without_reason", "import \"os\"\n\n// Do7 removes.\n" +
+			"func Do7() {\n\tos.Remove(\"x\") //nolint:errcheck\n}\n",
+		"nolintlint",
+	},
+	{
+		"nolint_without_linter", "import \"os\"\n\n// Do8 removes.\n" +
+			"func Do8() {\n\tos.Remove(\"x\") //nolint // it may be gone\n}\n",
+		"nolintlint",
+	},
+	{
+		"import_order", "import (\n\t\"errors\"\n\n\t\"io\"\n)\n\n" +
+			"// Err is small.\nvar Err = errors.Join(io.EOF)\n",
+		"gci",
+	},
+	{"empty_line", "// Do13 prints.\nfunc Do13() {\n\n\tprintln()\n}\n", "gofumpt"},
+	{"not_formatted", "// Do9 does nothing.\nfunc  Do9() {}\n", "gofmt"},
+	{
+		"increment", "// Do10 counts.\nfunc Do10(n int) int {\n\tn = n + 1\n\treturn n\n}\n",
+		"gocritic",
+	},
+	{
+		"chain", "// Do12 prints.\nfunc Do12(n int) {\n" +
+			"\tif n == 1 {\n\t\tprintln(1)\n\t} else if n == 2 {\n\t\tprintln(2)\n\t}\n}\n",
+		"staticcheck",
+	},
+	{
+		"nolint_with_reason", "import \"os\"\n\n// Do11 removes.\n" +
+			"func Do11() {\n\tos.Remove(\"x\") //nolint:errcheck // it may be gone\n}\n",
+		"",
+	},
 }
 
 // One run tells of all files, which saves the linters' start for each.
 func TestGolangciLintFailsOnEachKindOfFinding(t *testing.T) {
 	t.Parallel()
-	checkAllPlanted(t, site(t), "wire", dirty())
+	checkAllPlanted(t, site(t), "wire", dirty)
 }
 
 // dirtyIfStrict is clean under the set for the whole tree.
--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -1,8 +1,6 @@
 package capacity
 
-import (
-	"sort"
-)
+import "sort"
 
 // Pool holds the machines of one type, zone and kind that take new tasks, in rows by their
 // whole scaled CPUs free. The design's score depends on the type alone, so the tightest fit
--- a/internal/cluster/contact/contact.go
+++ b/internal/cluster/contact/contact.go
@@ -4,9 +4,7 @@
 // that process's steady clock; 0: never.
 package contact
 
-import (
-	"notchmux.dev/notchmux/internal/micro"
-)
+import "notchmux.dev/notchmux/internal/micro"
 
 // Source says how an agent's message came.
 type Source uint8
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/micro"
-)
+import "notchmux.dev/notchmux/internal/micro"
 
 // FinalStatus is how a job ended, as it is in the store.
 type FinalStatus struct {
--- a/internal/cluster/guards_test.go
+++ b/internal/cluster/guards_test.go
@@ -89,9 +89,7 @@
 	tc.cluster.RemoveMachine(machine, tc.now)
 	tc.expectAllocations(job, 0)
 	if got, outcome := tc.cluster.Reconcile(
-		agent.Heartbeat(),
-		cluster.FromHeartbeat,
-		tc.now,
+		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
 	); outcome != cluster.Refused || got != nil ||
 		tc.cluster.Machines["m1"] != nil {
 		t.Errorf("gone: verdict %v, known again: %v", outcome, tc.cluster.Machines["m1"] != nil)
--- a/internal/cluster/job_lifecycle.go
+++ b/internal/cluster/job_lifecycle.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/micro"
-)
+import "notchmux.dev/notchmux/internal/micro"
 
 // IsTerminal reports whether the job's final status is in the store.
 func (j *Job) IsTerminal() bool { return j.State == Done || j.State == Aborted }
--- a/internal/cluster/lifecycle.go
+++ b/internal/cluster/lifecycle.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/cluster/lifecycle"
-)
+import "notchmux.dev/notchmux/internal/cluster/lifecycle"
 
 // The states of jobs, allocations and machines, whose transitions package lifecycle lists.
 type (
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -1,8 +1,6 @@
 package lifecycle
 
-import (
-	"notchmux.dev/notchmux/wire"
-)
+import "notchmux.dev/notchmux/wire"
 
 // AllocationState is the state of one attempt on a machine.
 type AllocationState uint8
--- a/internal/cluster/lifecycle/lifecycle.go
+++ b/internal/cluster/lifecycle/lifecycle.go
@@ -2,9 +2,7 @@
 // and, for each, the table of the transitions that are allowed. It has no state of its own.
 package lifecycle
 
-import (
-	"slices"
-)
+import "slices"
 
 // transitions is a state machine's table: the states that may follow each state.
 type transitions[S comparable] map[S][]S
--- a/internal/cluster/machine_lifecycle.go
+++ b/internal/cluster/machine_lifecycle.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/micro"
-)
+import "notchmux.dev/notchmux/internal/micro"
 
 // TransitionMachine is the only function that changes a machine's state; false: it is in that
 // state already, or the transition is not allowed. The reason is for operators.
--- a/internal/cluster/pool.go
+++ b/internal/cluster/pool.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/cluster/capacity"
-)
+import "notchmux.dev/notchmux/internal/cluster/capacity"
 
 // What machines have and hold, and the index by which the scheduler finds them.
 type (
--- a/internal/cluster/quarantine/policy.go
+++ b/internal/cluster/quarantine/policy.go
@@ -52,11 +52,7 @@
 // whether that is new; find gives a machine by its name, nil if there is none. On a recorded
 // night with such jobs, machines were quarantined 59 times since several jobs had failed there.
 func (p *Policy) DismissFailures(
-	fleet Fleet,
-	jobID string,
-	job *Job,
-	find func(name string) *Machine,
-	now micro.Time,
+	fleet Fleet, jobID string, job *Job, find func(name string) *Machine, now micro.Time,
 ) bool {
 	if job.dismissed {
 		return false
--- a/internal/cluster/records/compact.go
+++ b/internal/cluster/records/compact.go
@@ -1,8 +1,6 @@
 package records
 
-import (
-	"notchmux.dev/notchmux/wire"
-)
+import "notchmux.dev/notchmux/wire"
 
 // CompactChunk is a chunk of tasks as the store keeps it in the compact form, which names each
 // machine and zone once. Allocations are (machine, agent epoch, task, attempt), with the machine
--- a/internal/cluster/records/final_status.go
+++ b/internal/cluster/records/final_status.go
@@ -1,8 +1,6 @@
 package records
 
-import (
-	"notchmux.dev/notchmux/wire"
-)
+import "notchmux.dev/notchmux/wire"
 
 // FinalStatus is how a job ended: created once, the first one wins.
 type FinalStatus struct {
--- a/internal/cluster/retention.go
+++ b/internal/cluster/retention.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/micro"
-)
+import "notchmux.dev/notchmux/internal/micro"
 
 // How long the state remembers what is over. A term may last for months: kept for
 // good, the jobs and machines of a large fleet would fill the node's memory.
--- a/internal/cluster/stored_forms.go
+++ b/internal/cluster/stored_forms.go
@@ -1,8 +1,6 @@
 package cluster
 
-import (
-	"notchmux.dev/notchmux/internal/cluster/records"
-)
+import "notchmux.dev/notchmux/internal/cluster/records"
 
 // Names of the stored forms that other packages still know as this package's.
 type (
--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -24,9 +24,7 @@
 		})
 		waitUntil(b.t, "leader known", func() bool { return node.election.Leader() == "n-0" })
 		waitUntil(
-			b.t,
-			"gate open",
-			func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
+			b.t, "gate open", func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
 		)
 		if refused {
 			replaceStore(node, refusingStore{b.store})
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -1095,11 +1095,7 @@
 				_, err := sim.store.Get(sim.ctx, store.Urgent, keys.JobEnd(job.id))
 				in := err == nil
 				sim.sleep(13 * micro.Second) // the write is carried out
-				if _, err := sim.store.Get(
-					sim.ctx,
-					store.Urgent,
-					keys.JobEnd(job.id),
-				); !in && err == nil &&
+				if _, err := sim.store.Get(sim.ctx, store.Urgent, keys.JobEnd(job.id)); !in && err == nil &&
 					!job.knowledge().aborted &&
 					job.runningTasks() > 0 {
 					t.Errorf("the job's end came into the store behind the back of %s", next.name)
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -64,9 +64,7 @@
 }
 
 // newControlLoop makes a loop that gives out fencing tokens from the first one on.
-func newControlLoop(
-	node *Node, term *election.Term, firstToken uint64, log *slog.Logger, duties duties,
-) *controlLoop {
+func newControlLoop(node *Node, term *election.Term, firstToken uint64, log *slog.Logger, duties duties) *controlLoop {
 	l := &controlLoop{node: node, term: term, log: log, loop: eventloop.New(), duties: duties}
 	l.cluster = cluster.New(duties)
 	l.cluster.MinFencingToken = firstToken
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -2,8 +2,6 @@
 
 import "notchmux.dev/notchmux/wire"
 
-// What a leader does in its own way.
-
 // mayRespond is true: a leader may for as long as it holds the lease.
 func (l *Leader) mayRespond() bool { return true }
 
--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -53,9 +53,7 @@
 type otherNodes struct{ node *Node }
 
 // Call calls a node, unless it lately gave no answer.
-func (o otherNodes) Call(
-	ctx context.Context, node, call string, body []byte, timeout micro.Time,
-) (int, []byte, error) {
+func (o otherNodes) Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	return o.node.callPeer(ctx, node, call, body, timeout)
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -16,9 +16,7 @@
 const peerBackoff = 2 * micro.Second
 
 // callPeer calls a peer, and leaves one alone for a while that did not answer.
-func (n *Node) callPeer(
-	ctx context.Context, node, call string, body []byte, timeout micro.Time,
-) (int, []byte, error) {
+func (n *Node) callPeer(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	if n.backingOff(node) {
 		return 0, nil, peer.ErrUnreachable
 	}
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -269,8 +269,7 @@
 func TestLeaderDoesNotAnswerFromMemoryWhileAnEndIsInFlight(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith(
-		"n-0",
-		func(node *Node) { node.Store = unansweredKeyStore{node.Store, keys.JobEnd("j-1")} },
+		"n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, keys.JobEnd("j-1")} },
 	)
 	node.Submit(submission("j-1", wire.JobArray))
 	reader, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -6,8 +6,6 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// How the records of a leader are written.
-
 // Preconditions are that the term goes on.
 func (l *Leader) Preconditions() []wire.Precondition {
 	return []wire.Precondition{l.term.Precondition()}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -206,9 +206,7 @@
 		}
 		if open {
 			waitUntil(
-				t,
-				"open",
-				func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
+				t, "open", func() bool { node.formatGate.Check(context.Background()); return node.formatGate.FormatOpen() },
 			)
 			if got := held(); got != 100 {
 				t.Fatalf("%d places are known after the move", got)
--- a/internal/detector/registration.go
+++ b/internal/detector/registration.go
@@ -63,9 +63,7 @@
 
 // registrationFailure says why a machine that was never heard of in this term is given up,
 // "" if it is not.
-func (d *Detector) registrationFailure(
-	machine *cluster.Machine, summary *heartbeatSummary, now micro.Time,
-) string {
+func (d *Detector) registrationFailure(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) string {
 	waiting := d.registration(machine, now)
 	switch {
 	case d.neverListed(waiting):
--- a/internal/jobapi/status_lookup.go
+++ b/internal/jobapi/status_lookup.go
@@ -310,9 +310,7 @@
 	err := peer.ErrUnreachable
 	body := wire.MustMarshal(ids)
 	for _, node := range s.peers.LeaderFirst() {
-		status, reply, peerErr := s.peers.Call(
-			context.Background(), node, peer.AcceptedJobsBudgeted, body, PeerCallTimeout,
-		)
+		status, reply, peerErr := s.peers.Call(context.Background(), node, peer.AcceptedJobsBudgeted, body, PeerCallTimeout)
 		var found []string
 		switch {
 		case peerErr != nil:
--- a/internal/leasekeeper/guards_test.go
+++ b/internal/leasekeeper/guards_test.go
@@ -18,10 +18,7 @@
 // millisecond until its span is surely over. It gives the true times of the first and
 // the last renewal.
 func lastRenewal(
-	t *testing.T,
-	proxy *Proxy,
-	clock func(micro.Time) micro.Time,
-	from micro.Time,
+	t *testing.T, proxy *Proxy, clock func(micro.Time) micro.Time, from micro.Time,
 ) (first, last micro.Time) {
 	t.Helper()
 	for now := from; now < from+testWindow+micro.Second; now += micro.Millisecond {
--- a/internal/scheduler/allocation.go
+++ b/internal/scheduler/allocation.go
@@ -60,9 +60,7 @@
 
 // machineForTask finds a machine for the first of a job's waiting tasks. Where there is none
 // it preempts for them, and gives one only if expensive capacity will do instead.
-func (s *Scheduler) machineForTask(
-	job *cluster.Job, waiting []int, overdue bool, now micro.Time,
-) *cluster.Machine {
+func (s *Scheduler) machineForTask(job *cluster.Job, waiting []int, overdue bool, now micro.Time) *cluster.Machine {
 	placement := placementRequest{job: job, preferOnDemand: s.prefersOnDemand(job, waiting[0], now), now: now}
 	if machine := s.bestMachine(&placement); machine != nil {
 		return machine
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -186,9 +186,7 @@
 }
 
 // storeAssignment keeps the record of an assignment.
-func (c *Coordinator) storeAssignment(
-	shardName string, job *cluster.Job, assignment shard.Assignment,
-) *assignedJob {
+func (c *Coordinator) storeAssignment(shardName string, job *cluster.Job, assignment shard.Assignment) *assignedJob {
 	assigned := &assignedJob{
 		job: job, shardName: shardName, assignment: assignment,
 		storeRecord: c.Records.Record(shard.AssignmentKey(shardName, job.Spec.ID)),
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -182,9 +182,7 @@
 	if c == nil {
 		return false
 	}
-	entry, ok := c.table().ShardOf(
-		shard.Attributes{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot},
-	)
+	entry, ok := c.table().ShardOf(shard.Attributes{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
 	return ok && c.ownedElsewhere(entry)
 }
 
@@ -365,9 +363,7 @@
 
 // changeShardThen does the same, and tells what came of the write; it returns why the
 // change is refused.
-func (c *Coordinator) changeShardThen(
-	entry shard.Entry, reason string, change recordChange, done func(error),
-) error {
+func (c *Coordinator) changeShardThen(entry shard.Entry, reason string, change recordChange, done func(error)) error {
 	changed, err := change(int64(c.Wall()))
 	if err != nil {
 		return err
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -109,9 +109,7 @@
 	now := c.Now()
 	stopping, replicas := c.replicasIn(entry)
 	for _, allocation := range replicas[:max(min(len(replicas), maxReplicasStopping-stopping), 0)] {
-		c.Cluster.StopAllocation(
-			allocation, "the machine goes to a shard", allocation.Job.Spec.CheckpointDurationS, now,
-		)
+		c.Cluster.StopAllocation(allocation, "the machine goes to a shard", allocation.Job.Spec.CheckpointDurationS, now)
 	}
 }
 
--- a/internal/shard/coordinator/policy.go
+++ b/internal/shard/coordinator/policy.go
@@ -88,8 +88,7 @@
 		}
 		moving += c.viewOf(entry.Name).machineCount
 		c.changeShard(
-			entry, "policy "+movePolicy.Name,
-			func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) },
+			entry, "policy "+movePolicy.Name, func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) },
 		)
 	}
 }
--- a/internal/shard/guards_test.go
+++ b/internal/shard/guards_test.go
@@ -33,9 +33,7 @@
 func guardedOwner(t *testing.T, moving bool) *shard.Owner {
 	t.Helper()
 	return shard.NewOwner(
-		guardedEntry(t, 9, moving),
-		election.NewTermForKey(shard.SessionKey("n-1"), 5, micro.Minute),
-		guardedSelf,
+		guardedEntry(t, 9, moving), election.NewTermForKey(shard.SessionKey("n-1"), 5, micro.Minute), guardedSelf,
 		func(string, ...any) {},
 	)
 }
@@ -71,12 +69,7 @@
 		t,
 		9,
 		false,
-	).Reassign(
-		guardedTarget,
-		shard.Sessions{"n-2": 7},
-		4,
-		wire.Precondition{Key: "leader", Version: 3},
-	)
+	).Reassign(guardedTarget, shard.Sessions{"n-2": 7}, 4, wire.Precondition{Key: "leader", Version: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
