--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -44,6 +44,14 @@
 func main() {
 	var flags cli
 	kong.Parse(&flags, kong.Name("devcluster"))
+	if err := run(flags); err != nil {
+		fmt.Fprintln(os.Stderr, "devcluster:", err)
+		os.Exit(1)
+	}
+}
+
+// run emulates the site until it is interrupted; the error tells which address is taken.
+func run(flags cli) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	dev := &devCluster{flags, fake.NewStore(), fake.NewCloud(8, wire.MachineType{
@@ -51,11 +59,12 @@
 		FetchGBPerS: 1, Price: 0.2, SpotPrice: 0.06, BootS: 2, Zones: []string{"east", "west"},
 	})}
 	group, ctx := errgroup.WithContext(ctx)
-	for addr, handler := range map[string]fasthttp.RequestHandler{flags.State: dev.store.Handle, flags.Cloud: dev.cloud.Handle} {
-		listener, err := net.Listen("tcp4", addr)
+	for addr, handler := range map[string]fasthttp.RequestHandler{
+		flags.State: dev.store.Handle, flags.Cloud: dev.cloud.Handle,
+	} {
+		listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", addr)
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "devcluster:", err)
-			os.Exit(1)
+			return err
 		}
 		group.Go(func() error { return fasthttp.Serve(listener, handler) })
 	}
@@ -70,13 +79,14 @@
 	}
 	fmt.Println("state service on", flags.State, "and cloud on", flags.Cloud)
 	_ = group.Wait()
+	return nil
 }
 
 // startAgents starts an agent for each machine that is rented.
 func (b *devCluster) startAgents(ctx context.Context) {
 	running := map[string]bool{}
 	for ctx.Err() == nil {
-		for _, machine := range b.cloud.Instances() {
+		for _, machine := range b.cloud.Instances() { //nolint:contextcheck // the fake cloud waits for nothing
 			if !running[machine.Name] {
 				running[machine.Name] = true
 				go b.runAgent(ctx, machine)
@@ -89,61 +99,79 @@
 // runAgent is one agent: it reports, takes dispatched commands, and lets tasks end.
 func (b *devCluster) runAgent(ctx context.Context, machine wire.ListedMachine) {
 	time.Sleep(time.Second) // it boots
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "devcluster:", err)
 		return
 	}
-	defer listener.Close()
-	var mu sync.Mutex
-	agent := fake.NewAgent(machine.Name, machine.Type, machine.Zone, 30*micro.Second)
-	agent.Spot, agent.LeaseStart = machine.Spot, micro.Now()
-	nextHeartbeat := func() *wire.Heartbeat {
-		heartbeat := agent.Heartbeat()
-		heartbeat.Addr = listener.Addr().String()
-		return heartbeat
+	defer func() { _ = listener.Close() }()
+	agent := &devAgent{
+		agent: fake.NewAgent(machine.Name, machine.Type, machine.Zone, 30*micro.Second),
+		addr:  listener.Addr().String(), firstSeen: map[fake.AttemptKey]time.Time{},
 	}
-	go func() {
-		_ = fasthttp.Serve(listener, func(request *fasthttp.RequestCtx) {
-			mu.Lock()
-			defer mu.Unlock()
-			var commands wire.Commands
-			if wire.Unmarshal(request.PostBody(), &commands) != nil {
-				request.SetStatusCode(400)
-				return
-			}
-			heartbeat, executed := agent.HandleDispatch(commands)
-			heartbeat.Addr = listener.Addr().String()
-			if !executed {
-				request.SetStatusCode(409)
-			}
-			request.SetBody(wire.MustMarshal(heartbeat))
-		})
-	}()
-	firstSeen := map[fake.AttemptKey]time.Time{}
-	for ctx.Err() == nil && b.isRunning(machine.Name) {
-		mu.Lock()
-		sent := micro.Now()
-		agent.ExpireLease(sent)
-		for attempt, task := range agent.Tasks {
-			if _, executed := firstSeen[attempt]; !executed {
-				firstSeen[attempt] = time.Now()
-			}
-			if task.State == wire.TaskRunning && time.Since(firstSeen[attempt]) > b.Run && !b.isServiceTask(attempt.Task) {
-				agent.ExitTask(attempt.Task, attempt.Attempt, wire.CauseDone)
-			}
-		}
-		body := wire.MustMarshal(nextHeartbeat())
-		mu.Unlock()
+	agent.agent.Spot, agent.agent.LeaseStart = machine.Spot, micro.Now()
+	go func() { _ = fasthttp.Serve(listener, agent.handleDispatch) }()
+	for ctx.Err() == nil && b.isRunning(machine.Name) { //nolint:contextcheck // as above
+		body, sent := agent.nextHeartbeat(ctx, b)
 		if commands, ok := b.postHeartbeat(body); ok {
-			mu.Lock()
-			agent.HandleResponse(commands, sent)
-			mu.Unlock()
+			agent.handleResponse(commands, sent)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
+// devAgent is an agent with its lock: commands come from the node's side at any time.
+type devAgent struct {
+	mu        sync.Mutex
+	agent     *fake.Agent
+	addr      string
+	firstSeen map[fake.AttemptKey]time.Time
+}
+
+// handleDispatch executes dispatched commands and answers with a heartbeat.
+func (a *devAgent) handleDispatch(request *fasthttp.RequestCtx) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var commands wire.Commands
+	if wire.Unmarshal(request.PostBody(), &commands) != nil {
+		request.SetStatusCode(fasthttp.StatusBadRequest)
+		return
+	}
+	heartbeat, executed := a.agent.HandleDispatch(commands)
+	heartbeat.Addr = a.addr
+	if !executed {
+		request.SetStatusCode(fasthttp.StatusConflict)
+	}
+	request.SetBody(wire.MustMarshal(heartbeat))
+}
+
+// nextHeartbeat ends what has run its time, and gives the heartbeat to send and the time
+// from which its answer extends the lease.
+func (a *devAgent) nextHeartbeat(ctx context.Context, b *devCluster) (body []byte, sent micro.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sent = micro.Now()
+	a.agent.ExpireLease(sent)
+	for attempt, task := range a.agent.Tasks {
+		if _, seen := a.firstSeen[attempt]; !seen {
+			a.firstSeen[attempt] = time.Now()
+		}
+		overdue := time.Since(a.firstSeen[attempt]) > b.Run
+		if task.State == wire.TaskRunning && overdue && !b.isServiceTask(ctx, attempt.Task) {
+			a.agent.ExitTask(attempt.Task, attempt.Attempt, wire.CauseDone)
+		}
+	}
+	heartbeat := a.agent.Heartbeat()
+	heartbeat.Addr = a.addr
+	return wire.MustMarshal(heartbeat), sent
+}
+
+func (a *devAgent) handleResponse(commands wire.Commands, sent micro.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.agent.HandleResponse(commands, sent)
+}
+
 // postHeartbeat sends a heartbeat to the node; false if it gave no commands in answer.
 func (b *devCluster) postHeartbeat(body []byte) (wire.Commands, bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -153,7 +181,7 @@
 	req.SetRequestURI("http://" + b.Node + "/agent/beat")
 	req.SetBody(body)
 	var commands wire.Commands
-	ok := fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == 200 &&
+	ok := fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == fasthttp.StatusOK &&
 		wire.Unmarshal(resp.Body(), &commands) == nil
 	return commands, ok
 }
@@ -168,9 +196,9 @@
 }
 
 // isServiceTask looks a task's job up, as an agent fetches its description.
-func (b *devCluster) isServiceTask(task string) bool {
+func (b *devCluster) isServiceTask(ctx context.Context, task string) bool {
 	id, _, _ := wire.ParseTaskName(task)
-	it, err := b.store.Get(context.Background(), store.Routine, "job/"+id+"/spec")
+	it, err := b.store.Get(ctx, store.Routine, "job/"+id+"/spec")
 	var job wire.Job
 	return err == nil && wire.Unmarshal(it.Value, &job) == nil && job.Kind == wire.Service
 }
--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -97,9 +97,7 @@
 		busy := planner.submit("j-0", 3, 4, false) // takes what is up for good
 		busy.Spec.EstimateS = 1e6
 		for i := range test.late + test.up {
-			machine := planner.Cluster.EnsureMachine(fmt.Sprint("i-", i), now)
-			planner.Cluster.DescribeMachine(machine, cheap.Type, cheap.Zone, cheap.Spot)
-			machine.RequestedAt = now - micro.Minute
+			machine := planner.addRequested(i, cheap)
 			if i >= test.late {
 				planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 				planner.Cluster.Allocate(busy, i-test.late, machine, 1, 4, now)
@@ -109,21 +107,11 @@
 			planner.Cluster.FinalizeJob(busy, true, now)
 		}
 		planner.submit("j-1", 4, 1, false)
-		requestsCheap := func(at micro.Time) bool {
-			scaleOuts, _ := planner.Plan(at)
-			if len(scaleOuts) != 1 {
-				t.Fatalf("%s: %+v", test.name, scaleOuts)
-			}
-			return scaleOuts[0].InstanceOffer == cheap
-		}
+		requestsCheap := func(at micro.Time) bool { return planner.onlyRequest(t, test.name, at) == cheap }
 		if got := requestsCheap(now); got != test.want {
 			t.Errorf("%s: asked for %v, want %v", test.name, got, test.want)
 		}
-		for _, machine := range planner.Cluster.SortedMachines() { // all late ones are returned
-			if machine.State == cluster.Registering {
-				planner.Cluster.RemoveMachine(machine, now)
-			}
-		}
+		planner.returnLateMachines()
 		if got := requestsCheap(now + micro.Minute); got != test.want {
 			t.Errorf("%s: a minute later asked for %v, want %v", test.name, got, test.want)
 		}
@@ -132,3 +120,30 @@
 		}
 	}
 }
+
+// onlyRequest is the offer of the one request that is made.
+func (p *Planner) onlyRequest(t *testing.T, name string, at micro.Time) InstanceOffer {
+	t.Helper()
+	scaleOuts, _ := p.Plan(at)
+	if len(scaleOuts) != 1 {
+		t.Fatalf("%s: %+v", name, scaleOuts)
+	}
+	return scaleOuts[0].InstanceOffer
+}
+
+// addRequested adds a machine of the offer that was requested a minute ago.
+func (p *Planner) addRequested(i int, offer InstanceOffer) *cluster.Machine {
+	machine := p.Cluster.EnsureMachine(fmt.Sprint("i-", i), now)
+	p.Cluster.DescribeMachine(machine, offer.Type, offer.Zone, offer.Spot)
+	machine.RequestedAt = now - micro.Minute
+	return machine
+}
+
+// returnLateMachines removes all machines that never came up.
+func (p *Planner) returnLateMachines() {
+	for _, machine := range p.Cluster.SortedMachines() {
+		if machine.State == cluster.Registering {
+			p.Cluster.RemoveMachine(machine, now)
+		}
+	}
+}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -113,32 +113,37 @@
 		delay micro.Time
 	}{{"slow clock", maxClockDrift - 1, 0}, {"late answers", 0, micro.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			inFakeTime(t, func(cluster *testCluster) {
-				old := cluster.startNode("n-0", c.slow)
-				cluster.advance(micro.Second)
-				next := cluster.startNode("n-1", 0)
-				old.link.SetDelay(c.delay)
-				cluster.advance(2 * ttl)
-				if !old.isLeading() {
-					t.Fatal("does not lead")
-				}
-				old.link.SetReachability(fake.Partitioned)
-				for end := cluster.store.Now() + 2*ttl; cluster.store.Now() < end; cluster.advance(micro.Millisecond) {
-					if old.isLeading() && (next.isLeading() || !cluster.leaderKeyExists()) {
-						t.Fatalf("acts after its lease ended; the other leads: %v", next.isLeading())
-					}
-				}
-				if !next.isLeading() {
-					t.Fatal("nobody took over")
-				}
-				if revision := next.Term().FencingRevision; revision <= old.startedTerms[0].FencingRevision {
-					t.Errorf("the new term's token is no higher: %d", revision)
-				}
-			})
+			inFakeTime(t, func(cluster *testCluster) { checkPartitionedLeader(t, cluster, c.slow, c.delay) })
 		})
 	}
 }
 
+// checkPartitionedLeader cuts a leader off whose clock is slow and whose answers are late,
+// and checks that it has stopped leading by the time its lease ends or another leads.
+func checkPartitionedLeader(t *testing.T, cluster *testCluster, slow int64, delay micro.Time) {
+	t.Helper()
+	old := cluster.startNode("n-0", slow)
+	cluster.advance(micro.Second)
+	next := cluster.startNode("n-1", 0)
+	old.link.SetDelay(delay)
+	cluster.advance(2 * ttl)
+	if !old.isLeading() {
+		t.Fatal("does not lead")
+	}
+	old.link.SetReachability(fake.Partitioned)
+	for end := cluster.store.Now() + 2*ttl; cluster.store.Now() < end; cluster.advance(micro.Millisecond) {
+		if old.isLeading() && (next.isLeading() || !cluster.leaderKeyExists()) {
+			t.Fatalf("acts after its lease ended; the other leads: %v", next.isLeading())
+		}
+	}
+	if !next.isLeading() {
+		t.Fatal("nobody took over")
+	}
+	if revision := next.Term().FencingRevision; revision <= old.startedTerms[0].FencingRevision {
+		t.Errorf("the new term's token is no higher: %d", revision)
+	}
+}
+
 func TestLeadershipLapsesInAnOutageAndResumesWithTheLease(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
 		member := cluster.startNode("n-0", 0)
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -33,8 +33,8 @@
 	reachability    Reachability
 	killed          bool
 	delay           micro.Time
-	lateCommitRatio float64                            // share of commits that are carried out late, and answered by nothing
-	lostAnswerRatio float64                            // share of commits that are carried out at once, and answered by nothing
+	lateCommitRatio float64                            // share of commits carried out late, and answered by nothing
+	lostAnswerRatio float64                            // share of commits carried out at once, and answered by nothing
 	onCommit        func(wire.Transaction) CommitFault // nil: nothing of note
 	pausedUntil     time.Time
 	writeLimiter    *rate.Limiter // what the process may change; nil: no limit
@@ -240,7 +240,7 @@
 	case fault.Refused:
 		return 0, store.ErrRefused
 	case fault.Unanswered && fault.ExecuteAfter > 0:
-		time.AfterFunc(fault.ExecuteAfter.Duration(), func() { _, _ = l.Store.Commit(context.Background(), class, txn) })
+		l.commitLater(ctx, fault.ExecuteAfter.Duration(), class, txn)
 		return 0, l.waitUnanswered(ctx)
 	case fault.Unanswered:
 		_, _ = l.Store.Commit(ctx, class, txn)
@@ -250,7 +250,7 @@
 		l.mu.Lock()
 		after := 2*time.Second + time.Duration(l.rng.Int64N(int64(10*time.Second)))
 		l.mu.Unlock()
-		time.AfterFunc(after, func() { _, _ = l.Store.Commit(context.Background(), class, txn) })
+		l.commitLater(ctx, after, class, txn)
 		return 0, l.waitUnanswered(ctx)
 	}
 	revision, err := l.Store.Commit(ctx, class, txn)
@@ -263,6 +263,12 @@
 	return revision, err
 }
 
+// commitLater carries a transaction out after a while, whatever became of its caller.
+func (l *Link) commitLater(ctx context.Context, after time.Duration, class store.Class, txn wire.Transaction) {
+	ctx = context.WithoutCancel(ctx)
+	time.AfterFunc(after, func() { _, _ = l.Store.Commit(ctx, class, txn) })
+}
+
 // Grant makes a lease.
 func (l *Link) Grant(ctx context.Context, ttl micro.Time) (uint64, error) {
 	if err := l.deliverRequest(ctx); err != nil {
--- a/internal/fake/serve.go
+++ b/internal/fake/serve.go
@@ -23,17 +23,17 @@
 func statusOf(err error) int {
 	switch {
 	case err == nil:
-		return 200
+		return fasthttp.StatusOK
 	case errors.Is(err, store.ErrNotFound), errors.Is(err, store.ErrNoLease):
-		return 404
+		return fasthttp.StatusNotFound
 	case errors.Is(err, store.ErrConflict):
-		return 409
+		return fasthttp.StatusConflict
 	case errors.Is(err, store.ErrMalformed):
-		return 400
+		return fasthttp.StatusBadRequest
 	case errors.Is(err, store.ErrRateLimited):
-		return 429
+		return fasthttp.StatusTooManyRequests
 	}
-	return 503
+	return fasthttp.StatusServiceUnavailable
 }
 
 // rawTransaction is a transaction with its values as they came.
@@ -55,60 +55,81 @@
 		item, err := s.Get(bg, store.Routine, path[len("/keys/"):])
 		respond(ctx, statusOf(err), item)
 	case path == "/keys":
-		limit, err := strconv.Atoi(string(args.Peek("limit")))
-		if err != nil || limit < 1 || limit > 1000 {
-			limit = 1000
-		}
-		page, err := s.Range(bg, store.Routine, string(args.Peek("prefix")), string(args.Peek("since")), limit)
+		page, err := s.Range(
+			bg, store.Routine, string(args.Peek("prefix")), string(args.Peek("since")), pageLimit(args.Peek("limit")),
+		)
 		respond(ctx, statusOf(err), page)
 	case path == "/commit":
-		var request rawTransaction
-		if wire.Unmarshal(ctx.PostBody(), &request) != nil {
-			respond(ctx, 400, nil)
-			return
-		}
-		txn := wire.Transaction{If: request.If}
-		for _, change := range request.Then {
-			put := wire.Change{Put: change.Put, Value: change.Value, Lease: change.Lease, Delete: change.Delete}
-			txn.Then = append(txn.Then, put)
-		}
-		if len(txn.Then) == 0 { // only compares: what failed is asked for
-			if failed := s.failedPreconditions(txn.If); len(failed) > 0 {
-				respond(ctx, 409, wire.TransactionResult{Failed: failed})
-				return
-			}
-		}
-		revision, err := s.Commit(bg, store.Routine, txn)
-		if errors.Is(err, store.ErrNoLease) {
-			respond(ctx, 400, wire.TransactionResult{Error: "no such lease"})
-			return
-		}
-		respond(ctx, statusOf(err), wire.TransactionResult{Revision: wire.Count(revision)})
+		s.handleCommit(bg, ctx)
 	case path == "/leases":
 		var request wire.LeaseRequest
 		if wire.Unmarshal(ctx.PostBody(), &request) != nil {
-			respond(ctx, 400, nil)
+			respond(ctx, fasthttp.StatusBadRequest, nil)
 			return
 		}
 		id, err := s.Grant(bg, micro.Time(request.TTLMs)*micro.Millisecond)
 		respond(ctx, statusOf(err), wire.LeaseReply{Lease: wire.Count(id)})
 	case strings.HasPrefix(path, "/leases/"):
-		leaseID, renew := strings.CutSuffix(path[len("/leases/"):], "/extend")
-		id, err := strconv.ParseUint(leaseID, 10, 64)
-		if err == nil && renew {
-			err = s.Renew(bg, id)
-		} else if err == nil {
-			err = s.Revoke(bg, id)
-		}
-		respond(ctx, statusOf(err), map[string]any{})
+		respond(ctx, statusOf(s.handleLease(bg, path[len("/leases/"):])), map[string]any{})
 	case path == "/changes":
 		since, _ := strconv.ParseUint(string(args.Peek("since")), 10, 64)
 		waitMs, _ := strconv.ParseInt(string(args.Peek("waitMs")), 10, 64)
 		events, err := s.Watch(bg, string(args.Peek("prefix")), since, micro.Time(waitMs)*micro.Millisecond)
 		respond(ctx, statusOf(err), events)
 	default:
-		respond(ctx, 404, nil)
+		respond(ctx, fasthttp.StatusNotFound, nil)
+	}
+}
+
+// maxPage is how many items a page holds at most.
+const maxPage = 1000
+
+// pageLimit reads the size of a page; what is no size of one means the largest.
+func pageLimit(argument []byte) int {
+	limit, err := strconv.Atoi(string(argument))
+	if err != nil || limit < 1 || limit > maxPage {
+		return maxPage
+	}
+	return limit
+}
+
+// handleCommit carries a transaction out.
+func (s *Store) handleCommit(bg context.Context, ctx *fasthttp.RequestCtx) {
+	var request rawTransaction
+	if wire.Unmarshal(ctx.PostBody(), &request) != nil {
+		respond(ctx, fasthttp.StatusBadRequest, nil)
+		return
+	}
+	txn := wire.Transaction{If: request.If}
+	for _, change := range request.Then {
+		put := wire.Change{Put: change.Put, Value: change.Value, Lease: change.Lease, Delete: change.Delete}
+		txn.Then = append(txn.Then, put)
+	}
+	if len(txn.Then) == 0 { // only compares: what failed is asked for
+		if failed := s.failedPreconditions(txn.If); len(failed) > 0 {
+			respond(ctx, fasthttp.StatusConflict, wire.TransactionResult{Failed: failed})
+			return
+		}
+	}
+	revision, err := s.Commit(bg, store.Routine, txn)
+	if errors.Is(err, store.ErrNoLease) {
+		respond(ctx, fasthttp.StatusBadRequest, wire.TransactionResult{Error: "no such lease"})
+		return
+	}
+	respond(ctx, statusOf(err), wire.TransactionResult{Revision: wire.Count(revision)})
+}
+
+// handleLease renews a lease or ends it; rest is what follows /leases/.
+func (s *Store) handleLease(bg context.Context, rest string) error {
+	leaseID, renew := strings.CutSuffix(rest, "/extend")
+	id, err := strconv.ParseUint(leaseID, 10, 64)
+	if err != nil {
+		return err
+	}
+	if renew {
+		return s.Renew(bg, id)
 	}
+	return s.Revoke(bg, id)
 }
 
 // Handle serves the cloud over HTTP.
@@ -117,32 +138,32 @@
 	switch {
 	case path == "/catalog":
 		catalog, _ := c.Catalog(bg)
-		respond(ctx, 200, catalog)
+		respond(ctx, fasthttp.StatusOK, catalog)
 	case path == "/machines" && ctx.IsGet():
 		list, _ := c.List(bg, "")
-		respond(ctx, 200, list)
+		respond(ctx, fasthttp.StatusOK, list)
 	case path == "/machines":
 		var request wire.InstanceRequest
 		if wire.Unmarshal(ctx.PostBody(), &request) != nil || request.Count < 1 || request.Count > 50 {
-			respond(ctx, 400, nil)
+			respond(ctx, fasthttp.StatusBadRequest, nil)
 			return
 		}
 		names, err := c.RequestInstances(bg, request)
 		if errors.Is(err, cloud.ErrNoCapacity) {
-			respond(ctx, 503, map[string]string{"error": "no capacity"})
+			respond(ctx, fasthttp.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 			return
 		}
-		respond(ctx, 200, wire.MachineNames{Machines: names})
+		respond(ctx, fasthttp.StatusOK, wire.MachineNames{Machines: names})
 	case path == "/machines/return":
 		var request wire.MachineNames
 		if wire.Unmarshal(ctx.PostBody(), &request) != nil {
-			respond(ctx, 400, nil)
+			respond(ctx, fasthttp.StatusBadRequest, nil)
 			return
 		}
 		_ = c.Terminate(bg, request.Machines)
-		respond(ctx, 200, map[string]any{})
+		respond(ctx, fasthttp.StatusOK, map[string]any{})
 	default:
-		respond(ctx, 404, nil)
+		respond(ctx, fasthttp.StatusNotFound, nil)
 	}
 }
 
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -325,18 +325,24 @@
 	return nil
 }
 
+// eventsAfter are the changes under a prefix after a revision; the lock is held.
+func (s *Store) eventsAfter(prefix string, after uint64) wire.Events {
+	events := wire.Events{Revision: wire.Count(s.revision)}
+	i := sort.Search(len(s.events), func(i int) bool { return uint64(s.events[i].Version) > after })
+	for _, event := range s.events[i:] {
+		if strings.HasPrefix(event.Put+event.Delete, prefix) {
+			events.Events = append(events.Events, event)
+		}
+	}
+	return events
+}
+
 // Watch waits for changes.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
 	for deadline := s.Now() + wait; ; {
 		s.mu.Lock()
 		s.expireLeases()
-		events := wire.Events{Revision: wire.Count(s.revision)}
-		i := sort.Search(len(s.events), func(i int) bool { return uint64(s.events[i].Version) > after })
-		for _, event := range s.events[i:] {
-			if strings.HasPrefix(event.Put+event.Delete, prefix) {
-				events.Events = append(events.Events, event)
-			}
-		}
+		events := s.eventsAfter(prefix, after)
 		outage, changed, now := s.outage, s.changed, s.Now()
 		remaining := deadline - now
 		if !outage {
@@ -352,7 +358,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return wire.Events{}, fmt.Errorf("%w: %v", store.ErrUncertain, ctx.Err())
+			return wire.Events{}, fmt.Errorf("%w: %w", store.ErrUncertain, ctx.Err())
 		case <-changed:
 		case <-timer.C:
 		}
--- a/internal/leasekeeper/guards_test.go
+++ b/internal/leasekeeper/guards_test.go
@@ -44,10 +44,21 @@
 		name  string
 		bound func(bound *RenewalBound) micro.Time
 	}{
-		{"from when a lease counts that a keeper may have renewed", func(bound *RenewalBound) micro.Time { return bound.RenewedUntil("b", answered+2*testWindow) }},
-		{"until when a keeper may yet renew, out of touch", func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("b", answered+renewAfter) }},
-		{"until when a keeper may yet renew, in touch", func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("b", answered) }},
-		{"until when the leader itself may renew as a keeper", func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("a", answered) }},
+		{
+			"from when a lease counts that a keeper may have renewed",
+			func(bound *RenewalBound) micro.Time { return bound.RenewedUntil("b", answered+2*testWindow) },
+		},
+		{
+			"until when a keeper may yet renew, out of touch",
+			func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("b", answered+renewAfter) },
+		},
+		{"until when a keeper may yet renew, in touch", func(bound *RenewalBound) micro.Time {
+			return bound.RenewalLimit("b", answered)
+		}},
+		{
+			"until when the leader itself may renew as a keeper",
+			func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("a", answered) },
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockOf(-worstDrift)
--- a/internal/shard/golden_test.go
+++ b/internal/shard/golden_test.go
@@ -101,12 +101,47 @@
 		value any
 		bytes string
 	}{
-		{"share record", goldenRecord(), "87a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd012da674617267657482a46e6f6465a36e2d32a773657373696f6ecd012ea673656c65637483a474797065a3677075a47a6f6e65a465617374a46b696e64a473706f74a57465616d7392a6766973696f6ea6737065656368a56d6f76657307a26174cf00060a24181e4000"},
-		{"assignment", goldenAssignment(), "84a36a6f62de0017a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a6766973696f6ea57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd0000000000000a467707573cb4000000000000000a572616d4762cb400c000000000000a662756e646c65a6696d672d3037a670756c6c4762cb3ff8000000000000a47269677391a5736d616c6ca479617264a465617374a76f6e655a6f6e65c3a773636174746572c3a76c6f616e657273c3a6677565737353cb406e000000000000a9626f6f6b6d61726b53cb403e000000000000a6737461736853cb4010000000000000a464756553cb408c200000000000a661776169747391a36a2d31a8617761697473496e06a26174cf00060a24181e4000a26174cf00060a24181e4001a57461736b73cc96a473746f70c3"},
-		{"touch", StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: []ShardUpdate{goldenShareTouch()}}, "84a46e6f6465a36e2d31a773657373696f6ecd012da47465726dcd0131a6736861726573918da46e616d65a467707573a47365656ecd0130a4726f6f6d9187a474797065a3677075a47a6f6e65a465617374a473706f74c3a5636f756e7406a3637075cb401e000000000000a3677075cb4000000000000000a36d656dcb4050000000000000a866696e697368656492a36a2d31a36a2d32a773746f707065649183a36a6f62a36a2d33a468656c6408a57a6f6e657391a477657374a664656d616e649183a36a6f62a36a2d34a57461736b730aa57a6f6e657391a56e6f727468a870726f67726573739184a36a6f62a36a2d35a4646f6e650ba772756e6e696e670da46e6565640ea2757091a3692d31a672657475726e91a3692d32a86d616368696e657329a5656d70747905a9756e72656163686564c3aa756e61737369676e65640f"},
-		{"reply", UpdateReply{Term: 305, ProxyRenewalAge: map[string]int64{"east": 70000}, DisconnectedZones: []string{"west"}, FinalStates: map[string]string{"j-1": "done"}, TerminatedMachines: []string{"i-2"}}, "85a47465726dcd0131a46b65707481a465617374ce00011170a46177617991a477657374a4656e647381a36a2d31a4646f6e65a4676f6e6591a3692d32"},
-		{"command", Command{Operation: OperationMove, Shard: "gpus", Target: "n-2"}, "83a96f7065726174696f6ea46d6f7665a57368617265a467707573a6746172676574a36e2d32"},
-		{"reply to a command", CommandReply{RefusalReason: "the share is moving already", Shards: []Status{goldenStatus()}}, "82a772656675736564bb746865207368617265206973206d6f76696e6720616c7265616479a6736861726573918aa46e616d65a467707573a67265636f726487a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd012da674617267657482a46e6f6465a36e2d32a773657373696f6ecd012ea673656c65637483a474797065a3677075a47a6f6e65a465617374a46b696e64a473706f74a57465616d7392a6766973696f6ea6737065656368a56d6f76657307a26174cf00060a24181e4000a776657273696f6ecd012fa86d616368696e657329a5656d70747905a777616974696e670ca46a6f627309a96f776e6572476f6e65c3a9686561726441676f5303a46e6f7465a768656c64207570"},
+		{"share record", goldenRecord(), "87a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd01" +
+			"2da674617267657482a46e6f6465a36e2d32a773657373696f6ecd012ea673656c65637483a474797065a3677075a47a6f6e65a465617374" +
+			"a46b696e64a473706f74a57465616d7392a6766973696f6ea6737065656368a56d6f76657307a26174cf00060a24181e4000"},
+		{"assignment", goldenAssignment(), "84a36a6f62de0017a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696e" +
+			"a66f7574666974a6766973696f6ea57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573" +
+			"cb3fd0000000000000a467707573cb4000000000000000a572616d4762cb400c000000000000a662756e646c65a6696d672d3037a670756c" +
+			"6c4762cb3ff8000000000000a47269677391a5736d616c6ca479617264a465617374a76f6e655a6f6e65c3a773636174746572c3a76c6f61" +
+			"6e657273c3a6677565737353cb406e000000000000a9626f6f6b6d61726b53cb403e000000000000a6737461736853cb4010000000000000" +
+			"a464756553cb408c200000000000a661776169747391a36a2d31a8617761697473496e06a26174cf00060a24181e4000a26174cf00060a24" +
+			"181e4001a57461736b73cc96a473746f70c3"},
+		{
+			"touch",
+			StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: []ShardUpdate{goldenShareTouch()}},
+			"84a46e6f6465a36e2d31a773657373696f6ecd012da47465726dcd0131a6736861726573918da46e616d65a467707573a47365656ecd0130" +
+				"a4726f6f6d9187a474797065a3677075a47a6f6e65a465617374a473706f74c3a5636f756e7406a3637075cb401e000000000000a3677075" +
+				"cb4000000000000000a36d656dcb4050000000000000a866696e697368656492a36a2d31a36a2d32a773746f707065649183a36a6f62a36a" +
+				"2d33a468656c6408a57a6f6e657391a477657374a664656d616e649183a36a6f62a36a2d34a57461736b730aa57a6f6e657391a56e6f7274" +
+				"68a870726f67726573739184a36a6f62a36a2d35a4646f6e650ba772756e6e696e670da46e6565640ea2757091a3692d31a672657475726e" +
+				"91a3692d32a86d616368696e657329a5656d70747905a9756e72656163686564c3aa756e61737369676e65640f",
+		},
+		{"reply", UpdateReply{
+			Term: 305, ProxyRenewalAge: map[string]int64{"east": 70000},
+			DisconnectedZones: []string{"west"}, FinalStates: map[string]string{"j-1": "done"},
+			TerminatedMachines: []string{"i-2"},
+		}, "85a47465726dcd0131a46b65707481a465617374ce00011170a46177617991a477657374a4" +
+			"656e647381a36a2d31a4646f6e65a4676f6e6591a3692d32"},
+		{
+			"command",
+			Command{Operation: OperationMove, Shard: "gpus", Target: "n-2"},
+			"83a96f7065726174696f6ea46d6f7665a57368617265a467707573a6746172676574a36e2d32",
+		},
+		{
+			"reply to a command",
+			CommandReply{RefusalReason: "the share is moving already", Shards: []Status{goldenStatus()}},
+			"82a772656675736564bb746865207368617265206973206d6f76696e6720616c7265616479a6736861726573918aa46e616d65a467707573" +
+				"a67265636f726487a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd012da674617267657482" +
+				"a46e6f6465a36e2d32a773657373696f6ecd012ea673656c65637483a474797065a3677075a47a6f6e65a465617374a46b696e64a473706f" +
+				"74a57465616d7392a6766973696f6ea6737065656368a56d6f76657307a26174cf00060a24181e4000a776657273696f6ecd012fa86d6163" +
+				"68696e657329a5656d70747905a777616974696e670ca46a6f627309a96f776e6572476f6e65c3a9686561726441676f5303a46e6f7465a7" +
+				"68656c64207570",
+		},
 	} {
 		if err := golden.Binary(c.value, c.bytes); err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -121,9 +156,18 @@
 		value any
 		text  string
 	}{
-		{"share record", goldenRecord(), `{"state":"moving","owner":{"node":"n-1","session":301},"target":{"node":"n-2","session":302},"select":{"type":"gpu","zone":"east","kind":"spot"},"teams":["vision","speech"],"moves":7,"at":1700000000000000}`},
-		{"assignment", goldenAssignment(), `{"job":{"nameId":"j-000412","jobclass":"train","outfit":"vision","shape":"ensemble","rank":"urgent","pieces":200,"vcpus":0.25,"gpus":2,"ramGb":3.5,"bundle":"img-07","pullGb":1.5,"rigs":["small"],"yard":"east","oneZone":true,"scatter":true,"loaners":true,"guessS":240,"bookmarkS":30,"stashS":4,"dueS":900,"awaits":["j-1"],"awaitsIn":6,"at":1700000000000000},"at":1700000000000001,"tasks":150,"stop":true}`},
-		{"share status", goldenStatus(), `{"name":"gpus","record":{"state":"moving","owner":{"node":"n-1","session":301},"target":{"node":"n-2","session":302},"select":{"type":"gpu","zone":"east","kind":"spot"},"teams":["vision","speech"],"moves":7,"at":1700000000000000},"version":303,"machines":41,"empty":5,"waiting":12,"jobs":9,"ownerGone":true,"heardAgoS":3,"note":"held up"}`},
+		{"share record", goldenRecord(), `{"state":"moving","owner":{"node":"n-1","session":301},"target":{"node":"n-2",` +
+			`"session":302},"select":{"type":"gpu","zone":"east","kind":"spot"},"teams":["vision","speech"],"moves":7,` +
+			`"at":1700000000000000}`},
+		{"assignment", goldenAssignment(), `{"job":{"nameId":"j-000412","jobclass":"train","outfit":"vision",` +
+			`"shape":"ensemble","rank":"urgent","pieces":200,"vcpus":0.25,"gpus":2,"ramGb":3.5,"bundle":"img-07",` +
+			`"pullGb":1.5,"rigs":["small"],"yard":"east","oneZone":true,"scatter":true,"loaners":true,"guessS":240,` +
+			`"bookmarkS":30,"stashS":4,"dueS":900,"awaits":["j-1"],"awaitsIn":6,"at":1700000000000000},"at":1700000000000001,` +
+			`"tasks":150,"stop":true}`},
+		{"share status", goldenStatus(), `{"name":"gpus","record":{"state":"moving","owner":{"node":"n-1","session":301},` +
+			`"target":{"node":"n-2","session":302},"select":{"type":"gpu","zone":"east","kind":"spot"},"teams":["vision",` +
+			`"speech"],"moves":7,"at":1700000000000000},"version":303,"machines":41,"empty":5,"waiting":12,"jobs":9,` +
+			`"ownerGone":true,"heardAgoS":3,"note":"held up"}`},
 	} {
 		if err := golden.JSON(c.value, c.text); err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -138,9 +182,15 @@
 		{"assignment", AssignmentKey("gpus", "j-1"), "assign/gpus/j-1"},
 		{"allocation", AllocationKey("gpus", "j-1", 12), "alloc/gpus/j-1/12"},
 		{"marker", MarkerKey, "fleet/shares"},
-		{"states", strings.Join([]string{string(Forming), string(Owned), string(Moving), string(Released)}, " "), "forming owned moving released"},
+		{
+			"states", strings.Join([]string{string(Forming), string(Owned), string(Moving), string(Released)}, " "),
+			"forming owned moving released",
+		},
 		{"kinds", strings.Join([]string{string(AnyKind), string(SpotOnly), string(OnDemandOnly)}, "|"), "|spot|ordinary"},
-		{"operations", strings.Join([]string{string(OperationList), string(OperationShow), string(OperationMove), string(OperationCancel)}, " "), "list show move cancel"},
+		{"operations", strings.Join([]string{
+			string(OperationList), string(OperationShow), string(OperationMove),
+			string(OperationCancel),
+		}, " "), "list show move cancel"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, c.got, c.want)
--- a/internal/shard/guards_test.go
+++ b/internal/shard/guards_test.go
@@ -77,7 +77,11 @@
 		name      string
 		got, want []wire.Precondition
 	}{
-		{"taken from an owner that is gone", take.If, []wire.Precondition{{Key: "leader", Version: 3}, {Key: "owner/n-1"}, targetGuard, recordGuard}},
+		{"taken from an owner that is gone", take.If, []wire.Precondition{
+			{Key: "leader", Version: 3},
+			{Key: "owner/n-1"},
+			targetGuard, recordGuard,
+		}},
 		{"writes", acting.Preconditions(), []wire.Precondition{selfGuard, recordGuard}},
 		{"hand-over", handOver.If, []wire.Precondition{selfGuard, targetGuard, recordGuard}},
 		{"renewal of the record", renew.If, []wire.Precondition{selfGuard, recordGuard}},
@@ -104,7 +108,10 @@
 		{"acting", false, func(*shard.Owner) {}, true, true},
 		{"settling", true, func(*shard.Owner) {}, true, false},
 		{"handing over", true, func(owner *shard.Owner) { owner.BeginTransfer(2) }, false, false},
-		{"in doubt", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrUncertain) }, false, false},
+		{
+			"in doubt", true,
+			func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrUncertain) }, false, false,
+		},
 		{"in doubt, the renewal has no answer", true, func(owner *shard.Owner) {
 			owner.BeginTransfer(2)
 			owner.HandleTransferResult(store.ErrUncertain)
@@ -115,9 +122,18 @@
 			owner.HandleTransferResult(store.ErrUncertain)
 			owner.HandleResolveResult(12, nil)
 		}, true, false},
-		{"refused", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrRefused) }, true, false},
-		{"handed over", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(nil) }, false, false},
-		{"the record names another incarnation of the same controller", false, func(owner *shard.Owner) { owner.Observe(taken) }, false, false},
+		{
+			"refused", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrRefused) },
+			true, false,
+		},
+		{
+			"handed over", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(nil) }, false,
+			false,
+		},
+		{
+			"the record names another incarnation of the same controller", false,
+			func(owner *shard.Owner) { owner.Observe(taken) }, false, false,
+		},
 		{"the record is gone", false, func(owner *shard.Owner) { owner.HandleRecordDeleted() }, false, false},
 		{"an older record is read late", false, func(owner *shard.Owner) { owner.Observe(older) }, true, true},
 	} {
--- a/internal/shard/loopback_test.go
+++ b/internal/shard/loopback_test.go
@@ -161,7 +161,7 @@
 	ignoresLease bool // controllers answer on after they transferred: the audit must notice
 }
 
-func newLoopbackCluster(t *testing.T, ctx context.Context) *loopbackCluster {
+func newLoopbackCluster(ctx context.Context, t *testing.T) *loopbackCluster {
 	t.Helper()
 	loopback := &loopbackCluster{
 		t: t, backing: fake.NewStore(), controllers: map[string]*loopbackController{}, addrs: map[string]string{},
@@ -180,7 +180,7 @@
 }
 
 func (c *loopbackCluster) listen(handle fasthttp.RequestHandler) string {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(c.t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -441,7 +441,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), loopbackTimeout)
 	defer cancel()
-	loopback := newLoopbackCluster(t, ctx)
+	loopback := newLoopbackCluster(ctx, t)
 	loopback.ignoresLease = ignoresLease
 	for i := range loopbackShards {
 		name := fmt.Sprintf("zone-%d", i)
--- a/internal/shard/main_test.go
+++ b/internal/shard/main_test.go
@@ -17,7 +17,10 @@
 	flag.Parse()
 	given := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for name, value := range map[string]string{"rapid.seed": defaultSeed, "rapid.checks": defaultChecks, "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{
+		"rapid.seed": defaultSeed, "rapid.checks": defaultChecks,
+		"rapid.nofailfile": "true",
+	} {
 		if !given[name] {
 			if err := flag.Set(name, value); err != nil {
 				panic(err)
--- a/internal/statestore/guards_test.go
+++ b/internal/statestore/guards_test.go
@@ -151,34 +151,37 @@
 		{"over the budget", store.ErrBudgetExhausted, false},
 		{"over the limit", store.ErrRateLimited, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			h := newHarness()
-			h.store.commit = func() (uint64, error) { return 0, c.outcome }
-			h.store.get = func(string) (wire.Item, error) { return wire.Item{Version: 15}, nil }
-			saved := 0
-			record := h.entry("run/j-1/0", 11)
-			record.OnCommitted = func(uint64) { saved++ }
-			record.MarkDirty(h.host.now, PriorityHigh)
-			h.step()
-			if saved > 0 || !record.Dirty() || record.Settled() {
-				t.Fatalf("saved %d times, dirty %v, settled %v", saved, record.Dirty(), record.Settled())
-			}
-			h.store.commit = func() (uint64, error) { return 21, nil }
-			h.step()
-			if read := len(h.store.reads) > 0; read != c.reads || read && len(h.store.sent) != 1 {
-				t.Fatalf("read %v, sent %d transactions", h.store.reads, len(h.store.sent))
-			}
-			if c.reads {
-				h.step()
-			}
-			version := wire.Count(11)
-			if c.reads {
-				version = 15
-			}
-			if len(h.store.sent) != 2 || h.store.sent[1].If[1].Version != version || saved != 1 || !record.Settled() {
-				t.Errorf("sent %+v, saved %d times, settled %v", h.store.sent, saved, record.Settled())
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { checkWriteAfterOutcome(t, c.outcome, c.reads) })
+	}
+}
+
+// checkWriteAfterOutcome checks the write that follows one of the given outcome: whether the
+// key is read first, and the version that the write carries.
+func checkWriteAfterOutcome(t *testing.T, outcome error, reads bool) {
+	t.Helper()
+	h := newHarness()
+	h.store.commit = func() (uint64, error) { return 0, outcome }
+	h.store.get = func(string) (wire.Item, error) { return wire.Item{Version: 15}, nil }
+	saved := 0
+	record := h.entry("run/j-1/0", 11)
+	record.OnCommitted = func(uint64) { saved++ }
+	record.MarkDirty(h.host.now, PriorityHigh)
+	h.step()
+	if saved > 0 || !record.Dirty() || record.Settled() {
+		t.Fatalf("saved %d times, dirty %v, settled %v", saved, record.Dirty(), record.Settled())
+	}
+	h.store.commit = func() (uint64, error) { return 21, nil }
+	h.step()
+	if read := len(h.store.reads) > 0; read != reads || read && len(h.store.sent) != 1 {
+		t.Fatalf("read %v, sent %d transactions", h.store.reads, len(h.store.sent))
+	}
+	version := wire.Count(11)
+	if reads {
+		h.step()
+		version = 15
+	}
+	if len(h.store.sent) != 2 || h.store.sent[1].If[1].Version != version || saved != 1 || !record.Settled() {
+		t.Errorf("sent %+v, saved %d times, settled %v", h.store.sent, saved, record.Settled())
 	}
 }
 
