--- a/internal/controller/shard_policy.go
+++ b/internal/controller/shard_policy.go
@@ -15,8 +15,8 @@
 // evaluatePolicies looks which policies hold. The expressions are evaluated beside the
 // loop, on facts that do not change: however long they take, no tick waits.
 func (l *Leader) evaluatePolicies(now micro.Time) {
-	policies := l.node.Cfg.Shares.Policies
-	if l.node.Cfg.Shares.Dissolve || len(policies) == 0 || l.coordinator.policyEvaluationInFlight || now-l.coordinator.policiesEvaluatedAt < policyInterval {
+	policies := l.node.Cfg.Shards.Policies
+	if l.node.Cfg.Shards.Dissolve || len(policies) == 0 || l.coordinator.policyEvaluationInFlight || now-l.coordinator.policiesEvaluatedAt < policyInterval {
 		return
 	}
 	l.coordinator.policyEvaluationInFlight, l.coordinator.policiesEvaluatedAt = true, now
@@ -64,11 +64,11 @@
 	moving := l.machinesMoving()
 	decided := map[string]bool{}
 	for _, movePolicy := range holding {
-		if decided[movePolicy.Share] {
+		if decided[movePolicy.Shard] {
 			continue
 		}
-		decided[movePolicy.Share] = true
-		entry, ok := l.shardTable().Get(movePolicy.Share)
+		decided[movePolicy.Shard] = true
+		entry, ok := l.shardTable().Get(movePolicy.Shard)
 		if !ok || !l.mayMoveShard(entry, movePolicy, moving) {
 			continue
 		}
@@ -87,10 +87,10 @@
 	if e.Record.State != share.Owned || e.Record.Owner.Node == p.Owner || l.coordinator.commitsInFlight[e.Name] {
 		return false
 	}
-	if l.node.Wall()-micro.Time(e.Record.ChangedAt) < l.node.Cfg.Shares.LeastTime {
+	if l.node.Wall()-micro.Time(e.Record.ChangedAt) < l.node.Cfg.Shards.MinMoveInterval {
 		return false
 	}
-	return moving == 0 || moving+l.viewOf(e.Name).machineCount <= l.node.Cfg.Shares.MostMoved
+	return moving == 0 || moving+l.viewOf(e.Name).machineCount <= l.node.Cfg.Shards.MaxMachinesMoving
 }
 
 // machinesMoving counts the machines of the shares that are moving.
--- a/internal/controller/status_batcher.go
+++ b/internal/controller/status_batcher.go
@@ -87,14 +87,14 @@
 	}
 	batcher.mu.Unlock()
 	if free {
-		time.AfterFunc(backoffBatchDelay.Std(), n.sendBatches)
+		time.AfterFunc(backoffBatchDelay.Duration(), n.sendBatches)
 	}
 	return query.wait(timeout)
 }
 
 // wait is what the leader says within a time.
 func (p *statusQuery) wait(timeout micro.Time) (front.Reply, bool) {
-	timer := time.NewTimer(timeout.Std())
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
 	case r, ok := <-p.reply:
@@ -106,7 +106,7 @@
 
 // queryLeaderForOne asks the leader for one job.
 func (n *Node) queryLeaderForOne(leader, id string) (front.Reply, bool) {
-	status, out, err := n.callPeer(leader, peer.Show, []byte(id), peerCallTimeout)
+	status, out, err := n.callPeer(leader, peer.Status, []byte(id), peerCallTimeout)
 	if err != nil {
 		n.statusBatcher.backOff(n.Now())
 	}
@@ -166,7 +166,7 @@
 	if n.statusBatcher.backingOff(n.Now()) {
 		timeout = backoffCallTimeout
 	}
-	status, out, err := n.Peers.Call(context.Background(), leader, peer.Shows, wire.MustMarshal(ids), timeout)
+	status, out, err := n.Peers.Call(context.Background(), leader, peer.StatusBatch, wire.MustMarshal(ids), timeout)
 	if err != nil {
 		n.statusBatcher.backOff(n.Now())
 	}
@@ -223,7 +223,7 @@
 		for _, id := range known {
 			if job := l.cluster.Jobs[id]; job != nil && !l.endUncertain(job) {
 				status := job.Status()
-				status.Needs = l.cluster.PendingDependencies(job)
+				status.Dependencies = l.cluster.PendingDependencies(job)
 				found = append(found, status)
 			}
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -62,8 +62,8 @@
 }
 
 // Precondition is the condition that every write of the term carries.
-func (t *Term) Precondition() wire.Guard {
-	return wire.Guard{Key: t.key, Version: wire.Count(t.FencingRevision)}
+func (t *Term) Precondition() wire.Precondition {
+	return wire.Precondition{Key: t.key, Version: wire.Count(t.FencingRevision)}
 }
 
 // End gives the term up for good.
@@ -174,7 +174,7 @@
 }
 
 func (e *Election) sleep(ctx context.Context, d micro.Time) {
-	t := time.NewTimer(d.Std())
+	t := time.NewTimer(d.Duration())
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -247,8 +247,8 @@
 		e.sleep(ctx, 300*micro.Millisecond)
 		return false
 	}
-	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Txn{
-		If:   []wire.Guard{{Key: e.key()}},
+	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Transaction{
+		If:   []wire.Precondition{{Key: e.key()}},
 		Then: []wire.Change{{Put: e.key(), Value: Record{Node: e.Node, Nonce: e.Nonce, Lease: wire.Count(lease)}, Lease: wire.Count(lease)}},
 	})
 	if err != nil {
@@ -277,7 +277,7 @@
 	for ctx.Err() == nil && !term.ended.Load() {
 		e.sleep(ctx, wait)
 		sent := e.Now()
-		renewCtx, cancel := context.WithTimeout(ctx, (e.TTL / 3).Std())
+		renewCtx, cancel := context.WithTimeout(ctx, (e.TTL / 3).Duration())
 		err := e.Store.Renew(renewCtx, term.Lease)
 		cancel()
 		switch {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -23,60 +23,60 @@
 	RetryAfter int // seconds; 0: none
 }
 
-// Later tells the sender to come back.
-func Later(status, seconds int) Reply {
+// RetryReply tells the sender to come back.
+func RetryReply(status, seconds int) Reply {
 	return Reply{Status: status, Body: map[string]string{"error": "try again"}, RetryAfter: seconds}
 }
 
-// Fail is a final refusal.
-func Fail(status int, why string) Reply {
-	return Reply{Status: status, Body: map[string]string{"error": why}}
+// ErrorReply is a final refusal.
+func ErrorReply(status int, reason string) Reply {
+	return Reply{Status: status, Body: map[string]string{"error": reason}}
 }
 
 // Service is what stands behind the public address.
 type Service interface {
 	Submit(body []byte) Reply
-	Show(id string) Reply
-	Withdraw(id string) Reply
-	Beat(body []byte) Reply
+	Status(id string) Reply
+	Cancel(id string) Reply
+	Heartbeat(body []byte) Reply
 	Ready() bool
 	// Cut reports whether this node refuses because of what it cannot reach.
-	Cut() bool
+	Isolated() bool
 }
 
 // Server answers on the public address.
 type Server struct {
-	Service Service
-	Metrics *metrics.Set
-	Sockets int
-	Report  micro.Time // how often a worker reports
+	Service           Service
+	Metrics           *metrics.Set
+	MaxSockets        int
+	HeartbeatInterval micro.Time // how often a worker reports
 
-	open func() int // connections that are open now
-	keep int        // workers' connections are kept below so many
+	openConnections func() int // connections that are open now
+	keepAliveLimit  int        // workers' connections are kept below so many
 }
 
-// ownSockets are kept for what the node opens itself: orders to workers, the
+// reservedSockets are kept for what the node opens itself: orders to workers, the
 // state service, the cloud and the peers. All else is for workers and users.
-const ownSockets = 300
+const reservedSockets = 300
 
-// keepShare is the part of those sockets up to which a worker's connection stays
+// keepAliveFraction is the part of those sockets up to which a worker's connection stays
 // open between its reports. Beyond it the answer closes the connection: with
 // more workers than sockets, those that found none open were never heard. What
 // is left serves them as they come, and the users.
-const keepShare = 0.75
+const keepAliveFraction = 0.75
 
-// idleReports is after how many report intervals a silent connection is closed: a
+// idleHeartbeats is after how many report intervals a silent connection is closed: a
 // cut leaves many half open.
-const idleReports = 3
+const idleHeartbeats = 3
 
 // Serve runs until the context ends.
-func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	all := max(s.Sockets-ownSockets, s.Sockets/2, 16)
-	s.keep = int(keepShare * float64(all))
-	srv := &fasthttp.Server{
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	maxConnections := max(s.MaxSockets-reservedSockets, s.MaxSockets/2, 16)
+	s.keepAliveLimit = int(keepAliveFraction * float64(maxConnections))
+	server := &fasthttp.Server{
 		Handler:               s.handle,
-		Concurrency:           all,
-		IdleTimeout:           max(idleReports*s.Report, 10*micro.Second).Std(),
+		Concurrency:           maxConnections,
+		IdleTimeout:           max(idleHeartbeats*s.HeartbeatInterval, 10*micro.Second).Duration(),
 		ReadTimeout:           35 * time.Second,
 		WriteTimeout:          10 * time.Second,
 		MaxRequestBodySize:    4 * wire.MaxBody,
@@ -89,10 +89,10 @@
 			ctx.SetConnectionClose()
 		},
 	}
-	s.open = func() int { return int(srv.GetOpenConnectionsCount()) }
-	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
+	s.openConnections = func() int { return int(server.GetOpenConnectionsCount()) }
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
-	err := srv.Serve(ln)
+	err := server.Serve(listener)
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -100,28 +100,28 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	from := micro.Now()
+	start := micro.Now()
 	path, method := string(ctx.Path()), string(ctx.Method())
-	name, reply := s.route(method, path, ctx.PostBody())
-	if name != "" {
-		s.Metrics.Observe(name, micro.Now()-from)
+	operation, reply := s.route(method, path, ctx.PostBody())
+	if operation != "" {
+		s.Metrics.Observe(operation, micro.Now()-start)
 	}
 	if reply.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
 	}
-	if reply.Status == 503 && name != "beat" && s.Service.Cut() {
+	if reply.Status == 503 && operation != "beat" && s.Service.Isolated() {
 		// The load balancer leaves open connections where they are: a user
 		// would ask a node that is cut off again and again.
 		ctx.SetConnectionClose()
 	}
-	if name == "beat" && s.open() > s.keep {
+	if operation == "beat" && s.openConnections() > s.keepAliveLimit {
 		ctx.SetConnectionClose()
 	}
 	ctx.SetStatusCode(reply.Status)
 	ctx.SetContentType("application/msgpack")
 	if reply.Body != nil {
-		if b, err := wire.Marshal(reply.Body); err == nil {
-			ctx.SetBody(b)
+		if encoded, err := wire.Marshal(reply.Body); err == nil {
+			ctx.SetBody(encoded)
 		}
 	}
 }
@@ -130,31 +130,31 @@
 	post, get := method == "POST", method == "GET"
 	switch {
 	case path == "/agent/beat" && post:
-		return "beat", s.Service.Beat(body)
+		return "beat", s.Service.Heartbeat(body)
 	case path == "/ready" && get:
 		if s.Service.Ready() {
 			return "", Reply{Status: 200}
 		}
-		return "", Later(503, 1)
+		return "", RetryReply(503, 1)
 	case path == "/work" && post:
 		return "submit", s.Service.Submit(body)
 	case strings.HasPrefix(path, "/work/"):
 		id := path[len("/work/"):]
-		if rest, ok := strings.CutSuffix(id, "/withdraw"); ok && post {
-			if !wire.ValidJobID(rest) {
-				return "", Fail(404, "no such job")
+		if jobID, ok := strings.CutSuffix(id, "/withdraw"); ok && post {
+			if !wire.ValidJobID(jobID) {
+				return "", ErrorReply(404, "no such job")
 			}
-			return "withdraw", s.Service.Withdraw(rest)
+			return "withdraw", s.Service.Cancel(jobID)
 		}
 		if get {
 			if !wire.ValidJobID(id) {
-				return "", Fail(404, "no such job")
+				return "", ErrorReply(404, "no such job")
 			}
-			return "show", s.Service.Show(id)
+			return "show", s.Service.Status(id)
 		}
-		return "", Fail(405, "method not allowed")
+		return "", ErrorReply(405, "method not allowed")
 	case path == "/work" || path == "/ready" || path == "/agent/beat":
-		return "", Fail(405, "method not allowed")
+		return "", ErrorReply(405, "method not allowed")
 	}
-	return "", Fail(404, "no such path")
+	return "", ErrorReply(404, "no such path")
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,32 +14,32 @@
 
 // Set is a set of named histograms and counters.
 type Set struct {
-	mu     sync.Mutex
-	hists  map[string]*hdrhistogram.Histogram
-	counts map[string]int64
+	mu         sync.Mutex
+	histograms map[string]*hdrhistogram.Histogram
+	counters   map[string]int64
 }
 
 // New makes an empty set.
 func New() *Set {
-	return &Set{hists: map[string]*hdrhistogram.Histogram{}, counts: map[string]int64{}}
+	return &Set{histograms: map[string]*hdrhistogram.Histogram{}, counters: map[string]int64{}}
 }
 
 // Observe takes in a latency.
-func (s *Set) Observe(name string, d micro.Time) {
+func (s *Set) Observe(name string, latency micro.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.hists[name]
-	if h == nil {
-		h = hdrhistogram.New(1, int64(2*micro.Minute), 2)
-		s.hists[name] = h
+	histogram := s.histograms[name]
+	if histogram == nil {
+		histogram = hdrhistogram.New(1, int64(2*micro.Minute), 2)
+		s.histograms[name] = histogram
 	}
-	_ = h.RecordValue(min(max(int64(d), 1), int64(2*micro.Minute)))
+	_ = histogram.RecordValue(min(max(int64(latency), 1), int64(2*micro.Minute)))
 }
 
 // Count adds to a counter.
 func (s *Set) Count(name string) {
 	s.mu.Lock()
-	s.counts[name]++
+	s.counters[name]++
 	s.mu.Unlock()
 }
 
@@ -47,21 +47,21 @@
 func (s *Set) Write(w io.Writer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	names := make([]string, 0, len(s.hists))
-	for n := range s.hists {
-		names = append(names, n)
+	names := make([]string, 0, len(s.histograms))
+	for name := range s.histograms {
+		names = append(names, name)
 	}
 	sort.Strings(names)
-	for _, n := range names {
-		h := s.hists[n]
-		fmt.Fprintf(w, "%s count=%d p50_us=%d p99_us=%d max_us=%d\n", n, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max())
+	for _, name := range names {
+		histogram := s.histograms[name]
+		fmt.Fprintf(w, "%s count=%d p50_us=%d p99_us=%d max_us=%d\n", name, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max())
 	}
 	names = names[:0]
-	for n := range s.counts {
-		names = append(names, n)
+	for name := range s.counters {
+		names = append(names, name)
 	}
 	sort.Strings(names)
-	for _, n := range names {
-		fmt.Fprintf(w, "%s %d\n", n, s.counts[n])
+	for _, name := range names {
+		fmt.Fprintf(w, "%s %d\n", name, s.counters[name])
 	}
 }
--- a/internal/micro/micro.go
+++ b/internal/micro/micro.go
@@ -15,26 +15,26 @@
 	Minute      Time = 60 * Second
 )
 
-var start = time.Now()
+var processStart = time.Now()
 
 // Now reads the steady clock. Zero is when the process began.
-func Now() Time { return Time(time.Since(start).Microseconds()) }
+func Now() Time { return Time(time.Since(processStart).Microseconds()) }
 
-// Wall reads the time of day.
-func Wall() Time { return Time(time.Now().UnixMicro()) }
+// WallNow reads the time of day.
+func WallNow() Time { return Time(time.Now().UnixMicro()) }
 
-// Longest is the longest span that seconds convert to, about a thousand years:
+// MaxSpan is the longest span that seconds convert to, about a thousand years:
 // sums of a hundred such still fit.
-const Longest Time = 1 << 55
+const MaxSpan Time = 1 << 55
 
-// Of converts seconds as they appear on the wire. What a user gives may be any
+// FromSeconds converts seconds as they appear on the wire. What a user gives may be any
 // amount: out of range, the conversion alone would give a negative time.
-func Of(seconds float64) Time {
-	return Time(min(max(seconds*1e6, -float64(Longest)), float64(Longest)))
+func FromSeconds(seconds float64) Time {
+	return Time(min(max(seconds*1e6, -float64(MaxSpan)), float64(MaxSpan)))
 }
 
 // Seconds converts back to the wire's unit.
 func (t Time) Seconds() float64 { return float64(t) / 1e6 }
 
-// Std converts a span for the standard library.
-func (t Time) Std() time.Duration { return time.Duration(t) * time.Microsecond }
+// Duration converts a span for the standard library.
+func (t Time) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/model/compact.go
+++ b/internal/model/compact.go
@@ -132,7 +132,7 @@
 			if exited.chunk == nil || migrated[exited.chunk] == nil {
 				continue
 			}
-			_, index, _ := wire.SplitTask(key.Task)
+			_, index, _ := wire.ParseTaskName(key.Task)
 			chunk := exited.chunk.Job.Chunk(index)
 			if exited.chunk.StoredVersion >= exited.chunkVersion {
 				exited.chunkVersion = 0
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,20 +18,20 @@
 
 // Calls between nodes.
 const (
-	Show     = "/peer/show"     // a job's status, from the leader's memory
-	Shows    = "/peer/shows"    // the statuses of several jobs, from the leader's memory
-	Withdraw = "/peer/withdraw" // cancel a job; the leader only
-	Submit   = "/peer/submit"   // submit on behalf of a node the store refuses
-	Read     = "/peer/read"     // a job's status, from the store
-	Notify   = "/peer/notify"   // a job was accepted
-	Ping     = "/peer/ping"     // is anybody there
-	Exist    = "/peer/exist"    // which of these jobs were accepted, from the store
-	Accepted = "/peer/accepted" // the same for polls, within the answering node's budget for them
-	Announce = "/peer/announce" // this node runs the caller's version; for one that the store refuses
-	Keep     = "/peer/keep"     // a keeper of leases asks the leader, see package keep
-	Share    = "/peer/share"    // an owner of shares tells the leader how it fares, see package share
-	Admin    = "/peer/admin"    // an operator's command on shares
-	Metrics  = "/metrics"       // latency histograms, for operators
+	Status               = "/peer/show"     // a job's status, from the leader's memory
+	StatusBatch          = "/peer/shows"    // the statuses of several jobs, from the leader's memory
+	Cancel               = "/peer/withdraw" // cancel a job; the leader only
+	Submit               = "/peer/submit"   // submit on behalf of a node the store refuses
+	StoredStatus         = "/peer/read"     // a job's status, from the store
+	JobAccepted          = "/peer/notify"   // a job was accepted
+	Ping                 = "/peer/ping"     // is anybody there
+	AcceptedJobs         = "/peer/exist"    // which of these jobs were accepted, from the store
+	AcceptedJobsBudgeted = "/peer/accepted" // the same for polls, within the answering node's budget for them
+	AnnounceVersion      = "/peer/announce" // this node runs the caller's version; for one that the store refuses
+	LeaseProxy           = "/peer/keep"     // a keeper of leases asks the leader, see package keep
+	ShardOwner           = "/peer/share"    // an owner of shares tells the leader how it fares, see package share
+	ShardAdmin           = "/peer/admin"    // an operator's command on shares
+	Metrics              = "/metrics"       // latency histograms, for operators
 )
 
 // ErrUnreachable means that no answer came in time.
@@ -42,13 +42,13 @@
 
 // Caller calls the other nodes.
 type Caller interface {
-	Call(ctx context.Context, node, call string, body []byte, wait micro.Time) (status int, out []byte, err error)
+	Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (status int, out []byte, err error)
 }
 
 // Client calls the other nodes over the network.
 type Client struct {
-	addrs map[string]string
-	http  *http.Client
+	addrs      map[string]string
+	httpClient *http.Client
 }
 
 func protocols() *http.Protocols {
@@ -60,7 +60,7 @@
 // NewClient makes a client for nodes by name.
 func NewClient(addrs map[string]string) *Client {
 	dialer := &net.Dialer{Timeout: 500 * time.Millisecond}
-	return &Client{addrs: addrs, http: &http.Client{Transport: &http.Transport{
+	return &Client{addrs: addrs, httpClient: &http.Client{Transport: &http.Transport{
 		Protocols:       protocols(),
 		DialContext:     dialer.DialContext,
 		IdleConnTimeout: 60 * time.Second,
@@ -71,60 +71,60 @@
 
 // Names lists the other nodes.
 func (c *Client) Names() []string {
-	var out []string
-	for n := range c.addrs {
-		out = append(out, n)
+	var names []string
+	for name := range c.addrs {
+		names = append(names, name)
 	}
-	return out
+	return names
 }
 
 // Call asks a node.
-func (c *Client) Call(ctx context.Context, node, call string, body []byte, wait micro.Time) (int, []byte, error) {
+func (c *Client) Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	addr, ok := c.addrs[node]
 	if !ok {
 		return 0, nil, ErrUnreachable
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait.Std())
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+addr+call, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, nil, errors.Join(ErrUnreachable, err)
 	}
 	defer resp.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBody+1))
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBody+1))
 	if err != nil {
 		return 0, nil, errors.Join(ErrUnreachable, err)
 	}
-	return resp.StatusCode, out, nil
+	return resp.StatusCode, reply, nil
 }
 
 // Serve answers the other nodes on a listener until the context ends.
-func Serve(ctx context.Context, ln net.Listener, h Handler, metrics func(io.Writer)) error {
+func Serve(ctx context.Context, listener net.Listener, handler Handler, metrics func(io.Writer)) error {
 	mux := http.NewServeMux()
-	for _, call := range []string{Show, Shows, Withdraw, Submit, Read, Notify, Ping, Exist, Accepted, Announce, Keep, Share, Admin} {
+	for _, call := range []string{Status, StatusBatch, Cancel, Submit, StoredStatus, JobAccepted, Ping, AcceptedJobs, AcceptedJobsBudgeted, AnnounceVersion, LeaseProxy, ShardOwner, ShardAdmin} {
 		mux.HandleFunc("POST "+call, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 			if err != nil || len(body) > wire.MaxBody {
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			status, out := h(r.Context(), call, body)
-			w.Header().Set("Content-Length", strconv.Itoa(len(out)))
+			status, reply := handler(r.Context(), call, body)
+			w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
 			w.WriteHeader(status)
-			_, _ = w.Write(out)
+			_, _ = w.Write(reply)
 		})
 	}
 	mux.HandleFunc("GET "+Metrics, func(w http.ResponseWriter, _ *http.Request) { metrics(w) })
-	p := protocols()
-	p.SetHTTP1(true) // operators read the metrics with any client
-	srv := &http.Server{Handler: mux, Protocols: p, IdleTimeout: 2 * time.Minute, ReadHeaderTimeout: 5 * time.Second}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
+	versions := protocols()
+	versions.SetHTTP1(true) // operators read the metrics with any client
+	server := &http.Server{Handler: mux, Protocols: versions, IdleTimeout: 2 * time.Minute, ReadHeaderTimeout: 5 * time.Second}
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -137,7 +137,7 @@
 	if d.job == nil || d.spec.Kind == wire.Service {
 		return serviceOccupancy
 	}
-	return sched.EstimatedRuntime(d.job) + micro.Of(d.spec.ImageGB)
+	return sched.EstimatedRuntime(d.job) + micro.FromSeconds(d.spec.ImageGB)
 }
 
 // serviceOccupancy stands for the time that a service takes.
@@ -154,7 +154,7 @@
 		if reserved == tasks || perMachine == 0 || expensive(group) {
 			continue
 		}
-		freeTime := micro.Time(group.machines)*(deadline-now-micro.Of(group.typ.BootS)) - group.committedTime
+		freeTime := micro.Time(group.machines)*(deadline-now-micro.FromSeconds(group.typ.BootS)) - group.committedTime
 		if freeTime <= 0 || occupancy <= 0 {
 			continue
 		}
@@ -235,7 +235,7 @@
 // bootOverdue reports whether a machine takes longer to come up than it may to count as
 // room to come.
 func bootOverdue(m *model.Machine, now micro.Time) bool {
-	return now-m.RequestedAt > micro.Time(float64(micro.Of(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
+	return now-m.RequestedAt > micro.Time(float64(micro.FromSeconds(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
 }
 
 // bootFailureExclusion is for how long an offer is left out whose machines did not come up: once
@@ -315,7 +315,7 @@
 			end := now
 			if !allocation.Stopping {
 				estimate := sched.EstimatedRuntime(job)
-				end = now + estimate + micro.Of(job.Spec.ImageGB/machine.Type.FetchGBPerS)
+				end = now + estimate + micro.FromSeconds(job.Spec.ImageGB/machine.Type.FetchGBPerS)
 				if allocation.RunningSince > 0 {
 					end = max(allocation.RunningSince+estimate, now+estimate/4)
 				}
--- a/internal/scale/cordon.go
+++ b/internal/scale/cordon.go
@@ -54,7 +54,7 @@
 			}
 			spec := &allocation.Job.Spec
 			request := model.Resources{CPU: spec.CPUs, MemoryGB: spec.MemoryGB}
-			if spec.Kind == wire.Array {
+			if spec.Kind == wire.JobArray {
 				usedByArrays.Add(request, 1)
 			} else {
 				hasOtherWork = true
--- a/internal/scale/demand.go
+++ b/internal/scale/demand.go
@@ -138,7 +138,7 @@
 	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
 			if sched.Allowed(spec, typ, z, false) {
-				best = min(best, micro.Of(typ.BootS))
+				best = min(best, micro.FromSeconds(typ.BootS))
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 	if math.IsInf(best, 1) {
 		return 0
 	}
-	return micro.Of(best)
+	return micro.FromSeconds(best)
 }
 
 // headroom asks for room for the starts expected of classes whose starts are
--- a/internal/scale/planner.go
+++ b/internal/scale/planner.go
@@ -133,7 +133,7 @@
 // IdleMachines lists rented machines that nobody has needed for a while.
 func (p *Planner) IdleMachines(now micro.Time) []*model.Machine {
 	var idle []*model.Machine
-	idleTimeout := p.Properties.IdleReturn
+	idleTimeout := p.Properties.IdleTerminateAfter
 	if !p.limitsCost() {
 		idleTimeout *= permanentFleetIdleFactor
 	}
--- a/internal/scale/price.go
+++ b/internal/scale/price.go
@@ -22,7 +22,7 @@
 	if demand.job != nil && now-demand.job.EligibleSince > maxExpensiveDelay {
 		return true
 	}
-	ready := now + micro.Of(slowBootFactor*typ.BootS+demand.spec.ImageGB/typ.FetchGBPerS)
+	ready := now + micro.FromSeconds(slowBootFactor*typ.BootS+demand.spec.ImageGB/typ.FetchGBPerS)
 	return demand.latestStart >= ready && demand.latestStart < now+sched.PlanningHorizon/2
 }
 
@@ -112,7 +112,7 @@
 	for _, typ := range p.Cluster.CatalogOrder {
 		for _, z := range typ.Zones {
 			if sched.Allowed(spec, typ, z, false) {
-				best = min(best, micro.Of(typ.BootS+spec.ImageGB/typ.FetchGBPerS))
+				best = min(best, micro.FromSeconds(typ.BootS+spec.ImageGB/typ.FetchGBPerS))
 			}
 		}
 	}
@@ -168,7 +168,7 @@
 // ordinary room, for a job to sit there without need.
 func (p *Planner) occupancyPriceRatio(job *model.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
-		return p.Properties.DearRatio
+		return p.Properties.HighPriceRatio
 	}
 	return p.maxPriceRatio(nil, now)
 }
@@ -197,9 +197,9 @@
 // then the cheap room has run out.
 func (p *Planner) maxPriceRatio(job *model.Job, now micro.Time) float64 {
 	if p.onlyCostMatters(job, now) {
-		return p.Properties.DearRatio
+		return p.Properties.HighPriceRatio
 	}
-	limit := p.Properties.PriceRatio * 1.4
+	limit := p.Properties.MaxPriceRatio * 1.4
 	if job != nil && now-job.EligibleSince > urgentAfter {
 		if latestStart := p.Objectives.LatestStart(job, now); latestStart-now < p.minReadyTime(&job.Spec)+urgentAfter {
 			limit *= urgentPriceFactor
--- a/internal/sched/headroom.go
+++ b/internal/sched/headroom.go
@@ -83,8 +83,8 @@
 		if entry.class != class || entry.available > entry.target || m.Type.FetchGBPerS <= 0 {
 			continue
 		}
-		fetch := micro.Of(class.MeanImageGB / m.Type.FetchGBPerS)
-		urgent := s.effectiveStartObjective(class)-fetch <= checkpointTimeFactor*micro.Of(job.Spec.SaveS)
+		fetch := micro.FromSeconds(class.MeanImageGB / m.Type.FetchGBPerS)
+		urgent := s.effectiveStartObjective(class)-fetch <= checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS)
 		return urgent && fits(requestOn(class.LastJob, m.Type), m, nil, resources{})
 	}
 	return false
--- a/internal/sched/machine_choice.go
+++ b/internal/sched/machine_choice.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		startObjective := s.Objectives.StartObjective(class.Name)
-		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointS > 0 && (startObjective == 0 || startObjective > checkpointTimeFactor*micro.Of(job.Spec.SaveS))
+		preemptible := job.PriorityLevel > spec.Priority.Level() && job.Spec.CheckpointIntervalS > 0 && (startObjective == 0 || startObjective > checkpointTimeFactor*micro.FromSeconds(job.Spec.CheckpointDurationS))
 		if preemptible && !s.isHeadroom(job, machine, class) {
 			continue
 		}
@@ -120,7 +120,7 @@
 // to spot machines and were lost again, and with them arrays of a hundred tasks
 // were late.
 func (s *Scheduler) prefersOnDemand(job *model.Job, i int, now micro.Time) bool {
-	return job.Spec.Spot && job.Spec.CheckpointS == 0 && (job.Tasks[i].Attempt > 0 || !s.Objectives.CanRunTwice(job, now))
+	return job.Spec.Spot && job.Spec.CheckpointIntervalS == 0 && (job.Tasks[i].Attempt > 0 || !s.Objectives.CanRunTwice(job, now))
 }
 
 // candidate is the best machine so far.
--- a/internal/sched/objectives.go
+++ b/internal/sched/objectives.go
@@ -20,11 +20,11 @@
 	for _, objective := range configured {
 		switch objective.Kind {
 		case "wait":
-			objectives.startWithin[objective.Class] = append(objectives.startWithin[objective.Class], micro.Of(objective.WithinS))
+			objectives.startWithin[objective.Class] = append(objectives.startWithin[objective.Class], micro.FromSeconds(objective.WithinS))
 		case "finished":
-			objectives.finishWithin[objective.Class] = append(objectives.finishWithin[objective.Class], micro.Of(objective.WithinS))
+			objectives.finishWithin[objective.Class] = append(objectives.finishWithin[objective.Class], micro.FromSeconds(objective.WithinS))
 		case "guarantee":
-			objectives.guaranteedStart = micro.Of(objective.WithinS)
+			objectives.guaranteedStart = micro.FromSeconds(objective.WithinS)
 		case "deadline":
 			objectives.deadlineFactors[objective.Class] = append(objectives.deadlineFactors[objective.Class], max(objective.Times, 1))
 		}
@@ -56,7 +56,7 @@
 // EstimatedRuntime is how long a task of the job is expected to run, from its owner's
 // estimate and what its class has shown.
 func EstimatedRuntime(job *model.Job) micro.Time {
-	return micro.Time(float64(micro.Of(job.Spec.EstimateS)) * job.Class.EstimateBias)
+	return micro.Time(float64(micro.FromSeconds(job.Spec.EstimateS)) * job.Class.EstimateBias)
 }
 
 // PlanningHorizon is beyond any objective: the latest start of work that can meet none.
@@ -66,7 +66,7 @@
 // meet the nearest objective that can be met; a job past them all comes later
 // than any that is not.
 func (o *Objectives) LatestStart(job *model.Job, now micro.Time) micro.Time {
-	runtime := EstimatedRuntime(job) + micro.Of(job.Spec.ImageGB)
+	runtime := EstimatedRuntime(job) + micro.FromSeconds(job.Spec.ImageGB)
 	latest := PlanningHorizon + job.EligibleSince
 	consider := func(start micro.Time) {
 		if start >= now && start < latest {
@@ -92,7 +92,7 @@
 	if source == nil {
 		return
 	}
-	due, factors := micro.Of(*source.Spec.DeadlineS), o.deadlineFactors[source.Spec.Class]
+	due, factors := micro.FromSeconds(*source.Spec.DeadlineS), o.deadlineFactors[source.Spec.Class]
 	if len(factors) == 0 {
 		visit(source.SubmittedAt + due - job.CriticalPath)
 	}
@@ -105,7 +105,7 @@
 // still meet an objective on finishing that they can meet at all; also if there
 // is none.
 func (o *Objectives) CanRunTwice(job *model.Job, now micro.Time) bool {
-	runtime := EstimatedRuntime(job) + micro.Of(job.Spec.ImageGB)
+	runtime := EstimatedRuntime(job) + micro.FromSeconds(job.Spec.ImageGB)
 	nearest := micro.Time(0) // the nearest that can be met
 	consider := func(due micro.Time) {
 		if due >= now+runtime && (nearest == 0 || due < nearest) {
--- a/internal/sched/preemption.go
+++ b/internal/sched/preemption.go
@@ -122,11 +122,11 @@
 	}
 	for allocation := range chosen {
 		grace := 0.0
-		if allocation.Job.Spec.CheckpointS > 0 {
+		if allocation.Job.Spec.CheckpointIntervalS > 0 {
 			// Saving first, unless the start is wanted sooner than that.
 			startObjective := s.Objectives.StartObjective(job.Spec.Class)
-			if startObjective == 0 || startObjective > 3*micro.Of(allocation.Job.Spec.SaveS) {
-				grace = allocation.Job.Spec.SaveS
+			if startObjective == 0 || startObjective > 3*micro.FromSeconds(allocation.Job.Spec.CheckpointDurationS) {
+				grace = allocation.Job.Spec.CheckpointDurationS
 			}
 		}
 		s.Cluster.StopAllocation(allocation, "preempted by "+job.Spec.ID, grace, now)
@@ -231,7 +231,7 @@
 	cost := 1.0
 	if allocation.RunningSince > 0 {
 		unsaved := (now - allocation.RunningSince).Seconds()
-		if interval := allocation.Job.Spec.CheckpointS; interval > 0 {
+		if interval := allocation.Job.Spec.CheckpointIntervalS; interval > 0 {
 			unsaved = min(unsaved, interval)
 		}
 		cost += unsaved
--- a/internal/sched/schedule.go
+++ b/internal/sched/schedule.go
@@ -46,7 +46,7 @@
 		queue = append(queue, entry)
 	}
 	sort.Slice(queue, func(a, b int) bool { return schedulesBefore(&queue[a], &queue[b]) })
-	s.sampling = s.Overloaded && waiting > s.Properties.SampleAbove
+	s.sampling = s.Overloaded && waiting > s.Properties.SampleAbovePending
 	rejected := unschedulable{}
 	placed := 0
 	var starved []*model.Job
@@ -137,7 +137,7 @@
 	var best micro.Time
 	for _, t := range s.Cluster.CatalogOrder {
 		if t.GPUs >= spec.GPUs && t.FetchGBPerS > 0 {
-			if duration := micro.Of(spec.ImageGB / t.FetchGBPerS); best == 0 || duration < best {
+			if duration := micro.FromSeconds(spec.ImageGB / t.FetchGBPerS); best == 0 || duration < best {
 				best = duration
 			}
 		}
@@ -168,7 +168,7 @@
 
 func unschedulableKeyOf(job *model.Job, overdue bool) (unschedulableKey, unschedulableRequest) {
 	spec := &job.Spec
-	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.PriorityLevel}
+	key := unschedulableKey{class: spec.Class, spot: spec.Spot, checkpoints: spec.CheckpointIntervalS > 0, gpu: spec.GPUs > 0, overdue: overdue, oneZone: spec.OneZone, spread: spec.Spread, priorityLevel: job.PriorityLevel}
 	if spec.Zone != nil {
 		key.zone = *spec.Zone
 	}
--- a/internal/sched/starvation.go
+++ b/internal/sched/starvation.go
@@ -32,7 +32,7 @@
 	if !s.waitedTooLong(job, now) {
 		return false
 	}
-	since := now - s.Properties.AgeAfter/2
+	since := now - s.Properties.StarvationAfter/2
 	return s.amongLargest(job) && !job.Started || job.Class.LastPlacedAt < since || job.Team != nil && job.Team.LastPlacedAt < since
 }
 
@@ -212,7 +212,7 @@
 
 // waitedTooLong reports whether a job has waited too long; the largest wait half as long.
 func (s *Scheduler) waitedTooLong(job *model.Job, now micro.Time) bool {
-	waitLimit := s.Properties.AgeAfter
+	waitLimit := s.Properties.StarvationAfter
 	if s.amongLargest(job) && !job.Started {
 		waitLimit /= 2
 	}
--- a/internal/share/owner.go
+++ b/internal/share/owner.go
@@ -45,7 +45,7 @@
 	entry           Entry          // the latest record that names it
 	firstRevision   uint64         // the first revision known to name it
 	state           OwnerState
-	pendingTransfer wire.Txn // the hand-over that is under way or in doubt
+	pendingTransfer wire.Transaction // the hand-over that is under way or in doubt
 	log             func(msg string, args ...any)
 }
 
@@ -90,8 +90,8 @@
 
 // Preconditions are the conditions of each of the owner's writes: a placement that races with
 // a move fails them, and no start goes out for it.
-func (o *Owner) Preconditions() []wire.Guard {
-	return []wire.Guard{o.self.Precondition(), o.entry.Precondition()}
+func (o *Owner) Preconditions() []wire.Precondition {
+	return []wire.Precondition{o.self.Precondition(), o.entry.Precondition()}
 }
 
 // FirstFencingToken is the lowest token of this ownership. The revision that names an owner is
@@ -118,7 +118,7 @@
 	o.entry = entry
 	// The record has changed since a hand-over went out: that carries the version
 	// before, so it was not carried out, and never will be.
-	o.pendingTransfer = wire.Txn{}
+	o.pendingTransfer = wire.Transaction{}
 	if o.state == Transferring {
 		o.transition(Draining, "the record changed")
 	}
@@ -142,15 +142,15 @@
 // BeginTransfer begins to hand over. The caller has placed nothing since the move began, and
 // none of its writes is under way or in doubt. From here on it says nothing; the
 // transaction it gets names the new owner, and is the only one that does.
-func (o *Owner) BeginTransfer(wall int64) (wire.Txn, bool) {
+func (o *Owner) BeginTransfer(wall int64) (wire.Transaction, bool) {
 	if o.state != Draining || o.entry.Record.State != Moving {
-		return wire.Txn{}, false
+		return wire.Transaction{}, false
 	}
 	next, err := o.entry.Record.Transfer(wall)
 	if err != nil {
-		return wire.Txn{}, false
+		return wire.Transaction{}, false
 	}
-	preconditions := []wire.Guard{o.self.Precondition()}
+	preconditions := []wire.Precondition{o.self.Precondition()}
 	if target := o.entry.Record.Target; target.Node != "" {
 		preconditions = append(preconditions, target.Precondition())
 	}
@@ -167,7 +167,7 @@
 	case err == nil:
 		o.transition(Relinquished, "handed over")
 	case provenNotExecuted(err):
-		o.pendingTransfer = wire.Txn{}
+		o.pendingTransfer = wire.Transaction{}
 		o.transition(Draining, err.Error())
 	default:
 		o.transition(Uncertain, err.Error())
@@ -178,9 +178,9 @@
 // before: a hand-over without an answer could be carried out as soon as this owner acts
 // again. Written anew, the record has another version, and what was sent with the one
 // before fails for good.
-func (o *Owner) ResolveUncertain(wall int64) (wire.Txn, bool) {
+func (o *Owner) ResolveUncertain(wall int64) (wire.Transaction, bool) {
 	if o.state != Uncertain {
-		return wire.Txn{}, false
+		return wire.Transaction{}, false
 	}
 	return o.entry.Update(o.entry.Record.Rewritten(wall), o.self.Precondition()), true
 }
--- a/internal/share/record.go
+++ b/internal/share/record.go
@@ -53,8 +53,8 @@
 }
 
 // Precondition is the condition that this incarnation still has its session.
-func (c Controller) Precondition() wire.Guard {
-	return wire.Guard{Key: SessionKey(c.Node), Version: c.SessionVersion}
+func (c Controller) Precondition() wire.Precondition {
+	return wire.Precondition{Key: SessionKey(c.Node), Version: c.SessionVersion}
 }
 
 // Record is the value of a share's key.
--- a/internal/share/sessions.go
+++ b/internal/share/sessions.go
@@ -57,13 +57,13 @@
 // Reassign is the transaction by which the leader takes the share from an owner that is gone
 // and gives it to another. Beside the leader's own conditions it carries those that the
 // owner's session has not come back and that the new one's has not ended.
-func (e Entry) Reassign(to Controller, s Sessions, wall int64, leader wire.Guard) (wire.Txn, error) {
+func (e Entry) Reassign(to Controller, s Sessions, wall int64, leader wire.Precondition) (wire.Transaction, error) {
 	next, err := e.Record.Reassign(to, wall)
 	if err != nil {
-		return wire.Txn{}, err
+		return wire.Transaction{}, err
 	}
 	node := e.Record.Owner.Node
-	preconditions := []wire.Guard{leader, {Key: SessionKey(node), Version: s[node]}}
+	preconditions := []wire.Precondition{leader, {Key: SessionKey(node), Version: s[node]}}
 	if to.Node != node {
 		preconditions = append(preconditions, to.Precondition())
 	}
