--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -83,9 +83,8 @@
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		ReduceMemoryUsage: true,
 		CloseOnShutdown:   true,
-		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			status := fasthttp.StatusBadRequest
-			ctx.SetStatusCode(status)
+		ErrorHandler: func(ctx *fasthttp.RequestCtx, _ error) {
+			ctx.SetStatusCode(fasthttp.StatusBadRequest)
 			ctx.SetConnectionClose()
 		},
 	}
@@ -109,7 +108,7 @@
 	if reply.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
 	}
-	if reply.Status == 503 && operation != "beat" && s.Service.Isolated() {
+	if reply.Status == fasthttp.StatusServiceUnavailable && operation != "beat" && s.Service.Isolated() {
 		// The load balancer leaves open connections where they are: a user
 		// would ask a node that is cut off again and again.
 		ctx.SetConnectionClose()
@@ -127,34 +126,44 @@
 }
 
 func (s *Server) route(method, path string, body []byte) (string, Reply) {
-	post, get := method == "POST", method == "GET"
+	post, get := method == fasthttp.MethodPost, method == fasthttp.MethodGet
 	switch {
 	case path == "/agent/beat" && post:
 		return "beat", s.Service.Heartbeat(body)
 	case path == "/ready" && get:
 		if s.Service.Ready() {
-			return "", Reply{Status: 200}
+			return "", Reply{Status: fasthttp.StatusOK}
 		}
-		return "", RetryReply(503, 1)
+		return "", RetryReply(fasthttp.StatusServiceUnavailable, 1)
 	case path == "/work" && post:
 		return "submit", s.Service.Submit(body)
 	case strings.HasPrefix(path, "/work/"):
-		id := path[len("/work/"):]
-		if jobID, ok := strings.CutSuffix(id, "/withdraw"); ok && post {
-			if !wire.ValidJobID(jobID) {
-				return "", ErrorReply(404, "no such job")
-			}
-			return "withdraw", s.Service.Cancel(jobID)
-		}
-		if get {
-			if !wire.ValidJobID(id) {
-				return "", ErrorReply(404, "no such job")
-			}
-			return "show", s.Service.Status(id)
-		}
-		return "", ErrorReply(405, "method not allowed")
+		return s.routeJob(method, path[len("/work/"):])
 	case path == "/work" || path == "/ready" || path == "/agent/beat":
-		return "", ErrorReply(405, "method not allowed")
+		return "", methodNotAllowed()
+	}
+	return "", ErrorReply(fasthttp.StatusNotFound, "no such path")
+}
+
+// routeJob serves the paths of one job; rest is what follows /work/.
+func (s *Server) routeJob(method, rest string) (string, Reply) {
+	if jobID, ok := strings.CutSuffix(rest, "/withdraw"); ok && method == fasthttp.MethodPost {
+		if !wire.ValidJobID(jobID) {
+			return "", jobNotFound()
+		}
+		return "withdraw", s.Service.Cancel(jobID)
 	}
-	return "", ErrorReply(404, "no such path")
+	if method != fasthttp.MethodGet {
+		return "", methodNotAllowed()
+	}
+	if !wire.ValidJobID(rest) {
+		return "", jobNotFound()
+	}
+	return "show", s.Service.Status(rest)
+}
+
+func jobNotFound() Reply { return ErrorReply(fasthttp.StatusNotFound, "no such job") }
+
+func methodNotAllowed() Reply {
+	return ErrorReply(fasthttp.StatusMethodNotAllowed, "method not allowed")
 }
