--- a/cmd/notchmux/job.go
+++ b/cmd/notchmux/job.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		defer file.Close()
+		defer func() { _ = file.Close() }()
 		input = file
 	}
 	var document map[string]any
--- a/cmd/notchmux/main.go
+++ b/cmd/notchmux/main.go
@@ -35,6 +35,7 @@
 	Config     string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
 	Properties string `placeholder:"FILE" env:"NOTCHMUX_PROPERTIES" help:"The operators' properties."`
 
+	//nolint:lll // a tag is one literal
 	Feature []string `placeholder:"FILE" sep:"none" help:"Switch a part of the service on by its file (shares.properties). May be repeated."`
 }
 
@@ -117,7 +118,7 @@
 type versionCmd struct{}
 
 // Run prints the version.
-func (versionCmd) Run(_ io.Writer) error {
+func (versionCmd) Run(_ io.Writer) error { //nolint:unparam // every command has this signature
 	fmt.Println("notchmux", version, runtime.Version())
 	return nil
 }
--- a/cmd/notchmux/shard.go
+++ b/cmd/notchmux/shard.go
@@ -1,10 +1,12 @@
 package main
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
+	"net/http"
 	"os"
 	"time"
 
@@ -75,7 +77,7 @@
 		return fmt.Errorf("%s: %w", c.Peer, err)
 	}
 	var reply shard.CommandReply
-	if status != 200 || wire.Unmarshal(body, &reply) != nil {
+	if status != http.StatusOK || wire.Unmarshal(body, &reply) != nil {
 		return fmt.Errorf("%s: no leader acts now (status %d): try again", c.Peer, status)
 	}
 	if err := c.print(&reply, os.Stdout); err != nil {
@@ -93,23 +95,25 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(reply.Shards)
 	}
+	var table bytes.Buffer
 	for _, row := range reply.Shards {
 		fmt.Fprintf(
-			out, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node),
+			&table, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node),
 			row.Record.Selector,
 		)
 		fmt.Fprintf(
-			out, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", row.MachineCount,
+			&table, "  %d machines up, %d without tasks; %d jobs, %d tasks wait; %d moves, since %s\n", row.MachineCount,
 			row.IdleMachines, row.AssignedJobs, row.PendingTasks, row.Record.OwnerChanges,
 			time.UnixMicro(row.Record.ChangedAt).UTC().Format(time.RFC3339),
 		)
 		if row.Record.State == shard.Moving {
-			fmt.Fprintf(out, "  to %s\n", nodeOrLeader(row.Record.Target.Node))
+			fmt.Fprintf(&table, "  to %s\n", nodeOrLeader(row.Record.Target.Node))
 		}
 		if row.BlockedReason != "" {
-			fmt.Fprintf(out, "  %s\n", row.BlockedReason)
+			fmt.Fprintf(&table, "  %s\n", row.BlockedReason)
 		}
 	}
+	_, _ = table.WriteTo(out)
 	return nil
 }
 
@@ -126,12 +130,9 @@
 		return
 	}
 	fmt.Printf(
-		"shares: %d declared, %d policies, at least %v s between moves by policies, %d machines at most at a time, dissolve %v\n",
-		len(s.Declared),
-		len(s.Policies),
-		s.MinMoveInterval.Seconds(),
-		s.MaxMachinesMoving,
-		s.Dissolve,
+		"shares: %d declared, %d policies, at least %v s between moves by policies, "+
+			"%d machines at most at a time, dissolve %v\n",
+		len(s.Declared), len(s.Policies), s.MinMoveInterval.Seconds(), s.MaxMachinesMoving, s.Dissolve,
 	)
 	for _, d := range s.Declared {
 		fmt.Printf("share %s: %s, teams %v, first owner %q\n", d.Name, d.Selector, d.Teams, d.Owner)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -54,7 +54,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		histogram := s.histograms[name]
-		fmt.Fprintf(
+		_, _ = fmt.Fprintf(
 			w, "%s count=%d p50_us=%d p99_us=%d max_us=%d\n", name, histogram.TotalCount(), histogram.ValueAtQuantile(50),
 			histogram.ValueAtQuantile(99), histogram.Max(),
 		)
@@ -65,6 +65,6 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		fmt.Fprintf(w, "%s %d\n", name, s.counters[name])
+		_, _ = fmt.Fprintf(w, "%s %d\n", name, s.counters[name])
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return 0, nil, errors.Join(ErrUnreachable, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	reply, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBody+1))
 	if err != nil {
 		return 0, nil, errors.Join(ErrUnreachable, err)
