--- a/internal/autoscaler/decisions_test.go
+++ b/internal/autoscaler/decisions_test.go
@@ -277,7 +277,7 @@
 		if d.rng.IntN(3) == 0 {
 			granted = 0
 		}
-		d.planner.RecordAnswer(scaleOut.InstanceOffer, scaleOut.Count, granted, d.now)
+		d.planner.RecordRequestResult(scaleOut.InstanceOffer, scaleOut.Count, granted, d.now)
 		d.seen.refusals += count(granted < scaleOut.Count)
 		for range granted {
 			machine := d.addMachine(scaleOut.InstanceOffer)
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -34,10 +34,10 @@
 	if !p.Cluster.MayChangeHands(job) {
 		return p.OwnsOffer
 	}
-	if p.OwnsOffer == nil || p.ShardTakesJob == nil {
+	if p.OwnsOffer == nil || p.ShardAcceptsJob == nil {
 		return nil
 	}
-	return func(offer InstanceOffer) bool { return p.OwnsOffer(offer) || p.ShardTakesJob(job, offer) }
+	return func(offer InstanceOffer) bool { return p.OwnsOffer(offer) || p.ShardAcceptsJob(job, offer) }
 }
 
 // ShardDemand is a number of tasks that wait for capacity in a shard of the machines, which
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -37,8 +37,8 @@
 	ShardCapacity       func() []ShardCapacity       // what is free in shards of other controllers; nil: nothing
 	OwnsOffer           func(InstanceOffer) bool     // the offers whose machines are in no shard; nil: all are
 
-	// ShardTakesJob reports whether an offer's machines are in a shard that takes a job's team.
-	ShardTakesJob func(*cluster.Job, InstanceOffer) bool
+	// ShardAcceptsJob reports whether an offer's machines are in a shard that takes a job's team.
+	ShardAcceptsJob func(*cluster.Job, InstanceOffer) bool
 
 	unreachableZones map[string]bool // unreachable zones, by the last plan
 	permanentFleet   bool            // operators keep machines of their own, by the last plan
@@ -60,9 +60,9 @@
 	ShardCapacity func() []ShardCapacity
 	// OwnsOffer reports whether an offer's machines are in no shard; nil: all are in none.
 	OwnsOffer func(InstanceOffer) bool
-	// ShardTakesJob reports whether an offer's machines are in a shard that takes jobs of a job's
+	// ShardAcceptsJob reports whether an offer's machines are in a shard that takes jobs of a job's
 	// team; nil: there are no shards.
-	ShardTakesJob func(*cluster.Job, InstanceOffer) bool
+	ShardAcceptsJob func(*cluster.Job, InstanceOffer) bool
 }
 
 // New makes a planner that knows of no refusal and no request.
@@ -77,7 +77,7 @@
 		ShardDemands:        cfg.ShardDemands,
 		ShardCapacity:       cfg.ShardCapacity,
 		OwnsOffer:           cfg.OwnsOffer,
-		ShardTakesJob:       cfg.ShardTakesJob,
+		ShardAcceptsJob:       cfg.ShardAcceptsJob,
 	}
 }
 
@@ -97,8 +97,8 @@
 	maxBackoffShift = 2
 )
 
-// RecordAnswer takes in the answer to an instance request.
-func (p *Planner) RecordAnswer(offer InstanceOffer, requested, granted int, now micro.Time) {
+// RecordRequestResult takes in the answer to an instance request.
+func (p *Planner) RecordRequestResult(offer InstanceOffer, requested, granted int, now micro.Time) {
 	switch {
 	case granted == requested:
 		delete(p.ConsecutiveRefusals, offer)
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -278,7 +278,7 @@
 		ID: "j-1", Team: "team", Class: "c", Kind: wire.Service, Priority: wire.Normal, Tasks: 2, CPUs: 4, MemoryGB: 1,
 	}, now-micro.Minute, now)
 	planner.OwnsOffer = func(offer InstanceOffer) bool { return offer.Zone == "b" }
-	planner.ShardTakesJob = func(*cluster.Job, InstanceOffer) bool { return true }
+	planner.ShardAcceptsJob = func(*cluster.Job, InstanceOffer) bool { return true }
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) > 0 {
 		t.Fatalf("requested beyond the limit: %+v", scaleOuts)
 	}
--- a/internal/controller/detector_host.go
+++ b/internal/controller/detector_host.go
@@ -15,7 +15,7 @@
 // What the failure detector needs of a leader.
 
 // InventoryReadAt is when the list of instances that was read last was asked for.
-func (l *Leader) InventoryReadAt() micro.Time { return l.provisioner.InventoryAt() }
+func (l *Leader) InventoryReadAt() micro.Time { return l.provisioner.InventoryRequestedAt() }
 
 // Terminate marks a machine to be terminated.
 func (l *Leader) Terminate(machine *cluster.Machine, reason string) {
--- a/internal/provision/inventory.go
+++ b/internal/provision/inventory.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// InventoryAt is when the inventory that was read last was asked for; 0: none was read in
+// InventoryRequestedAt is when the inventory that was read last was asked for; 0: none was read in
 // this term.
-func (p *Provisioner) InventoryAt() micro.Time { return p.inventoryAt }
+func (p *Provisioner) InventoryRequestedAt() micro.Time { return p.inventoryAt }
 
 // RestoreFirstProvisioned takes in the record of the first machine ever created, during a
 // failover.
--- a/internal/provision/provisioner_test.go
+++ b/internal/provision/provisioner_test.go
@@ -457,14 +457,14 @@
 		go func() { h.PollInventory(ctx); close(ended) }()
 		time.Sleep(time.Second)
 		h.onLoop(func() {
-			if h.InventoryAt() != 0 || len(h.state.Machines) != 0 {
+			if h.InventoryRequestedAt() != 0 || len(h.state.Machines) != 0 {
 				h.t.Error("half an inventory was taken in")
 			}
 		})
 		time.Sleep(inventoryInterval.Duration())
 		h.onLoop(func() {
 			up, failed := h.state.Machines["i-000001"], h.state.Machines["i-000002"]
-			if up == nil || up.Addr != "addr:1" || !up.Permanent || up.LastListed != h.InventoryAt() {
+			if up == nil || up.Addr != "addr:1" || !up.Permanent || up.LastListed != h.InventoryRequestedAt() {
 				h.t.Errorf("%+v", up)
 			}
 			if failed == nil || failed.State != cluster.Terminating {
--- a/internal/provision/sending.go
+++ b/internal/provision/sending.go
@@ -96,7 +96,7 @@
 	)
 	p.requestsInFlight--
 	defer p.sendQueuedRequests(now)
-	p.planner.RecordAnswer(request.offer(), asked.Count, len(machines), now)
+	p.planner.RecordRequestResult(request.offer(), asked.Count, len(machines), now)
 	if len(machines) < asked.Count && p.hasUrgentWork() {
 		p.lastPlan = 0 // the next best offer is requested at once
 	}
