--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -42,7 +42,7 @@
 // The machine that was rented for waiting work never comes. Another is rented while
 // it can still start the work within its objective, though it boots slowly itself,
 // and not before the first had its time.
-func TestReplacementIsRequestedBeforeTheWorkMissesItsObjective(t *testing.T) {
+func TestReplacementForAMachineThatFailsToBootIsRequestedWithinTheObjective(t *testing.T) {
 	const boot, objective = 30 * micro.Second, 110 * micro.Second
 	sim := &bootSimulation{Planner: newTestPlanner(), upAt: map[*cluster.Machine]micro.Time{}}
 	sim.Objectives = scheduler.NewObjectives([]config.Objective{{Kind: "wait", Class: "c", WithinS: objective.Seconds()}})
@@ -97,7 +97,7 @@
 		busy := planner.submit("j-0", 3, 4, false) // takes what is up for good
 		busy.Spec.EstimateS = 1e6
 		for i := range test.late + test.up {
-			machine := planner.addRequested(i, cheap)
+			machine := planner.addRequestedMachine(i, cheap)
 			if i >= test.late {
 				planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
 				planner.Cluster.Allocate(busy, i-test.late, machine, 1, 4, now)
@@ -107,11 +107,11 @@
 			planner.Cluster.FinalizeJob(busy, true, now)
 		}
 		planner.submit("j-1", 4, 1, false)
-		requestsCheap := func(at micro.Time) bool { return planner.onlyRequest(t, test.name, at) == cheap }
+		requestsCheap := func(at micro.Time) bool { return planner.singleRequestedOffer(t, test.name, at) == cheap }
 		if got := requestsCheap(now); got != test.want {
 			t.Errorf("%s: asked for %v, want %v", test.name, got, test.want)
 		}
-		planner.returnLateMachines()
+		planner.removeLateMachines()
 		if got := requestsCheap(now + micro.Minute); got != test.want {
 			t.Errorf("%s: a minute later asked for %v, want %v", test.name, got, test.want)
 		}
@@ -121,8 +121,8 @@
 	}
 }
 
-// onlyRequest is the offer of the one request that is made.
-func (p *Planner) onlyRequest(t *testing.T, name string, at micro.Time) InstanceOffer {
+// singleRequestedOffer is the offer of the one request that is made.
+func (p *Planner) singleRequestedOffer(t *testing.T, name string, at micro.Time) InstanceOffer {
 	t.Helper()
 	scaleOuts, _ := p.Plan(at)
 	if len(scaleOuts) != 1 {
@@ -131,16 +131,16 @@
 	return scaleOuts[0].InstanceOffer
 }
 
-// addRequested adds a machine of the offer that was requested a minute ago.
-func (p *Planner) addRequested(i int, offer InstanceOffer) *cluster.Machine {
+// addRequestedMachine adds a machine of the offer that was requested a minute ago.
+func (p *Planner) addRequestedMachine(i int, offer InstanceOffer) *cluster.Machine {
 	machine := p.Cluster.EnsureMachine(fmt.Sprint("i-", i), now)
 	p.Cluster.DescribeMachine(machine, offer.Type, offer.Zone, offer.Spot)
 	machine.RequestedAt = now - micro.Minute
 	return machine
 }
 
-// returnLateMachines removes all machines that never came up.
-func (p *Planner) returnLateMachines() {
+// removeLateMachines removes all machines that never came up.
+func (p *Planner) removeLateMachines() {
 	for _, machine := range p.Cluster.SortedMachines() {
 		if machine.State == cluster.Registering {
 			p.Cluster.RemoveMachine(machine, now)
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -44,11 +44,11 @@
 	if !scheduler.Allowed(spec, b.typ, b.zone, b.spot) {
 		return 0
 	}
-	return b.countRoom(spec)
+	return b.countByResources(spec)
 }
 
-// countRoom is how many tasks the bin has capacity for, allowed or not.
-func (b *bin) countRoom(spec *wire.Job) int {
+// countByResources is how many tasks the bin has capacity for, allowed or not.
+func (b *bin) countByResources(spec *wire.Job) int {
 	count := math.MaxInt32
 	limit := func(free, need float64) {
 		if need > 0 {
@@ -210,7 +210,7 @@
 		if reserved == tasks {
 			break
 		}
-		if !demand.allows(free.typ, free.zone, free.spot) || demand.boundElsewhere(free.zone) {
+		if !demand.allows(free.typ, free.zone, free.spot) || demand.boundToOtherZone(free.zone) {
 			continue
 		}
 		later := free.availableAt(at)
@@ -226,9 +226,9 @@
 	return reserved
 }
 
-// boundElsewhere reports whether the demand's job must be in one zone and holds allocations in
+// boundToOtherZone reports whether the demand's job must be in one zone and holds allocations in
 // another than the given one.
-func (d *taskDemand) boundElsewhere(zone string) bool {
+func (d *taskDemand) boundToOtherZone(zone string) bool {
 	if d.job == nil || !d.spec.OneZone {
 		return false
 	}
--- a/internal/autoscaler/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -23,7 +23,7 @@
 
 // planCordons says which machines are to take no new tasks, and which are to take them again.
 func (p *Planner) planCordons(demands []taskDemand, now micro.Time) (cordon, uncordon []*cluster.Machine) {
-	if p.hasShortage(demands) {
+	if p.needsAllMachines(demands) {
 		p.noBacklogSince = 0
 		return nil, p.cordonedMachines()
 	}
@@ -33,7 +33,7 @@
 	if now-p.noBacklogSince < cordonDelay {
 		return nil, nil
 	}
-	used, available, candidates := p.shortWorkCapacity(now)
+	used, available, candidates := p.fleetArrayCapacity(now)
 	sort.SliceStable(candidates, func(a, b int) bool { return pricePerCPU(candidates[a]) > pricePerCPU(candidates[b]) })
 	for _, machine := range candidates[:min(len(candidates), len(p.Cluster.Machines)/cordonFleetDivisor+1)] {
 		available.CPU -= machine.Type.CPUs
@@ -46,8 +46,8 @@
 	return cordon, nil
 }
 
-// hasShortage reports whether a job waits for capacity, or cost does not matter.
-func (p *Planner) hasShortage(demands []taskDemand) bool {
+// needsAllMachines reports whether a job waits for capacity, or cost does not matter.
+func (p *Planner) needsAllMachines(demands []taskDemand) bool {
 	return !p.limitsCost() || slices.ContainsFunc(demands, func(demand taskDemand) bool { return demand.job != nil })
 }
 
@@ -61,14 +61,14 @@
 	return cordoned
 }
 
-// shortWorkCapacity is what arrays use and what there is for them, and the machines that could do
+// fleetArrayCapacity is what arrays use and what there is for them, and the machines that could do
 // without.
-func (p *Planner) shortWorkCapacity(now micro.Time) (used, available cluster.Resources, candidates []*cluster.Machine) {
+func (p *Planner) fleetArrayCapacity(now micro.Time) (used, available cluster.Resources, candidates []*cluster.Machine) {
 	for _, machine := range p.Cluster.SortedMachines() {
 		if !machine.Schedulable(now) {
 			continue
 		}
-		usedByArrays, free, hasOtherWork := arrayCapacity(machine)
+		usedByArrays, free, hasOtherWork := machineArrayCapacity(machine)
 		used.Add(usedByArrays, 1)
 		available.Add(free, 1)
 		if !hasOtherWork && !machine.Permanent && !p.usableForGPUWork(machine) && machine.ReservedFor == nil &&
@@ -79,9 +79,9 @@
 	return used, available, candidates
 }
 
-// arrayCapacity is what arrays use on a machine, what other work leaves to them, and whether
+// machineArrayCapacity is what arrays use on a machine, what other work leaves to them, and whether
 // there is any.
-func arrayCapacity(machine *cluster.Machine) (usedByArrays, free cluster.Resources, hasOtherWork bool) {
+func machineArrayCapacity(machine *cluster.Machine) (usedByArrays, free cluster.Resources, hasOtherWork bool) {
 	free = cluster.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}
 	for _, allocation := range machine.Allocations {
 		if allocation.Job == nil {
--- a/internal/autoscaler/decisions_test.go
+++ b/internal/autoscaler/decisions_test.go
@@ -46,30 +46,30 @@
 	state    *cluster.State
 	planner  *Planner
 	now      micro.Time
-	out      hash.Hash
+	digest      hash.Hash
 	jobs     []*cluster.Job // in the order of their submission
 	upAt     map[*cluster.Machine]micro.Time
-	sequence wire.Count
+	heartbeatSequence wire.Count
 	created  int
 	requests int
-	busy     int // plans during which jobs are submitted
-	seen     *decisionCoverage
+	submitRounds     int // plans during which jobs are submitted
+	coverage     *decisionCoverage
 }
 
 // decisionCoverage counts what the clusters have shown, so that the digest cannot become one
 // of clusters in which nothing happens.
 type decisionCoverage struct {
-	spot, onDemand, onGPU, urgent, largest, beyondCut, inShards    int
+	spot, onDemand, onGPU, urgent, maxSizedRequest, inUnreachableZone, inShard    int
 	idle, cordoned, uncordoned, headroom                           int
-	refusals, excluded, persistent, tooExpensive, quiet, permanent int
+	refusals, excluded, persistent, tooExpensive, noBacklog, permanent int
 }
 
 func newDecisionScenario(seed uint64, out hash.Hash, seen *decisionCoverage) *decisionScenario {
 	scenario := &decisionScenario{
-		rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * micro.Second, out: out, seen: seen,
+		rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * micro.Second, digest: out, coverage: seen,
 		upAt: map[*cluster.Machine]micro.Time{},
 	}
-	scenario.busy = decisionPlans/3 + scenario.rng.IntN(decisionPlans)
+	scenario.submitRounds = decisionPlans/3 + scenario.rng.IntN(decisionPlans)
 	scenario.state = cluster.New(decisionEffects{scenario: scenario})
 	scenario.state.LeaseDuration = 30 * micro.Second
 	scenario.addCatalog()
@@ -161,7 +161,7 @@
 		Image: "image", ImageGB: float64(d.rng.IntN(12)),
 		Spot: d.rng.IntN(2) == 0, EstimateS: float64(5 + d.rng.IntN(100)),
 	}
-	d.shape(&spec)
+	d.randomizeTasks(&spec)
 	waited := micro.Time(d.rng.IntN(60)) * micro.Second
 	if d.rng.IntN(5) == 0 {
 		waited += 3 * micro.Minute
@@ -173,8 +173,8 @@
 	}
 }
 
-// shape gives a job of some kind its class, its tasks and what they ask for.
-func (d *decisionScenario) shape(spec *wire.Job) {
+// randomizeTasks gives a job of some kind its class, its tasks and what they ask for.
+func (d *decisionScenario) randomizeTasks(spec *wire.Job) {
 	switch spec.Kind {
 	case wire.Gang:
 		spec.Class, spec.Tasks = "training", 1+d.rng.IntN(6)
@@ -219,7 +219,7 @@
 // plan lets the cluster change, plans once and records what was decided.
 func (d *decisionScenario) plan(round int) {
 	d.now += decisionStep
-	if round < d.busy || round >= decisionPlans-4 {
+	if round < d.submitRounds || round >= decisionPlans-4 {
 		for range d.rng.IntN(3) {
 			d.submit()
 		}
@@ -228,7 +228,7 @@
 	}
 	d.answerRequests()
 	d.bootMachines()
-	d.disturb()
+	d.injectFaults()
 	d.placeTasks()
 	d.heartbeats()
 	cordonedBefore := map[*cluster.Machine]bool{}
@@ -245,7 +245,7 @@
 	d.recordPrices()
 	for _, machine := range idle {
 		d.record("idle", machine.Name)
-		d.seen.idle++
+		d.coverage.idle++
 		if d.rng.IntN(3) > 0 {
 			d.state.RemoveMachine(machine, d.now)
 		}
@@ -278,7 +278,7 @@
 			granted = 0
 		}
 		d.planner.RecordRequestResult(scaleOut.InstanceOffer, scaleOut.Count, granted, d.now)
-		d.seen.refusals += count(granted < scaleOut.Count)
+		d.coverage.refusals += boolToInt(granted < scaleOut.Count)
 		for range granted {
 			machine := d.addMachine(scaleOut.InstanceOffer)
 			if d.rng.IntN(5) > 0 { // the others never boot
@@ -303,8 +303,8 @@
 	}
 }
 
-// disturb changes the state of the cluster now and then.
-func (d *decisionScenario) disturb() {
+// injectFaults changes the state of the cluster now and then.
+func (d *decisionScenario) injectFaults() {
 	zone := pick(d.rng, "a", "b", "c")
 	switch d.rng.IntN(16) {
 	case 0:
@@ -366,7 +366,7 @@
 // heartbeats lets two in three machines report: what is to stop is over, the rest runs, and
 // some of it ends.
 func (d *decisionScenario) heartbeats() {
-	d.sequence++
+	d.heartbeatSequence++
 	for _, job := range d.jobs { // what is placed may start
 		for _, chunk := range job.Chunks {
 			d.state.ChunkPersisted(chunk, chunk.MemoryVersion)
@@ -379,7 +379,7 @@
 		}
 		heartbeat := &wire.Heartbeat{
 			Machine: machine.Name, Addr: "address", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
-			AgentEpoch: 1, Sequence: d.sequence, FencingToken: 1,
+			AgentEpoch: 1, Sequence: d.heartbeatSequence, FencingToken: 1,
 		}
 		for _, allocation := range machine.SortedAllocations() {
 			heartbeat.Tasks = append(heartbeat.Tasks, d.taskStatus(allocation))
@@ -406,27 +406,27 @@
 }
 
 // record adds a line to what the digest is made of.
-func (d *decisionScenario) record(values ...any) { d.out.Write(fmt.Appendln(nil, values...)) }
+func (d *decisionScenario) record(values ...any) { d.digest.Write(fmt.Appendln(nil, values...)) }
 
 func (d *decisionScenario) recordScaleOut(scaleOut ScaleOut) {
 	d.requests++
 	d.planner.PendingRequests[fmt.Sprint("r-", d.requests)] = scaleOut
 	d.record("scale-out", scaleOut.InstanceOffer, scaleOut.Count, scaleOut.Class, scaleOut.PriorityLevel)
-	d.seen.spot += count(scaleOut.Spot)
-	d.seen.onDemand += count(!scaleOut.Spot)
-	d.seen.onGPU += count(scaleOut.Type == "gpu")
-	d.seen.urgent += count(scaleOut.PriorityLevel == 0)
-	d.seen.largest += count(scaleOut.Count == maxMachinesPerRequest)
-	d.seen.beyondCut += count(d.planner.unreachableZones[scaleOut.Zone])
-	d.seen.inShards += count(d.planner.OwnsOffer != nil && !d.planner.OwnsOffer(scaleOut.InstanceOffer))
+	d.coverage.spot += boolToInt(scaleOut.Spot)
+	d.coverage.onDemand += boolToInt(!scaleOut.Spot)
+	d.coverage.onGPU += boolToInt(scaleOut.Type == "gpu")
+	d.coverage.urgent += boolToInt(scaleOut.PriorityLevel == 0)
+	d.coverage.maxSizedRequest += boolToInt(scaleOut.Count == maxMachinesPerRequest)
+	d.coverage.inUnreachableZone += boolToInt(d.planner.unreachableZones[scaleOut.Zone])
+	d.coverage.inShard += boolToInt(d.planner.OwnsOffer != nil && !d.planner.OwnsOffer(scaleOut.InstanceOffer))
 }
 
 func (d *decisionScenario) recordMachines(cordonedBefore map[*cluster.Machine]bool) {
 	for _, machine := range d.state.SortedMachines() {
 		d.record("machine", machine.Name, machine.Cordoned, machine.LastNeededForHeadroom)
-		d.seen.cordoned += count(machine.Cordoned && !cordonedBefore[machine])
-		d.seen.uncordoned += count(!machine.Cordoned && cordonedBefore[machine])
-		d.seen.headroom += count(machine.LastNeededForHeadroom == d.now)
+		d.coverage.cordoned += boolToInt(machine.Cordoned && !cordonedBefore[machine])
+		d.coverage.uncordoned += boolToInt(!machine.Cordoned && cordonedBefore[machine])
+		d.coverage.headroom += boolToInt(machine.LastNeededForHeadroom == d.now)
 	}
 }
 
@@ -445,12 +445,12 @@
 		class := d.state.Classes[name]
 		if backlog := p.backlogs[class]; class != nil && backlog != nil {
 			d.record("backlog", name, *backlog)
-			d.seen.persistent += count(backlog.lastExpensiveAt == d.now)
+			d.coverage.persistent += boolToInt(backlog.lastExpensiveAt == d.now)
 		}
 	}
-	d.seen.excluded += count(len(excluded) > 0)
-	d.seen.quiet += count(p.noBacklogSince != 0)
-	d.seen.permanent += count(p.permanentFleet)
+	d.coverage.excluded += boolToInt(len(excluded) > 0)
+	d.coverage.noBacklog += boolToInt(p.noBacklogSince != 0)
+	d.coverage.permanent += boolToInt(p.permanentFleet)
 }
 
 // recordPrices records which machines the price of is too high for the latest jobs.
@@ -460,7 +460,7 @@
 			for _, spot := range []bool{false, true} {
 				within := d.planner.WithinPrice(job, typ, spot, d.now)
 				d.record("price", job.Spec.ID, typ.Name, spot, within)
-				d.seen.tooExpensive += count(!within)
+				d.coverage.tooExpensive += boolToInt(!within)
 			}
 		}
 	}
@@ -469,7 +469,7 @@
 // pick chooses one of several values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-func count(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
@@ -479,7 +479,7 @@
 // The planner's code is changed in shape now and then, and must decide as before: each
 // scale-out, idle and cordoned machine, machine counted on for headroom and price limit on
 // some hundred random clusters, and what the planner remembers, is in the digest.
-func TestDecisionsOnRandomClustersStay(t *testing.T) {
+func TestDecisionsOnRandomClustersMatchRecordedDigest(t *testing.T) {
 	digest := fnv.New64a()
 	seen := &decisionCoverage{}
 	for seed := range uint64(decisionClusters) {
@@ -501,8 +501,8 @@
 	t.Helper()
 	const enough = 20
 	least := slices.Min([]int{
-		c.spot, c.onDemand, c.onGPU, c.urgent, c.largest, c.beyondCut, c.inShards, c.idle, c.cordoned, c.uncordoned,
-		c.headroom, c.refusals, c.excluded, c.persistent, c.tooExpensive, c.quiet, c.permanent,
+		c.spot, c.onDemand, c.onGPU, c.urgent, c.maxSizedRequest, c.inUnreachableZone, c.inShard, c.idle, c.cordoned, c.uncordoned,
+		c.headroom, c.refusals, c.excluded, c.persistent, c.tooExpensive, c.noBacklog, c.permanent,
 	})
 	if least < enough {
 		t.Errorf("a kind of decision was taken only %d times, want %d: %+v", least, enough, *c)
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -74,15 +74,15 @@
 	}
 	sort.Slice(jobs, func(a, b int) bool { return jobs[a].Spec.ID < jobs[b].Spec.ID })
 	for _, job := range jobs {
-		if job.NotBefore > now+maxBackoffAhead && job.InBackoff(now) {
+		if job.NotBefore > now+maxBackoffRemaining && job.InBackoff(now) {
 			continue
 		}
-		tasks := planned.take(job, job.Demand(now))
+		tasks := planned.reserve(job, job.Demand(now))
 		if tasks == 0 {
 			continue
 		}
 		latestStart := p.Objectives.LatestStart(job, now)
-		if !p.isUrgent(job, latestStart, now) {
+		if !p.scaleOutDue(job, latestStart, now) {
 			continue
 		}
 		eligible := p.eligibleOffers(job)
@@ -100,15 +100,15 @@
 	return demands, topPriorityTasks
 }
 
-// maxBackoffAhead is how far off the end of a job's backoff may be for capacity to be requested.
-const maxBackoffAhead = 10 * micro.Second
+// maxBackoffRemaining is how far off the end of a job's backoff may be for capacity to be requested.
+const maxBackoffRemaining = 10 * micro.Second
 
 // plannedQuota is what one plan has taken of each team's limits.
 type plannedQuota map[*cluster.Team]cluster.Resources
 
-// take takes capacity in the limits of a job's team for so many tasks, or as many as there is capacity
+// reserve takes capacity in the limits of a job's team for so many tasks, or as many as there is capacity
 // for, which it returns; 0: none, or too few for a gang.
-func (q plannedQuota) take(job *cluster.Job, tasks int) int {
+func (q plannedQuota) reserve(job *cluster.Job, tasks int) int {
 	team, spec := job.Team, &job.Spec
 	if tasks == 0 || team == nil || receivesQuota(job) {
 		return tasks
@@ -175,7 +175,7 @@
 // before capacity is requested for it.
 const scaleOutDelay = 8 * micro.Second
 
-func (p *Planner) isUrgent(job *cluster.Job, latestStart, now micro.Time) bool {
+func (p *Planner) scaleOutDue(job *cluster.Job, latestStart, now micro.Time) bool {
 	if now-job.EligibleSince > scaleOutDelay {
 		return true
 	}
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -123,7 +123,7 @@
 	demands := p.demands(now)
 	plan := p.newScaleOutPlan(now)
 	for i := range demands {
-		plan.satisfy(&demands[i])
+		plan.planDemand(&demands[i])
 	}
 	cordon, uncordon := p.planCordons(demands, now)
 	for _, machine := range cordon {
@@ -157,8 +157,8 @@
 	return unreachable
 }
 
-// maxPending is how much of an offer may be asked for at a time.
-func (p *Planner) maxPending(offer InstanceOffer) int {
+// maxPendingMachines is how much of an offer may be asked for at a time.
+func (p *Planner) maxPendingMachines(offer InstanceOffer) int {
 	if p.ConsecutiveRefusals[offer] > 0 {
 		return maxMachinesPerRequest
 	}
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -45,7 +45,7 @@
 	)
 }
 
-func TestScaleOutTakesTheCheapestOfferThatFits(t *testing.T) {
+func TestScaleOutRequestsTheCheapestOfferThatFits(t *testing.T) {
 	planner := newTestPlanner()
 	planner.submit("j-1", 8, 1, true)
 	scaleOuts, _ := planner.Plan(now)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestMachineThatFailsToBootIsReplacedInTime(t *testing.T) {
+func TestMachineThatFailsToBootIsReplacedAfterItsBootTimeout(t *testing.T) {
 	planner := newTestPlanner()
 	planner.submit("j-1", 4, 1, true)
 	m := planner.Cluster.EnsureMachine("i-1", now)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestIdleMachinesAreTerminatedAndPermanentOnesStay(t *testing.T) {
+func TestIdleMachinesAreTerminatedUnlessPermanent(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"rented", "own"} {
 		m := planner.Cluster.EnsureMachine(name, now)
@@ -125,7 +125,7 @@
 
 // Short tasks kept a expensive machine from ever being empty, long after the burst
 // that it was rented for.
-func TestExpensiveMachinesAreCordonedWithoutBacklogAndUncordonedWithIt(t *testing.T) {
+func TestExpensiveMachineIsCordonedWithoutBacklogAndUncordonedWithBacklog(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-gpu"} {
 		machine := planner.Cluster.EnsureMachine(name, now)
@@ -156,7 +156,7 @@
 
 // A spread service had one task beside free capacity in one zone and may have no more
 // there. That capacity came free, by the plan, so nothing was rented in the other zone.
-func TestCapacityBeyondASpreadLimitIsNotAwaited(t *testing.T) {
+func TestReleasedCapacityBeyondASpreadLimitDoesNotPreventScaleOut(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
 		m := planner.Cluster.EnsureMachine(name, now)
@@ -178,7 +178,7 @@
 }
 
 // The same for a job that must stay in the zone where it has begun.
-func TestCapacityInAnotherZoneIsNotAwaitedByASingleZoneJob(t *testing.T) {
+func TestReleasedCapacityInAnotherZoneDoesNotPreventScaleOutForASingleZoneJob(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
 		m := planner.Cluster.EnsureMachine(name, now)
@@ -202,7 +202,7 @@
 
 // Work with time in hand waits a few seconds for capacity to come free; drained
 // machines must not be kept from it for longer.
-func TestCordonedMachineIsUncordonedForWorkThatCanWait(t *testing.T) {
+func TestCordonedMachineIsUncordonedAfterTheScaleOutDelay(t *testing.T) {
 	planner := newTestPlanner()
 	machine := planner.Cluster.EnsureMachine("i-1", now)
 	planner.Cluster.DescribeMachine(machine, "small", "a", false)
@@ -223,7 +223,7 @@
 
 // A zone was cut off for so long that its tasks were to run elsewhere. The machines
 // for them were rented in the same zone, the cheapest, where they reached nobody.
-func TestScaleOutInAnUnreachableZoneOnlyForWorkBoundToIt(t *testing.T) {
+func TestScaleOutInAnUnreachableZoneOnlyForJobsBoundToIt(t *testing.T) {
 	zoneOf := func(lastHeartbeat micro.Time, bound bool) string {
 		planner := newTestPlanner()
 		planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
@@ -253,7 +253,7 @@
 
 // Machines that come up in a zone that is cut off are left to the work bound to it:
 // others once took them into account first, and more were rented there each second.
-func TestExpectedCapacityInAnUnreachableZoneIsLeftToWorkBoundToIt(t *testing.T) {
+func TestExpectedCapacityInAnUnreachableZoneIsLeftToJobsBoundToIt(t *testing.T) {
 	planner := newTestPlanner()
 	planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
 	planner.submit("j-1", 4, 1, false)
@@ -270,7 +270,7 @@
 
 // A service that other services of its team will give quota to has machines requested beyond the
 // limit, and none where only a shard could use them.
-func TestMachinesForAServiceThatReceivesQuotaAreRequestedBeyondTheLimit(t *testing.T) {
+func TestMachinesForAServiceThatReceivesQuotaAreRequestedBeyondTheTeamLimit(t *testing.T) {
 	planner := newTestPlanner()
 	team := &cluster.Team{Name: "team", CPULimit: 8, UsedCPU: 8}
 	planner.Cluster.Teams["team"] = team
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -28,7 +28,7 @@
 
 // classBacklog is how many of a class's tasks wait, now and a while ago.
 type classBacklog struct {
-	pendingTasks, pendingBefore int
+	pendingTasks, pendingAtMeasurement int
 	measuredAt                  micro.Time // when pendingBefore was noted
 	lastExpensiveAt             micro.Time // when expensive capacity was last requested because it lasts
 }
@@ -66,32 +66,32 @@
 	for _, backlog := range p.backlogs {
 		switch {
 		case upMachines == 0: // nothing could run yet
-			backlog.pendingBefore, backlog.measuredAt = 0, now
+			backlog.pendingAtMeasurement, backlog.measuredAt = 0, now
 		case backlog.pendingTasks == 0:
-			backlog.pendingBefore, backlog.measuredAt = 0, now
+			backlog.pendingAtMeasurement, backlog.measuredAt = 0, now
 		case backlog.measurementDue(now):
-			backlog.pendingBefore, backlog.measuredAt = backlog.pendingTasks, now
+			backlog.pendingAtMeasurement, backlog.measuredAt = backlog.pendingTasks, now
 		}
 	}
 }
 
 // measurementDue reports whether it is time to note how many tasks wait.
 func (b *classBacklog) measurementDue(now micro.Time) bool {
-	if b.pendingBefore == 0 {
+	if b.pendingAtMeasurement == 0 {
 		return now-b.measuredAt >= persistentAfter
 	}
 	return now-b.measuredAt >= backlogInterval
 }
 
-// persistentShortage is how many expensive machines may be requested now because a class's shortage
+// persistentShortageAllowance is how many expensive machines may be requested now because a class's shortage
 // lasts, whatever is expected to come free: other work takes it.
-func (p *Planner) persistentShortage(demand *taskDemand, now micro.Time) int {
+func (p *Planner) persistentShortageAllowance(demand *taskDemand, now micro.Time) int {
 	if demand.job == nil {
 		return 0
 	}
 	backlog := p.backlogs[demand.job.Class]
-	if backlog == nil || backlog.pendingBefore == 0 || now-backlog.measuredAt < backlogInterval/2 ||
-		10*backlog.pendingTasks < 9*backlog.pendingBefore ||
+	if backlog == nil || backlog.pendingAtMeasurement == 0 || now-backlog.measuredAt < backlogInterval/2 ||
+		10*backlog.pendingTasks < 9*backlog.pendingAtMeasurement ||
 		now-backlog.lastExpensiveAt < expensiveInterval {
 		return 0
 	}
@@ -178,18 +178,18 @@
 // occupancyPriceRatio is the most that the capacity of a machine may cost, over the cheapest
 // on-demand capacity, for a job to take it without need.
 func (p *Planner) occupancyPriceRatio(job *cluster.Job, now micro.Time) float64 {
-	if p.onlyCostMatters(job, now) {
+	if p.avoidsExpensiveCapacity(job, now) {
 		return p.Properties.HighPriceRatio
 	}
 	return p.maxPriceRatio(nil, now)
 }
 
-// onlyCostMatters reports whether a job takes no expensive capacity: it is of the last priority level and
+// avoidsExpensiveCapacity reports whether a job takes no expensive capacity: it is of the last priority level and
 // nothing says when it should start or end, so only its cost counts. Arrays of
 // thousands of such tasks had hundreds of on-demand GPU machines requested, and kept
 // those that other work had needed from being terminated. A job none of whose tasks
 // had an allocation for maxExpensiveDelay takes what there is.
-func (p *Planner) onlyCostMatters(job *cluster.Job, now micro.Time) bool {
+func (p *Planner) avoidsExpensiveCapacity(job *cluster.Job, now micro.Time) bool {
 	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) &&
 		p.Cluster.WaitingTime(job, now) <= maxExpensiveDelay
 }
@@ -200,7 +200,7 @@
 // isExpensive reports whether a machine's capacity costs more than so many times the
 // cheapest on-demand capacity, for tasks like this.
 func (p *Planner) isExpensive(spec *wire.Job, typ *cluster.MachineType, spot bool, ratio float64) bool {
-	k := newBin(typ, "", false).countRoom(spec)
+	k := newBin(typ, "", false).countByResources(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
 
@@ -208,7 +208,7 @@
 // on-demand capacity. Work that has waited long and would soon be late may cost more:
 // then the cheap capacity has run out.
 func (p *Planner) maxPriceRatio(job *cluster.Job, now micro.Time) float64 {
-	if p.onlyCostMatters(job, now) {
+	if p.avoidsExpensiveCapacity(job, now) {
 		return p.Properties.HighPriceRatio
 	}
 	limit := p.Properties.MaxPriceRatio * 1.4
@@ -247,13 +247,13 @@
 	now         micro.Time
 	priceLimit  float64 // the most that capacity for a task may cost an hour
 
-	best     *bin // the best offer so far; nil: none
+	bestBin     *bin // the best offer so far; nil: none
 	bestCost float64
 }
 
 // cheapest finds the offer that costs least per task, but for those that are excluded now.
 func (s *offerSearch) cheapest(excludedUntil map[InstanceOffer]micro.Time) *bin {
-	s.best, s.bestCost = nil, 0
+	s.bestBin, s.bestCost = nil, 0
 	for _, typ := range s.planner.Cluster.CatalogOrder {
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
@@ -263,7 +263,7 @@
 			}
 		}
 	}
-	return s.best
+	return s.bestBin
 }
 
 // spotRiskFactor is what is added to a spot instance's price: it may be preempted.
@@ -274,7 +274,7 @@
 
 // consider takes an offer if it serves the demand better than the best so far.
 func (s *offerSearch) consider(offer InstanceOffer, typ *cluster.MachineType) {
-	if !s.serves(offer, typ) {
+	if !s.isRequestable(offer, typ) {
 		return
 	}
 	candidate := newBin(typ, offer.Zone, offer.Spot)
@@ -293,12 +293,12 @@
 	cost := perTask * (1 + typ.BootS/bootCostSeconds)
 	if s.isBetter(offer.Zone, cost) {
 		candidate.offer = offer
-		s.best, s.bestCost = candidate, cost
+		s.bestBin, s.bestCost = candidate, cost
 	}
 }
 
-// serves reports whether an offer may be requested for the demand now.
-func (s *offerSearch) serves(offer InstanceOffer, typ *cluster.MachineType) bool {
+// isRequestable reports whether an offer may be requested for the demand now.
+func (s *offerSearch) isRequestable(offer InstanceOffer, typ *cluster.MachineType) bool {
 	if s.planner.RefusedUntil[offer] > s.now || !s.demand.allows(typ, offer.Zone, offer.Spot) {
 		return false
 	}
@@ -308,12 +308,12 @@
 // isBetter reports whether capacity in a zone at a cost is better than the best so far: a
 // reachable zone goes before cost.
 func (s *offerSearch) isBetter(zone string, cost float64) bool {
-	if s.best == nil {
+	if s.bestBin == nil {
 		return true
 	}
 	unreachable := s.planner.unreachableZones
-	if unreachable[zone] != unreachable[s.best.zone] {
-		return unreachable[s.best.zone]
+	if unreachable[zone] != unreachable[s.bestBin.zone] {
+		return unreachable[s.bestBin.zone]
 	}
 	return cost < s.bestCost
 }
--- a/internal/autoscaler/price_test.go
+++ b/internal/autoscaler/price_test.go
@@ -46,7 +46,7 @@
 
 // An array of thousands of idle tasks, of a class for which nothing was promised,
 // once had hundreds of ordinary GPU machines rented.
-func TestLowPriorityWorkWithoutObjectiveRequestsNoExpensiveMachines(t *testing.T) {
+func TestLowPriorityJobWithoutObjectiveRequestsExpensiveMachinesOnlyAfterALongWait(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
 	job := planner.submitWithPriority("guest", wire.Low)
 	job.WaitingSince = now - micro.Minute
@@ -60,7 +60,7 @@
 }
 
 // In terms of less than three minutes such work waited for good: each began the count anew.
-func TestLowPriorityWorkThatWaitedInEarlierTermsRequestsExpensiveMachines(t *testing.T) {
+func TestLowPriorityJobThatWaitedInEarlierTermsRequestsExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
 		termAge micro.Time
 		want    bool
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestWorkWithAnObjectiveOrHigherPriorityMayRequestExpensiveMachines(t *testing.T) {
+func TestJobWithAnObjectiveOrHigherPriorityRequestsExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
 		class string
 		rank  wire.Priority
@@ -92,7 +92,7 @@
 
 // On a expensive machine that other work had needed, such tasks kept it from being
 // returned: new ones came as long as any waited.
-func TestLowPriorityWorkWithoutObjectiveKeepsNoExpensiveMachine(t *testing.T) {
+func TestLowPriorityJobWithoutObjectiveMayNotUseAnExpensiveMachine(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
 	guest, promised := planner.submitWithPriority("guest", wire.Low), planner.submitWithPriority("promised", wire.Low)
 	guest.WaitingSince, promised.WaitingSince = now, now
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -17,7 +17,7 @@
 	plannedMachines map[InstanceOffer]int // machines that this plan requests
 	firstDemand     map[InstanceOffer]*taskDemand
 	offerOrder      []InstanceOffer // the offers of plannedMachines, in the order of the demands
-	total           int
+	totalMachines           int
 }
 
 func (p *Planner) newScaleOutPlan(now micro.Time) *scaleOutPlan {
@@ -61,8 +61,8 @@
 	turnoverCounted  bool // freedInTime holds all capacity that comes free before expensive capacity would help
 }
 
-// satisfy requests capacity for a demand, the cheapest offer first.
-func (plan *scaleOutPlan) satisfy(demand *taskDemand) {
+// planDemand requests capacity for a demand, the cheapest offer first.
+func (plan *scaleOutPlan) planDemand(demand *taskDemand) {
 	short := &shortage{taskDemand: demand, tasksByZone: map[string]int{}}
 	short.unplaced = demand.tasks - plan.reserveExpected(short)
 	short.unplaced -= plan.reserveInShards(short)
@@ -72,7 +72,7 @@
 		deadline := plan.now + plan.planner.minReadyTime(demand.spec)/2
 		short.freedInTime = reserveReleased(plan.runningCapacity(), demand, short.unplaced, short.tasksByZone, deadline)
 	}
-	for short.unplaced > 0 && plan.total < maxMachinesPerPlan {
+	for short.unplaced > 0 && plan.totalMachines < maxMachinesPerPlan {
 		if !plan.addNextOffer(short) {
 			return
 		}
@@ -135,7 +135,7 @@
 		!planner.isExpensive(short.spec, best.typ, best.spot, planner.Properties.HighPriceRatio) {
 		return true
 	}
-	if n := planner.persistentShortage(short.taskDemand, plan.now); n > 0 {
+	if n := planner.persistentShortageAllowance(short.taskDemand, plan.now); n > 0 {
 		// What was to come free does not: a few at a time.
 		short.unplaced, short.freedInTime, short.persistent = min(short.unplaced, n*best.countFitting(short.spec)), 0, true
 	} else if !planner.meetsObjective(short.taskDemand, best.typ, plan.now) {
@@ -170,8 +170,8 @@
 
 // machineCount is how many machines of an offer are requested at a time for so many tasks.
 func (plan *scaleOutPlan) machineCount(short *shortage, best *bin, tasks, perMachine int) int {
-	limit := plan.planner.maxPending(best.offer) - plan.pendingMachines[best.offer] - plan.plannedMachines[best.offer]
-	count := min(ceilDiv(tasks, perMachine), maxMachinesPerPlan-plan.total, limit)
+	limit := plan.planner.maxPendingMachines(best.offer) - plan.pendingMachines[best.offer] - plan.plannedMachines[best.offer]
+	count := min(ceilDiv(tasks, perMachine), maxMachinesPerPlan-plan.totalMachines, limit)
 	if count > 0 && (short.unplaced <= short.freedInTime || plan.limitsCost && short.freedInTime > 0) {
 		count = min(count, max(ceilDiv(short.unplaced-short.freedInTime, perMachine), 1))
 	}
@@ -185,7 +185,7 @@
 		plan.firstDemand[best.offer] = short.taskDemand
 	}
 	plan.plannedMachines[best.offer] += count
-	plan.total += count
+	plan.totalMachines += count
 	group := plan.expected.groupFor(best.offer, best.typ)
 	group.add(count)
 	reserved := group.reserve(short.spec, tasks)
--- a/internal/provision/inventory.go
+++ b/internal/provision/inventory.go
@@ -101,7 +101,7 @@
 
 func (p *Provisioner) applyInventory(listed []wire.ListedMachine, requestedAt micro.Time) {
 	now := p.term.Now()
-	p.inventoryAt = requestedAt
+	p.inventoryRequestedAt = requestedAt
 	for i := range listed {
 		row := &listed[i]
 		if p.cluster.WasTerminated(row.Name) {
@@ -126,7 +126,7 @@
 
 // InventoryRequestedAt is when the inventory that was read last was asked for; 0: none was read in
 // this term.
-func (p *Provisioner) InventoryRequestedAt() micro.Time { return p.inventoryAt }
+func (p *Provisioner) InventoryRequestedAt() micro.Time { return p.inventoryRequestedAt }
 
 // RestoreFirstProvisioned takes in the record of the first machine ever created, during a
 // failover.
--- a/internal/provision/inventory_test.go
+++ b/internal/provision/inventory_test.go
@@ -9,7 +9,7 @@
 
 // By age, a machine of the operators' own once looked rented, and a rented one
 // that was gone looked like their own.
-func TestOwnMachinesAreThoseCreatedBeforeTheFirstInstanceRequest(t *testing.T) {
+func TestMachinesCreatedBeforeTheFirstProvisionedOneAreOperatorOwned(t *testing.T) {
 	p := &Provisioner{}
 	if !p.isOperatorOwned(&cluster.Machine{Name: "i-000007"}) ||
 		p.isOperatorOwned(&cluster.Machine{Name: "i-000007", InstanceRequestID: "r-1-1"}) {
@@ -24,7 +24,7 @@
 }
 
 // Lists of 4,000 machines once took a third of the cloud's rate.
-func TestListOfALargeFleetLeavesTheCloudsRateToInstanceRequests(t *testing.T) {
+func TestInventoryOfALargeFleetLeavesMostOfTheCloudsRateToOtherCalls(t *testing.T) {
 	for _, machines := range []int{40, 2000, 4000, 6000, 20000} {
 		pages := (machines + 499) / 500
 		pause := inventoryPause(pages, 4)
--- a/internal/provision/provisioner_test.go
+++ b/internal/provision/provisioner_test.go
@@ -40,22 +40,22 @@
 	mu               sync.Mutex
 	requestErrors    []error // of the next instance requests; the request is carried out all the same
 	terminateErrors  []error
-	unanswered       chan struct{} // nil: requests are answered at once
+	holdRequests       chan struct{} // nil: requests are answered at once
 	requested        []string
 	terminated       []string
-	inFlight, atMost int
+	inFlight, maxInFlight int
 }
 
 func (c *scriptedCloud) RequestInstances(ctx context.Context, request wire.InstanceRequest) ([]string, error) {
 	c.mu.Lock()
 	c.requested = append(c.requested, request.RequestID)
 	c.inFlight++
-	c.atMost = max(c.atMost, c.inFlight)
+	c.maxInFlight = max(c.maxInFlight, c.inFlight)
 	var scripted error
 	if len(c.requestErrors) > 0 {
 		scripted, c.requestErrors = c.requestErrors[0], c.requestErrors[1:]
 	}
-	unanswered := c.unanswered
+	unanswered := c.holdRequests
 	c.mu.Unlock()
 	if unanswered != nil {
 		<-unanswered
@@ -85,7 +85,7 @@
 func (c *scriptedCloud) calls() (requested, terminated []string, atMost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.requested), slices.Clone(c.terminated), c.atMost
+	return slices.Clone(c.requested), slices.Clone(c.terminated), c.maxInFlight
 }
 
 // harness runs a Provisioner on a loop of its own, in fake time, over an in-memory store.
@@ -96,7 +96,7 @@
 	store   *fake.Store
 	cloud   *scriptedCloud
 	writer  *statestore.Writer
-	leased  atomic.Bool
+	leaseHeld  atomic.Bool
 	started time.Time
 }
 
@@ -104,39 +104,39 @@
 	return 1000*micro.Second + micro.Time(time.Since(h.started).Microseconds())
 }
 func (h *harness) Wall() micro.Time                   { return micro.WallNow() }
-func (h *harness) HoldsLease() bool                   { return h.leased.Load() }
+func (h *harness) HoldsLease() bool                   { return h.leaseHeld.Load() }
 func (h *harness) Preconditions() []wire.Precondition { return nil }
 func (h *harness) Post(event eventloop.Event)         { h.loop.Post(event) }
 func (h *harness) MaxValueBytes() int                 { return 16 << 10 }
 func (h *harness) MaxTransactionOps() int             { return 24 }
 func (h *harness) ObserveCommit(micro.Time)           {}
 
-// step is an event that a test has the loop run.
-type step struct {
+// loopFunc is an event that a test has the loop run.
+type loopFunc struct {
 	run  func()
 	done chan struct{}
 }
 
-func (s step) Apply() { s.run(); close(s.done) }
+func (s loopFunc) Apply() { s.run(); close(s.done) }
 
 // onLoop runs f on the goroutine that owns the state.
 func (h *harness) onLoop(f func()) {
-	s := step{f, make(chan struct{})}
+	s := loopFunc{f, make(chan struct{})}
 	h.loop.Post(s)
 	<-s.done
 }
 
-// firstRequest is the name of the first instance request of the harness's term.
-const firstRequest = "r-7-1"
+// firstRequestID is the name of the first instance request of the harness's term.
+const firstRequestID = "r-7-1"
 
 // storedRequest reads the record of the first instance request; false: there is none.
 func (h *harness) storedRequest() (record InstanceRequestRecord, ok bool) {
-	item, err := h.store.Get(context.Background(), store.Routine, keys.InstanceRequest(firstRequest))
+	item, err := h.store.Get(context.Background(), store.Routine, keys.InstanceRequest(firstRequestID))
 	if err != nil {
 		return record, false
 	}
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		h.t.Errorf("record of %s: %v", firstRequest, err)
+		h.t.Errorf("record of %s: %v", firstRequestID, err)
 	}
 	return record, true
 }
@@ -148,12 +148,12 @@
 	}, h.Now()-micro.Minute, h.Now())
 }
 
-func inFakeTime(t *testing.T, scenario func(h *harness)) {
+func runInFakeTime(t *testing.T, scenario func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		h := &harness{t: t, started: time.Now(), store: fake.NewStore()}
 		h.store.Now = h.Now
-		h.leased.Store(true)
+		h.leaseHeld.Store(true)
 		h.cloud = &scriptedCloud{Cloud: fake.NewCloud(1000)}
 		h.state = cluster.New(discardEffects{})
 		h.state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{
@@ -184,15 +184,15 @@
 func (h *harness) requestState() RequestState {
 	state := RequestClosed
 	h.onLoop(func() {
-		if request := h.requests[firstRequest]; request != nil {
+		if request := h.requests[firstRequestID]; request != nil {
 			state = request.state
 		}
 	})
 	return state
 }
 
-// expectNoCalls fails the test if more than so many requests went to the cloud, or a termination.
-func (h *harness) expectNoCalls(requests int) {
+// expectOnlyRequests fails the test if more than so many requests went to the cloud, or a termination.
+func (h *harness) expectOnlyRequests(requests int) {
 	h.t.Helper()
 	if requested, terminated, _ := h.cloud.calls(); len(requested) != requests || len(terminated) != 0 {
 		h.t.Fatalf("requested %v, terminated %v before the record was stored", requested, terminated)
@@ -203,13 +203,13 @@
 func (h *harness) expectMachines(names []string) {
 	h.t.Helper()
 	for _, name := range names {
-		if machine := h.state.Machines[name]; machine == nil || machine.InstanceRequestID != firstRequest {
+		if machine := h.state.Machines[name]; machine == nil || machine.InstanceRequestID != firstRequestID {
 			h.t.Errorf("machine %s: %+v", name, machine)
 		}
 	}
 }
 
-func TestInstanceRequestsChangeStateByTheTableAlone(t *testing.T) {
+func TestInstanceRequestsMakeOnlyTheListedTransitions(t *testing.T) {
 	all := []RequestState{RequestPersisting, RequestPending, RequestFulfilled, RequestClosed}
 	allowed := map[[2]RequestState]bool{
 		{RequestPersisting, RequestPending}: true,
@@ -219,7 +219,7 @@
 	}
 	for _, from := range all {
 		for _, to := range all {
-			inFakeTime(t, func(h *harness) {
+			runInFakeTime(t, func(h *harness) {
 				h.onLoop(func() {
 					request := &instanceRequest{state: from, maybeSent: true}
 					request.record.Request = wire.InstanceRequest{RequestID: "r-1", Type: "small", Zone: "a", Count: 1}
@@ -240,7 +240,7 @@
 }
 
 func TestRequestIsSentOnceItsRecordIsStored(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+	runInFakeTime(t, func(h *harness) {
 		h.store.SetOutage(true)
 		h.onLoop(func() {
 			h.submit(2)
@@ -249,7 +249,7 @@
 			}
 		})
 		time.Sleep(5 * time.Second)
-		h.expectNoCalls(0)
+		h.expectOnlyRequests(0)
 		if got := h.requestState(); got != RequestPersisting {
 			h.t.Fatalf("the request is %v", got)
 		}
@@ -269,15 +269,15 @@
 }
 
 // A lost answer is asked for again under the same name, and a refusal closes the request.
-func TestUnansweredRequestIsRepeatedUnderItsName(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+func TestFailedRequestIsRetriedUnderTheSameID(t *testing.T) {
+	runInFakeTime(t, func(h *harness) {
 		h.cloud.requestErrors = []error{
 			fmt.Errorf("lost: %w", cloud.ErrUncertain), cloud.ErrUnavailable, cloud.ErrRateLimited,
 		}
 		h.onLoop(func() { h.submit(1); h.PlanIfDue(h.Now()) })
 		time.Sleep(20 * time.Second)
 		requested, _, _ := h.cloud.calls()
-		if !slices.Equal(requested, []string{firstRequest, firstRequest, firstRequest, firstRequest}) ||
+		if !slices.Equal(requested, []string{firstRequestID, firstRequestID, firstRequestID, firstRequestID}) ||
 			len(h.cloud.Instances()) != 1 {
 			h.t.Errorf("requested %v, created %d machines", requested, len(h.cloud.Instances()))
 		}
@@ -286,7 +286,7 @@
 
 func TestRefusedRequestIsClosedAndItsRecordDeleted(t *testing.T) {
 	for _, refusal := range []error{cloud.ErrNoCapacity, cloud.ErrMalformed} {
-		inFakeTime(t, func(h *harness) {
+		runInFakeTime(t, func(h *harness) {
 			h.cloud.requestErrors = []error{refusal}
 			h.onLoop(func() { h.submit(1); h.PlanIfDue(h.Now()) })
 			time.Sleep(20 * time.Second)
@@ -303,12 +303,12 @@
 }
 
 // Without the lease nothing goes to the cloud; with it back, the request goes on.
-func TestNothingIsSentWithoutTheLease(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+func TestCallsToTheCloudWaitUntilTheLeaseIsHeld(t *testing.T) {
+	runInFakeTime(t, func(h *harness) {
 		record := InstanceRequestRecord{
 			Request: wire.InstanceRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Count: 2},
 		}
-		h.leased.Store(false)
+		h.leaseHeld.Store(false)
 		h.onLoop(func() {
 			h.Restore(wire.Item{Value: wire.MustMarshal(record), Version: 5}, h.Now(), h.Wall())
 			h.Terminate(h.state.EnsureMachine("i-other", h.Now()), "test")
@@ -318,7 +318,7 @@
 		if requested, terminated, _ := h.cloud.calls(); len(requested)+len(terminated) != 0 {
 			h.t.Fatalf("sent %v, %v", requested, terminated)
 		}
-		h.leased.Store(true)
+		h.leaseHeld.Store(true)
 		h.onLoop(h.SendTerminations)
 		time.Sleep(10 * time.Second)
 		requested, terminated, _ := h.cloud.calls()
@@ -331,8 +331,8 @@
 // Requests share the cloud's rate with terminations and the inventory; those for the most
 // urgent work go first, whatever waits.
 func TestRequestsInFlightAreBoundedAndUrgentOnesGoFirst(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
-		h.cloud.unanswered = make(chan struct{})
+	runInFakeTime(t, func(h *harness) {
+		h.cloud.holdRequests = make(chan struct{})
 		h.onLoop(func() {
 			for i, level := range []int{2, 2, 2, 2, 1, 0} {
 				request := &instanceRequest{priorityLevel: level}
@@ -350,7 +350,7 @@
 				h.t.Errorf("%d in flight, %d queued", h.requestsInFlight, h.QueuedRequests())
 			}
 		})
-		close(h.cloud.unanswered)
+		close(h.cloud.holdRequests)
 		time.Sleep(time.Second)
 		requested, _, atMost := h.cloud.calls()
 		if len(requested) != 6 || atMost != maxRequestsInFlight {
@@ -362,12 +362,12 @@
 	})
 }
 
-func TestRequestWhoseOfferWasRefusedMeanwhileIsNotSent(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+func TestQueuedRequestIsClosedUnsentWhenItsOfferWasRefused(t *testing.T) {
+	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() {
 			h.submit(1)
 			h.PlanIfDue(h.Now())
-			h.planner.RefusedUntil[h.requests[firstRequest].offer()] = h.Now() + micro.Minute
+			h.planner.RefusedUntil[h.requests[firstRequestID].offer()] = h.Now() + micro.Minute
 		})
 		time.Sleep(10 * time.Second)
 		if requested, _, _ := h.cloud.calls(); len(requested) != 0 || h.requestState() != RequestClosed {
@@ -378,8 +378,8 @@
 
 // A request that is carried out late once took a machine away with the work that the next
 // leader had started on it: the record says first that the machine is to go.
-func TestTerminationWaitsForItsRecordAndIsRepeated(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+func TestTerminationWaitsForItsRecordAndIsRetried(t *testing.T) {
+	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() { h.submit(2); h.PlanIfDue(h.Now()) })
 		time.Sleep(10 * time.Second)
 		record, _ := h.storedRequest()
@@ -400,7 +400,7 @@
 			}
 		})
 		time.Sleep(5 * time.Second)
-		h.expectNoCalls(1) // but the request of the machines
+		h.expectOnlyRequests(1) // but the request of the machines
 		h.store.SetOutage(false)
 		time.Sleep(10 * time.Second)
 		record, _ = h.storedRequest()
@@ -421,8 +421,8 @@
 }
 
 // What an earlier leader asked to be terminated may go at any later time: it takes no work.
-func TestFailoverTakesUpRequestsAndTerminations(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+func TestFailoverRestoresRequestsAndTerminations(t *testing.T) {
+	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() {
 			now, wall := h.Now(), h.Wall()
 			h.Restore(wire.Item{Version: 3, Value: wire.MustMarshal(InstanceRequestRecord{
@@ -450,7 +450,7 @@
 }
 
 func TestInventoryIsReadPageByPageAndFailedMachinesAreTerminated(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+	runInFakeTime(t, func(h *harness) {
 		h.Provisioner.cloud = &pagedCloud{Provider: h.cloud, failures: 1}
 		ctx, cancel := context.WithCancel(h.t.Context())
 		ended := make(chan struct{})
--- a/internal/provision/requests.go
+++ b/internal/provision/requests.go
@@ -164,9 +164,9 @@
 	p.cluster.DescribeMachine(machine, offer.Type, offer.Zone, offer.Spot)
 }
 
-// withoutName is a list with a name left out; the list itself, which a write may be
+// removeName is a list with a name left out; the list itself, which a write may be
 // reading, stays as it is.
-func withoutName(names []string, name string) []string {
+func removeName(names []string, name string) []string {
 	i := slices.Index(names, name)
 	if i < 0 {
 		return names
--- a/internal/provision/sending.go
+++ b/internal/provision/sending.go
@@ -54,10 +54,10 @@
 		machines, err := p.callRequestInstances(wireRequest)
 		switch {
 		case err == nil:
-			p.loop.Post(instanceRequestAnswered{p, request, machines})
+			p.loop.Post(instanceRequestCompleted{p, request, machines})
 			return
 		case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrMalformed):
-			p.loop.Post(instanceRequestAnswered{p, request, nil})
+			p.loop.Post(instanceRequestCompleted{p, request, nil})
 			return
 		}
 		failures++
@@ -76,18 +76,18 @@
 	return p.cloud.RequestInstances(ctx, request)
 }
 
-// instanceRequestAnswered says that the cloud created machines for a request; none: it
+// instanceRequestCompleted says that the cloud created machines for a request; none: it
 // refused.
-type instanceRequestAnswered struct {
+type instanceRequestCompleted struct {
 	provisioner *Provisioner
 	request     *instanceRequest
 	machines    []string
 }
 
 // Apply takes in the answer.
-func (e instanceRequestAnswered) Apply() { e.provisioner.applyAnswer(e.request, e.machines) }
+func (e instanceRequestCompleted) Apply() { e.provisioner.applyRequestResult(e.request, e.machines) }
 
-func (p *Provisioner) applyAnswer(request *instanceRequest, machines []string) {
+func (p *Provisioner) applyRequestResult(request *instanceRequest, machines []string) {
 	now := p.term.Now()
 	asked := request.record.Request
 	p.log.Info(
@@ -107,13 +107,13 @@
 	}
 	p.transition(request, RequestFulfilled)
 	for _, name := range machines {
-		p.noteProvisioned(name, now)
+		p.recordFirstProvisioned(name, now)
 		p.addInstance(request, name, request.pendingSince, now)
 	}
 }
 
-// noteProvisioned keeps the first machine that the service ever had created.
-func (p *Provisioner) noteProvisioned(name string, now micro.Time) {
+// recordFirstProvisioned keeps the first machine that the service ever had created.
+func (p *Provisioner) recordFirstProvisioned(name string, now micro.Time) {
 	if p.firstProvisioned == "" || createdBefore(name, p.firstProvisioned) {
 		p.firstProvisioned = name
 		p.firstProvisionedRecord.MarkDirty(now, statestore.PriorityHigh)
--- a/internal/provision/termination.go
+++ b/internal/provision/termination.go
@@ -29,7 +29,7 @@
 	if request == nil || !p.cluster.CompactRecords || !slices.Contains(request.record.Machines, machine.Name) {
 		return // without a record, or marked by an earlier leader; version 1 would drop the mark
 	}
-	request.record.Machines = withoutName(request.record.Machines, machine.Name)
+	request.record.Machines = removeName(request.record.Machines, machine.Name)
 	request.record.Terminating = append(slices.Clone(request.record.Terminating), machine.Name)
 	request.recordVersion++
 	if len(machine.Allocations) > 0 {
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), terminationTimeout)
 	defer cancel()
 	err := p.cloud.Terminate(ctx, names)
-	p.loop.Post(terminationAnswered{p, machines, err})
+	p.loop.Post(terminationCompleted{p, machines, err})
 }
 
 // terminationNotSent says that the leader held no lease when machines were to be terminated.
@@ -91,15 +91,15 @@
 // Apply has the call made again.
 func (e terminationNotSent) Apply() { e.provisioner.retryTerminations(e.machines) }
 
-// terminationAnswered says what came of a call that terminates machines.
-type terminationAnswered struct {
+// terminationCompleted says what came of a call that terminates machines.
+type terminationCompleted struct {
 	provisioner *Provisioner
 	machines    []*cluster.Machine
 	err         error // nil: they are terminated
 }
 
 // Apply removes the machines, or has the call made again.
-func (e terminationAnswered) Apply() {
+func (e terminationCompleted) Apply() {
 	if e.err != nil {
 		e.provisioner.log.Info("termination unanswered", "machines", len(e.machines), "err", e.err)
 		e.provisioner.retryTerminations(e.machines)
@@ -124,8 +124,8 @@
 	if request == nil {
 		return
 	}
-	request.record.Machines = withoutName(request.record.Machines, machine.Name)
-	request.record.Terminating = withoutName(request.record.Terminating, machine.Name)
+	request.record.Machines = removeName(request.record.Machines, machine.Name)
+	request.record.Terminating = removeName(request.record.Terminating, machine.Name)
 	if len(request.record.Machines)+len(request.record.Terminating) == 0 {
 		p.transition(request, RequestClosed)
 	}
--- a/internal/provision/guards_test.go
+++ b/internal/provision/termination_test.go
@@ -9,8 +9,8 @@
 
 // A machine's termination is requested only once the record of its instance request says
 // so: the next leader starts nothing on it.
-func TestMachineIsTerminatedOnlyOnceItsRecordSaysSo(t *testing.T) {
-	inFakeTime(t, func(h *harness) {
+func TestTerminationIsRecordedOnlyOnceItsRecordIsStored(t *testing.T) {
+	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() {
 			machine := h.state.EnsureMachine("i-1", h.Now())
 			machine.InstanceRequestID = "r-1"
