--- a/internal/autoscaler/decisions_test.go
+++ b/internal/autoscaler/decisions_test.go
@@ -42,26 +42,26 @@
 // its numbers are sums of few powers of two: in whatever order they are added up, the
 // sums are the same.
 type decisionScenario struct {
-	rng      *rand.Rand
-	state    *cluster.State
-	planner  *Planner
-	now      micro.Time
-	digest      hash.Hash
-	jobs     []*cluster.Job // in the order of their submission
-	upAt     map[*cluster.Machine]micro.Time
+	rng               *rand.Rand
+	state             *cluster.State
+	planner           *Planner
+	now               micro.Time
+	digest            hash.Hash
+	jobs              []*cluster.Job // in the order of their submission
+	upAt              map[*cluster.Machine]micro.Time
 	heartbeatSequence wire.Count
-	created  int
-	requests int
-	submitRounds     int // plans during which jobs are submitted
-	coverage     *decisionCoverage
+	created           int
+	requests          int
+	submitRounds      int // plans during which jobs are submitted
+	coverage          *decisionCoverage
 }
 
 // decisionCoverage counts what the clusters have shown, so that the digest cannot become one
 // of clusters in which nothing happens.
 type decisionCoverage struct {
-	spot, onDemand, onGPU, urgent, maxSizedRequest, inUnreachableZone, inShard    int
-	idle, cordoned, uncordoned, headroom                           int
-	refusals, excluded, persistent, tooExpensive, noBacklog, permanent int
+	spot, onDemand, onGPU, urgent, maxSizedRequest, inUnreachableZone, inShard int
+	idle, cordoned, uncordoned, headroom                                       int
+	refusals, excluded, persistent, tooExpensive, noBacklog, permanent         int
 }
 
 func newDecisionScenario(seed uint64, out hash.Hash, seen *decisionCoverage) *decisionScenario {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -77,7 +77,7 @@
 		ShardDemands:        cfg.ShardDemands,
 		ShardCapacity:       cfg.ShardCapacity,
 		OwnsOffer:           cfg.OwnsOffer,
-		ShardAcceptsJob:       cfg.ShardAcceptsJob,
+		ShardAcceptsJob:     cfg.ShardAcceptsJob,
 	}
 }
 
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -29,8 +29,8 @@
 // classBacklog is how many of a class's tasks wait, now and a while ago.
 type classBacklog struct {
 	pendingTasks, pendingAtMeasurement int
-	measuredAt                  micro.Time // when pendingBefore was noted
-	lastExpensiveAt             micro.Time // when expensive capacity was last requested because it lasts
+	measuredAt                         micro.Time // when pendingBefore was noted
+	lastExpensiveAt                    micro.Time // when expensive capacity was last requested because it lasts
 }
 
 // A shortage lasts if, with machines up for persistentAfter, no fewer tasks wait than
@@ -247,7 +247,7 @@
 	now         micro.Time
 	priceLimit  float64 // the most that capacity for a task may cost an hour
 
-	bestBin     *bin // the best offer so far; nil: none
+	bestBin  *bin // the best offer so far; nil: none
 	bestCost float64
 }
 
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -17,7 +17,7 @@
 	plannedMachines map[InstanceOffer]int // machines that this plan requests
 	firstDemand     map[InstanceOffer]*taskDemand
 	offerOrder      []InstanceOffer // the offers of plannedMachines, in the order of the demands
-	totalMachines           int
+	totalMachines   int
 }
 
 func (p *Planner) newScaleOutPlan(now micro.Time) *scaleOutPlan {
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -69,7 +69,7 @@
 
 	firstProvisioned       string // the first machine that the service ever had created; "": none
 	firstProvisionedRecord *statestore.Record
-	inventoryRequestedAt            micro.Time // when the inventory that was read last was asked for
+	inventoryRequestedAt   micro.Time // when the inventory that was read last was asked for
 
 	// pendingTerminations are the machines to be terminated, each with the version of its
 	// request's record that must be stored before.
--- a/internal/provision/provisioner_test.go
+++ b/internal/provision/provisioner_test.go
@@ -37,12 +37,12 @@
 type scriptedCloud struct {
 	*fake.Cloud
 
-	mu               sync.Mutex
-	requestErrors    []error // of the next instance requests; the request is carried out all the same
-	terminateErrors  []error
-	holdRequests       chan struct{} // nil: requests are answered at once
-	requested        []string
-	terminated       []string
+	mu                    sync.Mutex
+	requestErrors         []error // of the next instance requests; the request is carried out all the same
+	terminateErrors       []error
+	holdRequests          chan struct{} // nil: requests are answered at once
+	requested             []string
+	terminated            []string
 	inFlight, maxInFlight int
 }
 
@@ -91,13 +91,13 @@
 // harness runs a Provisioner on a loop of its own, in fake time, over an in-memory store.
 type harness struct {
 	*Provisioner
-	t       *testing.T
-	state   *cluster.State
-	store   *fake.Store
-	cloud   *scriptedCloud
-	writer  *statestore.Writer
-	leaseHeld  atomic.Bool
-	started time.Time
+	t         *testing.T
+	state     *cluster.State
+	store     *fake.Store
+	cloud     *scriptedCloud
+	writer    *statestore.Writer
+	leaseHeld atomic.Bool
+	started   time.Time
 }
 
 func (h *harness) Now() micro.Time {
