--- a/internal/autoscaler/boot_test.go
+++ b/internal/autoscaler/boot_test.go
@@ -11,37 +11,37 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// bootSimulation plans once a second, and rents what is asked for. Each machine is up
-// after the time that boots says, in the order in which they are rented; none: never.
+// bootSimulation makes a plan at each step and provisions the requested machines. The nth machine, counted
+// from 0, is up after the time that bootTime returns for n, or never if boots is false.
 type bootSimulation struct {
 	*Planner
-	bootTime  func(n int) (after micro.Time, comes bool)
+	bootTime  func(n int) (after micro.Time, boots bool)
 	requested int
 	upAt      map[*cluster.Machine]micro.Time
 }
 
-func (r *bootSimulation) step(now micro.Time) {
-	scaleOuts, _ := r.Plan(now)
+func (s *bootSimulation) step(now micro.Time) {
+	scaleOuts, _ := s.Plan(now)
 	for _, scaleOut := range scaleOuts {
 		for range scaleOut.Count {
-			machine := r.Cluster.EnsureMachine(fmt.Sprintf("i-%03d", r.requested), now)
-			r.Cluster.DescribeMachine(machine, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
-			if after, comes := r.bootTime(r.requested); comes {
-				r.upAt[machine] = now + after
+			machine := s.Cluster.EnsureMachine(fmt.Sprintf("i-%03d", s.requested), now)
+			s.Cluster.DescribeMachine(machine, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
+			if after, boots := s.bootTime(s.requested); boots {
+				s.upAt[machine] = now + after
 			}
-			r.requested++
+			s.requested++
 		}
 	}
-	for machine, at := range r.upAt {
+	for machine, at := range s.upAt {
 		if now >= at {
-			r.Cluster.TransitionMachine(machine, cluster.Up, "reports")
+			s.Cluster.TransitionMachine(machine, cluster.Up, "heartbeat")
 		}
 	}
 }
 
-// The machine that was rented for waiting work never comes. Another is rented while
-// it can still start the work within its objective, though it boots slowly itself,
-// and not before the first had its time.
+// The machine that was requested for a pending job never boots. A second one must be requested: not before
+// a slow boot of the first would have ended, and early enough to start the job within its objective
+// although the second boots slowly, too.
 func TestReplacementForAMachineThatFailsToBootIsRequestedWithinTheObjective(t *testing.T) {
 	const boot, objective = 30 * micro.Second, 110 * micro.Second
 	sim := &bootSimulation{Planner: newTestPlanner(), upAt: map[*cluster.Machine]micro.Time{}}
@@ -59,7 +59,7 @@
 	var secondRequestedAt micro.Time
 	for at := now; job.AllocationCount == 0; at += micro.Second {
 		if at > now+objective {
-			t.Fatalf("the work waits after %v s", (at - now).Seconds())
+			t.Fatalf("job still pending after %v s", (at - now).Seconds())
 		}
 		sim.step(at)
 		sched.Schedule(at)
@@ -68,38 +68,38 @@
 		}
 	}
 	if took := secondRequestedAt - now; took < boot*3/2 || took > objective-boot*3/2 {
-		t.Errorf("the second machine was rented after %v s", took.Seconds())
+		t.Errorf("second machine requested after %v s, want 45 to 65 s", took.Seconds())
 	}
 	if sim.requested != 2 {
-		t.Errorf("%d machines were rented", sim.requested)
+		t.Errorf("%d machines requested, want 2", sim.requested)
 	}
 }
 
-// An offer none of whose machines come up is left out for a while, not for one slow
-// machine, and not where most do come up; it is asked for again if there is no other.
+// An offer whose machines fail to boot is excluded for bootFailureExclusion, but not because of a single
+// slow machine, nor if most of its machines boot. It is still requested if there is no other offer.
 func TestOfferWithBootFailuresIsExcluded(t *testing.T) {
 	cheap := InstanceOffer{"small", "a", false}
 	for _, test := range []struct {
-		name     string
-		late, up int
-		only     bool
-		want     bool
+		name      string
+		late, up  int
+		onlyOffer bool
+		want      bool
 	}{
-		{"none came up", 2, 0, false, false},
-		{"one is slow", 1, 0, false, true},
-		{"most came up", 2, 3, false, true},
-		{"none came up, and there is no other", 2, 0, true, true},
+		{"no machine booted", 2, 0, false, false},
+		{"one machine boots slowly", 1, 0, false, true},
+		{"most machines booted", 2, 3, false, true},
+		{"no machine booted and there is no other offer", 2, 0, true, true},
 	} {
 		planner := newTestPlanner()
-		if test.only {
+		if test.onlyOffer {
 			planner.Cluster.Types["small"].Zones = []string{"a"}
 		}
-		busy := planner.submit("j-0", 3, 4, false) // takes what is up for good
+		busy := planner.submit("j-0", 3, 4, false) // occupies the machines that are up for the whole test
 		busy.Spec.EstimateS = 1e6
 		for i := range test.late + test.up {
 			machine := planner.addRequestedMachine(i, cheap)
 			if i >= test.late {
-				planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
+				planner.Cluster.TransitionMachine(machine, cluster.Up, "heartbeat")
 				planner.Cluster.Allocate(busy, i-test.late, machine, 1, 4, now)
 			}
 		}
@@ -109,29 +109,29 @@
 		planner.submit("j-1", 4, 1, false)
 		requestsCheap := func(at micro.Time) bool { return planner.singleRequestedOffer(t, test.name, at) == cheap }
 		if got := requestsCheap(now); got != test.want {
-			t.Errorf("%s: asked for %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: cheap offer requested: %v, want %v", test.name, got, test.want)
 		}
 		planner.removeLateMachines()
 		if got := requestsCheap(now + micro.Minute); got != test.want {
-			t.Errorf("%s: a minute later asked for %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: cheap offer requested a minute later: %v, want %v", test.name, got, test.want)
 		}
 		if !requestsCheap(now + bootFailureExclusion) {
-			t.Errorf("%s: left out for good", test.name)
+			t.Errorf("%s: cheap offer not requested after bootFailureExclusion", test.name)
 		}
 	}
 }
 
-// singleRequestedOffer is the offer of the one request that is made.
+// singleRequestedOffer makes a plan and returns the offer of its request, of which there must be one.
 func (p *Planner) singleRequestedOffer(t *testing.T, name string, at micro.Time) InstanceOffer {
 	t.Helper()
 	scaleOuts, _ := p.Plan(at)
 	if len(scaleOuts) != 1 {
-		t.Fatalf("%s: %+v", name, scaleOuts)
+		t.Fatalf("%s: requests %+v, want one", name, scaleOuts)
 	}
 	return scaleOuts[0].InstanceOffer
 }
 
-// addRequestedMachine adds a machine of the offer that was requested a minute ago.
+// addRequestedMachine adds a machine of an offer that was requested a minute ago and is still booting.
 func (p *Planner) addRequestedMachine(i int, offer InstanceOffer) *cluster.Machine {
 	machine := p.Cluster.EnsureMachine(fmt.Sprint("i-", i), now)
 	p.Cluster.DescribeMachine(machine, offer.Type, offer.Zone, offer.Spot)
@@ -139,7 +139,7 @@
 	return machine
 }
 
-// removeLateMachines removes all machines that never came up.
+// removeLateMachines removes all machines that did not boot.
 func (p *Planner) removeLateMachines() {
 	for _, machine := range p.Cluster.SortedMachines() {
 		if machine.State == cluster.Registering {
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -11,23 +11,23 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// bin is a machine's free capacity in a plan.
+// bin is the free capacity of one machine during planning, in CPUs, GPUs and GB of memory.
 type bin struct {
 	typ           *cluster.MachineType
 	zone          string
 	spot          bool
 	cpu, gpu, mem float64
 	offer         InstanceOffer
-	releases      []release // capacity that running tasks are expected to give back
+	releases      []release // capacity that running tasks are expected to release
 }
 
-// release is capacity that comes free at a time.
+// release is capacity that a running task is expected to release at a given time.
 type release struct {
 	at            micro.Time
 	cpu, gpu, mem float64
 }
 
-// availableAt is the bin as it will be at a time.
+// availableAt returns a copy of the bin that includes the capacity expected to be released by at.
 func (b *bin) availableAt(at micro.Time) bin {
 	later := *b
 	for _, r := range b.releases {
@@ -40,6 +40,8 @@
 	return later
 }
 
+// countFitting returns how many of a job's tasks fit into the bin; 0 if the job may not use such a
+// machine.
 func (b *bin) countFitting(spec *wire.Job) int {
 	if !scheduler.Allowed(spec, b.typ, b.zone, b.spot) {
 		return 0
@@ -47,7 +49,8 @@
 	return b.countByResources(spec)
 }
 
-// countByResources is how many tasks the bin has capacity for, allowed or not.
+// countByResources returns how many of a job's tasks fit into the bin by their resource requests
+// alone, whether or not the job may use such a machine.
 func (b *bin) countByResources(spec *wire.Job) int {
 	count := math.MaxInt32
 	limit := func(free, need float64) {
@@ -61,36 +64,39 @@
 	return max(count, 0)
 }
 
+// reserve subtracts the resources of n tasks from the bin.
 func (b *bin) reserve(spec *wire.Job, n int) {
 	b.cpu -= float64(n) * max(spec.CPUs, scheduler.ScaledCPUs(spec.CPUs, b.typ.SpeedFactor, b.typ.CPUs))
 	b.gpu -= float64(n) * spec.GPUs
 	b.mem -= float64(n) * spec.MemoryGB
 }
 
+// newBin returns the capacity of an empty machine.
 func newBin(typ *cluster.MachineType, zone string, spot bool) *bin {
 	return &bin{typ: typ, zone: zone, spot: spot, cpu: typ.CPUs, gpu: typ.GPUs, mem: typ.MemoryGB}
 }
 
-// bootTimeoutFactor is how many of a type's boot times a machine may take and still
-// count as capacity to come; beyond it another is requested.
+// bootTimeoutFactor is the multiple of its type's boot time for which a booting machine counts as
+// expected capacity; after that a replacement is requested.
 const bootTimeoutFactor = 1.6
 
-// offerCapacity is the capacity of machines of one offer that are expected to come up.
+// offerCapacity is the capacity of the machines of one offer that are expected to boot.
 type offerCapacity struct {
 	InstanceOffer
 	typ             *cluster.MachineType
-	machines        int        // all its machines
-	emptyMachines   int        // whole machines that the plan has put nothing on
-	partialMachines []*bin     // those that it has put something on
-	committedTime   micro.Time // how long what the plan has put on them takes, over all machines
+	machines        int        // all machines of the offer that are expected to boot
+	emptyMachines   int        // those without planned tasks
+	partialMachines []*bin     // free capacity of those that planned tasks occupy in part
+	committedTime   micro.Time // machine time that the planned tasks take, summed over all machines
 }
 
-// capacity is all capacity that is expected to come up, by offer.
+// capacity is the capacity of all machines that are expected to boot, grouped by offer.
 type capacity struct {
 	groups  []*offerCapacity
 	byOffer map[InstanceOffer]*offerCapacity
 }
 
+// groupFor returns the group of an offer and creates it if there is none yet.
 func (c *capacity) groupFor(offer InstanceOffer, typ *cluster.MachineType) *offerCapacity {
 	group := c.byOffer[offer]
 	if group == nil {
@@ -101,7 +107,9 @@
 	return group
 }
 
-// zoneAllowance is how many more of a demand's tasks a zone may take.
+// zoneAllowance returns how many more of a demand's tasks may be placed in a zone; tasksByZone holds
+// those that the plan has placed. Only spread jobs have a limit: half of their tasks, rounded up, in
+// each zone. An allocation whose zone is unknown ("") may be in any zone and counts in each.
 func zoneAllowance(demand *taskDemand, zone string, tasksByZone map[string]int) int {
 	if demand.job == nil || !demand.spec.Spread {
 		return math.MaxInt32
@@ -110,8 +118,8 @@
 	return (len(job.Tasks)+1)/2 - job.AllocationsByZone[zone] - job.AllocationsByZone[""] - tasksByZone[zone]
 }
 
-// reserve puts up to so many of a demand's tasks into the capacity of the unreachable zones,
-// or of the others, and says how many fit.
+// reserve reserves capacity for up to the given number of a demand's tasks and returns how many fit.
+// It uses either the unreachable zones or the reachable ones, and adds the tasks to tasksByZone.
 func (c *capacity) reserve(
 	demand *taskDemand, tasks int, tasksByZone map[string]int, unreachable map[string]bool, inUnreachable bool,
 ) int {
@@ -135,7 +143,8 @@
 	return reserved
 }
 
-// occupancy is how long a machine is taken by one of a demand's tasks.
+// occupancy returns how long one of a demand's tasks is expected to occupy its share of a machine:
+// the estimated runtime and one second for each GB of the image.
 func (d *taskDemand) occupancy() micro.Time {
 	if d.job == nil || d.spec.Kind == wire.Service {
 		return serviceOccupancy
@@ -143,12 +152,12 @@
 	return scheduler.EstimatedRuntime(d.job) + micro.FromSeconds(d.spec.ImageGB)
 }
 
-// serviceOccupancy stands for the time that a service takes.
+// serviceOccupancy is the occupancy assumed for services, which do not end, and for headroom.
 const serviceOccupancy = 10 * micro.Minute
 
-// reserveTurnover is how many of the tasks the machines of the capacity could start by a
-// time, after what the plan has put on them, on capacity that is not expensive. It takes
-// what it counts.
+// reserveTurnover reserves machine time for tasks that the expected machines could start by the
+// deadline, one after another and after the tasks already planned on them, and returns how many.
+// Expensive capacity is not used.
 func (c *capacity) reserveTurnover(
 	demand *taskDemand, tasks int, now, deadline micro.Time, expensive func(*offerCapacity) bool,
 ) int {
@@ -170,11 +179,14 @@
 	return reserved
 }
 
+// add adds n empty machines.
 func (c *offerCapacity) add(n int) {
 	c.machines += n
 	c.emptyMachines += n
 }
 
+// reserve reserves capacity for up to the given number of tasks, on partially occupied machines first,
+// and returns how many fit.
 func (c *offerCapacity) reserve(spec *wire.Job, tasks int) int {
 	reserved := 0
 	for _, partial := range c.partialMachines {
@@ -185,9 +197,9 @@
 	}
 	perMachine := newBin(c.typ, c.Zone, c.Spot).countFitting(spec)
 	for perMachine > 0 && reserved < tasks && c.emptyMachines > 0 {
-		if whole := min(c.emptyMachines, (tasks-reserved)/perMachine); whole > 0 {
-			c.emptyMachines -= whole // what is left beside them is not counted on
-			reserved += whole * perMachine
+		if full := min(c.emptyMachines, (tasks-reserved)/perMachine); full > 0 {
+			c.emptyMachines -= full // the capacity that these tasks leave on them is not used
+			reserved += full * perMachine
 			continue
 		}
 		partial := newBin(c.typ, c.Zone, c.Spot)
@@ -199,10 +211,11 @@
 	return reserved
 }
 
-// reserveReleased is how many of n tasks fit on running machines by a time; it takes
-// what it counts. Capacity in a zone where the job may have no more is none: a spread
-// service once waited for good for capacity beside its own tasks, since as much of it
-// was about to come free, and nothing was requested in the other zone.
+// reserveReleased reserves capacity on running machines, including what is expected to be released by
+// at, for up to the given number of a demand's tasks and returns how many fit. Capacity in a zone where
+// the job may have no more tasks does not count: a spread service once waited permanently for capacity
+// next to its own tasks, because enough of it was about to be released, and nothing was requested in
+// the other zone.
 func reserveReleased(bins []*bin, demand *taskDemand, tasks int, tasksByZone map[string]int, at micro.Time) int {
 	reserved := 0
 	reservedByZone := map[string]int{}
@@ -226,8 +239,8 @@
 	return reserved
 }
 
-// boundToOtherZone reports whether the demand's job must be in one zone and holds allocations in
-// another than the given one.
+// boundToOtherZone reports whether the demand's job must run in a single zone and has allocations in a
+// zone other than the given one.
 func (d *taskDemand) boundToOtherZone(zone string) bool {
 	if d.job == nil || !d.spec.OneZone {
 		return false
@@ -240,24 +253,24 @@
 	return false
 }
 
-// bootOverdue reports whether a machine takes longer to come up than it may to count as
-// capacity to come.
+// bootOverdue reports whether a machine has been booting for too long to count as expected capacity:
+// more than 2 s beyond bootTimeoutFactor times its type's boot time.
 func bootOverdue(m *cluster.Machine, now micro.Time) bool {
 	return now-m.RequestedAt > micro.Time(float64(micro.FromSeconds(m.Type.BootS))*bootTimeoutFactor)+2*micro.Second
 }
 
-// bootFailureExclusion is for how long an offer is left out whose machines did not come up: once
-// they are terminated nothing else tells.
+// bootFailureExclusion is how long an offer is excluded after its machines failed to boot. Once they
+// are terminated, nothing but this exclusion shows that they failed.
 const bootFailureExclusion = 2 * micro.Minute
 
-// minOverdueBoots is how many machines of an offer must be late for that: one alone
-// may take several times as long as its type.
+// minOverdueBoots is the number of overdue machines from which an offer is excluded. A single machine
+// may take several times its type's boot time.
 const minOverdueBoots = 2
 
-// trackBootFailures notes the offers most of whose machines did not come up in time. While
-// there are other offers these are not asked for: replaced by their like, a class's
-// machines failed to boot one wave after the other, and its work waited for as long
-// as its cheapest offer did not work.
+// trackBootFailures excludes the offers that have more overdue machines than machines that are up. An
+// excluded offer is requested only if there is no other: when machines that failed to boot were
+// replaced by machines of the same offer, one wave after another failed, and a class's work waited for
+// as long as its cheapest offer did not work.
 func (p *Planner) trackBootFailures(now micro.Time) {
 	overdue, upCount := map[InstanceOffer]int{}, map[InstanceOffer]int{}
 	for _, machine := range p.Cluster.SortedMachines() {
@@ -278,7 +291,8 @@
 	maps.DeleteFunc(p.excludedUntil, func(_ InstanceOffer, until micro.Time) bool { return until <= now })
 }
 
-// expectedCapacity lists the capacity of machines that are expected to come up.
+// expectedCapacity returns the capacity of the machines that are expected to boot: those that are
+// registering and those of pending instance requests.
 func (p *Planner) expectedCapacity(now micro.Time) *capacity {
 	expected := &capacity{byOffer: map[InstanceOffer]*offerCapacity{}}
 	for _, machine := range p.Cluster.SortedMachines() {
@@ -305,8 +319,8 @@
 	return expected
 }
 
-// runningBins lists the capacity of machines that are up, with what is expected to come
-// free.
+// runningBins returns the free capacity of each schedulable machine and the capacity that its tasks are
+// expected to release.
 func (p *Planner) runningBins(now micro.Time) []*bin {
 	var bins []*bin
 	for _, machine := range p.Cluster.SortedMachines() {
@@ -331,7 +345,8 @@
 	return bins
 }
 
-// expectedEnd is when an allocation of a known job is expected to give its capacity back.
+// expectedEnd returns when an allocation of a known job is expected to release its capacity. For a
+// running task this is at least a quarter of its estimated runtime from now, however long it has run.
 func expectedEnd(allocation *cluster.Allocation, typ *cluster.MachineType, now micro.Time) micro.Time {
 	if allocation.Stopping {
 		return now
--- a/internal/autoscaler/cordon.go
+++ b/internal/autoscaler/cordon.go
@@ -10,18 +10,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A large machine with a dozen short tasks is never empty by chance, since the
-// tightest fit fills it again: where cost matters and nothing waits, the
-// most expensive machines that are not needed are cordoned, and terminated once they
-// are empty.
+// A large machine that runs a dozen short tasks hardly ever becomes empty, because best-fit placement
+// fills it again. Where cost matters and no job waits for capacity, the most expensive machines that
+// are not needed are therefore cordoned, and terminated once they are empty.
 
 const (
-	cordonDelay        = 10 * micro.Second // how long nothing must have waited
-	cordonSlack        = 1.35              // capacity kept, over what short work uses
-	cordonFleetDivisor = 50                // one machine in so many, at least one, with each plan
+	cordonDelay        = 10 * micro.Second // time without a backlog before machines are cordoned
+	cordonSlack        = 1.35              // capacity to keep for job arrays, as a multiple of what they use
+	cordonFleetDivisor = 50                // a plan cordons at most one machine per so many in the fleet, plus one
 )
 
-// planCordons says which machines are to take no new tasks, and which are to take them again.
+// planCordons returns the machines to cordon and the machines to uncordon.
 func (p *Planner) planCordons(demands []taskDemand, now micro.Time) (cordon, uncordon []*cluster.Machine) {
 	if p.needsAllMachines(demands) {
 		p.noBacklogSince = 0
@@ -46,11 +45,13 @@
 	return cordon, nil
 }
 
-// needsAllMachines reports whether a job waits for capacity, or cost does not matter.
+// needsAllMachines reports whether no machine may be cordoned: a job waits for capacity, or cost does
+// not matter.
 func (p *Planner) needsAllMachines(demands []taskDemand) bool {
 	return !p.limitsCost() || slices.ContainsFunc(demands, func(demand taskDemand) bool { return demand.job != nil })
 }
 
+// cordonedMachines returns the cordoned machines, sorted by name.
 func (p *Planner) cordonedMachines() []*cluster.Machine {
 	var cordoned []*cluster.Machine
 	for _, machine := range p.Cluster.SortedMachines() {
@@ -61,16 +62,18 @@
 	return cordoned
 }
 
-// fleetArrayCapacity is what arrays use and what there is for them, and the machines that could do
-// without.
-func (p *Planner) fleetArrayCapacity(now micro.Time) (used, available cluster.Resources, candidates []*cluster.Machine) {
+// fleetArrayCapacity returns what job arrays use on schedulable machines, what is available to them
+// there, and the machines that may be cordoned.
+func (p *Planner) fleetArrayCapacity(
+	now micro.Time,
+) (used, available cluster.Resources, candidates []*cluster.Machine) {
 	for _, machine := range p.Cluster.SortedMachines() {
 		if !machine.Schedulable(now) {
 			continue
 		}
-		usedByArrays, free, hasOtherWork := machineArrayCapacity(machine)
+		usedByArrays, usableByArrays, hasOtherWork := machineArrayCapacity(machine)
 		used.Add(usedByArrays, 1)
-		available.Add(free, 1)
+		available.Add(usableByArrays, 1)
 		if !hasOtherWork && !machine.Permanent && !p.usableForGPUWork(machine) && machine.ReservedFor == nil &&
 			now-machine.LastNeededForHeadroom > 5*micro.Second {
 			candidates = append(candidates, machine)
@@ -79,10 +82,12 @@
 	return used, available, candidates
 }
 
-// machineArrayCapacity is what arrays use on a machine, what other work leaves to them, and whether
-// there is any.
-func machineArrayCapacity(machine *cluster.Machine) (usedByArrays, free cluster.Resources, hasOtherWork bool) {
-	free = cluster.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}
+// machineArrayCapacity returns what job arrays use on a machine, what other work leaves to them, and
+// whether there is other work.
+func machineArrayCapacity(
+	machine *cluster.Machine,
+) (usedByArrays, usableByArrays cluster.Resources, hasOtherWork bool) {
+	usableByArrays = cluster.Resources{CPU: machine.Type.CPUs, MemoryGB: machine.Type.MemoryGB}
 	for _, allocation := range machine.Allocations {
 		if allocation.Job == nil {
 			continue
@@ -93,14 +98,14 @@
 			usedByArrays.Add(request, 1)
 		} else {
 			hasOtherWork = true
-			free.Add(request, -1)
+			usableByArrays.Add(request, -1)
 		}
 	}
-	return usedByArrays, free, hasOtherWork
+	return usedByArrays, usableByArrays, hasOtherWork
 }
 
-// usableForGPUWork reports whether a class that needs GPUs may use a machine: such
-// machines are few, slow to get ready, and terminated when idle.
+// usableForGPUWork reports whether a class that requests GPUs may use a machine. Such machines are not
+// cordoned: they are scarce, slow to become ready, and terminated when idle anyway.
 func (p *Planner) usableForGPUWork(m *cluster.Machine) bool {
 	if m.Type.GPUs == 0 {
 		return false
@@ -113,6 +118,7 @@
 	return false
 }
 
+// pricePerCPU returns a machine's hourly price per CPU.
 func pricePerCPU(m *cluster.Machine) float64 {
 	return priceOf(InstanceOffer{Spot: m.Spot}, m.Type) / m.Type.CPUs
 }
--- a/internal/autoscaler/decisions_test.go
+++ b/internal/autoscaler/decisions_test.go
@@ -15,8 +15,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedDecisions is the digest of all decisions on the random clusters. It changes only
-// with a change that is meant to decide otherwise; such a commit says so.
+// recordedDecisions is the digest of all decisions on the random clusters. Only a commit that changes
+// decisions on purpose, and says so, may change it.
 const recordedDecisions = "51171b67a02702e3"
 
 const (
@@ -25,7 +25,7 @@
 	decisionStep     = 3 * micro.Second
 )
 
-// decisionEffects lets finished jobs end.
+// decisionEffects finalizes jobs when they have finished and discards all other effects.
 type decisionEffects struct {
 	discardEffects
 	scenario *decisionScenario
@@ -38,16 +38,15 @@
 	e.scenario.state.FinalizeJob(job, false, e.scenario.now)
 }
 
-// decisionScenario is a random cluster whose planner's decisions are added to a digest. All
-// its numbers are sums of few powers of two: in whatever order they are added up, the
-// sums are the same.
+// decisionScenario is a random cluster whose planner's decisions are added to a digest. All its quantities
+// are sums of few powers of two, so that adding them up in any order gives exactly the same result.
 type decisionScenario struct {
 	rng               *rand.Rand
 	state             *cluster.State
 	planner           *Planner
 	now               micro.Time
 	digest            hash.Hash
-	jobs              []*cluster.Job // in the order of their submission
+	jobs              []*cluster.Job // in submission order
 	upAt              map[*cluster.Machine]micro.Time
 	heartbeatSequence wire.Count
 	created           int
@@ -56,17 +55,17 @@
 	coverage          *decisionCoverage
 }
 
-// decisionCoverage counts what the clusters have shown, so that the digest cannot become one
-// of clusters in which nothing happens.
+// decisionCoverage counts how often each kind of decision was taken, so that the digest cannot come from
+// clusters in which nothing happens.
 type decisionCoverage struct {
 	spot, onDemand, onGPU, urgent, maxSizedRequest, inUnreachableZone, inShard int
 	idle, cordoned, uncordoned, headroom                                       int
 	refusals, excluded, persistent, tooExpensive, noBacklog, permanent         int
 }
 
-func newDecisionScenario(seed uint64, out hash.Hash, seen *decisionCoverage) *decisionScenario {
+func newDecisionScenario(seed uint64, digest hash.Hash, coverage *decisionCoverage) *decisionScenario {
 	scenario := &decisionScenario{
-		rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * micro.Second, digest: out, coverage: seen,
+		rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * micro.Second, digest: digest, coverage: coverage,
 		upAt: map[*cluster.Machine]micro.Time{},
 	}
 	scenario.submitRounds = decisionPlans/3 + scenario.rng.IntN(decisionPlans)
@@ -130,8 +129,7 @@
 	d.planner = New(cfg)
 }
 
-// addMachines makes the machines that there are at first; in some clusters operators have
-// machines of their own.
+// addMachines adds the initial machines; in some clusters, some of them are operator-owned.
 func (d *decisionScenario) addMachines() {
 	permanent := d.rng.IntN(6) == 0
 	for range d.rng.IntN(24) {
@@ -151,7 +149,7 @@
 	return machine
 }
 
-// submit adds a random job that has waited for up to two minutes, or for much longer.
+// submit adds a random job that has waited for up to a minute, or for three minutes more.
 func (d *decisionScenario) submit() {
 	spec := wire.Job{
 		ID: fmt.Sprint("j-", 1000+len(d.jobs)), Team: pick(d.rng, "", "", "guaranteed", "limited"),
@@ -173,7 +171,7 @@
 	}
 }
 
-// randomizeTasks gives a job of some kind its class, its tasks and what they ask for.
+// randomizeTasks sets the class, the tasks, the requests and the constraints of a job of a given kind.
 func (d *decisionScenario) randomizeTasks(spec *wire.Job) {
 	switch spec.Kind {
 	case wire.Gang:
@@ -203,7 +201,7 @@
 	}
 }
 
-// shardDemands is what the jobs that were assigned to the shard, zone b, wait for.
+// shardDemands returns the demands of the jobs that were assigned to the shard, which is zone b.
 func (d *decisionScenario) shardDemands() []ShardDemand {
 	var demands []ShardDemand
 	for _, job := range d.jobs {
@@ -216,7 +214,7 @@
 	return demands
 }
 
-// plan lets the cluster change, plans once and records what was decided.
+// plan changes the cluster at random, makes one plan and records its decisions.
 func (d *decisionScenario) plan(round int) {
 	d.now += decisionStep
 	if round < d.submitRounds || round >= decisionPlans-4 {
@@ -252,7 +250,7 @@
 	}
 }
 
-// abortPending has little left that waits, and some services end.
+// abortPending aborts the jobs that have pending tasks, and some services.
 func (d *decisionScenario) abortPending() {
 	for _, job := range d.jobs {
 		service := job.Spec.Kind == wire.Service && d.rng.IntN(8) == 0
@@ -262,7 +260,7 @@
 	}
 }
 
-// answerRequests answers some of the requests in full, in part or not at all.
+// answerRequests grants some of the pending requests in full or in part, or refuses them.
 func (d *decisionScenario) answerRequests() {
 	for id := range d.requests {
 		scaleOut, pending := d.planner.PendingRequests[fmt.Sprint("r-", 1+id)]
@@ -289,7 +287,7 @@
 	}
 }
 
-// bootMachines has machines come up, and gives up those that do not.
+// bootMachines lets machines boot, and removes those that fail to boot.
 func (d *decisionScenario) bootMachines() {
 	for _, machine := range d.state.SortedMachines() {
 		if machine.State != cluster.Registering {
@@ -303,7 +301,7 @@
 	}
 }
 
-// injectFaults changes the state of the cluster now and then.
+// injectFaults makes random zones unreachable and random machines unusable, and lets some recover.
 func (d *decisionScenario) injectFaults() {
 	zone := pick(d.rng, "a", "b", "c")
 	switch d.rng.IntN(16) {
@@ -333,7 +331,7 @@
 	}
 }
 
-// placeTasks puts tasks on the first machines with capacity, but for one in four.
+// placeTasks allocates three in four pending tasks on the first machines with capacity.
 func (d *decisionScenario) placeTasks() {
 	for _, job := range d.jobs {
 		if !d.state.PendingJobs[job] {
@@ -347,6 +345,7 @@
 	}
 }
 
+// placeTask allocates a task on the first machine that has capacity for it, if there is one.
 func (d *decisionScenario) placeTask(job *cluster.Job, index int) {
 	spec := &job.Spec
 	for _, machine := range d.state.SortedMachines() {
@@ -363,11 +362,11 @@
 	}
 }
 
-// heartbeats lets two in three machines report: what is to stop is over, the rest runs, and
-// some of it ends.
+// heartbeats applies heartbeats from two in three machines: tasks that were told to stop have exited, the
+// others run, and some of those complete or fail.
 func (d *decisionScenario) heartbeats() {
 	d.heartbeatSequence++
-	for _, job := range d.jobs { // what is placed may start
+	for _, job := range d.jobs { // tasks start only once their allocations are persisted
 		for _, chunk := range job.Chunks {
 			d.state.ChunkPersisted(chunk, chunk.MemoryVersion)
 		}
@@ -405,7 +404,7 @@
 	return status
 }
 
-// record adds a line to what the digest is made of.
+// record adds a line to the digest.
 func (d *decisionScenario) record(values ...any) { d.digest.Write(fmt.Appendln(nil, values...)) }
 
 func (d *decisionScenario) recordScaleOut(scaleOut ScaleOut) {
@@ -430,10 +429,10 @@
 	}
 }
 
-// recordPlanner records what the planner remembers for its next plans.
+// recordPlanner records the state that the planner keeps between plans.
 func (d *decisionScenario) recordPlanner() {
 	p := d.planner
-	d.record("planner", p.permanentFleet, p.noBacklogSince, p.unreachableZones) // maps print in order
+	d.record("planner", p.permanentFleet, p.noBacklogSince, p.unreachableZones) // maps are printed in key order
 	d.record("refused", p.RefusedUntil, p.ConsecutiveRefusals)
 	var excluded []string
 	for offer, until := range p.excludedUntil {
@@ -453,7 +452,7 @@
 	d.coverage.permanent += boolToInt(p.permanentFleet)
 }
 
-// recordPrices records which machines the price of is too high for the latest jobs.
+// recordPrices records for the latest jobs whether each machine type is within their price limit.
 func (d *decisionScenario) recordPrices() {
 	for _, job := range d.jobs[max(0, len(d.jobs)-4):] {
 		for _, typ := range d.state.CatalogOrder {
@@ -466,7 +465,7 @@
 	}
 }
 
-// pick chooses one of several values.
+// pick returns one of the values at random.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
 func boolToInt(condition bool) int {
@@ -476,35 +475,35 @@
 	return 0
 }
 
-// The planner's code is changed in shape now and then, and must decide as before: each
-// scale-out, idle and cordoned machine, machine counted on for headroom and price limit on
-// some hundred random clusters, and what the planner remembers, is in the digest.
+// A refactoring of the planner must not change its decisions: the digest covers each scale-out, idle and
+// cordoned machine, machine counted as headroom and price limit on some hundred random clusters, and the
+// state that the planner keeps between plans.
 func TestDecisionsOnRandomClustersMatchRecordedDigest(t *testing.T) {
 	digest := fnv.New64a()
-	seen := &decisionCoverage{}
+	coverage := &decisionCoverage{}
 	for seed := range uint64(decisionClusters) {
-		scenario := newDecisionScenario(seed, digest, seen)
+		scenario := newDecisionScenario(seed, digest, coverage)
 		for round := range decisionPlans {
 			scenario.plan(round)
 		}
 		scenario.record("cluster", seed)
 	}
-	t.Logf("%+v", *seen)
-	seen.check(t)
+	t.Logf("decisions by kind: %+v", *coverage)
+	coverage.check(t)
 	if got := fmt.Sprintf("%016x", digest.Sum64()); got != recordedDecisions {
-		t.Fatalf("the decisions' digest is %s, not %s", got, recordedDecisions)
+		t.Fatalf("digest of the decisions is %s, want %s", got, recordedDecisions)
 	}
 }
 
-// check fails if some kind of decision was seldom taken.
+// check fails the test if any kind of decision was taken too seldom.
 func (c *decisionCoverage) check(t *testing.T) {
 	t.Helper()
-	const enough = 20
-	least := slices.Min([]int{
-		c.spot, c.onDemand, c.onGPU, c.urgent, c.maxSizedRequest, c.inUnreachableZone, c.inShard, c.idle, c.cordoned, c.uncordoned,
-		c.headroom, c.refusals, c.excluded, c.persistent, c.tooExpensive, c.noBacklog, c.permanent,
+	const minOccurrences = 20
+	fewest := slices.Min([]int{
+		c.spot, c.onDemand, c.onGPU, c.urgent, c.maxSizedRequest, c.inUnreachableZone, c.inShard, c.idle, c.cordoned,
+		c.uncordoned, c.headroom, c.refusals, c.excluded, c.persistent, c.tooExpensive, c.noBacklog, c.permanent,
 	})
-	if least < enough {
-		t.Errorf("a kind of decision was taken only %d times, want %d: %+v", least, enough, *c)
+	if fewest < minOccurrences {
+		t.Errorf("a kind of decision was taken only %d times, want at least %d: %+v", fewest, minOccurrences, *c)
 	}
 }
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -10,26 +10,26 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// taskDemand is a number of like tasks that need capacity.
+// taskDemand is a number of identical tasks that need capacity.
 type taskDemand struct {
 	job           *cluster.Job // nil: headroom
 	spec          *wire.Job
 	tasks         int
-	latestStart   micro.Time
+	latestStart   micro.Time // the tasks must have started by then to meet their objective
 	priorityLevel int
 
-	eligible func(InstanceOffer) bool // the offers that serve it; nil: all that its job allows
+	eligible func(InstanceOffer) bool // reports whether an offer can serve it; nil: all that its job allows can
 }
 
-// allows reports whether a machine of an offer could run the demand's tasks.
+// allows reports whether the demand's tasks may run on a machine of the given type, zone and kind.
 func (d *taskDemand) allows(typ *cluster.MachineType, zone string, spot bool) bool {
 	return scheduler.Allowed(d.spec, typ, zone, spot) &&
 		(d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
 }
 
-// eligibleOffers tells the offers that help a job: those of shards only if it can be assigned to
-// one as a whole now. A service with one replica in place once had machines requested into a
-// shard, again and again, for the other.
+// eligibleOffers returns a function that reports whether an offer can serve a job; nil: all can. An
+// offer in a shard can only if the whole job can be assigned to a shard now: a service with one
+// allocated replica once had machines requested in a shard, again and again, for the other replica.
 func (p *Planner) eligibleOffers(job *cluster.Job) func(InstanceOffer) bool {
 	if !p.Cluster.MayChangeHands(job) {
 		return p.OwnsOffer
@@ -40,15 +40,16 @@
 	return func(offer InstanceOffer) bool { return p.OwnsOffer(offer) || p.ShardAcceptsJob(job, offer) }
 }
 
-// ShardDemand is a number of tasks that wait for capacity in a shard of the machines, which
-// another controller owns.
+// ShardDemand is a number of tasks of a job that wait for capacity in a shard, which another controller
+// owns.
 type ShardDemand struct {
 	Job     *cluster.Job
 	Tasks   int
-	InShard func(InstanceOffer) bool // the offers whose machines are in the shard
+	InShard func(InstanceOffer) bool // reports whether an offer's machines are in the shard
 }
 
-// demands lists the tasks that found no capacity, and the headroom that is short.
+// demands returns the tasks that need capacity and the missing headroom, by priority and then by latest
+// start.
 func (p *Planner) demands(now micro.Time) []taskDemand {
 	demands, topPriorityTasks := p.jobDemands(now)
 	demands = append(demands, p.shardDemands(now)...)
@@ -63,8 +64,8 @@
 	return demands
 }
 
-// jobDemands lists the tasks of pending jobs that need capacity soon, as far as their teams' limits
-// leave them any; topPriorityTasks counts those of the first priority level by class.
+// jobDemands returns the tasks of pending jobs that need capacity soon, as far as their teams' limits
+// allow them; topPriorityTasks counts those of the highest priority level by class.
 func (p *Planner) jobDemands(now micro.Time) (demands []taskDemand, topPriorityTasks map[*cluster.Class]int) {
 	topPriorityTasks = map[*cluster.Class]int{}
 	planned := plannedQuota{}
@@ -100,14 +101,15 @@
 	return demands, topPriorityTasks
 }
 
-// maxBackoffRemaining is how far off the end of a job's backoff may be for capacity to be requested.
+// maxBackoffRemaining is how long before the end of a job's backoff capacity may be requested for it.
 const maxBackoffRemaining = 10 * micro.Second
 
-// plannedQuota is what one plan has taken of each team's limits.
+// plannedQuota is the quota of each team that one plan has reserved.
 type plannedQuota map[*cluster.Team]cluster.Resources
 
-// reserve takes capacity in the limits of a job's team for so many tasks, or as many as there is capacity
-// for, which it returns; 0: none, or too few for a gang.
+// reserve reserves quota of a job's team for up to the given number of tasks and returns how many are
+// within the team's limits; 0 if there are none, or too few for a gang. A job that receives quota from
+// other services needs none reserved.
 func (q plannedQuota) reserve(job *cluster.Job, tasks int) int {
 	team, spec := job.Team, &job.Spec
 	if tasks == 0 || team == nil || receivesQuota(job) {
@@ -124,14 +126,14 @@
 	return tasks
 }
 
-// receivesQuota reports whether other services of its team give a service the quota that it lacks,
-// once there are machines for it.
+// receivesQuota reports whether a job is a service that will receive the quota it lacks from other
+// services of its team, once there are machines for it.
 func receivesQuota(job *cluster.Job) bool {
 	return job.Team != nil && job.Team.Transfer.Recipient == job
 }
 
-// shardDemands lists the tasks that wait for capacity in shards: their owners request no
-// instances.
+// shardDemands returns the tasks that wait for capacity in shards. The owners of shards request no
+// instances themselves.
 func (p *Planner) shardDemands(now micro.Time) []taskDemand {
 	if p.ShardDemands == nil {
 		return nil
@@ -147,11 +149,13 @@
 	return demands
 }
 
-// bootSpareFactor is how much more capacity than it needs is requested for work of the first
-// priority level that is wanted sooner than machines boot: boots take 0.6 to 1.5 times as
-// long as they should, and with spares the quickest of them are enough.
+// bootSpareFactor is the additional share of machines requested for work of the highest priority level
+// whose start objective is shorter than the boot time. Boots take 0.6 to 1.5 times their nominal time;
+// with spare machines, the fastest boots provide enough capacity.
 const bootSpareFactor = 0.5
 
+// bootSpares returns the additional demand of the classes in topPriorityTasks whose start objective is
+// shorter than the boot time.
 func (p *Planner) bootSpares(topPriorityTasks map[*cluster.Class]int, now micro.Time) []taskDemand {
 	var demands []taskDemand
 	for class, tasks := range topPriorityTasks {
@@ -171,10 +175,12 @@
 	return demands
 }
 
-// scaleOutDelay is how long a job with time in hand waits for capacity to come free
-// before capacity is requested for it.
+// scaleOutDelay is how long a job that can still wait is given to find released capacity before
+// capacity is requested for it.
 const scaleOutDelay = 8 * micro.Second
 
+// scaleOutDue reports whether capacity is to be requested for a job: it has waited longer than
+// scaleOutDelay, or its latest start is within twice the boot time plus 30 s.
 func (p *Planner) scaleOutDue(job *cluster.Job, latestStart, now micro.Time) bool {
 	if now-job.EligibleSince > scaleOutDelay {
 		return true
@@ -183,7 +189,7 @@
 	return latestStart-now < 2*boot+30*micro.Second
 }
 
-// minBootTime is the shortest boot time among the types that the job may use.
+// minBootTime returns the shortest boot time of the on-demand machine types that a job may use.
 func (p *Planner) minBootTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
 	for _, typ := range p.Cluster.CatalogOrder {
@@ -196,7 +202,7 @@
 	return best
 }
 
-// bootMargin is what may pass beside a machine's boot until a task starts.
+// bootMargin is the time allowed until a task starts in addition to its machine's boot and image fetch.
 const bootMargin = 10 * micro.Second
 
 // guaranteesGPUs reports whether any team is guaranteed GPUs.
@@ -209,7 +215,8 @@
 	return false
 }
 
-// minFetchTime is how long a class's images take where they are fetched fastest.
+// minFetchTime returns how long an image of a class's mean size takes to fetch on the machine type that
+// fetches fastest; 0 if the class may use no type with a known fetch speed.
 func (p *Planner) minFetchTime(class *cluster.Class) micro.Time {
 	best := math.Inf(1)
 	for _, typ := range p.Cluster.CatalogOrder {
@@ -225,8 +232,8 @@
 	return micro.FromSeconds(best)
 }
 
-// freeWithPreemption is what is free on a machine for work of a priority level, which
-// may preempt lower ones.
+// freeWithPreemption returns the free capacity of a machine for work of a priority level, including what
+// that work may preempt from lower levels.
 func freeWithPreemption(machine *cluster.Machine, level int) bin {
 	preemptible := machine.Preemptible(level)
 	unscaled := machine.Type.CPUs - machine.UsedCPU + preemptible.CPU
@@ -241,9 +248,9 @@
 	}
 }
 
-// headroom asks for capacity for the starts expected of classes whose starts are
-// wanted sooner than a slowly booting machine is ready. Capacity that lower priority levels hold
-// counts: they can be preempted.
+// headroom returns the capacity that is missing for the expected starts of classes whose start objective
+// is shorter than the time until a slowly booting machine is ready. Capacity held by lower priority
+// levels counts as free, since they can be preempted.
 func (p *Planner) headroom(now micro.Time) []taskDemand {
 	var demands []taskDemand
 	names := make([]string, 0, len(p.Cluster.Classes))
@@ -270,8 +277,8 @@
 	return demands
 }
 
-// wantedHeadroom is for how many starts of a class capacity should be free; 0: none, a machine that
-// is requested once they come is ready in time.
+// wantedHeadroom returns for how many starts of a class capacity should be kept free; 0 if a machine
+// that is requested when its tasks arrive is ready in time.
 func (p *Planner) wantedHeadroom(class *cluster.Class, startObjective, boot, now micro.Time) int {
 	if guaranteed := p.Objectives.GuaranteedStart(); guaranteed > 0 && class.LastJob.GPUs > 0 && p.guaranteesGPUs() {
 		startObjective = min(startObjective, guaranteed)
@@ -282,13 +289,13 @@
 	}
 	expected := class.ArrivalRate(now) * boot.Seconds()
 	if startObjective >= slowBootTime {
-		return int(math.Ceil(expected)) // in time unless the image is to be fetched
+		return int(math.Ceil(expected)) // in time, unless the image has to be fetched
 	}
 	return 1 + int(math.Ceil(expected*p.Properties.Headroom))
 }
 
-// countHeadroom counts the starts of a class that there is capacity for, up to the wanted ones, and
-// keeps the machines that it counts on.
+// countHeadroom returns for how many starts of a class capacity is free. It stops at want starts, and
+// marks the machines that it counts as needed for headroom, so that they are not terminated.
 func (p *Planner) countHeadroom(class *cluster.Class, want int, now micro.Time) int {
 	have := 0
 	maxRatio := p.maxPriceRatio(nil, now)
@@ -300,7 +307,7 @@
 		if !machine.Schedulable(now) ||
 			p.limitsCost() && class.LastJob.GPUs == 0 && machine.Type.GPUs > 0 &&
 				p.isExpensive(class.LastJob, machine.Type, machine.Spot, maxRatio) {
-			continue // counted on, it would never be terminated
+			continue // counted as headroom, an expensive machine would never be terminated
 		}
 		free := freeWithPreemption(machine, level)
 		if fitting := free.countFitting(class.LastJob); fitting > 0 {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -1,6 +1,6 @@
-// Package autoscaler decides which instances to request and which machines to terminate, from
-// the queue, the objectives and the prices. It reads no clock and does no I/O. The goroutine
-// that owns the cluster state owns a Planner too.
+// Package autoscaler decides which instances to request and which machines to terminate, based on the
+// pending jobs, their objectives and the prices. It reads no clock and does no I/O. A Planner may be
+// used only by the goroutine that owns its cluster state.
 package autoscaler
 
 import (
@@ -10,62 +10,64 @@
 	"notchmux.dev/notchmux/internal/scheduler"
 )
 
-// InstanceOffer is what the cloud offers: a type in a zone, spot or on-demand.
+// InstanceOffer identifies an offer of the cloud: a machine type in a zone, spot or on-demand.
 type InstanceOffer struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// ScaleOut is a number of machines to be requested.
+// ScaleOut is a number of machines of one offer to request.
 type ScaleOut struct {
 	InstanceOffer
 	Count         int
-	Class         string // the class whose work asked for the first of them
-	PriorityLevel int    // and its priority level
+	Class         string // class of the first demand that the machines are for
+	PriorityLevel int    // priority level of that demand
 }
 
-// Planner remembers what the cloud refused and what is under way.
+// Planner decides on scale-outs and scale-ins. Between plans it keeps the refusals of the cloud, the
+// pending requests and the history of the backlog.
 type Planner struct {
 	Cluster             *cluster.State
 	Objectives          *scheduler.Objectives
 	Properties          *config.Properties
-	RefusedUntil        map[InstanceOffer]micro.Time // until when not to ask again
-	ConsecutiveRefusals map[InstanceOffer]int        // refusals in a row
-	PendingRequests     map[string]ScaleOut          // instance requests without an answer yet, by name
-	ShardDemands        func() []ShardDemand         // what waits in shards of other controllers; nil: nothing
-	ShardCapacity       func() []ShardCapacity       // what is free in shards of other controllers; nil: nothing
-	OwnsOffer           func(InstanceOffer) bool     // the offers whose machines are in no shard; nil: all are
-
-	// ShardAcceptsJob reports whether an offer's machines are in a shard that takes a job's team.
+	RefusedUntil        map[InstanceOffer]micro.Time // when a refused offer may be requested again
+	ConsecutiveRefusals map[InstanceOffer]int        // consecutive refusals of each offer
+	PendingRequests     map[string]ScaleOut          // instance requests without a response yet, by request ID
+
+	// The callbacks of the Config.
+	ShardDemands    func() []ShardDemand
+	ShardCapacity   func() []ShardCapacity
+	OwnsOffer       func(InstanceOffer) bool
 	ShardAcceptsJob func(*cluster.Job, InstanceOffer) bool
 
-	unreachableZones map[string]bool // unreachable zones, by the last plan
-	permanentFleet   bool            // operators keep machines of their own, by the last plan
-	noBacklogSince   micro.Time      // since when nothing has waited for capacity; 0: something does
+	unreachableZones map[string]bool // zones that were unreachable at the last plan
+	permanentFleet   bool            // whether there were operator-owned machines at the last plan
+	noBacklogSince   micro.Time      // since when no job has waited for capacity; 0: one does
 
-	excludedUntil map[InstanceOffer]micro.Time // until when offers are left out whose machines did not come up
+	excludedUntil map[InstanceOffer]micro.Time // end of the exclusion of offers with boot failures
 
-	backlogs map[*cluster.Class]*classBacklog // how much waits, and waited
+	backlogs map[*cluster.Class]*classBacklog // pending tasks, now and earlier
 }
 
-// Config is what a planner decides by.
+// Config holds the inputs of a Planner.
 type Config struct {
 	Cluster    *cluster.State
 	Objectives *scheduler.Objectives
 	Properties *config.Properties
-	// ShardDemands lists what waits in shards of other controllers; nil: nothing.
+	// ShardDemands returns the tasks that wait for capacity in shards of other controllers; nil: there are
+	// none.
 	ShardDemands func() []ShardDemand
-	// ShardCapacity lists what is free in shards of other controllers; nil: nothing.
+	// ShardCapacity returns the free capacity in shards of other controllers; nil: there is none.
 	ShardCapacity func() []ShardCapacity
-	// OwnsOffer reports whether an offer's machines are in no shard; nil: all are in none.
+	// OwnsOffer reports whether an offer's machines belong to no shard; nil: there are no shards.
 	OwnsOffer func(InstanceOffer) bool
-	// ShardAcceptsJob reports whether an offer's machines are in a shard that takes jobs of a job's
+	// ShardAcceptsJob reports whether an offer's machines are in a shard that accepts jobs of the job's
 	// team; nil: there are no shards.
 	ShardAcceptsJob func(*cluster.Job, InstanceOffer) bool
 }
 
-// New makes a planner that knows of no refusal and no request.
+// New returns a Planner without refusals or pending requests.
 func New(cfg Config) *Planner {
 	return &Planner{
 		Cluster:             cfg.Cluster,
@@ -81,23 +83,23 @@
 	}
 }
 
-// maxMachinesPerPlan bounds what one plan requests, maxMachinesPerRequest what one request asks
-// for, and maxMachinesPerOffer what is asked of one offer at a time: how much there is shows
-// only by asking.
+// Limits on the machines requested by one plan, by one instance request, and of one offer at a time.
+// The last exists because only requesting machines shows how many of an offer the cloud has.
 const (
 	maxMachinesPerPlan    = 250
 	maxMachinesPerRequest = 50
 	maxMachinesPerOffer   = 200
 )
 
-// refusalBackoff is how long an offer that was refused is not asked for again;
-// longer each time that it had nothing at all.
+// refusalBackoff is how long a refused offer is not requested again. It doubles with each consecutive
+// request for which the cloud granted no machine, up to maxBackoffShift times.
 const (
 	refusalBackoff  = 15 * micro.Second
 	maxBackoffShift = 2
 )
 
-// RecordRequestResult takes in the answer to an instance request.
+// RecordRequestResult records how many of the requested machines of an offer the cloud granted. After a
+// full or partial refusal, the offer is not requested again until its backoff ends.
 func (p *Planner) RecordRequestResult(offer InstanceOffer, requested, granted int, now micro.Time) {
 	switch {
 	case granted == requested:
@@ -111,7 +113,8 @@
 	}
 }
 
-// Plan says which instances to request and which machines to terminate for being idle.
+// Plan returns the instances to request and the idle machines to terminate. It also cordons and uncordons
+// machines.
 func (p *Planner) Plan(now micro.Time) (scaleOuts []ScaleOut, idle []*cluster.Machine) {
 	p.permanentFleet = p.hasPermanentMachines()
 	p.unreachableZones = p.listUnreachableZones()
@@ -135,7 +138,8 @@
 	return plan.requests(), p.IdleMachines(now)
 }
 
-// bestOffer is what to request for a demand: for work of the first priority level at any price.
+// bestOffer returns the best offer for a demand, nil if there is none. If no offer is within the price
+// limit, work of the highest priority level gets one at any price.
 func (p *Planner) bestOffer(demand *taskDemand, unplaced int, tasksByZone map[string]int, now micro.Time) *bin {
 	best := p.chooseOffer(demand, unplaced, tasksByZone, true, now)
 	if best == nil && demand.priorityLevel == 0 {
@@ -144,8 +148,8 @@
 	return best
 }
 
-// listUnreachableZones lists the zones that a partition cuts off. The heartbeats of what is
-// created there reach nobody until it ends: tasks that were killed in such a zone once waited
+// listUnreachableZones returns the zones that a network partition cuts off. The heartbeats of machines
+// created there reach no controller until it ends: tasks that were killed in such a zone once waited
 // while machines were requested there again and again.
 func (p *Planner) listUnreachableZones() map[string]bool {
 	unreachable := map[string]bool{}
@@ -157,7 +161,8 @@
 	return unreachable
 }
 
-// maxPendingMachines is how much of an offer may be asked for at a time.
+// maxPendingMachines returns how many machines of an offer may be requested at a time: fewer after a
+// refusal.
 func (p *Planner) maxPendingMachines(offer InstanceOffer) int {
 	if p.ConsecutiveRefusals[offer] > 0 {
 		return maxMachinesPerRequest
@@ -165,11 +170,13 @@
 	return maxMachinesPerOffer
 }
 
-// permanentFleetIdleFactor is how much longer idle machines are kept where readiness wins.
+// permanentFleetIdleFactor is the multiple of the idle timeout for which idle machines are kept where
+// operators have machines of their own, since readiness matters more than cost there.
 const permanentFleetIdleFactor = 6
 
-// IdleMachines lists the machines, but for the operators' own, that nobody has needed for a
-// while.
+// IdleMachines returns the machines to terminate: those without allocations that are cordoned or have not
+// been needed for the idle timeout. Operator-owned and reserved machines are not included, nor are those
+// of other controllers or with a preemption notice.
 func (p *Planner) IdleMachines(now micro.Time) []*cluster.Machine {
 	var idle []*cluster.Machine
 	idleTimeout := p.Properties.IdleTerminateAfter
@@ -188,7 +195,7 @@
 		}
 		timeout := idleTimeout
 		if p.limitsCost() && machine.Type != nil && machine.Type.GPUs > 0 {
-			timeout /= 2 // the most expensive; those that are expected to be needed are wanted
+			timeout /= 2 // GPU machines cost the most; those expected to be needed are kept as headroom
 		}
 		if now-machine.IdleSince > timeout && now-machine.LastNeededForHeadroom > 5*micro.Second {
 			idle = append(idle, machine)
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -19,6 +19,8 @@
 
 const now = 1000 * micro.Second
 
+// newTestPlanner returns a planner with a cheap type in two zones, an expensive GPU type in one, and no
+// machines.
 func newTestPlanner() *Planner {
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
@@ -34,6 +36,7 @@
 	return New(Config{Cluster: state, Objectives: scheduler.NewObjectives(nil), Properties: &properties})
 }
 
+// submit adds a job array of normal priority that has waited for a minute.
 func (p *Planner) submit(id string, tasks int, cpus float64, spot bool) *cluster.Job {
 	return p.Cluster.AddJob(
 		wire.Job{
@@ -50,11 +53,11 @@
 	planner.submit("j-1", 8, 1, true)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Count != 2 || scaleOuts[0].Type != "small" || !scaleOuts[0].Spot {
-		t.Fatalf("%+v", scaleOuts)
+		t.Fatalf("requested %+v, want two small spot machines", scaleOuts)
 	}
 	planner.PendingRequests["r-1"] = scaleOuts[0]
 	if repeated, _ := planner.Plan(now); len(repeated) != 0 {
-		t.Fatalf("rented twice: %+v", repeated)
+		t.Fatalf("requested again while the first request is pending: %+v", repeated)
 	}
 }
 
@@ -64,16 +67,16 @@
 	planner.RefusedUntil[InstanceOffer{"small", "a", false}] = now + micro.Second
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "b" {
-		t.Fatalf("%+v", scaleOuts)
+		t.Fatalf("requested %+v, want one request in zone b", scaleOuts)
 	}
 	planner.RefusedUntil[InstanceOffer{"small", "b", false}] = now + micro.Second
 	if scaleOuts, _ = planner.Plan(now); len(scaleOuts) != 0 {
-		t.Fatalf("CPU work rents a GPU machine at 15 times the price: %+v", scaleOuts)
+		t.Fatalf("GPU machine requested for CPU work at 15 times the price: %+v", scaleOuts)
 	}
-	// Where operators keep machines of their own, readiness wins.
-	planner.Cluster.EnsureMachine("own", now).Permanent = true
+	// Where operators have machines of their own, readiness matters more than cost.
+	planner.Cluster.EnsureMachine("operator-owned", now).Permanent = true
 	if scaleOuts, _ = planner.Plan(now); len(scaleOuts) != 1 || scaleOuts[0].Type != "gpu" {
-		t.Fatalf("%+v", scaleOuts)
+		t.Fatalf("requested %+v, want one request of GPU machines", scaleOuts)
 	}
 }
 
@@ -84,26 +87,26 @@
 	planner.Cluster.DescribeMachine(m, "small", "a", true)
 	m.RequestedAt = now - 40*micro.Second
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) != 0 {
-		t.Fatalf("still expected: %+v", scaleOuts)
+		t.Fatalf("replacement requested before the boot timeout: %+v", scaleOuts)
 	}
 	m.RequestedAt = now - 60*micro.Second
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) != 1 {
-		t.Fatal("nothing is rented in place of a machine that does not come up")
+		t.Fatal("no replacement requested after the boot timeout")
 	}
 }
 
 func TestIdleMachinesAreTerminatedUnlessPermanent(t *testing.T) {
 	planner := newTestPlanner()
-	for _, name := range []string{"rented", "own"} {
+	for _, name := range []string{"provisioned", "operator-owned"} {
 		m := planner.Cluster.EnsureMachine(name, now)
 		planner.Cluster.DescribeMachine(m, "small", "a", false)
-		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
+		planner.Cluster.TransitionMachine(m, cluster.Up, "heartbeat")
 		m.IdleSince = now - 5*micro.Minute
-		m.Permanent = name == "own"
+		m.Permanent = name == "operator-owned"
 	}
 	_, idle := planner.Plan(now)
-	if len(idle) != 1 || idle[0].Name != "rented" {
-		t.Fatalf("%v", idle)
+	if len(idle) != 1 || idle[0].Name != "provisioned" {
+		t.Fatalf("idle machines %v, want the provisioned one", idle)
 	}
 }
 
@@ -113,18 +116,18 @@
 		arrivals = append(arrivals, now-100*micro.Second)
 	}
 	if rate := (&cluster.Class{Arrivals: arrivals}).ArrivalRate(now); rate != 0 {
-		t.Errorf("rate %v after one burst", rate)
+		t.Errorf("rate %v after a single burst, want 0", rate)
 	}
 	for i := range 12 {
 		arrivals = append(arrivals, now-micro.Time(i)*10*micro.Second)
 	}
 	if rate := (&cluster.Class{Arrivals: arrivals}).ArrivalRate(now); rate < 0.09 || rate > 0.11 {
-		t.Errorf("rate %v, want 0.1", rate)
+		t.Errorf("rate %v, want 0.1 tasks per second", rate)
 	}
 }
 
-// Short tasks kept a expensive machine from ever being empty, long after the burst
-// that it was rented for.
+// Short tasks kept an expensive machine from ever becoming empty, long after the burst for which it was
+// requested.
 func TestExpensiveMachineIsCordonedWithoutBacklogAndUncordonedWithBacklog(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-gpu"} {
@@ -134,34 +137,34 @@
 			typ = "gpu"
 		}
 		planner.Cluster.DescribeMachine(machine, typ, "a", false)
-		planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
+		planner.Cluster.TransitionMachine(machine, cluster.Up, "heartbeat")
 	}
 	job := planner.submit("j-1", 2, 1, false)
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-gpu"], 1, 1, now)
 	planner.Cluster.Allocate(job, 1, planner.Cluster.Machines["i-1"], 1, 1, now)
 	planner.Plan(now)
 	if planner.Cluster.Machines["i-gpu"].Cordoned {
-		t.Fatal("drained before it is known that nothing waits")
+		t.Fatal("cordoned before nothing has waited for cordonDelay")
 	}
 	planner.Plan(now + cordonDelay)
 	if !planner.Cluster.Machines["i-gpu"].Cordoned || planner.Cluster.Machines["i-1"].Cordoned {
-		t.Fatal("the dearest machine that is not needed should take nothing more, and it alone")
+		t.Fatal("want only the most expensive machine that is not needed cordoned")
 	}
 	planner.submit("j-2", 40, 4, false)
 	planner.Plan(now + cordonDelay + micro.Second)
 	if planner.Cluster.Machines["i-gpu"].Cordoned {
-		t.Fatal("work waits, and the machine still takes none")
+		t.Fatal("machine still cordoned while a job waits")
 	}
 }
 
-// A spread service had one task beside free capacity in one zone and may have no more
-// there. That capacity came free, by the plan, so nothing was rented in the other zone.
+// A spread service had one task in a zone with free capacity, and may have no more there. The plan counted
+// on that capacity for its second task, so nothing was requested in the other zone.
 func TestReleasedCapacityBeyondASpreadLimitDoesNotPreventScaleOut(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
 		m := planner.Cluster.EnsureMachine(name, now)
 		planner.Cluster.DescribeMachine(m, "small", "a", false)
-		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
+		planner.Cluster.TransitionMachine(m, cluster.Up, "heartbeat")
 	}
 	job := planner.Cluster.AddJob(
 		wire.Job{
@@ -173,17 +176,18 @@
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 1, now)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "b" {
-		t.Fatalf("its second task waits for good: %+v", scaleOuts)
+		t.Fatalf("requested %+v for the second task, want one request in zone b", scaleOuts)
 	}
 }
 
-// The same for a job that must stay in the zone where it has begun.
+// The plan must not count on free capacity in another zone for a job that must run in a single zone and
+// has an allocation already.
 func TestReleasedCapacityInAnotherZoneDoesNotPreventScaleOutForASingleZoneJob(t *testing.T) {
 	planner := newTestPlanner()
 	for _, name := range []string{"i-1", "i-2"} {
 		m := planner.Cluster.EnsureMachine(name, now)
 		planner.Cluster.DescribeMachine(m, "small", map[string]string{"i-1": "a", "i-2": "b"}[name], false)
-		planner.Cluster.TransitionMachine(m, cluster.Up, "reports")
+		planner.Cluster.TransitionMachine(m, cluster.Up, "heartbeat")
 	}
 	job := planner.Cluster.AddJob(
 		wire.Job{
@@ -196,35 +200,35 @@
 	planner.Cluster.Allocate(job, 0, planner.Cluster.Machines["i-1"], 1, 4, now)
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "a" {
-		t.Fatalf("its second task waits for room that it may not use: %+v", scaleOuts)
+		t.Fatalf("requested %+v for the second task, want one request in zone a", scaleOuts)
 	}
 }
 
-// Work with time in hand waits a few seconds for capacity to come free; drained
-// machines must not be kept from it for longer.
+// A job that can still wait is given a few seconds to find released capacity; after that, cordoned
+// machines must become available to it.
 func TestCordonedMachineIsUncordonedAfterTheScaleOutDelay(t *testing.T) {
 	planner := newTestPlanner()
 	machine := planner.Cluster.EnsureMachine("i-1", now)
 	planner.Cluster.DescribeMachine(machine, "small", "a", false)
-	planner.Cluster.TransitionMachine(machine, cluster.Up, "reports")
+	planner.Cluster.TransitionMachine(machine, cluster.Up, "heartbeat")
 	planner.Cluster.SetCordoned(machine, true)
 	planner.Cluster.AddJob(
 		wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Low, Tasks: 1, CPUs: 1, EstimateS: 10}, now, now,
 	)
 	planner.Plan(now + micro.Second)
 	if !machine.Cordoned {
-		t.Fatal("taken back at once")
+		t.Fatal("uncordoned before the scale-out delay")
 	}
 	planner.Plan(now + 9*micro.Second)
 	if machine.Cordoned {
-		t.Fatal("the work still waits")
+		t.Fatal("still cordoned after the scale-out delay")
 	}
 }
 
-// A zone was cut off for so long that its tasks were to run elsewhere. The machines
-// for them were rented in the same zone, the cheapest, where they reached nobody.
+// A zone was unreachable for so long that its tasks were to run elsewhere. Machines for them were requested
+// in the same zone, since it was the cheapest, and could reach no controller there.
 func TestScaleOutInAnUnreachableZoneOnlyForJobsBoundToIt(t *testing.T) {
-	zoneOf := func(lastHeartbeat micro.Time, bound bool) string {
+	requestedZone := func(lastHeartbeat micro.Time, bound bool) string {
 		planner := newTestPlanner()
 		planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
 		machine := planner.Cluster.EnsureMachine("i-1", now)
@@ -236,23 +240,23 @@
 		}
 		scaleOuts, _ := planner.Plan(now)
 		if len(scaleOuts) != 1 || scaleOuts[0].Count != 1 {
-			t.Fatalf("%+v", scaleOuts)
+			t.Fatalf("requested %+v, want one machine", scaleOuts)
 		}
 		return scaleOuts[0].Zone
 	}
-	if got := zoneOf(now-2*micro.Minute, false); got != "b" {
-		t.Errorf("rented in zone %s, which is cut off", got)
+	if got := requestedZone(now-2*micro.Minute, false); got != "b" {
+		t.Errorf("requested in zone %s, want b since a is unreachable", got)
 	}
-	if got := zoneOf(now-2*micro.Minute, true); got != "a" {
-		t.Errorf("bound to zone a, rented in %s", got)
+	if got := requestedZone(now-2*micro.Minute, true); got != "a" {
+		t.Errorf("requested in zone %s for a job bound to a", got)
 	}
-	if got := zoneOf(now-micro.Second, false); got != "a" {
-		t.Errorf("its machines are heard, only its controllers are not: rented in %s", got)
+	if got := requestedZone(now-micro.Second, false); got != "a" {
+		t.Errorf("requested in zone %s, want a, whose machines still send heartbeats", got)
 	}
 }
 
-// Machines that come up in a zone that is cut off are left to the work bound to it:
-// others once took them into account first, and more were rented there each second.
+// Machines that boot in an unreachable zone are left to the jobs bound to it: capacity there was once
+// reserved for other jobs first, and more machines were requested there each second.
 func TestExpectedCapacityInAnUnreachableZoneIsLeftToJobsBoundToIt(t *testing.T) {
 	planner := newTestPlanner()
 	planner.Cluster.ZoneUnreachableSince["a"] = now - micro.Minute
@@ -264,12 +268,12 @@
 		planner.Cluster.DescribeMachine(m, "small", z, false)
 	}
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) != 0 {
-		t.Errorf("rented though room for both is coming up: %+v", scaleOuts)
+		t.Errorf("requested %+v although capacity for both jobs is booting", scaleOuts)
 	}
 }
 
-// A service that other services of its team will give quota to has machines requested beyond the
-// limit, and none where only a shard could use them.
+// For a service that will receive quota from other services of its team, machines are requested beyond
+// the team's limit, but none that only a shard could use.
 func TestMachinesForAServiceThatReceivesQuotaAreRequestedBeyondTheTeamLimit(t *testing.T) {
 	planner := newTestPlanner()
 	team := &cluster.Team{Name: "team", CPULimit: 8, UsedCPU: 8}
@@ -280,11 +284,11 @@
 	planner.OwnsOffer = func(offer InstanceOffer) bool { return offer.Zone == "b" }
 	planner.ShardAcceptsJob = func(*cluster.Job, InstanceOffer) bool { return true }
 	if scaleOuts, _ := planner.Plan(now); len(scaleOuts) > 0 {
-		t.Fatalf("requested beyond the limit: %+v", scaleOuts)
+		t.Fatalf("requested beyond the team's limit: %+v", scaleOuts)
 	}
 	team.Transfer = cluster.QuotaTransfer{Recipient: service, Since: now}
 	scaleOuts, _ := planner.Plan(now)
 	if len(scaleOuts) != 1 || scaleOuts[0].Zone != "b" || scaleOuts[0].Count != 2 {
-		t.Fatalf("%+v, want two machines in zone b", scaleOuts)
+		t.Fatalf("requested %+v, want two machines in zone b", scaleOuts)
 	}
 }
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -9,15 +9,15 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// maxExpensiveDelay is the longest that work waits for capacity to come free where only expensive
-// capacity can be requested.
+// maxExpensiveDelay is how long work waits for capacity to be released where only expensive capacity can
+// be requested.
 const maxExpensiveDelay = 3 * micro.Minute
 
-// slowBootFactor is how many times its type's boot time a machine may well take.
+// slowBootFactor is the multiple of its type's boot time that a slowly booting machine is expected to take.
 const slowBootFactor = 1.5
 
-// meetsObjective reports whether a machine requested now would let a demand meet an
-// objective. Work that has waited very long gets one in any case.
+// meetsObjective reports whether a machine requested now would let a demand meet an objective. It is true
+// in any case for work that has waited longer than maxExpensiveDelay.
 func (p *Planner) meetsObjective(demand *taskDemand, typ *cluster.MachineType, now micro.Time) bool {
 	if demand.job != nil && now-demand.job.EligibleSince > maxExpensiveDelay {
 		return true
@@ -26,16 +26,17 @@
 	return demand.latestStart >= ready && demand.latestStart < now+scheduler.PlanningHorizon/2
 }
 
-// classBacklog is how many of a class's tasks wait, now and a while ago.
+// classBacklog is the number of a class's pending tasks, now and at the last measurement.
 type classBacklog struct {
 	pendingTasks, pendingAtMeasurement int
-	measuredAt                         micro.Time // when pendingBefore was noted
-	lastExpensiveAt                    micro.Time // when expensive capacity was last requested because it lasts
+	measuredAt                         micro.Time // when pendingAtMeasurement was recorded or last reset
+	lastExpensiveAt                    micro.Time // when a persistent shortage last led to a request of expensive capacity
 }
 
-// A shortage lasts if, with machines up for persistentAfter, no fewer tasks wait than
-// a good while ago. Then expensive capacity is requested for one part in expensiveFleetDivisor of the
-// fleet at a time.
+// A class's shortage is persistent if its tasks have waited for persistentAfter while machines were up,
+// and their number, measured every backlogInterval, has fallen by no more than a tenth since the last
+// measurement. Expensive machines may then be requested every expensiveInterval, up to one per
+// expensiveFleetDivisor machines of the fleet, and at least one.
 const (
 	backlogInterval       = 20 * micro.Second
 	persistentAfter       = 20 * micro.Second
@@ -43,7 +44,7 @@
 	expensiveFleetDivisor = 100
 )
 
-// trackBacklog keeps count of what waits.
+// trackBacklog updates the number of pending tasks of each class and the measurements to compare it with.
 func (p *Planner) trackBacklog(now micro.Time) {
 	if p.backlogs == nil {
 		p.backlogs = map[*cluster.Class]*classBacklog{}
@@ -75,7 +76,7 @@
 	}
 }
 
-// measurementDue reports whether it is time to note how many tasks wait.
+// measurementDue reports whether the number of pending tasks is to be recorded as a measurement.
 func (b *classBacklog) measurementDue(now micro.Time) bool {
 	if b.pendingAtMeasurement == 0 {
 		return now-b.measuredAt >= persistentAfter
@@ -83,8 +84,9 @@
 	return now-b.measuredAt >= backlogInterval
 }
 
-// persistentShortageAllowance is how many expensive machines may be requested now because a class's shortage
-// lasts, whatever is expected to come free: other work takes it.
+// persistentShortageAllowance returns how many expensive machines may be requested now because the
+// shortage of a demand's class is persistent; 0: none. Capacity that is expected to be released does not
+// matter, since other work takes it. A result above 0 uses up the allowance for expensiveInterval.
 func (p *Planner) persistentShortageAllowance(demand *taskDemand, now micro.Time) int {
 	if demand.job == nil {
 		return 0
@@ -99,6 +101,7 @@
 	return max(len(p.Cluster.Machines)/expensiveFleetDivisor, 1)
 }
 
+// priceOf returns the hourly price of a machine of an offer.
 func priceOf(offer InstanceOffer, typ *cluster.MachineType) float64 {
 	if offer.Spot {
 		return typ.SpotPrice
@@ -106,7 +109,7 @@
 	return typ.Price
 }
 
-// hourlyCost is what the fleet costs an hour.
+// hourlyCost returns the cost of the fleet per hour.
 func (p *Planner) hourlyCost() float64 {
 	sum := 0.0
 	for _, m := range p.Cluster.Machines {
@@ -117,7 +120,8 @@
 	return sum
 }
 
-// minReadyTime is how soon a requested machine could run the job's task.
+// minReadyTime returns how soon a machine requested now could run a task of the job, including its boot
+// and the fetch of the image.
 func (p *Planner) minReadyTime(spec *wire.Job) micro.Time {
 	best := micro.Time(math.MaxInt64 / 4)
 	for _, typ := range p.Cluster.CatalogOrder {
@@ -130,8 +134,8 @@
 	return best
 }
 
-// cheapestPrice is what the cheapest on-demand type asks for a task's capacity, where n
-// like it are waiting.
+// cheapestPrice returns the lowest hourly on-demand price of the capacity for a task, where n such tasks
+// are waiting and may share a machine.
 func (p *Planner) cheapestPrice(spec *wire.Job, n int) float64 {
 	best := math.Inf(1)
 	for _, typ := range p.Cluster.CatalogOrder {
@@ -145,16 +149,17 @@
 	return best
 }
 
-// urgentPriceFactor is how much more capacity may cost for work that would be late.
+// urgentPriceFactor is how many times more capacity may cost for work that would miss its objective.
 const urgentPriceFactor = 2.2
 
 // urgentAfter is how long work waits before it counts as urgent.
 const urgentAfter = micro.Minute
 
-// limitsCost reports whether cost matters: where operators keep a fleet of
-// their own, readiness wins.
+// limitsCost reports whether cost matters. Where operators have machines of their own, readiness matters
+// more than cost.
 func (p *Planner) limitsCost() bool { return !p.permanentFleet }
 
+// hasPermanentMachines reports whether any machine is owned by the operators.
 func (p *Planner) hasPermanentMachines() bool {
 	for _, m := range p.Cluster.Machines {
 		if m.Permanent {
@@ -164,9 +169,9 @@
 	return false
 }
 
-// WithinPrice reports whether work that needs no GPU may sit on a machine with
-// GPUs. Most are expensive, and work on one keeps it from being terminated: a
-// service for as long as it lives.
+// WithinPrice reports whether the price of a machine type allows a job to be placed on it. Only jobs that
+// request no GPU are kept off machines, and only off expensive ones with GPUs: work on such a machine
+// prevents its termination, a service for as long as it runs.
 func (p *Planner) WithinPrice(job *cluster.Job, typ *cluster.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
 	if spec.GPUs > 0 || typ.GPUs == 0 || !p.limitsCost() {
@@ -175,8 +180,8 @@
 	return !p.isExpensive(spec, typ, spot, p.occupancyPriceRatio(job, now))
 }
 
-// occupancyPriceRatio is the most that the capacity of a machine may cost, over the cheapest
-// on-demand capacity, for a job to take it without need.
+// occupancyPriceRatio returns how many times the cheapest on-demand price the capacity of a machine with
+// GPUs may cost for a job that does not need them to be placed there.
 func (p *Planner) occupancyPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.avoidsExpensiveCapacity(job, now) {
 		return p.Properties.HighPriceRatio
@@ -184,29 +189,29 @@
 	return p.maxPriceRatio(nil, now)
 }
 
-// avoidsExpensiveCapacity reports whether a job takes no expensive capacity: it is of the last priority level and
-// nothing says when it should start or end, so only its cost counts. Arrays of
-// thousands of such tasks had hundreds of on-demand GPU machines requested, and kept
-// those that other work had needed from being terminated. A job none of whose tasks
-// had an allocation for maxExpensiveDelay takes what there is.
+// avoidsExpensiveCapacity reports whether a job gets no expensive capacity: it has the lowest priority
+// level and no objective for its start or end, so only its cost matters. Arrays of thousands of such
+// tasks once had hundreds of on-demand GPU machines requested, and prevented the termination of those
+// that other work had needed. A job none of whose tasks has had an allocation for maxExpensiveDelay may
+// use any capacity.
 func (p *Planner) avoidsExpensiveCapacity(job *cluster.Job, now micro.Time) bool {
 	return job != nil && job.PriorityLevel >= lowestPriorityLevel && !p.Objectives.AppliesTo(job) &&
 		p.Cluster.WaitingTime(job, now) <= maxExpensiveDelay
 }
 
-// lowestPriorityLevel is that of best-effort work.
+// lowestPriorityLevel is the priority level of best-effort work.
 var lowestPriorityLevel = wire.Low.Level()
 
-// isExpensive reports whether a machine's capacity costs more than so many times the
-// cheapest on-demand capacity, for tasks like this.
+// isExpensive reports whether the capacity for a task costs more on a machine type than ratio times the
+// cheapest on-demand capacity, or the task does not fit on the type at all.
 func (p *Planner) isExpensive(spec *wire.Job, typ *cluster.MachineType, spot bool, ratio float64) bool {
 	k := newBin(typ, "", false).countByResources(spec)
 	return k == 0 || priceOf(InstanceOffer{Spot: spot}, typ)/float64(k) > ratio*p.cheapestPrice(spec, math.MaxInt32)
 }
 
-// maxPriceRatio is the most that capacity for a job's tasks may cost, over the cheapest
-// on-demand capacity. Work that has waited long and would soon be late may cost more:
-// then the cheap capacity has run out.
+// maxPriceRatio returns how many times the cheapest on-demand price the capacity for a job's tasks may
+// cost. It is higher for work that has waited longer than urgentAfter and would soon miss its objective,
+// since the cheap capacity has then run out.
 func (p *Planner) maxPriceRatio(job *cluster.Job, now micro.Time) float64 {
 	if p.avoidsExpensiveCapacity(job, now) {
 		return p.Properties.HighPriceRatio
@@ -220,8 +225,8 @@
 	return limit
 }
 
-// chooseOffer finds the offer that costs least per task, first among those whose
-// machines come up; in an unreachable zone only if there is no other.
+// chooseOffer returns the offer with the lowest cost per task, nil if there is none. An offer whose
+// machines failed to boot is chosen only if there is no other, as is one in an unreachable zone.
 func (p *Planner) chooseOffer(
 	demand *taskDemand, unplaced int, tasksByZone map[string]int, limitPrice bool, now micro.Time,
 ) *bin {
@@ -238,20 +243,21 @@
 	return best
 }
 
-// offerSearch looks for the offer that serves a demand at the least cost per task.
+// offerSearch searches for the offer that serves a demand at the lowest cost per task.
 type offerSearch struct {
 	planner     *Planner
 	demand      *taskDemand
 	unplaced    int            // tasks without capacity
-	tasksByZone map[string]int // tasks that the plan has put into each zone
+	tasksByZone map[string]int // tasks that the plan has placed in each zone
 	now         micro.Time
-	priceLimit  float64 // the most that capacity for a task may cost an hour
+	priceLimit  float64 // highest hourly price of the capacity for a task
 
-	bestBin  *bin // the best offer so far; nil: none
+	bestBin  *bin // capacity of a machine of the best offer so far; nil: none
 	bestCost float64
 }
 
-// cheapest finds the offer that costs least per task, but for those that are excluded now.
+// cheapest returns the offer with the lowest cost per task among those that are not excluded now, nil if
+// there is none.
 func (s *offerSearch) cheapest(excludedUntil map[InstanceOffer]micro.Time) *bin {
 	s.bestBin, s.bestCost = nil, 0
 	for _, typ := range s.planner.Cluster.CatalogOrder {
@@ -266,13 +272,13 @@
 	return s.bestBin
 }
 
-// spotRiskFactor is what is added to a spot instance's price: it may be preempted.
+// spotRiskFactor is the factor on the price of a spot instance that accounts for the risk of preemption.
 const spotRiskFactor = 1.2
 
-// bootCostSeconds is the boot time, in seconds, that counts as much as the price.
+// bootCostSeconds is the boot time, in seconds, that adds as much to the cost of an offer as its price.
 const bootCostSeconds = 300
 
-// consider takes an offer if it serves the demand better than the best so far.
+// consider makes an offer the best one if it serves the demand better than the best so far.
 func (s *offerSearch) consider(offer InstanceOffer, typ *cluster.MachineType) {
 	if !s.isRequestable(offer, typ) {
 		return
@@ -297,7 +303,8 @@
 	}
 }
 
-// isRequestable reports whether an offer may be requested for the demand now.
+// isRequestable reports whether an offer may be requested for the demand now: the offer has no refusal
+// backoff, and the constraints of the job allow it.
 func (s *offerSearch) isRequestable(offer InstanceOffer, typ *cluster.MachineType) bool {
 	if s.planner.RefusedUntil[offer] > s.now || !s.demand.allows(typ, offer.Zone, offer.Spot) {
 		return false
@@ -305,8 +312,8 @@
 	return s.demand.job == nil || scheduler.ZoneAllowed(s.demand.job, offer.Zone, s.tasksByZone)
 }
 
-// isBetter reports whether capacity in a zone at a cost is better than the best so far: a
-// reachable zone goes before cost.
+// isBetter reports whether an offer in a zone at a cost is better than the best so far. An offer in a
+// reachable zone is better than one in an unreachable zone at any cost.
 func (s *offerSearch) isBetter(zone string, cost float64) bool {
 	if s.bestBin == nil {
 		return true
--- a/internal/autoscaler/price_test.go
+++ b/internal/autoscaler/price_test.go
@@ -10,8 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// newExpensiveOfferPlanner has a cheap type, whose offers are all refused, and one with GPUs
-// that asks three times as much for the capacity of a task: dear, but not beyond the
+// newExpensiveOfferPlanner returns a planner with a cheap machine type, all of whose offers are refused,
+// and a GPU type whose capacity for a task costs three times as much: expensive, but within the maximum
 // price ratio.
 func newExpensiveOfferPlanner() *Planner {
 	planner := newTestPlanner()
@@ -23,7 +23,7 @@
 		},
 	}})
 	planner.Objectives = scheduler.NewObjectives(
-		[]config.Objective{{Kind: "finished", Class: "promised", WithinS: 1000, Share: 0.9}},
+		[]config.Objective{{Kind: "finished", Class: "with-objective", WithinS: 1000, Share: 0.9}},
 	)
 	for _, spot := range []bool{false, true} {
 		planner.RefusedUntil[InstanceOffer{"small", "a", spot}] = now + 60*micro.Minute
@@ -31,6 +31,7 @@
 	return planner
 }
 
+// submitWithPriority adds an array of 4000 tasks that has waited longer than maxExpensiveDelay.
 func (p *Planner) submitWithPriority(class string, priority wire.Priority) *cluster.Job {
 	return p.Cluster.AddJob(
 		wire.Job{
@@ -42,24 +43,26 @@
 	)
 }
 
+// requestsMachines reports whether a plan made now requests any machine.
 func (p *Planner) requestsMachines() bool { scaleOuts, _ := p.Plan(now); return len(scaleOuts) > 0 }
 
-// An array of thousands of idle tasks, of a class for which nothing was promised,
-// once had hundreds of ordinary GPU machines rented.
+// For an array of thousands of low-priority tasks, of a class without an objective, hundreds of on-demand
+// GPU machines were requested. Only after maxExpensiveDelay without any allocation may it get them.
 func TestLowPriorityJobWithoutObjectiveRequestsExpensiveMachinesOnlyAfterALongWait(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
-	job := planner.submitWithPriority("guest", wire.Low)
+	job := planner.submitWithPriority("no-objective", wire.Low)
 	job.WaitingSince = now - micro.Minute
 	if planner.requestsMachines() {
-		t.Error("dear room is rented for idle work that nothing was promised for")
+		t.Error("expensive capacity requested for a low-priority job without an objective")
 	}
 	job.WaitingSince = now - maxExpensiveDelay - micro.Second
 	if !planner.requestsMachines() {
-		t.Error("idle work none of which found a place for three minutes waits for good")
+		t.Error("no capacity requested for a low-priority job without an allocation for three minutes")
 	}
 }
 
-// In terms of less than three minutes such work waited for good: each began the count anew.
+// In terms shorter than three minutes, such a job waited permanently, because its waiting time was reset
+// in each term. Once the term has settled, its wait in earlier terms counts.
 func TestLowPriorityJobThatWaitedInEarlierTermsRequestsExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
 		termAge micro.Time
@@ -67,40 +70,41 @@
 	}{{cluster.TermSettleTime - micro.Second, false}, {cluster.TermSettleTime + micro.Second, true}} {
 		planner := newExpensiveOfferPlanner()
 		planner.Cluster.TermStartedAt = now - test.termAge
-		job := planner.submitWithPriority("guest", wire.Low)
+		job := planner.submitWithPriority("no-objective", wire.Low)
 		if job.WaitingSince != planner.Cluster.TermStartedAt {
-			t.Fatal("its wait does not count from the failover")
+			t.Fatal("WaitingSince is not the start of the term")
 		}
 		if got := planner.requestsMachines(); got != test.want {
-			t.Errorf("%v s after the failover it requests machines: %v", test.termAge.Seconds(), got)
+			t.Errorf("%v s after the failover: machines requested: %v", test.termAge.Seconds(), got)
 		}
 	}
 }
 
 func TestJobWithAnObjectiveOrHigherPriorityRequestsExpensiveMachines(t *testing.T) {
 	for _, test := range []struct {
-		class string
-		rank  wire.Priority
-	}{{"promised", wire.Low}, {"guest", wire.Normal}} {
+		class    string
+		priority wire.Priority
+	}{{"with-objective", wire.Low}, {"no-objective", wire.Normal}} {
 		planner := newExpensiveOfferPlanner()
-		planner.submitWithPriority(test.class, test.rank).WaitingSince = now - micro.Minute
+		planner.submitWithPriority(test.class, test.priority).WaitingSince = now - micro.Minute
 		if !planner.requestsMachines() {
-			t.Errorf("class %s, rank %s: nothing is rented", test.class, test.rank)
+			t.Errorf("class %s, priority %s: no machines requested", test.class, test.priority)
 		}
 	}
 }
 
-// On a expensive machine that other work had needed, such tasks kept it from being
-// returned: new ones came as long as any waited.
+// Such tasks prevented the termination of an expensive machine that other work had needed: new ones were
+// placed on it as long as any were pending.
 func TestLowPriorityJobWithoutObjectiveMayNotUseAnExpensiveMachine(t *testing.T) {
 	planner := newExpensiveOfferPlanner()
-	guest, promised := planner.submitWithPriority("guest", wire.Low), planner.submitWithPriority("promised", wire.Low)
-	guest.WaitingSince, promised.WaitingSince = now, now
+	withoutObjective, withObjective := planner.submitWithPriority("no-objective", wire.Low),
+		planner.submitWithPriority("with-objective", wire.Low)
+	withoutObjective.WaitingSince, withObjective.WaitingSince = now, now
 	gpu, small := planner.Cluster.Types["gpu"], planner.Cluster.Types["small"]
-	if planner.WithinPrice(guest, gpu, false, now) {
-		t.Error("it may sit on a dear machine")
+	if planner.WithinPrice(withoutObjective, gpu, false, now) {
+		t.Error("low-priority job without an objective may use an expensive machine")
 	}
-	if !planner.WithinPrice(guest, small, false, now) || !planner.WithinPrice(promised, gpu, false, now) {
-		t.Error("cheap room, or dear room for work with an objective, is refused")
+	if !planner.WithinPrice(withoutObjective, small, false, now) || !planner.WithinPrice(withObjective, gpu, false, now) {
+		t.Error("cheap capacity, or expensive capacity for a job with an objective, is refused")
 	}
 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -2,24 +2,25 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// scaleOutPlan collects what one plan requests, demand by demand.
+// scaleOutPlan collects the machines that one plan requests, demand by demand.
 type scaleOutPlan struct {
 	planner    *Planner
 	now        micro.Time
-	limitsCost bool    // cost matters
-	hourlyCost float64 // what the fleet costs an hour
-
-	expected    *capacity  // machines that are expected to come up, requested ones included
-	runningBins []*bin     // capacity of running machines; listed when first needed
-	shardBins   []shardBin // free capacity in shards; listed when first needed
-
-	pendingMachines map[InstanceOffer]int // machines requested without an answer yet
-	plannedMachines map[InstanceOffer]int // machines that this plan requests
-	firstDemand     map[InstanceOffer]*taskDemand
-	offerOrder      []InstanceOffer // the offers of plannedMachines, in the order of the demands
-	totalMachines   int
+	limitsCost bool    // whether cost matters
+	hourlyCost float64 // cost of the fleet per hour
+
+	expected    *capacity  // machines that are expected to boot, including those of this plan
+	runningBins []*bin     // capacity of running machines; computed when first needed
+	shardBins   []shardBin // free capacity in shards; computed when first needed
+
+	pendingMachines map[InstanceOffer]int         // machines requested without a response yet
+	plannedMachines map[InstanceOffer]int         // machines that this plan requests
+	firstDemand     map[InstanceOffer]*taskDemand // the first demand that this plan requests an offer for
+	offerOrder      []InstanceOffer               // the offers of plannedMachines, in the order of their first demands
+	totalMachines   int                           // sum of plannedMachines
 }
 
+// newScaleOutPlan returns a plan without requests that takes all pending requests into account.
 func (p *Planner) newScaleOutPlan(now micro.Time) *scaleOutPlan {
 	plan := &scaleOutPlan{
 		planner:         p,
@@ -37,7 +38,7 @@
 	return plan
 }
 
-// requests are the scale-outs, each at most as large as one request may be.
+// requests returns the scale-outs of the plan, each for at most maxMachinesPerRequest machines.
 func (plan *scaleOutPlan) requests() []ScaleOut {
 	var scaleOuts []ScaleOut
 	for _, offer := range plan.offerOrder {
@@ -49,26 +50,27 @@
 	return scaleOuts
 }
 
-// shortage is what a demand still lacks while capacity is requested for it.
+// shortage is the part of a demand that has no capacity yet while the demand is planned.
 type shortage struct {
 	*taskDemand
-	tasksByZone map[string]int // tasks that the plan has put into each zone
+	tasksByZone map[string]int // tasks that the plan has placed in each zone
 	unplaced    int            // tasks without capacity
-	freedInTime int            // of these, how many fit on capacity that comes free in time
+	freedInTime int            // of these, how many fit on capacity that is released in time
 
 	expensiveAllowed bool // expensive capacity may be requested
-	persistent       bool // because the shortage of its class lasts
-	turnoverCounted  bool // freedInTime holds all capacity that comes free before expensive capacity would help
+	persistent       bool // it may because the shortage of the class is persistent
+	turnoverCounted  bool // freedInTime includes all capacity released before expensive capacity would help
 }
 
-// planDemand requests capacity for a demand, the cheapest offer first.
+// planDemand plans requests for the part of a demand that expected machines and shards cannot serve, the
+// cheapest offer first.
 func (plan *scaleOutPlan) planDemand(demand *taskDemand) {
 	short := &shortage{taskDemand: demand, tasksByZone: map[string]int{}}
 	short.unplaced = demand.tasks - plan.reserveExpected(short)
 	short.unplaced -= plan.reserveInShards(short)
 	if short.unplaced > 0 && demand.priorityLevel > 0 && plan.limitsCost {
-		// A machine would take this long to start the work: capacity that comes free
-		// by then makes it a waste.
+		// A requested machine takes longer than this to start the work, and would be wasted if
+		// enough capacity is released by then.
 		deadline := plan.now + plan.planner.minReadyTime(demand.spec)/2
 		short.freedInTime = reserveReleased(plan.runningCapacity(), demand, short.unplaced, short.tasksByZone, deadline)
 	}
@@ -79,8 +81,8 @@
 	}
 }
 
-// addNextOffer takes of the best offer; false if nothing more is to be requested for the
-// demand.
+// addNextOffer plans machines of the best offer for a demand. It returns false if nothing more is to be
+// requested for the demand.
 func (plan *scaleOutPlan) addNextOffer(short *shortage) bool {
 	best := plan.planner.bestOffer(short.taskDemand, short.unplaced, short.tasksByZone, plan.now)
 	if best == nil {
@@ -105,14 +107,15 @@
 	tasks := min(short.unplaced, zoneAllowance(short.taskDemand, best.zone, short.tasksByZone))
 	count := plan.machineCount(short, best, tasks, perMachine)
 	if count <= 0 {
-		return false // its answers first: the next best may not be needed
+		return false // wait for the offer's pending requests: the next best offer may not be needed
 	}
 	plan.addMachines(short, best, count, min(tasks, count*perMachine), perMachine)
 	return true
 }
 
-// reserveExpected puts a demand's tasks on machines that are expected to come up and says
-// how many fit. Capacity in an unreachable zone is left to what can go nowhere else.
+// reserveExpected reserves capacity of machines that are expected to boot for a demand's tasks and
+// returns how many fit. Capacity in an unreachable zone is left to demands that can be served nowhere
+// else.
 func (plan *scaleOutPlan) reserveExpected(short *shortage) int {
 	unreachable := plan.planner.unreachableZones
 	reserved := plan.expected.reserve(short.taskDemand, short.tasks, short.tasksByZone, unreachable, false)
@@ -127,8 +130,9 @@
 	return reserved
 }
 
-// allowExpensive reports whether an offer may be requested although it is expensive: not for
-// what it cannot help, nor for what can start in time on capacity that comes free.
+// allowExpensive reports whether an offer may be requested for a demand, given its price. An expensive
+// offer may not if it cannot help the demand to meet its objective, unless the shortage is persistent.
+// addNextOffer leaves out the tasks that can start in time on released capacity.
 func (plan *scaleOutPlan) allowExpensive(short *shortage, best *bin) bool {
 	planner := plan.planner
 	if short.expensiveAllowed || !plan.limitsCost || short.priorityLevel == 0 ||
@@ -136,7 +140,7 @@
 		return true
 	}
 	if n := planner.persistentShortageAllowance(short.taskDemand, plan.now); n > 0 {
-		// What was to come free does not: a few at a time.
+		// The capacity that was to be released did not help: request a few machines at a time.
 		short.unplaced, short.freedInTime, short.persistent = min(short.unplaced, n*best.countFitting(short.spec)), 0, true
 	} else if !planner.meetsObjective(short.taskDemand, best.typ, plan.now) {
 		return false
@@ -145,8 +149,8 @@
 	return true
 }
 
-// countTurnover counts, once, the capacity that comes free before expensive capacity would
-// help, on running machines and on those that come up.
+// countTurnover adds to freedInTime, once for each demand, the tasks that fit on the capacity released
+// before expensive capacity would help, on running machines and on those that are expected to boot.
 func (plan *scaleOutPlan) countTurnover(short *shortage) {
 	if short.persistent || short.turnoverCounted {
 		return
@@ -168,9 +172,11 @@
 	)
 }
 
-// machineCount is how many machines of an offer are requested at a time for so many tasks.
+// machineCount returns how many machines of an offer to request now for the given number of tasks; 0 or
+// less: none.
 func (plan *scaleOutPlan) machineCount(short *shortage, best *bin, tasks, perMachine int) int {
-	limit := plan.planner.maxPendingMachines(best.offer) - plan.pendingMachines[best.offer] - plan.plannedMachines[best.offer]
+	limit := plan.planner.maxPendingMachines(best.offer) - plan.pendingMachines[best.offer] -
+		plan.plannedMachines[best.offer]
 	count := min(ceilDiv(tasks, perMachine), maxMachinesPerPlan-plan.totalMachines, limit)
 	if count > 0 && (short.unplaced <= short.freedInTime || plan.limitsCost && short.freedInTime > 0) {
 		count = min(count, max(ceilDiv(short.unplaced-short.freedInTime, perMachine), 1))
@@ -178,7 +184,7 @@
 	return count
 }
 
-// addMachines takes machines of an offer into the plan and puts tasks on them.
+// addMachines adds machines of an offer to the plan and reserves their capacity for tasks.
 func (plan *scaleOutPlan) addMachines(short *shortage, best *bin, count, tasks, perMachine int) {
 	if plan.plannedMachines[best.offer] == 0 {
 		plan.offerOrder = append(plan.offerOrder, best.offer)
@@ -194,7 +200,7 @@
 	short.unplaced -= reserved
 }
 
-// runningCapacity lists the capacity of running machines, once a plan.
+// runningCapacity returns the capacity of running machines, computed once per plan.
 func (plan *scaleOutPlan) runningCapacity() []*bin {
 	if plan.runningBins == nil {
 		plan.runningBins = plan.planner.runningBins(plan.now)
@@ -202,5 +208,5 @@
 	return plan.runningBins
 }
 
-// ceilDiv is n / by rounded up; by is positive.
+// ceilDiv returns n / by, rounded up; by must be positive.
 func ceilDiv(n, by int) int { return (n + by - 1) / by }
--- a/internal/autoscaler/shard_capacity.go
+++ b/internal/autoscaler/shard_capacity.go
@@ -2,27 +2,28 @@
 
 import "notchmux.dev/notchmux/internal/cluster"
 
-// ShardCapacity is a number of like machines in a shard of another controller, with so much free
-// each.
+// ShardCapacity is a number of identical machines in a shard of another controller that all have the
+// same free capacity.
 type ShardCapacity struct {
 	InstanceOffer
 	Count         int
-	CPU, GPU, Mem float64
-	Accepts       func(job *cluster.Job) bool // whether the shard takes a job
+	CPU, GPU, Mem float64                     // free on each machine; Mem in GB
+	Accepts       func(job *cluster.Job) bool // reports whether the shard accepts a job
 }
 
-// shardBin is the free capacity of a machine in a shard.
+// shardBin is the free capacity of one machine in a shard.
 type shardBin struct {
 	*bin
 	accepts func(job *cluster.Job) bool
 }
 
-// reserveInShards puts the tasks of a spread service that may go to a shard as a whole on what is
-// free there, and says how many fit: only what is missing beside them is requested. While a
-// shard had empty machines in one zone, more were requested in that zone each time the cloud
-// had one, and none was left for the zone that the service lacked.
+// reserveInShards reserves free capacity in shards for the tasks of a spread service that may be handed
+// over to a shard as a whole, and returns how many fit, so that only the rest is requested. Without it,
+// while a shard had empty machines in one zone, more were requested in that zone each time the cloud had
+// one, and none was left for the zone in which the service lacked capacity.
 func (plan *scaleOutPlan) reserveInShards(short *shortage) int {
-	if short.job == nil || !short.spec.Spread || !plan.planner.Cluster.MayChangeHands(short.job) || plan.planner.ShardCapacity == nil {
+	if short.job == nil || !short.spec.Spread || !plan.planner.Cluster.MayChangeHands(short.job) ||
+		plan.planner.ShardCapacity == nil {
 		return 0
 	}
 	reserved := 0
@@ -40,7 +41,7 @@
 	return reserved
 }
 
-// shardCapacity lists the machines with free capacity in shards, once a plan.
+// shardCapacity returns the free capacity of each machine in shards, computed once per plan.
 func (plan *scaleOutPlan) shardCapacity() []shardBin {
 	if plan.shardBins != nil {
 		return plan.shardBins
