--- a/internal/provision/doc.go
+++ b/internal/provision/doc.go
@@ -1,15 +1,16 @@
-// Package provision has the cloud create and terminate the machines of the cluster.
+// Package provision creates and terminates the machines of the cluster through the cloud.
 //
 // A Provisioner belongs to one term of leadership. It owns the instance requests (their
-// states, their records in the store, the queue of those to be sent, and how many are in
-// flight), the terminations that are still to be sent, what the cloud's inventory said
-// last, and the autoscaler's planner and when it plans.
+// states, their records in the store, the queue of unsent requests and the number in
+// flight), the terminations that are still to be sent, the time of the last inventory, and
+// the autoscaler's planner and its schedule.
 //
-// Only the goroutine of the term's event loop may call its methods, but for PollInventory,
-// which runs on a goroutine of its own. Calls to the cloud run on goroutines that end with
-// their answer or with the loop, and reach the state as events.
+// Only the goroutine of the term's event loop may call its methods, except PollInventory,
+// which needs a goroutine of its own. Calls to the cloud run on goroutines that end when the
+// call completes or the loop stops, and change the state through events.
 //
-// Persist, then act: a request is sent once its record is in the store, under a name that
-// the record holds, so that a lost answer is asked for again under the same name; a machine
-// with a record is terminated once the record says so.
+// State is persisted before it is acted on. An instance request is sent once its record,
+// which holds the request ID, is in the store, so that a request whose response was lost is
+// repeated under the same ID. A machine of a recorded request is terminated once the record
+// marks it as terminating; Terminate documents the exceptions.
 package provision
--- a/internal/provision/inventory.go
+++ b/internal/provision/inventory.go
@@ -10,33 +10,33 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// FirstProvisionedRecord is the record of the first machine that the service ever had created,
-// a fixed format.
+// FirstProvisionedRecord is the stored record of the first machine that the service ever provisioned. Its
+// encoding is fixed.
 type FirstProvisionedRecord struct {
 	Machine string `msgpack:"m" json:"m"`
 }
 
-// MaxInventoryAge is how old an inventory may be by which machines are terminated.
+// MaxInventoryAge is the maximum age of an inventory that may cause the termination of machines.
 const MaxInventoryAge = 20 * micro.Second
 
-// inventoryInterval is how often the inventory is read: pages of it cost the leader more
-// than what they tell, which is seldom news.
+// inventoryInterval is the minimum time between two reads of the inventory. Reading it costs the leader
+// more than it is worth if done more often, since it seldom shows anything new.
 const inventoryInterval = 6 * micro.Second
 
-// inventoryRateFraction is the part of the cloud's rate that reading the inventory may take.
-// Read every 6 s, the pages of 4,000 machines took a third of it, and those of 6,000 half:
-// instance requests and terminations waited for them.
+// inventoryRateFraction is the fraction of the cloud's rate limit that reading the inventory may use. Read
+// every 6 s, the pages of 4,000 machines used a third of it and those of 6,000 half, and instance requests
+// and terminations waited for them.
 const inventoryRateFraction = 0.2
 
-// maxInventoryPause keeps inventories fresh enough to terminate machines by
-// (MaxInventoryAge), whatever their length.
+// maxInventoryPause limits the pause between two reads, so that an inventory of any length stays recent
+// enough to terminate machines by it (see MaxInventoryAge).
 const maxInventoryPause = 12 * micro.Second
 
-// inventoryPageTimeout is how long the cloud may take over a page.
+// inventoryPageTimeout is the time limit of a call that reads one page.
 const inventoryPageTimeout = 6 * time.Second
 
-// inventoryPause is how long the leader waits after reading an inventory of so many pages,
-// from a cloud that takes so many calls a second.
+// inventoryPause returns how long the leader waits after reading an inventory of the given number of
+// pages; cloudRPS is the cloud's rate limit in calls per second, 0 if unknown.
 func inventoryPause(pages int, cloudRPS float64) micro.Time {
 	if cloudRPS <= 0 {
 		return inventoryInterval
@@ -45,8 +45,8 @@
 	return min(max(inventoryInterval, byRate), maxInventoryPause)
 }
 
-// PollInventory reads the cloud's inventory again and again until the loop is stopped. It
-// needs a goroutine of its own.
+// PollInventory reads the cloud's inventory periodically, while the leader holds its lease, until the loop
+// is stopped. It blocks, so it needs a goroutine of its own.
 func (p *Provisioner) PollInventory(ctx context.Context) {
 	for {
 		pages := 1
@@ -58,7 +58,7 @@
 			if err == nil {
 				p.loop.Post(inventoryRead{p, machines, requestedAt})
 			} else {
-				p.log.Debug("inventory not read", "pages", pages, "err", err)
+				p.log.Debug("read inventory failed", "pages", pages, "err", err)
 			}
 		}
 		if !p.loop.Sleep(inventoryPause(pages, p.cfg.CloudRPS)) {
@@ -67,13 +67,13 @@
 	}
 }
 
-// readInventory reads all pages, and says how many it asked for, also if one failed.
+// readInventory reads all pages of the inventory. It returns how many it requested, also on an error.
 func (p *Provisioner) readInventory(ctx context.Context) (machines []wire.ListedMachine, pages int, err error) {
 	after := ""
 	for pages = 1; ; pages++ {
 		page, pageErr := p.readInventoryPage(ctx, after)
 		if pageErr != nil {
-			return nil, pages, fmt.Errorf("page of machines after %q: %w", after, pageErr)
+			return nil, pages, fmt.Errorf("list machines after %q: %w", after, pageErr)
 		}
 		machines = append(machines, page.Machines...)
 		if !page.More || len(page.Machines) == 0 {
@@ -83,67 +83,70 @@
 	}
 }
 
+// readInventoryPage reads the page of machines whose names follow after.
 func (p *Provisioner) readInventoryPage(ctx context.Context, after string) (*wire.MachineList, error) {
 	ctx, cancel := context.WithTimeout(ctx, inventoryPageTimeout)
 	defer cancel()
 	return p.cloud.List(ctx, after)
 }
 
-// inventoryRead says which machines the cloud lists.
+// inventoryRead is the event of a completed read of the inventory.
 type inventoryRead struct {
 	provisioner *Provisioner
 	machines    []wire.ListedMachine
-	requestedAt micro.Time // when the first page was asked for
+	requestedAt micro.Time // when the first page was requested
 }
 
-// Apply takes in the inventory.
+// Apply applies the inventory to the cluster state.
 func (e inventoryRead) Apply() { e.provisioner.applyInventory(e.machines, e.requestedAt) }
 
+// applyInventory adds and updates the listed machines, and terminates those that the cloud reports as
+// failed.
 func (p *Provisioner) applyInventory(listed []wire.ListedMachine, requestedAt micro.Time) {
 	now := p.term.Now()
 	p.inventoryRequestedAt = requestedAt
 	for i := range listed {
-		row := &listed[i]
-		if p.cluster.WasTerminated(row.Name) {
-			continue // the inventory lags
+		entry := &listed[i]
+		if p.cluster.WasTerminated(entry.Name) {
+			continue // the inventory lags behind terminations
 		}
-		machine := p.cluster.EnsureMachine(row.Name, now)
+		machine := p.cluster.EnsureMachine(entry.Name, now)
 		if machine.Type == nil {
-			p.cluster.DescribeMachine(machine, row.Type, row.Zone, row.Spot)
+			p.cluster.DescribeMachine(machine, entry.Type, entry.Zone, entry.Spot)
 		}
 		if machine.Addr == "" {
-			machine.Addr = row.Addr
+			machine.Addr = entry.Addr
 		}
-		age := micro.FromSeconds(row.AgeS)
+		age := micro.FromSeconds(entry.AgeS)
 		machine.RequestedAt = min(machine.RequestedAt, now-age)
 		machine.Permanent = p.isOperatorOwned(machine)
-		machine.LastListed, machine.CloudState = requestedAt, row.State
-		if row.State == wire.MachineFailed {
+		machine.LastListed, machine.CloudState = requestedAt, entry.State
+		if entry.State == wire.MachineFailed {
 			p.Terminate(machine, "failed")
 		}
 	}
 }
 
-// InventoryRequestedAt is when the inventory that was read last was asked for; 0: none was read in
-// this term.
+// InventoryRequestedAt returns when the last inventory that was read had been requested; 0: none was read
+// in this term.
 func (p *Provisioner) InventoryRequestedAt() micro.Time { return p.inventoryRequestedAt }
 
-// RestoreFirstProvisioned takes in the record of the first machine ever created, during a
+// RestoreFirstProvisioned restores the record of the first machine that was ever provisioned, during a
 // failover.
 func (p *Provisioner) RestoreFirstProvisioned(item wire.Item) {
 	var record FirstProvisionedRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		p.log.Debug("first provisioned machine not read", "key", item.Key, "err", err)
+		p.log.Debug("decode record of the first provisioned machine failed", "key", item.Key, "err", err)
 		return
 	}
 	p.firstProvisioned = record.Machine
 	p.firstProvisionedRecord.SetVersion(uint64(item.Version))
 }
 
-// isOperatorOwned reports whether a machine is the operators' own: created before the first
-// one that the service ever had created. Ages do not tell: an own GPU machine once
-// looked a few milliseconds too young and was terminated for being idle, and a
-// terminated machine that a lagging inventory still showed once looked like an own one.
+// isOperatorOwned reports whether a machine belongs to the operators: it was created before the first one
+// that the service provisioned. Ages cannot decide this: an operator-owned GPU machine once appeared a few
+// milliseconds too young and was terminated as idle, and a terminated machine that an outdated inventory
+// still listed once appeared to be operator-owned.
 func (p *Provisioner) isOperatorOwned(machine *cluster.Machine) bool {
 	if p.firstProvisioned == "" {
 		return machine.InstanceRequestID == ""
@@ -151,8 +154,8 @@
 	return createdBefore(machine.Name, p.firstProvisioned)
 }
 
-// createdBefore reports whether a machine was created before another: names are given
-// in the order of creation.
+// createdBefore reports whether machine a was created before machine b. The cloud numbers machines in the
+// order of their creation, so that a shorter name is older.
 func createdBefore(a, b string) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -14,42 +14,43 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Term is the term of leadership that a Provisioner belongs to. Any goroutine may call it.
+// Term is the term of leadership that a Provisioner belongs to. Any goroutine may call its methods.
 type Term interface {
-	// HoldsLease reports whether the leader may still act: send requests to the cloud.
+	// HoldsLease reports whether the leader holds its lease, and may send requests to the cloud.
 	HoldsLease() bool
-	// Now is the node's steady clock.
+	// Now returns the time of the node's monotonic clock.
 	Now() micro.Time
-	// Wall is the node's wall clock.
+	// Wall returns the time of the node's wall clock.
 	Wall() micro.Time
 }
 
-// Records finds or makes the entries of the keys that the leader writes; *statestore.Writer
-// does. Only the loop's goroutine calls it.
+// Records gives access to the records that the leader writes to the store; *statestore.Writer implements
+// it. Only the loop's goroutine calls it.
 type Records interface {
+	// Record returns the record of a key, and creates it if there is none yet.
 	Record(key string) *statestore.Record
 }
 
-// Config is what does not change during a term.
+// Config holds the settings of a Provisioner, which do not change during a term.
 type Config struct {
-	// FencingRevision is the term's: instance requests are named by it.
+	// FencingRevision is the fencing revision of the term; the IDs of instance requests contain it.
 	FencingRevision uint64
-	// CloudRPS is how many calls a second the cloud takes; 0: not known.
+	// CloudRPS is the cloud's rate limit in calls per second; 0: unknown.
 	CloudRPS float64
 }
 
-// Dependencies are the parts that a Provisioner works with; none may be nil.
+// Dependencies holds the components that a Provisioner uses; none may be nil.
 type Dependencies struct {
 	Term    Term
 	Loop    *eventloop.Loop
 	Cluster *cluster.State
-	Planner *autoscaler.Planner // owned by the Provisioner from then on
+	Planner *autoscaler.Planner // used only by the Provisioner from then on
 	Records Records
 	Cloud   cloud.Provider
 	Log     *slog.Logger
 }
 
-// Provisioner has machines created and terminated during one term of leadership.
+// Provisioner creates and terminates machines during one term of leadership.
 type Provisioner struct {
 	cfg     Config
 	term    Term
@@ -60,23 +61,23 @@
 	cloud   cloud.Provider
 	log     *slog.Logger
 
-	lastPlan micro.Time // 0: the next plan is due at once
+	lastPlan micro.Time // when the last plan was made; 0: the next one is due immediately
 
-	requests         map[string]*instanceRequest // by name, but for closed ones
-	requestCount     int                         // those of this term, which their names count
-	queue            []*instanceRequest          // pending ones that are not sent yet, most urgent first
+	requests         map[string]*instanceRequest // by ID, without closed ones
+	requestCount     int                         // requests created in this term, numbered in their IDs
+	queue            []*instanceRequest          // pending requests that are not sent yet, highest priority first
 	requestsInFlight int
 
-	firstProvisioned       string // the first machine that the service ever had created; "": none
+	firstProvisioned       string // name of the first machine that the service ever provisioned; "": none
 	firstProvisionedRecord *statestore.Record
-	inventoryRequestedAt   micro.Time // when the inventory that was read last was asked for
+	inventoryRequestedAt   micro.Time // when the last inventory that was read had been requested
 
-	// pendingTerminations are the machines to be terminated, each with the version of its
-	// request's record that must be stored before.
+	// pendingTerminations holds the machines to terminate, each with the version of its request's
+	// record that must be stored before the termination is sent.
 	pendingTerminations map[*cluster.Machine]uint64
 }
 
-// New makes the Provisioner of a term. It sends nothing before its loop runs.
+// New returns the Provisioner of a term. It sends nothing to the cloud before the loop runs.
 func New(cfg Config, deps Dependencies) *Provisioner {
 	p := &Provisioner{
 		cfg:                 cfg,
@@ -97,18 +98,18 @@
 	return p
 }
 
-// QueuedRequests is how many instance requests wait for their turn to be sent.
+// QueuedRequests returns how many instance requests are waiting to be sent.
 func (p *Provisioner) QueuedRequests() int { return len(p.queue) }
 
-// Plans are made every planInterval, and more often while no machine is there to place
-// work on.
+// Plans are made every planInterval, and more often while there is no machine on which tasks could be
+// placed.
 const (
 	planInterval           = micro.Second
 	planIntervalNoMachines = 300 * micro.Millisecond
 )
 
-// PlanIfDue plans if it is time to: it requests the instances that are missing and has idle
-// machines terminated. It reports whether it was.
+// PlanIfDue makes a plan if one is due: it requests missing instances and terminates idle machines. It
+// reports whether a plan was due.
 func (p *Provisioner) PlanIfDue(now micro.Time) bool {
 	if now-p.lastPlan < p.currentPlanInterval() {
 		return false
@@ -118,6 +119,7 @@
 	return true
 }
 
+// currentPlanInterval returns the time between plans for the present fleet.
 func (p *Provisioner) currentPlanInterval() micro.Time {
 	for _, pool := range p.cluster.Pools {
 		if pool.MachineCount > 0 {
@@ -127,9 +129,10 @@
 	return planIntervalNoMachines
 }
 
+// plan makes a plan and carries it out.
 func (p *Provisioner) plan(now micro.Time) {
 	scaleOuts, idle := p.planner.Plan(now)
-	for _, scaleOut := range scaleOuts { // each at most what one request may ask for
+	for _, scaleOut := range scaleOuts { // each within the limit of one instance request
 		p.requestScaleOut(scaleOut, now)
 	}
 	for _, machine := range idle {
@@ -138,7 +141,7 @@
 	p.SendTerminations()
 }
 
-// requestScaleOut begins an instance request: its record is written first.
+// requestScaleOut creates an instance request, which is sent once its record is stored.
 func (p *Provisioner) requestScaleOut(scaleOut autoscaler.ScaleOut, now micro.Time) {
 	p.requestCount++
 	id := fmt.Sprintf("r-%d-%d", p.cfg.FencingRevision, p.requestCount)
--- a/internal/provision/provisioner_test.go
+++ b/internal/provision/provisioner_test.go
@@ -32,15 +32,14 @@
 func (discardEffects) ScheduleSoon()      {}
 func (discardEffects) Log(string, ...any) {}
 
-// scriptedCloud creates machines as the fake cloud does, but for the errors that a test gives
-// it, and keeps the calls.
+// scriptedCloud is a fake cloud that returns the errors that a test sets, and records all calls.
 type scriptedCloud struct {
 	*fake.Cloud
 
 	mu                    sync.Mutex
-	requestErrors         []error // of the next instance requests; the request is carried out all the same
+	requestErrors         []error // returned for the next instance requests, which are executed nevertheless
 	terminateErrors       []error
-	holdRequests          chan struct{} // nil: requests are answered at once
+	holdRequests          chan struct{} // instance requests are held until it is closed; nil: they are not held
 	requested             []string
 	terminated            []string
 	inFlight, maxInFlight int
@@ -55,10 +54,10 @@
 	if len(c.requestErrors) > 0 {
 		scripted, c.requestErrors = c.requestErrors[0], c.requestErrors[1:]
 	}
-	unanswered := c.holdRequests
+	holdRequests := c.holdRequests
 	c.mu.Unlock()
-	if unanswered != nil {
-		<-unanswered
+	if holdRequests != nil {
+		<-holdRequests
 	}
 	machines, err := c.Cloud.RequestInstances(ctx, request)
 	c.mu.Lock()
@@ -82,13 +81,15 @@
 	return c.Cloud.Terminate(ctx, machines)
 }
 
-func (c *scriptedCloud) calls() (requested, terminated []string, atMost int) {
+// calls returns the IDs of the instance requests, the names of the machines in termination calls, and the
+// highest number of instance requests in flight.
+func (c *scriptedCloud) calls() (requested, terminated []string, maxInFlight int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.requested), slices.Clone(c.terminated), c.maxInFlight
 }
 
-// harness runs a Provisioner on a loop of its own, in fake time, over an in-memory store.
+// harness runs a Provisioner on its own event loop, in fake time, with an in-memory store.
 type harness struct {
 	*Provisioner
 	t         *testing.T
@@ -111,43 +112,44 @@
 func (h *harness) MaxTransactionOps() int             { return 24 }
 func (h *harness) ObserveCommit(micro.Time)           {}
 
-// loopFunc is an event that a test has the loop run.
+// loopFunc is an event that runs a function of a test on the loop and closes done afterwards.
 type loopFunc struct {
 	run  func()
 	done chan struct{}
 }
 
-func (s loopFunc) Apply() { s.run(); close(s.done) }
+func (f loopFunc) Apply() { f.run(); close(f.done) }
 
-// onLoop runs f on the goroutine that owns the state.
+// onLoop runs f on the goroutine that owns the state, and waits for it.
 func (h *harness) onLoop(f func()) {
-	s := loopFunc{f, make(chan struct{})}
-	h.loop.Post(s)
-	<-s.done
+	event := loopFunc{f, make(chan struct{})}
+	h.loop.Post(event)
+	<-event.done
 }
 
-// firstRequestID is the name of the first instance request of the harness's term.
+// firstRequestID is the ID of the first instance request of the harness's term.
 const firstRequestID = "r-7-1"
 
-// storedRequest reads the record of the first instance request; false: there is none.
+// storedRequest returns the stored record of the first instance request, and whether there is one.
 func (h *harness) storedRequest() (record InstanceRequestRecord, ok bool) {
 	item, err := h.store.Get(context.Background(), store.Routine, keys.InstanceRequest(firstRequestID))
 	if err != nil {
 		return record, false
 	}
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		h.t.Errorf("record of %s: %v", firstRequestID, err)
+		h.t.Errorf("decode record of request %s: %v", firstRequestID, err)
 	}
 	return record, true
 }
 
-// submit adds a job whose tasks need a machine each.
+// submit adds a job each of whose tasks needs a whole machine.
 func (h *harness) submit(tasks int) {
 	h.state.AddJob(wire.Job{
 		ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: tasks, CPUs: 4, MemoryGB: 1, EstimateS: 100,
 	}, h.Now()-micro.Minute, h.Now())
 }
 
+// runInFakeTime runs a scenario in fake time with a new harness whose leader holds its lease.
 func runInFakeTime(t *testing.T, scenario func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -180,7 +182,7 @@
 	})
 }
 
-// requestState is the first request's state; closed ones are forgotten.
+// requestState returns the state of the first request, which is not kept once it is closed.
 func (h *harness) requestState() RequestState {
 	state := RequestClosed
 	h.onLoop(func() {
@@ -191,7 +193,8 @@
 	return state
 }
 
-// expectOnlyRequests fails the test if more than so many requests went to the cloud, or a termination.
+// expectOnlyRequests fails the test unless exactly the given number of instance requests and no termination
+// were sent to the cloud.
 func (h *harness) expectOnlyRequests(requests int) {
 	h.t.Helper()
 	if requested, terminated, _ := h.cloud.calls(); len(requested) != requests || len(terminated) != 0 {
@@ -199,12 +202,12 @@
 	}
 }
 
-// expectMachines fails the test unless the first request brought the machines.
+// expectMachines fails the test unless the machines were added for the first request.
 func (h *harness) expectMachines(names []string) {
 	h.t.Helper()
 	for _, name := range names {
 		if machine := h.state.Machines[name]; machine == nil || machine.InstanceRequestID != firstRequestID {
-			h.t.Errorf("machine %s: %+v", name, machine)
+			h.t.Errorf("machine %s is %+v, want one of the first request", name, machine)
 		}
 	}
 }
@@ -231,7 +234,7 @@
 						want = to
 					}
 					if request.state != want {
-						h.t.Errorf("%v to %v: is %v", from, to, request.state)
+						h.t.Errorf("transition from %v to %v: state is %v", from, to, request.state)
 					}
 				})
 			})
@@ -245,41 +248,41 @@
 		h.onLoop(func() {
 			h.submit(2)
 			if !h.PlanIfDue(h.Now()) || h.PlanIfDue(h.Now()) {
-				h.t.Error("a plan is due once")
+				h.t.Error("want a plan due on the first call only")
 			}
 		})
 		time.Sleep(5 * time.Second)
 		h.expectOnlyRequests(0)
 		if got := h.requestState(); got != RequestPersisting {
-			h.t.Fatalf("the request is %v", got)
+			h.t.Fatalf("request is %v before its record is stored, want persisting", got)
 		}
 		h.store.SetOutage(false)
 		time.Sleep(10 * time.Second)
 		record, ok := h.storedRequest()
 		if !ok || !record.Answered || len(record.Machines) != 2 || h.requestState() != RequestFulfilled {
-			h.t.Errorf("%+v, %v", record, h.requestState())
+			h.t.Errorf("record %+v, state %v, want two machines and fulfilled", record, h.requestState())
 		}
 		h.onLoop(func() {
 			h.expectMachines(record.Machines)
 			if len(h.planner.PendingRequests) != 0 || h.firstProvisioned != record.Machines[0] {
-				h.t.Errorf("pending %v, first %s", h.planner.PendingRequests, h.firstProvisioned)
+				h.t.Errorf("pending requests %v, first provisioned machine %s", h.planner.PendingRequests, h.firstProvisioned)
 			}
 		})
 	})
 }
 
-// A lost answer is asked for again under the same name, and a refusal closes the request.
+// A request without a response is sent again under the same ID, so that its machines are created only once.
 func TestFailedRequestIsRetriedUnderTheSameID(t *testing.T) {
 	runInFakeTime(t, func(h *harness) {
 		h.cloud.requestErrors = []error{
-			fmt.Errorf("lost: %w", cloud.ErrUncertain), cloud.ErrUnavailable, cloud.ErrRateLimited,
+			fmt.Errorf("response lost: %w", cloud.ErrUncertain), cloud.ErrUnavailable, cloud.ErrRateLimited,
 		}
 		h.onLoop(func() { h.submit(1); h.PlanIfDue(h.Now()) })
 		time.Sleep(20 * time.Second)
 		requested, _, _ := h.cloud.calls()
 		if !slices.Equal(requested, []string{firstRequestID, firstRequestID, firstRequestID, firstRequestID}) ||
 			len(h.cloud.Instances()) != 1 {
-			h.t.Errorf("requested %v, created %d machines", requested, len(h.cloud.Instances()))
+			h.t.Errorf("requested %v, created %d machines, want four calls and one machine", requested, len(h.cloud.Instances()))
 		}
 	})
 }
@@ -291,18 +294,19 @@
 			h.onLoop(func() { h.submit(1); h.PlanIfDue(h.Now()) })
 			time.Sleep(20 * time.Second)
 			if _, ok := h.storedRequest(); ok || h.requestState() != RequestClosed {
-				h.t.Errorf("%v: stored %v, %v", refusal, ok, h.requestState())
+				h.t.Errorf("%v: record stored: %v, state %v", refusal, ok, h.requestState())
 			}
 			h.onLoop(func() {
 				if len(h.planner.PendingRequests) != 0 || len(h.planner.RefusedUntil) != 1 {
-					h.t.Errorf("%v: %v %v", refusal, h.planner.PendingRequests, h.planner.RefusedUntil)
+					h.t.Errorf("%v: pending %v, refused offers %v", refusal, h.planner.PendingRequests, h.planner.RefusedUntil)
 				}
 			})
 		})
 	}
 }
 
-// Without the lease nothing goes to the cloud; with it back, the request goes on.
+// Nothing is sent to the cloud while the leader does not hold its lease; once it does again, the requests and
+// terminations are sent.
 func TestCallsToTheCloudWaitUntilTheLeaseIsHeld(t *testing.T) {
 	runInFakeTime(t, func(h *harness) {
 		record := InstanceRequestRecord{
@@ -316,20 +320,20 @@
 		})
 		time.Sleep(10 * time.Second)
 		if requested, terminated, _ := h.cloud.calls(); len(requested)+len(terminated) != 0 {
-			h.t.Fatalf("sent %v, %v", requested, terminated)
+			h.t.Fatalf("requested %v, terminated %v without the lease", requested, terminated)
 		}
 		h.leaseHeld.Store(true)
 		h.onLoop(h.SendTerminations)
 		time.Sleep(10 * time.Second)
 		requested, terminated, _ := h.cloud.calls()
 		if !slices.Equal(requested, []string{"r-3-1"}) || !slices.Equal(terminated, []string{"i-other"}) {
-			h.t.Errorf("sent %v, %v", requested, terminated)
+			h.t.Errorf("requested %v, terminated %v after the lease was renewed", requested, terminated)
 		}
 	})
 }
 
-// Requests share the cloud's rate with terminations and the inventory; those for the most
-// urgent work go first, whatever waits.
+// The requests in flight are limited, since they share the cloud's rate limit with terminations and the
+// inventory. A queued request for urgent work is sent before those of lower priority.
 func TestRequestsInFlightAreBoundedAndUrgentOnesGoFirst(t *testing.T) {
 	runInFakeTime(t, func(h *harness) {
 		h.cloud.holdRequests = make(chan struct{})
@@ -347,17 +351,17 @@
 		synctest.Wait()
 		h.onLoop(func() {
 			if h.requestsInFlight != maxRequestsInFlight || h.QueuedRequests() != 3 {
-				h.t.Errorf("%d in flight, %d queued", h.requestsInFlight, h.QueuedRequests())
+				h.t.Errorf("%d requests in flight, %d queued, want 3 each", h.requestsInFlight, h.QueuedRequests())
 			}
 		})
 		close(h.cloud.holdRequests)
 		time.Sleep(time.Second)
-		requested, _, atMost := h.cloud.calls()
-		if len(requested) != 6 || atMost != maxRequestsInFlight {
-			h.t.Fatalf("requested %v, %d at a time", requested, atMost)
+		requested, _, maxInFlight := h.cloud.calls()
+		if len(requested) != 6 || maxInFlight != maxRequestsInFlight {
+			h.t.Fatalf("requested %v, at most %d in flight", requested, maxInFlight)
 		}
 		if slices.Index(requested, "level-0-5") > 5 || slices.Index(requested, "level-0-5") < 3 {
-			h.t.Errorf("order %v", requested)
+			h.t.Errorf("requests sent in the order %v", requested)
 		}
 	})
 }
@@ -371,20 +375,20 @@
 		})
 		time.Sleep(10 * time.Second)
 		if requested, _, _ := h.cloud.calls(); len(requested) != 0 || h.requestState() != RequestClosed {
-			h.t.Errorf("requested %v, %v", requested, h.requestState())
+			h.t.Errorf("requested %v, state %v, want nothing requested and closed", requested, h.requestState())
 		}
 	})
 }
 
-// A request that is carried out late once took a machine away with the work that the next
-// leader had started on it: the record says first that the machine is to go.
+// A termination that the cloud executed late once removed a machine together with the work that the next
+// leader had started on it. It is therefore sent only once the record marks the machine as terminating.
 func TestTerminationWaitsForItsRecordAndIsRetried(t *testing.T) {
 	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() { h.submit(2); h.PlanIfDue(h.Now()) })
 		time.Sleep(10 * time.Second)
 		record, _ := h.storedRequest()
 		if len(record.Machines) != 2 {
-			h.t.Fatalf("%+v", record)
+			h.t.Fatalf("record %+v, want two machines", record)
 		}
 		name := record.Machines[0]
 		h.cloud.mu.Lock()
@@ -396,16 +400,16 @@
 			h.Terminate(machine, "test")
 			h.SendTerminations()
 			if h.TerminationRecorded(machine) {
-				h.t.Error("recorded before it is stored")
+				h.t.Error("termination recorded before the record is stored")
 			}
 		})
 		time.Sleep(5 * time.Second)
-		h.expectOnlyRequests(1) // but the request of the machines
+		h.expectOnlyRequests(1) // the request that created the machines
 		h.store.SetOutage(false)
 		time.Sleep(10 * time.Second)
 		record, _ = h.storedRequest()
 		if !slices.Equal(record.Terminating, []string{name}) || len(record.Machines) != 1 {
-			h.t.Errorf("the record says %+v", record)
+			h.t.Errorf("record %+v, want one machine and one terminating", record)
 		}
 		h.onLoop(h.SendTerminations)
 		time.Sleep(10 * time.Second)
@@ -414,13 +418,14 @@
 		}
 		h.onLoop(func() {
 			if h.state.Machines[name] != nil || !h.state.WasTerminated(name) {
-				h.t.Error("the machine is still there")
+				h.t.Error("machine not removed after its termination")
 			}
 		})
 	})
 }
 
-// What an earlier leader asked to be terminated may go at any later time: it takes no work.
+// The cloud may execute a termination that an earlier leader requested at any later time, so the machine must
+// stay terminating after a failover.
 func TestFailoverRestoresRequestsAndTerminations(t *testing.T) {
 	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() {
@@ -432,13 +437,13 @@
 			})}, now, wall)
 			h.Restore(wire.Item{Key: keys.InstanceRequest("broken"), Value: []byte{0xc1}}, now, wall)
 			h.RestoreFirstProvisioned(wire.Item{Value: wire.MustMarshal(FirstProvisionedRecord{"i-000001"}), Version: 4})
-			kept, going := h.state.Machines["i-000001"], h.state.Machines["i-000002"]
+			kept, terminating := h.state.Machines["i-000001"], h.state.Machines["i-000002"]
 			if kept.State != cluster.Registering || kept.RequestedAt != now-micro.Minute || kept.Zone != "b" ||
-				going.State != cluster.Terminating || len(h.requests) != 1 {
-				h.t.Errorf("%+v %+v", kept, going)
+				terminating.State != cluster.Terminating || len(h.requests) != 1 {
+				h.t.Errorf("machine to keep %+v, machine to terminate %+v", kept, terminating)
 			}
 			if h.isOperatorOwned(kept) || !h.isOperatorOwned(&cluster.Machine{Name: "i-000000"}) {
-				h.t.Error("the first machine that was created is forgotten")
+				h.t.Error("first provisioned machine not restored")
 			}
 			h.SendTerminations()
 		})
@@ -458,17 +463,17 @@
 		time.Sleep(time.Second)
 		h.onLoop(func() {
 			if h.InventoryRequestedAt() != 0 || len(h.state.Machines) != 0 {
-				h.t.Error("half an inventory was taken in")
+				h.t.Error("incomplete inventory applied")
 			}
 		})
 		time.Sleep(inventoryInterval.Duration())
 		h.onLoop(func() {
 			up, failed := h.state.Machines["i-000001"], h.state.Machines["i-000002"]
 			if up == nil || up.Addr != "addr:1" || !up.Permanent || up.LastListed != h.InventoryRequestedAt() {
-				h.t.Errorf("%+v", up)
+				h.t.Errorf("running machine is %+v", up)
 			}
 			if failed == nil || failed.State != cluster.Terminating {
-				h.t.Errorf("%+v", failed)
+				h.t.Errorf("failed machine is %+v, want it terminating", failed)
 			}
 		})
 		cancel()
@@ -477,7 +482,7 @@
 	})
 }
 
-// pagedCloud lists one machine a page, and fails the second page of the first inventories.
+// pagedCloud lists one machine per page, and fails the given number of reads of the second page.
 type pagedCloud struct {
 	cloud.Provider
 	failures int
@@ -491,7 +496,7 @@
 	}
 	if c.failures > 0 {
 		c.failures--
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
 	return &wire.MachineList{Machines: []wire.ListedMachine{
 		{Name: "i-000002", Addr: "addr:2", Type: "small", Zone: "b", State: wire.MachineFailed, AgeS: 10},
--- a/internal/provision/requests.go
+++ b/internal/provision/requests.go
@@ -11,15 +11,15 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// InstanceRequestRecord is an instance request as the store keeps it, a fixed format: written
-// before the request is sent, so that a lost answer is asked for again under the same name.
+// InstanceRequestRecord is the stored record of an instance request. Its encoding is fixed. It is written
+// before the request is sent, so that a request whose response was lost is repeated under the same ID.
 type InstanceRequestRecord struct {
 	Request   wire.InstanceRequest `msgpack:"r" json:"r"`
 	Machines  []string             `msgpack:"m" json:"m"`
 	Answered  bool                 `msgpack:"a" json:"a"`
 	CreatedAt int64                `msgpack:"at" json:"at"` // wall clock, in microseconds
-	// Machines whose termination is requested, no longer among the others. That request
-	// may be carried out at any later time, so no leader may use them.
+	// Terminating lists the machines whose termination was requested; they are no longer in Machines.
+	// The cloud may execute the termination at any later time, so no leader may use them.
 	Terminating []string `msgpack:"b,omitempty" json:"b,omitempty"`
 }
 
@@ -29,18 +29,18 @@
 // The states of an instance request.
 const (
 	RequestPersisting RequestState = iota // its record is being written
-	RequestPending                        // it waits for its turn, or is in flight
+	RequestPending                        // it is queued or in flight
 	RequestFulfilled                      // machines were created for it
 	RequestClosed                         // refused, or all its machines are terminated
 )
 
-// String is the state's name in the field's terms.
+// String returns the name of the state.
 func (s RequestState) String() string {
 	return [...]string{"persisting", "pending", "fulfilled", "closed"}[s]
 }
 
-// requestTransitions are the changes of state that there are. A request that a leader finds
-// in the store begins as persisting if it had no answer, else as fulfilled.
+// requestTransitions lists the allowed state transitions. A request that a leader restores from the store
+// starts as persisting if it had no response, else as fulfilled.
 var requestTransitions = map[RequestState][]RequestState{
 	RequestPersisting: {RequestPending},
 	RequestPending:    {RequestFulfilled, RequestClosed},
@@ -48,27 +48,28 @@
 	RequestClosed:     nil,
 }
 
-// instanceRequest is an instance request as the leader knows it.
+// instanceRequest is the leader's state of an instance request.
 type instanceRequest struct {
 	state         RequestState
 	record        InstanceRequestRecord
 	pendingSince  micro.Time
-	maybeSent     bool // the cloud may know of it
-	priorityLevel int  // of the work that asked for it
+	maybeSent     bool // the cloud may have received it
+	priorityLevel int  // of the demand that it was created for
 	storeRecord   *statestore.Record
 
-	recordVersion uint64 // of the record, counted up with each machine to be terminated
-	storedVersion uint64 // the latest of them that is known to be in the store
+	recordVersion uint64 // in-memory version of the record, incremented for each machine to terminate
+	storedVersion uint64 // latest version that is known to be in the store
 }
 
+// offer returns the offer that the request is for.
 func (r *instanceRequest) offer() autoscaler.InstanceOffer {
 	return autoscaler.InstanceOffer{
 		Type: r.record.Request.Type, Zone: r.record.Request.Zone, Spot: r.record.Request.Spot,
 	}
 }
 
-// transition is the one place where the state of an instance request changes; a change that
-// requestTransitions does not list is left out.
+// transition changes the state of an instance request, which no other function does. It ignores a
+// transition that requestTransitions does not list.
 func (p *Provisioner) transition(request *instanceRequest, to RequestState) {
 	if !slices.Contains(requestTransitions[request.state], to) {
 		return
@@ -76,7 +77,7 @@
 	request.state = to
 	id := request.record.Request.RequestID
 	switch to {
-	case RequestPersisting: // where a request begins
+	case RequestPersisting: // the initial state
 	case RequestPending:
 		request.pendingSince = p.term.Now()
 		p.enqueue(request)
@@ -91,7 +92,7 @@
 	}
 }
 
-// enqueue puts a request behind those that are at least as urgent.
+// enqueue inserts a request into the queue, after those of the same or a higher priority.
 func (p *Provisioner) enqueue(request *instanceRequest) {
 	index := sort.Search(len(p.queue), func(i int) bool {
 		return p.queue[i].priorityLevel > request.priorityLevel
@@ -99,7 +100,7 @@
 	p.queue = slices.Insert(p.queue, index, request)
 }
 
-// bindRecord makes the entry of the request's record in the store.
+// bindRecord connects a request with its record in the store.
 func (p *Provisioner) bindRecord(request *instanceRequest) {
 	record := p.records.Record(keys.InstanceRequest(request.record.Request.RequestID))
 	record.Build = func() (any, uint64) {
@@ -120,13 +121,12 @@
 	request.storeRecord = record
 }
 
-// Restore takes in the record of an instance request that the store holds, during a failover;
-// now and wall are the two clocks' times of the failover. A request without an answer is sent
-// once more.
+// Restore restores an instance request from its record in the store, during a failover; now and wall are
+// the times of the monotonic and the wall clock. A request without a response is sent again.
 func (p *Provisioner) Restore(item wire.Item, now, wall micro.Time) {
 	var record InstanceRequestRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		p.log.Debug("instance request not read", "key", item.Key, "err", err)
+		p.log.Debug("decode instance request record failed", "key", item.Key, "err", err)
 		return
 	}
 	request := &instanceRequest{record: record}
@@ -134,7 +134,7 @@
 	p.bindRecord(request)
 	request.storeRecord.SetVersion(uint64(item.Version))
 	if !record.Answered {
-		request.maybeSent = true // perhaps: only the same name again can tell
+		request.maybeSent = true // unknown: only repeating the request under its ID shows it
 		p.planner.PendingRequests[record.Request.RequestID] = autoscaler.ScaleOut{
 			InstanceOffer: request.offer(), Count: record.Request.Count,
 		}
@@ -152,7 +152,7 @@
 	}
 }
 
-// addInstance adds a machine that was created for a request.
+// addInstance adds a machine that was created for a request to the cluster state.
 func (p *Provisioner) addInstance(request *instanceRequest, name string, requestedAt, now micro.Time) {
 	if p.cluster.WasTerminated(name) {
 		return
@@ -164,8 +164,8 @@
 	p.cluster.DescribeMachine(machine, offer.Type, offer.Zone, offer.Spot)
 }
 
-// removeName is a list with a name left out; the list itself, which a write may be
-// reading, stays as it is.
+// removeName returns a list without the given name. The list itself is not modified, since a write to the
+// store may be reading it.
 func removeName(names []string, name string) []string {
 	i := slices.Index(names, name)
 	if i < 0 {
--- a/internal/provision/sending.go
+++ b/internal/provision/sending.go
@@ -11,20 +11,20 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// maxRequestsInFlight bounds the instance requests in flight: they share the cloud's rate
-// with terminations and the pages of the inventory.
+// maxRequestsInFlight limits the instance requests in flight, which share the cloud's rate limit with
+// terminations and with reads of the inventory.
 const maxRequestsInFlight = 3
 
-// How long an instance request may take, and after what it is sent again.
+// Time limit of an instance request, and delays before it is sent again.
 const (
 	requestTimeout     = 5 * time.Second
-	leaseCheckInterval = 200 * micro.Millisecond // while the leader holds no lease
-	requestRetryStep   = micro.Second            // more with each failure,
-	maxRequestRetries  = 5                       // up to so many steps
+	leaseCheckInterval = 200 * micro.Millisecond // delay while the leader does not hold its lease
+	retryDelayStep     = micro.Second            // added to the retry delay with each failure
+	maxRetrySteps      = 5                       // limit of the retry delay, in steps
 )
 
-// sendQueuedRequests sends instance requests in turn. One whose offer was refused meanwhile
-// is closed, unless the cloud may know of it already.
+// sendQueuedRequests sends queued instance requests up to maxRequestsInFlight. A request whose offer has
+// been refused in the meantime is closed, unless the cloud may have received it already.
 func (p *Provisioner) sendQueuedRequests(now micro.Time) {
 	for p.requestsInFlight < maxRequestsInFlight && len(p.queue) > 0 {
 		request := p.queue[0]
@@ -39,13 +39,13 @@
 	}
 }
 
-// sendRequest sends an instance request until it is answered for good, or the loop is
-// stopped. It runs on a goroutine of its own.
+// sendRequest sends an instance request until the cloud grants or refuses it, or the loop is stopped. It
+// runs on a goroutine of its own.
 func (p *Provisioner) sendRequest(request *instanceRequest, wireRequest wire.InstanceRequest) {
 	failures := 0
 	for {
 		if !p.term.HoldsLease() {
-			// If the lease is renewed, the request goes on under its name.
+			// Once the lease is renewed, the request is sent under the same ID.
 			if !p.loop.Sleep(leaseCheckInterval) {
 				return
 			}
@@ -61,44 +61,44 @@
 			return
 		}
 		failures++
-		p.log.Info("instance request unanswered", "request", wireRequest.RequestID, "err", err)
-		if !p.loop.Sleep(requestRetryStep * micro.Time(min(failures, maxRequestRetries))) {
+		p.log.Info("instance request failed, will be retried", "request", wireRequest.RequestID, "err", err)
+		if !p.loop.Sleep(retryDelayStep * micro.Time(min(failures, maxRetrySteps))) {
 			return
 		}
 	}
 }
 
-// callRequestInstances makes one call. The end of the term does not cut it short: the cloud
-// may have carried it out.
+// callRequestInstances makes one call. The end of the term does not cancel it, since the cloud may have
+// executed it already.
 func (p *Provisioner) callRequestInstances(request wire.InstanceRequest) ([]string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	return p.cloud.RequestInstances(ctx, request)
 }
 
-// instanceRequestCompleted says that the cloud created machines for a request; none: it
-// refused.
+// instanceRequestCompleted is the event of an instance request that the cloud granted or refused.
 type instanceRequestCompleted struct {
 	provisioner *Provisioner
 	request     *instanceRequest
-	machines    []string
+	machines    []string // names of the created machines; none: the request was refused
 }
 
-// Apply takes in the answer.
+// Apply applies the result of the request.
 func (e instanceRequestCompleted) Apply() { e.provisioner.applyRequestResult(e.request, e.machines) }
 
+// applyRequestResult records the result of an instance request and adds the created machines.
 func (p *Provisioner) applyRequestResult(request *instanceRequest, machines []string) {
 	now := p.term.Now()
-	asked := request.record.Request
+	wireRequest := request.record.Request
 	p.log.Info(
-		"scale-out answered", "request", asked.RequestID, "type", asked.Type, "zone", asked.Zone, "spot", asked.Spot,
-		"requested", asked.Count, "granted", len(machines),
+		"scale-out answered", "request", wireRequest.RequestID, "type", wireRequest.Type, "zone", wireRequest.Zone,
+		"spot", wireRequest.Spot, "requested", wireRequest.Count, "granted", len(machines),
 	)
 	p.requestsInFlight--
 	defer p.sendQueuedRequests(now)
-	p.planner.RecordRequestResult(request.offer(), asked.Count, len(machines), now)
-	if len(machines) < asked.Count && p.hasUrgentWork() {
-		p.lastPlan = 0 // the next best offer is requested at once
+	p.planner.RecordRequestResult(request.offer(), wireRequest.Count, len(machines), now)
+	if len(machines) < wireRequest.Count && p.hasUrgentWork() {
+		p.lastPlan = 0 // plan again immediately, to request the next best offer
 	}
 	request.record.Machines, request.record.Answered = machines, true
 	if len(machines) == 0 {
@@ -112,7 +112,7 @@
 	}
 }
 
-// recordFirstProvisioned keeps the first machine that the service ever had created.
+// recordFirstProvisioned records a machine if it is the first that the service ever provisioned.
 func (p *Provisioner) recordFirstProvisioned(name string, now micro.Time) {
 	if p.firstProvisioned == "" || createdBefore(name, p.firstProvisioned) {
 		p.firstProvisioned = name
@@ -120,7 +120,7 @@
 	}
 }
 
-// hasUrgentWork reports whether a job of the first priority level waits.
+// hasUrgentWork reports whether a job of the highest priority level is pending.
 func (p *Provisioner) hasUrgentWork() bool {
 	for job := range p.cluster.PendingJobs {
 		if job.PriorityLevel == 0 {
--- a/internal/provision/termination.go
+++ b/internal/provision/termination.go
@@ -11,15 +11,17 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// terminationTimeout is how long a call that terminates machines may take.
+// terminationTimeout is the time limit of a call that terminates machines.
 const terminationTimeout = 6 * time.Second
 
-// Terminate marks a machine to be terminated. Where its request has a record, that is
-// written before the termination goes out: a request that is carried out late once took
-// a machine away with the work that the next leader had started on it. The termination of
-// a machine that holds allocations does not wait: it was given up for its silence, and
-// only the cloud's answer frees them. Behind the writes of a busy hour the tasks of
-// dead machines were placed again 14 s later.
+// Terminate marks a machine for termination. If its instance request has a record, the mark is stored there
+// before the termination is sent: a termination that the cloud executed late once removed a machine
+// together with the work that the next leader had started on it.
+//
+// The termination of a machine with allocations does not wait for the write. Such a machine is given up
+// because it sent no heartbeats, and only the cloud's response releases its allocations. When the
+// termination waited behind the writes of a busy hour, the tasks of dead machines were placed again 14 s
+// later.
 func (p *Provisioner) Terminate(machine *cluster.Machine, reason string) {
 	if !p.cluster.TransitionMachine(machine, cluster.Terminating, reason) {
 		return
@@ -27,7 +29,7 @@
 	p.pendingTerminations[machine] = 0
 	request := p.requests[machine.InstanceRequestID]
 	if request == nil || !p.cluster.CompactRecords || !slices.Contains(request.record.Machines, machine.Name) {
-		return // without a record, or marked by an earlier leader; version 1 would drop the mark
+		return // no record, marked by an earlier leader, or record version 1, which would drop the mark
 	}
 	request.record.Machines = removeName(request.record.Machines, machine.Name)
 	request.record.Terminating = append(slices.Clone(request.record.Terminating), machine.Name)
@@ -40,15 +42,15 @@
 	request.storeRecord.MarkDirty(p.term.Now(), statestore.PriorityHigh)
 }
 
-// TerminationRecorded reports whether the store knows that a machine is to be terminated, as
-// far as its termination waits for that.
+// TerminationRecorded reports whether the termination of a machine may be sent: the mark in the record of
+// its request is stored, or it need not wait for one.
 func (p *Provisioner) TerminationRecorded(machine *cluster.Machine) bool {
 	request := p.requests[machine.InstanceRequestID]
 	return request == nil || p.pendingTerminations[machine] <= request.storedVersion
 }
 
-// SendTerminations has marked machines terminated whose records are stored, as many as one
-// call may name.
+// SendTerminations sends the pending terminations whose marks are stored, up to the limit of one call
+// (cloud.MaxTerminate).
 func (p *Provisioner) SendTerminations() {
 	var machines []*cluster.Machine
 	for machine := range p.pendingTerminations {
@@ -69,8 +71,8 @@
 	go p.callTerminate(machines, names)
 }
 
-// callTerminate makes one call, on a goroutine of its own. The end of the term does not cut
-// it short: the cloud may have carried it out.
+// callTerminate makes one call; it runs on a goroutine of its own. The end of the term does not cancel the
+// call, since the cloud may have executed it already.
 func (p *Provisioner) callTerminate(machines []*cluster.Machine, names []string) {
 	if !p.term.HoldsLease() {
 		p.loop.Post(terminationNotSent{p, machines})
@@ -82,26 +84,26 @@
 	p.loop.Post(terminationCompleted{p, machines, err})
 }
 
-// terminationNotSent says that the leader held no lease when machines were to be terminated.
+// terminationNotSent is the event of a termination that was not sent because the leader held no lease.
 type terminationNotSent struct {
 	provisioner *Provisioner
 	machines    []*cluster.Machine
 }
 
-// Apply has the call made again.
+// Apply makes the terminations pending again.
 func (e terminationNotSent) Apply() { e.provisioner.retryTerminations(e.machines) }
 
-// terminationCompleted says what came of a call that terminates machines.
+// terminationCompleted is the event of a completed call that terminates machines.
 type terminationCompleted struct {
 	provisioner *Provisioner
 	machines    []*cluster.Machine
-	err         error // nil: they are terminated
+	err         error // nil: the machines are terminated
 }
 
-// Apply removes the machines, or has the call made again.
+// Apply removes the machines, or makes their terminations pending again if the call failed.
 func (e terminationCompleted) Apply() {
 	if e.err != nil {
-		e.provisioner.log.Info("termination unanswered", "machines", len(e.machines), "err", e.err)
+		e.provisioner.log.Info("termination failed, will be retried", "machines", len(e.machines), "err", e.err)
 		e.provisioner.retryTerminations(e.machines)
 		return
 	}
@@ -110,14 +112,17 @@
 	}
 }
 
+// retryTerminations makes the terminations of machines pending again.
 func (p *Provisioner) retryTerminations(machines []*cluster.Machine) {
 	for _, machine := range machines {
 		if machine.State == cluster.Terminating {
-			p.pendingTerminations[machine] = 0 // its mark is in the store
+			p.pendingTerminations[machine] = 0 // the mark is stored already
 		}
 	}
 }
 
+// removeTerminated removes a terminated machine from the cluster state and from the record of its request,
+// and closes the request with its last machine.
 func (p *Provisioner) removeTerminated(machine *cluster.Machine) {
 	p.cluster.RemoveMachine(machine, p.term.Now())
 	request := p.requests[machine.InstanceRequestID]
--- a/internal/provision/termination_test.go
+++ b/internal/provision/termination_test.go
@@ -7,8 +7,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A machine's termination is requested only once the record of its instance request says
-// so: the next leader starts nothing on it.
+// A machine may be terminated only once the record of its instance request marks it as terminating, so that
+// the next leader starts nothing on it.
 func TestTerminationIsRecordedOnlyOnceItsRecordIsStored(t *testing.T) {
 	runInFakeTime(t, func(h *harness) {
 		h.onLoop(func() {
@@ -22,13 +22,13 @@
 			h.Terminate(machine, "test")
 			if !slices.Equal(request.record.Terminating, []string{"i-1"}) || h.TerminationRecorded(machine) {
 				t.Errorf(
-					"marked %v, terminated before that is stored: %v", request.record.Terminating,
+					"record marks %v, termination recorded before it is stored: %v", request.record.Terminating,
 					h.TerminationRecorded(machine),
 				)
 			}
 			request.storedVersion = request.recordVersion
 			if !h.TerminationRecorded(machine) {
-				t.Error("not terminated though it is stored")
+				t.Error("termination not recorded although the record is stored")
 			}
 		})
 	})
