--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -31,7 +31,7 @@
 // one as a whole now. A service with one replica in place once had machines requested into a
 // shard, again and again, for the other.
 func (p *Planner) eligibleOffers(job *cluster.Job) func(InstanceOffer) bool {
-	if !p.Cluster.MayChangeHands(job) {
+	if !p.Cluster.CanTransfer(job) {
 		return p.OwnsOffer
 	}
 	if p.OwnsOffer == nil || p.ShardTakesJob == nil {
@@ -114,7 +114,7 @@
 		return tasks
 	}
 	planned := q[team]
-	tasks = min(tasks, team.TaskHeadroomBeside(planned, spec.CPUs, spec.GPUs))
+	tasks = min(tasks, team.TaskHeadroomAfter(planned, spec.CPUs, spec.GPUs))
 	if tasks == 0 || spec.Kind == wire.Gang && tasks < len(job.Tasks) {
 		return 0
 	}
--- a/internal/autoscaler/shard_capacity.go
+++ b/internal/autoscaler/shard_capacity.go
@@ -22,7 +22,7 @@
 // shard had empty machines in one zone, more were requested in that zone each time the cloud
 // had one, and none was left for the zone that the service lacked.
 func (plan *scaleOutPlan) reserveInShards(short *shortage) int {
-	if short.job == nil || !short.spec.Spread || !plan.planner.Cluster.MayChangeHands(short.job) || plan.planner.ShardCapacity == nil {
+	if short.job == nil || !short.spec.Spread || !plan.planner.Cluster.CanTransfer(short.job) || plan.planner.ShardCapacity == nil {
 		return 0
 	}
 	reserved := 0
--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -75,8 +75,8 @@
 		return
 	}
 	job := allocation.Job
-	machine.CountUse(allocation.resources(), 1)
-	machine.account(allocation, 1)
+	machine.AddUsage(allocation.resources(), 1)
+	machine.addAllocationUsage(allocation, 1)
 	s.updatePool(machine)
 	s.chargeQuota(job, 1)
 	job.Tasks[allocation.Index].AllocationCount++
@@ -87,13 +87,13 @@
 	chunk.Allocations = append(chunk.Allocations, allocation)
 }
 
-// returnResources undoes reserve.
-func (s *State) returnResources(allocation *Allocation) {
+// unreserve undoes reserve.
+func (s *State) unreserve(allocation *Allocation) {
 	machine, job := allocation.Machine, allocation.Job
-	machine.CountUse(allocation.resources(), -1)
-	machine.account(allocation, -1)
+	machine.AddUsage(allocation.resources(), -1)
+	machine.addAllocationUsage(allocation, -1)
 	if len(machine.Allocations) == 0 {
-		machine.ClearUse()
+		machine.ResetUsage()
 	}
 	s.updatePool(machine)
 	s.chargeQuota(job, -1)
--- a/internal/cluster/allocation_lifecycle.go
+++ b/internal/cluster/allocation_lifecycle.go
@@ -7,20 +7,20 @@
 
 // transitionAllocation is the only function that changes an allocation's state.
 func (s *State) transitionAllocation(allocation *Allocation, to AllocationState) bool {
-	if allocation.State == to || !allocation.State.MayBecome(to) {
+	if allocation.State == to || !allocation.State.CanTransitionTo(to) {
 		return false
 	}
 	previous := allocation.State
 	allocation.State = to
 	if allocation.taskKnown {
-		s.countRunning(allocation.Job, previous, to)
+		s.updateRunningCount(allocation.Job, previous, to)
 	}
 	return true
 }
 
-// countRunning keeps the number of a job's running tasks after a transition of one of its
+// updateRunningCount keeps the number of a job's running tasks after a transition of one of its
 // allocations.
-func (s *State) countRunning(job *Job, from, to AllocationState) {
+func (s *State) updateRunningCount(job *Job, from, to AllocationState) {
 	if from == Running {
 		job.RunningTasks--
 	}
@@ -48,7 +48,7 @@
 	if !allocation.taskKnown {
 		return
 	}
-	s.returnResources(allocation)
+	s.unreserve(allocation)
 	job := allocation.Job
 	s.markChunkDirty(job, allocation.Index)
 	s.ScheduleSoon()
@@ -80,13 +80,13 @@
 	if !allocation.Stopping {
 		allocation.StopRequestedAt = now
 		if allocation.taskKnown {
-			allocation.Machine.account(allocation, -1)
+			allocation.Machine.addAllocationUsage(allocation, -1)
 		}
 	}
 	wasStopping := allocation.Stopping
 	allocation.Stopping, allocation.GraceS, allocation.StopReason = true, graceS, reason
 	if !wasStopping && allocation.taskKnown {
-		allocation.Machine.account(allocation, 1)
+		allocation.Machine.addAllocationUsage(allocation, 1)
 	}
 	if s.Verbose {
 		s.Log(
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -24,14 +24,14 @@
 	return true
 }
 
-// MayChangeHands reports whether a job that waits could go to a shard, or back, as a whole: none
+// CanTransfer reports whether a job that waits could go to a shard, or back, as a whole: none
 // of its tasks is on a machine, or may be. A job that had allocations before may only where all
 // controllers can go on with it.
-func (s *State) MayChangeHands(job *Job) bool {
+func (s *State) CanTransfer(job *Job) bool {
 	if job.State != Active || job.AllocationCount > 0 {
 		return false
 	}
-	return s.ContinuesJobs || job.NeverAllocated()
+	return s.HandoverSupported || job.NeverAllocated()
 }
 
 // UnallocatedFor is for how long a job that waits has had no allocation at all. Where WaitingSince is
@@ -47,7 +47,7 @@
 // capacity for: all that are not done, or some of an array's; 0: it was not assigned.
 func (s *State) Assign(job *Job, shard string) int {
 	tasks := job.UnfinishedTasks()
-	if tasks == 0 || !s.MayChangeHands(job) || job.Team != nil && job.Team.QuotaKeptFrom(job) {
+	if tasks == 0 || !s.CanTransfer(job) || job.Team != nil && job.Team.QuotaWithheldFrom(job) {
 		return 0
 	}
 	if job.Team != nil && !job.Team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, tasks) {
@@ -96,8 +96,8 @@
 	s.chargeQuota(job, -job.ReservedTasks)
 	job.Shard, job.ReservedTasks, job.ShardRunningTasks, job.ShardDoneTasks = "", 0, 0, 0
 	job.UnassignedAt = now
-	s.restoreHandedOver(job)
-	s.ResumeTransferred(job, now)
+	s.rewriteHandedOverChunks(job)
+	s.ResumeScheduling(job, now)
 	s.ScheduleSoon()
 }
 
@@ -124,19 +124,19 @@
 	}
 }
 
-// ResumeTransferred has a job that was kept from being scheduled here scheduled: it is this
+// ResumeScheduling has a job that was kept from being scheduled here scheduled: it is this
 // controller's by now.
-func (s *State) ResumeTransferred(job *Job, now micro.Time) {
+func (s *State) ResumeScheduling(job *Job, now micro.Time) {
 	if job.State != Assigned {
 		return
 	}
-	s.leaveTeam(job)
+	s.removeUnfinished(job)
 	s.transitionJob(job, Active)
 	job.WaitingSince = now
 }
 
-// restoreHandedOver has the records written anew that were deleted as a job went to a shard.
-func (s *State) restoreHandedOver(job *Job) {
+// rewriteHandedOverChunks has the records written anew that were deleted as a job went to a shard.
+func (s *State) rewriteHandedOverChunks(job *Job) {
 	for _, chunk := range job.Chunks {
 		if chunk.HandedOver {
 			chunk.HandedOver = false
@@ -160,7 +160,7 @@
 // ReserveQuota reserves quota for up to so many more tasks of a job in a shard, and says for how
 // many there was some.
 func (s *State) ReserveQuota(job *Job, tasks int) int {
-	if job.Shard == "" || tasks <= 0 || job.Team != nil && job.Team.QuotaKeptFrom(job) {
+	if job.Shard == "" || tasks <= 0 || job.Team != nil && job.Team.QuotaWithheldFrom(job) {
 		return 0
 	}
 	if job.Team != nil {
--- a/internal/cluster/assignment_test.go
+++ b/internal/cluster/assignment_test.go
@@ -72,7 +72,7 @@
 // A job goes to a shard while a task of it is on a machine, or may be, and runs at both.
 func TestJobWithAnAllocationIsNotAssigned(t *testing.T) {
 	tc := newTestCluster(t)
-	tc.cluster.ContinuesJobs = true
+	tc.cluster.HandoverSupported = true
 	agent := tc.addAgent("m1", "a")
 	job := tc.submit("j-1", wire.JobArray, 2, 1)
 	expectKept := func(when string) {
@@ -91,9 +91,9 @@
 	expectKept("stopping")
 	tc.expireLeases("m1")
 	tc.expectAllocations(job, 0)
-	tc.cluster.ContinuesJobs = false
+	tc.cluster.HandoverSupported = false
 	expectKept("begun, and not all controllers go on with it")
-	tc.cluster.ContinuesJobs = true
+	tc.cluster.HandoverSupported = true
 	tc.expectQuotaUsed(0)
 	if tasks := tc.cluster.Assign(job, "east"); tasks != 2 {
 		t.Errorf("%d tasks assigned once it has no allocation", tasks)
@@ -121,7 +121,7 @@
 func checkLateHeartbeat(t *testing.T, handOver func(*testCluster, *cluster.Job), state wire.TaskState) {
 	t.Helper()
 	tc := newTestCluster(t)
-	tc.cluster.ContinuesJobs = true
+	tc.cluster.HandoverSupported = true
 	job := tc.submit("j-1", wire.JobArray, 2, 1)
 	handOver(tc, job)
 	chunk, used := job.Chunk(1), tc.cluster.Teams["team"].UsedCPU
--- a/internal/cluster/capacity/capacity.go
+++ b/internal/cluster/capacity/capacity.go
@@ -43,17 +43,17 @@
 	LastNeededForHeadroom micro.Time // when headroom last counted on it
 }
 
-// CountUse counts an allocation in (factor 1) or out (factor -1) of the totals.
-func (c *Capacity) CountUse(amount Resources, factor float64) {
+// AddUsage counts an allocation in (factor 1) or out (factor -1) of the totals.
+func (c *Capacity) AddUsage(amount Resources, factor float64) {
 	c.UsedCPU += factor * amount.CPU
 	c.UsedGPU += factor * amount.GPU
 	c.UsedMemoryGB += factor * amount.MemoryGB
 	c.UsedScaledCPU += factor * amount.ScaledCPU
 }
 
-// CountUseAt counts an allocation in (factor 1) or out (factor -1) by its priority level or, once
+// AddUsageByPriority counts an allocation in (factor 1) or out (factor -1) by its priority level or, once
 // its task is told to stop, as resources that come free anyway.
-func (c *Capacity) CountUseAt(level int, stopping bool, amount Resources, factor float64) {
+func (c *Capacity) AddUsageByPriority(level int, stopping bool, amount Resources, factor float64) {
 	if stopping {
 		c.UsedByStopping.Add(amount, factor)
 	} else {
@@ -61,8 +61,8 @@
 	}
 }
 
-// ClearUse says that there is no allocation left: exactly nothing is used, whatever rounding left.
-func (c *Capacity) ClearUse() {
+// ResetUsage says that there is no allocation left: exactly nothing is used, whatever rounding left.
+func (c *Capacity) ResetUsage() {
 	c.UsedCPU, c.UsedGPU, c.UsedMemoryGB, c.UsedScaledCPU = 0, 0, 0, 0
 	c.UsedByPriority, c.UsedByStopping = [PriorityLevels]Resources{}, Resources{}
 }
--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -11,19 +11,19 @@
 	Spot         bool
 	MachineCount int
 
-	rows [][]*M
+	buckets [][]*M
 }
 
-// Rows is how many rows there are; those from it on are empty.
-func (p *Pool[M]) Rows() int { return len(p.rows) }
+// BucketCount is how many rows there are; those from it on are empty.
+func (p *Pool[M]) BucketCount() int { return len(p.buckets) }
 
-// Row lists the machines with this many whole scaled CPUs free, in no order.
-func (p *Pool[M]) Row(n int) []*M { return p.rows[n] }
+// Bucket lists the machines with this many whole scaled CPUs free, in no order.
+func (p *Pool[M]) Bucket(n int) []*M { return p.buckets[n] }
 
 // CountIf is how many machines of the pool match.
 func (p *Pool[M]) CountIf(matches func(*M) bool) int {
 	count := 0
-	for _, row := range p.rows {
+	for _, row := range p.buckets {
 		for _, machine := range row {
 			if matches(machine) {
 				count++
@@ -33,14 +33,14 @@
 	return count
 }
 
-// RowFor is the row of a machine with so many scaled CPUs free.
-func RowFor(freeCPU float64) int { return max(int(freeCPU+1e-9), 0) }
+// BucketFor is the row of a machine with so many scaled CPUs free.
+func BucketFor(freeCPU float64) int { return max(int(freeCPU+1e-9), 0) }
 
 // Position is where an index holds a machine, which embeds it.
 type Position[M any] struct {
-	pool  *Pool[M] // nil: nowhere
-	row   int
-	index int
+	pool   *Pool[M] // nil: nowhere
+	bucket int
+	index  int
 }
 
 // PoolPosition gives itself, for machines that embed it.
@@ -66,42 +66,42 @@
 
 // PutInPool puts a machine into the row where the scheduler looks for it.
 func (x *Index[M, P]) PutInPool(machine P, machineType *MachineType, zone string, spot bool, freeCPU float64) {
-	pool, row := x.ensurePool(machineType, zone, spot), RowFor(freeCPU)
+	pool, row := x.ensurePool(machineType, zone, spot), BucketFor(freeCPU)
 	at := machine.PoolPosition()
-	if pool == at.pool && row == at.row {
+	if pool == at.pool && row == at.bucket {
 		return
 	}
-	x.TakeFromPool(machine)
-	at.pool, at.row = pool, row
-	for len(pool.rows) <= row {
-		if len(pool.rows) < cap(pool.rows) { // keeps the rows' own capacity
-			pool.rows = pool.rows[:len(pool.rows)+1]
+	x.RemoveFromPool(machine)
+	at.pool, at.bucket = pool, row
+	for len(pool.buckets) <= row {
+		if len(pool.buckets) < cap(pool.buckets) { // keeps the rows' own capacity
+			pool.buckets = pool.buckets[:len(pool.buckets)+1]
 		} else {
-			pool.rows = append(pool.rows, nil)
+			pool.buckets = append(pool.buckets, nil)
 		}
 	}
-	at.index = len(pool.rows[row])
-	pool.rows[row] = append(pool.rows[row], (*M)(machine))
+	at.index = len(pool.buckets[row])
+	pool.buckets[row] = append(pool.buckets[row], (*M)(machine))
 	pool.MachineCount++
 }
 
-// TakeFromPool takes a machine out, if it is in: it takes no new tasks.
-func (x *Index[M, P]) TakeFromPool(machine P) {
+// RemoveFromPool takes a machine out, if it is in: it takes no new tasks.
+func (x *Index[M, P]) RemoveFromPool(machine P) {
 	at := machine.PoolPosition()
 	pool := at.pool
 	if pool == nil {
 		return
 	}
-	machines := pool.rows[at.row]
+	machines := pool.buckets[at.bucket]
 	last := machines[len(machines)-1]
 	machines[at.index], P(last).PoolPosition().index = last, at.index
 	machines[len(machines)-1] = nil
-	pool.rows[at.row] = machines[:len(machines)-1]
+	pool.buckets[at.bucket] = machines[:len(machines)-1]
 	pool.MachineCount--
-	for len(pool.rows) > 0 && len(pool.rows[len(pool.rows)-1]) == 0 {
-		pool.rows = pool.rows[:len(pool.rows)-1]
+	for len(pool.buckets) > 0 && len(pool.buckets[len(pool.buckets)-1]) == 0 {
+		pool.buckets = pool.buckets[:len(pool.buckets)-1]
 	}
-	at.pool, at.row = nil, 0
+	at.pool, at.bucket = nil, 0
 }
 
 func (x *Index[M, P]) ensurePool(machineType *MachineType, zone string, spot bool) *Pool[M] {
--- a/internal/cluster/capacity/pool_test.go
+++ b/internal/cluster/capacity/pool_test.go
@@ -29,7 +29,7 @@
 				changed.free = float64(rapid.IntRange(0, 4).Draw(t, "free"))
 				index.PutInPool(changed, machineType, []string{"a", "b"}[i%2], false, changed.free)
 			} else {
-				index.TakeFromPool(changed)
+				index.RemoveFromPool(changed)
 			}
 			expectRows(t, &index, machines)
 		}
@@ -60,10 +60,10 @@
 }
 
 func countMembers(t *rapid.T, pool *capacity.Pool[machine], found map[*machine]int) {
-	for row := range pool.Rows() {
-		for _, member := range pool.Row(row) {
+	for row := range pool.BucketCount() {
+		for _, member := range pool.Bucket(row) {
 			found[member]++
-			if capacity.RowFor(member.free) != row {
+			if capacity.BucketFor(member.free) != row {
 				t.Fatalf("a machine with %v CPUs free stands in row %d", member.free, row)
 			}
 		}
--- a/internal/cluster/chunk.go
+++ b/internal/cluster/chunk.go
@@ -43,7 +43,7 @@
 ) {
 	if expanded, ok := s.expandChunk(job, index, record); ok {
 		job.Chunks[index].KeyRevision = keyRevision
-		s.restoreTasks(job, expanded, job.chunkIncludes(index), now)
+		s.restoreTasks(job, expanded, job.chunkFilter(index), now)
 		job.Chunks[index].Stored = true
 	}
 }
@@ -58,7 +58,7 @@
 	for _, entry := range expanded.Allocations {
 		s.AcquireMachine(s.EnsureMachine(entry.Machine, now), now)
 	}
-	s.restoreTasks(job, expanded, job.chunkIncludes(index), now)
+	s.restoreTasks(job, expanded, job.chunkFilter(index), now)
 	chunk := job.Chunks[index]
 	chunk.HandedOver = false
 	chunk.MemoryVersion++
@@ -77,7 +77,7 @@
 	expanded.Allocations = nil
 	chunk := job.Chunks[index]
 	before := chunk.Record()
-	s.restoreTasks(job, expanded, job.chunkIncludes(index), now)
+	s.restoreTasks(job, expanded, job.chunkFilter(index), now)
 	if !chunk.Stored || !reflect.DeepEqual(before, chunk.Record()) {
 		chunk.MemoryVersion++ // the shard's own record lacks some of it
 	}
@@ -95,8 +95,8 @@
 	return &expanded, ok
 }
 
-// chunkIncludes tells which tasks a chunk holds.
-func (j *Job) chunkIncludes(index int) func(task int) bool {
+// chunkFilter tells which tasks a chunk holds.
+func (j *Job) chunkFilter(index int) func(task int) bool {
 	return func(task int) bool { return task >= 0 && task < len(j.Tasks) && task/j.tasksPerChunk == index }
 }
 
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -25,7 +25,7 @@
 		return commands
 	}
 	for key, exited := range machine.exitedAttempts {
-		if exited.mayBeForgotten(machine.FencingToken) {
+		if exited.canForget(machine.FencingToken) {
 			commands = append(commands, newCommand(wire.CommandForget, key))
 		}
 	}
@@ -53,10 +53,10 @@
 	return a.State == Starting && !a.Observed && !a.Restored && a.AgentEpoch == a.Machine.AgentEpoch
 }
 
-// mayBeForgotten reports whether the agent may drop an exited attempt from its list. A late
+// canForget reports whether the agent may drop an exited attempt from its list. A late
 // copy of a dispatched start would run the attempt again after it was forgotten: the agent
 // must have seen a newer token first.
-func (e *exitedAttempt) mayBeForgotten(seenToken uint64) bool {
+func (e *exitedAttempt) canForget(seenToken uint64) bool {
 	return seenToken > e.dispatchToken &&
 		(e.chunk == nil || e.chunk.StoredVersion >= e.chunkVersion || e.chunk.Job.IsTerminal())
 }
--- a/internal/cluster/contact.go
+++ b/internal/cluster/contact.go
@@ -27,17 +27,17 @@
 // to any of its heartbeats, a late copy included, or the failover, before which another leader
 // may have responded; or the last time at which a lease proxy of its zone may have.
 func (s *State) latestLeaseStart(machine *Machine) micro.Time {
-	return max(machine.LeaseRenewedAt, s.renewedBeforeTerm(machine), s.ProxyRenewedUntil[machine.Zone])
+	return max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine), s.ProxyRenewedUntil[machine.Zone])
 }
 
 // ResponseSent notes the fencing token of a response that went out in good time; 0: it may have
 // come too late for the agent to take it.
 func (s *State) ResponseSent(machine *Machine, token uint64) { machine.SetLastResponse(token) }
 
-// WouldProveAlive reports whether a machine's agent was heard, but has yet to show a token that
+// WouldProveLiveness reports whether a machine's agent was heard, but has yet to show a token that
 // proves it alive, and the given one would.
-func (m *Machine) WouldProveAlive(token uint64) bool {
-	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LacksProofOfLife() &&
+func (m *Machine) WouldProveLiveness(token uint64) bool {
+	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LivenessUnproven() &&
 		m.RequiredFencingToken <= token
 }
 
@@ -89,7 +89,7 @@
 // beginAgentEpoch releases what a machine held in earlier agent epochs.
 func (s *State) beginAgentEpoch(machine *Machine, epoch uint64, now micro.Time) {
 	if machine.AgentEpoch > 0 && machine.State == Up && now-machine.LeaseRenewedAt < s.LeaseDuration/2 {
-		machine.LeaseRanOutUnexpectedly()
+		machine.RecordUnexpectedLeaseExpiry()
 	}
 	for _, allocation := range machine.SortedAllocations() {
 		if allocation.AgentEpoch < epoch {
@@ -115,7 +115,7 @@
 		if machine.FirstHeartbeat == 0 {
 			machine.FirstHeartbeat = now
 			machine.IdleSince = now
-			if idleSince, ok := s.Inherited.IdleSince[machine.Name]; ok {
+			if idleSince, ok := s.PreviousTerm.IdleSince[machine.Name]; ok {
 				machine.IdleSince = idleSince
 			}
 		}
--- a/internal/cluster/contact/contact.go
+++ b/internal/cluster/contact/contact.go
@@ -25,8 +25,8 @@
 	Refused         // from an epoch or machine that is over
 )
 
-// responsesLostAfter is how many heartbeats in a row show that responses do not arrive.
-const responsesLostAfter = 3
+// lostResponseThreshold is how many heartbeats in a row show that responses do not arrive.
+const lostResponseThreshold = 3
 
 // Contact is what is known of a machine's agent by its messages, and of its lease.
 type Contact struct {
@@ -86,14 +86,14 @@
 	return false
 }
 
-// LeaseRanOutUnexpectedly notes that the agent's lease ran out though it was answered.
-func (c *Contact) LeaseRanOutUnexpectedly() { c.MissedResponses = responsesLostAfter }
+// RecordUnexpectedLeaseExpiry notes that the agent's lease ran out though it was answered.
+func (c *Contact) RecordUnexpectedLeaseExpiry() { c.MissedResponses = lostResponseThreshold }
 
 // ResponsesLikelyLost reports whether heartbeats come, but nothing reaches the agent.
-func (c *Contact) ResponsesLikelyLost() bool { return c.MissedResponses >= responsesLostAfter }
+func (c *Contact) ResponsesLikelyLost() bool { return c.MissedResponses >= lostResponseThreshold }
 
-// LacksProofOfLife reports whether the agent was heard, but has yet to show the token that
+// LivenessUnproven reports whether the agent was heard, but has yet to show the token that
 // proves it alive.
-func (c *Contact) LacksProofOfLife() bool {
+func (c *Contact) LivenessUnproven() bool {
 	return c.LastHeartbeat > 0 && c.FencingToken < c.RequiredFencingToken
 }
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -151,11 +151,11 @@
 	}
 	allocations := j.Allocations()
 	for _, allocation := range allocations {
-		allocation.Machine.account(allocation, -1)
+		allocation.Machine.addAllocationUsage(allocation, -1)
 	}
 	j.PriorityLevel = level
 	for _, allocation := range allocations {
-		allocation.Machine.account(allocation, 1)
+		allocation.Machine.addAllocationUsage(allocation, 1)
 	}
 }
 
--- a/internal/cluster/imagecache/pages.go
+++ b/internal/cluster/imagecache/pages.go
@@ -16,8 +16,8 @@
 	indexBytes           = 4
 )
 
-// Holder is a machine and its images.
-type Holder struct {
+// MachineImages is a machine and its images.
+type MachineImages struct {
 	Machine string
 	Images  Cache
 	totalGB float64
@@ -26,8 +26,8 @@
 // Pages builds the records of machines' images, each of at most size bytes in the store's
 // count. The first holds the machines that have most, as far as it goes; the others hold the
 // rest in the order of their names, so that a machine mostly keeps its page.
-func Pages(machines []Holder, size int) []records.Images {
-	holders := worthRecording(machines)
+func Pages(machines []MachineImages, size int) []records.Images {
+	holders := recordable(machines)
 	first := newPage(size)
 	included := 0
 	for included < len(holders) && first.add(&holders[included]) {
@@ -54,9 +54,9 @@
 	return pages
 }
 
-// worthRecording lists the machines that have enough, the ones that have most first.
-func worthRecording(machines []Holder) []Holder {
-	var holders []Holder
+// recordable lists the machines that have enough, the ones that have most first.
+func recordable(machines []MachineImages) []MachineImages {
+	var holders []MachineImages
 	for _, holder := range machines {
 		if holder.totalGB = holder.Images.TotalGB(); holder.totalGB >= minTotalGB {
 			holders = append(holders, holder)
@@ -87,7 +87,7 @@
 }
 
 // add takes a machine into the record; false if there is no capacity for it.
-func (p *page) add(holder *Holder) bool {
+func (p *page) add(holder *MachineImages) bool {
 	p.remaining -= len(holder.Machine) + machineOverheadBytes
 	var indices []int
 	for _, name := range holder.Images.namesByUse() {
--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -23,9 +23,9 @@
 // ImagePages builds the records of the machines' images, each of at most size bytes in the
 // store's count.
 func (s *State) ImagePages(size int) []records.Images {
-	holders := make([]imagecache.Holder, 0, len(s.Machines))
+	holders := make([]imagecache.MachineImages, 0, len(s.Machines))
 	for name, machine := range s.Machines {
-		holders = append(holders, imagecache.Holder{Machine: name, Images: machine.images})
+		holders = append(holders, imagecache.MachineImages{Machine: name, Images: machine.images})
 	}
 	return imagecache.Pages(holders, size)
 }
--- a/internal/cluster/job_lifecycle.go
+++ b/internal/cluster/job_lifecycle.go
@@ -10,7 +10,7 @@
 	if job.State == to {
 		return
 	}
-	if !job.State.MayBecome(to) {
+	if !job.State.CanTransitionTo(to) {
 		s.Log("job state refused", "job", job.Spec.ID, "from", job.State.String(), "to", to.String())
 		return
 	}
@@ -27,7 +27,7 @@
 	default:
 		delete(s.PendingJobs, job)
 		delete(s.ActiveJobs, job)
-		s.leaveTeam(job)
+		s.removeUnfinished(job)
 	}
 }
 
@@ -37,7 +37,7 @@
 	s.PendingJobs[job] = true
 	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // nobody schedules in the time before this term
 	if job.Team != nil {
-		job.Team.join(job)
+		job.Team.addUnfinished(job)
 	}
 	job.Class.RecordArrival(&job.Spec, job.EligibleSince)
 	s.ScheduleSoon()
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -32,8 +32,8 @@
 	Checkpointing: {Released},
 }
 
-// MayBecome reports whether a transition is allowed.
-func (s AllocationState) MayBecome(to AllocationState) bool {
+// CanTransitionTo reports whether a transition is allowed.
+func (s AllocationState) CanTransitionTo(to AllocationState) bool {
 	return allocationTransitions.allow(s, to)
 }
 
--- a/internal/cluster/lifecycle/job.go
+++ b/internal/cluster/lifecycle/job.go
@@ -28,5 +28,5 @@
 	Assigned:  {Active, Aborting, Finishing, Done, Aborted},
 }
 
-// MayBecome reports whether a transition is allowed.
-func (s JobState) MayBecome(to JobState) bool { return jobTransitions.allow(s, to) }
+// CanTransitionTo reports whether a transition is allowed.
+func (s JobState) CanTransitionTo(to JobState) bool { return jobTransitions.allow(s, to) }
--- a/internal/cluster/lifecycle/machine.go
+++ b/internal/cluster/lifecycle/machine.go
@@ -27,5 +27,5 @@
 	Terminating: {Terminated},
 }
 
-// MayBecome reports whether a transition is allowed.
-func (s MachineState) MayBecome(to MachineState) bool { return machineTransitions.allow(s, to) }
+// CanTransitionTo reports whether a transition is allowed.
+func (s MachineState) CanTransitionTo(to MachineState) bool { return machineTransitions.allow(s, to) }
--- a/internal/cluster/inherited.go
+++ b/internal/cluster/machine_history.go
@@ -2,8 +2,8 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// Inherited is what is known of machines from before this controller's term.
-type Inherited struct {
+// MachineHistory is what is known of machines from before this controller's term.
+type MachineHistory struct {
 	// RenewedAt is when the lease of a machine's agent may last have been renewed before the
 	// term, by machine; those that are not named may have been until the term began.
 	RenewedAt map[string]micro.Time
@@ -11,20 +11,20 @@
 	IdleSince map[string]micro.Time
 }
 
-// renewedBeforeTerm is until when an earlier controller may have renewed the lease of a
+// lastRenewalBeforeTerm is until when an earlier controller may have renewed the lease of a
 // machine's agent.
-func (s *State) renewedBeforeTerm(machine *Machine) micro.Time {
-	if at, ok := s.Inherited.RenewedAt[machine.Name]; ok {
+func (s *State) lastRenewalBeforeTerm(machine *Machine) micro.Time {
+	if at, ok := s.PreviousTerm.RenewedAt[machine.Name]; ok {
 		return at
 	}
 	return s.TermStartedAt
 }
 
-// Bequeath lists what a controller that takes over all machines of this one can count on: since
+// ExportMachineHistory lists what a controller that takes over all machines of this one can count on: since
 // when no lease was renewed of those whose agents are silent, and since when others are idle.
-func (s *State) Bequeath() Inherited {
-	bequest := Inherited{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
-	for name, idleSince := range s.Inherited.IdleSince {
+func (s *State) ExportMachineHistory() MachineHistory {
+	bequest := MachineHistory{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
+	for name, idleSince := range s.PreviousTerm.IdleSince {
 		if s.Machines[name] == nil {
 			bequest.IdleSince[name] = idleSince // its agent has not come here yet
 		}
@@ -32,7 +32,7 @@
 	for _, machine := range s.SortedMachines() {
 		switch {
 		case machine.State != Up && len(machine.Allocations) > 0:
-			bequest.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.renewedBeforeTerm(machine))
+			bequest.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
 		case machine.State == Up && len(machine.Allocations) == 0:
 			bequest.IdleSince[machine.Name] = machine.IdleSince
 		}
--- a/internal/cluster/inherited_test.go
+++ b/internal/cluster/machine_history_test.go
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			state := cluster.New(&testCluster{t: t})
 			state.TermStartedAt, state.LeaseDuration = termStart, leaseDuration
-			state.Inherited.RenewedAt = row.inherited
+			state.PreviousTerm.RenewedAt = row.inherited
 			machine := state.EnsureMachine("i-1", termStart)
 			machine.LeaseRenewedAt = row.heard
 			if state.LeaseExpired(machine, row.want) || !state.LeaseExpired(machine, row.want+1) {
@@ -38,12 +38,12 @@
 // What is idle and has not come to this owner yet is left to the next one as it was inherited.
 func TestIdleMachinesThatDidNotComeYetAreBequeathed(t *testing.T) {
 	state := cluster.New(&testCluster{t: t})
-	state.Inherited.IdleSince = map[string]micro.Time{"i-1": 5 * micro.Second, "i-2": 6 * micro.Second}
+	state.PreviousTerm.IdleSince = map[string]micro.Time{"i-1": 5 * micro.Second, "i-2": 6 * micro.Second}
 	here := state.EnsureMachine("i-2", 20*micro.Second)
 	state.TransitionMachine(here, cluster.Up, "reports")
 	here.IdleSince = 7 * micro.Second
 	want := map[string]micro.Time{"i-1": 5 * micro.Second, "i-2": 7 * micro.Second}
-	if got := state.Bequeath().IdleSince; !maps.Equal(got, want) {
+	if got := state.ExportMachineHistory().IdleSince; !maps.Equal(got, want) {
 		t.Errorf("idle since %v, want %v", got, want)
 	}
 }
--- a/internal/cluster/machine_lifecycle.go
+++ b/internal/cluster/machine_lifecycle.go
@@ -5,7 +5,7 @@
 // TransitionMachine is the only function that changes a machine's state; false: it is in that
 // state already, or the transition is not allowed. The reason is for operators.
 func (s *State) TransitionMachine(machine *Machine, to MachineState, reason string) bool {
-	if machine.State == to || !machine.State.MayBecome(to) {
+	if machine.State == to || !machine.State.CanTransitionTo(to) {
 		return false
 	}
 	s.Log(
--- a/internal/cluster/pool.go
+++ b/internal/cluster/pool.go
@@ -17,8 +17,8 @@
 	poolIndex    = capacity.Index[Machine, *Machine]
 )
 
-// RowFor is the row of a pool for a machine with so many scaled CPUs free.
-func RowFor(freeCPU float64) int { return capacity.RowFor(freeCPU) }
+// BucketFor is the row of a pool for a machine with so many scaled CPUs free.
+func BucketFor(freeCPU float64) int { return capacity.BucketFor(freeCPU) }
 
 // updatePool puts a machine into the row where the scheduler looks for it, or takes it out if
 // it takes no new tasks. Whatever changes a machine's free resources, or whether it may be
@@ -27,7 +27,7 @@
 	if machine.acceptsTasks() {
 		s.PutInPool(machine, machine.Type, machine.Zone, machine.Spot, machine.Type.CPUs-machine.UsedScaledCPU)
 	} else {
-		s.TakeFromPool(machine)
+		s.RemoveFromPool(machine)
 	}
 }
 
@@ -37,7 +37,7 @@
 	return Resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: a.ScaledCPU}
 }
 
-// account counts an allocation in (factor 1) or out (factor -1) by its priority level.
-func (m *Machine) account(allocation *Allocation, factor float64) {
-	m.CountUseAt(allocation.Job.PriorityLevel, allocation.Stopping, allocation.resources(), factor)
+// addAllocationUsage counts an allocation in (factor 1) or out (factor -1) by its priority level.
+func (m *Machine) addAllocationUsage(allocation *Allocation, factor float64) {
+	m.AddUsageByPriority(allocation.Job.PriorityLevel, allocation.Stopping, allocation.resources(), factor)
 }
--- a/internal/cluster/quarantine.go
+++ b/internal/cluster/quarantine.go
@@ -8,13 +8,13 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// proven reports whether a task of the job completed, or runs for longer than a failure took
+// provenHealthy reports whether a task of the job completed, or runs for longer than a failure took
 // to show so far.
-func (j *Job) proven(now micro.Time) bool {
+func (j *Job) provenHealthy(now micro.Time) bool {
 	if j.DoneTasks > 0 {
 		return true
 	}
-	minRunTime := j.ProvenAfter()
+	minRunTime := j.MinProvenRunTime()
 	for _, chunk := range j.Chunks {
 		for _, allocation := range chunk.Allocations {
 			if allocation.State == Running && allocation.RunningSince > 0 && now-allocation.RunningSince >= minRunTime {
@@ -27,13 +27,15 @@
 
 // failsEverywhere reports whether a job seems to fail wherever it goes, for a mistake in its
 // submission: it is tried seldom, and no machine is held responsible for it.
-func (j *Job) failsEverywhere(now micro.Time) bool { return j.FailedWidely() && !j.proven(now) }
+func (j *Job) failsEverywhere(now micro.Time) bool { return j.FailedWidely() && !j.provenHealthy(now) }
 
-// FailsUnproven reports whether tasks of the job failed, and none shows that it does well elsewhere.
-func (j *Job) FailsUnproven(now micro.Time) bool { return j.Failures > 0 && !j.proven(now) }
+// FailedWithoutSuccess reports whether tasks of the job failed, and none shows that it does well elsewhere.
+func (j *Job) FailedWithoutSuccess(now micro.Time) bool {
+	return j.Failures > 0 && !j.provenHealthy(now)
+}
 
 // InBackoff reports whether the job waits for its next try, as one that fails everywhere does.
-func (j *Job) InBackoff(now micro.Time) bool { return j.NotBefore > now && !j.proven(now) }
+func (j *Job) InBackoff(now micro.Time) bool { return j.NotBefore > now && !j.provenHealthy(now) }
 
 // SchedulableTasks is how many more tasks of the job may be placed now, whatever resources
 // are free. A gang starts whole or not at all.
@@ -47,14 +49,14 @@
 
 // failureAllowance leaves out the part of the quota that the job has in a shard.
 func (j *Job) failureAllowance(now micro.Time) int {
-	if j.Spec.Kind == wire.Gang || j.DoneTasks > 0 || len(j.Tasks) <= quarantine.FailingLimit {
+	if j.Spec.Kind == wire.Gang || j.DoneTasks > 0 || len(j.Tasks) <= quarantine.FailingAllocationLimit {
 		return math.MaxInt
 	}
 	limit := quarantine.AllocationLimit(j.failsEverywhere(now))
 	if j.AllocationCount < limit {
 		return limit - j.AllocationCount
 	}
-	if j.proven(now) {
+	if j.provenHealthy(now) {
 		return math.MaxInt
 	}
 	return 0
@@ -83,14 +85,14 @@
 		ran = now - allocation.RunningSince
 	}
 	job.RecordFailure(machine.Name, ran)
-	fleet := (*fleetFailures)(s)
+	fleet := (*quarantineFleet)(s)
 	if !job.failsEverywhere(now) {
-		s.HoldFailureAgainst(machine.Name, &machine.Quarantine, job.Spec.ID, &job.FailureHistory, now)
+		s.AttributeFailure(machine.Name, &machine.Quarantine, job.Spec.ID, &job.FailureHistory, now)
 		s.UpdateQuarantine(fleet, now)
 		return
 	}
 	job.BackOff(now)
-	if s.DismissFailures(fleet, job.Spec.ID, &job.FailureHistory, fleet.record, now) {
+	if s.RetractFailures(fleet, job.Spec.ID, &job.FailureHistory, fleet.record, now) {
 		s.UpdateQuarantine(fleet, now)
 	}
 }
@@ -99,14 +101,14 @@
 // machine was the cause.
 func (s *State) recordFirstCompletion(job *Job, now micro.Time) {
 	if len(job.FailedOn) > 0 {
-		s.UpdateQuarantine((*fleetFailures)(s), now)
+		s.UpdateQuarantine((*quarantineFleet)(s), now)
 	}
 }
 
-// fleetFailures is the state as the quarantine policy sees it.
-type fleetFailures State
+// quarantineFleet is the state as the quarantine policy sees it.
+type quarantineFleet State
 
-func (f *fleetFailures) record(name string) *quarantine.Machine {
+func (f *quarantineFleet) record(name string) *quarantine.Machine {
 	if machine := f.Machines[name]; machine != nil {
 		return &machine.Quarantine
 	}
@@ -114,21 +116,21 @@
 }
 
 // MachineCount is the number of machines.
-func (f *fleetFailures) MachineCount() int { return len(f.Machines) }
+func (f *quarantineFleet) MachineCount() int { return len(f.Machines) }
 
-// ProvenElsewhere reports whether a job is known whose tasks do well elsewhere.
-func (f *fleetFailures) ProvenElsewhere(id string, now micro.Time) bool {
+// SucceedsElsewhere reports whether a job is known whose tasks do well elsewhere.
+func (f *quarantineFleet) SucceedsElsewhere(id string, now micro.Time) bool {
 	job := f.Jobs[id]
-	return job != nil && job.proven(now)
+	return job != nil && job.provenHealthy(now)
 }
 
 // Quarantined tells operators that a machine is quarantined.
-func (f *fleetFailures) Quarantined(machine string) {
+func (f *quarantineFleet) Quarantined(machine string) {
 	f.Log("machine quarantined", "machine", machine, "reason", "several jobs failed on it")
 }
 
 // QuarantineLifted tells operators that a quarantine is over, and has tasks scheduled there.
-func (f *fleetFailures) QuarantineLifted(machine string) {
+func (f *quarantineFleet) QuarantineLifted(machine string) {
 	f.Log("machine quarantine lifted", "machine", machine, "reason", "what failed on it fails elsewhere too")
 	f.ScheduleSoon()
 }
--- a/internal/cluster/quarantine/job.go
+++ b/internal/cluster/quarantine/job.go
@@ -10,14 +10,14 @@
 	failingAfterAttempts = 64
 )
 
-// A job holds at most unprovenLimit allocations until one of its tasks has completed, or has
+// A job holds at most unprovenAllocationLimit allocations until one of its tasks has completed, or has
 // run for provenAfter: so many starts at the most are spent on an array that fails
 // everywhere, however large it is. One that is known to fail everywhere holds at most
-// FailingLimit.
+// FailingAllocationLimit.
 const (
-	unprovenLimit = 512
-	FailingLimit  = 4
-	provenAfter   = 5 * micro.Second
+	unprovenAllocationLimit = 512
+	FailingAllocationLimit  = 4
+	provenAfter             = 5 * micro.Second
 )
 
 // maxBackoffShift bounds the pause of a job that fails everywhere: 32 s, so that it is tried
@@ -31,7 +31,7 @@
 	LongestFailure micro.Time      // the longest that a task ran before it failed
 	NotBefore      micro.Time      // the next try
 
-	dismissed bool // no machine is held responsible for its failures
+	failuresRetracted bool // no machine is held responsible for its failures
 }
 
 // RecordFailure notes an attempt that failed on a machine after running for so long; 0: it was
@@ -51,9 +51,9 @@
 	return len(j.FailedOn) >= failingAfterMachines || j.Failures >= failingAfterAttempts
 }
 
-// ProvenAfter is how long one of its tasks must run to prove that the job does not fail
+// MinProvenRunTime is how long one of its tasks must run to prove that the job does not fail
 // everywhere: longer than a failure took to show so far.
-func (j *Job) ProvenAfter() micro.Time { return max(provenAfter, 2*j.LongestFailure) }
+func (j *Job) MinProvenRunTime() micro.Time { return max(provenAfter, 2*j.LongestFailure) }
 
 // BackOff puts off the next try of a job that fails everywhere.
 func (j *Job) BackOff(now micro.Time) {
@@ -68,7 +68,7 @@
 // that it does not fail everywhere.
 func AllocationLimit(failsEverywhere bool) int {
 	if failsEverywhere {
-		return FailingLimit
+		return FailingAllocationLimit
 	}
-	return unprovenLimit
+	return unprovenAllocationLimit
 }
--- a/internal/cluster/quarantine/machine.go
+++ b/internal/cluster/quarantine/machine.go
@@ -67,8 +67,8 @@
 	return true
 }
 
-// quarantine quarantines the machine for the failures on it, and reports whether that is new.
-func (m *Machine) quarantine() bool {
+// quarantineForFailures quarantines the machine for the failures on it, and reports whether that is new.
+func (m *Machine) quarantineForFailures() bool {
 	var lastFailure micro.Time
 	for _, failedAt := range m.JobFailures {
 		lastFailure = max(lastFailure, failedAt)
@@ -83,8 +83,8 @@
 	return true
 }
 
-// lift ends a quarantine for failures, and reports whether there was one.
-func (m *Machine) lift(now micro.Time) bool {
+// liftQuarantine ends a quarantine for failures, and reports whether there was one.
+func (m *Machine) liftQuarantine(now micro.Time) bool {
 	if !m.QuarantinedForFailures {
 		return false
 	}
@@ -92,8 +92,8 @@
 	return true
 }
 
-// dropOldFailures forgets the failures that count no more.
-func (m *Machine) dropOldFailures(now micro.Time) {
+// pruneFailures forgets the failures that count no more.
+func (m *Machine) pruneFailures(now micro.Time) {
 	for id, failedAt := range m.JobFailures {
 		if now-failedAt > failureRetention {
 			delete(m.JobFailures, id)
--- a/internal/cluster/quarantine/policy.go
+++ b/internal/cluster/quarantine/policy.go
@@ -33,38 +33,38 @@
 type Fleet interface {
 	// MachineCount is the number of machines.
 	MachineCount() int
-	// ProvenElsewhere reports whether a job is known whose tasks do well elsewhere.
-	ProvenElsewhere(job string, now micro.Time) bool
+	// SucceedsElsewhere reports whether a job is known whose tasks do well elsewhere.
+	SucceedsElsewhere(job string, now micro.Time) bool
 	// Quarantined is told that a machine is quarantined from now on.
 	Quarantined(machine string)
 	// QuarantineLifted is told that a machine's quarantine is over.
 	QuarantineLifted(machine string)
 }
 
-// HoldFailureAgainst notes that a job failed on a machine, which may be faulty.
-func (p *Policy) HoldFailureAgainst(name string, machine *Machine, jobID string, job *Job, now micro.Time) {
+// AttributeFailure notes that a job failed on a machine, which may be faulty.
+func (p *Policy) AttributeFailure(name string, machine *Machine, jobID string, job *Job, now micro.Time) {
 	machine.JobFailures[jobID] = now
 	p.candidates[name] = machine
-	job.dismissed = false
+	job.failuresRetracted = false
 }
 
-// DismissFailures takes back what a job that fails everywhere was held against machines, and reports
+// RetractFailures takes back what a job that fails everywhere was held against machines, and reports
 // whether that is new; find gives a machine by its name, nil if there is none. On a recorded
 // night with such jobs, machines were quarantined 59 times since several jobs had failed there.
-func (p *Policy) DismissFailures(
+func (p *Policy) RetractFailures(
 	fleet Fleet, jobID string, job *Job, find func(name string) *Machine, now micro.Time,
 ) bool {
-	if job.dismissed {
+	if job.failuresRetracted {
 		return false
 	}
-	job.dismissed = true
+	job.failuresRetracted = true
 	for name := range job.FailedOn {
 		machine := find(name)
 		if machine == nil {
 			continue
 		}
 		delete(machine.JobFailures, jobID)
-		if len(machine.JobFailures) < p.QuarantineThreshold && machine.lift(now) {
+		if len(machine.JobFailures) < p.QuarantineThreshold && machine.liftQuarantine(now) {
 			fleet.QuarantineLifted(name)
 		}
 	}
@@ -87,7 +87,7 @@
 		switch {
 		case now >= p.suspendedUntil:
 			p.quarantine(fleet, name)
-		case p.candidates[name].lift(now):
+		case p.candidates[name].liftQuarantine(now):
 			fleet.QuarantineLifted(name)
 		}
 	}
@@ -97,7 +97,7 @@
 // are only suspected.
 func (p *Policy) classify(fleet Fleet, now micro.Time) (faulty, suspected []string) {
 	for name, machine := range p.candidates {
-		machine.dropOldFailures(now)
+		machine.pruneFailures(now)
 		switch {
 		case len(machine.JobFailures) == 0:
 			delete(p.candidates, name)
@@ -114,7 +114,7 @@
 func provenFailures(fleet Fleet, machine *Machine, now micro.Time) int {
 	count := 0
 	for id := range machine.JobFailures {
-		if fleet.ProvenElsewhere(id, now) {
+		if fleet.SucceedsElsewhere(id, now) {
 			count++
 		}
 	}
@@ -122,7 +122,7 @@
 }
 
 func (p *Policy) quarantine(fleet Fleet, name string) {
-	if p.candidates[name].quarantine() {
+	if p.candidates[name].quarantineForFailures() {
 		fleet.Quarantined(name)
 	}
 }
--- a/internal/cluster/quarantine/policy_test.go
+++ b/internal/cluster/quarantine/policy_test.go
@@ -15,10 +15,10 @@
 	quarantined map[string]bool
 }
 
-func (f *fleet) MachineCount() int                             { return len(f.machines) }
-func (f *fleet) ProvenElsewhere(job string, _ micro.Time) bool { return f.proven[job] }
-func (f *fleet) Quarantined(machine string)                    { f.quarantined[machine] = true }
-func (f *fleet) QuarantineLifted(machine string)               { delete(f.quarantined, machine) }
+func (f *fleet) MachineCount() int                               { return len(f.machines) }
+func (f *fleet) SucceedsElsewhere(job string, _ micro.Time) bool { return f.proven[job] }
+func (f *fleet) Quarantined(machine string)                      { f.quarantined[machine] = true }
+func (f *fleet) QuarantineLifted(machine string)                 { delete(f.quarantined, machine) }
 
 func newFleet(machines int, proven []string) *fleet {
 	f := &fleet{map[string]*quarantine.Machine{}, map[string]bool{}, map[string]bool{}}
@@ -59,7 +59,7 @@
 			policy := quarantine.NewPolicy()
 			for name, jobs := range tt.failures {
 				for _, job := range jobs {
-					policy.HoldFailureAgainst(name, site.machines[name], job, &quarantine.Job{}, now)
+					policy.AttributeFailure(name, site.machines[name], job, &quarantine.Job{}, now)
 				}
 			}
 			policy.UpdateQuarantine(site, now)
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -89,15 +89,15 @@
 // that proves that they are not on the machine and cannot come to it.
 func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
 	for _, allocation := range machine.SortedAllocations() {
-		if !reported[allocation.key()] && allocation.absenceIsProof(source) {
+		if !reported[allocation.key()] && allocation.absenceProvesRelease(source) {
 			s.release(allocation, now)
 		}
 	}
 }
 
-// absenceIsProof reports whether an attempt that a heartbeat does not name is surely not on
+// absenceProvesRelease reports whether an attempt that a heartbeat does not name is surely not on
 // its machine, and cannot come to it.
-func (a *Allocation) absenceIsProof(source Source) bool {
+func (a *Allocation) absenceProvesRelease(source Source) bool {
 	seenNewerToken := a.Machine.FencingToken > a.DispatchToken
 	switch {
 	case a.Observed:
@@ -154,7 +154,7 @@
 		if job := s.localJob(id, index); job != nil {
 			allocation.Job, allocation.Index, allocation.taskKnown = job, index, true
 			allocation.ScaledCPU = job.Spec.CPUs
-			if job.Tasks[index].Queued {
+			if job.Tasks[index].Requeued {
 				s.dequeue(job, index)
 			}
 			job.Tasks[index].Attempt = max(job.Tasks[index].Attempt, uint32(key.Attempt))
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -57,14 +57,14 @@
 	JobSets
 	MachineSets
 	FailureAttribution
-	Inherited Inherited
+	PreviousTerm MachineHistory
 
 	// Verbose logs each allocation and exit.
 	Verbose bool
 
-	// ContinuesJobs is set while every controller can go on with a job that had allocations
+	// HandoverSupported is set while every controller can go on with a job that had allocations
 	// under another one.
-	ContinuesJobs bool
+	HandoverSupported bool
 
 	// Ownership says whether another controller owns a machine, and whether it is to;
 	// nil: this one owns all.
--- a/internal/cluster/task_queue.go
+++ b/internal/cluster/task_queue.go
@@ -30,7 +30,7 @@
 
 // requeue puts a task back in line.
 func (s *State) requeue(job *Job, index int, now micro.Time) {
-	if job.State != Active || !job.PutBackTask(job.Tasks, index) {
+	if job.State != Active || !job.RequeueTask(job.Tasks, index) {
 		return
 	}
 	if !s.PendingJobs[job] {
--- a/internal/cluster/taskqueue/queue.go
+++ b/internal/cluster/taskqueue/queue.go
@@ -14,7 +14,7 @@
 	Attempt         uint32 // the highest attempt number used
 	AllocationCount uint8  // allocations not proven released
 	Done            bool
-	Queued          bool // put back, and waits for an allocation
+	Requeued        bool // put back, and waits for an allocation
 	Failures        uint8
 	NotBefore       micro.Time // the next try, on the steady clock
 }
@@ -42,36 +42,38 @@
 	WaitReasonLoggedAt micro.Time // when operators were last told why it waits
 	Throttled          bool       // its tasks were kept from resources that were free
 
-	firstUnqueued int // tasks from here on never had an allocation and were never put back
-	putBack       []int32
+	firstNeverDequeued int // tasks from here on never had an allocation and were never put back
+	requeued           []int32
 }
 
 // QueueLength is how many of the job's tasks wait.
-func (q *Queue) QueueLength(tasks []Task) int { return len(q.putBack) + len(tasks) - q.firstUnqueued }
+func (q *Queue) QueueLength(tasks []Task) int {
+	return len(q.requeued) + len(tasks) - q.firstNeverDequeued
+}
 
 // NeverDequeued reports whether the queue still holds all tasks in their first order.
-func (q *Queue) NeverDequeued() bool { return q.firstUnqueued == 0 }
+func (q *Queue) NeverDequeued() bool { return q.firstNeverDequeued == 0 }
 
 // HoldsTask reports whether a task waits.
 func (q *Queue) HoldsTask(tasks []Task, index int) bool {
-	return tasks[index].Queued || index >= q.firstUnqueued
+	return tasks[index].Requeued || index >= q.firstNeverDequeued
 }
 
-// PutBackTask queues a task that lost its allocation; false if it needs none, or waits already.
-func (q *Queue) PutBackTask(tasks []Task, index int) bool {
+// RequeueTask queues a task that lost its allocation; false if it needs none, or waits already.
+func (q *Queue) RequeueTask(tasks []Task, index int) bool {
 	task := &tasks[index]
 	if !task.needsAllocation() || q.HoldsTask(tasks, index) {
 		return false
 	}
-	task.Queued = true
-	q.putBack = append(q.putBack, int32(index))
+	task.Requeued = true
+	q.requeued = append(q.requeued, int32(index))
 	return true
 }
 
 // NextWaiting gives up to limit tasks that may be placed now, without taking them.
 func (q *Queue) NextWaiting(tasks []Task, now micro.Time, limit int) []int {
 	var indices []int
-	for _, i := range q.putBack {
+	for _, i := range q.requeued {
 		if len(indices) == limit {
 			return indices
 		}
@@ -79,7 +81,7 @@
 			indices = append(indices, int(i))
 		}
 	}
-	for i := q.firstUnqueued; i < len(tasks) && len(indices) < limit; i++ {
+	for i := q.firstNeverDequeued; i < len(tasks) && len(indices) < limit; i++ {
 		if tasks[i].needsAllocation() {
 			indices = append(indices, i)
 		}
@@ -89,26 +91,26 @@
 
 // RemoveTask takes a task from the queue.
 func (q *Queue) RemoveTask(tasks []Task, index int) {
-	if index >= q.firstUnqueued {
-		q.putBackSkipped(tasks, index)
-		q.firstUnqueued = index + 1
+	if index >= q.firstNeverDequeued {
+		q.requeueSkipped(tasks, index)
+		q.firstNeverDequeued = index + 1
 	} else {
-		if position := slices.Index(q.putBack, int32(index)); position >= 0 {
-			q.putBack = slices.Delete(q.putBack, position, position+1)
+		if position := slices.Index(q.requeued, int32(index)); position >= 0 {
+			q.requeued = slices.Delete(q.requeued, position, position+1)
 		}
-		tasks[index].Queued = false
+		tasks[index].Requeued = false
 	}
-	for q.firstUnqueued < len(tasks) && !tasks[q.firstUnqueued].needsAllocation() {
-		q.firstUnqueued++
+	for q.firstNeverDequeued < len(tasks) && !tasks[q.firstNeverDequeued].needsAllocation() {
+		q.firstNeverDequeued++
 	}
 }
 
-// putBackSkipped queues the tasks before the given one that were never queued.
-func (q *Queue) putBackSkipped(tasks []Task, before int) {
-	for index := q.firstUnqueued; index < before; index++ {
-		if task := &tasks[index]; task.needsAllocation() && !task.Queued {
-			task.Queued = true
-			q.putBack = append(q.putBack, int32(index))
+// requeueSkipped queues the tasks before the given one that were never queued.
+func (q *Queue) requeueSkipped(tasks []Task, before int) {
+	for index := q.firstNeverDequeued; index < before; index++ {
+		if task := &tasks[index]; task.needsAllocation() && !task.Requeued {
+			task.Requeued = true
+			q.requeued = append(q.requeued, int32(index))
 		}
 	}
 }
--- a/internal/cluster/taskqueue/queue_test.go
+++ b/internal/cluster/taskqueue/queue_test.go
@@ -22,7 +22,7 @@
 			case task.Done:
 			case task.AllocationCount > 0 && rapid.Bool().Draw(t, "lost"):
 				task.AllocationCount = 0
-				queue.PutBackTask(tasks, index)
+				queue.RequeueTask(tasks, index)
 			case task.AllocationCount > 0:
 				task.AllocationCount, task.Done = 0, true
 				if queue.HoldsTask(tasks, index) {
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -30,9 +30,9 @@
 	StopsRequested bool // replicas were stopped for it; before that, it waits for machines
 }
 
-// QuotaKeptFrom reports whether the quota that comes free is kept from a job: replicas were stopped
+// QuotaWithheldFrom reports whether the quota that comes free is kept from a job: replicas were stopped
 // for a service that comes before it, or is of the same priority.
-func (t *Team) QuotaKeptFrom(job *Job) bool {
+func (t *Team) QuotaWithheldFrom(job *Job) bool {
 	recipient := t.Transfer.Recipient
 	return t.Transfer.StopsRequested && recipient != job && recipient.PriorityLevel <= job.PriorityLevel &&
 		(t.CPULimit > 0 || recipient.Spec.GPUs > 0 && job.Spec.GPUs > 0)
@@ -48,12 +48,12 @@
 
 // TaskHeadroom is how many more such tasks the team's limits allow.
 func (t *Team) TaskHeadroom(cpus, gpus float64) int {
-	return t.TaskHeadroomBeside(Resources{}, cpus, gpus)
+	return t.TaskHeadroomAfter(Resources{}, cpus, gpus)
 }
 
-// TaskHeadroomBeside is how many more such tasks the team's limits allow beside what is planned for
+// TaskHeadroomAfter is how many more such tasks the team's limits allow beside what is planned for
 // others.
-func (t *Team) TaskHeadroomBeside(planned Resources, cpus, gpus float64) int {
+func (t *Team) TaskHeadroomAfter(planned Resources, cpus, gpus float64) int {
 	const eps = 1e-9
 	tasks := math.MaxInt32
 	for _, quota := range []struct{ most, used, each float64 }{
@@ -86,9 +86,9 @@
 	}
 }
 
-// join takes an unfinished job in, in the order in which the team's jobs could start, which
+// addUnfinished takes an unfinished job in, in the order in which the team's jobs could start, which
 // is the order of their guarantees.
-func (t *Team) join(job *Job) {
+func (t *Team) addUnfinished(job *Job) {
 	t.unfinished = append(t.unfinished, job)
 	jobs := t.unfinished
 	for i := len(jobs) - 1; i > 0 && jobs[i-1].EligibleSince > jobs[i].EligibleSince; i-- {
@@ -96,8 +96,8 @@
 	}
 }
 
-// leaveTeam takes a job that is over, or handed back, from its team's unfinished ones.
-func (s *State) leaveTeam(job *Job) {
+// removeUnfinished takes a job that is over, or handed back, from its team's unfinished ones.
+func (s *State) removeUnfinished(job *Job) {
 	if job.Team == nil {
 		return
 	}
--- a/internal/controller/shard_machine_ages.go
+++ b/internal/controller/shard_machine_ages.go
@@ -17,7 +17,7 @@
 // the leader, or a value of the store does not hold them. This owner must say nothing more from
 // here on.
 func (o *ShardOwner) bequeathMachineAges() []wire.Change {
-	now, bequest := o.node.Now(), o.cluster.Bequeath()
+	now, bequest := o.node.Now(), o.cluster.ExportMachineHistory()
 	ages := shard.MachineAges{
 		SinceRenewal: agesOf(bequest.RenewedAt, now), IdleFor: agesOf(bequest.IdleSince, now),
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	started := o.cluster.TermStartedAt // after the transfer: the ages were reached by then
-	o.cluster.Inherited = cluster.Inherited{
+	o.cluster.PreviousTerm = cluster.MachineHistory{
 		RenewedAt: timesOf(ages.SinceRenewal, started), IdleSince: timesOf(ages.IdleFor, started),
 	}
 }
--- a/internal/controller/shard_machine_ages_test.go
+++ b/internal/controller/shard_machine_ages_test.go
@@ -44,7 +44,7 @@
 		{"the second loop", version, false},
 	} {
 		owner := begin(c.version)
-		at, inherits := owner.cluster.Inherited.RenewedAt["i-1"]
+		at, inherits := owner.cluster.PreviousTerm.RenewedAt["i-1"]
 		if inherits != c.inherits || inherits && at != owner.cluster.TermStartedAt-silentFor {
 			t.Errorf("%s: inherits %v, renewed at %v", c.name, inherits, at)
 		}
--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -52,7 +52,7 @@
 	delete(o.copies, job)
 	if progress.waits && !o.recalled[job] {
 		o.log.Info("job handed over", "job", job.Spec.ID, "done", job.DoneTasks)
-		o.cluster.ResumeTransferred(job, now)
+		o.cluster.ResumeScheduling(job, now)
 	}
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -110,7 +110,7 @@
 // processor time, else those that start work of the first priority or prove that the
 // machine is alive.
 func (d *Dispatcher) shouldDispatch(machine *cluster.Machine) bool {
-	if !d.overload.active || machine.WouldProveAlive(d.token.current) {
+	if !d.overload.active || machine.WouldProveLiveness(d.token.current) {
 		return true
 	}
 	for _, allocation := range machine.Allocations {
@@ -124,7 +124,7 @@
 
 // dispatch sends a machine its commands without waiting for its next heartbeat.
 func (d *Dispatcher) dispatch(machine *cluster.Machine, now micro.Time) {
-	unproven := machine.WouldProveAlive(d.token.current)
+	unproven := machine.WouldProveLiveness(d.token.current)
 	if machine.State != cluster.Up && !unproven || machine.Addr == "" {
 		return
 	}
--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -61,7 +61,7 @@
 		outcome == cluster.Stale && uint64(heartbeat.AgentEpoch) != machine.AgentEpoch {
 		return heartbeatResponse{}
 	}
-	if machine.WouldProveAlive(d.token.current) {
+	if machine.WouldProveLiveness(d.token.current) {
 		d.MarkPending(machine)
 	}
 	commands := d.commands(machine, false, now)
--- a/internal/persist/hand_over_test.go
+++ b/internal/persist/hand_over_test.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	host := newTestHost(testRole{})
 	host.cluster.EnableCompactRecords(2)
-	host.cluster.ContinuesJobs = true
+	host.cluster.HandoverSupported = true
 	job := host.addJob(4)
 	first := &cluster.ChunkRecord{Done: [][2]int{{0, 0}, {3, 3}}}
 	host.putFirstForm(t, first)
--- a/internal/scheduler/allocation.go
+++ b/internal/scheduler/allocation.go
@@ -101,7 +101,7 @@
 	if transfer := &team.Transfer; transfer.StopsRequested && transfer.Recipient == job {
 		return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, job.PendingTasks()) // whole, or not yet
 	}
-	if team.QuotaKeptFrom(job) {
+	if team.QuotaWithheldFrom(job) {
 		return false
 	}
 	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > highestPriorityLevel &&
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -47,8 +47,8 @@
 // machinesOf gives the machines of a pool, row by row.
 func machinesOf(pool *cluster.MachinePool) iter.Seq[*cluster.Machine] {
 	return func(yield func(*cluster.Machine) bool) {
-		for row := range pool.Rows() {
-			for _, machine := range pool.Row(row) {
+		for row := range pool.BucketCount() {
+			for _, machine := range pool.Bucket(row) {
 				if !yield(machine) {
 					return
 				}
@@ -61,8 +61,8 @@
 // are.
 func machinesWithCapacity(pool *cluster.MachinePool, request resources) iter.Seq[*cluster.Machine] {
 	return func(yield func(*cluster.Machine) bool) {
-		for row := firstRowFor(request); row < pool.Rows(); row++ {
-			for _, machine := range pool.Row(row) {
+		for row := firstRowFor(request); row < pool.BucketCount(); row++ {
+			for _, machine := range pool.Bucket(row) {
 				if fits(request, machine, nil, resources{}) && !yield(machine) {
 					return
 				}
@@ -83,7 +83,7 @@
 	job := placement.job
 	for _, pool := range s.Cluster.Pools {
 		request := requestOn(&job.Spec, pool.Type)
-		if firstRowFor(request) >= pool.Rows() || !isCandidatePool(job, pool, placement.zone) {
+		if firstRowFor(request) >= pool.BucketCount() || !isCandidatePool(job, pool, placement.zone) {
 			continue
 		}
 		rank := s.rankPool(&job.Spec, pool, placement.preferOnDemand)
@@ -135,8 +135,8 @@
 	placement *placementRequest, pool *cluster.MachinePool, request resources,
 ) candidate {
 	var best candidate
-	for row := firstRowFor(request); row < pool.Rows(); row++ {
-		s.considerRow(placement, pool.Row(row), request, &best)
+	for row := firstRowFor(request); row < pool.BucketCount(); row++ {
+		s.considerRow(placement, pool.Bucket(row), request, &best)
 		if best.machine != nil && (best.hasImage || !best.wholeMachine) {
 			break
 		}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -143,9 +143,9 @@
 			continue
 		}
 		request := requestOn(&plan.job.Spec, pool.Type)
-		start := s.Rand.IntN(pool.Rows())
-		for k := range pool.Rows() {
-			if !s.searchRow(plan, pool.Row((start+k)%pool.Rows()), request, &search) {
+		start := s.Rand.IntN(pool.BucketCount())
+		for k := range pool.BucketCount() {
+			if !s.searchRow(plan, pool.Bucket((start+k)%pool.BucketCount()), request, &search) {
 				return search.machine, search.victims
 			}
 		}
--- a/internal/scheduler/quota_transfer.go
+++ b/internal/scheduler/quota_transfer.go
@@ -171,7 +171,7 @@
 // mayReceive reports whether a service would have all its replicas placed if it had the quota.
 func (s *Scheduler) mayReceive(job *cluster.Job, now micro.Time) bool {
 	pending := job.PendingTasks()
-	return now >= s.transferRecords[job].nextTransferAt && !job.FailsUnproven(now) &&
+	return now >= s.transferRecords[job].nextTransferAt && !job.FailedWithoutSuccess(now) &&
 		job.SchedulableTasks(now) >= pending && len(job.NextTasks(now, pending)) == pending &&
 		len(s.reachableReplicas(job)) == job.AllocationCount
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -154,8 +154,8 @@
 		if pool.Type.GPUs == 0 {
 			continue
 		}
-		for row := int(pool.Type.CPUs / 2); row < pool.Rows(); row++ {
-			for _, m := range pool.Row(row) {
+		for row := int(pool.Type.CPUs / 2); row < pool.BucketCount(); row++ {
+			for _, m := range pool.Bucket(row) {
 				m.EachImage(func(name string) { images[name] = true })
 			}
 		}
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -69,7 +69,7 @@
 	var jobs []*cluster.Job
 	for job := range c.Cluster.PendingJobs {
 		// One that was taken back with its shard is the leader's, and its former assignment still stored.
-		if c.assignedJobs[job.Spec.ID] == nil && c.Cluster.MayChangeHands(job) {
+		if c.assignedJobs[job.Spec.ID] == nil && c.Cluster.CanTransfer(job) {
 			jobs = append(jobs, job)
 		}
 	}
--- a/internal/shard/coordinator/events.go
+++ b/internal/shard/coordinator/events.go
@@ -50,7 +50,7 @@
 			e.coordinator.withdrawAnnouncement(node, e.announced)
 		}
 	}
-	e.coordinator.Cluster.ContinuesJobs = e.coordinator.allContinueJobs()
+	e.coordinator.Cluster.HandoverSupported = e.coordinator.allContinueJobs()
 }
 
 // withdrawAnnouncement deletes what a controller announced that has a session without it now: it runs
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -290,12 +290,12 @@
 		site.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.ContinueFeature}})
 		site.setFeatures("n-1")
 		site.sleep(5 * micro.Second)
-		if site.leader.Cluster.ContinuesJobs {
+		if site.leader.Cluster.HandoverSupported {
 			t.Fatal("it does not say so in its session")
 		}
 		site.commit(wire.Change{Delete: shard.SessionKey("n-1")})
 		site.sleep(5 * micro.Second)
-		if site.leader.Cluster.ContinuesJobs {
+		if site.leader.Cluster.HandoverSupported {
 			t.Error("jobs that had allocations change hands, though the last session of n-1 did not announce it")
 		}
 	})
--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -34,7 +34,7 @@
 
 // recallWaitingJobs recalls jobs that wait in a shard: there may be capacity elsewhere.
 func (c *Coordinator) recallWaitingJobs(shardName string, waiting []string, now micro.Time) {
-	if !c.Cluster.ContinuesJobs {
+	if !c.Cluster.HandoverSupported {
 		return // the owner could not follow
 	}
 	for _, id := range waiting {
--- a/internal/shard/coordinator/serving_review.go
+++ b/internal/shard/coordinator/serving_review.go
@@ -61,7 +61,7 @@
 	if c.table().Len() == 0 || len(c.Cluster.CatalogOrder) == 0 {
 		return nil
 	}
-	return DivideCatalog(c.Cluster.CatalogOrder, c.table(), c.Cluster.ContinuesJobs)
+	return DivideCatalog(c.Cluster.CatalogOrder, c.table(), c.Cluster.HandoverSupported)
 }
 
 // pendingJobs lists the jobs that wait at the leader.
--- a/internal/shard/update/update.go
+++ b/internal/shard/update/update.go
@@ -131,8 +131,8 @@
 
 // countFreeCapacity adds the machines of a pool that take tasks, by what is free on them.
 func countFreeCapacity(pool *cluster.MachinePool, counts map[capacityKey]int, now micro.Time) {
-	for row := range pool.Rows() {
-		for _, machine := range pool.Row(row) {
+	for row := range pool.BucketCount() {
+		for _, machine := range pool.Bucket(row) {
 			if machine.Schedulable(now) && machine.ReservedFor == nil {
 				counts[capacityOf(pool, machine)]++
 			}
