--- a/internal/scheduler/best_effort_test.go
+++ b/internal/scheduler/best_effort_test.go
@@ -150,14 +150,14 @@
 
 // However many classes starve, one machine in sixteen is held for them at most beside
 // those, as many again, that are being gathered.
-func TestReservedMachinesAreBoundedForManyStarvedClasses(t *testing.T) {
+func TestReservedMachinesAreBoundedWhenManyClassesStarve(t *testing.T) {
 	if scenario := runBestEffortScenario(t, 5*micro.Minute, 4, nil); scenario.maxReserved == 0 ||
 		scenario.maxReserved > 2*bestEffortMachines/reservedFleetDivisor {
 		t.Errorf("%d machines were held at a time", scenario.maxReserved)
 	}
 }
 
-func TestTeamWithoutGuaranteeGetsNothingWithoutStarvationReservations(t *testing.T) {
+func TestTeamWithoutGuaranteeIsNotServedWithoutStarvationReservations(t *testing.T) {
 	scenario := runBestEffortScenario(
 		t, 5*micro.Minute, 0, func(scheduler *Scheduler) { scheduler.Properties.StarvationAfter = PlanningHorizon },
 	)
--- a/internal/scheduler/decisions_test.go
+++ b/internal/scheduler/decisions_test.go
@@ -43,10 +43,10 @@
 	state     *cluster.State
 	scheduler *Scheduler
 	now       micro.Time
-	out       hash.Hash
+	digest    hash.Hash
 	jobs      []*cluster.Job // in the order of their submission
 	sequence  wire.Count
-	seen      *decisionCoverage
+	coverage  *decisionCoverage
 }
 
 // decisionCoverage counts what the clusters have shown, so that the digest cannot become one
@@ -61,7 +61,7 @@
 
 func newDecisionScenario(seed uint64, out hash.Hash, seen *decisionCoverage) *decisionScenario {
 	scenario := &decisionScenario{
-		rng: rand.New(rand.NewPCG(seed, 11)), now: 1000 * micro.Second, out: out, seen: seen,
+		rng: rand.New(rand.NewPCG(seed, 11)), now: 1000 * micro.Second, digest: out, coverage: seen,
 	}
 	scenario.state = cluster.New(decisionEffects{scenario: scenario})
 	scenario.state.LeaseDuration = 30 * micro.Second
@@ -150,7 +150,7 @@
 		Image: pick(d.rng, "image-0", "image-1", "image-2"), ImageGB: float64(d.rng.IntN(12)),
 		Spot: d.rng.IntN(2) == 0, EstimateS: float64(5 + d.rng.IntN(150)),
 	}
-	d.shape(&spec)
+	d.setClassAndRequest(&spec)
 	if d.rng.IntN(2) == 0 {
 		spec.CheckpointIntervalS, spec.CheckpointDurationS = float64(5+d.rng.IntN(30)), float64(1+d.rng.IntN(6))
 	}
@@ -161,8 +161,8 @@
 	d.jobs = append(d.jobs, d.state.AddJob(spec, d.now-waited, d.now))
 }
 
-// shape gives a job of some kind its class, its tasks and what they ask for.
-func (d *decisionScenario) shape(spec *wire.Job) {
+// setClassAndRequest gives a job of some kind its class, its tasks and what they ask for.
+func (d *decisionScenario) setClassAndRequest(spec *wire.Job) {
 	switch spec.Kind {
 	case wire.Gang:
 		spec.Class, spec.Tasks = "training", 1+d.rng.IntN(6)
@@ -191,20 +191,20 @@
 	}
 }
 
-// pass lets the cluster change, looks for capacity once and records what was decided.
-func (d *decisionScenario) pass() {
+// runPass lets the cluster change, looks for capacity once and records what was decided.
+func (d *decisionScenario) runPass() {
 	d.now += decisionStep
 	d.heartbeats()
 	for range d.rng.IntN(3) {
 		d.submit()
 	}
-	d.disturb()
+	d.injectRandomFault()
 	d.scheduler.Overloaded = d.rng.IntN(3) == 0
 	placed := d.scheduler.Schedule(d.now)
 	if d.scheduler.sampling {
-		d.seen.sampledPasses++
+		d.coverage.sampledPasses++
 	}
-	d.seen.overloadedPasses += count(len(d.scheduler.overloadedClasses()) > 0)
+	d.coverage.overloadedPasses += boolToInt(len(d.scheduler.overloadedClasses()) > 0)
 	d.record("pass", d.now, placed, d.scheduler.MachinesExamined)
 	d.recordMachines()
 	d.recordTeams()
@@ -252,8 +252,8 @@
 	return status
 }
 
-// disturb changes the state of a machine now and then.
-func (d *decisionScenario) disturb() {
+// injectRandomFault changes the state of a machine now and then.
+func (d *decisionScenario) injectRandomFault() {
 	machines := d.state.SortedMachines()
 	machine := machines[d.rng.IntN(len(machines))]
 	switch d.rng.IntN(8) {
@@ -271,16 +271,16 @@
 }
 
 // record adds a line to what the digest is made of.
-func (d *decisionScenario) record(values ...any) { d.out.Write(fmt.Appendln(nil, values...)) }
+func (d *decisionScenario) record(values ...any) { d.digest.Write(fmt.Appendln(nil, values...)) }
 
 func (d *decisionScenario) recordMachines() {
 	for _, machine := range d.state.SortedMachines() {
 		holder := ""
 		if machine.ReservedFor != nil {
 			holder = machine.ReservedFor.Spec.ID
-			d.seen.reservations++
+			d.coverage.reservations++
 			if machine.StarvationReservation {
-				d.seen.starvationReservations++
+				d.coverage.starvationReservations++
 			}
 		}
 		d.record(
@@ -305,27 +305,27 @@
 		"allocation", allocation.TaskName, allocation.Attempt, allocation.Machine.Name, allocation.PlannedAt,
 		allocation.Stopping, allocation.StopRequestedAt, reason, allocation.GraceS, allocation.LastResort,
 	)
-	d.seen.add(allocation, d.now, gangPreempted)
+	d.coverage.add(allocation, d.now, gangPreempted)
 }
 
 // add counts a new allocation, or one that is preempted since this pass.
 func (c *decisionCoverage) add(allocation *cluster.Allocation, now micro.Time, gangPreempted bool) {
 	if allocation.Stopping && allocation.StopRequestedAt == now {
-		c.preemptions += count(strings.HasPrefix(allocation.StopReason, "preempted"))
-		c.preemptedGangs += count(gangPreempted)
+		c.preemptions += boolToInt(strings.HasPrefix(allocation.StopReason, "preempted"))
+		c.preemptedGangs += boolToInt(gangPreempted)
 	}
 	if allocation.PlannedAt != now {
 		return
 	}
 	spec, machine := &allocation.Job.Spec, allocation.Machine
 	c.allocations++
-	c.gangs += count(spec.Kind == wire.Gang)
-	c.services += count(spec.Kind == wire.Service)
-	c.spread += count(spec.Spread)
-	c.onSpot += count(machine.Spot)
-	c.onDemand += count(!machine.Spot)
-	c.onGPU += count(spec.GPUs > 0)
-	c.lastResort += count(allocation.LastResort)
+	c.gangs += boolToInt(spec.Kind == wire.Gang)
+	c.services += boolToInt(spec.Kind == wire.Service)
+	c.spread += boolToInt(spec.Spread)
+	c.onSpot += boolToInt(machine.Spot)
+	c.onDemand += boolToInt(!machine.Spot)
+	c.onGPU += boolToInt(spec.GPUs > 0)
+	c.lastResort += boolToInt(allocation.LastResort)
 }
 
 func (d *decisionScenario) recordTeams() {
@@ -334,7 +334,7 @@
 		holder := ""
 		if team.QuotaReservedFor != nil {
 			holder = team.QuotaReservedFor.Spec.ID
-			d.seen.quotaReservations++
+			d.coverage.quotaReservations++
 		}
 		d.record("team", name, holder, team.QuotaReservedAt, team.QuotaReservableAfter, team.LastPlacedAt)
 	}
@@ -349,7 +349,7 @@
 		if d.state.ActiveJobs[job] && (job.PendingTasks() > 0 || job.GangStopping) {
 			reason := d.scheduler.ExplainPending(job, d.now)
 			d.record("pending", job.Spec.ID, uint8(reason), job.Throttled, job.WithinGuarantee, job.WaitingSince)
-			d.seen.reasons[reason]++
+			d.coverage.reasons[reason]++
 		}
 	}
 }
@@ -357,7 +357,7 @@
 // pick chooses one of several values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-func count(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
@@ -367,13 +367,13 @@
 // The scheduler's code is changed in shape now and then, and must decide as before: each
 // allocation, preemption, reservation and pending reason on some hundred random
 // clusters, and each random number drawn, is in the digest.
-func TestDecisionsOnRandomClustersStay(t *testing.T) {
+func TestDecisionsOnRandomClustersMatchRecordedDigest(t *testing.T) {
 	digest := fnv.New64a()
 	seen := &decisionCoverage{}
 	for seed := range uint64(decisionClusters) {
 		scenario := newDecisionScenario(seed, digest, seen)
 		for range decisionPasses {
-			scenario.pass()
+			scenario.runPass()
 		}
 		scenario.record("cluster", seed, scenario.scheduler.Rand.Uint64())
 	}
--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -31,7 +31,7 @@
 	scheduler       *Scheduler
 	agents          []*fake.Agent
 	now             micro.Time
-	token           uint64
+	fencingToken    uint64
 	schedulePending bool
 	dirtyChunks     map[*cluster.TaskChunk]bool
 	stateSince      map[string]micro.Time // when a task on an agent began its present state
@@ -55,7 +55,7 @@
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
 	t.Helper()
 	sim := &simulation{
-		t: t, now: 1000 * micro.Second, token: 1, dirtyChunks: map[*cluster.TaskChunk]bool{},
+		t: t, now: 1000 * micro.Second, fencingToken: 1, dirtyChunks: map[*cluster.TaskChunk]bool{},
 		stateSince: map[string]micro.Time{}, failsAfter: micro.Second, starts: map[string]int{}, writes: map[string]int{},
 		lastStartedAt: map[string]micro.Time{}, quarantineTime: map[string]micro.Time{},
 	}
@@ -107,7 +107,7 @@
 func (s *simulation) step() {
 	s.now += simulatedStep
 	if s.now%micro.Second == 0 {
-		s.token++
+		s.fencingToken++
 		s.schedulePending = true
 	}
 	for i, agent := range s.agents {
@@ -169,8 +169,8 @@
 	if outcome != cluster.Applied {
 		s.t.Fatalf("%s: not taken", agent.Name)
 	}
-	commands := wire.Commands{FencingToken: wire.Count(s.token), Items: s.cluster.Commands(m, s.token, false, s.now)}
-	s.cluster.ResponseSent(m, s.token)
+	commands := wire.Commands{FencingToken: wire.Count(s.fencingToken), Items: s.cluster.Commands(m, s.fencingToken, false, s.now)}
+	s.cluster.ResponseSent(m, s.fencingToken)
 	agent.HandleResponse(commands, s.now)
 }
 
@@ -239,7 +239,7 @@
 // machine that is really faulty. Before a job has failed on three machines it looks
 // like one that met a faulty machine, and two of them had failed on each machine by
 // then: all machines were avoided at once, and good work with them.
-func TestHundredsOfJobsThatFailEverywhere(t *testing.T) {
+func TestJobsFailingEverywhereDoNotDelayHealthyJobs(t *testing.T) {
 	const (
 		machines     = 40
 		failingCount = 300
@@ -366,7 +366,7 @@
 
 // On two machines a job never fails on three: an array went on without end, as
 // fast as its tasks failed.
-func TestArrayThatFailsOnTheOnlyTwoMachinesIsRetriedSeldom(t *testing.T) {
+func TestArrayThatFailsOnTheOnlyTwoMachinesIsThrottled(t *testing.T) {
 	sim := newSimulation(t, 2, 0)
 	job := sim.submitArray(failingJobs+"001", 5000)
 	sim.runFor(5 * micro.Minute)
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestNoGPUHeadroomWhereACheckpointCanBeAwaited(t *testing.T) {
+func TestNoGPUHeadroomIsKeptForJobsThatCanWaitForACheckpoint(t *testing.T) {
 	scheduler, idle := newGPUCluster(t, startWithinTwoMinutes)
 	scheduler.Schedule(testNow)
 	if got := freeGPUMachines(scheduler); got != 0 {
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -38,8 +38,10 @@
 	p.tasksByZone[m.Zone]++
 }
 
-// uses reports whether tasks are planned on a machine.
-func (p *allocationPlan) uses(m *cluster.Machine) bool { return len(p.taken) > 0 && p.taken[m] != nil }
+// includes reports whether tasks are planned on a machine.
+func (p *allocationPlan) includes(m *cluster.Machine) bool {
+	return len(p.taken) > 0 && p.taken[m] != nil
+}
 
 // firstRowFor is the first of a pool's rows whose machines may have capacity for a request.
 func firstRowFor(request resources) int { return int(request.ScaledCPU - eps) }
@@ -152,7 +154,7 @@
 	for k := range count {
 		machine := machines[(offset+k)%len(machines)]
 		s.MachinesExamined++
-		if !fits(request, machine, nil, resources{}) || placement.plan.uses(machine) ||
+		if !fits(request, machine, nil, resources{}) || placement.plan.includes(machine) ||
 			!s.mayUse(placement.job, machine, placement.now) {
 			continue
 		}
--- a/internal/scheduler/pending_reason_test.go
+++ b/internal/scheduler/pending_reason_test.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-func TestExplainPending(t *testing.T) {
+func TestExplainPendingReturnsFirstApplicableReason(t *testing.T) {
 	now := 10 * micro.Second
 	for _, test := range []struct {
 		want PendingReason
--- a/internal/scheduler/quota_shortage.go
+++ b/internal/scheduler/quota_shortage.go
@@ -48,8 +48,8 @@
 
 func (q *quotaShortage) covered() bool { return q.cpus <= eps && q.gpus <= eps }
 
-// coveredWithout reports whether a replica would give nothing of what is missing.
-func (q *quotaShortage) coveredWithout(spec *wire.Job) bool {
+// unaffectedBy reports whether a replica would give nothing of what is missing.
+func (q *quotaShortage) unaffectedBy(spec *wire.Job) bool {
 	return (q.cpus <= eps || spec.CPUs <= 0) && (q.gpus <= eps || spec.GPUs <= 0)
 }
 
@@ -58,8 +58,8 @@
 	q.gpus -= spec.GPUs
 }
 
-// putBack takes out a replica without which enough is given, and reports whether it did.
-func (q *quotaShortage) putBack(allocation *cluster.Allocation) bool {
+// dropIfUnneeded takes out a replica without which enough is given, and reports whether it did.
+func (q *quotaShortage) dropIfUnneeded(allocation *cluster.Allocation) bool {
 	spec := &allocation.Job.Spec
 	rest := quotaShortage{q.cpus + spec.CPUs, q.gpus + spec.GPUs}
 	if !rest.covered() {
--- a/internal/scheduler/quota_transfer.go
+++ b/internal/scheduler/quota_transfer.go
@@ -39,10 +39,10 @@
 
 // transferRecord is what came of the transfers to a service so far.
 type transferRecord struct {
-	failures        int
-	nextMachinesAt  micro.Time // no machines are requested before
-	nextTransferAt  micro.Time // no replicas are stopped before
-	machinesRefused bool       // none came up for it the last time
+	failures            int
+	nextMachinesAt      micro.Time // no machines are requested before
+	nextTransferAt      micro.Time // no replicas are stopped before
+	machinesUnavailable bool       // none came up for it the last time
 }
 
 // serviceRank orders the services of a team: by priority, then those that have replicas, then by age.
@@ -73,7 +73,7 @@
 	s.stoppingQuota = s.countStoppingQuota()
 	for _, services := range teams {
 		if !services[0].Team.Transfer.StopsRequested {
-			s.transferWithin(services, now)
+			s.transferWithinTeam(services, now)
 		}
 	}
 }
@@ -101,8 +101,8 @@
 		!job.Team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, job.PendingTasks())
 }
 
-// transferWithin begins a transfer among a team's services, to those of the highest priority first.
-func (s *Scheduler) transferWithin(services []*cluster.Job, now micro.Time) {
+// transferWithinTeam begins a transfer among a team's services, to those of the highest priority first.
+func (s *Scheduler) transferWithinTeam(services []*cluster.Job, now micro.Time) {
 	for rest := services; len(rest) > 0; {
 		level := rest[0].PriorityLevel
 		count := slices.IndexFunc(rest, func(job *cluster.Job) bool { return job.PriorityLevel != level })
@@ -176,10 +176,10 @@
 		len(s.reachableReplicas(job)) == job.AllocationCount
 }
 
-// mayGive reports whether a service that waits may have replicas stopped for another one: one of
+// mayDonate reports whether a service that waits may have replicas stopped for another one: one of
 // higher priority, or one of the same that has begun. Of the same priority, one that comes before
 // the other gives only if it was passed over, or no machines came up for it.
-func (s *Scheduler) mayGive(donor, recipient *cluster.Job, passedOver map[*cluster.Job]bool) bool {
+func (s *Scheduler) mayDonate(donor, recipient *cluster.Job, passedOver map[*cluster.Job]bool) bool {
 	switch {
 	case donor == recipient || donor.AllocationCount == 0:
 		return false
@@ -188,13 +188,13 @@
 	case recipient.AllocationCount == 0 || donor.Team.Transfer.Recipient == donor:
 		return false
 	}
-	return serviceRank(recipient, donor) < 0 || passedOver[donor] || s.transferRecords[donor].machinesRefused
+	return serviceRank(recipient, donor) < 0 || passedOver[donor] || s.transferRecords[donor].machinesUnavailable
 }
 
 // plannedTransfer is what is to be stopped so that a service becomes whole, and the machines for it.
 type plannedTransfer struct {
 	recipient *cluster.Job
-	stopped   []*cluster.Allocation
+	toStop    []*cluster.Allocation
 	machines  []*cluster.Machine
 	now       micro.Time
 }
@@ -210,22 +210,22 @@
 	missing := s.missingQuota(recipient)
 	transfer := &plannedTransfer{recipient: recipient, now: now}
 	for _, donor := range slices.Backward(services) {
-		if !s.waitedForQuota(donor, now) || !s.mayGive(donor, recipient, passedOver) {
+		if !s.waitedForQuota(donor, now) || !s.mayDonate(donor, recipient, passedOver) {
 			continue
 		}
 		for _, allocation := range s.reachableReplicas(donor) {
-			if missing.coveredWithout(&donor.Spec) {
+			if missing.unaffectedBy(&donor.Spec) {
 				break
 			}
 			missing.subtract(&donor.Spec)
-			transfer.stopped = append(transfer.stopped, allocation)
+			transfer.toStop = append(transfer.toStop, allocation)
 		}
 	}
-	if !missing.covered() || len(transfer.stopped) == 0 {
+	if !missing.covered() || len(transfer.toStop) == 0 {
 		return nil
 	}
-	slices.Reverse(transfer.stopped) // what comes first is put back first
-	transfer.stopped = slices.DeleteFunc(transfer.stopped, missing.putBack)
+	slices.Reverse(transfer.toStop) // what comes first is put back first
+	transfer.toStop = slices.DeleteFunc(transfer.toStop, missing.dropIfUnneeded)
 	return transfer
 }
 
@@ -264,7 +264,7 @@
 	}
 	transfer.machines = s.planGang(&placement, count, s.relaxationLimit(job, now))
 	for len(transfer.machines) < count {
-		machine := s.machineOfStopped(transfer, &placement)
+		machine := s.machineFreedByStops(transfer, &placement)
 		if machine == nil {
 			return s.couldPreempt(&placement, count-len(transfer.machines))
 		}
@@ -274,17 +274,17 @@
 	return true
 }
 
-// machineOfStopped finds a machine that has capacity for one more replica once those planned to
+// machineFreedByStops finds a machine that has capacity for one more replica once those planned to
 // stop there have.
-func (s *Scheduler) machineOfStopped(transfer *plannedTransfer, placement *placementRequest) *cluster.Machine {
+func (s *Scheduler) machineFreedByStops(transfer *plannedTransfer, placement *placementRequest) *cluster.Machine {
 	job := transfer.recipient
 	freed := map[*cluster.Machine]resources{}
-	for _, allocation := range transfer.stopped {
+	for _, allocation := range transfer.toStop {
 		onMachine := freed[allocation.Machine]
 		onMachine.Add(allocatedResources(allocation), 1)
 		freed[allocation.Machine] = onMachine
 	}
-	for _, allocation := range transfer.stopped {
+	for _, allocation := range transfer.toStop {
 		machine := allocation.Machine
 		if machine.Type == nil || placement.zone != "" && placement.zone != machine.Zone ||
 			!Allowed(&job.Spec, machine.Type, machine.Zone, machine.Spot) ||
@@ -316,7 +316,7 @@
 // startQuotaTransfer stops the replicas that were chosen. What comes free is kept for the service.
 func (s *Scheduler) startQuotaTransfer(transfer *plannedTransfer) {
 	job, now := transfer.recipient, transfer.now
-	for _, allocation := range transfer.stopped {
+	for _, allocation := range transfer.toStop {
 		grace := min(s.checkpointGrace(&allocation.Job.Spec, job), maxTransferGraceS)
 		s.Cluster.StopAllocation(allocation, "quota for "+job.Spec.ID, grace, now)
 	}
@@ -327,7 +327,7 @@
 	}
 	job.Team.Transfer = cluster.QuotaTransfer{Recipient: job, Since: now, StopsRequested: true}
 	s.Cluster.Log(
-		"quota transfer", "job", job.Spec.ID, "replicas", job.PendingTasks(), "stopped", len(transfer.stopped),
+		"quota transfer", "job", job.Spec.ID, "replicas", job.PendingTasks(), "stopped", len(transfer.toStop),
 		"reason", "services in part hold the team's limit",
 	)
 }
@@ -341,7 +341,7 @@
 		case recipient.State != cluster.Active || recipient.PendingTasks() == 0:
 			team.Transfer = cluster.QuotaTransfer{}
 		case now-team.Transfer.Since > s.quotaTransferTTL(&team.Transfer):
-			s.quotaTransferFailed(&team.Transfer, now)
+			s.recordTransferFailure(&team.Transfer, now)
 			team.Transfer = cluster.QuotaTransfer{}
 		}
 	}
@@ -368,8 +368,8 @@
 	return longest
 }
 
-// quotaTransferFailed puts off the next transfer to a service that did not become whole.
-func (s *Scheduler) quotaTransferFailed(transfer *cluster.QuotaTransfer, now micro.Time) {
+// recordTransferFailure puts off the next transfer to a service that did not become whole.
+func (s *Scheduler) recordTransferFailure(transfer *cluster.QuotaTransfer, now micro.Time) {
 	if s.transferRecords == nil {
 		s.transferRecords = map[*cluster.Job]transferRecord{}
 	}
@@ -380,7 +380,7 @@
 	if transfer.StopsRequested {
 		record.nextTransferAt = next
 	} else {
-		record.machinesRefused = true
+		record.machinesUnavailable = true
 	}
 	s.transferRecords[transfer.Recipient] = record
 	s.Cluster.Log("quota transfer", "job", transfer.Recipient.Spec.ID, "reason", "not whole in time")
--- a/internal/scheduler/quota_transfer_test.go
+++ b/internal/scheduler/quota_transfer_test.go
@@ -57,8 +57,8 @@
 	qc.state.TransitionMachine(machine, cluster.Up, "heartbeat")
 }
 
-// service submits a service some of whose replicas run already, on the first machines that have capacity.
-func (qc *quotaCluster) service(priority wire.Priority, replicas, running int, spec wire.Job) *cluster.Job {
+// submitService submits a submitService some of whose replicas run already, on the first machines that have capacity.
+func (qc *quotaCluster) submitService(priority wire.Priority, replicas, running int, spec wire.Job) *cluster.Job {
 	spec.ID, spec.Team, spec.Class = fmt.Sprint("j-", 1000+len(qc.services)), "team", "c"
 	spec.Kind, spec.Priority, spec.Tasks = wire.Service, priority, replicas
 	job := qc.state.AddJob(spec, qc.now-micro.Minute+micro.Time(len(qc.services)), qc.now)
@@ -78,15 +78,15 @@
 	return job
 }
 
-// run lets time go by. Each second all machines report: what is to stop is over, all else runs.
-func (qc *quotaCluster) run(span micro.Time) {
+// runFor lets time go by. Each second all machines report: what is to stop is over, all else runs.
+func (qc *quotaCluster) runFor(span micro.Time) {
 	qc.tb.Helper()
 	for end := qc.now + span; qc.now < end; {
 		qc.now += micro.Second
 		qc.heartbeats()
-		whole := qc.wholeServices()
+		whole := qc.fullyPlacedServices()
 		qc.scheduler.Schedule(qc.now)
-		qc.checkStops(whole)
+		qc.countStops(whole)
 		if !qc.team.WithinLimit(0, 0, 0) {
 			qc.tb.Fatalf("%v CPUs and %v GPUs are used", qc.team.UsedCPU, qc.team.UsedGPU)
 		}
@@ -129,9 +129,9 @@
 	qc.state.Reconcile(heartbeat, cluster.FromHeartbeat, qc.now)
 }
 
-// checkStops counts the replicas that were stopped in this pass, and fails if a whole service was
+// countStops counts the replicas that were stopped in this pass, and fails if a whole service was
 // among those that gave them.
-func (qc *quotaCluster) checkStops(whole map[*cluster.Job]bool) {
+func (qc *quotaCluster) countStops(whole map[*cluster.Job]bool) {
 	qc.tb.Helper()
 	for _, job := range qc.services {
 		for _, allocation := range job.Allocations() {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (qc *quotaCluster) wholeServices() map[*cluster.Job]bool {
+func (qc *quotaCluster) fullyPlacedServices() map[*cluster.Job]bool {
 	whole := map[*cluster.Job]bool{}
 	for _, job := range qc.services {
 		if job.State == cluster.Active && job.PendingTasks() == 0 {
@@ -196,61 +196,61 @@
 }{
 	{"of one priority, the first become whole", 4, 0, func(qc *quotaCluster) {
 		for range 4 {
-			qc.service(wire.Normal, 2, 1, oneCPU)
+			qc.submitService(wire.Normal, 2, 1, oneCPU)
 		}
 	}, []int{2, 2, 0, 0}, 2},
 	{"the most urgent comes first, though it came last", 4, 0, func(qc *quotaCluster) {
-		qc.service(wire.Low, 2, 1, oneCPU)
-		qc.service(wire.Normal, 2, 1, oneCPU)
-		qc.service(wire.Normal, 2, 1, oneCPU)
-		qc.service(wire.Production, 2, 1, oneCPU)
+		qc.submitService(wire.Low, 2, 1, oneCPU)
+		qc.submitService(wire.Normal, 2, 1, oneCPU)
+		qc.submitService(wire.Normal, 2, 1, oneCPU)
+		qc.submitService(wire.Production, 2, 1, oneCPU)
 	}, []int{0, 2, 0, 2}, 2},
 	{"an urgent one that has not begun", 4, 0, func(qc *quotaCluster) {
 		for range 4 {
-			qc.service(wire.Low, 2, 1, oneCPU)
+			qc.submitService(wire.Low, 2, 1, oneCPU)
 		}
-		qc.service(wire.High, 2, 0, oneCPU)
+		qc.submitService(wire.High, 2, 0, oneCPU)
 	}, []int{2, 0, 0, 0, 2}, 3},
 	{"mixed sizes", 8, 0, func(qc *quotaCluster) {
-		qc.service(wire.Normal, 3, 1, twoCPUs)
-		qc.service(wire.Normal, 2, 1, threeCPUs)
-		qc.service(wire.Normal, 4, 3, oneCPU)
+		qc.submitService(wire.Normal, 3, 1, twoCPUs)
+		qc.submitService(wire.Normal, 2, 1, threeCPUs)
+		qc.submitService(wire.Normal, 4, 3, oneCPU)
 	}, []int{3, 0, 2}, 2},
 	{"no more than it takes, of the last", 10, 0, func(qc *quotaCluster) {
-		qc.service(wire.High, 2, 1, fourCPUs)
-		qc.service(wire.Normal, 2, 1, threeCPUs)
-		qc.service(wire.Normal, 2, 1, twoCPUs)
-		qc.service(wire.Low, 2, 1, oneCPU)
+		qc.submitService(wire.High, 2, 1, fourCPUs)
+		qc.submitService(wire.Normal, 2, 1, threeCPUs)
+		qc.submitService(wire.Normal, 2, 1, twoCPUs)
+		qc.submitService(wire.Low, 2, 1, oneCPU)
 	}, []int{2, 0, 1, 0}, 2},
 	{"GPUs", 0, 4, func(qc *quotaCluster) {
-		qc.service(wire.Normal, 2, 1, twoGPUs)
-		qc.service(wire.Normal, 2, 1, oneGPU)
-		qc.service(wire.Normal, 2, 1, oneGPU)
+		qc.submitService(wire.Normal, 2, 1, twoGPUs)
+		qc.submitService(wire.Normal, 2, 1, oneGPU)
+		qc.submitService(wire.Normal, 2, 1, oneGPU)
 	}, []int{2, 0, 0}, 2},
 	{"GPUs, beside services without", 16, 2, func(qc *quotaCluster) {
-		qc.service(wire.Normal, 2, 1, oneGPU)
-		qc.service(wire.Normal, 2, 1, oneGPU)
-		qc.service(wire.Low, 4, 4, oneCPU)
+		qc.submitService(wire.Normal, 2, 1, oneGPU)
+		qc.submitService(wire.Normal, 2, 1, oneGPU)
+		qc.submitService(wire.Low, 4, 4, oneCPU)
 	}, []int{2, 0, 4}, 1},
 	{"spread over zones", 4, 0, func(qc *quotaCluster) {
 		for range 4 {
-			qc.service(wire.Normal, 2, 1, spread)
+			qc.submitService(wire.Normal, 2, 1, spread)
 		}
 	}, []int{2, 2, 0, 0}, 2},
 }
 
 // Services that hold their team's limit for each other waited for good, also the most urgent.
-func TestServicesInPartBecomeWholeAsFarAsTheLimitAllows(t *testing.T) {
+func TestPartiallyPlacedServicesAreCompletedWithinTeamLimit(t *testing.T) {
 	for _, tt := range partialServiceCases {
 		t.Run(tt.name, func(t *testing.T) {
 			qc := newQuotaCluster(t, tt.cpuLimit, tt.gpuLimit, 4, 4)
 			tt.submit(qc)
-			qc.run(4 * micro.Minute)
+			qc.runFor(4 * micro.Minute)
 			qc.expectPlaced(tt.want...)
 			if got := qc.stopCount(); got != tt.stops {
 				t.Errorf("%d replicas were stopped, want %d: %v", got, tt.stops, qc.stopped)
 			}
-			qc.run(10 * micro.Minute)
+			qc.runFor(10 * micro.Minute)
 			if got := qc.stopCount(); got != tt.stops {
 				t.Errorf("%d replicas were stopped later", got-tt.stops)
 			}
@@ -260,83 +260,83 @@
 
 // An urgent service that came a moment ago is not too late: what idle ones hold in part does not go to
 // one of them first.
-func TestUrgentServiceThatJustCameIsServedBeforeIdleOnes(t *testing.T) {
+func TestNewHighPriorityServiceIsCompletedBeforeLowPriorityOnes(t *testing.T) {
 	qc := newQuotaCluster(t, 4, 0, 4, 4)
 	for range 4 {
-		qc.service(wire.Low, 2, 1, oneCPU)
+		qc.submitService(wire.Low, 2, 1, oneCPU)
 	}
-	qc.run(quotaTransferAfter - 2*micro.Second)
-	urgent := qc.service(wire.High, 2, 0, oneCPU)
+	qc.runFor(quotaTransferAfter - 2*micro.Second)
+	urgent := qc.submitService(wire.High, 2, 0, oneCPU)
 	urgent.EligibleSince, urgent.WaitingSince = qc.now, qc.now
-	qc.run(4 * micro.Minute)
+	qc.runFor(4 * micro.Minute)
 	qc.expectPlaced(2, 0, 0, 0, 2)
 }
 
 // On a site whose machines are full of work of lower priority, a service has that preempted once it
 // has the quota.
-func TestServiceBecomesWholeByPreemptionOnAFullSite(t *testing.T) {
+func TestServiceIsCompletedByPreemptionOnFullCluster(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 1, 1)
 	for _, zone := range []string{"a", "b"} {
-		qc.service(wire.Normal, 2, 1, wire.Job{CPUs: 1, Zone: &zone})
+		qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 1, Zone: &zone})
 	}
 	idle := wire.Job{ID: "j-9", Class: "idle", Kind: wire.JobArray, Priority: wire.Low, Tasks: 9, CPUs: 1}
 	qc.services = append(qc.services, qc.state.AddJob(idle, qc.now, qc.now))
-	qc.run(4 * micro.Minute)
+	qc.runFor(4 * micro.Minute)
 	qc.expectPlaced(2, 0, 6)
 }
 
 // A replica is stopped only if another service becomes whole by that.
-func TestNoReplicaIsStoppedForQuotaInVain(t *testing.T) {
+func TestNoReplicaIsStoppedWhenRecipientCannotBeCompleted(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		cpuLimit float64
 		submit   func(qc *quotaCluster)
 	}{
 		{"no machine in the zone that all lack", 2, func(qc *quotaCluster) {
-			qc.service(wire.Normal, 2, 1, spread)
-			qc.service(wire.Normal, 2, 1, spread)
+			qc.submitService(wire.Normal, 2, 1, spread)
+			qc.submitService(wire.Normal, 2, 1, spread)
 		}},
 		{"the others are whole", 4, func(qc *quotaCluster) {
-			qc.service(wire.Low, 3, 3, oneCPU)
-			qc.service(wire.Production, 2, 1, oneCPU)
+			qc.submitService(wire.Low, 3, 3, oneCPU)
+			qc.submitService(wire.Production, 2, 1, oneCPU)
 		}},
 		{"all that they hold is not enough", 4, func(qc *quotaCluster) {
-			qc.service(wire.Low, 2, 2, oneCPU)
-			qc.service(wire.Normal, 4, 1, oneCPU)
-			qc.service(wire.Normal, 4, 1, oneCPU)
+			qc.submitService(wire.Low, 2, 2, oneCPU)
+			qc.submitService(wire.Normal, 4, 1, oneCPU)
+			qc.submitService(wire.Normal, 4, 1, oneCPU)
 		}},
 		{"one that has not begun, of the same priority", 2, func(qc *quotaCluster) {
-			qc.service(wire.Normal, 2, 0, oneCPU)
-			qc.service(wire.Normal, 2, 1, spread)
-			qc.service(wire.Normal, 2, 1, spread)
+			qc.submitService(wire.Normal, 2, 0, oneCPU)
+			qc.submitService(wire.Normal, 2, 1, spread)
+			qc.submitService(wire.Normal, 2, 1, spread)
 		}},
 		{"the replica of the one that comes first is on a machine that does not answer", 8, func(qc *quotaCluster) {
-			machine := qc.service(wire.Normal, 2, 1, fourCPUs).Allocations()[0].Machine
+			machine := qc.submitService(wire.Normal, 2, 1, fourCPUs).Allocations()[0].Machine
 			qc.state.TransitionMachine(machine, cluster.Suspect, "test")
 			qc.hung[machine.Name] = true
-			qc.service(wire.Normal, 2, 1, wire.Job{CPUs: 4, Spread: true})
+			qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 4, Spread: true})
 		}},
 		{"machines in two zones for one that has to be in one", 28, func(qc *quotaCluster) {
 			zoneA, zoneB := "a", "b"
-			qc.service(wire.Production, 3, 3, fourCPUs)
+			qc.submitService(wire.Production, 3, 3, fourCPUs)
 			qc.addMachine(zoneB)
 			qc.addMachine(zoneB)
 			qc.addMachine(zoneB)
 			for _, zone := range []*string{&zoneA, &zoneA, &zoneB, &zoneB} { // none can become whole
-				qc.service(wire.Low, 2, 1, wire.Job{CPUs: 4, Spread: true, Zone: zone})
+				qc.submitService(wire.Low, 2, 1, wire.Job{CPUs: 4, Spread: true, Zone: zone})
 			}
-			qc.service(wire.Normal, 4, 0, wire.Job{CPUs: 4, OneZone: true})
+			qc.submitService(wire.Normal, 4, 0, wire.Job{CPUs: 4, OneZone: true})
 		}},
 		{"the one that comes first fails", 2, func(qc *quotaCluster) {
-			qc.service(wire.Normal, 2, 0, oneCPU).RecordFailure("i-1", 0)
-			qc.service(wire.Low, 2, 1, spread)
-			qc.service(wire.Low, 2, 1, spread)
+			qc.submitService(wire.Normal, 2, 0, oneCPU).RecordFailure("i-1", 0)
+			qc.submitService(wire.Low, 2, 1, spread)
+			qc.submitService(wire.Low, 2, 1, spread)
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			qc := newQuotaCluster(t, tt.cpuLimit, 0, 6, 0)
 			tt.submit(qc)
-			qc.run(20 * micro.Minute)
+			qc.runFor(20 * micro.Minute)
 			if len(qc.stopped) > 0 {
 				t.Errorf("replicas were stopped: %v", qc.stopped)
 			}
@@ -346,31 +346,31 @@
 
 // Where machines of one zone do not come up, services that can do without it are not kept waiting
 // for those that cannot, and these do not take the quota back.
-func TestServiceWhoseZoneStaysAwayDoesNotKeepOthersInPart(t *testing.T) {
+func TestServiceWithoutZoneCapacityDoesNotBlockOthers(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 6, 0)
-	qc.service(wire.Normal, 2, 1, spread)
-	qc.service(wire.Normal, 2, 1, oneCPU)
-	qc.run(micro.Minute)
+	qc.submitService(wire.Normal, 2, 1, spread)
+	qc.submitService(wire.Normal, 2, 1, oneCPU)
+	qc.runFor(micro.Minute)
 	if qc.team.Transfer.Recipient != qc.services[0] && qc.services[1].PendingTasks() > 0 {
 		t.Error("no machine is requested for the service that comes first")
 	}
-	qc.run(3 * micro.Minute)
+	qc.runFor(3 * micro.Minute)
 	qc.expectPlaced(0, 2)
 	qc.addMachine("b")
-	qc.run(20 * micro.Minute)
+	qc.runFor(20 * micro.Minute)
 	qc.expectPlaced(0, 2)
 }
 
 // What comes free is for the service that becomes whole, not for those that it was taken from, nor
 // for a shard.
-func TestQuotaOfStoppedReplicasIsKeptForTheService(t *testing.T) {
+func TestQuotaOfStoppedReplicasIsReservedForRecipient(t *testing.T) {
 	qc := newQuotaCluster(t, 4, 0, 6, 0)
-	first := qc.service(wire.Normal, 3, 2, oneCPU)
-	last := qc.service(wire.Normal, 3, 2, oneCPU)
-	idle := qc.service(wire.Low, 1, 0, oneCPU)
-	urgent := qc.service(wire.Production, 1, 0, oneCPU)
+	first := qc.submitService(wire.Normal, 3, 2, oneCPU)
+	last := qc.submitService(wire.Normal, 3, 2, oneCPU)
+	idle := qc.submitService(wire.Low, 1, 0, oneCPU)
+	urgent := qc.submitService(wire.Production, 1, 0, oneCPU)
 	for qc.stopCount() == 0 && qc.now < 3*micro.Minute {
-		qc.run(micro.Second)
+		qc.runFor(micro.Second)
 	}
 	if transfer := qc.team.Transfer; !transfer.StopsRequested || transfer.Recipient != urgent {
 		t.Fatalf("the transfer is %+v, want one to the urgent service", transfer)
@@ -380,15 +380,15 @@
 			t.Errorf("%s takes the quota that is kept", job.Spec.ID)
 		}
 	}
-	qc.run(2 * micro.Minute)
+	qc.runFor(2 * micro.Minute)
 	qc.expectPlaced(3, 0, 0, 1)
 }
 
 // A shard takes no job of the team, and no more of one, while quota is kept.
-func TestQuotaOfStoppedReplicasIsKeptFromShards(t *testing.T) {
+func TestQuotaOfStoppedReplicasIsNotAvailableToShards(t *testing.T) {
 	qc := newQuotaCluster(t, 4, 0, 6, 0)
-	recipient := qc.service(wire.Normal, 3, 1, oneCPU)
-	assigned, waiting := qc.service(wire.Normal, 2, 0, oneCPU), qc.service(wire.Normal, 1, 0, oneCPU)
+	recipient := qc.submitService(wire.Normal, 3, 1, oneCPU)
+	assigned, waiting := qc.submitService(wire.Normal, 2, 0, oneCPU), qc.submitService(wire.Normal, 1, 0, oneCPU)
 	qc.state.Assign(assigned, "shard")
 	qc.state.ReleaseQuota(assigned, 1)
 	qc.team.Transfer = cluster.QuotaTransfer{Recipient: recipient, Since: qc.now, StopsRequested: true}
@@ -402,64 +402,64 @@
 }
 
 // A service to which quota is given begins none of the replicas until all of them may be placed.
-func TestServiceIsGivenItsQuotaAtOnce(t *testing.T) {
+func TestRecipientStartsReplicasOnlyOnceAllFitQuota(t *testing.T) {
 	qc := newQuotaCluster(t, 12, 0, 6, 0)
-	recipient := qc.service(wire.Normal, 3, 1, fourCPUs)
-	qc.service(wire.Low, 2, 1, fourCPUs)
-	hung := qc.service(wire.Low, 2, 1, fourCPUs).Allocations()[0].Machine.Name
-	qc.run(quotaTransferAfter - 2*micro.Second)
+	recipient := qc.submitService(wire.Normal, 3, 1, fourCPUs)
+	qc.submitService(wire.Low, 2, 1, fourCPUs)
+	hung := qc.submitService(wire.Low, 2, 1, fourCPUs).Allocations()[0].Machine.Name
+	qc.runFor(quotaTransferAfter - 2*micro.Second)
 	qc.hung[hung] = true
-	qc.run(10 * micro.Second)
+	qc.runFor(10 * micro.Second)
 	if recipient.AllocationCount != 1 || !qc.team.Transfer.StopsRequested || qc.team.UsedCPU != 8 {
 		t.Fatalf("%d replicas, %v CPUs are used, %+v", recipient.AllocationCount, qc.team.UsedCPU, qc.team.Transfer)
 	}
 	qc.hung[hung] = false
-	qc.run(3 * micro.Second)
+	qc.runFor(3 * micro.Second)
 	qc.expectPlaced(3, 0, 0)
 }
 
 // The machine that a replica was stopped for is kept until the quota is free, and a replica that
 // takes long to save is not waited for.
-func TestMachineIsKeptUntilTheQuotaIsFree(t *testing.T) {
+func TestMachineOfStoppedReplicaIsReservedUntilQuotaIsFree(t *testing.T) {
 	qc := newQuotaCluster(t, 8, 0, 2, 1)
 	zoneA, zoneB := "a", "b"
-	qc.service(wire.Normal, 2, 1, wire.Job{CPUs: 4, Zone: &zoneA})
-	donor := qc.service(wire.Normal, 2, 1, wire.Job{
+	qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 4, Zone: &zoneA})
+	donor := qc.submitService(wire.Normal, 2, 1, wire.Job{
 		CPUs: 4, Zone: &zoneB, Spread: true, CheckpointIntervalS: 10, CheckpointDurationS: 3600,
 	})
 	stopped := donor.Allocations()[0]
-	qc.run(quotaTransferAfter - 2*micro.Second)
+	qc.runFor(quotaTransferAfter - 2*micro.Second)
 	qc.hung[stopped.Machine.Name] = true
-	qc.run(4 * micro.Second)
+	qc.runFor(4 * micro.Second)
 	if !stopped.Stopping || stopped.GraceS != maxTransferGraceS {
 		t.Fatalf("stopping %v, within %v s", stopped.Stopping, stopped.GraceS)
 	}
 	other := wire.Job{ID: "j-9", Class: "other", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 4}
 	qc.state.AddJob(other, qc.now, qc.now)
-	qc.run(5 * micro.Second)
+	qc.runFor(5 * micro.Second)
 	qc.hung[stopped.Machine.Name] = false
-	qc.run(2 * micro.Second)
+	qc.runFor(2 * micro.Second)
 	qc.expectPlaced(2, 0)
 }
 
 // A service takes the machine of the replica that is stopped for it, if there is no other.
-func TestServiceTakesTheMachineOfAStoppedReplica(t *testing.T) {
+func TestRecipientUsesMachineOfStoppedReplica(t *testing.T) {
 	qc := newQuotaCluster(t, 8, 0, 2, 0)
 	for range 2 {
-		qc.service(wire.Normal, 2, 1, fourCPUs)
+		qc.submitService(wire.Normal, 2, 1, fourCPUs)
 	}
-	qc.run(micro.Minute)
+	qc.runFor(micro.Minute)
 	qc.expectPlaced(2, 0)
 }
 
 // What is saved up for a job that waited long is not given to a service in part.
-func TestTransferLeavesQuotaSavedUpForAnotherJob(t *testing.T) {
+func TestTransferDoesNotUseQuotaReservedForAnotherJob(t *testing.T) {
 	qc := newQuotaCluster(t, 5, 0, 6, 0)
-	qc.service(wire.Normal, 4, 2, oneCPU)
-	qc.service(wire.Normal, 4, 2, oneCPU)
+	qc.submitService(wire.Normal, 4, 2, oneCPU)
+	qc.submitService(wire.Normal, 4, 2, oneCPU)
 	gang := wire.Job{ID: "j-9", Team: "team", Class: "c", Kind: wire.Gang, Priority: wire.Normal, Tasks: 3, CPUs: 1}
 	qc.team.QuotaReservedFor, qc.team.QuotaReservedAt = qc.state.AddJob(gang, qc.now, qc.now), qc.now
-	qc.run(50 * micro.Second)
+	qc.runFor(50 * micro.Second)
 	qc.expectPlaced(4, 0)
 	if free := qc.team.CPULimit - qc.team.UsedCPU; free != 1 {
 		t.Errorf("%v CPUs are left of the quota that was saved up, want 1", free)
@@ -467,31 +467,31 @@
 }
 
 // A service that has quota coming free of a task that is being stopped takes none from others.
-func TestTransferCountsQuotaThatIsComingFree(t *testing.T) {
+func TestTransferCountsQuotaOfStoppingTasks(t *testing.T) {
 	qc := newQuotaCluster(t, 3, 0, 6, 0)
-	qc.service(wire.Normal, 2, 1, oneCPU)
-	qc.service(wire.Normal, 2, 1, oneCPU)
-	cancelled := qc.service(wire.Low, 1, 1, oneCPU)
-	qc.run(20 * micro.Second)
+	qc.submitService(wire.Normal, 2, 1, oneCPU)
+	qc.submitService(wire.Normal, 2, 1, oneCPU)
+	cancelled := qc.submitService(wire.Low, 1, 1, oneCPU)
+	qc.runFor(20 * micro.Second)
 	for _, machine := range qc.state.Machines {
 		qc.hung[machine.Name] = len(machine.Allocations) > 0 && cancelled.Allocations()[0].Machine == machine
 	}
 	qc.state.StopAllocation(cancelled.Allocations()[0], "test", 0, qc.now)
-	qc.run(40 * micro.Second)
+	qc.runFor(40 * micro.Second)
 	if qc.stopCount() > 0 {
 		t.Errorf("replicas were stopped: %v", qc.stopped)
 	}
 }
 
 // A transfer to a service that does not become whole is tried again later and later.
-func TestTransferThatComesToNothingIsPutOff(t *testing.T) {
+func TestFailedTransferBacksOff(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 2, 0)
-	qc.service(wire.Normal, 2, 1, oneCPU)
-	donor := qc.service(wire.Normal, 2, 1, oneCPU)
+	qc.submitService(wire.Normal, 2, 1, oneCPU)
+	donor := qc.submitService(wire.Normal, 2, 1, oneCPU)
 	for _, machine := range qc.state.Machines {
 		qc.hung[machine.Name] = true // its stop is not confirmed, and no lease runs out
 	}
-	qc.run(30 * micro.Minute)
+	qc.runFor(30 * micro.Minute)
 	if stops := qc.stopped[donor.Spec.ID]; stops != 1 {
 		t.Errorf("%d replicas were stopped, want 1", stops)
 	}
@@ -501,38 +501,38 @@
 }
 
 // A transfer that came to nothing is not tried again before its time.
-func TestTransferIsNotTriedAgainBeforeItsTime(t *testing.T) {
+func TestTransferIsNotRetriedBeforeBackoffEnds(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 2, 0)
-	recipient := qc.service(wire.Production, 2, 1, oneCPU)
-	qc.service(wire.Low, 2, 1, spread)
+	recipient := qc.submitService(wire.Production, 2, 1, oneCPU)
+	qc.submitService(wire.Low, 2, 1, spread)
 	qc.scheduler.transferRecords = map[*cluster.Job]transferRecord{recipient: {nextTransferAt: qc.now + 2*micro.Minute}}
-	qc.run(2*micro.Minute - micro.Second)
+	qc.runFor(2*micro.Minute - micro.Second)
 	qc.expectPlaced(1, 1)
-	qc.run(micro.Minute)
+	qc.runFor(micro.Minute)
 	qc.expectPlaced(2, 0)
 }
 
-const randomServiceClusters = 40
+const randomServiceSeeds = 40
 
 // Transfers among random services come to an end, with more services whole than before, and no
 // service that could become whole is left in part.
-func TestTransfersAmongRandomServicesComeToAnEnd(t *testing.T) {
-	for seed := range uint64(randomServiceClusters) {
+func TestTransfersAmongRandomServicesTerminate(t *testing.T) {
+	for seed := range uint64(randomServiceSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 7))
 			qc := newQuotaCluster(t, float64(6+rng.IntN(10)), pick(rng, 0.0, 6), 12, 12)
 			qc.placeRandomServices(rng)
-			before := len(qc.wholeServices())
-			qc.run(15 * micro.Minute)
-			after, stops := len(qc.wholeServices()), qc.stopCount()
+			before := len(qc.fullyPlacedServices())
+			qc.runFor(15 * micro.Minute)
+			after, stops := len(qc.fullyPlacedServices()), qc.stopCount()
 			if after < before {
 				t.Errorf("%d services are whole, before %d", after, before)
 			}
-			qc.run(30 * micro.Minute)
-			if qc.stopCount() != stops || len(qc.wholeServices()) != after {
+			qc.runFor(30 * micro.Minute)
+			if qc.stopCount() != stops || len(qc.fullyPlacedServices()) != after {
 				t.Errorf("%d replicas were stopped later", qc.stopCount()-stops)
 			}
-			qc.expectNoneHeldBack()
+			qc.expectNoCompletableService()
 		})
 	}
 }
@@ -546,7 +546,7 @@
 			spec.GPUs = float64(1 + rng.IntN(2))
 		}
 		priority := pick(rng, wire.Production, wire.High, wire.Normal, wire.Low)
-		qc.service(priority, 1+rng.IntN(3), 0, spec)
+		qc.submitService(priority, 1+rng.IntN(3), 0, spec)
 	}
 	machines := qc.state.SortedMachines()
 	for range 200 {
@@ -559,8 +559,8 @@
 	}
 }
 
-// expectNoneHeldBack expects that no service in part would become whole by what others in part hold.
-func (qc *quotaCluster) expectNoneHeldBack() {
+// expectNoCompletableService expects that no service in part would become whole by what others in part hold.
+func (qc *quotaCluster) expectNoCompletableService() {
 	qc.tb.Helper()
 	for _, job := range qc.services {
 		if job.PendingTasks() == 0 || job.AllocationCount == 0 {
@@ -591,7 +591,7 @@
 		b.Run(tt.name, func(b *testing.B) {
 			qc := newQuotaCluster(b, 1200, 0, tt.inA, tt.inB)
 			for range 300 {
-				qc.service(wire.Normal, 2, 1, wire.Job{CPUs: 2, Spread: true})
+				qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 2, Spread: true})
 			}
 			if tt.inB > 0 {
 				qc.fillMachines()
--- a/internal/scheduler/relaxation_test.go
+++ b/internal/scheduler/relaxation_test.go
@@ -145,7 +145,7 @@
 }
 
 // A job that had failed once on the only machine with capacity never went there again.
-func TestJobReturnsToAMachineItFailedOnRatherThanWait(t *testing.T) {
+func TestOverdueJobIsRetriedOnMachineItFailedOn(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addMachine("i-1", "small", "a")
 	for i := range 3 {
@@ -302,7 +302,7 @@
 
 // A new leader does not take what waited under the last one for late: its
 // machines are heard one by one.
-func TestWaitsCountFromTheFailover(t *testing.T) {
+func TestWaitingTimeCountsFromFailover(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.TermStartedAt = 10 * micro.Minute
 	tc.addMachine("i-1", "small", "a").QuarantinedUntil = 60 * micro.Minute
@@ -317,7 +317,7 @@
 
 // Terms of 46 s followed one another for four minutes: no work was ever late, since each began
 // the count anew, and idle arrays waited beside empty GPU machines.
-func TestJobsThatWaitedInEarlierTermsAreOverdueOnceTheMachinesAreHeard(t *testing.T) {
+func TestJobsThatWaitedInEarlierTermsAreOverdueAfterTermSettles(t *testing.T) {
 	const termStart, shortTerm = 10 * micro.Minute, 46 * micro.Second
 	tc := newTestCluster(t)
 	tc.cluster.TermStartedAt = termStart
@@ -332,7 +332,7 @@
 
 // Machines with capacity that a job refuses, as dear or kept for GPU work, were
 // reserved for it as if they had been cleared, and closed to all others.
-func TestRejectedMachinesAreNotReserved(t *testing.T) {
+func TestMachinesTheJobMayNotUseAreNotReserved(t *testing.T) {
 	for _, expensive := range []bool{false, true} {
 		tc := newTestCluster(t)
 		machine := tc.addMachine("gpu-1", "gpu", "a")
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSamplingUnderOverloadStillFillsTheMachines(t *testing.T) {
+func TestSamplingUnderOverloadFillsAllMachines(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		scheduler := newLargeCluster(400)
 		scheduler.Overloaded = overloaded
@@ -80,23 +80,23 @@
 	return best.machine
 }
 
-// holdImageOnOneInFour notes the one image on one machine in four.
-func holdImageOnOneInFour(rng *rand.Rand, images cluster.ImageRecord, machine *cluster.Machine) {
+// maybeHoldImage notes the one image on one machine in four.
+func maybeHoldImage(rng *rand.Rand, images cluster.ImageRecord, machine *cluster.Machine) {
 	if rng.IntN(4) == 0 {
 		images.Machines[machine.Name] = []int{0}
 	}
 }
 
-// gpusOfOneInFour is some GPUs for one job in four.
-func gpusOfOneInFour(rng *rand.Rand) float64 {
+// randomGPUs is some GPUs for one job in four.
+func randomGPUs(rng *rand.Rand) float64 {
 	if rng.IntN(4) > 0 {
 		return 0
 	}
 	return float64(1 + rng.IntN(4))
 }
 
-// releaseOneInThree releases an allocation one in three times, and lists those that are left.
-func releaseOneInThree(
+// maybeReleaseAllocation releases an allocation one in three times, and lists those that are left.
+func maybeReleaseAllocation(
 	rng *rand.Rand, state *cluster.State, allocations []*cluster.Allocation, now micro.Time,
 ) []*cluster.Allocation {
 	if len(allocations) == 0 || rng.IntN(3) > 0 {
@@ -118,7 +118,7 @@
 
 // The rows by capacity must give the very machine that a full search gives, on any
 // fleet and through any history of allocations, freed capacity and states.
-func TestPoolRowsMatchAFullSearch(t *testing.T) {
+func TestPoolRowSearchMatchesFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		state := cluster.New(discardEffects{})
@@ -134,7 +134,7 @@
 			machine := state.EnsureMachine("i-"+strconv.Itoa(100+i), 1)
 			state.DescribeMachine(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
 			state.TransitionMachine(machine, cluster.Up, "reports")
-			holdImageOnOneInFour(rng, images, machine)
+			maybeHoldImage(rng, images, machine)
 		}
 		state.RestoreImages(images, 1)
 		properties := config.Defaults()
@@ -148,7 +148,7 @@
 				CPUs: float64(1+rng.IntN(60)) / 10, MemoryGB: float64(rng.IntN(200)) / 10, Image: "image",
 				ImageGB: float64(rng.IntN(9)), Spot: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0,
 			}
-			spec.GPUs = gpusOfOneInFour(rng)
+			spec.GPUs = randomGPUs(rng)
 			job := state.AddJob(spec, 0, 0)
 			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(&placementRequest{job: job, now: now})
 			if want != got {
@@ -159,7 +159,7 @@
 				scaled := ScaledCPUs(spec.CPUs, got.Type.SpeedFactor, got.Type.CPUs)
 				allocations = append(allocations, state.Allocate(job, 0, got, 1, scaled, now))
 			}
-			allocations = releaseOneInThree(rng, state, allocations, now)
+			allocations = maybeReleaseAllocation(rng, state, allocations, now)
 			changeRandomMachine(state, rng)
 		}
 		if found < 50 {
@@ -187,7 +187,7 @@
 // Tasks that cannot save, lost with a spot machine, went back to spot machines
 // and were lost again: an array of a hundred tasks of 100 s was late more often
 // than not.
-func TestWorkThatCannotBeRerunInTimePrefersOnDemandMachines(t *testing.T) {
+func TestTasksThatCannotBeRerunInTimePreferOnDemandMachines(t *testing.T) {
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range 20 {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -51,7 +51,7 @@
 			if images == nil {
 				images = s.availableImages()
 			}
-			s.putShortestFirst(&entry, startObjective, images, now)
+			s.prioritizeShortest(&entry, startObjective, images, now)
 		}
 		queue = append(queue, entry)
 	}
@@ -59,10 +59,10 @@
 	return queue, waiting
 }
 
-// putShortestFirst ranks a job of an overloaded class by the work that it is, not by its latest
+// prioritizeShortest ranks a job of an overloaded class by the work that it is, not by its latest
 // start: in the order of latest starts, all of a burst start just too late. A job whose
 // image is nowhere at hand is as good as one that runs for longer.
-func (s *Scheduler) putShortestFirst(
+func (s *Scheduler) prioritizeShortest(
 	entry *queuedJob, startObjective micro.Time, images map[string]bool, now micro.Time,
 ) {
 	job := entry.job
--- a/internal/scheduler/score_test.go
+++ b/internal/scheduler/score_test.go
@@ -4,7 +4,7 @@
 
 // The expected values are worked out by hand from the design's cases, with
 // L1 = 60 and L2 = 30.
-func TestScoreFollowsTheDesignsCasesInOrder(t *testing.T) {
+func TestScoreMatchesDesignCases(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		cpus, k, out float64
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestScaledRequestIsCappedAtTheMachine(t *testing.T) {
+func TestScaledCPUsAreCappedAtMachineCPUs(t *testing.T) {
 	if got := ScaledCPUs(86, 0.8, 96); got != 96 {
 		t.Errorf("86 CPUs at k 0.8 on 96: %v", got)
 	}
--- a/internal/scheduler/soonest_free.go
+++ b/internal/scheduler/soonest_free.go
@@ -15,7 +15,7 @@
 	var best []soonFreeMachine
 	var bestAt micro.Time
 	for _, zone := range s.candidateZones(job) {
-		chosen := firstCovering(s.soonFreeMachines(job, zone, now), tasks)
+		chosen := smallestCoveringPrefix(s.soonFreeMachines(job, zone, now), tasks)
 		if len(chosen) == 0 {
 			continue
 		}
@@ -44,7 +44,7 @@
 		}
 		request := requestOn(&job.Spec, pool.Type)
 		for machine := range machinesOf(pool) {
-			if !s.mayWaitFor(job, machine, now) {
+			if !s.mayReserveBusy(job, machine, now) {
 				continue
 			}
 			if at, tasks := freeAt(request, machine, now); tasks > 0 {
@@ -61,15 +61,15 @@
 	return options
 }
 
-// mayWaitFor reports whether a busy machine may be reserved for a job.
-func (s *Scheduler) mayWaitFor(job *cluster.Job, machine *cluster.Machine, now micro.Time) bool {
+// mayReserveBusy reports whether a busy machine may be reserved for a job.
+func (s *Scheduler) mayReserveBusy(job *cluster.Job, machine *cluster.Machine, now micro.Time) bool {
 	return machine.ReservedFor == nil && machine.QuarantinedUntil <= now && s.Cluster.MachineReachable(machine) &&
 		!job.FailedOn[machine.Name]
 }
 
-// firstCovering is the first of the machines that hold so many tasks together; none if all
+// smallestCoveringPrefix is the first of the machines that hold so many tasks together; none if all
 // do not.
-func firstCovering(options []soonFreeMachine, tasks int) []soonFreeMachine {
+func smallestCoveringPrefix(options []soonFreeMachine, tasks int) []soonFreeMachine {
 	covered := 0
 	for i, option := range options {
 		if covered += option.tasks; covered >= tasks {
--- a/internal/scheduler/speeds_test.go
+++ b/internal/scheduler/speeds_test.go
@@ -17,7 +17,7 @@
 
 // Short tasks complete first: compared while an array runs, the type that
 // completes later looks slow. Only whole arrays count.
-func TestLikeTypesStayAlikeWhateverTheOrderOfCompletion(t *testing.T) {
+func TestEqualTypesKeepEqualSpeedForAnyCompletionOrder(t *testing.T) {
 	estimator, state := NewSpeedEstimator(), newTwoTypeCluster()
 	for range 20 {
 		for i := range 5 {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestSlowTypeIsLearntAndSurvivesItsRecord(t *testing.T) {
+func TestSlowTypeSpeedIsLearnedAndRestoredFromRecord(t *testing.T) {
 	estimator, state := NewSpeedEstimator(), newTwoTypeCluster()
 	for range 10 {
 		for range 4 {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestFewOrDroppedRunsAreIgnored(t *testing.T) {
+func TestFewOrDroppedSamplesAreIgnored(t *testing.T) {
 	estimator, state := NewSpeedEstimator(), newTwoTypeCluster()
 	estimator.AddSample("j-1", "ref", 30, 1)
 	estimator.AddSample("j-1", "other", 300, 1)
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -89,7 +89,7 @@
 
 // Small gangs took each machine as it came free, and the largest never found
 // four in one zone.
-func TestLargestGangStartsWithinFourMinutesDespiteSmallGangs(t *testing.T) {
+func TestLargestGangIsNotStarvedBySmallGangs(t *testing.T) {
 	contended := newContendedCluster(t, 8)
 	contended.scheduler.Schedule(micro.Second)
 	for range 16 {
@@ -113,7 +113,7 @@
 }
 
 // Work of the lowest priority waited for as long as higher priorities kept coming.
-func TestLowestPriorityIsNotStarvedByHigherOnes(t *testing.T) {
+func TestLowestPriorityJobIsNotStarvedByHigherPriorities(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	for range 8 {
 		contended.submit(wire.JobArray, wire.Normal, 1, 0)
@@ -131,7 +131,7 @@
 
 // In a burst, all gangs were started in the order of their latest starts, each
 // just too late: most start in time if the shortest come first.
-func TestOverloadedClassStartsTheShortestFirst(t *testing.T) {
+func TestOverloadedClassStartsShortestJobsFirst(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	contended.scheduler.Objectives = NewObjectives(
 		[]config.Objective{{Kind: "wait", Class: "c" + string(wire.High), WithinS: 60}},
@@ -152,7 +152,7 @@
 
 // Capacity was cleared for one service at a time: the others were passed over, as if
 // there were none to be had.
-func TestPreemptionForEachProductionService(t *testing.T) {
+func TestPreemptionFreesCapacityForEachProductionService(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	contended.submit(wire.JobArray, wire.Low, 4, 0)
 	contended.scheduler.Schedule(micro.Second)
