--- a/cmd/notchmux/shard_warnings.go
+++ b/cmd/notchmux/shard_warnings.go
@@ -15,7 +15,7 @@
 		return
 	}
 	parts := cfg.Shards.Parts()
-	for _, warning := range shard.DivisionWarnings(
+	for _, warning := range shard.PlacementWarnings(
 		shard.PossibleOffers(cfg.Facts.Zones, parts), parts, cfg.TeamNames(),
 	) {
 		fmt.Printf("warning: %s\n", warning)
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -37,10 +37,10 @@
 }
 
 // Parts are the declared shares as far as they decide which work has a place.
-func (s *Shards) Parts() []shard.Part {
-	parts := make([]shard.Part, len(s.Declared))
+func (s *Shards) Parts() []shard.Definition {
+	parts := make([]shard.Definition, len(s.Declared))
 	for i, declared := range s.Declared {
-		parts[i] = shard.Part{Name: declared.Name, Selector: declared.Selector, Teams: declared.Teams}
+		parts[i] = shard.Definition{Name: declared.Name, Selector: declared.Selector, Teams: declared.Teams}
 	}
 	return parts
 }
--- a/internal/controller/job_transfers_test.go
+++ b/internal/controller/job_transfers_test.go
@@ -193,7 +193,7 @@
 			if leader := r.leader(); leader != nil {
 				r.restartController(leader, back)
 			}
-		case owned && entry.OwnedElsewhere() && r.randomChance(0.4):
+		case owned && entry.HasOwner() && r.randomChance(0.4):
 			r.restartController(r.controllerNamed(entry.Record.Owner.Node), back)
 		case r.unreliable && r.randomChance(0.4):
 			r.disturb(micro.Time(10+r.randomInt(20)) * micro.Second)
@@ -229,7 +229,7 @@
 	r.restartAllWith(r.declared(false))
 	r.waitUntil("the shard is owned again", servedWithin, func() bool {
 		entry, ok := r.shardRecord()
-		return ok && entry.OwnedElsewhere()
+		return ok && entry.HasOwner()
 	})
 }
 
@@ -374,7 +374,7 @@
 			if leader := node.activeLeader(); leader != nil {
 				r.askLoop(leader.controlLoop, func() []string { return r.misplacedAtLeader(leader) })
 			}
-			if owner, ok := node.shards.Of("east"); ok {
+			if owner, ok := node.shards.Owner("east"); ok {
 				r.askLoop(owner.controlLoop, func() []string { return r.misplacedAtOwner(owner) })
 			}
 		}
@@ -437,7 +437,7 @@
 // misplacedAtLeader finds allocations that a leader has of jobs that the shard's owner has.
 func (r *transferTrial) misplacedAtLeader(leader *Leader) (wrong []string) {
 	entry, ok := r.shardRecord()
-	if !ok || !entry.OwnedElsewhere() || !leader.holdsLease() {
+	if !ok || !entry.HasOwner() || !leader.holdsLease() {
 		return nil
 	}
 	assigned := r.assignedInStore()
@@ -525,7 +525,7 @@
 		if leader := node.activeLeader(); leader != nil {
 			ask(leader.controlLoop, func() []string { return retainedRecords("leader", leader.controlLoop) })
 		}
-		if owner, ok := node.shards.Of("east"); ok {
+		if owner, ok := node.shards.Owner("east"); ok {
 			ask(owner.controlLoop, func() []string { return retainedAtOwner(owner) })
 		}
 	}
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -38,7 +38,7 @@
 		node := w.controllerNamed(entry.Record.Owner.Node).runningNode()
 		leader := (*ShardOwner)(nil)
 		if node != nil {
-			leader, _ = node.shards.Of("east")
+			leader, _ = node.shards.Owner("east")
 		}
 		return leader != nil && leader.serving.Load()
 	})
@@ -430,7 +430,7 @@
 	}, func(sim *simCluster) {
 		sim.waitUntil(
 			"the share is owned", 2*micro.Minute,
-			func() bool { entry, ok := sim.shardRecord(); return ok && entry.OwnedElsewhere() },
+			func() bool { entry, ok := sim.shardRecord(); return ok && entry.HasOwner() },
 		)
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 3, cpus: 2, zone: "b"}).submit()
 		sim.waitRunning(service, 3)
--- a/internal/controller/shard_machine_ages.go
+++ b/internal/controller/shard_machine_ages.go
@@ -18,21 +18,21 @@
 // here on.
 func (o *ShardOwner) bequeathMachineAges() []wire.Change {
 	now, bequest := o.node.Now(), o.cluster.Bequeath()
-	ages := shard.MachineAges{
+	ages := shard.MachineInactivity{
 		SinceRenewal: agesOf(bequest.RenewedAt, now), IdleFor: agesOf(bequest.IdleSince, now),
 	}
 	_, maxBytes := o.node.Cfg.MaxValueBytes()
 	if o.ownership.Entry().Record.Target.Node == "" || wire.JSONSize(ages) > maxBytes {
 		return nil
 	}
-	return []wire.Change{{Put: shard.MachineAgesKey(o.name), Value: ages}}
+	return []wire.Change{{Put: shard.MachineInactivityKey(o.name), Value: ages}}
 }
 
 // agesOf turns times into ages, of as many machines as a record may name.
 func agesOf(times map[string]micro.Time, now micro.Time) map[string]int64 {
 	ages := map[string]int64{}
 	for name, at := range times {
-		if len(ages) < shard.MaxMachineAges {
+		if len(ages) < shard.MaxInactiveMachines {
 			ages[name] = int64(now - at)
 		}
 	}
@@ -45,8 +45,8 @@
 	if !o.firstLoop {
 		return
 	}
-	item, err := o.node.Store.Get(ctx, store.Routine, shard.MachineAgesKey(o.name))
-	var ages shard.MachineAges
+	item, err := o.node.Store.Get(ctx, store.Routine, shard.MachineInactivityKey(o.name))
+	var ages shard.MachineInactivity
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		return
--- a/internal/controller/shard_machine_ages_test.go
+++ b/internal/controller/shard_machine_ages_test.go
@@ -19,9 +19,9 @@
 	})
 	t.Cleanup(kill)
 	const silentFor = 20 * micro.Second
-	ages := shard.MachineAges{SinceRenewal: map[string]int64{"i-1": int64(silentFor)}}
+	ages := shard.MachineInactivity{SinceRenewal: map[string]int64{"i-1": int64(silentFor)}}
 	version, err := node.Store.Commit(context.Background(), store.Leadership, wire.Transaction{
-		Then: []wire.Change{{Put: shard.MachineAgesKey("gpus"), Value: ages}},
+		Then: []wire.Change{{Put: shard.MachineInactivityKey("gpus"), Value: ages}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -79,7 +79,7 @@
 
 func (w *simCluster) measureMove(to string, used *usage) (m measuredMove) {
 	entry, _ := w.shardRecord()
-	old, _ := w.controllerNamed(entry.Record.Owner.Node).runningNode().shards.Of("east")
+	old, _ := w.controllerNamed(entry.Record.Owner.Node).runningNode().shards.Owner("east")
 	requests := used.reads.Load() + used.commits.Load()
 	from := w.now()
 	w.requestMove(to)
@@ -89,7 +89,7 @@
 		if ownerlessSince == 0 && old.responsesBlocked.Load() {
 			ownerlessSince = w.now()
 		}
-		next, _ = w.controllerNamed(to).runningNode().shards.Of("east")
+		next, _ = w.controllerNamed(to).runningNode().shards.Owner("east")
 		time.Sleep(time.Millisecond)
 	}
 	m.total, m.ownerless = w.now()-from, w.now()-ownerlessSince
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -78,7 +78,7 @@
 	}
 	attributes := shard.Attributes{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 	entry, ok := n.shards.Table().Snapshot().ShardOf(attributes)
-	if !ok || !entry.OwnedElsewhere() {
+	if !ok || !entry.HasOwner() {
 		return httpapi.Reply{}, false
 	}
 	node := entry.Record.Owner.Node
@@ -89,7 +89,7 @@
 		}
 		return httpapi.Reply{Status: http.StatusMisdirectedRequest, Body: wire.NotLeader{LeaderHint: node}}, true
 	}
-	if owner, ok := n.shards.Of(entry.Name); ok && owner.serving.Load() && owner.holdsLease() {
+	if owner, ok := n.shards.Owner(entry.Name); ok && owner.serving.Load() && owner.holdsLease() {
 		return owner.handleHeartbeat(heartbeat), true
 	}
 	return httpapi.RetryReply(http.StatusServiceUnavailable, 1), true
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -48,7 +48,7 @@
 		if n == nil {
 			return false
 		}
-		l, ok := n.shards.Of("east")
+		l, ok := n.shards.Owner("east")
 		return ok && l.serving.Load()
 	})
 }
--- a/internal/controller/unserved_test.go
+++ b/internal/controller/unserved_test.go
@@ -87,7 +87,7 @@
 		if node.shards == nil {
 			continue
 		}
-		if owner, ok := node.shards.Of("east"); ok {
+		if owner, ok := node.shards.Owner("east"); ok {
 			loops = append(loops, inspectedLoop{controller.name + ", owner", owner.controlLoop, nil})
 		}
 	}
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -180,7 +180,7 @@
 // for good, of a job that was the leader's again.
 func (c *Coordinator) mayCreateAssignment(shardName string) bool {
 	entry, ok := c.table().Get(shardName)
-	return ok && entry.OwnedElsewhere()
+	return ok && entry.HasOwner()
 }
 
 // assignmentPreconditions are further conditions of the write that creates an assignment. An
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -68,7 +68,7 @@
 	Config       *config.Config
 	Cluster      *cluster.State
 	Records      *statestore.Writer
-	Table        *shard.Follower
+	Table        *shard.Watcher
 	Store        store.Store
 	Term         *election.Term
 	RenewalBound *leasekeeper.RenewalBound
@@ -157,7 +157,7 @@
 func (c *Coordinator) ShardDemands() []autoscaler.ShardDemand {
 	var demands []autoscaler.ShardDemand
 	c.table().Each(func(entry shard.Entry) bool {
-		if entry.OwnedElsewhere() {
+		if entry.HasOwner() {
 			demands = c.appendDemands(demands, entry)
 		}
 		return true
--- a/internal/shard/coordinator/coordinator_test.go
+++ b/internal/shard/coordinator/coordinator_test.go
@@ -101,7 +101,7 @@
 	test.Coordinator = New(Dependencies{
 		Host: test.host, Config: testConfig(), Cluster: state,
 		Records: statestore.New(writerHost{test}, test.store, slog.New(slog.DiscardHandler)),
-		Table:   shard.NewFollower(test.store, slog.New(slog.DiscardHandler), func() {}),
+		Table:   shard.NewWatcher(test.store, slog.New(slog.DiscardHandler), func() {}),
 		Store:   test.store, Term: term, Loop: test.loop,
 		RenewalBound: leasekeeper.NewRenewalBound(7, 0, 0, map[string]string{}, "a"),
 		Now:          func() micro.Time { return test.at }, Wall: func() micro.Time { return test.at },
--- a/internal/shard/coordinator/earlier_version_test.go
+++ b/internal/shard/coordinator/earlier_version_test.go
@@ -96,7 +96,7 @@
 // placeable reports whether its owner places tasks of the job on the shard's machines, if there is one.
 func (v *earlierView) placeable() bool {
 	machineType := &cluster.MachineType{MachineType: wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}}
-	owned := shard.Entry{Record: v.shard}.OwnedElsewhere()
+	owned := shard.Entry{Record: v.shard}.HasOwner()
 	return v.assignment != nil && owned && scheduler.Allowed(&v.assignment.Job, machineType, "b", false)
 }
 
--- a/internal/shard/coordinator/events.go
+++ b/internal/shard/coordinator/events.go
@@ -37,7 +37,7 @@
 		var announcement shard.Announcement
 		e.decode(item, &announcement)
 		node := item.Key[len(shard.AnnouncementPrefix):]
-		sessions.continuing[node] = slices.Contains(announcement.Features, shard.ContinueFeature)
+		sessions.continuing[node] = slices.Contains(announcement.Features, shard.HandoverFeature)
 	}
 	for _, item := range e.page.Items { // what a controller announces now counts
 		var record election.Record
@@ -45,7 +45,7 @@
 		node := item.Key[len(shard.SessionPrefix):]
 		sessions.current[node] = item.Version
 		announced := sessions.continuing[node]
-		sessions.continuing[node] = slices.Contains(record.Features, shard.ContinueFeature)
+		sessions.continuing[node] = slices.Contains(record.Features, shard.HandoverFeature)
 		if announced && !sessions.continuing[node] {
 			e.coordinator.withdrawAnnouncement(node, e.announced)
 		}
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -214,7 +214,7 @@
 func (c *Coordinator) deleteShard(entry shard.Entry) {
 	transaction := wire.Transaction{
 		If:   []wire.Precondition{c.Term.Precondition(), entry.Precondition()},
-		Then: []wire.Change{{Delete: entry.Key()}, {Delete: shard.MachineAgesKey(entry.Name)}},
+		Then: []wire.Change{{Delete: entry.Key()}, {Delete: shard.MachineInactivityKey(entry.Name)}},
 	}
 	if c.table().Len() == 1 {
 		transaction.Then = append(transaction.Then, wire.Change{Delete: shard.MarkerKey})
--- a/internal/shard/coordinator/form_warnings.go
+++ b/internal/shard/coordinator/form_warnings.go
@@ -28,12 +28,14 @@
 
 // divisionWarnings are those that would not hold without the shard.
 func (c *Coordinator) divisionWarnings(declared config.DeclaredShard) []string {
-	var others []shard.Part
+	var others []shard.Definition
 	c.table().Each(func(entry shard.Entry) bool {
-		others = append(others, shard.Part{Name: entry.Name, Selector: entry.Record.Selector, Teams: entry.Record.Teams})
+		others = append(others, shard.Definition{
+			Name: entry.Name, Selector: entry.Record.Selector, Teams: entry.Record.Teams,
+		})
 		return true
 	})
-	var formed shard.Part
+	var formed shard.Definition
 	for _, part := range c.Config.Shards.Parts() {
 		_, overlaps := c.table().Overlapping(part.Selector) // also where it exists
 		switch {
@@ -44,8 +46,8 @@
 		}
 	}
 	offers, teams := catalogOffers(c.Cluster.CatalogOrder), c.Config.TeamNames()
-	before := shard.DivisionWarnings(offers, others, teams)
-	return slices.DeleteFunc(shard.DivisionWarnings(offers, append(others, formed), teams), func(warning string) bool {
+	before := shard.PlacementWarnings(offers, others, teams)
+	return slices.DeleteFunc(shard.PlacementWarnings(offers, append(others, formed), teams), func(warning string) bool {
 		return slices.Contains(before, warning)
 	})
 }
--- a/internal/shard/coordinator/guards_handover_test.go
+++ b/internal/shard/coordinator/guards_handover_test.go
@@ -328,7 +328,7 @@
 				if _, version := site.assignment(); version > 0 {
 					t.Fatal("assigned")
 				}
-				site.setFeatures(node, shard.ContinueFeature)
+				site.setFeatures(node, shard.HandoverFeature)
 				site.assignUntilStored()
 				site.setFeatures(node)
 				site.tell(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
--- a/internal/shard/coordinator/hand_back.go
+++ b/internal/shard/coordinator/hand_back.go
@@ -21,7 +21,7 @@
 		switch {
 		case ok && entry.Version > assigned.fenceVersion:
 			c.verifyHandedBack(assigned)
-		case ok && entry.OwnedElsewhere() && !c.commitsInFlight[entry.Name]:
+		case ok && entry.HasOwner() && !c.commitsInFlight[entry.Name]:
 			c.commitShard(entry.Name, entry.Update(entry.Record.Rewritten(int64(c.Wall())), c.Term.Precondition()))
 		}
 	}
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -177,7 +177,7 @@
 // shards hold every offer that they may use, nobody serves them.
 func TestBegunJobsChangeHandsThoughAControllerIsDead(t *testing.T) {
 	runHandover(t, func(site *handoverSite) {
-		features := []string{shard.ContinueFeature}
+		features := []string{shard.HandoverFeature}
 		site.put(shard.SessionKey("n-2"), election.Record{Node: "n-2", Features: features})
 		site.put(shard.AnnouncementKey("n-2"), shard.Announcement{Features: features})
 		site.do(func() { site.leader.Config.Peers = append(site.leader.Config.Peers, config.Peer{Node: "n-2"}) })
@@ -287,7 +287,7 @@
 // goes on with jobs which had allocations: its former version said so.
 func TestAnnouncementEndsWithASessionThatDoesNotMakeIt(t *testing.T) {
 	runHandover(t, func(site *handoverSite) {
-		site.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.ContinueFeature}})
+		site.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.HandoverFeature}})
 		site.setFeatures("n-1")
 		site.sleep(5 * micro.Second)
 		if site.leader.Cluster.ContinuesJobs {
--- a/internal/shard/coordinator/handover_test.go
+++ b/internal/shard/coordinator/handover_test.go
@@ -122,7 +122,7 @@
 		site := &handoverSite{t: t, startedAt: time.Now(), store: fake.NewStore()}
 		site.store.Now = site.now
 		for _, node := range []string{"n-0", "n-1"} {
-			site.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.ContinueFeature}})
+			site.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.HandoverFeature}})
 		}
 		record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
 		record.State, record.Owner = shard.Owned, site.owner()
@@ -225,7 +225,7 @@
 		Speeds: scheduler.NewSpeedEstimator(), Store: link, Log: log,
 	})
 	loop := eventloop.New()
-	follower := shard.NewFollower(link, log, func() {})
+	follower := shard.NewWatcher(link, log, func() {})
 	leader.Coordinator = New(Dependencies{
 		Host: handoverHost{&leadingHost{}, leader}, Config: handoverConfig(), Cluster: state,
 		Records: leader.records.Writer, Table: follower, Store: link, Term: term, Loop: loop,
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -76,7 +76,7 @@
 // were up for the leader for good, unknown to the new owner, and took up what the cloud had.
 func (c *Coordinator) UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time {
 	entry, ok := c.table().ShardOf(machineAttributes(machine))
-	if !ok || !entry.OwnedElsewhere() {
+	if !ok || !entry.HasOwner() {
 		return 0
 	}
 	view := c.viewOf(entry.Name)
--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -74,7 +74,7 @@
 func (c *Coordinator) reconcileRecalls(now micro.Time) {
 	for _, assigned := range c.assignedJobs {
 		entry, ok := c.table().Get(assigned.shardName)
-		if assigned.recall != nil && ok && entry.OwnedElsewhere() && assigned.heldByOwner() {
+		if assigned.recall != nil && ok && entry.HasOwner() && assigned.heldByOwner() {
 			c.reconcileRecall(entry, assigned, now)
 		}
 	}
--- a/internal/shard/coordinator/status.go
+++ b/internal/shard/coordinator/status.go
@@ -43,7 +43,7 @@
 	for i := range update.Shards {
 		shardUpdate := &update.Shards[i]
 		entry, ok := c.table().Get(shardUpdate.Name)
-		if ok && entry.OwnedElsewhere() && entry.Record.Owner == owner {
+		if ok && entry.HasOwner() && entry.Record.Owner == owner {
 			c.applyShardUpdate(entry, shardUpdate, update.Term, now)
 		} else {
 			reply.Term = 0 // the owner tells of its machines once more
--- a/internal/shard/golden_test.go
+++ b/internal/shard/golden_test.go
@@ -90,16 +90,16 @@
 	return assignment
 }
 
-// goldenRecallUpdate is an update with the fields that are written only where they are set, too.
-func goldenRecallUpdate() ShardUpdate {
-	update := goldenShareTouch()
+// goldenOptionalFieldsUpdate is an update with the fields that are written only where they are set, too.
+func goldenOptionalFieldsUpdate() ShardUpdate {
+	update := goldenShardUpdate()
 	update.LoopStartedAt = 1700000000000002
 	update.WaitingJobs = []string{"j-6"}
 	update.ReleasedJobs = []ReleasedJob{{Job: "j-7", Version: 307}}
 	return update
 }
 
-func goldenShareTouch() ShardUpdate {
+func goldenShardUpdate() ShardUpdate {
 	return ShardUpdate{
 		Name:               "gpus",
 		AssignmentRevision: 304,
@@ -157,7 +157,7 @@
 			"181e4001a57461736b73cc96a473746f70c3"},
 		{
 			"touch",
-			StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: []ShardUpdate{goldenShareTouch()}},
+			StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: []ShardUpdate{goldenShardUpdate()}},
 			"84a46e6f6465a36e2d31a773657373696f6ecd012da47465726dcd0131a6736861726573918da46e616d65a467707573a47365656ecd0130" +
 				"a4726f6f6d9187a474797065a3677075a47a6f6e65a465617374a473706f74c3a5636f756e7406a3637075cb401e000000000000a3677075" +
 				"cb4000000000000000a36d656dcb4050000000000000a866696e697368656492a36a2d31a36a2d32a773746f707065649183a36a6f62a36a" +
@@ -221,13 +221,13 @@
 		"650ba772756e6e696e670da46e6565640ea2757091a3692d31a672657475726e91a3692d32a86d616368696e657329a5656d" +
 		"70747905a9756e72656163686564c3aa756e61737369676e65640fa573696e6365cf00060a24181e4002a469646c6591a36a" +
 		"2d36a872656c65617365649182a36a6f62a36a2d37a776657273696f6ecd0133"
-	shards := []ShardUpdate{goldenRecallUpdate()}
+	shards := []ShardUpdate{goldenOptionalFieldsUpdate()}
 	recallUpdate := StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: shards}
 	if err := golden.Binary(recallUpdate, update, absentFields["recall update"]...); err != nil {
 		t.Error(err)
 	}
 	if err := golden.Binary(
-		Announcement{Features: []string{ContinueFeature}}, "81a8666561747572657391a8636f6e74696e7565",
+		Announcement{Features: []string{HandoverFeature}}, "81a8666561747572657391a8636f6e74696e7565",
 	); err != nil {
 		t.Error(err)
 	}
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -7,11 +7,11 @@
 
 // The keys that shards use. They are fixed formats.
 const (
-	RecordPrefix      = "share/"
-	SessionPrefix     = "owner/"
-	AssignmentPrefix  = "assign/"
-	AllocationPrefix  = "alloc/"
-	MachineAgesPrefix = "ages/"
+	RecordPrefix            = "share/"
+	SessionPrefix           = "owner/"
+	AssignmentPrefix        = "assign/"
+	AllocationPrefix        = "alloc/"
+	MachineInactivityPrefix = "ages/"
 	// AnnouncementPrefix begins what controllers announced with their sessions. It stays when those end.
 	AnnouncementPrefix = "can/"
 	// MarkerKey exists as long as any shard does. It lies among the records of the
@@ -58,8 +58,8 @@
 	return name, job, chunk, ok && cut && err == nil && chunk >= 0
 }
 
-// MachineAgesKey is the key of what a shard's last owner left to the one that its record names.
-func MachineAgesKey(name string) string { return MachineAgesPrefix + name }
+// MachineInactivityKey is the key of what a shard's last owner left to the one that its record names.
+func MachineInactivityKey(name string) string { return MachineInactivityPrefix + name }
 
 // maxNameLength is the longest name of a shard: keys have 200 bytes.
 const maxNameLength = 40
--- a/internal/shard/loopback_test.go
+++ b/internal/shard/loopback_test.go
@@ -145,7 +145,7 @@
 	store   *faultyStore
 
 	mu     sync.Mutex // one goroutine at a time answers, or changes an owner's state
-	frozen bool
+	paused bool
 	term   *election.Term
 	owners map[string]*shard.Owner
 	stop   context.CancelFunc
@@ -266,7 +266,7 @@
 func (c *loopbackController) observe(
 	ctx context.Context, entry shard.Entry,
 ) (txn wire.Transaction, shouldSend, resolving bool) {
-	if ctx.Err() != nil || c.frozen || c.term == nil {
+	if ctx.Err() != nil || c.paused || c.term == nil {
 		return txn, false, false
 	}
 	self := shard.Controller{Node: c.name, SessionVersion: wire.Count(c.term.FencingRevision)}
@@ -274,7 +274,7 @@
 	if owner != nil {
 		owner.Observe(entry)
 	}
-	if (owner == nil || owner.State() == shard.Relinquished) && entry.OwnedElsewhere() && entry.Record.Owner == self {
+	if (owner == nil || owner.State() == shard.Relinquished) && entry.HasOwner() && entry.Record.Owner == self {
 		owner = shard.NewOwner(entry, c.term, self, func(string, ...any) {})
 		c.owners[entry.Name] = owner
 	}
@@ -295,7 +295,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	heartbeat, err := wire.DecodeHeartbeat(ctx.PostBody())
-	if err != nil || c.frozen {
+	if err != nil || c.paused {
 		ctx.SetStatusCode(503)
 		return
 	}
@@ -427,14 +427,14 @@
 			controller.store.responsesLost.Store(true)
 			time.AfterFunc(duration/4, func() { controller.store.responsesLost.Store(false) })
 		case 3:
-			controller.freeze(true)
-			time.AfterFunc(duration, func() { controller.freeze(false) })
+			controller.setPaused(true)
+			time.AfterFunc(duration, func() { controller.setPaused(false) })
 		}
 		time.Sleep(duration)
 	}
 }
 
-func (c *loopbackController) freeze(on bool) { c.mu.Lock(); c.frozen = on; c.mu.Unlock() }
+func (c *loopbackController) setPaused(on bool) { c.mu.Lock(); c.paused = on; c.mu.Unlock() }
 
 // runLoopback plays so many moves on a site, and gives what the audit found.
 func runLoopback(t *testing.T, moves int, ignoresLease bool) (done int, overlaps []string, withoutOwner int) {
--- a/internal/shard/machine_ages.go
+++ b/internal/shard/machine_inactivity.go
@@ -1,10 +1,10 @@
 package shard
 
-// MachineAges is what an owner leaves to the next one, in the transaction that names that: how
+// MachineInactivity is what an owner leaves to the next one, in the transaction that names that: how
 // long, at least, its machines were silent or idle by then. After its transfer began an owner
 // answers nobody, so the next one goes on counting where this one ended. The record holds for
 // the ownership that begins at its own revision, and for no other.
-type MachineAges struct {
+type MachineInactivity struct {
 	// SinceRenewal is how long ago, in microseconds, an owner may last have renewed the lease of
 	// a machine's agent, by machine. It does not say what lease proxies renewed.
 	SinceRenewal map[string]int64 `msgpack:"renewed"`
@@ -12,6 +12,6 @@
 	IdleFor map[string]int64 `msgpack:"idle"`
 }
 
-// MaxMachineAges bounds the machines of each kind that the record names: a value of the store
+// MaxInactiveMachines bounds the machines of each kind that the record names: a value of the store
 // holds a few KiB. For those left out the next owner counts from its own beginning.
-const MaxMachineAges = 100
+const MaxInactiveMachines = 100
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -114,7 +114,7 @@
 	if o.state == Relinquished || entry.Version <= o.entry.Version {
 		return
 	}
-	if entry.Record.Owner != o.self || !entry.OwnedElsewhere() {
+	if entry.Record.Owner != o.self || !entry.HasOwner() {
 		o.transition(Relinquished, "owner is "+ownerName(entry.Record.Owner))
 		return
 	}
--- a/internal/shard/guards_test.go
+++ b/internal/shard/owner_preconditions_test.go
@@ -12,36 +12,36 @@
 )
 
 var (
-	guardedSelf   = shard.Controller{Node: "n-1", SessionVersion: 5}
-	guardedTarget = shard.Controller{Node: "n-2", SessionVersion: 7}
+	ownerController  = shard.Controller{Node: "n-1", SessionVersion: 5}
+	targetController = shard.Controller{Node: "n-2", SessionVersion: 7}
 )
 
-// guardedEntry is the record of a shard that n-1 owns, or is to transfer.
-func guardedEntry(t *testing.T, version uint64, moving bool) shard.Entry {
+// newOwnedEntry is the record of a shard that n-1 owns, or is to transfer.
+func newOwnedEntry(t *testing.T, version uint64, moving bool) shard.Entry {
 	t.Helper()
-	r := shard.Record{State: shard.Owned, Owner: guardedSelf, Selector: shard.Selector{Zone: "a"}, OwnerChanges: 1}
+	r := shard.Record{State: shard.Owned, Owner: ownerController, Selector: shard.Selector{Zone: "a"}, OwnerChanges: 1}
 	if moving {
 		var err error
-		if r, err = r.Move(guardedTarget, 1); err != nil {
+		if r, err = r.Move(targetController, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return shard.Entry{Name: "gpus", Version: version, Record: r}
 }
 
-// guardedOwner is the owner of that shard.
-func guardedOwner(t *testing.T, moving bool) *shard.Owner {
+// newTestOwner is the owner of that shard.
+func newTestOwner(t *testing.T, moving bool) *shard.Owner {
 	t.Helper()
 	return shard.NewOwner(
-		guardedEntry(t, 9, moving), election.NewTermForKey(shard.SessionKey("n-1"), 5, micro.Minute), guardedSelf,
+		newOwnedEntry(t, 9, moving), election.NewTermForKey(shard.SessionKey("n-1"), 5, micro.Minute), ownerController,
 		func(string, ...any) {},
 	)
 }
 
 var (
-	selfGuard   = wire.Precondition{Key: "owner/n-1", Version: 5}
-	targetGuard = wire.Precondition{Key: "owner/n-2", Version: 7}
-	recordGuard = wire.Precondition{Key: "share/gpus", Version: 9}
+	ownerSessionPrecondition  = wire.Precondition{Key: "owner/n-1", Version: 5}
+	targetSessionPrecondition = wire.Precondition{Key: "owner/n-2", Version: 7}
+	recordPrecondition        = wire.Precondition{Key: "share/gpus", Version: 9}
 )
 
 // Every transaction of an owner fails once its session, or the shard's record, is
@@ -55,7 +55,7 @@
 			return 1
 		})
 	}
-	acting, moving := guardedOwner(t, false), guardedOwner(t, true)
+	acting, moving := newTestOwner(t, false), newTestOwner(t, true)
 	handOver, ok := moving.BeginTransfer(2)
 	if !ok {
 		t.Fatal("does not hand over")
@@ -65,11 +65,11 @@
 	if !ok {
 		t.Fatal("does not resolve its doubt")
 	}
-	take, err := guardedEntry(
+	take, err := newOwnedEntry(
 		t,
 		9,
 		false,
-	).Reassign(guardedTarget, shard.Sessions{"n-2": 7}, 4, wire.Precondition{Key: "leader", Version: 3})
+	).Reassign(targetController, shard.Sessions{"n-2": 7}, 4, wire.Precondition{Key: "leader", Version: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,11 +80,11 @@
 		{"taken from an owner that is gone", take.If, []wire.Precondition{
 			{Key: "leader", Version: 3},
 			{Key: "owner/n-1"},
-			targetGuard, recordGuard,
+			targetSessionPrecondition, recordPrecondition,
 		}},
-		{"writes", acting.Preconditions(), []wire.Precondition{selfGuard, recordGuard}},
-		{"hand-over", handOver.If, []wire.Precondition{selfGuard, targetGuard, recordGuard}},
-		{"renewal of the record", renew.If, []wire.Precondition{selfGuard, recordGuard}},
+		{"writes", acting.Preconditions(), []wire.Precondition{ownerSessionPrecondition, recordPrecondition}},
+		{"hand-over", handOver.If, []wire.Precondition{ownerSessionPrecondition, targetSessionPrecondition, recordPrecondition}},
+		{"renewal of the record", renew.If, []wire.Precondition{ownerSessionPrecondition, recordPrecondition}},
 	} {
 		if got := sorted(c.got); !slices.Equal(got, sorted(c.want)) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
@@ -94,11 +94,11 @@
 
 // What an owner may do in each state, and with its session's right lapsed.
 func TestOwnerRespondsAndAllocatesOnlyWhileItSurelyOwnsTheShard(t *testing.T) {
-	other := guardedSelf
+	other := ownerController
 	other.SessionVersion = 6
-	taken := guardedEntry(t, 10, false)
+	taken := newOwnedEntry(t, 10, false)
 	taken.Record.Owner = other
-	older := guardedEntry(t, 8, true)
+	older := newOwnedEntry(t, 8, true)
 	for _, c := range []struct {
 		name           string
 		moving         bool
@@ -137,7 +137,7 @@
 		{"the record is gone", false, func(owner *shard.Owner) { owner.HandleRecordDeleted() }, false, false},
 		{"an older record is read late", false, func(owner *shard.Owner) { owner.Observe(older) }, true, true},
 	} {
-		owner := guardedOwner(t, c.moving)
+		owner := newTestOwner(t, c.moving)
 		c.then(owner)
 		if owner.MayRespond() != c.speaks || owner.MayServe(0) != c.speaks || owner.MayAllocate() != c.places {
 			t.Errorf(
--- a/internal/shard/ownership/ownership.go
+++ b/internal/shard/ownership/ownership.go
@@ -63,26 +63,26 @@
 type Owners[O Owner] struct {
 	node    string
 	host    Host[O]
-	table   *shard.Follower
+	table   *shard.Watcher
 	session *election.Election
 	term    atomic.Pointer[election.Term] // of the session; nil: none
 
 	mu     sync.Mutex
 	ctx    context.Context // of Run; nil until it is called
-	owners map[string]owned[O]
+	owners map[string]runningOwner[O]
 }
 
-// owned is a loop that runs, and the term of the session under which it was started.
-type owned[O Owner] struct {
+// runningOwner is a loop that runs, and the term of the session under which it was started.
+type runningOwner[O Owner] struct {
 	owner O
 	term  *election.Term
 }
 
 // New makes the part of a controller that owns no shard yet.
 func New[O Owner](config Config, deps Dependencies[O]) *Owners[O] {
-	owners := &Owners[O]{node: config.Node, host: deps.Host, owners: map[string]owned[O]{}}
-	owners.table = shard.NewFollower(deps.Store, deps.Log, owners.tableChanged)
-	features := []string{shard.ContinueFeature}
+	owners := &Owners[O]{node: config.Node, host: deps.Host, owners: map[string]runningOwner[O]{}}
+	owners.table = shard.NewWatcher(deps.Store, deps.Log, owners.tableChanged)
+	features := []string{shard.HandoverFeature}
 	announcement := wire.Change{
 		Put: shard.AnnouncementKey(config.Node), Value: shard.Announcement{Features: features},
 	}
@@ -97,10 +97,10 @@
 }
 
 // Table is the shard table.
-func (o *Owners[O]) Table() *shard.Follower { return o.table }
+func (o *Owners[O]) Table() *shard.Watcher { return o.table }
 
-// Of is the loop of a shard that this controller owns; false if it does not.
-func (o *Owners[O]) Of(name string) (O, bool) {
+// Owner is the loop of a shard that this controller owns; false if it does not.
+func (o *Owners[O]) Owner(name string) (O, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	running, ok := o.owners[name]
@@ -130,7 +130,7 @@
 // could be given to this controller, and nobody would answer its machines.
 func (o *Owners[O]) holdSession(ctx context.Context) error {
 	for !o.host.Ready() && ctx.Err() == nil {
-		pause(ctx, shard.ReadRetry)
+		sleep(ctx, shard.ReadRetry)
 	}
 	return o.session.Run(ctx)
 }
@@ -142,7 +142,7 @@
 // ended by itself.
 func (o *Owners[O]) reconcilePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, reconcileInterval)
+		sleep(ctx, reconcileInterval)
 		o.Reconcile()
 	}
 }
@@ -183,14 +183,14 @@
 	}
 	self := shard.Controller{Node: o.node, SessionVersion: wire.Count(term.FencingRevision)}
 	table.Each(func(entry shard.Entry) bool {
-		if _, runs := o.owners[entry.Name]; !runs && entry.OwnedElsewhere() && entry.Record.Owner == self {
-			o.owners[entry.Name] = owned[O]{o.host.StartOwner(o.ctx, entry, term, self), term}
+		if _, runs := o.owners[entry.Name]; !runs && entry.HasOwner() && entry.Record.Owner == self {
+			o.owners[entry.Name] = runningOwner[O]{o.host.StartOwner(o.ctx, entry, term, self), term}
 		}
 		return true
 	})
 }
 
-func pause(ctx context.Context, d micro.Time) {
+func sleep(ctx context.Context, d micro.Time) {
 	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
 	select {
--- a/internal/shard/ownership/ownership_test.go
+++ b/internal/shard/ownership/ownership_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func (test *testOwners) giveTo(owner shard.Controller) {
+func (test *testOwners) assignShardTo(owner shard.Controller) {
 	test.t.Helper()
 	record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
 	record.State, record.Owner = shard.Owned, owner
@@ -115,7 +115,7 @@
 	test.t.Helper()
 	var owner *fakeOwner
 	test.waitUntil("the shard's loop runs", func() (ok bool) {
-		owner, ok = test.Of("east")
+		owner, ok = test.Owner("east")
 		return ok && !owner.Stopped()
 	})
 	return owner
@@ -138,12 +138,12 @@
 	test := runOwners(t)
 	test.host.ready.Store(true)
 	self := test.session()
-	test.giveTo(shard.Controller{Node: "n-1", SessionVersion: self.SessionVersion + 1})
+	test.assignShardTo(shard.Controller{Node: "n-1", SessionVersion: self.SessionVersion + 1})
 	test.waitUntil("the table is read", func() bool { return test.Table().Snapshot().Len() == 1 })
-	if _, ok := test.Of("east"); ok {
+	if _, ok := test.Owner("east"); ok {
 		t.Error("the shard of another incarnation runs")
 	}
-	test.giveTo(self)
+	test.assignShardTo(self)
 	owner := test.waitOwned()
 	if owner.self != self || test.host.started.Load() != 1 || test.host.changes.Load() == 0 {
 		t.Errorf("%d loops were started, as %v", test.host.started.Load(), owner.self)
@@ -156,7 +156,7 @@
 func TestLoopThatEndedByItselfIsStartedAgain(t *testing.T) {
 	test := runOwners(t)
 	test.host.ready.Store(true)
-	test.giveTo(test.session())
+	test.assignShardTo(test.session())
 	first := test.waitOwned()
 	first.Stop()
 	if second := test.waitOwned(); second == first || test.host.started.Load() != 2 {
@@ -167,13 +167,13 @@
 func TestLoopsEndWithTheSession(t *testing.T) {
 	test := runOwners(t)
 	test.host.ready.Store(true)
-	test.giveTo(test.session())
+	test.assignShardTo(test.session())
 	owner := test.waitOwned()
 	if err := test.store.Revoke(t.Context(), owner.session.Lease); err != nil {
 		t.Fatal(err)
 	}
 	test.waitUntil("the loop of the session that ended is stopped", owner.Stopped)
-	if _, ok := test.Of("east"); ok {
+	if _, ok := test.Owner("east"); ok {
 		t.Error("a shard of the session that ended is still owned")
 	}
 }
--- a/internal/shard/division.go
+++ b/internal/shard/placement_warnings.go
@@ -9,19 +9,21 @@
 // A division of the machines by shards may leave some work without a place: a job is served
 // as a whole, by the leader or in one shard.
 
-// Part is a shard as far as it decides which work has a place.
-type Part struct {
+// Definition is a shard as far as it decides which work has a place.
+type Definition struct {
 	Name     string
 	Selector Selector
 	Teams    []string // whose jobs it takes; empty: those of any team
 }
 
 // accepts reports whether the shard takes jobs of a team.
-func (p Part) accepts(team string) bool { return len(p.Teams) == 0 || slices.Contains(p.Teams, team) }
+func (p Definition) accepts(team string) bool {
+	return len(p.Teams) == 0 || slices.Contains(p.Teams, team)
+}
 
 // PossibleOffers lists offers that stand for all that a cloud might have in some zones, as far
 // as selectors tell them apart: of the types that they name, and of one that none of them names.
-func PossibleOffers(zones []string, parts []Part) []Attributes {
+func PossibleOffers(zones []string, parts []Definition) []Attributes {
 	types := []string{""}
 	for _, part := range parts {
 		if !slices.Contains(types, part.Selector.Type) {
@@ -37,45 +39,45 @@
 	return offers
 }
 
-// DivisionWarnings says for which work shards leave no place, of all offers of a cloud and of
+// PlacementWarnings says for which work shards leave no place, of all offers of a cloud and of
 // all teams. The warnings on zones and types are about on-demand offers: all work may use them.
-func DivisionWarnings(offers []Attributes, parts []Part, teams []string) []string {
-	d := newDivision(offers, parts)
+func PlacementWarnings(offers []Attributes, parts []Definition, teams []string) []string {
+	d := newCoverage(offers, parts)
 	if len(offers) == 0 || len(parts) == 0 {
 		return nil
 	}
-	warnings := d.wholeWarnings()
+	warnings := d.fleetWarnings()
 	warnings = append(warnings, d.zoneWarnings()...)
 	warnings = append(warnings, d.typeWarnings()...)
 	return append(warnings, d.teamWarnings(teams)...)
 }
 
-// dividedOffer is an offer with the shard that its machines are in; nil: they are in none.
-type dividedOffer struct {
+// ownedOffer is an offer with the shard that its machines are in; nil: they are in none.
+type ownedOffer struct {
 	Attributes
-	part *Part
+	definition *Definition
 }
 
-// division are a cloud's offers by shards.
-type division struct {
-	onDemand    []dividedOffer
-	leaderHas   bool // an offer is in no shard
-	zones       []string
-	types       []string // that have a name
-	noTwoZones  bool     // no side has two zones
-	coveredZone map[string]bool
+// coverage are a cloud's offers by shards.
+type coverage struct {
+	onDemand           []ownedOffer
+	leaderHasOffers    bool // an offer is in no shard
+	zones              []string
+	types              []string // that have a name
+	noOwnerHasTwoZones bool     // no side has two zones
+	zoneFullyInShards  map[string]bool
 }
 
-func newDivision(offers []Attributes, parts []Part) *division {
-	d := &division{coveredZone: map[string]bool{}}
+func newCoverage(offers []Attributes, parts []Definition) *coverage {
+	d := &coverage{zoneFullyInShards: map[string]bool{}}
 	for _, offer := range offers {
-		divided := dividedOffer{Attributes: offer}
+		divided := ownedOffer{Attributes: offer}
 		for i := range parts {
 			if parts[i].Selector.Matches(offer) {
-				divided.part = &parts[i]
+				divided.definition = &parts[i]
 			}
 		}
-		d.leaderHas = d.leaderHas || divided.part == nil
+		d.leaderHasOffers = d.leaderHasOffers || divided.definition == nil
 		if offer.Spot {
 			continue
 		}
@@ -90,42 +92,42 @@
 	slices.Sort(d.zones)
 	slices.Sort(d.types)
 	for _, zone := range d.zones {
-		d.coveredZone[zone] = !slices.ContainsFunc(d.onDemand, func(o dividedOffer) bool {
-			return o.Zone == zone && o.part == nil
+		d.zoneFullyInShards[zone] = !slices.ContainsFunc(d.onDemand, func(o ownedOffer) bool {
+			return o.Zone == zone && o.definition == nil
 		})
 	}
-	d.noTwoZones = len(d.zones) > 1 && mostZones(d.onDemand) < 2
+	d.noOwnerHasTwoZones = len(d.zones) > 1 && maxZonesPerOwner(d.onDemand) < 2
 	return d
 }
 
-// mostZones is how many zones the side has that has offers in most of them.
-func mostZones(offers []dividedOffer) int {
-	zonesBySide := map[string]map[string]bool{}
+// maxZonesPerOwner is how many zones the side has that has offers in most of them.
+func maxZonesPerOwner(offers []ownedOffer) int {
+	zonesByOwner := map[string]map[string]bool{}
 	most := 0
 	for _, offer := range offers {
-		side := offer.side()
-		if zonesBySide[side] == nil {
-			zonesBySide[side] = map[string]bool{}
+		owner := offer.owner()
+		if zonesByOwner[owner] == nil {
+			zonesByOwner[owner] = map[string]bool{}
 		}
-		zonesBySide[side][offer.Zone] = true
-		most = max(most, len(zonesBySide[side]))
+		zonesByOwner[owner][offer.Zone] = true
+		most = max(most, len(zonesByOwner[owner]))
 	}
 	return most
 }
 
-// side is the name of the offer's shard, "" if it is the leader's.
-func (o dividedOffer) side() string {
-	if o.part == nil {
+// owner is the name of the offer's shard, "" if it is the leader's.
+func (o ownedOffer) owner() string {
+	if o.definition == nil {
 		return ""
 	}
-	return o.part.Name
+	return o.definition.Name
 }
 
-// wholeWarnings are those on the fleet as a whole.
-func (d *division) wholeWarnings() []string {
-	leaderHasOnDemand := slices.ContainsFunc(d.onDemand, func(o dividedOffer) bool { return o.part == nil })
+// fleetWarnings are those on the fleet as a whole.
+func (d *coverage) fleetWarnings() []string {
+	leaderHasOnDemand := slices.ContainsFunc(d.onDemand, func(o ownedOffer) bool { return o.definition == nil })
 	switch {
-	case !d.leaderHas:
+	case !d.leaderHasOffers:
 		return []string{"the shares together hold every offer: a job has a place only in one of them as a whole"}
 	case !leaderHasOnDemand && len(d.onDemand) > 0:
 		return []string{"the shares together hold every on-demand offer: a job that may not use spot machines has a " +
@@ -135,49 +137,49 @@
 }
 
 // zoneWarnings are those on zones that lie in shards while others do not.
-func (d *division) zoneWarnings() []string {
+func (d *coverage) zoneWarnings() []string {
 	var outside []string
 	for _, zone := range d.zones {
-		if !d.coveredZone[zone] {
+		if !d.zoneFullyInShards[zone] {
 			outside = append(outside, zone)
 		}
 	}
 	result := "has a place only where one side has two zones for it"
-	if d.noTwoZones {
+	if d.noOwnerHasTwoZones {
 		result = "has no place: no side has two zones"
 	}
 	var warnings []string
 	for _, zone := range d.zones {
-		if !d.coveredZone[zone] || len(outside) == 0 {
+		if !d.zoneFullyInShards[zone] || len(outside) == 0 {
 			continue
 		}
 		warnings = append(warnings, fmt.Sprintf(
 			"zone %s lies in share %s, zone %s outside: a spread service is not split, and %s", zone,
-			strings.Join(d.sidesOf(func(o dividedOffer) bool { return o.Zone == zone }), ", "),
+			strings.Join(d.shardsWith(func(o ownedOffer) bool { return o.Zone == zone }), ", "),
 			strings.Join(outside, ", "), result,
 		))
 	}
-	if d.noTwoZones && len(warnings) == 0 {
+	if d.noOwnerHasTwoZones && len(warnings) == 0 {
 		warnings = append(warnings, "no side has two zones: a spread service is not split, and has no place")
 	}
 	return warnings
 }
 
 // typeWarnings are those on types whose zones lie on several sides.
-func (d *division) typeWarnings() []string {
-	if d.noTwoZones {
+func (d *coverage) typeWarnings() []string {
+	if d.noOwnerHasTwoZones {
 		return nil // that is said of all types
 	}
 	var warnings []string
 	for _, typ := range d.types {
-		ofType := func(o dividedOffer) bool { return o.Type == typ }
-		var offers []dividedOffer
+		ofType := func(o ownedOffer) bool { return o.Type == typ }
+		var offers []ownedOffer
 		for _, offer := range d.onDemand {
 			if ofType(offer) {
 				offers = append(offers, offer)
 			}
 		}
-		if len(d.sidesOf(ofType)) > 0 && len(offers) > 1 && mostZones(offers) < 2 {
+		if len(d.shardsWith(ofType)) > 0 && len(offers) > 1 && maxZonesPerOwner(offers) < 2 {
 			warnings = append(warnings, fmt.Sprintf(
 				"no side has two zones with type %s: a spread service that needs the type has no place", typ,
 			))
@@ -186,12 +188,12 @@
 	return warnings
 }
 
-// sidesOf lists the shards that hold some of the on-demand offers of a sort.
-func (d *division) sidesOf(sort func(dividedOffer) bool) []string {
+// shardsWith lists the shards that hold some of the on-demand offers of a sort.
+func (d *coverage) shardsWith(sort func(ownedOffer) bool) []string {
 	var names []string
 	for _, offer := range d.onDemand {
-		if offer.part != nil && sort(offer) && !slices.Contains(names, offer.part.Name) {
-			names = append(names, offer.part.Name)
+		if offer.definition != nil && sort(offer) && !slices.Contains(names, offer.definition.Name) {
+			names = append(names, offer.definition.Name)
 		}
 	}
 	slices.Sort(names)
@@ -199,33 +201,33 @@
 }
 
 // teamWarnings are those on teams that shards do not take jobs of.
-func (d *division) teamWarnings(teams []string) []string {
-	all := func(dividedOffer) bool { return true }
-	if closed := d.teamsWithout(teams, all); len(closed) > 0 {
-		return []string{teamWarning(closed, "that may not use spot machines", d.sidesOf(all))}
+func (d *coverage) teamWarnings(teams []string) []string {
+	all := func(ownedOffer) bool { return true }
+	if closed := d.excludedTeams(teams, all); len(closed) > 0 {
+		return []string{teamWarning(closed, "that may not use spot machines", d.shardsWith(all))}
 	}
 	var warnings []string
 	for _, typ := range d.types {
-		ofType := func(o dividedOffer) bool { return o.Type == typ }
-		if closed := d.teamsWithout(teams, ofType); len(closed) > 0 {
-			warnings = append(warnings, teamWarning(closed, "that need type "+typ, d.sidesOf(ofType)))
+		ofType := func(o ownedOffer) bool { return o.Type == typ }
+		if closed := d.excludedTeams(teams, ofType); len(closed) > 0 {
+			warnings = append(warnings, teamWarning(closed, "that need type "+typ, d.shardsWith(ofType)))
 		}
 	}
 	for _, zone := range d.zones {
-		inZone := func(o dividedOffer) bool { return o.Zone == zone }
-		if closed := d.teamsWithout(teams, inZone); len(closed) > 0 {
-			warnings = append(warnings, teamWarning(closed, "that are bound to zone "+zone, d.sidesOf(inZone)))
+		inZone := func(o ownedOffer) bool { return o.Zone == zone }
+		if closed := d.excludedTeams(teams, inZone); len(closed) > 0 {
+			warnings = append(warnings, teamWarning(closed, "that are bound to zone "+zone, d.shardsWith(inZone)))
 		}
 	}
 	return warnings
 }
 
-// teamsWithout lists the teams to which all on-demand offers of a sort are closed.
-func (d *division) teamsWithout(teams []string, sort func(dividedOffer) bool) []string {
+// excludedTeams lists the teams to which all on-demand offers of a sort are closed.
+func (d *coverage) excludedTeams(teams []string, sort func(ownedOffer) bool) []string {
 	var closed []string
 	for _, team := range teams {
-		if !slices.ContainsFunc(d.onDemand, func(o dividedOffer) bool {
-			return sort(o) && (o.part == nil || o.part.accepts(team))
+		if !slices.ContainsFunc(d.onDemand, func(o ownedOffer) bool {
+			return sort(o) && (o.definition == nil || o.definition.accepts(team))
 		}) {
 			closed = append(closed, team)
 		}
--- a/internal/shard/division_test.go
+++ b/internal/shard/placement_warnings_test.go
@@ -24,30 +24,30 @@
 	all, vision := []string{"vision", "speech"}, []string{"vision"}
 	for name, c := range map[string]struct {
 		zones string
-		parts []Part
+		parts []Definition
 		want  string
 	}{
 		"no shard":             {"ab", nil, ""},
-		"a type":               {"ab", []Part{{"s", gpu, nil}}, ""},
-		"spot":                 {"ab", []Part{{"s", Selector{Kind: SpotOnly}, nil}}, ""},
-		"one of two zones":     {"ab", []Part{{"s", east, nil}}, "zone b lies in share s, zone a outside: " + nowhere},
-		"one of three zones":   {"abc", []Part{{"s", east, nil}}, "zone b lies in share s, zone a, c outside: " + oneSide},
-		"two zones, two parts": {"ab", []Part{{"s", east, nil}, {"t", west, nil}}, parted},
-		"on-demand machines":   {"ab", []Part{{"s", Selector{Kind: OnDemandOnly}, nil}}, spotLeft},
-		"a type in one zone":   {"ab", []Part{{"s", Selector{"g", "b", ""}, nil}}, partedType},
-		"a type for a team":    {"ab", []Part{{"s", gpu, vision}}, closedType},
-		"a type for all teams": {"ab", []Part{{"s", gpu, all}}, ""},
+		"a type":               {"ab", []Definition{{"s", gpu, nil}}, ""},
+		"spot":                 {"ab", []Definition{{"s", Selector{Kind: SpotOnly}, nil}}, ""},
+		"one of two zones":     {"ab", []Definition{{"s", east, nil}}, "zone b lies in share s, zone a outside: " + nowhere},
+		"one of three zones":   {"abc", []Definition{{"s", east, nil}}, "zone b lies in share s, zone a, c outside: " + oneSide},
+		"two zones, two parts": {"ab", []Definition{{"s", east, nil}, {"t", west, nil}}, parted},
+		"on-demand machines":   {"ab", []Definition{{"s", Selector{Kind: OnDemandOnly}, nil}}, spotLeft},
+		"a type in one zone":   {"ab", []Definition{{"s", Selector{"g", "b", ""}, nil}}, partedType},
+		"a type for a team":    {"ab", []Definition{{"s", gpu, vision}}, closedType},
+		"a type for all teams": {"ab", []Definition{{"s", gpu, all}}, ""},
 		"a zone for a team": {
 			"abc",
-			[]Part{{"s", Selector{"", "b", OnDemandOnly}, vision}},
+			[]Definition{{"s", Selector{"", "b", OnDemandOnly}, vision}},
 			"zone b lies in share s, zone a, c outside: " + oneSide + "\n" + closedZone,
 		},
 	} {
 		zones := strings.Split(c.zones, "")
-		catalog := PossibleOffers(zones, []Part{{Selector: gpu}, {Selector: Selector{Type: "m"}}})
+		catalog := PossibleOffers(zones, []Definition{{Selector: gpu}, {Selector: Selector{Type: "m"}}})
 		catalog = slices.DeleteFunc(catalog, func(a Attributes) bool { return a.Type == "" })
 		for _, offers := range [][]Attributes{PossibleOffers(zones, c.parts), catalog} {
-			if got := strings.Join(DivisionWarnings(offers, c.parts, all), "\n"); got != c.want {
+			if got := strings.Join(PlacementWarnings(offers, c.parts, all), "\n"); got != c.want {
 				t.Errorf("%s: %q, want %q", name, got, c.want)
 			}
 		}
--- a/internal/shard/earlier_version_test.go
+++ b/internal/shard/previous_release_test.go
@@ -7,8 +7,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// earlierAssignment is the value of an assignment as the version before reads and writes it.
-type earlierAssignment struct {
+// previousReleaseAssignment is the value of an assignment as the version before reads and writes it.
+type previousReleaseAssignment struct {
 	Job            wire.Job `msgpack:"job"`
 	AssignedAt     int64    `msgpack:"at"`
 	MaxAllocations int      `msgpack:"tasks"`
@@ -19,7 +19,7 @@
 // anew, and the owner finds neither the job nor that it is to be stopped.
 func TestAssignmentThatTheEarlierVersionRewritesKeepsItsJob(t *testing.T) {
 	assignment := shard.NewAssignment(wire.Job{ID: "j-1", Tasks: 4}, 7, 0)
-	var earlier earlierAssignment
+	var earlier previousReleaseAssignment
 	if err := wire.Unmarshal(wire.MustMarshal(assignment), &earlier); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/shard/property_test.go
+++ b/internal/shard/property_test.go
@@ -44,7 +44,7 @@
 	allocations          map[string]string // machine of each task that the records name
 	uncertainAllocations []string          // tasks whose record has no answer
 
-	frozen bool // it stands still, or reaches nothing: its session is not renewed
+	paused bool // it stands still, or reaches nothing: its session is not renewed
 }
 
 // sentResponse is an answer that a machine was given.
@@ -157,7 +157,7 @@
 			controller.owner = nil
 		}
 	}
-	if controller.owner == nil && entry.OwnedElsewhere() && entry.Record.Owner == controller.self {
+	if controller.owner == nil && entry.HasOwner() && entry.Record.Owner == controller.self {
 		controller.owner = shard.NewOwner(entry, controller.session, controller.self, func(string, ...any) {})
 		controller.token, controller.uncertainAllocations = controller.owner.FirstFencingToken(), nil
 		controller.allocations = s.allocations()
@@ -407,7 +407,7 @@
 			s.delayedCommands = s.delayedCommands[1:]
 		}
 	case "freeze":
-		controller.frozen = !controller.frozen
+		controller.paused = !controller.paused
 	case "time":
 		s.advance(300 * micro.Millisecond)
 	case "long time":
@@ -429,7 +429,7 @@
 func (s *simulation) advance(d micro.Time) {
 	s.now += d
 	for _, node := range controllers {
-		if controller := s.controllers[node]; !controller.frozen {
+		if controller := s.controllers[node]; !controller.paused {
 			s.renew(controller)
 		}
 	}
--- a/internal/shard/sessions.go
+++ b/internal/shard/sessions.go
@@ -6,10 +6,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ContinueFeature is announced by a controller that goes on with jobs which had allocations before,
+// HandoverFeature is announced by a controller that goes on with jobs which had allocations before,
 // and gives them back when they are recalled: in its session, and for as long as it is away in a
 // record that stays. Such a job changes hands only while every controller of the settings does.
-const ContinueFeature = "continue"
+const HandoverFeature = "continue"
 
 // Announcement is what a controller could do when it last had a session.
 type Announcement struct {
@@ -32,7 +32,7 @@
 
 // OwnerSessionLost reports whether the owner that a record names has lost its session: by its
 // own clock its right has ended before.
-func (e Entry) OwnerSessionLost(s Sessions) bool { return e.OwnedElsewhere() && !s.Has(e.Record.Owner) }
+func (e Entry) OwnerSessionLost(s Sessions) bool { return e.HasOwner() && !s.Has(e.Record.Owner) }
 
 // Successor chooses who gets the shard of an owner that is gone: the same node, if it is
 // back; else the node that it was to move to; else one with the fewest shards.
--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// OwnedElsewhere reports whether the machines of the shard are not the leader's to answer.
-func (e Entry) OwnedElsewhere() bool { return e.Record.State == Owned || e.Record.State == Moving }
+// HasOwner reports whether the machines of the shard are not the leader's to answer.
+func (e Entry) HasOwner() bool { return e.Record.State == Owned || e.Record.State == Moving }
 
 // Snapshot is the table of all shards at one time. It never changes.
 type Snapshot struct {
--- a/internal/shard/update/update_test.go
+++ b/internal/shard/update/update_test.go
@@ -19,8 +19,8 @@
 
 const now = micro.Minute
 
-// twoZones is a shard with one empty machine in each of two zones.
-func twoZones() *cluster.State {
+// newTwoZoneCluster is a shard with one empty machine in each of two zones.
+func newTwoZoneCluster() *cluster.State {
 	state := cluster.New(noEffects{})
 	state.SetCatalog(&wire.Catalog{
 		Types: []wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}}},
@@ -49,9 +49,9 @@
 		"within its part of a quota": {waiting: &wire.Job{CPUs: 4}, maxAllocations: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state := twoZones()
+			state := newTwoZoneCluster()
 			if row.waiting != nil {
-				addArray(state, *row.waiting, row.maxAllocations)
+				addJobArray(state, *row.waiting, row.maxAllocations)
 			}
 			if got := freeZones(state); !slices.Equal(got, row.want) {
 				t.Errorf("machines are free in zones %v, want %v", got, row.want)
@@ -60,8 +60,8 @@
 	}
 }
 
-// addArray adds an array of three tasks, one of which runs; it may have so many allocations at once.
-func addArray(state *cluster.State, spec wire.Job, maxAllocations int) {
+// addJobArray adds an array of three tasks, one of which runs; it may have so many allocations at once.
+func addJobArray(state *cluster.State, spec wire.Job, maxAllocations int) {
 	spec.ID, spec.Kind, spec.Tasks = "j-1", wire.JobArray, 3
 	job := state.AddJob(spec, 0, 0)
 	job.MaxAllocations, job.AllocationCount = maxAllocations, 1
--- a/internal/shard/follower.go
+++ b/internal/shard/watcher.go
@@ -28,49 +28,49 @@
 // recordPageSize is how many records are read with one request.
 const recordPageSize = 1000
 
-// Follower keeps a table of the shards as the store has it. Run writes the table on the
+// Watcher keeps a table of the shards as the store has it. Run writes the table on the
 // goroutine that calls it; all else may be called from any goroutine.
-type Follower struct {
-	table   Table
-	read    atomic.Bool
-	store   store.Store
-	log     *slog.Logger
-	changed func()
+type Watcher struct {
+	table    Table
+	hasRead  atomic.Bool
+	store    store.Store
+	log      *slog.Logger
+	onChange func()
 }
 
-// NewFollower makes the follower of an empty table, which is read once Run is called. It
+// NewWatcher makes the follower of an empty table, which is read once Run is called. It
 // calls changed after each change, on the goroutine that found it.
-func NewFollower(st store.Store, log *slog.Logger, changed func()) *Follower {
-	return &Follower{store: st, log: log, changed: changed}
+func NewWatcher(st store.Store, log *slog.Logger, onChange func()) *Watcher {
+	return &Watcher{store: st, log: log, onChange: onChange}
 }
 
 // Snapshot is the table as it is now.
-func (f *Follower) Snapshot() Snapshot { return f.table.Snapshot() }
+func (w *Watcher) Snapshot() Snapshot { return w.table.Snapshot() }
 
 // HasRead reports whether the table was read since the start.
-func (f *Follower) HasRead() bool { return f.read.Load() }
+func (w *Watcher) HasRead() bool { return w.hasRead.Load() }
 
 // Run follows the table until the context ends.
-func (f *Follower) Run(ctx context.Context) error {
+func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		revision, err := f.Read(ctx)
+		revision, err := w.Read(ctx)
 		if err == nil {
-			err = f.watch(ctx, revision)
+			err = w.watch(ctx, revision)
 		}
 		if err != nil {
-			f.log.Debug("shard table not read", "err", err)
+			w.log.Debug("shard table not read", "err", err)
 		}
-		pause(ctx, ReadRetry)
+		sleep(ctx, ReadRetry)
 	}
 	return nil
 }
 
 // Read reads all records once, and returns the revision from which changes are to be watched.
-func (f *Follower) Read(ctx context.Context) (revision uint64, err error) {
+func (w *Watcher) Read(ctx context.Context) (revision uint64, err error) {
 	var entries []Entry
 	after := ""
 	for {
-		page, err := f.store.Range(ctx, store.Leadership, RecordPrefix, after, recordPageSize)
+		page, err := w.store.Range(ctx, store.Leadership, RecordPrefix, after, recordPageSize)
 		if err != nil {
 			return 0, fmt.Errorf("read shard records after %q: %w", after, err)
 		}
@@ -79,7 +79,7 @@
 		}
 		for _, item := range page.Items {
 			after = item.Key
-			if entry, ok := f.parse(item.Key, item.Value, uint64(item.Version)); ok {
+			if entry, ok := w.decodeRecord(item.Key, item.Value, uint64(item.Version)); ok {
 				entries = append(entries, entry)
 			}
 		}
@@ -87,17 +87,17 @@
 			break
 		}
 	}
-	f.table.Replace(entries)
-	f.read.Store(true)
-	f.changed()
+	w.table.Replace(entries)
+	w.hasRead.Store(true)
+	w.onChange()
 	return revision, nil
 }
 
-// parse reads a record; one that cannot be read is logged and counts as none.
-func (f *Follower) parse(key string, value []byte, version uint64) (Entry, bool) {
+// decodeRecord reads a record; one that cannot be read is logged and counts as none.
+func (w *Watcher) decodeRecord(key string, value []byte, version uint64) (Entry, bool) {
 	entry, err := ParseRecord(key, value, version)
 	if err != nil {
-		f.log.Debug("shard record not understood", "key", key, "err", err)
+		w.log.Debug("shard record not understood", "key", key, "err", err)
 	}
 	return entry, err == nil
 }
@@ -112,37 +112,37 @@
 }
 
 // watch takes in changes, until they cannot be followed.
-func (f *Follower) watch(ctx context.Context, revision uint64) error {
+func (w *Watcher) watch(ctx context.Context, revision uint64) error {
 	for ctx.Err() == nil {
-		events, err := f.store.Watch(ctx, RecordPrefix, revision, WatchTimeout)
+		events, err := w.store.Watch(ctx, RecordPrefix, revision, WatchTimeout)
 		if errors.Is(err, store.ErrCompacted) {
 			return fmt.Errorf("watch shard records from revision %d: %w", revision, err)
 		}
 		if err == nil {
 			revision = max(revision, uint64(events.Revision))
-			f.apply(events)
+			w.apply(events)
 		}
-		pause(ctx, WatchPause)
+		sleep(ctx, WatchPause)
 	}
 	return nil
 }
 
-func (f *Follower) apply(events wire.Events) {
+func (w *Watcher) apply(events wire.Events) {
 	for _, event := range events.Events {
 		if event.Delete != "" {
-			f.table.Delete(event.Delete[len(RecordPrefix):], uint64(event.Version))
+			w.table.Delete(event.Delete[len(RecordPrefix):], uint64(event.Version))
 			continue
 		}
-		if entry, ok := f.parse(event.Put, event.Value, uint64(event.Version)); ok {
-			f.table.Put(entry)
+		if entry, ok := w.decodeRecord(event.Put, event.Value, uint64(event.Version)); ok {
+			w.table.Put(entry)
 		}
 	}
 	if len(events.Events) > 0 {
-		f.changed()
+		w.onChange()
 	}
 }
 
-func pause(ctx context.Context, d micro.Time) {
+func sleep(ctx context.Context, d micro.Time) {
 	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
 	select {
