--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -29,7 +29,7 @@
 	staysUnreached bool                     // it was said that no agent reaches this node and it stays
 	recovered      bool                     // the failover has read everything
 	coordinator    *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
-	servingReview  *coordinator.ServingReview
+	servingReview  *coordinator.UnservedJobScan
 }
 
 // newLeader makes the loop of a term of leadership.
@@ -51,8 +51,8 @@
 		}
 	}
 	l.coordinator = newCoordinator(l)
-	l.servingReview = coordinator.NewServingReview(l.coordinator)
-	l.describeServingSide = l.coordinator.DescribeServingSide
+	l.servingReview = coordinator.NewUnservedJobScan(l.coordinator)
+	l.describeServingSide = l.coordinator.DescribeEligibleOwners
 	l.cancellations = newCancellations(l)
 	l.provisioner = newProvisioner(l)
 	l.failover = newFailover(l)
--- a/internal/shard/coordinator/serving_side.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -53,8 +53,8 @@
 	return catalog
 }
 
-// ServingSide says which sides have offers that a job may use, and which may serve it.
-type ServingSide struct {
+// EligibleOwners says which sides have offers that a job may use, and which may serve it.
+type EligibleOwners struct {
 	LeaderOffers int
 	ShardOffers  map[string]int // of shards that have any
 	ServedBy     []string       // sides that may serve it as a whole, in words
@@ -62,18 +62,18 @@
 }
 
 // String says which sides may serve the job, or why none may.
-func (s ServingSide) String() string {
+func (s EligibleOwners) String() string {
 	if len(s.ServedBy) == 0 {
 		return "none: " + s.Reason
 	}
 	return strings.Join(s.ServedBy, ", ")
 }
 
-// ServingSideOf says which sides may serve a job: those with an offer that it may use, for a
+// EligibleOwnersOf says which sides may serve a job: those with an offer that it may use, for a
 // spread service in two zones. A shard's owner gets only what may be assigned to the shard.
-func (c *DividedCatalog) ServingSideOf(job *cluster.Job) ServingSide {
+func (c *DividedCatalog) EligibleOwnersOf(job *cluster.Job) EligibleOwners {
 	sides := c.sidesOf(job)
-	side := ServingSide{LeaderOffers: sides.leader.offers, ShardOffers: map[string]int{}}
+	side := EligibleOwners{LeaderOffers: sides.leader.offers, ShardOffers: map[string]int{}}
 	if sides.leader.serves(job) {
 		side.ServedBy = append(side.ServedBy, leaderName)
 	}
--- a/internal/shard/coordinator/serving_side_test.go
+++ b/internal/shard/coordinator/eligible_owners_test.go
@@ -89,7 +89,7 @@
 	job := test.addJob("j-1", c.spec)
 	job.AllocationCount = c.allocated
 	catalog := DivideCatalog(test.Cluster.CatalogOrder, c.table, true)
-	side := catalog.ServingSideOf(job)
+	side := catalog.EligibleOwnersOf(job)
 	if got := fmt.Sprint(side.LeaderOffers, " ", side.ShardOffers, " ", side); got != c.want ||
 		catalog.Served(job) != (len(side.ServedBy) > 0) {
 		t.Errorf("%q, want %q; served %v", got, c.want, catalog.Served(job))
@@ -105,7 +105,7 @@
 		job := test.addJob("j-1", wire.Job{Tasks: 1, Zone: &zone})
 		job.Chunk(0).MemoryVersion = 1
 		east := tableOf(shard.Entry{Name: "east", Record: shard.Record{Selector: shard.Selector{Zone: zone}}})
-		side := DivideCatalog(test.Cluster.CatalogOrder, east, continues).ServingSideOf(job)
+		side := DivideCatalog(test.Cluster.CatalogOrder, east, continues).EligibleOwnersOf(job)
 		if served := len(side.ServedBy) > 0; served != continues {
 			t.Errorf("controllers go on with such jobs: %v, served by %q, %q", continues, side.ServedBy, side.Reason)
 		}
--- a/internal/shard/coordinator/serving_review.go
+++ b/internal/shard/coordinator/unserved_jobs.go
@@ -12,26 +12,26 @@
 	maxReviewedJobs = 300
 )
 
-// ServingReview counts the waiting jobs that no side may serve. The goroutine of the leader's
+// UnservedJobScan counts the waiting jobs that no side may serve. The goroutine of the leader's
 // loop owns it.
-type ServingReview struct {
+type UnservedJobScan struct {
 	coordinator *Coordinator
 	reviewedAt  micro.Time
 	remaining   []*cluster.Job // jobs that the review under way has not looked at
 	unserved    int            // jobs that it has found
 }
 
-// NewServingReview makes a review of the jobs that wait at the leader. A nil Coordinator has none.
-func NewServingReview(c *Coordinator) *ServingReview {
+// NewUnservedJobScan makes a review of the jobs that wait at the leader. A nil Coordinator has none.
+func NewUnservedJobScan(c *Coordinator) *UnservedJobScan {
 	if c == nil {
 		return nil
 	}
-	return &ServingReview{coordinator: c}
+	return &UnservedJobScan{coordinator: c}
 }
 
 // Advance looks at some more jobs if it is time to. Once all were looked at, it says how many
 // no side may serve; the next call begins anew. A nil ServingReview does nothing.
-func (r *ServingReview) Advance(now micro.Time) (unserved int, complete bool) {
+func (r *UnservedJobScan) Advance(now micro.Time) (unserved int, complete bool) {
 	if r == nil || now-r.reviewedAt < servingReviewInterval {
 		return 0, false
 	}
--- a/internal/shard/coordinator/serving_review_test.go
+++ b/internal/shard/coordinator/unserved_jobs_test.go
@@ -19,7 +19,7 @@
 		test.addJob(fmt.Sprint("j-", i), wire.Job{Tasks: 2, CPUs: 1, Spread: true})
 	}
 	test.addJob("served", wire.Job{Tasks: 2, CPUs: 1})
-	review := NewServingReview(test.Coordinator)
+	review := NewUnservedJobScan(test.Coordinator)
 	for range 2 {
 		if _, complete := review.Advance(test.at); complete {
 			t.Fatal("complete too soon")
@@ -32,7 +32,7 @@
 	if count, complete := review.Advance(test.at); !complete || count != unserved {
 		t.Fatalf("%d counted, complete %v, want %d", count, complete, unserved)
 	}
-	if _, complete := NewServingReview(nil).Advance(test.at); complete {
+	if _, complete := NewUnservedJobScan(nil).Advance(test.at); complete {
 		t.Error("a controller without the feature has a count")
 	}
 }
--- a/internal/shard/coordinator/waiting_jobs.go
+++ b/internal/shard/coordinator/waiting_jobs.go
@@ -12,9 +12,9 @@
 // maxWaitingJobs is how many waiting jobs an operator is told of.
 const maxWaitingJobs = 10
 
-// DescribeServingSide says which sides may serve a job that waits at the leader, or why none
+// DescribeEligibleOwners says which sides may serve a job that waits at the leader, or why none
 // may; "": there are no shards. A nil Coordinator has none.
-func (c *Coordinator) DescribeServingSide(job *cluster.Job) string {
+func (c *Coordinator) DescribeEligibleOwners(job *cluster.Job) string {
 	if c == nil {
 		return ""
 	}
@@ -22,7 +22,7 @@
 	if catalog == nil {
 		return ""
 	}
-	return catalog.ServingSideOf(job).String()
+	return catalog.EligibleOwnersOf(job).String()
 }
 
 // detailReply adds to the answer to a command what an operator who looks at a shard is told of
@@ -45,7 +45,7 @@
 	now := c.Now()
 	var waiting []shard.WaitingJob
 	for _, job := range c.longestWaitingJobs() {
-		side := catalog.ServingSideOf(job)
+		side := catalog.EligibleOwnersOf(job)
 		if job.PendingTasks() == 0 || side.ShardOffers[shardName] == 0 {
 			continue
 		}
--- a/internal/shard/coordinator/waiting_jobs_test.go
+++ b/internal/shard/coordinator/waiting_jobs_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	list := test.detailReply(&shard.Command{Operation: shard.OperationList}, shard.CommandReply{})
-	if side := (*Coordinator)(nil).DescribeServingSide(nil); len(list.WaitingJobs) > 0 || side != "" {
+	if side := (*Coordinator)(nil).DescribeEligibleOwners(nil); len(list.WaitingJobs) > 0 || side != "" {
 		t.Errorf("list tells of %+v, a leader without shards of %q", list.WaitingJobs, side)
 	}
 }
