--- a/internal/shard/coordinator/admin.go
+++ b/internal/shard/coordinator/admin.go
@@ -109,7 +109,7 @@
 	switch {
 	case entry.Record.State == shard.Forming && !c.allRegistered():
 		return "waits for all controllers to run with the feature"
-	case entry.Record.State == shard.Forming && len(c.clearing[entry.Name]) > 0:
+	case entry.Record.State == shard.Forming && len(c.unstoredBeforeGrant[entry.Name]) > 0:
 		return "waits until the ends of the tasks on its machines are stored"
 	case entry.Record.State == shard.Forming:
 		return fmt.Sprintf("waits for %d tasks on its machines to end", c.allocationsIn(entry))
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -39,7 +39,7 @@
 	recordsCopied bool // the owner's records hold all that the leader's do, and those are to be deleted
 
 	createdUnder uint64  // latest version of the shard's record under which the creation was tried
-	dropped      bool    // its shard is taken back, and the record is to be deleted
+	deletionRequested      bool    // its shard is taken back, and the record is to be deleted
 	recall       *recall // nil: it was not recalled, or its owner has not released it yet
 
 	handedBack     bool   // its owner deleted the record though the job is not over
@@ -91,8 +91,8 @@
 	return len(entry.Record.Teams) == 0 || slices.Contains(entry.Record.Teams, team)
 }
 
-// waitsLongEnough reports whether a job may be assigned to a shard by now, as far as its wait goes.
-func waitsLongEnough(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
+// waitedLongEnough reports whether a job may be assigned to a shard by now, as far as its wait goes.
+func waitedLongEnough(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
 	if job.UnassignedAt > 0 && now-job.UnassignedAt < minReassignInterval {
 		return false
 	}
@@ -101,7 +101,7 @@
 
 // assignToShard assigns a job to a shard if that has capacity for it.
 func (c *Coordinator) assignToShard(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
-	if !acceptsTeam(entry, job.Spec.Team) || !waitsLongEnough(entry, job, now) {
+	if !acceptsTeam(entry, job.Spec.Team) || !waitedLongEnough(entry, job, now) {
 		return false
 	}
 	view := c.viewOf(entry.Name)
@@ -118,7 +118,7 @@
 		return false
 	}
 	assignment := shard.NewAssignment(job.Spec, revision, int64(c.Wall()))
-	if wire.JSONSize(largestForm(assignment)) > c.Host.MaxValueBytes() {
+	if wire.JSONSize(largestEncodedForm(assignment)) > c.Host.MaxValueBytes() {
 		return false
 	}
 	assigned := c.Cluster.Assign(job, entry.Name)
@@ -135,8 +135,8 @@
 	return true
 }
 
-// largestForm is an assignment as it may be stored once its job comes back.
-func largestForm(assignment shard.Assignment) shard.Assignment {
+// largestEncodedForm is an assignment as it may be stored once its job comes back.
+func largestEncodedForm(assignment shard.Assignment) shard.Assignment {
 	assignment = assignment.BeginTransfer()
 	assignment.RecallRequested = true
 	return assignment
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -94,7 +94,7 @@
 	commitsInFlight map[string]bool           // shards with a transaction under way
 	assignedJobs    map[string]*assignedJob   // by job
 	reclaims        map[string]*reclaim       // shards that are being taken back, by name
-	clearing        map[string]unstoredChunks // what is to be stored before a shard is given away, by its name
+	unstoredBeforeGrant        map[string]unstoredChunks // what is to be stored before a shard is given away, by its name
 
 	zoneUnreachableAt map[string]micro.Time // when none of a zone's controllers was heard of last
 	reconciledAt      micro.Time
@@ -123,8 +123,8 @@
 	loopStartedAt      int64           // when the owner's loop began, by its wall clock
 	readyMachines      map[string]bool // the machines that this loop said are up
 	allMachinesKnownAt micro.Time      // since when these are all that heartbeat to it; 0: not yet
-	handovers          int             // moves in a row because no agent reached the owner
-	handedOverAt       micro.Time      // the last of them
+	unreachableMoves          int             // moves in a row because no agent reached the owner
+	unreachableMovedAt       micro.Time      // the last of them
 	demand             []shard.Demand
 }
 
@@ -136,7 +136,7 @@
 		commitsInFlight: map[string]bool{},
 		assignedJobs:    map[string]*assignedJob{},
 		reclaims:        map[string]*reclaim{},
-		clearing:        map[string]unstoredChunks{},
+		unstoredBeforeGrant:        map[string]unstoredChunks{},
 
 		zoneUnreachableAt: map[string]micro.Time{},
 	}
@@ -232,7 +232,7 @@
 	if !c.Table.HasRead() || !c.sessions.known {
 		return
 	}
-	c.noteUnreachableZones(now)
+	c.recordUnreachableZones(now)
 	c.table().Each(func(entry shard.Entry) bool {
 		if !c.commitsInFlight[entry.Name] {
 			c.reconcileShard(entry, now)
@@ -317,15 +317,15 @@
 	// owner that stays can prove it. Sent round for ever, a shard once kept the allocations of
 	// its dead machines until the day was over.
 	moveCooldown = 3 * micro.Minute
-	// maxHandovers leaves each of the other controllers its chance, whoever comes first.
-	maxHandovers = 2
+	// maxUnreachableMoves leaves each of the other controllers its chance, whoever comes first.
+	maxUnreachableMoves = 2
 )
 
 // moveUnreachableShard moves a shard whose owner no agent reaches.
 func (c *Coordinator) moveUnreachableShard(entry shard.Entry, now micro.Time) {
 	view := c.viewOf(entry.Name)
 	view.unreachable = false
-	if view.handovers >= maxHandovers && now-view.handedOverAt < moveCooldown {
+	if view.unreachableMoves >= maxUnreachableMoves && now-view.unreachableMovedAt < moveCooldown {
 		return
 	}
 	others := shard.Sessions{}
@@ -338,7 +338,7 @@
 	if !ok {
 		return
 	}
-	view.handovers, view.handedOverAt = view.handovers+1, now
+	view.unreachableMoves, view.unreachableMovedAt = view.unreachableMoves+1, now
 	c.changeShard(
 		entry, "no agent reaches the owner",
 		func(wall int64) (shard.Record, error) { return entry.Record.Move(target, wall) },
--- a/internal/shard/coordinator/coordinator_test.go
+++ b/internal/shard/coordinator/coordinator_test.go
@@ -168,7 +168,7 @@
 	return test.Cluster.AddJob(spec, 0, 0)
 }
 
-func TestTasksThatFitTheFreeCapacityOfAShard(t *testing.T) {
+func TestTasksThatFitCountsByResourcesAndZoneRules(t *testing.T) {
 	test := newTestCoordinator(t)
 	capacity := []shard.FreeCapacity{
 		{Type: "m", Zone: "a", Count: 2, CPU: 16, Mem: 64},
@@ -194,7 +194,7 @@
 }
 
 // Sent round for ever, a shard once kept the allocations of its dead machines.
-func TestShardThatNoOwnerReachesStaysAfterTwoMoves(t *testing.T) {
+func TestUnreachableShardIsNotMovedDuringCooldown(t *testing.T) {
 	test := newTestCoordinator(t)
 	moves := 0
 	for range 5 {
@@ -206,8 +206,8 @@
 			moves++
 		}
 	}
-	if moves != maxHandovers {
-		t.Errorf("%d moves, not %d", moves, maxHandovers)
+	if moves != maxUnreachableMoves {
+		t.Errorf("%d moves, not %d", moves, maxUnreachableMoves)
 	}
 	test.at += moveCooldown
 	delete(test.commitsInFlight, "east")
@@ -219,22 +219,22 @@
 
 // A machine that is up just after a move does not show that the move was of use: in each
 // ownership one came up for a moment, and the shard went round.
-func TestMovesOfAShardAreForgottenOnlyOnceItsOwnerWasReachedForAWhile(t *testing.T) {
+func TestUnreachableMoveCountIsResetOnlyAfterReachedTime(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.Config.SuspectAfter = 8 * micro.Second
 	for name, row := range map[string]struct {
 		after micro.Time // the move
 		want  int
 	}{
-		"at once": {after: 2 * micro.Second, want: maxHandovers},
+		"at once": {after: 2 * micro.Second, want: maxUnreachableMoves},
 		"later":   {after: test.Config.SuspectAfter + 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			view := &shardView{handovers: maxHandovers, handedOverAt: test.at}
+			view := &shardView{unreachableMoves: maxUnreachableMoves, unreachableMovedAt: test.at}
 			update := &shard.ShardUpdate{MachineCount: 1}
 			view.observe(update, test.at+row.after, test.Config.SuspectAfter)
-			if view.handovers != row.want {
-				t.Errorf("%d moves are remembered, want %d", view.handovers, row.want)
+			if view.unreachableMoves != row.want {
+				t.Errorf("%d moves are remembered, want %d", view.unreachableMoves, row.want)
 			}
 		})
 	}
@@ -243,7 +243,7 @@
 // A late write of an assignment that its owner has deleted once had a cancelled job run: a
 // job that was handed back waits until the shard's record has changed, and then until the
 // assignment is looked up.
-func TestJobHandedBackWaitsUntilNoLateWriteCanAssignIt(t *testing.T) {
+func TestHandedBackJobIsLookedUpBeforeItIsUnassigned(t *testing.T) {
 	for name, assignedAgain := range map[string]bool{"gone": false, "assigned again by a late write": true} {
 		t.Run(name, func(t *testing.T) {
 			test := newTestCoordinator(t)
@@ -271,7 +271,7 @@
 
 // The first write of an assignment must not go through once the job's end is stored, or the
 // shard's record has changed.
-func TestFirstWriteOfAnAssignmentIsConditional(t *testing.T) {
+func TestAssignmentCreationHasPreconditions(t *testing.T) {
 	test := newTestCoordinator(t)
 	job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1})
 	assigned := test.storeAssignment("east", job, shard.Assignment{Job: job.Spec})
@@ -287,7 +287,7 @@
 	}
 }
 
-func TestOwnerThatLostItsSessionLosesItsShards(t *testing.T) {
+func TestShardIsReassignedWhenOwnerSessionIsLost(t *testing.T) {
 	test := newTestCoordinator(t)
 	delete(test.sessions.current, "n-1")
 	test.put(shard.SessionKey("n-2"), true)
@@ -312,7 +312,7 @@
 	}
 }
 
-func TestReleasedShardIsTakenBackAboveItsOwnersTokens(t *testing.T) {
+func TestReclaimRaisesFencingTokenAboveReleasedShard(t *testing.T) {
 	test := newTestCoordinator(t)
 	entry := test.writeShard(shard.Released, "")
 	test.reclaimShard(entry, test.at)
@@ -325,7 +325,7 @@
 	}
 }
 
-func TestCancellationOfAnAssignedJobEndsOnceItsTasksAreStopped(t *testing.T) {
+func TestCancellationOfAssignedJobEndsOnceWhenOwnerStopsItsTasks(t *testing.T) {
 	test := newTestCoordinator(t)
 	job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1})
 	test.Cluster.Assign(job, "east")
@@ -345,7 +345,7 @@
 	}
 }
 
-func TestRefusedCommandsSayWhy(t *testing.T) {
+func TestRefusedCommandsReturnReason(t *testing.T) {
 	test := newTestCoordinator(t)
 	for name, c := range map[string]struct {
 		command shard.Command
@@ -371,7 +371,7 @@
 	}
 }
 
-func TestNilCoordinatorIsThatOfAControllerWithoutShards(t *testing.T) {
+func TestNilCoordinatorDoesNothing(t *testing.T) {
 	var c *Coordinator
 	c.Reconcile(0)
 	c.TableChanged()
--- a/internal/shard/coordinator/eligible_owners.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -30,8 +30,8 @@
 	shard       int // index of the shard; leaderSide: in none
 }
 
-// leaderSide stands for the leader among the sides.
-const leaderSide = -1
+// noShard stands for the leader among the sides.
+const noShard = -1
 
 // DivideCatalog divides a catalog by the shards. Jobs that had allocations may be assigned to them
 // if controllers go on with those.
@@ -72,18 +72,18 @@
 // EligibleOwnersOf says which sides may serve a job: those with an offer that it may use, for a
 // spread service in two zones. A shard's owner gets only what may be assigned to the shard.
 func (c *DividedCatalog) EligibleOwnersOf(job *cluster.Job) EligibleOwners {
-	sides := c.sidesOf(job)
-	side := EligibleOwners{LeaderOffers: sides.leader.offers, ShardOffers: map[string]int{}}
-	if sides.leader.serves(job) {
+	sides := c.usableOffersOf(job)
+	side := EligibleOwners{LeaderOffers: sides.leader.count, ShardOffers: map[string]int{}}
+	if sides.leader.suffice(job) {
 		side.ServedBy = append(side.ServedBy, leaderName)
 	}
 	var refusals []string
 	for i, entry := range c.shards {
-		if sides.shards[i].offers == 0 {
+		if sides.shards[i].count == 0 {
 			continue
 		}
-		side.ShardOffers[entry.Name] = sides.shards[i].offers
-		if refusal := c.refusalOf(job, entry, &sides.shards[i]); refusal != "" {
+		side.ShardOffers[entry.Name] = sides.shards[i].count
+		if refusal := c.refusalReason(job, entry, &sides.shards[i]); refusal != "" {
 			refusals = append(refusals, refusal)
 		} else {
 			side.ServedBy = append(side.ServedBy, "shard "+entry.Name)
@@ -98,36 +98,36 @@
 // leaderName is the leader in lists of sides.
 const leaderName = "the leader"
 
-// jobSides are what a job may use, by sides.
-type jobSides struct {
-	leader jobSide
-	shards []jobSide // as the catalog's shards
+// usableOffersByOwner are what a job may use, by sides.
+type usableOffersByOwner struct {
+	leader usableOffers
+	shards []usableOffers // as the catalog's shards
 }
 
-// jobSide is what a job may use on one side.
-type jobSide struct {
-	offers int
+// usableOffers is what a job may use on one side.
+type usableOffers struct {
+	count int
 	zones  []string
 }
 
 // Served reports whether some side may serve a job. It looks at no more offers than it takes.
 func (c *DividedCatalog) Served(job *cluster.Job) bool {
-	sides := &jobSides{shards: make([]jobSide, len(c.shards))}
+	sides := &usableOffersByOwner{shards: make([]usableOffers, len(c.shards))}
 	for i := range c.offers {
 		offer := &c.offers[i]
 		side := sides.add(job, offer)
-		if side == nil || !side.serves(job) {
+		if side == nil || !side.suffice(job) {
 			continue
 		}
-		if offer.shard == leaderSide || acceptsTeam(c.shards[offer.shard], job.Spec.Team) && c.mayBeAssigned(job) {
+		if offer.shard == noShard || acceptsTeam(c.shards[offer.shard], job.Spec.Team) && c.mayBeAssigned(job) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *DividedCatalog) sidesOf(job *cluster.Job) *jobSides {
-	sides := &jobSides{shards: make([]jobSide, len(c.shards))}
+func (c *DividedCatalog) usableOffersOf(job *cluster.Job) *usableOffersByOwner {
+	sides := &usableOffersByOwner{shards: make([]usableOffers, len(c.shards))}
 	for i := range c.offers {
 		sides.add(job, &c.offers[i])
 	}
@@ -135,23 +135,23 @@
 }
 
 // add counts an offer and returns its side; nil: the job may not use it.
-func (s *jobSides) add(job *cluster.Job, offer *catalogOffer) *jobSide {
+func (s *usableOffersByOwner) add(job *cluster.Job, offer *catalogOffer) *usableOffers {
 	if !scheduler.Allowed(&job.Spec, offer.machineType, offer.zone, offer.spot) {
 		return nil
 	}
 	side := &s.leader
-	if offer.shard != leaderSide {
+	if offer.shard != noShard {
 		side = &s.shards[offer.shard]
 	}
-	side.offers++
+	side.count++
 	if !slices.Contains(side.zones, offer.zone) {
 		side.zones = append(side.zones, offer.zone)
 	}
 	return side
 }
 
-// serves reports whether a side has what all of a job's tasks need together.
-func (s *jobSide) serves(job *cluster.Job) bool { return len(s.zones) >= zonesNeeded(job) }
+// suffice reports whether a side has what all of a job's tasks need together.
+func (s *usableOffers) suffice(job *cluster.Job) bool { return len(s.zones) >= zonesNeeded(job) }
 
 // zonesNeeded is in how many zones a job needs offers: at most half of a spread service's
 // tasks, rounded up, may be in one.
@@ -164,7 +164,7 @@
 
 // leaderServes reports whether the leader has what all of a job's tasks need together.
 func (c *DividedCatalog) leaderServes(job *cluster.Job) bool {
-	return c.sidesOf(job).leader.serves(job)
+	return c.usableOffersOf(job).leader.suffice(job)
 }
 
 // mayBeAssigned reports whether a waiting job may be assigned to a shard at all.
@@ -172,12 +172,12 @@
 	return job.AllocationCount == 0 && (c.continuesJobs || job.NeverAllocated())
 }
 
-// refusalOf says why a shard with offers for a job cannot serve it; "": it can.
-func (c *DividedCatalog) refusalOf(job *cluster.Job, entry shard.Entry, side *jobSide) string {
+// refusalReason says why a shard with offers for a job cannot serve it; "": it can.
+func (c *DividedCatalog) refusalReason(job *cluster.Job, entry shard.Entry, side *usableOffers) string {
 	switch {
 	case !acceptsTeam(entry, job.Spec.Team):
 		return fmt.Sprintf("shard %s takes jobs of team %s only", entry.Name, strings.Join(entry.Record.Teams, ", "))
-	case !side.serves(job):
+	case !side.suffice(job):
 		return fmt.Sprintf("shard %s holds zone %s only", entry.Name, strings.Join(side.zones, ", "))
 	case job.AllocationCount > 0:
 		return fmt.Sprintf("it has allocations at the leader, and goes to shard %s as a whole", entry.Name)
@@ -190,19 +190,19 @@
 }
 
 // unservedReason says why no side may serve a job.
-func (c *DividedCatalog) unservedReason(job *cluster.Job, sides *jobSides, refusals []string) string {
-	names, held := c.holders(sides)
+func (c *DividedCatalog) unservedReason(job *cluster.Job, sides *usableOffersByOwner, refusals []string) string {
+	names, held := c.describeShardOffers(sides)
 	zones, most := sides.zones()
 	switch {
 	case len(zones) == 0:
 		return "the cloud has no offer for it"
 	case len(zones) < zonesNeeded(job):
 		return fmt.Sprintf("only zone %s has offers for it, and a spread service needs two", zones[0])
-	case most < zonesNeeded(job) && sides.leader.offers == 0:
+	case most < zonesNeeded(job) && sides.leader.count == 0:
 		return fmt.Sprintf("zones in several shards: %s; a spread service is not split", held)
 	case most < zonesNeeded(job):
 		return fmt.Sprintf("zones on both sides: %s; a spread service is not split", held)
-	case sides.leader.offers == 0:
+	case sides.leader.count == 0:
 		return fmt.Sprintf("only shard %s has offers for it: %s", names, strings.Join(refusals, ", "))
 	}
 	return fmt.Sprintf(
@@ -210,11 +210,11 @@
 	)
 }
 
-// holders names the shards that have offers for a job, and says in which zones.
-func (c *DividedCatalog) holders(sides *jobSides) (names, held string) {
+// describeShardOffers names the shards that have offers for a job, and says in which zones.
+func (c *DividedCatalog) describeShardOffers(sides *usableOffersByOwner) (names, held string) {
 	var shardNames, descriptions []string
 	for i, entry := range c.shards {
-		if side := sides.shards[i]; side.offers > 0 {
+		if side := sides.shards[i]; side.count > 0 {
 			shardNames = append(shardNames, entry.Name)
 			descriptions = append(
 				descriptions, fmt.Sprintf("shard %s holds zone %s", entry.Name, strings.Join(side.zones, ", ")),
@@ -225,7 +225,7 @@
 }
 
 // zones lists the zones of all sides, and says how many the side has that has most.
-func (s *jobSides) zones() (all []string, most int) {
+func (s *usableOffersByOwner) zones() (all []string, most int) {
 	all, most = slices.Clone(s.leader.zones), len(s.leader.zones)
 	for _, side := range s.shards {
 		all, most = append(all, side.zones...), max(most, len(side.zones))
--- a/internal/shard/coordinator/eligible_owners_test.go
+++ b/internal/shard/coordinator/eligible_owners_test.go
@@ -20,7 +20,7 @@
 }
 
 // The cloud offers the types m and g in some zones.
-func TestServingSideOfAJob(t *testing.T) {
+func TestEligibleOwnersOf(t *testing.T) {
 	const has = "it has allocations at the leader, and goes to shard "
 	zone, inB := "b", shard.Selector{Zone: "b"}
 	none, east := tableOf(), tableOf(shardOf("east", inB))
@@ -32,7 +32,7 @@
 		shardOf("gpu", shard.Selector{Type: "g"}, "vision"), shardOf("m", shard.Selector{Type: "m", Zone: "b"}),
 	)
 	any1, bound, spread := wire.Job{Tasks: 1}, wire.Job{Tasks: 1, Zone: &zone}, wire.Job{Tasks: 2, Spread: true}
-	for name, c := range map[string]servingSideCase{
+	for name, c := range map[string]eligibleOwnersCase{
 		"no shard":        {"ab", none, any1, 0, "4 map[] the leader"},
 		"both sides":      {"ab", east, any1, 0, "2 map[east:2] the leader, shard east"},
 		"spot too":        {"ab", east, wire.Job{Tasks: 1, Spot: true}, 0, "4 map[east:4] the leader, shard east"},
@@ -74,8 +74,8 @@
 	}
 }
 
-// servingSideCase is a job and the shards that may serve it.
-type servingSideCase struct {
+// eligibleOwnersCase is a job and the shards that may serve it.
+type eligibleOwnersCase struct {
 	zones     string
 	table     shard.Snapshot
 	spec      wire.Job
@@ -83,7 +83,7 @@
 	want      string // the leader's offers, the shards', and the sides in words
 }
 
-func (c servingSideCase) check(t *testing.T) {
+func (c eligibleOwnersCase) check(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.setZones(strings.Split(c.zones, "")...)
 	job := test.addJob("j-1", c.spec)
@@ -97,7 +97,7 @@
 }
 
 // A job that had allocations counts as one that no side may serve, though a shard takes it.
-func TestServingSideOfAJobThatHadAllocations(t *testing.T) {
+func TestEligibleOwnersOfAJobThatHadAllocations(t *testing.T) {
 	zone := "b"
 	for _, continues := range []bool{false, true} {
 		test := newTestCoordinator(t)
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -54,7 +54,7 @@
 		c.Log.Info(
 			"shard formed", "shard", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams,
 		)
-		c.warnOfDivision(declared)
+		c.logDivisionWarnings(declared)
 		entry := shard.Entry{Name: declared.Name}
 		record := shard.NewRecord(declared.Selector, declared.Teams, int64(c.Wall()))
 		c.commitShard(declared.Name, entry.Update(record, c.Term.Precondition()))
@@ -81,7 +81,7 @@
 		c.Log.Debug("shard not granted", "shard", entry.Name, "to", owner.Node, "err", err)
 		return
 	}
-	delete(c.clearing, entry.Name)
+	delete(c.unstoredBeforeGrant, entry.Name)
 	c.Log.Info("shard granted", "shard", entry.Name, "to", owner.Node)
 	c.commitShard(entry.Name, entry.Update(granted, c.Term.Precondition(), owner.Precondition()))
 }
@@ -104,13 +104,13 @@
 // took the machine for one that the task is on.
 func (c *Coordinator) machinesCleared(entry shard.Entry) bool {
 	if c.allocationsIn(entry) > 0 {
-		delete(c.clearing, entry.Name)
+		delete(c.unstoredBeforeGrant, entry.Name)
 		return false
 	}
-	unstored, known := c.clearing[entry.Name]
+	unstored, known := c.unstoredBeforeGrant[entry.Name]
 	if !known {
 		unstored = c.listUnstoredChunks()
-		c.clearing[entry.Name] = unstored
+		c.unstoredBeforeGrant[entry.Name] = unstored
 	}
 	maps.DeleteFunc(unstored, func(chunk *cluster.TaskChunk, version uint64) bool {
 		return chunk.StoredVersion >= version || chunk.Job.IsTerminal()
@@ -147,15 +147,15 @@
 func (c *Coordinator) allocationsIn(entry shard.Entry) int {
 	held := 0
 	for _, machine := range c.Cluster.SortedMachines() {
-		if machine.Type == nil || isForming(entry, machine) {
+		if machine.Type == nil || inFormingShard(entry, machine) {
 			held += len(machine.Allocations)
 		}
 	}
 	return held
 }
 
-// isForming reports whether a machine is one of a shard that is being formed.
-func isForming(entry shard.Entry, machine *cluster.Machine) bool {
+// inFormingShard reports whether a machine is one of a shard that is being formed.
+func inFormingShard(entry shard.Entry, machine *cluster.Machine) bool {
 	return machine.TransferPending && entry.Record.Selector.Matches(machineAttributes(machine))
 }
 
@@ -193,7 +193,7 @@
 // formed, and lists the others.
 func (c *Coordinator) replicasIn(entry shard.Entry) (stopping int, running []*cluster.Allocation) {
 	for _, machine := range c.Cluster.SortedMachines() {
-		if !isForming(entry, machine) {
+		if !inFormingShard(entry, machine) {
 			continue
 		}
 		for _, allocation := range machine.SortedAllocations() {
@@ -220,7 +220,7 @@
 		transaction.Then = append(transaction.Then, wire.Change{Delete: shard.MarkerKey})
 		c.marker.SetVersion(0)
 	}
-	delete(c.clearing, entry.Name)
+	delete(c.unstoredBeforeGrant, entry.Name)
 	c.Log.Info("shard deleted", "shard", entry.Name)
 	c.commitShard(entry.Name, transaction)
 }
--- a/internal/shard/coordinator/form_warnings.go
+++ b/internal/shard/coordinator/form_warnings.go
@@ -12,9 +12,9 @@
 // maxWarningsLogged bounds what one line says of a shard.
 const maxWarningsLogged = 5
 
-// warnOfDivision says for which work a shard that is being formed leaves no place, beside the
+// logDivisionWarnings says for which work a shard that is being formed leaves no place, beside the
 // others that exist or are declared.
-func (c *Coordinator) warnOfDivision(declared config.DeclaredShard) {
+func (c *Coordinator) logDivisionWarnings(declared config.DeclaredShard) {
 	warnings := c.divisionWarnings(declared)
 	if len(warnings) == 0 {
 		return
--- a/internal/shard/coordinator/form_warnings_test.go
+++ b/internal/shard/coordinator/form_warnings_test.go
@@ -39,7 +39,7 @@
 }
 
 // The shard "east" has all of zone b.
-func TestFormingAShardTellsOfTheWorkThatItLeavesWithoutAPlace(t *testing.T) {
+func TestFormingAShardWarnsOfUnplaceableJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		zones    string
 		declared []shard.Selector
--- a/internal/shard/coordinator/guards_handover_test.go
+++ b/internal/shard/coordinator/guards_handover_test.go
@@ -14,8 +14,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// meets reports whether a transaction puts, or with a minus deletes, a key of a prefix.
-func meets(transaction wire.Transaction, prefix string) bool {
+// changesKey reports whether a transaction puts, or with a minus deletes, a key of a prefix.
+func changesKey(transaction wire.Transaction, prefix string) bool {
 	return slices.ContainsFunc(transaction.Then, func(change wire.Change) bool {
 		if deleted, ok := strings.CutPrefix(prefix, "-"); ok {
 			return strings.HasPrefix(change.Delete, deleted)
@@ -25,32 +25,32 @@
 }
 
 // failWrites has a fault meet the transactions that change a key of a prefix.
-func (s *handoverSite) failWrites(prefix string, fault fake.CommitFault) {
+func (s *handoverEnv) failWrites(prefix string, fault fake.CommitFault) {
 	s.setFault(func(transaction wire.Transaction) fake.CommitFault {
-		if meets(transaction, prefix) {
+		if changesKey(transaction, prefix) {
 			return fault
 		}
 		return fake.CommitFault{}
 	})
 }
 
-// latestChunk is the latest version of the leader's records of j-1.
-func (s *handoverSite) latestChunk() (latest uint64) {
+// latestChunkVersion is the latest version of the leader's records of j-1.
+func (s *handoverEnv) latestChunkVersion() (latest uint64) {
 	for _, item := range s.items(keys.ChunkPrefixFor("j-1")) {
 		latest = max(latest, uint64(item.Version))
 	}
 	return latest
 }
 
-// offer has the owner tell of capacity for so long, every half second.
-func (s *handoverSite) offer(span micro.Time) {
+// offerCapacity has the owner tell of capacity for so long, every half second.
+func (s *handoverEnv) offerCapacity(span micro.Time) {
 	for end := s.now() + span; s.now() < end; s.sleep(500 * micro.Millisecond) {
-		s.tellFree()
+		s.reportCapacity()
 	}
 }
 
 // An assignment that names a revision before all is stored makes the owner do again what is done.
-func TestBegunJobIsAssignedOnlyOnceItsRecordsAreStored(t *testing.T) {
+func TestStartedJobIsAssignedOnlyAfterItsRecordsAreStored(t *testing.T) {
 	faults := map[string]fake.CommitFault{
 		"refused":               {Refused: true},
 		"no answer, never":      {Unanswered: true, ExecuteAfter: 1000 * micro.Minute},
@@ -58,20 +58,20 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverSite) {
+			runHandover(t, func(site *handoverEnv) {
 				site.failWrites(keys.ChunkPrefix, fault)
 				site.submit()
 				site.runTask(0, wire.CauseDone)
 				site.runTask(2, wire.CauseStopped)
-				site.offer(6 * micro.Second)
+				site.offerCapacity(6 * micro.Second)
 				if _, version := site.assignment(); version > 0 || site.job().State != cluster.Active {
 					t.Fatalf("assigned at %d, state %v", version, site.job().State)
 				}
 				site.setFault(nil)
-				site.offer(6 * micro.Second)
+				site.offerCapacity(6 * micro.Second)
 				assignment, version := site.assignment()
-				if version == 0 || assignment.Revision() == 0 || assignment.Revision() != site.latestChunk() {
-					t.Errorf("assigned at %d, goes on from %d, stored %d", version, assignment.Revision(), site.latestChunk())
+				if version == 0 || assignment.Revision() == 0 || assignment.Revision() != site.latestChunkVersion() {
+					t.Errorf("assigned at %d, goes on from %d, stored %d", version, assignment.Revision(), site.latestChunkVersion())
 				}
 			})
 		})
@@ -80,23 +80,23 @@
 
 // The owner's word on an earlier stay, on a job that is not recalled, or on one that is being
 // cancelled, takes the job from an owner that goes on with it.
-func TestReleaseCountsOnlyForTheRecallThatTheOwnerRead(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestReleaseIsIgnoredUnlessOwnerHasReadTheRecall(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		site.release()
 		site.expectNotReleased("it is not recalled")
 		_, before := site.assignment()
 		site.recall()
-		site.tell(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: before}}})
+		site.sendUpdate(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: before}}})
 		site.expectNotReleased("the owner has not read the recall")
-		site.do(func() { site.leader.BeginCancellation(site.job()) })
+		site.runOnLoop(func() { site.leader.BeginCancellation(site.job()) })
 		site.sleep(2 * micro.Second)
 		site.release()
 		site.expectNotReleased("it is being cancelled")
 	})
 }
 
-func (s *handoverSite) expectNotReleased(why string) {
+func (s *handoverEnv) expectNotReleased(why string) {
 	s.t.Helper()
 	s.sleep(5 * micro.Second)
 	assigned := s.leader.assignedJobs["j-1"]
@@ -107,21 +107,21 @@
 
 // The write that created the assignment is carried out once more, after the job came back: it
 // is assigned anew, and runs at both.
-func TestLateCopyOfTheAssignmentFailsOnceTheJobHasComeBack(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestLateAssignmentCreationFailsAfterJobReturned(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		held := 0
 		site.setFault(func(transaction wire.Transaction) fake.CommitFault {
-			if held > 0 || !meets(transaction, shard.AssignmentPrefix) {
+			if held > 0 || !changesKey(transaction, shard.AssignmentPrefix) {
 				return fake.CommitFault{}
 			}
 			held++
 			return fake.CommitFault{Unanswered: true, ExecuteAfter: micro.Minute}
 		})
-		site.assignBegun()
+		site.assignStartedJob()
 		shardVersion := site.version(shard.RecordKey("east"))
 		site.recall()
 		site.release()
-		site.waitBack()
+		site.waitReturned()
 		if site.version(shard.RecordKey("east")) <= shardVersion {
 			t.Error("the shard's record is that under which the assignment was created")
 		}
@@ -132,8 +132,8 @@
 	})
 }
 
-// waitBack waits until j-1 is the leader's, and nothing of it is left in the shard.
-func (s *handoverSite) waitBack() {
+// waitReturned waits until j-1 is the leader's, and nothing of it is left in the shard.
+func (s *handoverEnv) waitReturned() {
 	s.t.Helper()
 	s.waitUntil("the job is the leader's", func() bool { return s.job().State == cluster.Active })
 	if left := append(s.keys(shard.AssignmentPrefix), s.keys(shard.AllocationPrefix)...); len(left) > 0 {
@@ -143,9 +143,9 @@
 
 // What is done is lost with the owner's records, or the job begins at the leader while a late write
 // may still change them.
-func TestRecalledJobComesBackInOrder(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestRecallStepsAreWrittenInOrder(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		site.recordDone(0, 1)
 		site.recordDone(1, 3)
 		site.recall()
@@ -158,7 +158,7 @@
 		for i, prefix := range order {
 			site.setFault(refuse(prefix))
 			site.sleep(4 * micro.Second)
-			if got := site.touched(since, order...); !slices.Equal(got, order[:i+1]) {
+			if got := site.firstChanges(since, order...); !slices.Equal(got, order[:i+1]) {
 				t.Errorf("while %s fails: %v", prefix, got)
 			}
 			if site.job().State != cluster.Assigned {
@@ -169,7 +169,7 @@
 			}
 		}
 		site.setFault(nil)
-		site.waitBack()
+		site.waitReturned()
 		site.expectRestored()
 	})
 }
@@ -177,12 +177,12 @@
 // refuse is a store that refuses transactions which change a key of a prefix.
 func refuse(prefix string) func(wire.Transaction) fake.CommitFault {
 	return func(transaction wire.Transaction) fake.CommitFault {
-		return fake.CommitFault{Refused: meets(transaction, prefix)}
+		return fake.CommitFault{Refused: changesKey(transaction, prefix)}
 	}
 }
 
 // expectRestored checks that j-1 waits at the leader with all that was done before and in the shard.
-func (s *handoverSite) expectRestored() {
+func (s *handoverEnv) expectRestored() {
 	s.t.Helper()
 	job := s.job()
 	done := []bool{job.Tasks[0].Done, job.Tasks[1].Done, job.Tasks[2].Done, job.Tasks[3].Done}
@@ -201,7 +201,7 @@
 func recallSteps() map[string]func(wire.Transaction) fake.CommitFault {
 	late := func(after micro.Time) func(wire.Transaction) fake.CommitFault {
 		return func(transaction wire.Transaction) fake.CommitFault {
-			if !meets(transaction, "-"+shard.AssignmentPrefix) {
+			if !changesKey(transaction, "-"+shard.AssignmentPrefix) {
 				return fake.CommitFault{}
 			}
 			return fake.CommitFault{Unanswered: true, ExecuteAfter: after}
@@ -219,12 +219,12 @@
 }
 
 // runRecallSteps plays a story at each step of a recall. Quota is counted once at each.
-func runRecallSteps(t *testing.T, story func(site *handoverSite)) {
+func runRecallSteps(t *testing.T, story func(site *handoverEnv)) {
 	t.Helper()
 	for name, fault := range recallSteps() {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverSite) {
-				site.assignBegun()
+			runHandover(t, func(site *handoverEnv) {
+				site.assignStartedJob()
 				site.recordDone(0, 1)
 				site.recordDone(1, 3)
 				site.recall()
@@ -245,15 +245,15 @@
 }
 
 // expectQuota checks how many CPUs the team uses.
-func (s *handoverSite) expectQuota(want float64) {
+func (s *handoverEnv) expectQuota(want float64) {
 	s.t.Helper()
 	if got := s.leader.Cluster.Teams["team"].UsedCPU; got != want {
 		s.t.Errorf("%v CPUs of the quota are used, want %v", got, want)
 	}
 }
 
-// playOwner has the shard's owner go on for a while, as one does that has released the job.
-func (s *handoverSite) playOwner(span micro.Time) {
+// simulateOwner has the shard's owner go on for a while, as one does that has released the job.
+func (s *handoverEnv) simulateOwner(span micro.Time) {
 	s.t.Helper()
 	for end := s.now() + span; s.now() < end; s.sleep(micro.Second) {
 		assignment, version := s.assignment()
@@ -261,7 +261,7 @@
 			continue
 		}
 		if assignment.StopRequested {
-			s.tell(shard.ShardUpdate{StoppingJobs: []shard.StoppingJob{{Job: "j-1"}}})
+			s.sendUpdate(shard.ShardUpdate{StoppingJobs: []shard.StoppingJob{{Job: "j-1"}}})
 		} else {
 			s.release()
 		}
@@ -269,12 +269,12 @@
 }
 
 // A job that is cancelled on its way back is placed, or its user is told twice or never.
-func TestJobCancelledOnItsWayBackEndsOnce(t *testing.T) {
-	runRecallSteps(t, func(site *handoverSite) {
-		site.do(func() { site.leader.BeginCancellation(site.job()) })
+func TestJobCancelledDuringRecallEndsOnce(t *testing.T) {
+	runRecallSteps(t, func(site *handoverEnv) {
+		site.runOnLoop(func() { site.leader.BeginCancellation(site.job()) })
 		site.sleep(micro.Second)
 		site.setFault(nil)
-		site.playOwner(10 * micro.Second)
+		site.simulateOwner(10 * micro.Second)
 		leader := site.leader
 		if told := len(leader.cancelled) + strings.Count(leader.ends["j-1"], string(wire.JobAborted)); told != 1 {
 			t.Errorf("ends %q, and %d more: want one", leader.ends["j-1"], len(leader.cancelled))
@@ -287,22 +287,22 @@
 
 // A recall that a leader has begun is not ended by the next one: the job stays in the shard for good,
 // or what is done there is lost.
-func TestNextLeaderEndsARecall(t *testing.T) {
-	runRecallSteps(t, func(site *handoverSite) {
-		site.takeOver()
+func TestNextLeaderCompletesRecall(t *testing.T) {
+	runRecallSteps(t, func(site *handoverEnv) {
+		site.failOver()
 		site.setFault(nil)
 		if _, version := site.assignment(); version > 0 {
 			site.expectQuota(3)
 		}
-		site.playOwner(10 * micro.Second)
-		site.waitBack()
+		site.simulateOwner(10 * micro.Second)
+		site.waitReturned()
 		site.expectRestored()
 	})
 }
 
 // A shard that is taken back with a recalled job in it leaves the job, or what is done, behind.
-func TestShardIsTakenBackDuringARecall(t *testing.T) {
-	runRecallSteps(t, func(site *handoverSite) {
+func TestShardReclaimedDuringRecallKeepsJobProgress(t *testing.T) {
+	runRecallSteps(t, func(site *handoverEnv) {
 		entry, _ := site.leader.table().Get("east")
 		released := entry.Record
 		released.State, released.Owner = shard.Released, shard.Controller{}
@@ -310,28 +310,28 @@
 		site.sleep(micro.Second)
 		site.setFault(nil)
 		site.waitUntil("the shard is gone", func() bool { return len(site.keys(shard.RecordPrefix)) == 0 })
-		site.waitBack()
+		site.waitReturned()
 		site.expectRestored()
 	})
 }
 
 // A controller without the feature reads a continued assignment: it begins the job anew, or never
 // gives it back.
-func TestBegunJobsChangeHandsOnlyWhileAllControllersGoOnWithThem(t *testing.T) {
+func TestStartedJobsMoveOnlyWhileAllControllersContinueJobs(t *testing.T) {
 	for name, node := range map[string]string{"the leader": "n-0", "a peer": "n-1"} {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverSite) {
+			runHandover(t, func(site *handoverEnv) {
 				site.setFeatures(node)
 				site.submit()
 				site.runTask(0, wire.CauseDone)
-				site.offer(40 * micro.Second)
+				site.offerCapacity(40 * micro.Second)
 				if _, version := site.assignment(); version > 0 {
 					t.Fatal("assigned")
 				}
 				site.setFeatures(node, shard.ContinueFeature)
 				site.assignUntilStored()
 				site.setFeatures(node)
-				site.tell(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
+				site.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
 				site.sleep(5 * micro.Second)
 				if assignment, _ := site.assignment(); assignment.RecallRequested {
 					t.Error("recalled")
@@ -342,7 +342,7 @@
 }
 
 // setFeatures has a node hold its session as one with these features; its version changes.
-func (s *handoverSite) setFeatures(node string, features ...string) {
+func (s *handoverEnv) setFeatures(node string, features ...string) {
 	s.t.Helper()
 	s.put(shard.SessionKey(node), election.Record{Node: node, Features: features})
 	if node == "n-1" {
@@ -354,17 +354,17 @@
 }
 
 // A job goes to and fro without end between two sides neither of which serves it.
-func TestJobThatCameBackStaysForAWhile(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestReturnedJobIsNotReassignedWithinMinInterval(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		site.recall()
 		site.release()
-		site.waitBack()
-		site.offer(minReassignInterval - 2*micro.Second)
+		site.waitReturned()
+		site.offerCapacity(minReassignInterval - 2*micro.Second)
 		if _, version := site.assignment(); version > 0 {
 			t.Error("assigned again at once")
 		}
-		site.offer(5 * micro.Second)
+		site.offerCapacity(5 * micro.Second)
 		if _, version := site.assignment(); version == 0 {
 			t.Error("never assigned again")
 		}
@@ -373,11 +373,11 @@
 
 // The leader's records from before the assignment are taken for what it has taken back, and the
 // owner's are deleted unread.
-func TestLeadersOldRecordsAreNotTakenForWhatItHasTakenBack(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestLeaderRecordsOlderThanTheAssignmentDoNotCountAsMerged(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		chunk := site.job().Chunk(0)
-		if site.leader.takenBack(chunk) {
+		if site.leader.ownerRecordMerged(chunk) {
 			t.Error("a record from before the assignment counts as taken back")
 		}
 		site.recordDone(0, 1)
@@ -386,18 +386,18 @@
 		site.setFault(refuse("-" + shard.AllocationPrefix))
 		site.release()
 		site.waitUntil("the records are taken", func() bool {
-			return site.leader.takenBack(site.job().Chunk(0)) && site.leader.takenBack(site.job().Chunk(2))
+			return site.leader.ownerRecordMerged(site.job().Chunk(0)) && site.leader.ownerRecordMerged(site.job().Chunk(2))
 		})
-		site.takeOver()
-		taken := site.latestChunk()
-		if !site.leader.takenBack(site.job().Chunk(0)) || !site.leader.takenBack(site.job().Chunk(2)) {
+		site.failOver()
+		taken := site.latestChunkVersion()
+		if !site.leader.ownerRecordMerged(site.job().Chunk(0)) || !site.leader.ownerRecordMerged(site.job().Chunk(2)) {
 			t.Error("the next leader does not know what was taken back")
 		}
 		site.setFault(nil)
-		site.playOwner(10 * micro.Second)
-		site.waitBack()
+		site.simulateOwner(10 * micro.Second)
+		site.waitReturned()
 		site.expectRestored()
-		if site.latestChunk() != taken {
+		if site.latestChunkVersion() != taken {
 			t.Error("what was taken back is written again")
 		}
 	})
@@ -405,28 +405,28 @@
 
 // A task is on a machine, or a job in the shard takes its part of the quota, and another job gets
 // the same part.
-func TestQuotaIsCountedOnceWhileAJobChangesHands(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestQuotaIsCountedOnceDuringHandoverAndRecall(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		site.submit()
 		site.runTask(0, wire.CauseDone)
 		site.expectQuota(0)
 		site.assignUntilStored()
 		site.expectQuota(3)
-		site.takeOver()
+		site.failOver()
 		site.expectQuota(3)
 		site.recall()
 		site.expectQuota(3)
 		site.release()
-		site.waitBack()
+		site.waitReturned()
 		site.expectQuota(0)
 	})
 }
 
 // assignUntilStored offers capacity until j-1 is assigned.
-func (s *handoverSite) assignUntilStored() {
+func (s *handoverEnv) assignUntilStored() {
 	s.t.Helper()
 	s.waitUntil("it is assigned", func() bool {
-		s.tellFree()
+		s.reportCapacity()
 		_, version := s.assignment()
 		return version > 0
 	})
--- a/internal/shard/coordinator/guards_test.go
+++ b/internal/shard/coordinator/guards_test.go
@@ -12,19 +12,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// interceptedStore has a test look at each transaction.
-type interceptedStore struct {
+// interceptingStore has a test look at each transaction.
+type interceptingStore struct {
 	store.Store
 	sent chan wire.Transaction
 }
 
-func (s interceptedStore) Commit(_ context.Context, _ store.Class, transaction wire.Transaction) (uint64, error) {
+func (s interceptingStore) Commit(_ context.Context, _ store.Class, transaction wire.Transaction) (uint64, error) {
 	s.sent <- transaction
 	return 0, nil
 }
 
-// assigned assigns a job of one task to the shard, as stored at a version; 0: not yet.
-func (test *testCoordinator) assigned(version uint64) (*cluster.Job, *assignedJob) {
+// assignJob assigns a job of one task to the shard, as stored at a version; 0: not yet.
+func (test *testCoordinator) assignJob(version uint64) (*cluster.Job, *assignedJob) {
 	test.t.Helper()
 	job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1, MemoryGB: 1})
 	if test.Cluster.Assign(job, "east") != 1 {
@@ -38,9 +38,9 @@
 
 // A first write of an assignment may be executed late: it fails once the job has an end, or
 // the shard's record is another.
-func TestFirstWriteOfAnAssignmentFailsOnceTheJobHasEndedOrTheShardHasMoved(t *testing.T) {
+func TestAssignmentCreationFailsAfterJobEndOrShardChange(t *testing.T) {
 	test := newTestCoordinator(t)
-	_, assigned := test.assigned(0)
+	_, assigned := test.assignJob(0)
 	entry, _ := test.table().Get("east")
 	want := []wire.Precondition{{Key: "job/j-1/end"}, {Key: "share/east", Version: wire.Count(entry.Version)}}
 	if got := assigned.storeRecord.Preconditions(); !slices.Equal(got, want) || entry.Version == 0 {
@@ -54,11 +54,11 @@
 
 // A job that an owner handed back is the leader's only once the shard's record has a later
 // version, under which a late write cannot assign it again.
-func TestJobHandedBackIsTheLeadersOnlyOnceTheShardRecordHasChanged(t *testing.T) {
+func TestHandedBackJobIsLookedUpOnlyAfterShardRecordChange(t *testing.T) {
 	test := newTestCoordinator(t)
 	sent := make(chan wire.Transaction, 1)
-	test.Store = interceptedStore{test.store, sent}
-	job, assigned := test.assigned(11)
+	test.Store = interceptingStore{test.store, sent}
+	job, assigned := test.assignJob(11)
 	test.applyAssignmentDeletions(wire.Events{Events: []wire.Event{{Delete: assigned.storeRecord.Key, Version: 12}}})
 	if !assigned.handedBack || job.State != cluster.Assigned {
 		t.Fatalf("handed back %v, state %v", assigned.handedBack, job.State)
@@ -84,9 +84,9 @@
 
 // A shard that is taken back may have had tokens above the leader's; and what its records
 // hold is in the leader's own before they go.
-func TestReclaimRaisesTheTokensAndDeletesRecordsOnlyOnceTheLeadersAreStored(t *testing.T) {
+func TestReclaimRaisesTokensAndDeletesOwnerRecordsAfterLeaderRecordsAreStored(t *testing.T) {
 	test := newTestCoordinator(t)
-	job, _ := test.assigned(11)
+	job, _ := test.assignJob(11)
 	for range 70 {
 		test.put("another", true) // the revision that released the shard is above the term's
 	}
@@ -124,7 +124,7 @@
 // A machine without a type is known by allocations of the leader's own records: a shard that
 // selects by kind alone would match what is not known of it. While a shard is being taken
 // back, it may be one of those.
-func TestUndescribedMachineIsTheLeadersUnlessAShardIsBeingTakenBack(t *testing.T) {
+func TestUndescribedMachineBelongsToLeaderUnlessAShardIsBeingReclaimed(t *testing.T) {
 	for name, row := range map[string]struct {
 		state     shard.State
 		reclaimed bool
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -16,15 +16,15 @@
 
 // A job of a shard that was taken back is assigned to another shard while its assignment to the
 // first is still stored: that one is forgotten, and the next leader finds two.
-func TestJobOfAShardThatWasTakenBackIsNotAssignedWhileItsAssignmentIsStored(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.putWest()
-		site.assignBegun()
+func TestJobOfReclaimedShardIsNotReassignedWhileItsAssignmentIsStored(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.createWestShard()
+		site.assignStartedJob()
 		site.recordDone(0, 1)
 		site.releaseEast()
 		site.setFault(refuse("-" + shard.AllocationPrefix)) // its records are deleted slowly
 		for end := site.now() + 50*micro.Second; site.now() < end; site.sleep(500 * micro.Millisecond) {
-			site.tellWestFree()
+			site.reportWestCapacity()
 		}
 		if stored := site.keys(shard.AssignmentPrefix); len(stored) > 1 {
 			t.Errorf("assigned to two shards: %v", stored)
@@ -42,13 +42,13 @@
 
 // The write that creates an assignment has no answer, and the shard is released before it is
 // known that it was not carried out: the shard is never gone.
-func TestShardIsTakenBackWhileAnAssignmentIsNotStored(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestShardIsReclaimedWithAnUnstoredAssignment(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		site.submit()
 		site.runTask(0, wire.CauseDone)
 		site.failWrites(shard.AssignmentPrefix, fake.CommitFault{Unanswered: true, ExecuteAfter: 1000 * micro.Minute})
 		site.waitUntil("it is assigned in memory", func() bool {
-			site.tellFree()
+			site.reportCapacity()
 			return site.job().Shard != ""
 		})
 		site.releaseEast()
@@ -64,15 +64,15 @@
 // The owner that said that all of a recalled job is done is followed by another, which knows it
 // only as recalled: it is never told that the job is over, and the assignment, with its part of
 // the quota, stays for good.
-func TestOwnerIsToldOfTheEndOfARecalledJob(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestOwnerIsNotifiedOfTheEndOfARecalledJob(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		site.recall()
-		site.tell(shard.ShardUpdate{FinishedJobs: []string{"j-1"}}) // before it read the recall
-		site.do(func() { site.leader.Cluster.FinalizeJob(site.job(), false, site.now()) })
+		site.sendUpdate(shard.ShardUpdate{FinishedJobs: []string{"j-1"}}) // before it read the recall
+		site.runOnLoop(func() { site.leader.Cluster.FinalizeJob(site.job(), false, site.now()) })
 		_, version := site.assignment()
 		var reply shard.UpdateReply
-		site.do(func() {
+		site.runOnLoop(func() {
 			owner := site.owner()
 			reply = site.leader.applyStatusUpdate(&shard.StatusUpdate{
 				Node: owner.Node, SessionVersion: uint64(owner.SessionVersion),
@@ -91,15 +91,15 @@
 
 // An owner names a machine as up once. The leader, which does not know the machine yet (its list of
 // instances lags, or was not read in this term), must not hold it for unreported later.
-func TestMachineThatWasReportedBeforeTheLeaderKnewItIsKept(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestMachineReportedBeforeTheLeaderKnewItIsNotUnreported(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		entry, _ := site.leader.table().Get("east")
 		granted := entry.Record
 		granted.OwnerChanges = 1
 		site.put(shard.RecordKey("east"), granted)
 		site.sleep(2 * micro.Second)
 		site.reportUp("i-9")
-		site.do(func() {
+		site.runOnLoop(func() {
 			c := site.leader.Cluster
 			c.DescribeMachine(c.EnsureMachine("i-9", site.now()), "m", "b", false) // listed at last
 		})
@@ -116,10 +116,10 @@
 
 // The same, where the leader's table shows the shard's new owner late: the update is not taken in,
 // but answered as if it were, and the owner never names the machine again in this term.
-func TestUpdateThatIsNotTakenInIsNotAnsweredAsIfItWere(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestIgnoredUpdateIsNotAnsweredWithTheCurrentTerm(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		var reply shard.UpdateReply
-		site.do(func() {
+		site.runOnLoop(func() {
 			reply = site.leader.applyStatusUpdate(&shard.StatusUpdate{
 				Node: "n-2", SessionVersion: 99, Term: site.leader.Term.FencingRevision,
 				Shards: []shard.ShardUpdate{{Name: "east", ReadyMachines: []string{"i-9"}}},
@@ -132,15 +132,15 @@
 }
 
 // reportUp has the owner tell of machines that are up, as it does to this leader.
-func (s *handoverSite) reportUp(machines ...string) {
+func (s *handoverEnv) reportUp(machines ...string) {
 	s.t.Helper()
 	s.reportUpFrom(0, machines...)
 }
 
 // reportUpFrom does the same for a loop of the owner that began then.
-func (s *handoverSite) reportUpFrom(loopStartedAt int64, machines ...string) {
+func (s *handoverEnv) reportUpFrom(loopStartedAt int64, machines ...string) {
 	s.t.Helper()
-	s.do(func() {
+	s.runOnLoop(func() {
 		owner := s.owner()
 		s.leader.applyStatusUpdate(&shard.StatusUpdate{
 			Node: owner.Node, SessionVersion: uint64(owner.SessionVersion), Term: s.leader.Term.FencingRevision,
@@ -153,21 +153,21 @@
 
 // A record that a late write of an earlier owner left is taken in when its shard is taken back, though
 // the job is in another shard: the leader's records, from which that one goes on, change.
-func TestRecordLeftByALateWriteChangesNothingOfAJobInAnotherShard(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.putWest()
+func TestRecordOfALateWriteDoesNotChangeAJobInAnotherShard(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.createWestShard()
 		site.submit()
 		site.runTask(0, wire.CauseDone)
 		site.runTask(2, wire.CauseStopped)
 		site.waitUntil("it is in the other shard", func() bool {
-			site.tellWestFree()
+			site.reportWestCapacity()
 			return site.version(shard.AssignmentKey("west", "j-1")) > 0
 		})
-		before := site.latestChunk()
+		before := site.latestChunkVersion()
 		site.recordDone(0, 1)
 		site.releaseEast()
 		site.sleep(20 * micro.Second)
-		if after := site.latestChunk(); after != before {
+		if after := site.latestChunkVersion(); after != before {
 			t.Errorf("the leader's records were at %d, and are at %d", before, after)
 		}
 	})
@@ -175,26 +175,26 @@
 
 // While one controller is out of action, for however long, begun jobs change hands no more: where
 // shards hold every offer that they may use, nobody serves them.
-func TestBegunJobsChangeHandsThoughAControllerIsDead(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestStartedJobsMoveWhileAControllerIsDown(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		features := []string{shard.ContinueFeature}
 		site.put(shard.SessionKey("n-2"), election.Record{Node: "n-2", Features: features})
 		site.put(shard.AnnouncementKey("n-2"), shard.Announcement{Features: features})
-		site.do(func() { site.leader.Config.Peers = append(site.leader.Config.Peers, config.Peer{Node: "n-2"}) })
+		site.runOnLoop(func() { site.leader.Config.Peers = append(site.leader.Config.Peers, config.Peer{Node: "n-2"}) })
 		site.sleep(3 * micro.Second)
 		site.submit()
 		site.runTask(0, wire.CauseDone)
 		site.commit(wire.Change{Delete: shard.SessionKey("n-2")}) // it had the feature, and died
 		site.sleep(3 * micro.Second)
-		site.offer(micro.Minute)
+		site.offerCapacity(micro.Minute)
 		if _, version := site.assignment(); version == 0 {
 			t.Error("not assigned in a minute")
 		}
 	})
 }
 
-// putWest puts a shard "west" of the machines in zone a, of the same owner.
-func (s *handoverSite) putWest() {
+// createWestShard puts a shard "west" of the machines in zone a, of the same owner.
+func (s *handoverEnv) createWestShard() {
 	s.t.Helper()
 	west := shard.NewRecord(shard.Selector{Zone: "a"}, nil, 0)
 	west.State, west.Owner, west.OwnerChanges = shard.Owned, s.owner(), 1
@@ -202,7 +202,7 @@
 }
 
 // releaseEast has the owner give the shard "east" back.
-func (s *handoverSite) releaseEast() {
+func (s *handoverEnv) releaseEast() {
 	s.t.Helper()
 	entry, _ := s.leader.table().Get("east")
 	released := entry.Record
@@ -210,10 +210,10 @@
 	s.put(shard.RecordKey("east"), released)
 }
 
-// tellWestFree has the owner of "west" tell of capacity for all of j-1.
-func (s *handoverSite) tellWestFree() {
+// reportWestCapacity has the owner of "west" tell of capacity for all of j-1.
+func (s *handoverEnv) reportWestCapacity() {
 	s.t.Helper()
-	s.do(func() {
+	s.runOnLoop(func() {
 		owner := s.owner()
 		s.leader.applyStatusUpdate(&shard.StatusUpdate{
 			Node: owner.Node, SessionVersion: uint64(owner.SessionVersion),
@@ -228,31 +228,31 @@
 // The creation of an assignment is tried once more under the version of the released record, has no
 // answer, and is carried out after the read that found no key: the shard is gone, the job is the
 // leader's, and an assignment of it stays in the store.
-func TestAssignmentIsNotCreatedLateWhileItsReleasedShardIsTakenBack(t *testing.T) {
+func TestAssignmentIsNotCreatedLateWhileItsShardIsReclaimed(t *testing.T) {
 	for late := 1100 * micro.Millisecond; late <= 2400*micro.Millisecond; late += 100 * micro.Millisecond {
 		t.Run(fmt.Sprint(int64(late/micro.Millisecond), "ms"), func(t *testing.T) {
-			runHandover(t, func(site *handoverSite) { site.checkLateCreation(late) })
+			runHandover(t, func(site *handoverEnv) { site.checkLateCreation(late) })
 		})
 	}
 }
 
 // checkLateCreation has the creation of an assignment under the released record carried out so late.
-func (s *handoverSite) checkLateCreation(late micro.Time) {
+func (s *handoverEnv) checkLateCreation(late micro.Time) {
 	s.t.Helper()
 	s.submit()
 	s.runTask(0, wire.CauseDone)
 	s.failWrites(shard.AssignmentPrefix, fake.CommitFault{Refused: true})
 	s.waitUntil("it is assigned in memory", func() bool {
-		s.tellFree()
+		s.reportCapacity()
 		return s.job().Shard != ""
 	})
 	s.releaseEast()
-	held := s.holdCreation(late)
+	held := s.delayCreation(late)
 	s.sleep(micro.Minute)
 	if left := s.keys(shard.AssignmentPrefix); len(left) > 0 && len(s.leader.assignedJobs) == 0 {
 		s.t.Errorf("the leader has the job, state %v, shard records %v, and the store has %v", s.job().State,
 			s.keys(shard.RecordPrefix), left)
-		s.takeOver()
+		s.failOver()
 		s.sleep(micro.Minute)
 		if job := s.job(); job.State == cluster.Assigned {
 			s.t.Errorf("for the next leader it is in %q, which does not exist", job.Shard)
@@ -263,16 +263,16 @@
 	}
 }
 
-// holdCreation has the first creation of an assignment under the shard's record as it is carried out late and
+// delayCreation has the first creation of an assignment under the shard's record as it is carried out late and
 // without an answer, and others refused until then. It counts those.
-func (s *handoverSite) holdCreation(late micro.Time) (held *int) {
+func (s *handoverEnv) delayCreation(late micro.Time) (held *int) {
 	underRecord := wire.Precondition{
 		Key: shard.RecordKey("east"), Version: wire.Count(s.version(shard.RecordKey("east"))),
 	}
 	held = new(int)
 	s.setFault(func(transaction wire.Transaction) fake.CommitFault {
 		switch {
-		case !meets(transaction, shard.AssignmentPrefix) || *held > 0:
+		case !changesKey(transaction, shard.AssignmentPrefix) || *held > 0:
 			return fake.CommitFault{}
 		case slices.Contains(transaction.If, underRecord):
 			*held++
@@ -285,8 +285,8 @@
 
 // A controller that was set back to the version before, and is away for a moment, counts as one that
 // goes on with jobs which had allocations: its former version said so.
-func TestAnnouncementEndsWithASessionThatDoesNotMakeIt(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestAnnouncementIsDeletedBySessionWithoutTheFeature(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		site.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.ContinueFeature}})
 		site.setFeatures("n-1")
 		site.sleep(5 * micro.Second)
@@ -303,15 +303,15 @@
 
 // The owner's loop begins anew in the same ownership, as after a compaction of the store's history, and
 // does not know a machine that died meanwhile, idle: what the loop before said keeps it for good.
-func TestWhatAnOwnersFormerLoopSaidOfAMachineDoesNotKeepIt(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
+func TestMachineReportedOnlyByAFormerOwnerLoopIsUnreported(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
 		entry, _ := site.leader.table().Get("east")
 		granted := entry.Record
 		granted.OwnerChanges = 1
 		site.put(shard.RecordKey("east"), granted)
 		site.sleep(2 * micro.Second)
 		site.reportUp("i-9")
-		site.do(func() {
+		site.runOnLoop(func() {
 			c := site.leader.Cluster
 			c.DescribeMachine(c.EnsureMachine("i-9", site.now()), "m", "b", false)
 		})
--- a/internal/shard/coordinator/handover_test.go
+++ b/internal/shard/coordinator/handover_test.go
@@ -27,9 +27,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// handoverSite is a store with the shard "east", whose owner n-1 the test plays, and one leader
+// handoverEnv is a store with the shard "east", whose owner n-1 the test plays, and one leader
 // after the other with the records of its jobs' tasks, in fake time.
-type handoverSite struct {
+type handoverEnv struct {
 	t         *testing.T
 	startedAt time.Time
 	store     *fake.Store
@@ -45,7 +45,7 @@
 type testLeader struct {
 	*Coordinator
 	cluster.Effects
-	site      *handoverSite
+	site      *handoverEnv
 	records   *persist.Records
 	cancelled []*cluster.Job    // whose end the usual way was to be written
 	ends      map[string]string // ends that were to be written, by job
@@ -116,10 +116,10 @@
 func (l *testLeader) ChunkUrgent(chunk *cluster.TaskChunk) { l.records.ChunkUrgent(chunk) }
 
 // runHandover plays a story on a site where n-0 leads.
-func runHandover(t *testing.T, story func(site *handoverSite)) {
+func runHandover(t *testing.T, story func(site *handoverEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		site := &handoverSite{t: t, startedAt: time.Now(), store: fake.NewStore()}
+		site := &handoverEnv{t: t, startedAt: time.Now(), store: fake.NewStore()}
 		site.store.Now = site.now
 		for _, node := range []string{"n-0", "n-1"} {
 			site.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.ContinueFeature}})
@@ -127,28 +127,28 @@
 		record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
 		record.State, record.Owner = shard.Owned, site.owner()
 		site.put(shard.RecordKey("east"), record)
-		site.takeOver()
+		site.failOver()
 		defer func() { site.leader.stop(); time.Sleep(time.Minute) }()
 		story(site)
 	})
 }
 
 // now is the time since a minute before the story began.
-func (s *handoverSite) now() micro.Time {
+func (s *handoverEnv) now() micro.Time {
 	return micro.Minute + micro.Time(time.Since(s.startedAt).Microseconds())
 }
 
 // owner is the incarnation of n-1 that has its session.
-func (s *handoverSite) owner() shard.Controller {
+func (s *handoverEnv) owner() shard.Controller {
 	return shard.Controller{Node: "n-1", SessionVersion: wire.Count(s.version(shard.SessionKey("n-1")))}
 }
 
-func (s *handoverSite) put(key string, value any) {
+func (s *handoverEnv) put(key string, value any) {
 	s.t.Helper()
 	s.commit(wire.Change{Put: key, Value: value})
 }
 
-func (s *handoverSite) commit(changes ...wire.Change) {
+func (s *handoverEnv) commit(changes ...wire.Change) {
 	s.t.Helper()
 	if _, err := s.store.Commit(s.t.Context(), store.Routine, wire.Transaction{Then: changes}); err != nil {
 		s.t.Fatal(err)
@@ -156,7 +156,7 @@
 }
 
 // version is the version of a key; 0: it does not exist.
-func (s *handoverSite) version(key string) uint64 {
+func (s *handoverEnv) version(key string) uint64 {
 	item, err := s.store.Get(s.t.Context(), store.Routine, key)
 	if err != nil {
 		return 0
@@ -165,7 +165,7 @@
 }
 
 // keys lists the keys with a prefix.
-func (s *handoverSite) keys(prefix string) []string {
+func (s *handoverEnv) keys(prefix string) []string {
 	var names []string
 	for _, item := range s.items(prefix) {
 		names = append(names, item.Key)
@@ -173,7 +173,7 @@
 	return names
 }
 
-func (s *handoverSite) items(prefix string) []wire.Item {
+func (s *handoverEnv) items(prefix string) []wire.Item {
 	s.t.Helper()
 	page, err := s.store.Range(s.t.Context(), store.Routine, prefix, "", 1000)
 	if err != nil {
@@ -183,7 +183,7 @@
 }
 
 // assignment is what the store holds of the assignment of j-1.
-func (s *handoverSite) assignment() (assignment shard.Assignment, version uint64) {
+func (s *handoverEnv) assignment() (assignment shard.Assignment, version uint64) {
 	s.t.Helper()
 	item, err := s.store.Get(s.t.Context(), store.Routine, shard.AssignmentKey("east", "j-1"))
 	if err != nil {
@@ -195,11 +195,11 @@
 	return assignment, uint64(item.Version)
 }
 
-// takeOver begins another term, which finds what the store holds. The one before ends at once.
-func (s *handoverSite) takeOver() {
+// failOver begins another term, which finds what the store holds. The one before ends at once.
+func (s *handoverEnv) failOver() {
 	s.t.Helper()
 	if s.leader != nil {
-		s.do(s.leader.stop)
+		s.runOnLoop(s.leader.stop)
 	}
 	s.put(election.LeaderKey, "n-0")
 	s.leader = s.newLeader(election.NewTerm(s.version(election.LeaderKey), s.now()+1000*micro.Minute))
@@ -210,7 +210,7 @@
 	synctest.Wait()
 }
 
-func (s *handoverSite) newLeader(term *election.Term) *testLeader {
+func (s *handoverEnv) newLeader(term *election.Term) *testLeader {
 	ctx, cancel := context.WithCancel(context.Background())
 	link := fake.NewLink(s.store, rand.New(rand.NewPCG(1, 1)))
 	link.OnCommit(s.observeCommit)
@@ -239,7 +239,7 @@
 }
 
 // observeCommit notes a transaction of a leader, and says what befalls it.
-func (s *handoverSite) observeCommit(transaction wire.Transaction) fake.CommitFault {
+func (s *handoverEnv) observeCommit(transaction wire.Transaction) fake.CommitFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.committed = append(s.committed, transaction)
@@ -250,14 +250,14 @@
 }
 
 // setFault says what befalls the leaders' transactions from now on; nil: nothing.
-func (s *handoverSite) setFault(fault func(wire.Transaction) fake.CommitFault) {
+func (s *handoverEnv) setFault(fault func(wire.Transaction) fake.CommitFault) {
 	s.mu.Lock()
 	s.fault = fault
 	s.mu.Unlock()
 }
 
 // sent lists the leaders' transactions so far.
-func (s *handoverSite) sent() []wire.Transaction {
+func (s *handoverEnv) sent() []wire.Transaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.committed)
@@ -301,14 +301,14 @@
 }
 
 // sleep lets the leader go on for a while.
-func (s *handoverSite) sleep(d micro.Time) {
-	s.do(func() {}) // what the test read before comes before what the loop does next
+func (s *handoverEnv) sleep(d micro.Time) {
+	s.runOnLoop(func() {}) // what the test read before comes before what the loop does next
 	time.Sleep(d.Duration())
 	synctest.Wait()
 }
 
 // waitUntil lets the leader go on until a condition holds.
-func (s *handoverSite) waitUntil(what string, condition func() bool) {
+func (s *handoverEnv) waitUntil(what string, condition func() bool) {
 	s.t.Helper()
 	synctest.Wait()
 	for range 2000 {
@@ -320,11 +320,11 @@
 	s.t.Fatalf("never: %s", what)
 }
 
-// tell has the shard's owner tell the leader something.
-func (s *handoverSite) tell(update shard.ShardUpdate) {
+// sendUpdate has the shard's owner sendUpdate the leader something.
+func (s *handoverEnv) sendUpdate(update shard.ShardUpdate) {
 	s.t.Helper()
 	update.Name, update.AssignmentRevision = "east", 1<<40
-	s.do(func() {
+	s.runOnLoop(func() {
 		owner := s.owner()
 		s.leader.applyStatusUpdate(&shard.StatusUpdate{
 			Node: owner.Node, SessionVersion: uint64(owner.SessionVersion), Shards: []shard.ShardUpdate{update},
@@ -341,8 +341,8 @@
 // Apply runs it.
 func (e loopStep) Apply() { e.run(); close(e.done) }
 
-// do runs a function on the leader's loop.
-func (s *handoverSite) do(run func()) {
+// runOnLoop runs a function on the leader's loop.
+func (s *handoverEnv) runOnLoop(run func()) {
 	done := make(chan struct{})
 	s.leader.Loop.Post(loopStep{run, done})
 	<-done
@@ -350,20 +350,20 @@
 }
 
 // job is j-1, as the leader knows it.
-func (s *handoverSite) job() *cluster.Job { return s.leader.Cluster.Jobs["j-1"] }
+func (s *handoverEnv) job() *cluster.Job { return s.leader.Cluster.Jobs["j-1"] }
 
 // submit adds j-1, an array of four tasks of one CPU: two chunks.
-func (s *handoverSite) submit() {
+func (s *handoverEnv) submit() {
 	spec := wire.Job{ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Tasks: 4, CPUs: 1, MemoryGB: 1}
 	s.specs = append(s.specs, spec)
-	s.do(func() { s.leader.Cluster.AddJob(spec, s.now(), s.now()) })
+	s.runOnLoop(func() { s.leader.Cluster.AddJob(spec, s.now(), s.now()) })
 }
 
 // runTask runs a task of j-1 on a machine of the leader; done, or to be done again.
-func (s *handoverSite) runTask(index int, cause wire.ExitCause) {
+func (s *handoverEnv) runTask(index int, cause wire.ExitCause) {
 	s.t.Helper()
 	agent := fake.NewAgent("i-"+string(rune('0'+index)), "m", "a", 30*micro.Second)
-	s.do(func() {
+	s.runOnLoop(func() {
 		c := s.leader.Cluster
 		c.MinFencingToken = 1
 		machine, _ := c.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, s.now())
@@ -375,14 +375,14 @@
 	})
 }
 
-// tellFree has the owner tell of capacity for all of j-1.
-func (s *handoverSite) tellFree() {
+// reportCapacity has the owner tell of capacity for all of j-1.
+func (s *handoverEnv) reportCapacity() {
 	s.t.Helper()
-	s.tell(shard.ShardUpdate{FreeCapacity: []shard.FreeCapacity{{Type: "m", Zone: "b", Count: 1, CPU: 16, Mem: 64}}})
+	s.sendUpdate(shard.ShardUpdate{FreeCapacity: []shard.FreeCapacity{{Type: "m", Zone: "b", Count: 1, CPU: 16, Mem: 64}}})
 }
 
-// assignBegun has j-1 assigned after its task 0 was done, and task 2 ended without.
-func (s *handoverSite) assignBegun() {
+// assignStartedJob has j-1 assigned after its task 0 was done, and task 2 ended without.
+func (s *handoverEnv) assignStartedJob() {
 	s.t.Helper()
 	s.submit()
 	s.runTask(0, wire.CauseDone)
@@ -391,7 +391,7 @@
 }
 
 // recordDone puts the owner's record of a chunk of j-1 with a task that is done.
-func (s *handoverSite) recordDone(chunk, task int) {
+func (s *handoverEnv) recordDone(chunk, task int) {
 	s.put(shard.AllocationKey("east", "j-1", chunk), cluster.CompactRecord{
 		Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{},
 		Done: [][2]int{{task, task}}, Attempts: [][2]int{},
@@ -399,25 +399,25 @@
 }
 
 // release has the owner say that it has released j-1, as of the assignment in the store.
-func (s *handoverSite) release() {
+func (s *handoverEnv) release() {
 	s.t.Helper()
 	_, version := s.assignment()
-	s.tell(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: version}}})
+	s.sendUpdate(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: version}}})
 }
 
 // recall has j-1 recalled, and stored so.
-func (s *handoverSite) recall() {
+func (s *handoverEnv) recall() {
 	s.t.Helper()
 	s.waitUntil("the recall is stored", func() bool {
-		s.tell(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
+		s.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
 		assignment, _ := s.assignment()
 		return assignment.RecallRequested
 	})
 }
 
-// touched lists the first of the leader's transactions since a mark that put or delete keys of
+// firstChanges lists the first of the leader's transactions since a mark that put or delete keys of
 // these prefixes, in order; a deletion begins with a minus.
-func (s *handoverSite) touched(since int, prefixes ...string) []string {
+func (s *handoverEnv) firstChanges(since int, prefixes ...string) []string {
 	var seen []string
 	for _, transaction := range s.sent()[since:] {
 		for _, change := range transaction.Then {
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -89,9 +89,9 @@
 	return max(now-max(settledAt, machine.RequestedAt), 0)
 }
 
-// noteUnreachableZones notes the zones that may be cut off now, since none of their controllers is
+// recordUnreachableZones notes the zones that may be cut off now, since none of their controllers is
 // heard of: that an owner outside has not heard of machines there says nothing of them.
-func (c *Coordinator) noteUnreachableZones(now micro.Time) {
+func (c *Coordinator) recordUnreachableZones(now micro.Time) {
 	reachable := map[string]bool{c.Config.Zone: true}
 	for _, peer := range c.Config.Peers {
 		reachable[peer.Zone] = reachable[peer.Zone] || c.RenewalBound.HeardLately(peer.Node, now)
--- a/internal/shard/coordinator/previous_release_test.go
+++ b/internal/shard/coordinator/previous_release_test.go
@@ -21,20 +21,20 @@
 // What a controller of the version before (6e04747) does with what the store holds of j-1, at each
 // revision. It knows four fields of an assignment, and reads past the rest.
 
-// earlierAssignment is an assignment as the version before reads it.
-type earlierAssignment struct {
+// previousAssignment is an assignment as the version before reads it.
+type previousAssignment struct {
 	Job            wire.Job `msgpack:"job"`
 	AssignedAt     int64    `msgpack:"at"`
 	MaxAllocations int      `msgpack:"tasks"`
 	StopRequested  bool     `msgpack:"stop"`
 }
 
-// progress is what records say of a job's tasks: the last attempt of each, and doneAttempt if it is done.
-type progress map[int]int
+// taskProgress is what records say of a job's tasks: the last attempt of each, and doneAttempt if it is done.
+type taskProgress map[int]int
 
 const doneAttempt = 1 << 30
 
-func (p progress) add(record records.CompactChunk) {
+func (p taskProgress) add(record records.CompactChunk) {
 	chunk, _ := record.Expand()
 	for _, tasks := range chunk.Done {
 		for task := tasks[0]; task <= tasks[1]; task++ {
@@ -46,14 +46,14 @@
 	}
 }
 
-// earlierView is the store at one revision.
-type earlierView struct {
-	assignment    *earlierAssignment
+// previousReleaseView is the store at one revision.
+type previousReleaseView struct {
+	assignment    *previousAssignment
 	leader, owner map[int]records.CompactChunk // records of j-1, by chunk
 	shard         shard.Record
 }
 
-func (v *earlierView) apply(t *testing.T, event wire.Event) {
+func (v *previousReleaseView) apply(t *testing.T, event wire.Event) {
 	t.Helper()
 	key := event.Put + event.Delete
 	_, id, index, ofOwner := shard.ParseAllocationKey(key)
@@ -65,7 +65,7 @@
 	switch {
 	case strings.HasPrefix(key, shard.AssignmentPrefix):
 		if v.assignment = nil; event.Put != "" {
-			v.assignment = &earlierAssignment{}
+			v.assignment = &previousAssignment{}
 			err = wire.Unmarshal(event.Value, v.assignment)
 		}
 	case event.Put == shard.RecordKey("east"):
@@ -83,8 +83,8 @@
 	}
 }
 
-func known(chunks ...map[int]records.CompactChunk) progress {
-	all := progress{}
+func mergeProgress(chunks ...map[int]records.CompactChunk) taskProgress {
+	all := taskProgress{}
 	for _, side := range chunks {
 		for _, record := range side {
 			all.add(record)
@@ -94,17 +94,17 @@
 }
 
 // placeable reports whether its owner places tasks of the job on the shard's machines, if there is one.
-func (v *earlierView) placeable() bool {
+func (v *previousReleaseView) placeable() bool {
 	machineType := &cluster.MachineType{MachineType: wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}}
 	owned := shard.Entry{Record: v.shard}.OwnedElsewhere()
 	return v.assignment != nil && owned && scheduler.Allowed(&v.assignment.Job, machineType, "b", false)
 }
 
-// fault is what a controller of the version before would do wrong with the job; "": nothing.
-func (v *earlierView) fault() string {
-	all := known(v.leader, v.owner)
+// violation is what a controller of the version before would do wrong with the job; "": nothing.
+func (v *previousReleaseView) violation() string {
+	all := mergeProgress(v.leader, v.owner)
 	if v.assignment == nil {
-		if got := known(v.leader); !maps.Equal(got, all) {
+		if got := mergeProgress(v.leader); !maps.Equal(got, all) {
 			return fmt.Sprintf("its leader goes on from %v, stored are %v", got, all)
 		}
 		return ""
@@ -112,31 +112,31 @@
 	if v.assignment.Job.Tasks < 1 {
 		return "its owner deletes the records of a job that it does not know, and its leader loses the job"
 	}
-	if got := known(v.owner); v.placeable() && !maps.Equal(got, all) {
+	if got := mergeProgress(v.owner); v.placeable() && !maps.Equal(got, all) {
 		return fmt.Sprintf("its owner goes on from %v, stored are %v", got, all)
 	}
 	taken := maps.Clone(v.owner)
 	maps.Copy(taken, v.leader) // it takes the leader's record of a chunk for what was taken back
-	if got := known(taken); !maps.Equal(got, all) {
+	if got := mergeProgress(taken); !maps.Equal(got, all) {
 		return fmt.Sprintf("its leader takes back %v, stored are %v", got, all)
 	}
 	return ""
 }
 
-// judgeRevisions shows the version before each revision of the store, and says whether its owner may have
+// checkRevisions shows the version before each revision of the store, and says whether its owner may have
 // placed the job at any.
-func (s *handoverSite) judgeRevisions() (placeable bool) {
+func (s *handoverEnv) checkRevisions() (placeable bool) {
 	s.t.Helper()
 	events, err := s.store.Watch(s.t.Context(), "", 0, micro.Second)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	view := &earlierView{leader: map[int]records.CompactChunk{}, owner: map[int]records.CompactChunk{}}
+	view := &previousReleaseView{leader: map[int]records.CompactChunk{}, owner: map[int]records.CompactChunk{}}
 	for i, event := range events.Events {
 		view.apply(s.t, event)
 		placeable = placeable || view.placeable()
 		last := i+1 == len(events.Events) || events.Events[i+1].Version != event.Version
-		if fault := view.fault(); last && fault != "" {
+		if fault := view.violation(); last && fault != "" {
 			s.t.Errorf("revision %d: %s", uint64(event.Version), fault)
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // copyRecords has the owner store all that the leader's records of j-1 hold, and say so.
-func (s *handoverSite) copyRecords() {
+func (s *handoverEnv) copyRecords() {
 	s.t.Helper()
 	for _, item := range s.items(keys.ChunkPrefixFor("j-1")) {
 		_, index, _, _ := keys.ParseChunk(item.Key)
@@ -154,18 +154,18 @@
 		}
 		s.put(shard.AllocationKey("east", "j-1", index), record)
 	}
-	s.tellCopied()
+	s.reportCopied()
 }
 
-// tellCopied has the owner say that its records of j-1 hold all, as of the assignment in the store.
-func (s *handoverSite) tellCopied() {
+// reportCopied has the owner say that its records of j-1 hold all, as of the assignment in the store.
+func (s *handoverEnv) reportCopied() {
 	s.t.Helper()
 	_, version := s.assignment()
-	s.tell(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version}}})
+	s.sendUpdate(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version}}})
 }
 
 // waitHandedOver waits until only the owner has records of j-1, and may place it.
-func (s *handoverSite) waitHandedOver() {
+func (s *handoverEnv) waitHandedOver() {
 	s.t.Helper()
 	s.waitUntil("the job is handed over", func() bool {
 		assignment, version := s.assignment()
@@ -176,8 +176,8 @@
 	}
 }
 
-// progressInShard has tasks 1 and 3 done in the shard, beside what was known of the tasks before.
-func (s *handoverSite) progressInShard() {
+// recordShardProgress has tasks 1 and 3 done in the shard, beside what was known of the tasks before.
+func (s *handoverEnv) recordShardProgress() {
 	s.t.Helper()
 	for index, done := range [][2]int{{0, 1}, {3, 3}} {
 		record := cluster.ChunkRecord{Done: [][2]int{done}, Attempts: [][2]int{}}
@@ -188,8 +188,8 @@
 	}
 }
 
-// takeBackEast has the owner give the shard back, and waits until the leader has all of it.
-func (s *handoverSite) takeBackEast() {
+// reclaimEast has the owner give the shard back, and waits until the leader has all of it.
+func (s *handoverEnv) reclaimEast() {
 	s.t.Helper()
 	s.releaseEast()
 	s.waitUntil("the shard is gone", func() bool { return len(s.keys(shard.RecordPrefix)) == 0 })
@@ -198,25 +198,25 @@
 // A controller of the version before that is started at any moment while a job goes to a shard, runs
 // there and comes back, or is in a shard that is taken back, begins done tasks anew, uses attempt
 // numbers twice, deletes records or loses the job. Rolled back at any of these steps, it must not.
-func TestEarlierVersionLosesNothingAtAnyRevisionOfAHandover(t *testing.T) {
-	ways := map[string]func(site *handoverSite){
-		"recalled": func(site *handoverSite) {
+func TestPreviousReleaseLosesNothingAtAnyHandoverRevision(t *testing.T) {
+	ways := map[string]func(site *handoverEnv){
+		"recalled": func(site *handoverEnv) {
 			site.recall()
 			site.release()
 		},
-		"shard taken back": (*handoverSite).takeBackEast,
+		"shard taken back": (*handoverEnv).reclaimEast,
 	}
 	for name, comeBack := range ways {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverSite) {
-				site.assignBegun()
+			runHandover(t, func(site *handoverEnv) {
+				site.assignStartedJob()
 				site.copyRecords()
 				site.waitHandedOver()
-				site.progressInShard()
+				site.recordShardProgress()
 				comeBack(site)
-				site.waitBack()
+				site.waitReturned()
 				site.expectRestored()
-				if !site.judgeRevisions() {
+				if !site.checkRevisions() {
 					t.Error("its owner may place the job at no revision")
 				}
 			})
@@ -226,13 +226,13 @@
 
 // The same where a step of the handover fails for a while, and the next leader or the shard's return
 // to the leader comes between.
-func TestHandoverIsEndedWhateverComesBetween(t *testing.T) {
-	interruptions := map[string]func(site *handoverSite){
-		"nothing":          func(*handoverSite) {},
-		"next leader":      (*handoverSite).takeOver,
-		"shard taken back": (*handoverSite).releaseEast,
-		"recall": func(site *handoverSite) {
-			site.tell(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
+func TestHandoverCompletesAfterFailedStepAndInterruption(t *testing.T) {
+	interruptions := map[string]func(site *handoverEnv){
+		"nothing":          func(*handoverEnv) {},
+		"next leader":      (*handoverEnv).failOver,
+		"shard taken back": (*handoverEnv).releaseEast,
+		"recall": func(site *handoverEnv) {
+			site.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
 			site.sleep(2 * micro.Second)
 			if assigned := site.leader.assignedJobs["j-1"]; assigned.recordsCopied && assigned.assignment.RecallRequested {
 				site.t.Error("recalled while the leader's records are being deleted")
@@ -244,8 +244,8 @@
 	for name, interrupt := range interruptions {
 		for _, failing := range []string{"-" + keys.ChunkPrefix, shard.AssignmentPrefix} {
 			t.Run(name+", "+failing, func(t *testing.T) {
-				runHandover(t, func(site *handoverSite) {
-					site.assignBegun()
+				runHandover(t, func(site *handoverEnv) {
+					site.assignStartedJob()
 					site.setFault(refuse(failing))
 					site.copyRecords()
 					site.sleep(2 * micro.Second)
@@ -253,16 +253,16 @@
 					site.setFault(nil)
 					site.sleep(2 * micro.Second)
 					if _, version := site.assignment(); version > 0 {
-						site.tellCopied()
+						site.reportCopied()
 						site.waitHandedOver()
-						site.progressInShard()
+						site.recordShardProgress()
 						site.recall()
 						site.release()
-						site.waitBack()
+						site.waitReturned()
 						site.expectRestored()
 					}
-					site.waitBack()
-					site.judgeRevisions()
+					site.waitReturned()
+					site.checkRevisions()
 				})
 			})
 		}
@@ -271,17 +271,17 @@
 
 // The owner's word counts before it has read the assignment that it copies records for: the leader's
 // are deleted, and nobody has them.
-func TestLeaderKeepsItsRecordsUntilTheOwnerHasCopiedThem(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestLeaderKeepsItsRecordsUntilOwnerHasCopiedThem(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		_, version := site.assignment()
-		site.tell(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version - 1}}})
+		site.sendUpdate(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version - 1}}})
 		site.sleep(5 * micro.Second)
 		if left := site.keys(keys.ChunkPrefixFor("j-1")); len(left) != 2 {
 			t.Errorf("the leader has %v", left)
 		}
 		site.expectDemands(0)
-		site.takeOver()
+		site.failOver()
 		site.sleep(5 * micro.Second)
 		if assignment, _ := site.assignment(); !assignment.InTransfer() {
 			t.Error("the next leader lets the owner place it")
@@ -293,10 +293,10 @@
 }
 
 // expectDemands has the owner ask for capacity for j-1, and checks whether the leader scales out for it.
-func (s *handoverSite) expectDemands(want int) {
+func (s *handoverEnv) expectDemands(want int) {
 	s.t.Helper()
-	s.tell(shard.ShardUpdate{Demand: []shard.Demand{{Job: "j-1", Tasks: 3}}})
-	s.do(func() {
+	s.sendUpdate(shard.ShardUpdate{Demand: []shard.Demand{{Job: "j-1", Tasks: 3}}})
+	s.runOnLoop(func() {
 		if got := s.leader.ShardDemands(); len(got) != want {
 			s.t.Errorf("demand of %d jobs, want %d", len(got), want)
 		}
@@ -305,15 +305,15 @@
 
 // A site that was upgraded has assignments in the form of the version before: their jobs go on, and the
 // leader's records go once the owner's hold all.
-func TestAssignmentOfTheVersionBeforeGoesOnInTheOrdinaryForm(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestPreviousReleaseAssignmentIsConvertedToCurrentForm(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		assignment, _ := site.assignment()
 		job := assignment.Spec()
 		assignment.Continued = &shard.ContinuedJob{Job: job, Revision: assignment.Transfer.Revision}
 		assignment.Job, assignment.Transfer = wire.Job{}, nil
 		site.put(shard.AssignmentKey("east", "j-1"), assignment)
-		site.takeOver()
+		site.failOver()
 		since := len(site.sent())
 		site.setFault(refuse("-" + keys.ChunkPrefix))
 		site.copyRecords()
@@ -321,26 +321,26 @@
 			assignment, _ := site.assignment()
 			return assignment.RecordsCopied()
 		})
-		site.takeOver() // the owner says no more that it has copied them
+		site.failOver() // the owner says no more that it has copied them
 		site.setFault(nil)
 		site.waitHandedOver()
 		order := []string{shard.AssignmentPrefix, "-" + keys.ChunkPrefix}
-		if got := site.touched(since, order...); !slices.Equal(got, order) {
+		if got := site.firstChanges(since, order...); !slices.Equal(got, order) {
 			t.Errorf("%v: while the leader's records go, the assignment must not ask for them", got)
 		}
-		site.progressInShard()
-		site.takeOver()
-		site.takeBackEast()
-		site.waitBack()
+		site.recordShardProgress()
+		site.failOver()
+		site.reclaimEast()
+		site.waitReturned()
 		site.expectRestored()
 	})
 }
 
 // The owner's records are taken, and deleted, before it is stored that the job changes hands: an owner of
 // the version before begins done tasks anew.
-func TestRecalledJobIsTakenBackOnceItsTransferIsStored(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestRecalledJobIsMergedOnlyAfterItsTransferIsStored(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		site.copyRecords()
 		site.waitHandedOver()
 		site.recall()
@@ -351,31 +351,31 @@
 			t.Errorf("%+v", recall)
 		}
 		site.setFault(nil)
-		site.waitBack()
+		site.waitReturned()
 	})
 }
 
 // A leader of the version before writes the assignment of a job that changes hands anew: the next
 // owner cannot read its zone, and it comes back.
-func TestAssignmentInTransferThatTheEarlierVersionRewroteComesBack(t *testing.T) {
-	runHandover(t, func(site *handoverSite) {
-		site.assignBegun()
+func TestJobReturnsAfterPreviousReleaseRewroteItsTransferAssignment(t *testing.T) {
+	runHandover(t, func(site *handoverEnv) {
+		site.assignStartedJob()
 		item, err := site.store.Get(t.Context(), store.Routine, shard.AssignmentKey("east", "j-1"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var earlier earlierAssignment
+		var earlier previousAssignment
 		if err := wire.Unmarshal(item.Value, &earlier); err != nil {
 			t.Fatal(err)
 		}
 		site.put(item.Key, earlier)
-		site.takeOver()
+		site.failOver()
 		if assignment, _ := site.assignment(); !assignment.InTransfer() || assignment.ReadsLeaderRecords() {
 			t.Fatalf("%+v", assignment)
 		}
 		site.recall()
 		site.release()
-		site.waitBack()
+		site.waitReturned()
 		if job := site.job(); job.DoneTasks != 1 || job.Spec.Zone != nil || job.Tasks[2].Attempt != 1 {
 			t.Errorf("%d done, zone %v, task 2 at attempt %d", job.DoneTasks, job.Spec.Zone, job.Tasks[2].Attempt)
 		}
--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -167,9 +167,9 @@
 	)
 }
 
-// takenBack reports whether the leader's record of a chunk holds what the owner's does: it is
+// ownerRecordMerged reports whether the leader's record of a chunk holds what the owner's does: it is
 // later than those that the assignment goes on from.
-func (c *Coordinator) takenBack(chunk *cluster.TaskChunk) bool {
+func (c *Coordinator) ownerRecordMerged(chunk *cluster.TaskChunk) bool {
 	if !chunk.Stored {
 		return false
 	}
--- a/internal/shard/coordinator/reclaim.go
+++ b/internal/shard/coordinator/reclaim.go
@@ -133,7 +133,7 @@
 	pendingDeletes[item.Key] = record
 	job, chunk := c.reclaimChunk(item, now)
 	record.Build = func() (any, uint64) {
-		if chunk != nil && !c.takenBack(chunk) && (!job.IsTerminal() || job.AllocationCount > 0) {
+		if chunk != nil && !c.ownerRecordMerged(chunk) && (!job.IsTerminal() || job.AllocationCount > 0) {
 			return statestore.NotReady, 0
 		}
 		return nil, 0
@@ -158,7 +158,7 @@
 		return nil, nil
 	}
 	chunk := job.Chunks[index]
-	if !c.takenBack(chunk) { // else this leader has, or an earlier one
+	if !c.ownerRecordMerged(chunk) { // else this leader has, or an earlier one
 		c.Cluster.ReclaimChunk(job, index, &stored, now)
 		c.Host.MarkChunkDirty(chunk, now, statestore.PriorityHigh)
 	}
@@ -177,11 +177,11 @@
 		if assigned.shardName != shardName {
 			continue
 		}
-		if assigned.dropped && assigned.storeRecord.AbsentAsRead() {
+		if assigned.deletionRequested && assigned.storeRecord.AbsentAsRead() {
 			c.dropAssignment(assigned) // it never was in the store, and a late write of it fails by the shard's version
 			continue
 		}
-		assigned.dropped = true
+		assigned.deletionRequested = true
 		assigned.storeRecord.Build = func() (any, uint64) { return nil, 0 }
 		assigned.storeRecord.OnCommitted = func(uint64) { c.dropAssignment(assigned) }
 		assigned.storeRecord.MarkDirty(now, statestore.PriorityHigh)
--- a/internal/shard/coordinator/status.go
+++ b/internal/shard/coordinator/status.go
@@ -90,7 +90,7 @@
 	if term == c.Term.FencingRevision && update.LoopStartedAt == view.loopStartedAt {
 		for _, name := range update.ReadyMachines {
 			view.readyMachines[name] = true // also one that this leader does not know yet
-			c.machineUp(name)
+			c.markMachineUp(name)
 		}
 		if view.allMachinesKnownAt == 0 && len(update.ReadyMachines) < shard.MaxStatusItems {
 			view.allMachinesKnownAt = now
@@ -113,8 +113,8 @@
 	view.machineCount, view.idleMachines = update.MachineCount, update.IdleMachines
 	view.pendingTasks = update.PendingTasks
 	view.unreachable, view.demand = update.Unreachable, update.Demand
-	if update.MachineCount > 0 && now-view.handedOverAt > reachedTime {
-		view.handovers = 0
+	if update.MachineCount > 0 && now-view.unreachableMovedAt > reachedTime {
+		view.unreachableMoves = 0
 	}
 	if update.AssignmentRevision >= view.assignedRevision {
 		// The owner knows of all that it was given: its free capacity is net of that.
@@ -134,8 +134,8 @@
 	}
 }
 
-// machineUp notes a machine that sends its heartbeats to the owner of its shard.
-func (c *Coordinator) machineUp(name string) {
+// markMachineUp notes a machine that sends its heartbeats to the owner of its shard.
+func (c *Coordinator) markMachineUp(name string) {
 	if machine := c.Cluster.Machines[name]; machine != nil && machine.OwnedElsewhere {
 		c.Cluster.TransitionMachine(machine, cluster.Up, "its shard's owner says so")
 	}
--- a/internal/shard/coordinator/unserved_jobs.go
+++ b/internal/shard/coordinator/unserved_jobs.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// servingReviewInterval is the least time between the parts of a review.
-	servingReviewInterval = micro.Second
-	// maxReviewedJobs is how many jobs a part looks at: with more, a review takes several.
-	maxReviewedJobs = 300
+	// unservedScanInterval is the least time between the parts of a review.
+	unservedScanInterval = micro.Second
+	// maxJobsPerScanStep is how many jobs a part looks at: with more, a review takes several.
+	maxJobsPerScanStep = 300
 )
 
 // UnservedJobScan counts the waiting jobs that no side may serve. The goroutine of the leader's
 // loop owns it.
 type UnservedJobScan struct {
 	coordinator *Coordinator
-	reviewedAt  micro.Time
+	steppedAt  micro.Time
 	remaining   []*cluster.Job // jobs that the review under way has not looked at
 	unserved    int            // jobs that it has found
 }
@@ -32,10 +32,10 @@
 // Advance looks at some more jobs if it is time to. Once all were looked at, it says how many
 // no side may serve; the next call begins anew. A nil ServingReview does nothing.
 func (r *UnservedJobScan) Advance(now micro.Time) (unserved int, complete bool) {
-	if r == nil || now-r.reviewedAt < servingReviewInterval {
+	if r == nil || now-r.steppedAt < unservedScanInterval {
 		return 0, false
 	}
-	r.reviewedAt = now
+	r.steppedAt = now
 	if len(r.remaining) == 0 {
 		r.unserved = 0
 		r.remaining = r.coordinator.pendingJobs()
@@ -45,7 +45,7 @@
 		r.remaining = nil
 		return 0, true
 	}
-	part := r.remaining[:min(len(r.remaining), maxReviewedJobs)]
+	part := r.remaining[:min(len(r.remaining), maxJobsPerScanStep)]
 	r.remaining = r.remaining[len(part):]
 	for _, job := range part {
 		if job.PendingTasks() > 0 && !catalog.Served(job) {
--- a/internal/shard/coordinator/unserved_jobs_test.go
+++ b/internal/shard/coordinator/unserved_jobs_test.go
@@ -11,10 +11,10 @@
 )
 
 // The shard "east" has all of zone b.
-func TestReviewCountsTheJobsThatNoSideMayServe(t *testing.T) {
+func TestUnservedJobScanCountsJobsInSteps(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.setZones("a", "b")
-	const unserved = 2*maxReviewedJobs + 1
+	const unserved = 2*maxJobsPerScanStep + 1
 	for i := range unserved {
 		test.addJob(fmt.Sprint("j-", i), wire.Job{Tasks: 2, CPUs: 1, Spread: true})
 	}
@@ -24,10 +24,10 @@
 		if _, complete := review.Advance(test.at); complete {
 			t.Fatal("complete too soon")
 		}
-		if review.Advance(test.at + micro.Millisecond); review.reviewedAt != test.at {
+		if review.Advance(test.at + micro.Millisecond); review.steppedAt != test.at {
 			t.Fatal("reviewed again at once")
 		}
-		test.at += servingReviewInterval
+		test.at += unservedScanInterval
 	}
 	if count, complete := review.Advance(test.at); !complete || count != unserved {
 		t.Fatalf("%d counted, complete %v, want %d", count, complete, unserved)
@@ -38,7 +38,7 @@
 }
 
 // A part of a review: as many jobs as it looks at, 24 types in 6 zones, and 8 shards.
-func BenchmarkServingReview(b *testing.B) {
+func BenchmarkUnservedJobScan(b *testing.B) {
 	state, catalog, entries := cluster.New(noEffects{}), &wire.Catalog{}, []shard.Entry{}
 	for i := range 24 {
 		name, zones := fmt.Sprint("t", i), []string{"a", "b", "c", "d", "e", "f"}
@@ -48,7 +48,7 @@
 		}
 	}
 	state.SetCatalog(catalog)
-	for i := range maxReviewedJobs {
+	for i := range maxJobsPerScanStep {
 		state.AddJob(wire.Job{ID: fmt.Sprint("j-", i), Kind: wire.Service, Tasks: 40, Spread: i%2 == 0, Spot: true}, 0, 0)
 	}
 	for name, types := range map[string][]string{"all served": nil, "none served": {"t0"}} {
--- a/internal/shard/coordinator/waiting_jobs.go
+++ b/internal/shard/coordinator/waiting_jobs.go
@@ -67,5 +67,5 @@
 	slices.SortFunc(jobs, func(a, b *cluster.Job) int {
 		return cmp.Or(cmp.Compare(a.WaitingSince, b.WaitingSince), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
-	return jobs[:min(len(jobs), maxReviewedJobs)]
+	return jobs[:min(len(jobs), maxJobsPerScanStep)]
 }
--- a/internal/shard/coordinator/waiting_jobs_test.go
+++ b/internal/shard/coordinator/waiting_jobs_test.go
@@ -10,7 +10,7 @@
 )
 
 // The shard "east" has all of zone b.
-func TestShowTellsOfTheJobsThatWaitForTheShard(t *testing.T) {
+func TestShowListsTheJobsWaitingForTheShard(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.setZones("a", "b")
 	zone := "a"
