--- a/internal/shard/coordinator/waiting_jobs_test.go
+++ b/internal/shard/coordinator/waiting_jobs_test.go
@@ -10,7 +10,7 @@
 )
 
 // The shard "east" has all of zone b.
-func TestShowTellsOfTheJobsThatWaitForTheShard(t *testing.T) {
+func TestShowListsTheJobsWaitingForTheShard(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.setZones("a", "b")
 	zone := "a"
@@ -31,7 +31,7 @@
 		}
 	}
 	list := test.detailReply(&shard.Command{Operation: shard.OperationList}, shard.CommandReply{})
-	if side := (*Coordinator)(nil).DescribeServingSide(nil); len(list.WaitingJobs) > 0 || side != "" {
+	if side := (*Coordinator)(nil).DescribeEligibleOwners(nil); len(list.WaitingJobs) > 0 || side != "" {
 		t.Errorf("list tells of %+v, a leader without shards of %q", list.WaitingJobs, side)
 	}
 }
