--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -169,7 +169,9 @@
 	if outcome != cluster.Applied {
 		s.t.Fatalf("%s: not taken", agent.Name)
 	}
-	commands := wire.Commands{FencingToken: wire.Count(s.fencingToken), Items: s.cluster.Commands(m, s.fencingToken, false, s.now)}
+	commands := wire.Commands{
+		FencingToken: wire.Count(s.fencingToken), Items: s.cluster.Commands(m, s.fencingToken, false, s.now),
+	}
 	s.cluster.ResponseSent(m, s.fencingToken)
 	agent.HandleResponse(commands, s.now)
 }
