--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -31,7 +31,7 @@
 // offer in a shard can only if the whole job can be assigned to a shard now: a service with one
 // allocated replica once had machines requested in a shard, again and again, for the other replica.
 func (p *Planner) eligibleOffers(job *cluster.Job) func(InstanceOffer) bool {
-	if !p.Cluster.MayChangeHands(job) {
+	if !p.Cluster.CanTransfer(job) {
 		return p.OwnsOffer
 	}
 	if p.OwnsOffer == nil || p.ShardAcceptsJob == nil {
@@ -116,7 +116,7 @@
 		return tasks
 	}
 	planned := q[team]
-	tasks = min(tasks, team.TaskHeadroomBeside(planned, spec.CPUs, spec.GPUs))
+	tasks = min(tasks, team.TaskHeadroomAfter(planned, spec.CPUs, spec.GPUs))
 	if tasks == 0 || spec.Kind == wire.Gang && tasks < len(job.Tasks) {
 		return 0
 	}
--- a/internal/shard/coordinator/serving_review.go
+++ b/internal/shard/coordinator/unserved_jobs.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// servingReviewInterval is the least time between the parts of a review.
-	servingReviewInterval = micro.Second
-	// maxReviewedJobs is how many jobs a part looks at: with more, a review takes several.
-	maxReviewedJobs = 300
+	// unservedScanInterval is the least time between the parts of a review.
+	unservedScanInterval = micro.Second
+	// maxJobsPerScanStep is how many jobs a part looks at: with more, a review takes several.
+	maxJobsPerScanStep = 300
 )
 
-// ServingReview counts the waiting jobs that no side may serve. The goroutine of the leader's
+// UnservedJobScan counts the waiting jobs that no side may serve. The goroutine of the leader's
 // loop owns it.
-type ServingReview struct {
+type UnservedJobScan struct {
 	coordinator *Coordinator
-	reviewedAt  micro.Time
+	steppedAt   micro.Time
 	remaining   []*cluster.Job // jobs that the review under way has not looked at
 	unserved    int            // jobs that it has found
 }
 
-// NewServingReview makes a review of the jobs that wait at the leader. A nil Coordinator has none.
-func NewServingReview(c *Coordinator) *ServingReview {
+// NewUnservedJobScan makes a review of the jobs that wait at the leader. A nil Coordinator has none.
+func NewUnservedJobScan(c *Coordinator) *UnservedJobScan {
 	if c == nil {
 		return nil
 	}
-	return &ServingReview{coordinator: c}
+	return &UnservedJobScan{coordinator: c}
 }
 
 // Advance looks at some more jobs if it is time to. Once all were looked at, it says how many
 // no side may serve; the next call begins anew. A nil ServingReview does nothing.
-func (r *ServingReview) Advance(now micro.Time) (unserved int, complete bool) {
-	if r == nil || now-r.reviewedAt < servingReviewInterval {
+func (r *UnservedJobScan) Advance(now micro.Time) (unserved int, complete bool) {
+	if r == nil || now-r.steppedAt < unservedScanInterval {
 		return 0, false
 	}
-	r.reviewedAt = now
+	r.steppedAt = now
 	if len(r.remaining) == 0 {
 		r.unserved = 0
 		r.remaining = r.coordinator.pendingJobs()
@@ -45,7 +45,7 @@
 		r.remaining = nil
 		return 0, true
 	}
-	part := r.remaining[:min(len(r.remaining), maxReviewedJobs)]
+	part := r.remaining[:min(len(r.remaining), maxJobsPerScanStep)]
 	r.remaining = r.remaining[len(part):]
 	for _, job := range part {
 		if job.PendingTasks() > 0 && !catalog.Served(job) {
@@ -61,7 +61,7 @@
 	if c.table().Len() == 0 || len(c.Cluster.CatalogOrder) == 0 {
 		return nil
 	}
-	return DivideCatalog(c.Cluster.CatalogOrder, c.table(), c.Cluster.ContinuesJobs)
+	return DivideCatalog(c.Cluster.CatalogOrder, c.table(), c.Cluster.HandoverSupported)
 }
 
 // pendingJobs lists the jobs that wait at the leader.
