--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -27,8 +27,8 @@
 		(d.eligible == nil || d.eligible(InstanceOffer{typ.Name, zone, spot}))
 }
 
-// eligibleOffers returns a function that reports whether an offer can serve a job; nil: all can. An
-// offer in a shard can only if the whole job can be assigned to a shard now: a service with one
+// eligibleOffers returns a function that reports whether an offer can serve a job; nil: all offers can.
+// An offer in a shard can do so only if the whole job can be assigned to a shard now: a service with one
 // allocated replica once had machines requested in a shard, again and again, for the other replica.
 func (p *Planner) eligibleOffers(job *cluster.Job) func(InstanceOffer) bool {
 	if !p.Cluster.CanTransfer(job) {
@@ -101,7 +101,7 @@
 	return demands, topPriorityTasks
 }
 
-// maxBackoffRemaining is how long before the end of a job's backoff capacity may be requested for it.
+// maxBackoffRemaining is the longest remaining backoff of a job at which capacity is requested for it.
 const maxBackoffRemaining = 10 * micro.Second
 
 // plannedQuota is the quota of each team that one plan has reserved.
@@ -149,7 +149,7 @@
 	return demands
 }
 
-// bootSpareFactor is the additional share of machines requested for work of the highest priority level
+// bootSpareFactor is the share of additional capacity requested for work of the highest priority level
 // whose start objective is shorter than the boot time. Boots take 0.6 to 1.5 times their nominal time;
 // with spare machines, the fastest boots provide enough capacity.
 const bootSpareFactor = 0.5
@@ -175,7 +175,7 @@
 	return demands
 }
 
-// scaleOutDelay is how long a job that can still wait is given to find released capacity before
+// scaleOutDelay is how long a job whose latest start is not near waits for capacity to be released before
 // capacity is requested for it.
 const scaleOutDelay = 8 * micro.Second
 
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -144,7 +144,7 @@
 	planner.Cluster.Allocate(job, 1, planner.Cluster.Machines["i-1"], 1, 1, now)
 	planner.Plan(now)
 	if planner.Cluster.Machines["i-gpu"].Cordoned {
-		t.Fatal("cordoned before nothing has waited for cordonDelay")
+		t.Fatal("cordoned before cordonDelay has passed without a backlog")
 	}
 	planner.Plan(now + cordonDelay)
 	if !planner.Cluster.Machines["i-gpu"].Cordoned || planner.Cluster.Machines["i-1"].Cordoned {
@@ -204,8 +204,8 @@
 	}
 }
 
-// A job that can still wait is given a few seconds to find released capacity; after that, cordoned
-// machines must become available to it.
+// A job whose latest start is not near waits a few seconds for capacity to be released; after that,
+// cordoned machines must be available to it.
 func TestCordonedMachineIsUncordonedAfterTheScaleOutDelay(t *testing.T) {
 	planner := newTestPlanner()
 	machine := planner.Cluster.EnsureMachine("i-1", now)
--- a/internal/provision/inventory.go
+++ b/internal/provision/inventory.go
@@ -19,8 +19,8 @@
 // MaxInventoryAge is the maximum age of an inventory that may cause the termination of machines.
 const MaxInventoryAge = 20 * micro.Second
 
-// inventoryInterval is the minimum time between two reads of the inventory. Reading it costs the leader
-// more than it is worth if done more often, since it seldom shows anything new.
+// inventoryInterval is the minimum pause between two reads of the inventory. Reading its pages more often
+// would cost the leader more than the information is worth, since it seldom changes.
 const inventoryInterval = 6 * micro.Second
 
 // inventoryRateFraction is the fraction of the cloud's rate limit that reading the inventory may use. Read
--- a/internal/provision/requests.go
+++ b/internal/provision/requests.go
@@ -15,8 +15,8 @@
 // before the request is sent, so that a request whose response was lost is repeated under the same ID.
 type InstanceRequestRecord struct {
 	Request   wire.InstanceRequest `msgpack:"r" json:"r"`
-	Machines  []string             `msgpack:"m" json:"m"`
-	Answered  bool                 `msgpack:"a" json:"a"`
+	Machines  []string             `msgpack:"m" json:"m"`   // created machines, without those in Terminating
+	Answered  bool                 `msgpack:"a" json:"a"`   // the cloud granted or refused the request
 	CreatedAt int64                `msgpack:"at" json:"at"` // wall clock, in microseconds
 	// Terminating lists the machines whose termination was requested; they are no longer in Machines.
 	// The cloud may execute the termination at any later time, so no leader may use them.
@@ -68,8 +68,8 @@
 	}
 }
 
-// transition changes the state of an instance request, which no other function does. It ignores a
-// transition that requestTransitions does not list.
+// transition is the only function that changes the state of an instance request once it has its initial
+// state. It ignores a transition that requestTransitions does not list.
 func (p *Provisioner) transition(request *instanceRequest, to RequestState) {
 	if !slices.Contains(requestTransitions[request.state], to) {
 		return
