--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -2,51 +2,52 @@
 
 import "notchmux.dev/notchmux/wire"
 
-// zoneInTransfer is the zone in the description of a job that changes hands. No machine is in such a
-// zone: a controller of any version that takes the description as it stands places none of the
-// job's tasks, and keeps what it knows of them.
+// zoneInTransfer replaces the zone in the stored spec of a job that is in transfer between the leader and a
+// shard. No machine is in this zone: a controller of any release that uses the spec as stored allocates none
+// of the job's tasks, and keeps the state that it has of them.
 const zoneInTransfer = "(changes hands)"
 
-// Assignment is a job that the leader gave to a shard. It counts against its team's
-// limit for as long as its record exists. The shard's owner deletes it, but for that of a job
-// that was recalled: the leader deletes that one.
+// Assignment is the stored record of a job that the leader assigned to a shard. The job counts against its
+// team's limit for as long as the record exists. The shard's owner deletes the record, except that of a
+// recalled job, which the leader deletes.
 type Assignment struct {
-	// Job is the description of the job. While the job changes hands its zone is one that no
-	// machine is in, and Transfer has its own.
+	// Job is the spec of the job. While the job is in transfer, its zone is zoneInTransfer, in which there is no
+	// machine, and Transfer holds the zone that the job requests.
 	Job            wire.Job `msgpack:"job" json:"job"`
-	AssignedAt     int64    `msgpack:"at" json:"at"`       // when it was assigned, wall clock, microseconds
-	MaxAllocations int      `msgpack:"tasks" json:"tasks"` // how many of its tasks may have places at once; it only grows
-	StopRequested  bool     `msgpack:"stop" json:"stop"`   // its tasks are to be stopped: it is being cancelled
+	AssignedAt     int64    `msgpack:"at" json:"at"`       // wall clock of the assignment, in microseconds
+	MaxAllocations int      `msgpack:"tasks" json:"tasks"` // limit of allocations at once; never decreases
+	StopRequested  bool     `msgpack:"stop" json:"stop"`   // the job is being cancelled: its tasks are to be stopped
 
-	// Continued is how the version before stored a job that had allocations before: Job is empty
-	// then. It is read, and never written anew.
+	// Continued is how the previous release stored a job that had allocations before it was assigned; Job is
+	// empty then. It is still read, but no new assignment sets it.
 	Continued *ContinuedJob `msgpack:"continued,omitempty" json:"continued,omitempty"`
-	// RecallRequested is set once the job is to come back to the leader, and stays: no owner
-	// that has read it places any of its tasks.
+	// RecallRequested is set once the leader recalls the job, and is never cleared: no owner that has read it
+	// allocates any of the job's tasks.
 	RecallRequested bool `msgpack:"recall,omitempty" json:"recall,omitempty"`
-	// Transfer is set for as long as both the leader and the owner may have records of the job's tasks.
+	// Transfer is set while both the leader and the shard's owner may have records of the job's tasks.
 	Transfer *Transfer `msgpack:"transfer,omitempty" json:"transfer,omitempty"`
 }
 
-// ContinuedJob is a job that goes on in a shard from the leader's records of its tasks, which stay.
+// ContinuedJob is a job that a shard's owner resumes from the leader's records of its tasks, which are kept.
 type ContinuedJob struct {
 	Job wire.Job `msgpack:"job" json:"job"`
-	// Revision is the latest version of the leader's records of its tasks, which do not change
-	// while the job is in the shard. A later version of one is what the leader has taken back.
+	// Revision is the latest version among the leader's records of the job's tasks. They do not change while the
+	// job is in the shard. A record of a later version holds state that the leader has taken back.
 	Revision wire.Count `msgpack:"rev" json:"rev"`
 }
 
-// Transfer is what is to be known of a job whose records go from one side to the other.
+// Transfer describes a job whose task records are being moved between the leader and a shard's owner.
 type Transfer struct {
-	// Zone is the zone that the job asks for; nil: any.
+	// Zone is the zone that the job requests; nil: any zone.
 	Zone *string `msgpack:"zone" json:"zone"`
-	// Revision is the latest version of the leader's records from before the job went to the shard; 0:
-	// it had none, or they are deleted.
+	// Revision is the latest version among the leader's task records written before the job was assigned to the
+	// shard; 0: there were none, or they are deleted.
 	Revision wire.Count `msgpack:"rev" json:"rev"`
 }
 
-// NewAssignment is the assignment of a job that goes on from the records of its tasks up to a
-// revision; 0: there are none.
+// NewAssignment returns the assignment of a job, made at a wall clock time in microseconds. The revision is the
+// latest version among the leader's records of the job's tasks; unless it is 0, which means that there are none,
+// the job is in transfer.
 func NewAssignment(job wire.Job, revision uint64, wall int64) Assignment {
 	assignment := Assignment{Job: job, AssignedAt: wall}
 	if revision == 0 {
@@ -57,7 +58,7 @@
 	return assignment
 }
 
-// Spec is the description of the job that was assigned.
+// Spec returns the spec of the assigned job, with the zone that the job requests.
 func (a *Assignment) Spec() wire.Job {
 	if a.Continued != nil {
 		return a.Continued.Job
@@ -69,8 +70,8 @@
 	return spec
 }
 
-// Revision is the latest version of the leader's records from before the job went to the shard; 0:
-// there are none.
+// Revision returns the latest version among the leader's task records written before the job was assigned to
+// the shard, or 0 if there are none.
 func (a *Assignment) Revision() uint64 {
 	switch {
 	case a.Continued != nil:
@@ -81,20 +82,21 @@
 	return 0
 }
 
-// InTransfer reports whether the job changes hands: nobody places any of its tasks.
+// InTransfer reports whether the job is in transfer between the leader and the shard. No controller allocates
+// any of its tasks meanwhile.
 func (a *Assignment) InTransfer() bool { return a.Job.Zone != nil && *a.Job.Zone == zoneInTransfer }
 
-// ReadsLeaderRecords reports whether an owner goes on from the leader's records, too: those of its
-// own may not hold all of them yet.
+// ReadsLeaderRecords reports whether an owner must resume the job from the leader's records as well as its own,
+// which may not hold the contents of all of them yet.
 func (a *Assignment) ReadsLeaderRecords() bool {
 	return a.Continued != nil || a.InTransfer() && a.Revision() > 0
 }
 
-// RecordsCopied reports whether the owner's records hold all that the leader's do, which are being
-// deleted, while the job goes on.
+// RecordsCopied reports whether the owner's records hold the contents of all of the leader's. The leader's are
+// then being deleted while the job runs.
 func (a *Assignment) RecordsCopied() bool { return a.Transfer != nil && !a.InTransfer() }
 
-// BeginTransfer is the assignment of a job that changes hands from now on.
+// BeginTransfer returns the assignment with the job in transfer, or unchanged if it is in transfer already.
 func (a Assignment) BeginTransfer() Assignment {
 	if a.InTransfer() {
 		return a
@@ -107,8 +109,8 @@
 	return a
 }
 
-// KeepOwnerRecords is the assignment of a job that goes on from the owner's records alone. The leader's
-// may still be there.
+// KeepOwnerRecords returns the assignment of a job that resumes from the owner's records alone. The leader's
+// records may still exist.
 func (a Assignment) KeepOwnerRecords() Assignment {
 	spec := a.Spec()
 	a.Transfer = &Transfer{Zone: spec.Zone, Revision: wire.Count(a.Revision())}
@@ -116,7 +118,7 @@
 	return a
 }
 
-// EndTransfer is the assignment of a job that has changed hands: only the owner has records of its
+// EndTransfer returns the assignment of a job whose transfer is complete: only the owner has records of its
 // tasks.
 func (a Assignment) EndTransfer() Assignment {
 	a.Job, a.Continued, a.Transfer = a.Spec(), nil, nil
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -5,52 +5,55 @@
 	"strings"
 )
 
-// The keys that shards use. They are fixed formats.
+// Keys and key prefixes of shards in the store. Stored data depends on them: they must not change.
 const (
 	RecordPrefix            = "share/"
 	SessionPrefix           = "owner/"
 	AssignmentPrefix        = "assign/"
 	AllocationPrefix        = "alloc/"
 	MachineInactivityPrefix = "ages/"
-	// AnnouncementPrefix begins what controllers announced with their sessions. It stays when those end.
+	// AnnouncementPrefix is the prefix of the announcements that controllers store with their sessions. They
+	// remain when the sessions end.
 	AnnouncementPrefix = "can/"
-	// MarkerKey exists as long as any shard does. It lies among the records of the
-	// fleet, which every leader reads first.
+	// MarkerKey exists as long as any shard does. It has the prefix of the fleet's records, which every leader
+	// reads first.
 	MarkerKey = "fleet/shares"
 )
 
-// RecordKey is the key of a shard's record.
+// RecordKey returns the key of a shard's record.
 func RecordKey(name string) string { return RecordPrefix + name }
 
-// SessionKey is the key of a controller's session.
+// SessionKey returns the key of a controller's session.
 func SessionKey(node string) string { return SessionPrefix + node }
 
-// AnnouncementKey is the key of what a controller announced with its last session.
+// AnnouncementKey returns the key of the announcement that a controller stored with its last session.
 func AnnouncementKey(node string) string { return AnnouncementPrefix + node }
 
-// AssignmentPrefixFor begins the keys of a shard's assignments.
+// AssignmentPrefixFor returns the prefix of the keys of a shard's assignments.
 func AssignmentPrefixFor(name string) string { return AssignmentPrefix + name + "/" }
 
-// AssignmentKey is the key of a job's assignment to a shard.
+// AssignmentKey returns the key of a job's assignment to a shard.
 func AssignmentKey(name, job string) string { return AssignmentPrefixFor(name) + job }
 
-// AllocationPrefixFor begins the keys of a shard's allocations.
+// AllocationPrefixFor returns the prefix of the keys of a shard's allocation records.
 func AllocationPrefixFor(name string) string { return AllocationPrefix + name + "/" }
 
-// AllocationPrefixForJob begins the keys of a job's allocations in a shard.
+// AllocationPrefixForJob returns the prefix of the keys of a job's allocation records in a shard.
 func AllocationPrefixForJob(name, job string) string { return AllocationPrefixFor(name) + job + "/" }
 
-// AllocationKey is the key of the record of a chunk of a job's tasks in a shard.
+// AllocationKey returns the key of the allocation record of a chunk of a job's tasks in a shard.
 func AllocationKey(name, job string, chunk int) string {
 	return AllocationPrefixForJob(name, job) + strconv.Itoa(chunk)
 }
 
-// ParseAssignmentKey splits the key of an assignment.
+// ParseAssignmentKey returns the shard's name and the job's ID in the key of an assignment; ok is false if the key is
+// malformed.
 func ParseAssignmentKey(key string) (name, job string, ok bool) {
 	return strings.Cut(strings.TrimPrefix(key, AssignmentPrefix), "/")
 }
 
-// ParseAllocationKey splits the key of an allocation's record.
+// ParseAllocationKey returns the shard's name, the job's ID and the chunk's index in the key of an allocation record;
+// ok is false if the key is malformed.
 func ParseAllocationKey(key string) (name, job string, chunk int, ok bool) {
 	name, rest, ok := strings.Cut(strings.TrimPrefix(key, AllocationPrefix), "/")
 	job, number, cut := strings.Cut(rest, "/")
@@ -58,13 +61,14 @@
 	return name, job, chunk, ok && cut && err == nil && chunk >= 0
 }
 
-// MachineInactivityKey is the key of what a shard's last owner left to the one that its record names.
+// MachineInactivityKey returns the key of the inactivity record that a shard's last owner left to the owner that the
+// shard's record names.
 func MachineInactivityKey(name string) string { return MachineInactivityPrefix + name }
 
-// maxNameLength is the longest name of a shard: keys have 200 bytes.
+// maxNameLength is the maximum length of a shard's name in bytes: keys have at most 200 bytes.
 const maxNameLength = 40
 
-// ValidName reports whether a shard may be called so: letters, digits and hyphens.
+// ValidName reports whether a shard may have the name: 1 to maxNameLength lower-case letters, digits and hyphens.
 func ValidName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
--- a/internal/shard/machine_inactivity.go
+++ b/internal/shard/machine_inactivity.go
@@ -1,17 +1,17 @@
 package shard
 
-// MachineInactivity is what an owner leaves to the next one, in the transaction that names that: how
-// long, at least, its machines were silent or idle by then. After its transfer began an owner
-// answers nobody, so the next one goes on counting where this one ended. The record holds for
-// the ownership that begins at its own revision, and for no other.
+// MachineInactivity is the record that an owner leaves to the next owner, in the transaction that names the next
+// owner: for how long, at least, the shard's machines had been silent or idle by then. An owner answers nobody once
+// its transfer has begun, so the next owner continues these durations. The record is valid only for the ownership
+// that begins at the record's own revision.
 type MachineInactivity struct {
-	// SinceRenewal is how long ago, in microseconds, an owner may last have renewed the lease of
-	// a machine's agent, by machine. It does not say what lease proxies renewed.
+	// SinceRenewal is, by machine, how long ago an owner may last have renewed the lease of the machine's agent, in
+	// microseconds. It does not cover renewals by lease proxies.
 	SinceRenewal map[string]int64 `msgpack:"renewed"`
-	// IdleFor is since how long, in microseconds, a machine has been idle, by machine.
+	// IdleFor is, by machine, how long the machine has been idle, in microseconds.
 	IdleFor map[string]int64 `msgpack:"idle"`
 }
 
-// MaxInactiveMachines bounds the machines of each kind that the record names: a value of the store
-// holds a few KiB. For those left out the next owner counts from its own beginning.
+// MaxInactiveMachines limits the machines in each map of a MachineInactivity: a value in the store holds only a few
+// KiB. For machines that are left out, the next owner counts from its own start.
 const MaxInactiveMachines = 100
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -10,22 +10,23 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// OwnerState is how an owner stands to its shard.
+// OwnerState is the state of an owner with respect to its shard.
 type OwnerState uint8
 
-// The states of an owner.
+// States of an owner.
 const (
-	Active       OwnerState = iota // it answers heartbeats, allocates tasks and sends commands
-	Draining                       // the same, but it allocates nothing more: the shard is to move
-	Transferring                   // the transaction of the transfer is in flight: it answers nobody
-	Uncertain                      // that got no response, and may yet be executed: it answers nobody
-	Relinquished                   // it no longer owns the shard, and never acts again
+	Active       OwnerState = iota // answers heartbeats, allocates tasks and sends commands
+	Draining                       // like Active, but allocates nothing more: the shard is to move
+	Transferring                   // the transfer transaction is in flight: answers nobody
+	Uncertain                      // the transfer got no response, and may yet be executed: answers nobody
+	Relinquished                   // no longer owns the shard, and never acts again
 )
 
 func (s OwnerState) String() string {
 	return [...]string{"active", "draining", "transferring", "uncertain", "relinquished"}[s]
 }
 
+// ownerTransitions lists the states that may follow each state.
 var ownerTransitions = map[OwnerState][]OwnerState{
 	Active:       {Draining, Relinquished},
 	Draining:     {Active, Transferring, Relinquished},
@@ -33,26 +34,26 @@
 	Uncertain:    {Active, Draining, Relinquished},
 }
 
-// tokenCounterBits are the low bits of a token, which an owner may count up; the bits above
-// are the revision that gave it the shard.
+// tokenCounterBits is the number of low bits of a fencing token, which an owner may count up. The bits above them are
+// the revision that gave it the shard.
 const tokenCounterBits = 24
 
-// Owner is one controller's ownership of one shard, from the revision that names it to
-// the one that names another. Its methods are called by the goroutine that answers the
-// shard's machines: no answer comes between a change of state and the next look at it.
+// Owner is the state machine of one controller's ownership of one shard, from the revision that names the controller
+// to the one that names another. Its methods must be called by the goroutine that answers the shard's machines, so
+// that no answer is given between a change of state and the next check of it.
 type Owner struct {
 	self            Controller
-	session         *election.Term // of the controller's session
-	entry           Entry          // the latest record that names it
-	firstRevision   uint64         // the first revision known to name it
+	session         *election.Term // term of the controller's session
+	entry           Entry          // latest record that names this owner
+	firstRevision   uint64         // first revision known to name this owner
 	state           OwnerState
-	pendingTransfer wire.Transaction // the transfer that is under way or in doubt
+	pendingTransfer wire.Transaction // the transfer that is in flight or uncertain
 	log             func(msg string, args ...any)
 }
 
-// NewOwner takes up a shard whose record names this incarnation. The right is that of
-// its session: while it holds, the record can change by the leader's moves only, and
-// change hands only by this owner's own transaction.
+// NewOwner returns the owner of a shard whose record names the incarnation self. While the lease of its session holds,
+// only the leader can change the record, by requesting or cancelling a move, and only this owner's own transaction
+// can transfer the shard.
 func NewOwner(entry Entry, session *election.Term, self Controller, log func(msg string, args ...any)) *Owner {
 	owner := &Owner{self: self, session: session, entry: entry, firstRevision: entry.Version, log: log}
 	if entry.Record.State == Moving {
@@ -61,12 +62,12 @@
 	return owner
 }
 
-// transition is the one place where an owner's state changes.
+// transition changes the owner's state if ownerTransitions allows it. All changes of an owner's state go through it.
 func (o *Owner) transition(to OwnerState, reason string) {
 	for _, allowed := range ownerTransitions[o.state] {
 		if allowed == to {
 			o.log(
-				"shard owner", "shard", o.entry.Name, "from", o.state.String(), "to", to.String(), "reason", reason,
+				"shard owner state changed", "shard", o.entry.Name, "from", o.state.String(), "to", to.String(), "reason", reason,
 				"version", o.entry.Version,
 			)
 			o.state = to
@@ -75,41 +76,41 @@
 	}
 }
 
-// State is the owner's state.
+// State returns the owner's state.
 func (o *Owner) State() OwnerState { return o.state }
 
-// Entry is the record as the owner knows it.
+// Entry returns the shard's record as the owner knows it.
 func (o *Owner) Entry() Entry { return o.entry }
 
-// MayServe reports whether the owner may answer the shard's machines and send commands. Its
-// right ends by its own steady clock, before the store lets its session go: only then
-// can the leader give the shard to another.
+// MayServe reports whether the owner may answer the shard's machines and send commands. Its lease ends by its own
+// monotonic clock before the store expires its session: only after that can the leader give the shard to another
+// owner.
 func (o *Owner) MayServe(now micro.Time) bool { return o.MayRespond() && o.session.HoldsLease(now) }
 
-// MayRespond reports whether the owner may say anything while its session's right holds.
+// MayRespond reports whether the owner's state allows it to answer, provided that the lease of its session holds.
 func (o *Owner) MayRespond() bool { return o.state == Active || o.state == Draining }
 
-// MayAllocate reports whether new tasks may be placed.
+// MayAllocate reports whether the owner may make new allocations.
 func (o *Owner) MayAllocate() bool { return o.state == Active }
 
-// Preconditions are the conditions of each of the owner's writes: a placement that races with
-// a move fails them, and no start goes out for it.
+// Preconditions returns the preconditions of each of the owner's writes: the write of an allocation that races with a
+// move fails, and no start command is sent for it.
 func (o *Owner) Preconditions() []wire.Precondition {
 	return []wire.Precondition{o.self.Precondition(), o.entry.Precondition()}
 }
 
-// FirstRevision is the first revision that is known to name this owner.
+// FirstRevision returns the first revision that is known to name this owner.
 func (o *Owner) FirstRevision() uint64 { return o.firstRevision }
 
-// FirstFencingToken is the lowest token of this ownership. The revision that names an owner is
-// higher than any that named one before, so tokens rise with each change of owner.
+// FirstFencingToken returns the lowest fencing token of this ownership. The revision that names an owner is higher than
+// any that named an earlier owner, so tokens rise with each change of owner.
 func (o *Owner) FirstFencingToken() uint64 { return FirstFencingToken(o.firstRevision) }
 
-// FirstFencingToken is the first fencing token that the owner as of a revision gives out.
+// FirstFencingToken returns the first fencing token that the owner named at a revision uses.
 func FirstFencingToken(revision uint64) uint64 { return revision << tokenCounterBits }
 
-// Observe takes in a record that was read. One that names another, or another
-// incarnation, ends the ownership for good.
+// Observe applies a record that was read, unless the owner knows the same or a later version. A record that names
+// another controller, or another incarnation of this one, ends the ownership permanently.
 func (o *Owner) Observe(entry Entry) {
 	if o.state == Relinquished || entry.Version <= o.entry.Version {
 		return
@@ -119,15 +120,15 @@
 		return
 	}
 	if entry.Record.OwnerChanges != o.entry.Record.OwnerChanges {
-		// A transfer without an answer was carried out, and the shard came back before
-		// the record was read again: taken for the same ownership, its answers went on
-		// under tokens below those of the owner in between.
-		o.transition(Relinquished, "owned by another in between")
+		// A transfer that got no response was executed, and the shard was moved back before this owner read the
+		// record again. Treated as the same ownership, it kept answering with fencing tokens below those of the
+		// owner in between.
+		o.transition(Relinquished, "owned by another controller in between")
 		return
 	}
 	o.entry = entry
-	// The record has changed since a transfer went out: that carries the version
-	// before, so it was not carried out, and never will be.
+	// The record has changed since a transfer was sent. The transfer requires the previous version, so it was not
+	// executed, and never will be.
 	o.pendingTransfer = wire.Transaction{}
 	if o.state == Transferring {
 		o.transition(Draining, "record changed")
@@ -142,16 +143,16 @@
 	}
 }
 
-// HandleRecordDeleted takes in that the record does not exist.
+// HandleRecordDeleted ends the ownership because the shard's record does not exist.
 func (o *Owner) HandleRecordDeleted() {
 	if o.state != Relinquished {
 		o.transition(Relinquished, "record deleted")
 	}
 }
 
-// BeginTransfer begins to transfer. The caller has placed nothing since the move began, and
-// none of its writes is under way or in doubt. From here on it says nothing; the
-// transaction it gets names the new owner, and is the only one that does.
+// BeginTransfer starts the transfer of a draining owner's shard; false: no transfer is due. The caller must have made
+// no allocation since the move began, and none of its writes may be in flight or uncertain. From here on the owner
+// answers nobody. The returned transaction names the new owner, and is the only one that does.
 func (o *Owner) BeginTransfer(wall int64) (wire.Transaction, bool) {
 	if o.state != Draining || o.entry.Record.State != Moving {
 		return wire.Transaction{}, false
@@ -169,8 +170,8 @@
 	return o.pendingTransfer, true
 }
 
-// HandleTransferResult takes in what came of the transfer. Only an answer that says that it was
-// not carried out, and never will be, gives the leadership lease back.
+// HandleTransferResult applies the result of the transfer. The owner may answer again only after an error that proves
+// that the transfer was not executed, and never will be.
 func (o *Owner) HandleTransferResult(err error) {
 	switch {
 	case o.state != Transferring:
@@ -184,10 +185,10 @@
 	}
 }
 
-// ResolveUncertain gives the transaction that resolves a doubt in which the record reads as
-// before: a transfer without an answer could be carried out as soon as this owner acts
-// again. Written anew, the record has another version, and what was sent with the one
-// before fails for good.
+// ResolveUncertain returns the transaction that resolves an uncertain transfer while the record reads as before; false:
+// the transfer is not uncertain. A transfer that got no response could otherwise be executed once this owner acts
+// again. The transaction rewrites the record and so changes its version: what was sent with the previous version
+// fails permanently.
 func (o *Owner) ResolveUncertain(wall int64) (wire.Transaction, bool) {
 	if o.state != Uncertain {
 		return wire.Transaction{}, false
@@ -195,8 +196,8 @@
 	return o.entry.Update(o.entry.Record.Rewritten(wall), o.self.Precondition()), true
 }
 
-// HandleResolveResult takes in what came of that: the revision at which it was written. Anything
-// else leaves the doubt, and the record is read again.
+// HandleResolveResult applies the result of the transaction of ResolveUncertain: the revision at which the record was
+// written. After an error the transfer remains uncertain, and the record is read again.
 func (o *Owner) HandleResolveResult(revision uint64, err error) {
 	if o.state != Uncertain || err != nil {
 		return
@@ -206,14 +207,14 @@
 	o.Observe(entry)
 }
 
-// notExecutedErrors are the errors that say so of a transaction.
+// notExecutedErrors are the errors of the store that prove that a transaction was not executed, and never will be.
 var notExecutedErrors = []error{
 	store.ErrConflict, store.ErrRefused, store.ErrRateLimited,
 	store.ErrBudgetExhausted, store.ErrMalformed, store.ErrNoLease,
 }
 
-// provenNotExecuted reports whether an answer of the store says that a transaction was not
-// carried out and will not be.
+// provenNotExecuted reports whether an error of the store proves that a transaction was not executed, and never will
+// be.
 func provenNotExecuted(err error) bool {
 	return slices.ContainsFunc(notExecutedErrors, func(known error) bool { return errors.Is(err, known) })
 }
--- a/internal/shard/ownership/ownership.go
+++ b/internal/shard/ownership/ownership.go
@@ -1,8 +1,7 @@
-// Package ownership is a controller's part in shards as an owner: it holds the controller's
-// session, follows the shard table, and starts and stops the loops of the shards that the
-// table says are this controller's.
+// Package ownership manages the shards that a controller owns: it holds the controller's session, watches the shard
+// table, and starts and stops an owner loop for each shard whose record names this controller.
 //
-// Owners guards its state by a lock: any goroutine may call it.
+// Owners guards its state with a lock: any goroutine may call its methods.
 package ownership
 
 import (
@@ -22,63 +21,61 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Owner is the loop of one shard. Any goroutine may call it.
+// Owner is the owner loop of one shard. Any goroutine may call its methods.
 type Owner interface {
-	// Observe hands the loop what the shard's record says now; it does not exist if the record
-	// is gone.
+	// Observe passes the shard's current record to the loop; exists is false if the record is deleted.
 	Observe(entry shard.Entry, exists bool)
-	// Stop ends the loop for good.
+	// Stop stops the loop permanently.
 	Stop()
-	// Stopped reports whether the loop was stopped; it may end by itself.
+	// Stopped reports whether the loop has stopped. It may also stop by itself.
 	Stopped() bool
 }
 
-// Host is what Owners needs of the controller. Any goroutine may be the caller.
+// Host is what Owners needs of the controller. Its methods are called from any goroutine.
 type Host[O Owner] interface {
-	// Ready reports whether the machine types are known. Without them no agent of a shard
-	// could be answered.
+	// Ready reports whether the machine types are known. Without them the agents of a shard could not be answered.
 	Ready() bool
-	// StartOwner starts the loop of a shard that this incarnation owns, until the context ends.
+	// StartOwner starts the loop of a shard that the incarnation self owns, to run until the context ends.
 	StartOwner(ctx context.Context, entry shard.Entry, session *election.Term, self shard.Controller) O
-	// TableChanged is told that the shard table has changed.
+	// TableChanged is called when the shard table has changed.
 	TableChanged()
 }
 
-// Config is how a controller takes part.
+// Config configures the ownership of shards by one controller.
 type Config struct {
-	Node          string     // its name
-	SessionTTL    micro.Time // how long the session lives without a renewal
-	RenewInterval micro.Time // how often it is renewed
+	Node          string     // the controller's name
+	SessionTTL    micro.Time // how long the session lasts without a renewal
+	RenewInterval micro.Time // interval at which the session is renewed
 }
 
-// Dependencies are what Owners works with.
+// Dependencies are the collaborators of Owners.
 type Dependencies[O Owner] struct {
 	Host  Host[O]
 	Store store.Store
-	Now   func() micro.Time // the steady clock
+	Now   func() micro.Time // monotonic clock
 	Log   *slog.Logger
 }
 
-// Owners are the loops of the shards that one controller owns.
+// Owners holds the owner loops of the shards that one controller owns.
 type Owners[O Owner] struct {
 	node    string
 	host    Host[O]
 	table   *shard.Watcher
 	session *election.Election
-	term    atomic.Pointer[election.Term] // of the session; nil: none
+	term    atomic.Pointer[election.Term] // term of the session; nil: there is no session
 
 	mu     sync.Mutex
-	ctx    context.Context // of Run; nil until it is called
+	ctx    context.Context // context of Run; nil until Run is called
 	owners map[string]runningOwner[O]
 }
 
-// runningOwner is a loop that runs, and the term of the session under which it was started.
+// runningOwner is a running loop, with the term of the session under which it was started.
 type runningOwner[O Owner] struct {
 	owner O
 	term  *election.Term
 }
 
-// New makes the part of a controller that owns no shard yet.
+// New returns the Owners of a controller that owns no shard yet.
 func New[O Owner](config Config, deps Dependencies[O]) *Owners[O] {
 	owners := &Owners[O]{node: config.Node, host: deps.Host, owners: map[string]runningOwner[O]{}}
 	owners.table = shard.NewWatcher(deps.Store, deps.Log, owners.tableChanged)
@@ -96,10 +93,10 @@
 	return owners
 }
 
-// Table is the shard table.
+// Table returns the watcher of the shard table.
 func (o *Owners[O]) Table() *shard.Watcher { return o.table }
 
-// Owner is the loop of a shard that this controller owns; false if it does not.
+// Owner returns the loop of a shard; false: no loop of the shard runs here.
 func (o *Owners[O]) Owner(name string) (O, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,7 +104,7 @@
 	return running.owner, ok
 }
 
-// Run holds the session and follows the table until the context ends.
+// Run holds the session, watches the table and reconciles the loops with it until the context ends.
 func (o *Owners[O]) Run(ctx context.Context) error {
 	o.start(ctx)
 	group, ctx := errgroup.WithContext(ctx)
@@ -126,8 +123,8 @@
 	o.ctx = ctx
 }
 
-// holdSession holds the session once the machine types are known: without them a shard
-// could be given to this controller, and nobody would answer its machines.
+// holdSession holds the session once the machine types are known: without them, a shard could be given to this
+// controller while nobody answers its machines.
 func (o *Owners[O]) holdSession(ctx context.Context) error {
 	for !o.host.Ready() && ctx.Err() == nil {
 		sleep(ctx, shard.ReadRetry)
@@ -135,11 +132,10 @@
 	return o.session.Run(ctx)
 }
 
-// reconcileInterval is how often the loops of shards are looked after.
+// reconcileInterval is the interval at which the loops are reconciled with the table.
 const reconcileInterval = micro.Second
 
-// reconcilePeriodically looks after the loops also when the table does not change: one may have
-// ended by itself.
+// reconcilePeriodically reconciles the loops even if the table does not change: a loop may have stopped by itself.
 func (o *Owners[O]) reconcilePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, reconcileInterval)
@@ -157,14 +153,14 @@
 	o.Reconcile()
 }
 
-// tableChanged tells all that go by the table.
+// tableChanged applies a change of the table to the loops, and notifies the host.
 func (o *Owners[O]) tableChanged() {
 	o.Reconcile()
 	o.host.TableChanged()
 }
 
-// Reconcile starts the loops of shards whose record names this incarnation, tells those that
-// run of what the records say now, and stops those of an earlier session.
+// Reconcile starts the loops of shards whose records name this incarnation, passes the current records to the loops
+// that run, and stops and removes the loops of an earlier session.
 func (o *Owners[O]) Reconcile() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/shard/placement_warnings.go
+++ b/internal/shard/placement_warnings.go
@@ -6,28 +6,29 @@
 	"strings"
 )
 
-// A division of the machines by shards may leave some work without a place: a job is served
-// as a whole, by the leader or in one shard.
+// Dividing the machines into shards can leave some work that cannot be placed anywhere: a job is served as a whole, by
+// the leader or in one shard. This file finds such work.
 
-// Definition is a shard as far as it decides which work has a place.
+// Definition is the part of a shard's settings that decides which work can be placed in it.
 type Definition struct {
 	Name     string
 	Selector Selector
-	Teams    []string // whose jobs it takes; empty: those of any team
+	Teams    []string // teams whose jobs it accepts; empty: any team
 }
 
-// accepts reports whether the shard takes jobs of a team.
-func (p Definition) accepts(team string) bool {
-	return len(p.Teams) == 0 || slices.Contains(p.Teams, team)
+// accepts reports whether the shard accepts jobs of a team.
+func (d Definition) accepts(team string) bool {
+	return len(d.Teams) == 0 || slices.Contains(d.Teams, team)
 }
 
-// PossibleOffers lists offers that stand for all that a cloud might have in some zones, as far
-// as selectors tell them apart: of the types that they name, and of one that none of them names.
-func PossibleOffers(zones []string, parts []Definition) []Attributes {
+// PossibleOffers returns offers that represent all that a cloud might have in the zones, as far as the shards'
+// selectors distinguish them: in each zone an on-demand and a spot offer of each type that a selector names, and of
+// one type, "", that none of them names.
+func PossibleOffers(zones []string, definitions []Definition) []Attributes {
 	types := []string{""}
-	for _, part := range parts {
-		if !slices.Contains(types, part.Selector.Type) {
-			types = append(types, part.Selector.Type)
+	for _, definition := range definitions {
+		if !slices.Contains(types, definition.Selector.Type) {
+			types = append(types, definition.Selector.Type)
 		}
 	}
 	var offers []Attributes
@@ -39,68 +40,69 @@
 	return offers
 }
 
-// PlacementWarnings says for which work shards leave no place, of all offers of a cloud and of
-// all teams. The warnings on zones and types are about on-demand offers: all work may use them.
-func PlacementWarnings(offers []Attributes, parts []Definition, teams []string) []string {
-	d := newCoverage(offers, parts)
-	if len(offers) == 0 || len(parts) == 0 {
+// PlacementWarnings returns a warning for each kind of work that cannot be placed because of the shards, given all
+// offers of a cloud and all teams. The warnings about zones, types and teams consider on-demand offers only, which all
+// work may use.
+func PlacementWarnings(offers []Attributes, definitions []Definition, teams []string) []string {
+	c := newCoverage(offers, definitions)
+	if len(offers) == 0 || len(definitions) == 0 {
 		return nil
 	}
-	warnings := d.fleetWarnings()
-	warnings = append(warnings, d.zoneWarnings()...)
-	warnings = append(warnings, d.typeWarnings()...)
-	return append(warnings, d.teamWarnings(teams)...)
+	warnings := c.fleetWarnings()
+	warnings = append(warnings, c.zoneWarnings()...)
+	warnings = append(warnings, c.typeWarnings()...)
+	return append(warnings, c.teamWarnings(teams)...)
 }
 
-// ownedOffer is an offer with the shard that its machines are in; nil: they are in none.
+// ownedOffer is an offer with the definition of the shard that its machines are in; nil: they are the leader's.
 type ownedOffer struct {
 	Attributes
 	definition *Definition
 }
 
-// coverage are a cloud's offers by shards.
+// coverage describes which offers of a cloud the leader and the shards have.
 type coverage struct {
 	onDemand           []ownedOffer
-	leaderHasOffers    bool // an offer is in no shard
-	zones              []string
-	types              []string // that have a name
-	noOwnerHasTwoZones bool     // no side has two zones
-	zoneFullyInShards  map[string]bool
+	leaderHasOffers    bool            // some offer, on-demand or spot, is in no shard
+	zones              []string        // of the on-demand offers, sorted
+	types              []string        // of the on-demand offers, sorted, without ""
+	noOwnerHasTwoZones bool            // there are several zones, but neither the leader nor a shard has two
+	zoneFullyInShards  map[string]bool // by zone: each of its on-demand offers is in a shard
 }
 
-func newCoverage(offers []Attributes, parts []Definition) *coverage {
-	d := &coverage{zoneFullyInShards: map[string]bool{}}
+func newCoverage(offers []Attributes, definitions []Definition) *coverage {
+	c := &coverage{zoneFullyInShards: map[string]bool{}}
 	for _, offer := range offers {
-		divided := ownedOffer{Attributes: offer}
-		for i := range parts {
-			if parts[i].Selector.Matches(offer) {
-				divided.definition = &parts[i]
+		owned := ownedOffer{Attributes: offer}
+		for i := range definitions {
+			if definitions[i].Selector.Matches(offer) {
+				owned.definition = &definitions[i]
 			}
 		}
-		d.leaderHasOffers = d.leaderHasOffers || divided.definition == nil
+		c.leaderHasOffers = c.leaderHasOffers || owned.definition == nil
 		if offer.Spot {
 			continue
 		}
-		d.onDemand = append(d.onDemand, divided)
-		if !slices.Contains(d.zones, offer.Zone) {
-			d.zones = append(d.zones, offer.Zone)
+		c.onDemand = append(c.onDemand, owned)
+		if !slices.Contains(c.zones, offer.Zone) {
+			c.zones = append(c.zones, offer.Zone)
 		}
-		if offer.Type != "" && !slices.Contains(d.types, offer.Type) {
-			d.types = append(d.types, offer.Type)
+		if offer.Type != "" && !slices.Contains(c.types, offer.Type) {
+			c.types = append(c.types, offer.Type)
 		}
 	}
-	slices.Sort(d.zones)
-	slices.Sort(d.types)
-	for _, zone := range d.zones {
-		d.zoneFullyInShards[zone] = !slices.ContainsFunc(d.onDemand, func(o ownedOffer) bool {
+	slices.Sort(c.zones)
+	slices.Sort(c.types)
+	for _, zone := range c.zones {
+		c.zoneFullyInShards[zone] = !slices.ContainsFunc(c.onDemand, func(o ownedOffer) bool {
 			return o.Zone == zone && o.definition == nil
 		})
 	}
-	d.noOwnerHasTwoZones = len(d.zones) > 1 && maxZonesPerOwner(d.onDemand) < 2
-	return d
+	c.noOwnerHasTwoZones = len(c.zones) > 1 && maxZonesPerOwner(c.onDemand) < 2
+	return c
 }
 
-// maxZonesPerOwner is how many zones the side has that has offers in most of them.
+// maxZonesPerOwner returns the largest number of zones in which a single owner has some of the offers.
 func maxZonesPerOwner(offers []ownedOffer) int {
 	zonesByOwner := map[string]map[string]bool{}
 	most := 0
@@ -115,7 +117,7 @@
 	return most
 }
 
-// owner is the name of the offer's shard, "" if it is the leader's.
+// owner returns the name of the offer's shard, or "" for the leader.
 func (o ownedOffer) owner() string {
 	if o.definition == nil {
 		return ""
@@ -123,76 +125,78 @@
 	return o.definition.Name
 }
 
-// fleetWarnings are those on the fleet as a whole.
-func (d *coverage) fleetWarnings() []string {
-	leaderHasOnDemand := slices.ContainsFunc(d.onDemand, func(o ownedOffer) bool { return o.definition == nil })
+// fleetWarnings returns the warnings about the fleet as a whole.
+func (c *coverage) fleetWarnings() []string {
+	leaderHasOnDemand := slices.ContainsFunc(c.onDemand, func(o ownedOffer) bool { return o.definition == nil })
 	switch {
-	case !d.leaderHasOffers:
-		return []string{"the shares together hold every offer: a job has a place only in one of them as a whole"}
-	case !leaderHasOnDemand && len(d.onDemand) > 0:
-		return []string{"the shares together hold every on-demand offer: a job that may not use spot machines has a " +
-			"place only in one of them as a whole"}
+	case !c.leaderHasOffers:
+		return []string{"the shares together hold every offer: a job can only be placed as a whole in one of them"}
+	case !leaderHasOnDemand && len(c.onDemand) > 0:
+		return []string{"the shares together hold every on-demand offer: a job that may not use spot machines can " +
+			"only be placed as a whole in one of them"}
 	}
 	return nil
 }
 
-// zoneWarnings are those on zones that lie in shards while others do not.
-func (d *coverage) zoneWarnings() []string {
+// zoneWarnings returns the warnings about zones that are fully in shards while others are not.
+func (c *coverage) zoneWarnings() []string {
 	var outside []string
-	for _, zone := range d.zones {
-		if !d.zoneFullyInShards[zone] {
+	for _, zone := range c.zones {
+		if !c.zoneFullyInShards[zone] {
 			outside = append(outside, zone)
 		}
 	}
-	result := "has a place only where one side has two zones for it"
-	if d.noOwnerHasTwoZones {
-		result = "has no place: no side has two zones"
+	result := "needs two zones of the leader or of one share"
+	if c.noOwnerHasTwoZones {
+		result = "cannot be placed: neither the leader nor a share has two zones"
 	}
 	var warnings []string
-	for _, zone := range d.zones {
-		if !d.zoneFullyInShards[zone] || len(outside) == 0 {
+	for _, zone := range c.zones {
+		if !c.zoneFullyInShards[zone] || len(outside) == 0 {
 			continue
 		}
 		warnings = append(warnings, fmt.Sprintf(
 			"zone %s lies in share %s, zone %s outside: a spread service is not split, and %s", zone,
-			strings.Join(d.shardsWith(func(o ownedOffer) bool { return o.Zone == zone }), ", "),
+			strings.Join(c.shardsWith(func(o ownedOffer) bool { return o.Zone == zone }), ", "),
 			strings.Join(outside, ", "), result,
 		))
 	}
-	if d.noOwnerHasTwoZones && len(warnings) == 0 {
-		warnings = append(warnings, "no side has two zones: a spread service is not split, and has no place")
+	if c.noOwnerHasTwoZones && len(warnings) == 0 {
+		warnings = append(
+			warnings, "neither the leader nor a share has two zones: a spread service is not split, and cannot be placed",
+		)
 	}
 	return warnings
 }
 
-// typeWarnings are those on types whose zones lie on several sides.
-func (d *coverage) typeWarnings() []string {
-	if d.noOwnerHasTwoZones {
-		return nil // that is said of all types
+// typeWarnings returns the warnings about types whose zones are divided among owners, so that no owner has two of them.
+func (c *coverage) typeWarnings() []string {
+	if c.noOwnerHasTwoZones {
+		return nil // the warnings about zones say so for all types
 	}
 	var warnings []string
-	for _, typ := range d.types {
+	for _, typ := range c.types {
 		ofType := func(o ownedOffer) bool { return o.Type == typ }
 		var offers []ownedOffer
-		for _, offer := range d.onDemand {
+		for _, offer := range c.onDemand {
 			if ofType(offer) {
 				offers = append(offers, offer)
 			}
 		}
-		if len(d.shardsWith(ofType)) > 0 && len(offers) > 1 && maxZonesPerOwner(offers) < 2 {
+		if len(c.shardsWith(ofType)) > 0 && len(offers) > 1 && maxZonesPerOwner(offers) < 2 {
 			warnings = append(warnings, fmt.Sprintf(
-				"no side has two zones with type %s: a spread service that needs the type has no place", typ,
+				"neither the leader nor a share has type %s in two zones: a spread service that needs it cannot be placed", typ,
 			))
 		}
 	}
 	return warnings
 }
 
-// shardsWith lists the shards that hold some of the on-demand offers of a sort.
-func (d *coverage) shardsWith(sort func(ownedOffer) bool) []string {
+// shardsWith returns the sorted names of the shards that have some of the matching on-demand offers.
+func (c *coverage) shardsWith(matches func(ownedOffer) bool) []string {
 	var names []string
-	for _, offer := range d.onDemand {
-		if offer.definition != nil && sort(offer) && !slices.Contains(names, offer.definition.Name) {
+	for _, offer := range c.onDemand {
+		if offer.definition != nil && matches(offer) && !slices.Contains(names, offer.definition.Name) {
 			names = append(names, offer.definition.Name)
 		}
 	}
@@ -200,44 +204,45 @@
 	return names
 }
 
-// teamWarnings are those on teams that shards do not take jobs of.
-func (d *coverage) teamWarnings(teams []string) []string {
+// teamWarnings returns the warnings about teams whose jobs the shards do not accept.
+func (c *coverage) teamWarnings(teams []string) []string {
 	all := func(ownedOffer) bool { return true }
-	if closed := d.excludedTeams(teams, all); len(closed) > 0 {
-		return []string{teamWarning(closed, "that may not use spot machines", d.shardsWith(all))}
+	if excluded := c.excludedTeams(teams, all); len(excluded) > 0 {
+		return []string{teamWarning(excluded, "that may not use spot machines", c.shardsWith(all))}
 	}
 	var warnings []string
-	for _, typ := range d.types {
+	for _, typ := range c.types {
 		ofType := func(o ownedOffer) bool { return o.Type == typ }
-		if closed := d.excludedTeams(teams, ofType); len(closed) > 0 {
-			warnings = append(warnings, teamWarning(closed, "that need type "+typ, d.shardsWith(ofType)))
+		if excluded := c.excludedTeams(teams, ofType); len(excluded) > 0 {
+			warnings = append(warnings, teamWarning(excluded, "that need type "+typ, c.shardsWith(ofType)))
 		}
 	}
-	for _, zone := range d.zones {
+	for _, zone := range c.zones {
 		inZone := func(o ownedOffer) bool { return o.Zone == zone }
-		if closed := d.excludedTeams(teams, inZone); len(closed) > 0 {
-			warnings = append(warnings, teamWarning(closed, "that are bound to zone "+zone, d.shardsWith(inZone)))
+		if excluded := c.excludedTeams(teams, inZone); len(excluded) > 0 {
+			warnings = append(warnings, teamWarning(excluded, "that are bound to zone "+zone, c.shardsWith(inZone)))
 		}
 	}
 	return warnings
 }
 
-// excludedTeams lists the teams to which all on-demand offers of a sort are closed.
-func (d *coverage) excludedTeams(teams []string, sort func(ownedOffer) bool) []string {
-	var closed []string
+// excludedTeams returns the teams that may use none of the matching on-demand offers.
+func (c *coverage) excludedTeams(teams []string, matches func(ownedOffer) bool) []string {
+	var excluded []string
 	for _, team := range teams {
-		if !slices.ContainsFunc(d.onDemand, func(o ownedOffer) bool {
-			return sort(o) && (o.definition == nil || o.definition.accepts(team))
+		if !slices.ContainsFunc(c.onDemand, func(o ownedOffer) bool {
+			return matches(o) && (o.definition == nil || o.definition.accepts(team))
 		}) {
-			closed = append(closed, team)
+			excluded = append(excluded, team)
 		}
 	}
-	return closed
+	return excluded
 }
 
-func teamWarning(teams []string, work string, parts []string) string {
+// teamWarning returns the warning that work of the teams cannot be placed because of the shards.
+func teamWarning(teams []string, work string, shards []string) string {
 	return fmt.Sprintf(
-		"jobs of team %s %s have no place: share %s holds the offers, and takes jobs of other teams",
-		strings.Join(teams, ", "), work, strings.Join(parts, ", "),
+		"jobs of team %s %s have no place: share %s holds the offers, and accepts only jobs of other teams",
+		strings.Join(teams, ", "), work, strings.Join(shards, ", "),
 	)
 }
--- a/internal/shard/placement_warnings_test.go
+++ b/internal/shard/placement_warnings_test.go
@@ -6,49 +6,53 @@
 	"testing"
 )
 
-func TestDivisionWarningsNameTheWorkWithoutAPlace(t *testing.T) {
+func TestPlacementWarningsNameWorkThatCannotBePlaced(t *testing.T) {
 	const (
-		nowhere = "a spread service is not split, and has no place: no side has two zones"
-		oneSide = "a spread service is not split, and has a place only where one side has two zones for it"
-		parted  = "the shares together hold every offer: a job has a place only in one of them as a whole\n" +
-			"no side has two zones: a spread service is not split, and has no place"
-		spotLeft = "the shares together hold every on-demand offer: a job that may not use spot machines has a place only " +
-			"in one of them as a whole"
-		partedType = "no side has two zones with type g: a spread service that needs the type has no place"
-		closedType = "jobs of team speech that need type g have no place: share s holds the offers, and takes jobs of " +
-			"other teams"
-		closedZone = "jobs of team speech that are bound to zone b have no place: share s holds the offers, and takes jobs " +
+		unplaceable = "a spread service is not split, and cannot be placed: neither the leader nor a share has two zones"
+		needsTwo    = "a spread service is not split, and needs two zones of the leader or of one share"
+		sharesOnly  = "the shares together hold every offer: a job can only be placed as a whole in one of them\n" +
+			"neither the leader nor a share has two zones: a spread service is not split, and cannot be placed"
+		leaderSpot = "the shares together hold every on-demand offer: a job that may not use spot machines can only be " +
+			"placed as a whole in one of them"
+		splitType = "neither the leader nor a share has type g in two zones: a spread service that needs it cannot be placed"
+		otherType = "jobs of team speech that need type g have no place: share s holds the offers, and accepts only jobs " +
 			"of other teams"
+		otherZone = "jobs of team speech that are bound to zone b have no place: share s holds the offers, and accepts " +
+			"only jobs of other teams"
 	)
-	east, west, gpu := Selector{Zone: "b"}, Selector{Zone: "a"}, Selector{Type: "g"}
+	zoneB, zoneA, gpu := Selector{Zone: "b"}, Selector{Zone: "a"}, Selector{Type: "g"}
 	all, vision := []string{"vision", "speech"}, []string{"vision"}
 	for name, c := range map[string]struct {
-		zones string
-		parts []Definition
-		want  string
+		zones       string
+		definitions []Definition
+		want        string
 	}{
-		"no shard":             {"ab", nil, ""},
-		"a type":               {"ab", []Definition{{"s", gpu, nil}}, ""},
-		"spot":                 {"ab", []Definition{{"s", Selector{Kind: SpotOnly}, nil}}, ""},
-		"one of two zones":     {"ab", []Definition{{"s", east, nil}}, "zone b lies in share s, zone a outside: " + nowhere},
-		"one of three zones":   {"abc", []Definition{{"s", east, nil}}, "zone b lies in share s, zone a, c outside: " + oneSide},
-		"two zones, two parts": {"ab", []Definition{{"s", east, nil}, {"t", west, nil}}, parted},
-		"on-demand machines":   {"ab", []Definition{{"s", Selector{Kind: OnDemandOnly}, nil}}, spotLeft},
-		"a type in one zone":   {"ab", []Definition{{"s", Selector{"g", "b", ""}, nil}}, partedType},
-		"a type for a team":    {"ab", []Definition{{"s", gpu, vision}}, closedType},
-		"a type for all teams": {"ab", []Definition{{"s", gpu, all}}, ""},
-		"a zone for a team": {
+		"no shard":                   {"ab", nil, ""},
+		"shard of a type":            {"ab", []Definition{{"s", gpu, nil}}, ""},
+		"shard of the spot machines": {"ab", []Definition{{"s", Selector{Kind: SpotOnly}, nil}}, ""},
+		"shard of one of two zones": {
+			"ab", []Definition{{"s", zoneB, nil}}, "zone b lies in share s, zone a outside: " + unplaceable,
+		},
+		"shard of one of three zones": {
+			"abc", []Definition{{"s", zoneB, nil}}, "zone b lies in share s, zone a, c outside: " + needsTwo,
+		},
+		"a shard for each of two zones":   {"ab", []Definition{{"s", zoneB, nil}, {"t", zoneA, nil}}, sharesOnly},
+		"shard of the on-demand machines": {"ab", []Definition{{"s", Selector{Kind: OnDemandOnly}, nil}}, leaderSpot},
+		"shard of a type in one zone":     {"ab", []Definition{{"s", Selector{"g", "b", ""}, nil}}, splitType},
+		"shard of a type for one team":    {"ab", []Definition{{"s", gpu, vision}}, otherType},
+		"shard of a type for all teams":   {"ab", []Definition{{"s", gpu, all}}, ""},
+		"shard of a zone for one team": {
 			"abc",
 			[]Definition{{"s", Selector{"", "b", OnDemandOnly}, vision}},
-			"zone b lies in share s, zone a, c outside: " + oneSide + "\n" + closedZone,
+			"zone b lies in share s, zone a, c outside: " + needsTwo + "\n" + otherZone,
 		},
 	} {
 		zones := strings.Split(c.zones, "")
 		catalog := PossibleOffers(zones, []Definition{{Selector: gpu}, {Selector: Selector{Type: "m"}}})
 		catalog = slices.DeleteFunc(catalog, func(a Attributes) bool { return a.Type == "" })
-		for _, offers := range [][]Attributes{PossibleOffers(zones, c.parts), catalog} {
-			if got := strings.Join(PlacementWarnings(offers, c.parts, all), "\n"); got != c.want {
-				t.Errorf("%s: %q, want %q", name, got, c.want)
+		for _, offers := range [][]Attributes{PossibleOffers(zones, c.definitions), catalog} {
+			if got := strings.Join(PlacementWarnings(offers, c.definitions, all), "\n"); got != c.want {
+				t.Errorf("%s: warnings %q, want %q", name, got, c.want)
 			}
 		}
 	}
--- a/internal/shard/record.go
+++ b/internal/shard/record.go
@@ -1,11 +1,11 @@
-// Package shard divides the machines among the controllers. A shard is a named set of
-// machines with one owner, the controller that answers their heartbeats, places tasks on
-// them and commands them. All other machines belong to whoever leads.
+// Package shard divides the machines among the controllers. A shard is a named set of machines with one owner: the
+// controller that answers their heartbeats, allocates tasks to them and sends them commands. All other machines
+// belong to the leader.
 //
-// The store holds one record for each shard. At each of its revisions the record names
-// one owner at the most, and every write of an owner carries the record's version, so
-// that what an earlier owner sent changes nothing. The package does no I/O: it says
-// which transaction comes next, and takes in what came of it.
+// The store holds one record for each shard. Every revision of the record names at most one owner, and every write of
+// an owner has the record's version as a precondition, so that a late write of an earlier owner has no effect. Except
+// for Watcher, which reads the records, the package does no I/O: it returns the next transaction, and applies its
+// result.
 package shard
 
 import (
@@ -19,12 +19,12 @@
 // State is the state of a shard's record.
 type State string
 
-// The states of a shard.
+// States of a shard's record.
 const (
 	Forming  State = "forming"  // the leader still owns the machines, and clears them of other work
-	Owned    State = "owned"    // its owner acts
-	Moving   State = "moving"   // its owner still acts, and is to transfer to the target
-	Released State = "released" // its owner gave it back to the leader, which takes in its work
+	Owned    State = "owned"    // an owner serves the shard
+	Moving   State = "moving"   // the owner still serves the shard, and is to transfer it to the target
+	Released State = "released" // the owner released it to the leader, which reclaims its jobs and machines
 )
 
 // stateTransitions lists the states that may follow each state.
@@ -35,43 +35,44 @@
 	Released: {},
 }
 
-// The reasons for which a change of a shard is refused.
+// Errors for which a change of a shard is refused.
 var (
-	ErrSameOwner            = errors.New("the target owns the share already")
-	ErrAlreadyMoving        = errors.New("the share is moving already")
+	ErrSameOwner            = errors.New("the target already owns the share")
+	ErrAlreadyMoving        = errors.New("the share is already moving")
 	ErrNotMoving            = errors.New("the share is not moving")
-	ErrNotOwned             = errors.New("the share has no owner yet, or none any more")
+	ErrNotOwned             = errors.New("the share has no owner: it is still forming, or was released")
 	ErrTargetWithoutSession = errors.New("the target has no session: it is not running, or runs without shares")
 	ErrOverlap              = errors.New("another share selects some of the same machines")
 	ErrSelectsAll           = errors.New("selects all machines: name a type, a zone or a kind")
 )
 
-// Controller is one incarnation of a controller as an owner.
+// Controller identifies one incarnation of a controller as an owner.
 type Controller struct {
 	Node           string     `msgpack:"node" json:"node"`
-	SessionVersion wire.Count `msgpack:"session" json:"session"` // version of its session's key
+	SessionVersion wire.Count `msgpack:"session" json:"session"` // version of the session's key
 }
 
-// Precondition is the condition that this incarnation still has its session.
+// Precondition returns the precondition that this incarnation still has its session.
 func (c Controller) Precondition() wire.Precondition {
 	return wire.Precondition{Key: SessionKey(c.Node), Version: c.SessionVersion}
 }
 
-// Record is the value of a shard's key.
+// Record is the stored value of a shard's key.
 type Record struct {
 	State        State      `msgpack:"state" json:"state"`
-	Owner        Controller `msgpack:"owner" json:"owner"`   // none while forming or released
-	Target       Controller `msgpack:"target" json:"target"` // while moving; no node: the leader
+	Owner        Controller `msgpack:"owner" json:"owner"`   // empty while Forming or Released
+	Target       Controller `msgpack:"target" json:"target"` // while Moving; an empty node: the leader
 	Selector     Selector   `msgpack:"select" json:"select"`
-	Teams        []string   `msgpack:"teams" json:"teams"` // whose jobs go there first; empty: jobs of any team
-	OwnerChanges uint64     `msgpack:"moves" json:"moves"` // changes of owner so far
-	ChangedAt    int64      `msgpack:"at" json:"at"`       // wall clock of the last change, microseconds
+	Teams        []string   `msgpack:"teams" json:"teams"` // teams whose jobs go there first; empty: any team
+	OwnerChanges uint64     `msgpack:"moves" json:"moves"` // number of changes of owner so far
+	ChangedAt    int64      `msgpack:"at" json:"at"`       // wall clock of the last change, in microseconds
 }
 
-// transition is the one place where a record's state changes.
+// transition returns the record with another state, owner and target, if stateTransitions allows it. All changes of
+// a record's state go through it.
 func (r Record) transition(to State, owner, target Controller, wall int64) (Record, error) {
 	if !slices.Contains(stateTransitions[r.State], to) {
-		return r, fmt.Errorf("from %s to %s: %w", r.State, to, ErrNotOwned)
+		return r, fmt.Errorf("change state from %s to %s: %w", r.State, to, ErrNotOwned)
 	}
 	if owner != r.Owner {
 		r.OwnerChanges++
@@ -80,12 +81,12 @@
 	return r, nil
 }
 
-// NewRecord makes the record of a new shard.
+// NewRecord returns the record of a new shard, which is Forming.
 func NewRecord(s Selector, teams []string, wall int64) Record {
 	return Record{State: Forming, Selector: s, Teams: teams, ChangedAt: wall}
 }
 
-// Grant gives a shard that was formed to its first owner.
+// Grant gives a formed shard to its first owner.
 func (r Record) Grant(owner Controller, wall int64) (Record, error) {
 	if r.State != Forming {
 		return r, ErrSameOwner
@@ -93,13 +94,13 @@
 	return r.transition(Owned, owner, Controller{}, wall)
 }
 
-// Move begins a move to a target; without a node, back to the leader.
+// Move requests a move to a target; a target without a node is the leader.
 func (r Record) Move(target Controller, wall int64) (Record, error) {
 	switch {
 	case r.State == Moving && r.Target.Node == target.Node:
 		return r, ErrAlreadyMoving
 	case r.State == Moving:
-		return r, fmt.Errorf("to %q: %w", r.Target.Node, ErrAlreadyMoving)
+		return r, fmt.Errorf("target %q: %w", r.Target.Node, ErrAlreadyMoving)
 	case r.State != Owned:
 		return r, ErrNotOwned
 	case target.Node == r.Owner.Node:
@@ -108,7 +109,7 @@
 	return r.transition(Moving, r.Owner, target, wall)
 }
 
-// CancelMove ends a move that was not carried out: the owner stays.
+// CancelMove cancels a requested move that was not executed: the owner stays.
 func (r Record) CancelMove(wall int64) (Record, error) {
 	if r.State != Moving {
 		return r, ErrNotMoving
@@ -116,7 +117,7 @@
 	return r.transition(Owned, r.Owner, Controller{}, wall)
 }
 
-// Transfer carries out a move.
+// Transfer executes a requested move: it names the target as owner, or releases the shard to the leader.
 func (r Record) Transfer(wall int64) (Record, error) {
 	switch {
 	case r.State != Moving:
@@ -127,8 +128,8 @@
 	return r.transition(Owned, r.Target, Controller{}, wall)
 }
 
-// Reassign gives the shard of an owner whose session is over to another incarnation. A
-// move back to the leader goes on with that one.
+// Reassign gives the shard of an owner whose session is lost to another incarnation. It drops a requested move;
+// the leader requests a move back to itself again from the new owner.
 func (r Record) Reassign(owner Controller, wall int64) (Record, error) {
 	if r.State != Owned && r.State != Moving {
 		return r, ErrNotOwned
@@ -136,8 +137,8 @@
 	return r.transition(Owned, owner, Controller{}, wall)
 }
 
-// Rewritten is the same record, to be written anew: whatever else was sent with the
-// version before can then no longer be carried out.
+// Rewritten returns the record with only ChangedAt changed. Once it is written under a new version, no transaction
+// that was sent with the previous version can be executed any more.
 func (r Record) Rewritten(wall int64) Record {
 	r.ChangedAt = wall
 	return r
--- a/internal/shard/sessions.go
+++ b/internal/shard/sessions.go
@@ -6,20 +6,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// HandoverFeature is announced by a controller that goes on with jobs which had allocations before,
-// and gives them back when they are recalled: in its session, and for as long as it is away in a
-// record that stays. Such a job changes hands only while every controller of the settings does.
+// HandoverFeature is announced by a controller that can resume jobs which had allocations before, and that releases
+// them when they are recalled. The announcement is in the controller's session and also in a record that remains
+// while the controller has no session. Such a job is handed over only while every controller of the settings
+// announces the feature.
 const HandoverFeature = "continue"
 
-// Announcement is what a controller could do when it last had a session.
+// Announcement lists the features that a controller announced with its last session.
 type Announcement struct {
 	Features []string `msgpack:"features" json:"features"`
 }
 
-// Sessions are the controllers that have a session, by node, with its version.
+// Sessions maps the node of each controller that has a session to the version of the session's key.
 type Sessions map[string]wire.Count
 
-// Controller is the incarnation of a node that has a session.
+// Controller returns the incarnation of a node that has a session; false: it has none.
 func (s Sessions) Controller(node string) (Controller, bool) {
 	version, ok := s[node]
 	return Controller{Node: node, SessionVersion: version}, ok
@@ -30,12 +31,13 @@
 	return s[c.Node] == c.SessionVersion && c.SessionVersion != 0
 }
 
-// OwnerSessionLost reports whether the owner that a record names has lost its session: by its
-// own clock its right has ended before.
+// OwnerSessionLost reports whether the owner that the record names has lost its session. The owner's lease has ended
+// before that by its own clock.
 func (e Entry) OwnerSessionLost(s Sessions) bool { return e.HasOwner() && !s.Has(e.Record.Owner) }
 
-// Successor chooses who gets the shard of an owner that is gone: the same node, if it is
-// back; else the node that it was to move to; else one with the fewest shards.
+// Successor chooses the controller that gets the shard of an owner whose session is lost: the same node if it has a
+// new session, else the node that the shard was to move to, else a controller with the fewest shards. It returns
+// false if no controller has a session.
 func (e Entry) Successor(s Sessions, snapshot Snapshot) (Controller, bool) {
 	for _, node := range []string{e.Record.Owner.Node, e.Record.Target.Node} {
 		if controller, ok := s.Controller(node); ok {
@@ -45,7 +47,8 @@
 	return s.LeastLoaded(snapshot)
 }
 
-// LeastLoaded is the controller with the fewest shards, the first by name of several.
+// LeastLoaded returns the controller with the fewest shards, the first by name if there are several, or false if no
+// controller has a session.
 func (s Sessions) LeastLoaded(snapshot Snapshot) (Controller, bool) {
 	ownedShards := map[string]int{}
 	snapshot.Each(func(entry Entry) bool {
@@ -64,9 +67,9 @@
 	return s.Controller(leastLoaded)
 }
 
-// Reassign is the transaction by which the leader takes the shard from an owner that is gone
-// and gives it to another. Beside the leader's own conditions it carries those that the
-// owner's session has not come back and that the new one's has not ended.
+// Reassign returns the transaction by which the leader gives the shard of an owner whose session is lost to another
+// controller. Besides the leader's own precondition it requires that no other session of the previous owner's node
+// has started, and that the new owner's session has not ended.
 func (e Entry) Reassign(to Controller, s Sessions, wall int64, leader wire.Precondition) (wire.Transaction, error) {
 	next, err := e.Record.Reassign(to, wall)
 	if err != nil {
--- a/internal/shard/status_update_size.go
+++ b/internal/shard/status_update_size.go
@@ -2,8 +2,8 @@
 
 import "notchmux.dev/notchmux/wire"
 
-// Encode encodes the update so that a call between nodes holds it: items are left out of its
-// longest lists until it fits. They come with a later update.
+// Encode encodes the update within the limit of a call between nodes, wire.MaxBody. It removes items from the
+// longest lists of u until the update fits. The removed items are sent with a later update.
 func (u *StatusUpdate) Encode() []byte {
 	body := wire.MustMarshal(u)
 	for len(body) > wire.MaxBody {
@@ -15,7 +15,7 @@
 	return body
 }
 
-// halveLongestLists leaves out half of each list that is more than half as long as the longest.
+// halveLongestLists removes half of each list that is more than half as long as the longest one.
 func (u *ShardUpdate) halveLongestLists() {
 	longest := max(
 		len(u.FreeCapacity), len(u.FinishedJobs), len(u.StoppingJobs), len(u.Demand), len(u.Progress),
@@ -34,7 +34,8 @@
 	u.CopiedJobs = halved(u.CopiedJobs, longest)
 }
 
-// halved is the first half of a list that is more than half as long as the longest, else all of it.
+// halved returns the first half of a list that is more than half as long as the longest one, and any other list
+// unchanged.
 func halved[T any](list []T, longest int) []T {
 	if 2*len(list) <= longest {
 		return list
--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -8,22 +8,23 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Entry is a shard as the store holds it.
+// Entry is a shard's record as stored, with its name and version.
 type Entry struct {
 	Name    string
 	Record  Record
-	Version uint64 // of its key
+	Version uint64 // of the record's key
 }
 
-// Key is the key of the shard's record.
+// Key returns the key of the shard's record.
 func (e Entry) Key() string { return RecordKey(e.Name) }
 
-// Precondition is the condition that the record has not changed.
+// Precondition returns the precondition that the record has not changed.
 func (e Entry) Precondition() wire.Precondition {
 	return wire.Precondition{Key: e.Key(), Version: wire.Count(e.Version)}
 }
 
-// Update is the transaction that writes a later record, under further conditions.
+// Update returns the transaction that replaces the record with next, provided that the record has not changed and
+// that the given preconditions hold.
 func (e Entry) Update(next Record, preconditions ...wire.Precondition) wire.Transaction {
 	return wire.Transaction{
 		If:   append(preconditions, e.Precondition()),
@@ -31,15 +32,16 @@
 	}
 }
 
-// HasOwner reports whether the machines of the shard are not the leader's to answer.
+// HasOwner reports whether the record names a shard owner. If so, it is not the leader that answers the shard's
+// machines.
 func (e Entry) HasOwner() bool { return e.Record.State == Owned || e.Record.State == Moving }
 
-// Snapshot is the table of all shards at one time. It never changes.
+// Snapshot is an immutable table of all shards at one point in time.
 type Snapshot struct {
 	shards *iradix.Tree[Entry]
 }
 
-// Len is how many shards there are.
+// Len returns the number of shards.
 func (s Snapshot) Len() int {
 	if s.shards == nil {
 		return 0
@@ -47,7 +49,7 @@
 	return s.shards.Len()
 }
 
-// Get finds a shard by its name.
+// Get returns the shard with the name; false: there is none.
 func (s Snapshot) Get(name string) (Entry, bool) {
 	if s.shards == nil {
 		return Entry{}, false
@@ -55,7 +57,7 @@
 	return s.shards.Get([]byte(name))
 }
 
-// Each calls f with every shard, in the order of their names, until it says false.
+// Each calls f with every shard, in the order of their names, until f returns false.
 func (s Snapshot) Each(f func(Entry) bool) {
 	if s.shards == nil {
 		return
@@ -63,7 +65,7 @@
 	s.shards.Root().Walk(func(_ []byte, entry Entry) bool { return !f(entry) })
 }
 
-// ShardOf finds the shard that a machine is in; false: it is in none.
+// ShardOf returns the shard that selects a machine with the attributes; false: there is none.
 func (s Snapshot) ShardOf(a Attributes) (Entry, bool) {
 	var found Entry
 	ok := false
@@ -76,7 +78,7 @@
 	return found, ok
 }
 
-// Overlapping finds a shard that selects some of the same machines.
+// Overlapping returns a shard whose selector could match some of the same machines; false: there is none.
 func (s Snapshot) Overlapping(selector Selector) (Entry, bool) {
 	var found Entry
 	ok := false
@@ -89,12 +91,12 @@
 	return found, ok
 }
 
-// Table holds the latest snapshot. Readers of any goroutine see it as a whole.
+// Table holds the latest snapshot of the shards. Any goroutine may use it; readers always see a complete snapshot.
 type Table struct {
 	current atomic.Pointer[Snapshot]
 }
 
-// Snapshot is the table as it is now.
+// Snapshot returns the current table.
 func (t *Table) Snapshot() Snapshot {
 	if s := t.current.Load(); s != nil {
 		return *s
@@ -102,7 +104,7 @@
 	return Snapshot{}
 }
 
-// Replace takes in all records, as they were read.
+// Replace replaces the whole table with the records that were read.
 func (t *Table) Replace(entries []Entry) {
 	tree := iradix.New[Entry]().Txn()
 	for _, entry := range entries {
@@ -111,7 +113,7 @@
 	t.current.Store(&Snapshot{tree.Commit()})
 }
 
-// Put takes in one record, unless a later version is known.
+// Put adds or replaces one record, unless the table has the same or a later version of it.
 func (t *Table) Put(entry Entry) {
 	for {
 		previous := t.current.Load()
@@ -129,7 +131,7 @@
 	}
 }
 
-// Delete forgets a shard whose record is gone as of a revision.
+// Delete removes a shard whose record was deleted at the revision, unless the table has a later version of it.
 func (t *Table) Delete(name string, revision uint64) {
 	for {
 		previous := t.current.Load()
--- a/internal/shard/update/update.go
+++ b/internal/shard/update/update.go
@@ -1,5 +1,5 @@
-// Package update says what the owner of a shard reports to the leader of its jobs and
-// machines. It holds no state; the goroutine that owns the cluster state calls it.
+// Package update computes what the owner of a shard reports to the leader about its jobs and machines. It holds no
+// state; its functions must be called by the goroutine that owns the cluster state.
 package update
 
 import (
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxCapacityKinds is how many kinds of free capacity one heartbeat has at the most.
+	// maxCapacityKinds is the maximum number of kinds of free capacity in one status update.
 	maxCapacityKinds = 64
-	// cpuRounding: machines with so many free CPUs more or less are reported together.
+	// cpuRounding is the granularity of free CPUs: machines in the same step are reported together.
 	cpuRounding = 1
 )
 
-// FullyRecorded reports whether all that is known of a job's tasks is in the store.
+// FullyRecorded reports whether the store holds the current state of all of a job's tasks.
 func FullyRecorded(job *cluster.Job) bool {
 	for _, chunk := range job.Chunks {
 		if chunk.MemoryVersion > chunk.StoredVersion {
@@ -30,8 +30,7 @@
 	return true
 }
 
-// CancellationProgress says how many allocations of a cancelled job are not released yet, and
-// in which zones.
+// CancellationProgress returns how many allocations of a cancelled job are not released yet, and in which zones.
 func CancellationProgress(job *cluster.Job) shard.StoppingJob {
 	progress := shard.StoppingJob{Job: job.Spec.ID, UnreleasedAllocations: job.AllocationCount}
 	zones := map[string]bool{}
@@ -42,18 +41,17 @@
 	return progress
 }
 
-// AllocationsNeeded is how many allocations a job's tasks may have at once from now on, by what
-// the records say: whoever owns the shard next knows no more. It is -1
-// where the records do not say so yet.
+// AllocationsNeeded returns how many allocations a job's tasks may have at once from now on, by the stored records: the
+// next owner of the shard will know no more than these. It returns -1 if the records are not up to date yet.
 func AllocationsNeeded(job *cluster.Job) int {
 	if !FullyRecorded(job) {
 		return -1
 	}
 	needed := len(job.Tasks) - job.DoneTasks
 	for _, allocation := range job.Allocations() {
-		// Beside one for each task that is not done. A gang that is wound up holds less
-		// for a while, and then all of its places again: counted by what was held and
-		// waited, two jobs once had the same part of a limit.
+		// Added to one allocation for each task that is not done. A gang whose allocations are being released holds
+		// fewer of them for a while, and later all of them again: when needs were counted by current allocations and
+		// waiting tasks, two jobs once used the same part of a quota.
 		if task := &job.Tasks[allocation.Index]; task.Done || task.AllocationCount > 1 {
 			needed++
 		}
@@ -61,7 +59,8 @@
 	return needed
 }
 
-// SchedulableZones lists those of a site's zones where more of a job's tasks may go, by its rules on zones.
+// SchedulableZones returns those of the zones in which more of a job's tasks may be scheduled by its zone constraints.
+// The result is empty if no constraint applies, or if none of the zones is allowed.
 func SchedulableZones(job *cluster.Job, zones []string) []string {
 	if !job.Spec.Spread && (!job.Spec.OneZone || job.AllocationCount == 0) {
 		return nil
@@ -75,7 +74,7 @@
 	return open
 }
 
-// capacityKey is what makes the free capacity of machines alike.
+// capacityKey identifies machines of one pool with the same free capacity.
 type capacityKey struct {
 	pool *cluster.MachinePool
 	cpu  int
@@ -83,10 +82,10 @@
 	mem  int
 }
 
-// FreeCapacity lists what is free, by like machines, the largest first. What waits for capacity
-// in the shard comes before jobs that are yet to be assigned: machines that it could use are left
-// out. Those that it could not are not kept from others: for one job that waited for another
-// zone, or beyond its part of a quota, all machines of a shard once stood idle.
+// FreeCapacity returns the free capacity, grouped by machines with the same free resources, the largest first. Jobs
+// that wait for capacity in the shard have precedence over jobs that are yet to be assigned to it: machines that a
+// waiting job could use are left out. Machines that none of them could use are included: leaving these out once kept
+// all machines of a shard idle, for one job that waited for another zone, or beyond its part of a quota.
 func FreeCapacity(state *cluster.State, now micro.Time) []shard.FreeCapacity {
 	waiting := schedulableJobs(state, now)
 	counts := map[capacityKey]int{}
@@ -108,7 +107,7 @@
 	return capacity[:min(len(capacity), maxCapacityKinds)]
 }
 
-// schedulableJobs lists the jobs that would be given more allocations now if machines had room.
+// schedulableJobs returns the jobs that would get more allocations now if machines had free capacity.
 func schedulableJobs(state *cluster.State, now micro.Time) []*cluster.Job {
 	var jobs []*cluster.Job
 	for job := range state.PendingJobs {
@@ -119,7 +118,7 @@
 	return jobs
 }
 
-// usableByAny reports whether one of some jobs may use the machines of a pool.
+// usableByAny reports whether any of the jobs may use the machines of a pool.
 func usableByAny(jobs []*cluster.Job, pool *cluster.MachinePool) bool {
 	for _, job := range jobs {
 		if scheduler.Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot) && scheduler.ZoneAllowed(job, pool.Zone, nil) {
@@ -129,7 +128,7 @@
 	return false
 }
 
-// countFreeCapacity adds the machines of a pool that take tasks, by what is free on them.
+// countFreeCapacity adds the schedulable machines of a pool to counts, by their free capacity.
 func countFreeCapacity(pool *cluster.MachinePool, counts map[capacityKey]int, now micro.Time) {
 	for row := range pool.Rows() {
 		for _, machine := range pool.Row(row) {
@@ -140,6 +139,7 @@
 	}
 }
 
+// capacityOf returns the pool and the free capacity of a machine.
 func capacityOf(pool *cluster.MachinePool, machine *cluster.Machine) capacityKey {
 	cpu := min(machine.Type.CPUs-machine.UsedScaledCPU, machine.Type.CPUs-machine.UsedCPU)
 	return capacityKey{
@@ -150,7 +150,7 @@
 	}
 }
 
-// hasMoreCapacity orders kinds of free capacity; the order of equal ones is fixed, so that runs repeat.
+// hasMoreCapacity orders kinds of free capacity, the largest first. The order is total, so that runs are reproducible.
 func hasMoreCapacity(a, b shard.FreeCapacity) bool {
 	switch {
 	case a.GPU != b.GPU:
--- a/internal/shard/waiting_job.go
+++ b/internal/shard/waiting_job.go
@@ -1,19 +1,20 @@
 package shard
 
-// WaitingJob is what an operator is told of a job that waits at the leader.
+// WaitingJob describes a job that waits at the leader, for operators.
 type WaitingJob struct {
 	ID             string   `msgpack:"job" json:"job"`
 	Team           string   `msgpack:"team" json:"team"`
-	Tasks          int      `msgpack:"tasks" json:"tasks"`                            // that wait
-	WaitingS       int      `msgpack:"waitingS" json:"waitingS"`                      // for how long
-	ServedBy       []string `msgpack:"by,omitempty" json:"servedBy,omitempty"`        // sides that may serve it
-	UnservedReason string   `msgpack:"why,omitempty" json:"unservedReason,omitempty"` // why none may
+	Tasks          int      `msgpack:"tasks" json:"tasks"`                            // number of waiting tasks
+	WaitingS       int      `msgpack:"waitingS" json:"waitingS"`                      // how long it has waited, in seconds
+	ServedBy       []string `msgpack:"by,omitempty" json:"servedBy,omitempty"`        // owners that may serve it
+	UnservedReason string   `msgpack:"why,omitempty" json:"unservedReason,omitempty"` // why no owner may serve it
 }
 
-// DetailedReply answers a command with more than shards. Without the rest it has the form of a
-// CommandReply, and either is read as the other.
+// DetailedReply is a CommandReply with further details. Without them it is encoded like a CommandReply, and each can
+// be decoded as the other.
 type DetailedReply struct {
 	CommandReply `msgpack:",inline"`
 
-	WaitingJobs []WaitingJob `msgpack:"waitingJobs,omitempty"` // that may use machines of the shard shown; a few
+	// WaitingJobs lists a few of the waiting jobs that may use machines of the shard shown.
+	WaitingJobs []WaitingJob `msgpack:"waitingJobs,omitempty"`
 }
--- a/internal/shard/watcher.go
+++ b/internal/shard/watcher.go
@@ -13,23 +13,25 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// How the keys of shards are followed. Watches are opened anew after such pauses: each
-// costs the store a request.
+// Intervals at which the keys of shards are read and watched.
 const (
-	WatchPause   = 300 * micro.Millisecond
+	// WatchPause is the delay before the next watch request is sent: each costs the store a request.
+	WatchPause = 300 * micro.Millisecond
+	// WatchTimeout is how long a watch request waits for a change.
 	WatchTimeout = 10 * micro.Second
-	ReadRetry    = 300 * micro.Millisecond
+	// ReadRetry is the delay before keys are read again after a failed read or watch.
+	ReadRetry = 300 * micro.Millisecond
 )
 
-// CommitTimeout is how long a transaction on a shard's record, or a read that decides about
-// one, may take.
+// CommitTimeout limits the duration of a transaction on a shard's record, and of a read that decides about such a
+// transaction.
 const CommitTimeout = 1200 * time.Millisecond
 
-// recordPageSize is how many records are read with one request.
+// recordPageSize is the number of records that one request reads.
 const recordPageSize = 1000
 
-// Watcher keeps a table of the shards as the store has it. Run writes the table on the
-// goroutine that calls it; all else may be called from any goroutine.
+// Watcher keeps a local table of the shards up to date with the store. Run updates the table on the goroutine that
+// calls it; all other methods may be called from any goroutine.
 type Watcher struct {
 	table    Table
 	hasRead  atomic.Bool
@@ -38,19 +40,19 @@
 	onChange func()
 }
 
-// NewWatcher makes the follower of an empty table, which is read once Run is called. It
-// calls changed after each change, on the goroutine that found it.
+// NewWatcher returns a watcher with an empty table, which is read once Run is called. It calls onChange after each
+// change, on the goroutine that detected the change.
 func NewWatcher(st store.Store, log *slog.Logger, onChange func()) *Watcher {
 	return &Watcher{store: st, log: log, onChange: onChange}
 }
 
-// Snapshot is the table as it is now.
+// Snapshot returns the current table.
 func (w *Watcher) Snapshot() Snapshot { return w.table.Snapshot() }
 
-// HasRead reports whether the table was read since the start.
+// HasRead reports whether the table has been read since the start.
 func (w *Watcher) HasRead() bool { return w.hasRead.Load() }
 
-// Run follows the table until the context ends.
+// Run keeps the table up to date until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		revision, err := w.Read(ctx)
@@ -58,14 +60,14 @@
 			err = w.watch(ctx, revision)
 		}
 		if err != nil {
-			w.log.Debug("shard table not read", "err", err)
+			w.log.Debug("read or watch of shard table failed; retrying", "err", err)
 		}
 		sleep(ctx, ReadRetry)
 	}
 	return nil
 }
 
-// Read reads all records once, and returns the revision from which changes are to be watched.
+// Read reads all records once, and returns the revision from which changes must be watched.
 func (w *Watcher) Read(ctx context.Context) (revision uint64, err error) {
 	var entries []Entry
 	after := ""
@@ -93,16 +95,16 @@
 	return revision, nil
 }
 
-// decodeRecord reads a record; one that cannot be read is logged and counts as none.
+// decodeRecord decodes a record. A record that cannot be decoded is logged and ignored.
 func (w *Watcher) decodeRecord(key string, value []byte, version uint64) (Entry, bool) {
 	entry, err := ParseRecord(key, value, version)
 	if err != nil {
-		w.log.Debug("shard record not understood", "key", key, "err", err)
+		w.log.Debug("shard record cannot be decoded; ignoring it", "key", key, "err", err)
 	}
 	return entry, err == nil
 }
 
-// ParseRecord reads a shard's record as the store holds it.
+// ParseRecord decodes a shard's record from its key, value and version in the store.
 func ParseRecord(key string, value []byte, version uint64) (Entry, error) {
 	entry := Entry{Name: key[len(RecordPrefix):], Version: version}
 	if err := wire.Unmarshal(value, &entry.Record); err != nil {
@@ -111,7 +113,7 @@
 	return entry, nil
 }
 
-// watch takes in changes, until they cannot be followed.
+// watch applies changes after the revision until the context ends, or until the store no longer has them.
 func (w *Watcher) watch(ctx context.Context, revision uint64) error {
 	for ctx.Err() == nil {
 		events, err := w.store.Watch(ctx, RecordPrefix, revision, WatchTimeout)
