--- a/internal/shard/golden_test.go
+++ b/internal/shard/golden_test.go
@@ -9,7 +9,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// goldenRecord is a record with every field set.
+// goldenRecord returns a record with every field set.
 func goldenRecord() Record {
 	return Record{
 		State:  Moving,
@@ -26,7 +26,7 @@
 	}
 }
 
-// goldenStatus is a shard's status with every field set.
+// goldenStatus returns a shard's status with every field set.
 func goldenStatus() Status {
 	return Status{
 		Name:             "gpus",
@@ -42,7 +42,7 @@
 	}
 }
 
-// goldenAssignment is an assignment with every field set.
+// goldenAssignment returns an assignment with every field set that is always written.
 func goldenAssignment() Assignment {
 	zone, due := "east", 900.0
 	return Assignment{Job: wire.Job{
@@ -72,8 +72,7 @@
 	}, AssignedAt: 1700000000000001, MaxAllocations: 150, StopRequested: true}
 }
 
-// goldenContinuedAssignment is an assignment with the fields that are written only where they are
-// set, too.
+// goldenContinuedAssignment returns an assignment with the optional fields Continued and RecallRequested set as well.
 func goldenContinuedAssignment() Assignment {
 	assignment := goldenAssignment()
 	assignment.Continued = &ContinuedJob{Job: assignment.Job, Revision: 306}
@@ -81,7 +80,7 @@
 	return assignment
 }
 
-// goldenTransferAssignment is the assignment of a job that changes hands, and is recalled.
+// goldenTransferAssignment returns the assignment of a recalled job in transfer.
 func goldenTransferAssignment() Assignment {
 	assignment := goldenAssignment()
 	assignment = assignment.BeginTransfer()
@@ -90,7 +89,7 @@
 	return assignment
 }
 
-// goldenOptionalFieldsUpdate is an update with the fields that are written only where they are set, too.
+// goldenOptionalFieldsUpdate returns a shard update with the optional fields set, except CopiedJobs.
 func goldenOptionalFieldsUpdate() ShardUpdate {
 	update := goldenShardUpdate()
 	update.LoopStartedAt = 1700000000000002
@@ -99,6 +98,7 @@
 	return update
 }
 
+// goldenShardUpdate returns a shard update with every field set that is always written.
 func goldenShardUpdate() ShardUpdate {
 	return ShardUpdate{
 		Name:               "gpus",
@@ -122,30 +122,30 @@
 	}
 }
 
-// absentFields are the fields that are written only where they are set, by the case that holds the
-// form without them. TestFormsOfJobsThatChangeHandsKeepTheirBytes holds the form with them.
+// absentFields lists the optional fields that are not set, and so not written, in each test case. The tests of handover
+// and transfer encodings cover the same fields when they are set.
 var absentFields = map[string][]string{
 	"assignment": {
 		"shard.Assignment.Continued", "shard.Assignment.RecallRequested", "shard.Assignment.Transfer",
 	},
-	"continued assignment":   {"shard.Assignment.Transfer"},
-	"assignment in transfer": {"shard.Assignment.Continued"},
-	"recall update":          {"shard.StatusUpdate.Shards[0].CopiedJobs"},
-	"touch": {
+	"continued assignment":      {"shard.Assignment.Transfer"},
+	"assignment in transfer":    {"shard.Assignment.Continued"},
+	"optional fields of update": {"shard.StatusUpdate.Shards[0].CopiedJobs"},
+	"status update": {
 		"shard.StatusUpdate.Shards[0].LoopStartedAt",
 		"shard.StatusUpdate.Shards[0].WaitingJobs", "shard.StatusUpdate.Shards[0].ReleasedJobs",
 		"shard.StatusUpdate.Shards[0].CopiedJobs",
 	},
 }
 
-// Controllers of two builds run side by side, on each other's records.
-func TestShardRecordsAndMessagesKeepTheirBytes(t *testing.T) {
+// Controllers of two releases run side by side and read each other's records and messages.
+func TestShardRecordAndMessageEncodingsAreStable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
 		bytes string
 	}{
-		{"share record", goldenRecord(), "87a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd01" +
+		{"shard record", goldenRecord(), "87a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd01" +
 			"2da674617267657482a46e6f6465a36e2d32a773657373696f6ecd012ea673656c65637483a474797065a3677075a47a6f6e65a465617374" +
 			"a46b696e64a473706f74a57465616d7392a6766973696f6ea6737065656368a56d6f76657307a26174cf00060a24181e4000"},
 		{"assignment", goldenAssignment(), "84a36a6f62de0017a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696e" +
@@ -156,7 +156,7 @@
 			"a464756553cb408c200000000000a661776169747391a36a2d31a8617761697473496e06a26174cf00060a24181e4000a26174cf00060a24" +
 			"181e4001a57461736b73cc96a473746f70c3"},
 		{
-			"touch",
+			"status update",
 			StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: []ShardUpdate{goldenShardUpdate()}},
 			"84a46e6f6465a36e2d31a773657373696f6ecd012da47465726dcd0131a6736861726573918da46e616d65a467707573a47365656ecd0130" +
 				"a4726f6f6d9187a474797065a3677075a47a6f6e65a465617374a473706f74c3a5636f756e7406a3637075cb401e000000000000a3677075" +
@@ -165,7 +165,7 @@
 				"68a870726f67726573739184a36a6f62a36a2d35a4646f6e650ba772756e6e696e670da46e6565640ea2757091a3692d31a672657475726e" +
 				"91a3692d32a86d616368696e657329a5656d70747905a9756e72656163686564c3aa756e61737369676e65640f",
 		},
-		{"reply", UpdateReply{
+		{"status update reply", UpdateReply{
 			Term: 305, ProxyRenewalAge: map[string]int64{"east": 70000},
 			DisconnectedZones: []string{"west"}, FinalStates: map[string]string{"j-1": "done"},
 			TerminatedMachines: []string{"i-2"},
@@ -177,7 +177,7 @@
 			"83a96f7065726174696f6ea46d6f7665a57368617265a467707573a6746172676574a36e2d32",
 		},
 		{
-			"reply to a command",
+			"command reply",
 			CommandReply{RefusalReason: "the share is moving already", Shards: []Status{goldenStatus()}},
 			"82a772656675736564bb746865207368617265206973206d6f76696e6720616c7265616479a6736861726573918aa46e616d65a467707573" +
 				"a67265636f726487a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd012da674617267657482" +
@@ -193,9 +193,9 @@
 	}
 }
 
-// A version without these fields reads past them; one that renamed them would lose what a job that
-// changes hands goes on from.
-func TestFormsOfJobsThatChangeHandsKeepTheirBytes(t *testing.T) {
+// A release that does not know these fields ignores them. A release that renamed them would lose the state from which a
+// job that is handed over resumes.
+func TestHandoverEncodingsAreStable(t *testing.T) {
 	assignment := "86a36a6f62de0017a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a6766973" +
 		"696f6ea57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd00000" +
 		"00000000a467707573cb4000000000000000a572616d4762cb400c000000000000a662756e646c65a6696d672d3037a67075" +
@@ -223,7 +223,7 @@
 		"2d36a872656c65617365649182a36a6f62a36a2d37a776657273696f6ecd0133"
 	shards := []ShardUpdate{goldenOptionalFieldsUpdate()}
 	recallUpdate := StatusUpdate{Node: "n-1", SessionVersion: 301, Term: 305, Shards: shards}
-	if err := golden.Binary(recallUpdate, update, absentFields["recall update"]...); err != nil {
+	if err := golden.Binary(recallUpdate, update, absentFields["optional fields of update"]...); err != nil {
 		t.Error(err)
 	}
 	if err := golden.Binary(
@@ -244,9 +244,9 @@
 	}
 }
 
-// A version before reads past what says how far a job has changed hands, and finds no machine in the zone
-// of its description. One that renamed either would place it in the midst of that.
-func TestFormsOfJobsInTransferKeepTheirBytes(t *testing.T) {
+// The previous release ignores the state of a transfer, and finds no machine in the zone of the job's spec. A release
+// that renamed either would allocate the job's tasks in the middle of the transfer.
+func TestTransferEncodingsAreStable(t *testing.T) {
 	assignment := "86a36a6f62de0017a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a6766973" +
 		"696f6ea57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd00000" +
 		"00000000a467707573cb4000000000000000a572616d4762cb400c000000000000a662756e646c65a6696d672d3037a67075" +
@@ -272,18 +272,18 @@
 	update := ShardUpdate{CopiedJobs: []CopiedJob{{Job: "j-8", Version: 309}}}
 	encoded := hex.EncodeToString(wire.MustMarshal(update))
 	if want := "a6636f706965649182"; !strings.Contains(encoded, want) {
-		t.Errorf("%s, want one with %s", encoded, want)
+		t.Errorf("shard update with copied jobs is encoded as %s, want it to contain %s", encoded, want)
 	}
 }
 
-// The command line prints a status; the store counts records in this form.
-func TestShardRecordsAndStatusesKeepTheirJSON(t *testing.T) {
+// The command line prints statuses as JSON, and the store limits records by their size as JSON.
+func TestShardRecordAndStatusJSONIsStable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
 		text  string
 	}{
-		{"share record", goldenRecord(), `{"state":"moving","owner":{"node":"n-1","session":301},"target":{"node":"n-2",` +
+		{"shard record", goldenRecord(), `{"state":"moving","owner":{"node":"n-1","session":301},"target":{"node":"n-2",` +
 			`"session":302},"select":{"type":"gpu","zone":"east","kind":"spot"},"teams":["vision","speech"],"moves":7,` +
 			`"at":1700000000000000}`},
 		{"assignment", goldenAssignment(), `{"job":{"nameId":"j-000412","jobclass":"train","outfit":"vision",` +
@@ -291,7 +291,7 @@
 			`"pullGb":1.5,"rigs":["small"],"yard":"east","oneZone":true,"scatter":true,"loaners":true,"guessS":240,` +
 			`"bookmarkS":30,"stashS":4,"dueS":900,"awaits":["j-1"],"awaitsIn":6,"at":1700000000000000},"at":1700000000000001,` +
 			`"tasks":150,"stop":true}`},
-		{"share status", goldenStatus(), `{"name":"gpus","record":{"state":"moving","owner":{"node":"n-1","session":301},` +
+		{"shard status", goldenStatus(), `{"name":"gpus","record":{"state":"moving","owner":{"node":"n-1","session":301},` +
 			`"target":{"node":"n-2","session":302},"select":{"type":"gpu","zone":"east","kind":"spot"},"teams":["vision",` +
 			`"speech"],"moves":7,"at":1700000000000000},"version":303,"machines":41,"empty":5,"waiting":12,"jobs":9,` +
 			`"ownerGone":true,"heardAgoS":3,"note":"held up"}`},
@@ -302,14 +302,14 @@
 	}
 }
 
-func TestShardKeysAndWordsKeepTheirSpelling(t *testing.T) {
+func TestShardKeysAndEnumValuesAreStable(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
-		{"share record", RecordKey("gpus"), "share/gpus"},
-		{"session", SessionKey("n-1"), "owner/n-1"},
-		{"assignment", AssignmentKey("gpus", "j-1"), "assign/gpus/j-1"},
-		{"announcement", AnnouncementKey("n-1"), "can/n-1"},
-		{"allocation", AllocationKey("gpus", "j-1", 12), "alloc/gpus/j-1/12"},
-		{"marker", MarkerKey, "fleet/shares"},
+		{"shard record key", RecordKey("gpus"), "share/gpus"},
+		{"session key", SessionKey("n-1"), "owner/n-1"},
+		{"assignment key", AssignmentKey("gpus", "j-1"), "assign/gpus/j-1"},
+		{"announcement key", AnnouncementKey("n-1"), "can/n-1"},
+		{"allocation key", AllocationKey("gpus", "j-1", 12), "alloc/gpus/j-1/12"},
+		{"marker key", MarkerKey, "fleet/shares"},
 		{
 			"states", strings.Join([]string{string(Forming), string(Owned), string(Moving), string(Released)}, " "),
 			"forming owned moving released",
--- a/internal/shard/loopback_test.go
+++ b/internal/shard/loopback_test.go
@@ -24,37 +24,37 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Stand-in controllers and agents on 127.0.0.1, with the real client of the store:
-// shards move to and fro while controllers end, stand still and lose the store. The
-// long form: go test ./internal/shard -run TestLoopback -shard.moves 5000
+// Fake controllers and agents on 127.0.0.1, with the real client of the store: shards are moved between the controllers
+// while these restart, are paused or cannot reach the store. For a long run:
+// go test ./internal/shard -run TestLoopback -share.moves 5000
 
 var discard = slog.New(slog.DiscardHandler)
 
-var loopbackMoves = flag.Int("share.moves", 150, "moves that the loopback test plays")
+var loopbackMoves = flag.Int("share.moves", 150, "number of moves in the loopback test")
 
 const (
 	loopbackShards         = 4
-	loopbackAgentsPerShard = 2 // for each shard
+	loopbackAgentsPerShard = 2
 	loopbackSessionTTL     = 400 * micro.Millisecond
 	loopbackStep           = 2 * time.Millisecond
-	loopbackTimeout        = 10 * time.Minute // only a bound on a hang
+	loopbackTimeout        = 10 * time.Minute // ends a run that hangs
 )
 
-// responseRecord is one answer to an agent, as its controller decided it.
+// responseRecord is one response to an agent, recorded when the controller decided on it.
 type responseRecord struct {
 	firstToken uint64
 	node       string
 	at         micro.Time
 }
 
-// responseAudit collects what the agents' side saw.
+// responseAudit collects the responses that controllers gave to agents.
 type responseAudit struct {
 	mu            sync.Mutex
-	byShard       map[string]map[uint64]*ownershipSpan // shard: answers of each ownership
-	expiredLeases atomic.Int64                         // agents whose lease ran out
+	byShard       map[string]map[uint64]*ownershipSpan // by shard and first token of the ownership
+	expiredLeases atomic.Int64                         // number of agent leases that expired
 }
 
-// ownershipSpan is when the answers of one ownership were decided, and by whom.
+// ownershipSpan is the period in which the responses of one ownership were decided, and the node that did so.
 type ownershipSpan struct {
 	node        string
 	first, last micro.Time
@@ -77,8 +77,8 @@
 	}
 }
 
-// overlappingOwners lists where an owner answered after a later one had begun, or two under one
-// token.
+// overlappingOwners returns the cases in which an owner responded after a later one had started, or two nodes responded
+// under the same token.
 func (a *responseAudit) overlappingOwners() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,7 +94,8 @@
 			span := spans[first]
 			if span.first < latest || len(span.node) > len("n-0") {
 				overlaps = append(
-					overlaps, fmt.Sprintf("%s: %s began at %v, another answered until %v", name, span.node, span.first, latest),
+					overlaps,
+					fmt.Sprintf("%s: %s started at %v, an earlier owner responded until %v", name, span.node, span.first, latest),
 				)
 			}
 			latest = max(latest, span.last)
@@ -103,14 +104,14 @@
 	return overlaps
 }
 
-// faultyStore is the store as one controller reaches it.
+// faultyStore is one controller's client of the store, with faults.
 type faultyStore struct {
 	store.Store
-	partitioned   atomic.Bool // nothing arrives, nothing is answered
-	responsesLost atomic.Bool // transactions are carried out, their answers are lost
+	partitioned   atomic.Bool // no request reaches the store
+	responsesLost atomic.Bool // transactions are executed, but their responses are lost
 }
 
-// Get reads a key, unless the controller is cut off.
+// Get reads a key, unless the controller is partitioned from the store.
 func (f *faultyStore) Get(ctx context.Context, class store.Class, key string) (wire.Item, error) {
 	if f.partitioned.Load() {
 		return wire.Item{}, store.ErrUncertain
@@ -118,7 +119,7 @@
 	return f.Store.Get(ctx, class, key)
 }
 
-// Renew renews a lease, unless the controller is cut off.
+// Renew renews a lease, unless the controller is partitioned from the store.
 func (f *faultyStore) Renew(ctx context.Context, lease uint64) error {
 	if f.partitioned.Load() {
 		return store.ErrUncertain
@@ -126,7 +127,7 @@
 	return f.Store.Renew(ctx, lease)
 }
 
-// Commit sends a transaction.
+// Commit executes a transaction, unless the controller is partitioned from the store. Its response may be lost.
 func (f *faultyStore) Commit(ctx context.Context, class store.Class, txn wire.Transaction) (uint64, error) {
 	if f.partitioned.Load() {
 		return 0, store.ErrUncertain
@@ -138,19 +139,20 @@
 	return revision, err
 }
 
-// loopbackController is a stand-in controller: a session, owners, and an address.
+// loopbackController is a fake controller, with a session, shard owners and an HTTP server.
 type loopbackController struct {
 	name    string
 	cluster *loopbackCluster
 	store   *faultyStore
 
-	mu     sync.Mutex // one goroutine at a time answers, or changes an owner's state
+	mu     sync.Mutex // held while a heartbeat is answered or an owner's state changes
 	paused bool
 	term   *election.Term
 	owners map[string]*shard.Owner
 	stop   context.CancelFunc
 }
 
+// loopbackCluster is a store, with controllers and agents that reach it and each other over 127.0.0.1.
 type loopbackCluster struct {
 	t            *testing.T
 	audit        responseAudit
@@ -158,7 +160,7 @@
 	storeAddr    string
 	controllers  map[string]*loopbackController
 	addrs        map[string]string
-	ignoresLease bool // controllers answer on after they transferred: the audit must notice
+	ignoresLease bool // controllers respond without checking their lease: the audit must detect it
 }
 
 func newLoopbackCluster(ctx context.Context, t *testing.T) *loopbackCluster {
@@ -190,13 +192,13 @@
 	return listener.Addr().String()
 }
 
-// discardLogger drops what the servers log of connections that end.
+// discardLogger discards what the servers log about connections that end.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf discards a line.
 func (discardLogger) Printf(string, ...any) {}
 
-// start starts a process of the controller.
+// start starts a new process of the controller.
 func (c *loopbackController) start(ctx context.Context) {
 	ctx, c.stop = context.WithCancel(ctx)
 	c.owners, c.term = map[string]*shard.Owner{}, nil
@@ -214,7 +216,7 @@
 	}()
 }
 
-// setSession notes the session, unless the process has ended meanwhile.
+// setSession records the session, unless the process has ended meanwhile.
 func (c *loopbackController) setSession(ctx context.Context, t *election.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,7 +225,7 @@
 	}
 }
 
-// restartAfter ends the process, which is back after a while.
+// restartAfter ends the process, and starts a new one after a delay.
 func (c *loopbackController) restartAfter(ctx context.Context, after time.Duration) {
 	c.stop()
 	c.mu.Lock()
@@ -238,7 +240,7 @@
 	})
 }
 
-// step reads the records, and transfers what is to move.
+// step reads the records, and transfers the shards that are to move.
 func (c *loopbackController) step(ctx context.Context) {
 	entries, err := readShards(ctx, c.store)
 	if err != nil {
@@ -262,7 +264,8 @@
 	}
 }
 
-// observe takes in a record, and tells what to send for it.
+// observe applies a record, and returns the transaction to send for it, if any; resolving reports whether that resolves
+// an uncertain transfer.
 func (c *loopbackController) observe(
 	ctx context.Context, entry shard.Entry,
 ) (txn wire.Transaction, shouldSend, resolving bool) {
@@ -327,7 +330,7 @@
 	return out, nil
 }
 
-// runAgent is an agent of a shard (its zone), which asks the controllers in turn.
+// runAgent runs an agent of a shard, which has the name of its zone. It sends heartbeats to the controllers in turn.
 func (c *loopbackCluster) runAgent(ctx context.Context, zone string, i int) {
 	agent := fake.NewAgent(fmt.Sprintf("%s-%d", zone, i), "small", zone, 5*micro.Second)
 	agent.LeaseStart = micro.Now()
@@ -343,7 +346,7 @@
 			agent.HandleResponse(commands, sent)
 		}
 		if response.StatusCode() != 200 || rand.IntN(4) == 0 {
-			target++ // now and then also without need: all controllers are asked, whoever owns the shard
+			target++ // at times also after a response, so that every controller gets heartbeats
 		}
 		fasthttp.ReleaseRequest(request)
 		fasthttp.ReleaseResponse(response)
@@ -353,8 +356,8 @@
 	}
 }
 
-// moveShards moves shards, and takes them from controllers that are gone, until so many moves
-// were carried out.
+// moveShards acts as the leader: it moves shards, and reassigns those of controllers without a session, until the given
+// number of changes of owner is done. It returns this number, and how long the changes took.
 func (c *loopbackCluster) moveShards(ctx context.Context, moves int) (done int, durations []micro.Time) {
 	client := store.NewClient(c.storeAddr, 1e6, 1e6)
 	startedAt, lastOwnerChanges := map[string]micro.Time{}, map[string]uint64{}
@@ -380,7 +383,7 @@
 	return done, durations
 }
 
-// nextTransaction is what the leader does with a shard.
+// nextTransaction returns the leader's next transaction on a shard's record; false: there is none.
 func (c *loopbackCluster) nextTransaction(entry shard.Entry, sessions shard.Sessions) (wire.Transaction, bool) {
 	if entry.OwnerSessionLost(sessions) {
 		to, ok := entry.Successor(sessions, shard.Snapshot{})
@@ -411,7 +414,7 @@
 	return out, err
 }
 
-// injectFaults befalls one controller after another.
+// injectFaults injects a random fault into one random controller after another until the context ends.
 func (c *loopbackCluster) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rand.IntN(100)) * time.Millisecond)
@@ -436,7 +439,8 @@
 
 func (c *loopbackController) setPaused(on bool) { c.mu.Lock(); c.paused = on; c.mu.Unlock() }
 
-// runLoopback plays so many moves on a site, and gives what the audit found.
+// runLoopback runs a cluster until the given number of moves is done. It returns the number of moves done, the overlaps
+// that the audit found, and the number of revisions of shard records that name no owner.
 func runLoopback(t *testing.T, moves int, ignoresLease bool) (done int, overlaps []string, withoutOwner int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), loopbackTimeout)
@@ -446,7 +450,7 @@
 	for i := range loopbackShards {
 		name := fmt.Sprintf("zone-%d", i)
 		record := shard.NewRecord(shard.Selector{Zone: name}, nil, 0)
-		record.State = shard.Owned // by nobody: the leader gives it to the first that is there
+		record.State = shard.Owned // without an owner: the leader gives it to the first controller that has a session
 		if _, err := loopback.backing.Commit(
 			ctx, store.Urgent, wire.Transaction{Then: []wire.Change{{Put: shard.RecordKey(name), Value: record}}},
 		); err != nil {
@@ -462,7 +466,7 @@
 	slices.Sort(durations)
 	if len(durations) > 0 {
 		t.Logf(
-			"%d moves and take-overs: median %v us, 95%% %v us, longest %v us; %d leases ran out", done,
+			"%d moves and reassignments: median %v us, p95 %v us, max %v us; %d agent leases expired", done,
 			durations[len(durations)/2], durations[len(durations)*95/100], durations[len(durations)-1],
 			loopback.audit.expiredLeases.Load(),
 		)
@@ -470,7 +474,7 @@
 	return done, loopback.audit.overlappingOwners(), loopback.revisionsWithoutOwner(t)
 }
 
-// revisionsWithoutOwner counts revisions of a shard's record that name no owner after one did.
+// revisionsWithoutOwner counts the revisions of shard records that name no owner although an earlier revision did.
 func (c *loopbackCluster) revisionsWithoutOwner(t *testing.T) int {
 	t.Helper()
 	events, err := c.backing.Watch(context.Background(), shard.RecordPrefix, 0, 0)
@@ -488,21 +492,24 @@
 	return withoutOwner
 }
 
-func TestLoopbackMovesLeaveEachMachineOneOwner(t *testing.T) {
+// While shards move under faults, no machine may be answered by two owners, and every revision of a shard's record must
+// name an owner.
+func TestLoopbackMovesKeepOneOwnerPerMachine(t *testing.T) {
 	done, overlaps, withoutOwner := runLoopback(t, *loopbackMoves, false)
 	if done < *loopbackMoves {
-		t.Errorf("%d of %d moves", done, *loopbackMoves)
+		t.Errorf("%d of %d moves done", done, *loopbackMoves)
 	}
 	if len(overlaps) > 0 || withoutOwner > 0 {
 		t.Errorf(
-			"%d times two owners, %d revisions without one: %v", len(overlaps), withoutOwner, overlaps[:min(len(overlaps), 5)],
+			"%d overlapping owners, %d revisions without an owner: %v", len(overlaps), withoutOwner,
+			overlaps[:min(len(overlaps), 5)],
 		)
 	}
 }
 
-// The counter counts: controllers that answer on after they transferred are noticed.
+// The audit must detect controllers that continue to respond after they transferred a shard.
 func TestLoopbackAuditDetectsTwoOwners(t *testing.T) {
 	if _, overlaps, _ := runLoopback(t, 60, true); len(overlaps) == 0 {
-		t.Error("careless controllers were not noticed")
+		t.Error("the audit did not detect controllers that ignore their lease")
 	}
 }
--- a/internal/shard/main_test.go
+++ b/internal/shard/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The property tests draw the same cases each time, unless a run asks for others with
-// -rapid.seed and -rapid.checks.
+// Flags of rapid with which the property tests draw the same cases in each run, unless -rapid.seed or -rapid.checks is
+// given.
 const (
 	defaultSeed   = "20261202"
 	defaultChecks = "400"
--- a/internal/shard/owner_preconditions_test.go
+++ b/internal/shard/owner_preconditions_test.go
@@ -16,7 +16,7 @@
 	targetController = shard.Controller{Node: "n-2", SessionVersion: 7}
 )
 
-// newOwnedEntry is the record of a shard that n-1 owns, or is to transfer.
+// newOwnedEntry returns the record of a shard that n-1 owns; if moving is set, n-1 is to transfer it to n-2.
 func newOwnedEntry(t *testing.T, version uint64, moving bool) shard.Entry {
 	t.Helper()
 	r := shard.Record{State: shard.Owned, Owner: ownerController, Selector: shard.Selector{Zone: "a"}, OwnerChanges: 1}
@@ -29,7 +29,7 @@
 	return shard.Entry{Name: "gpus", Version: version, Record: r}
 }
 
-// newTestOwner is the owner of that shard.
+// newTestOwner returns the owner of the shard of newOwnedEntry at version 9.
 func newTestOwner(t *testing.T, moving bool) *shard.Owner {
 	t.Helper()
 	return shard.NewOwner(
@@ -44,28 +44,28 @@
 	recordPrecondition        = wire.Precondition{Key: "share/gpus", Version: 9}
 )
 
-// Every transaction of an owner fails once its session, or the shard's record, is
-// another; a transfer also once its target's session is.
-func TestOwnerTransactionsCarryTheSessionsAndTheRecordVersion(t *testing.T) {
-	sorted := func(guards []wire.Precondition) []wire.Precondition {
-		return slices.SortedFunc(slices.Values(guards), func(a, b wire.Precondition) int {
+// Every transaction of an owner must fail once its session or the shard's record has changed, and a transfer also once
+// the session of its target has changed.
+func TestOwnerTransactionsRequireSessionsAndRecordVersion(t *testing.T) {
+	sorted := func(preconditions []wire.Precondition) []wire.Precondition {
+		return slices.SortedFunc(slices.Values(preconditions), func(a, b wire.Precondition) int {
 			if a.Key < b.Key {
 				return -1
 			}
 			return 1
 		})
 	}
-	acting, moving := newTestOwner(t, false), newTestOwner(t, true)
-	handOver, ok := moving.BeginTransfer(2)
+	active, moving := newTestOwner(t, false), newTestOwner(t, true)
+	transfer, ok := moving.BeginTransfer(2)
 	if !ok {
-		t.Fatal("does not hand over")
+		t.Fatal("draining owner does not begin the transfer")
 	}
 	moving.HandleTransferResult(store.ErrUncertain)
-	renew, ok := moving.ResolveUncertain(3)
+	rewrite, ok := moving.ResolveUncertain(3)
 	if !ok {
-		t.Fatal("does not resolve its doubt")
+		t.Fatal("owner does not resolve the uncertain transfer")
 	}
-	take, err := newOwnedEntry(
+	reassign, err := newOwnedEntry(
 		t,
 		9,
 		false,
@@ -77,71 +77,76 @@
 		name      string
 		got, want []wire.Precondition
 	}{
-		{"taken from an owner that is gone", take.If, []wire.Precondition{
+		{"reassignment by the leader", reassign.If, []wire.Precondition{
 			{Key: "leader", Version: 3},
 			{Key: "owner/n-1"},
 			targetSessionPrecondition, recordPrecondition,
 		}},
-		{"writes", acting.Preconditions(), []wire.Precondition{ownerSessionPrecondition, recordPrecondition}},
-		{"hand-over", handOver.If, []wire.Precondition{ownerSessionPrecondition, targetSessionPrecondition, recordPrecondition}},
-		{"renewal of the record", renew.If, []wire.Precondition{ownerSessionPrecondition, recordPrecondition}},
+		{"write of an active owner", active.Preconditions(), []wire.Precondition{
+			ownerSessionPrecondition, recordPrecondition,
+		}},
+		{"transfer", transfer.If, []wire.Precondition{
+			ownerSessionPrecondition, targetSessionPrecondition, recordPrecondition,
+		}},
+		{"rewrite of the record", rewrite.If, []wire.Precondition{ownerSessionPrecondition, recordPrecondition}},
 	} {
 		if got := sorted(c.got); !slices.Equal(got, sorted(c.want)) {
-			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+			t.Errorf("preconditions of %s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
-// What an owner may do in each state, and with its session's right lapsed.
-func TestOwnerRespondsAndAllocatesOnlyWhileItSurelyOwnsTheShard(t *testing.T) {
-	other := ownerController
-	other.SessionVersion = 6
-	taken := newOwnedEntry(t, 10, false)
-	taken.Record.Owner = other
+// Checks what an owner may do in each state while the lease of its session holds, and that it may answer nobody once
+// the lease has expired.
+func TestOwnerRespondsAndAllocatesOnlyWhileOwnershipIsCertain(t *testing.T) {
+	otherIncarnation := ownerController
+	otherIncarnation.SessionVersion = 6
+	reassigned := newOwnedEntry(t, 10, false)
+	reassigned.Record.Owner = otherIncarnation
 	older := newOwnedEntry(t, 8, true)
 	for _, c := range []struct {
-		name           string
-		moving         bool
-		then           func(owner *shard.Owner)
-		speaks, places bool
+		name                string
+		moving              bool
+		then                func(owner *shard.Owner)
+		responds, allocates bool
 	}{
-		{"acting", false, func(*shard.Owner) {}, true, true},
-		{"settling", true, func(*shard.Owner) {}, true, false},
-		{"handing over", true, func(owner *shard.Owner) { owner.BeginTransfer(2) }, false, false},
+		{"active", false, func(*shard.Owner) {}, true, true},
+		{"draining", true, func(*shard.Owner) {}, true, false},
+		{"transferring", true, func(owner *shard.Owner) { owner.BeginTransfer(2) }, false, false},
 		{
-			"in doubt", true,
+			"transfer uncertain", true,
 			func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrUncertain) }, false, false,
 		},
-		{"in doubt, the renewal has no answer", true, func(owner *shard.Owner) {
+		{"transfer uncertain, rewrite of the record uncertain", true, func(owner *shard.Owner) {
 			owner.BeginTransfer(2)
 			owner.HandleTransferResult(store.ErrUncertain)
 			owner.HandleResolveResult(12, store.ErrUncertain)
 		}, false, false},
-		{"in doubt, the record is renewed", true, func(owner *shard.Owner) {
+		{"transfer uncertain, record rewritten", true, func(owner *shard.Owner) {
 			owner.BeginTransfer(2)
 			owner.HandleTransferResult(store.ErrUncertain)
 			owner.HandleResolveResult(12, nil)
 		}, true, false},
 		{
-			"refused", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrRefused) },
-			true, false,
+			"transfer refused", true,
+			func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(store.ErrRefused) }, true, false,
 		},
 		{
-			"handed over", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(nil) }, false,
+			"transferred", true, func(owner *shard.Owner) { owner.BeginTransfer(2); owner.HandleTransferResult(nil) }, false,
 			false,
 		},
 		{
-			"the record names another incarnation of the same controller", false,
-			func(owner *shard.Owner) { owner.Observe(taken) }, false, false,
+			"record names another incarnation of the same controller", false,
+			func(owner *shard.Owner) { owner.Observe(reassigned) }, false, false,
 		},
-		{"the record is gone", false, func(owner *shard.Owner) { owner.HandleRecordDeleted() }, false, false},
-		{"an older record is read late", false, func(owner *shard.Owner) { owner.Observe(older) }, true, true},
+		{"record deleted", false, func(owner *shard.Owner) { owner.HandleRecordDeleted() }, false, false},
+		{"older record read late", false, func(owner *shard.Owner) { owner.Observe(older) }, true, true},
 	} {
 		owner := newTestOwner(t, c.moving)
 		c.then(owner)
-		if owner.MayRespond() != c.speaks || owner.MayServe(0) != c.speaks || owner.MayAllocate() != c.places {
+		if owner.MayRespond() != c.responds || owner.MayServe(0) != c.responds || owner.MayAllocate() != c.allocates {
 			t.Errorf(
-				"%s: speaks %v, may answer %v, places %v",
+				"%s: MayRespond %v, MayServe %v, MayAllocate %v",
 				c.name,
 				owner.MayRespond(),
 				owner.MayServe(0),
@@ -149,10 +154,10 @@
 			)
 		}
 		if owner.MayServe(micro.Minute) {
-			t.Errorf("%s: may answer though its session's right has lapsed", c.name)
+			t.Errorf("%s: owner may serve although the lease of its session has expired", c.name)
 		}
 		if owner.FirstFencingToken()>>24 != 9 {
-			t.Errorf("%s: tokens begin at %x: only a change of owner raises them", c.name, owner.FirstFencingToken())
+			t.Errorf("%s: first token %x, want revision 9: only a change of owner raises it", c.name, owner.FirstFencingToken())
 		}
 	}
 }
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -10,8 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A placement that races with a move fails its conditions: its record is not stored, and
-// no start goes out for it.
+// The write of an allocation that races with a move fails its preconditions: the record is not stored, and no start
+// command is sent for it.
 func TestWriteRacingWithAMoveFails(t *testing.T) {
 	sim := newSimulation(t.Fatalf, func(options []string) string { return options[0] })
 	controller := sim.controllers["n-0"]
@@ -30,18 +30,18 @@
 	}
 	sim.leaderAction("move", "n-1", "answered")
 	if err := put(shard.AllocationKey(shardName, "j-2", 0)); !errors.Is(err, store.ErrConflict) {
-		t.Errorf("a write under the record before the move: %v", err)
+		t.Errorf("write with the record's version from before the move: %v, want a conflict", err)
 	}
 	sim.refresh(controller)
 	if controller.owner.MayAllocate() {
-		t.Error("it places, though the share is to move")
+		t.Error("owner may allocate although the shard is to move")
 	}
 	if err := put(shard.AllocationKey(shardName, "j-2", 0)); err != nil {
-		t.Errorf("the owner settles what it wrote: %v", err)
+		t.Errorf("write of the draining owner: %v", err)
 	}
 	sim.register("n-0")
 	if err := put(shard.AllocationKey(shardName, "j-3", 0)); !errors.Is(err, store.ErrConflict) {
-		t.Errorf("a write of an incarnation that is over: %v", err)
+		t.Errorf("write of an incarnation whose session has ended: %v, want a conflict", err)
 	}
 }
 
@@ -52,38 +52,38 @@
 	moving, _ := owned.Move(b, 2)
 	released, err := shard.Record{State: shard.Moving, Owner: a}.Transfer(3)
 	if err != nil || released.State != shard.Released || released.Owner.Node != "" {
-		t.Fatalf("%+v, %v", released, err)
+		t.Fatalf("transfer to the leader: record %+v, error %v", released, err)
 	}
 	after, err := moving.Transfer(3)
 	if err != nil || after.Owner != b || after.OwnerChanges != 2 || after.State != shard.Owned {
-		t.Fatalf("%+v, %v", after, err)
+		t.Fatalf("transfer to b: record %+v, error %v", after, err)
 	}
 	for name, refused := range map[string]struct {
 		err  error
 		want error
 	}{
-		"move to the owner":         {errorOf(owned.Move(a, 2)), shard.ErrSameOwner},
-		"move of a moving one":      {errorOf(moving.Move(a, 2)), shard.ErrAlreadyMoving},
-		"move of one being formed":  {errorOf(formed.Move(b, 2)), shard.ErrNotOwned},
-		"move of a released one":    {errorOf(released.Move(b, 2)), shard.ErrNotOwned},
-		"cancel without a move":     {errorOf(owned.CancelMove(2)), shard.ErrNotMoving},
-		"hand over without a move":  {errorOf(owned.Transfer(2)), shard.ErrNotMoving},
-		"reassign a released one":   {errorOf(released.Reassign(b, 2)), shard.ErrNotOwned},
-		"grant one that is granted": {errorOf(owned.Grant(b, 2)), shard.ErrSameOwner},
+		"move to the owner":            {errorOf(owned.Move(a, 2)), shard.ErrSameOwner},
+		"move of a moving shard":       {errorOf(moving.Move(a, 2)), shard.ErrAlreadyMoving},
+		"move of a forming shard":      {errorOf(formed.Move(b, 2)), shard.ErrNotOwned},
+		"move of a released shard":     {errorOf(released.Move(b, 2)), shard.ErrNotOwned},
+		"cancel without a move":        {errorOf(owned.CancelMove(2)), shard.ErrNotMoving},
+		"transfer without a move":      {errorOf(owned.Transfer(2)), shard.ErrNotMoving},
+		"reassign of a released shard": {errorOf(released.Reassign(b, 2)), shard.ErrNotOwned},
+		"grant of an owned shard":      {errorOf(owned.Grant(b, 2)), shard.ErrSameOwner},
 	} {
 		if !errors.Is(refused.err, refused.want) {
-			t.Errorf("%s: %v, want %v", name, refused.err, refused.want)
+			t.Errorf("%s: error %v, want %v", name, refused.err, refused.want)
 		}
 	}
 	cancelled, err := moving.CancelMove(4)
 	if err != nil || cancelled.Owner != a || cancelled.OwnerChanges != owned.OwnerChanges {
-		t.Errorf("%+v, %v", cancelled, err)
+		t.Errorf("cancelled move: record %+v, error %v", cancelled, err)
 	}
 }
 
 func errorOf(_ shard.Record, err error) error { return err }
 
-func TestSelectors(t *testing.T) {
+func TestSelectorsMatchAndOverlap(t *testing.T) {
 	machine := shard.Attributes{Type: "t", Zone: "z", Spot: true}
 	for _, c := range []struct {
 		s       shard.Selector
@@ -96,7 +96,7 @@
 		{shard.Selector{Type: "t", Zone: "y"}, false},
 	} {
 		if c.s.Matches(machine) != c.matches {
-			t.Errorf("%v matches: %v", c.s, !c.matches)
+			t.Errorf("selector %v matches: %v", c.s, !c.matches)
 		}
 	}
 	for _, c := range []struct {
@@ -109,13 +109,12 @@
 		{shard.Selector{Type: "t", Zone: "z"}, shard.Selector{Type: "t", Kind: shard.SpotOnly}, true},
 	} {
 		if c.a.Overlaps(c.b) != c.overlaps || c.b.Overlaps(c.a) != c.overlaps {
-			t.Errorf("%v and %v overlap: %v", c.a, c.b, !c.overlaps)
+			t.Errorf("selectors %v and %v overlap: %v", c.a, c.b, !c.overlaps)
 		}
 	}
 }
 
-// A reader sees a snapshot as a whole, whatever is written meanwhile, and an older
-// record never replaces a later one.
+// A snapshot does not change when the table is written, and an older record never replaces a later one.
 func TestTableSnapshotsAreConsistent(t *testing.T) {
 	var table shard.Table
 	newEntry := func(name string, version uint64) shard.Entry {
@@ -134,28 +133,28 @@
 		return strings.Join(out, " ")
 	}
 	if names(before) != "a b" || names(table.Snapshot()) != "a c" {
-		t.Errorf("before: %s, now: %s", names(before), names(table.Snapshot()))
+		t.Errorf("snapshot before the writes: %s, after: %s", names(before), names(table.Snapshot()))
 	}
 	if entry, ok := table.Snapshot().Get("a"); !ok || entry.Version != 9 {
-		t.Errorf("version %d", entry.Version)
+		t.Errorf("shard a has version %d, want 9", entry.Version)
 	}
 	if entry, ok := table.Snapshot().ShardOf(shard.Attributes{Type: "c"}); !ok || entry.Name != "c" {
-		t.Errorf("%+v, %v", entry, ok)
+		t.Errorf("shard of type c: %+v, %v", entry, ok)
 	}
 }
 
-func TestKeysRoundTrip(t *testing.T) {
+func TestKeysRoundTripAndInvalidNamesAreRejected(t *testing.T) {
 	name, job, ok := shard.ParseAssignmentKey(shard.AssignmentKey("gpu-1", "j-12"))
 	if !ok || name != "gpu-1" || job != "j-12" {
-		t.Errorf("%s, %s, %v", name, job, ok)
+		t.Errorf("parsed assignment key: shard %s, job %s, %v", name, job, ok)
 	}
 	name, job, chunk, ok := shard.ParseAllocationKey(shard.AllocationKey("gpu-1", "j-12", 7))
 	if !ok || name != "gpu-1" || job != "j-12" || chunk != 7 {
-		t.Errorf("%s, %s, %d, %v", name, job, chunk, ok)
+		t.Errorf("parsed allocation key: shard %s, job %s, chunk %d, %v", name, job, chunk, ok)
 	}
 	for _, bad := range []string{"", "Up", "a b", "a/b", strings.Repeat("x", 41)} {
 		if shard.ValidName(bad) {
-			t.Errorf("%q is a valid name", bad)
+			t.Errorf("%q is accepted as a shard name", bad)
 		}
 	}
 }
--- a/internal/shard/ownership/ownership_test.go
+++ b/internal/shard/ownership/ownership_test.go
@@ -17,19 +17,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// fakeOwner is the loop of a shard that notes what it is told.
+// fakeOwner is an owner loop that records the calls of its methods.
 type fakeOwner struct {
-	self    shard.Controller
-	session *election.Term
-	stopped atomic.Bool
-	gone    atomic.Bool // the record was gone at the last look
+	self          shard.Controller
+	session       *election.Term
+	stopped       atomic.Bool
+	recordDeleted atomic.Bool // the record did not exist at the last call of Observe
 }
 
-func (o *fakeOwner) Observe(_ shard.Entry, exists bool) { o.gone.Store(!exists) }
+func (o *fakeOwner) Observe(_ shard.Entry, exists bool) { o.recordDeleted.Store(!exists) }
 func (o *fakeOwner) Stop()                              { o.stopped.Store(true) }
 func (o *fakeOwner) Stopped() bool                      { return o.stopped.Load() }
 
-// fakeHost is a controller that counts the loops that it starts.
+// fakeHost is a controller that counts the loops that it starts and the changes of the table.
 type fakeHost struct {
 	ready   atomic.Bool
 	started atomic.Int32
@@ -46,6 +46,7 @@
 	return &fakeOwner{self: self, session: session}
 }
 
+// testOwners are the Owners of controller n-1, with their host and store.
 type testOwners struct {
 	*ownership.Owners[*fakeOwner]
 	t     *testing.T
@@ -53,7 +54,7 @@
 	store *fake.Store
 }
 
-// runOwners runs the part of n-1 until the test ends.
+// runOwners runs the Owners of n-1 until the test ends.
 func runOwners(t *testing.T) *testOwners {
 	t.Helper()
 	test := &testOwners{t: t, host: &fakeHost{}, store: fake.NewStore()}
@@ -79,16 +80,16 @@
 	test.t.Helper()
 	for until := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			test.t.Fatalf("not in time: %s", what)
+			test.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// session waits for the session, and returns this incarnation.
+// session waits for the session of n-1, and returns its incarnation.
 func (test *testOwners) session() shard.Controller {
 	test.t.Helper()
 	var item wire.Item
-	test.waitUntil("the session is there", func() (ok bool) {
+	test.waitUntil("session of n-1", func() (ok bool) {
 		var err error
 		item, err = test.store.Get(test.t.Context(), store.Routine, shard.SessionKey("n-1"))
 		return err == nil
@@ -114,57 +115,57 @@
 func (test *testOwners) waitOwned() *fakeOwner {
 	test.t.Helper()
 	var owner *fakeOwner
-	test.waitUntil("the shard's loop runs", func() (ok bool) {
+	test.waitUntil("running loop of the shard", func() (ok bool) {
 		owner, ok = test.Owner("east")
 		return ok && !owner.Stopped()
 	})
 	return owner
 }
 
-// Without the machine types a shard could be given to a controller that answers none of its
-// machines.
-func TestSessionWaitsForTheMachineTypes(t *testing.T) {
+// With a session but without the machine types, a controller could be given a shard none of whose machines it answers.
+func TestSessionStartsOnlyOnceMachineTypesAreKnown(t *testing.T) {
 	test := runOwners(t)
-	test.waitUntil("the table was read", test.Table().HasRead)
+	test.waitUntil("first read of the table", test.Table().HasRead)
 	time.Sleep(2 * shard.ReadRetry.Duration())
 	if _, err := test.store.Get(t.Context(), store.Routine, shard.SessionKey("n-1")); err == nil {
-		t.Error("there is a session without machine types")
+		t.Error("the controller has a session although the machine types are not known")
 	}
 	test.host.ready.Store(true)
 	test.session()
 }
 
-func TestLoopOfAShardFollowsItsRecord(t *testing.T) {
+// Only a record that names this incarnation starts a loop, and the loop observes that the record is deleted.
+func TestOwnerLoopFollowsShardRecord(t *testing.T) {
 	test := runOwners(t)
 	test.host.ready.Store(true)
 	self := test.session()
 	test.assignShardTo(shard.Controller{Node: "n-1", SessionVersion: self.SessionVersion + 1})
-	test.waitUntil("the table is read", func() bool { return test.Table().Snapshot().Len() == 1 })
+	test.waitUntil("record in the table", func() bool { return test.Table().Snapshot().Len() == 1 })
 	if _, ok := test.Owner("east"); ok {
-		t.Error("the shard of another incarnation runs")
+		t.Error("the loop of another incarnation's shard runs")
 	}
 	test.assignShardTo(self)
 	owner := test.waitOwned()
 	if owner.self != self || test.host.started.Load() != 1 || test.host.changes.Load() == 0 {
-		t.Errorf("%d loops were started, as %v", test.host.started.Load(), owner.self)
+		t.Errorf("%d loops were started, the last one for %v", test.host.started.Load(), owner.self)
 	}
 	test.commit(wire.Change{Delete: shard.RecordKey("east")})
-	test.waitUntil("the loop is told that the record is gone", owner.gone.Load)
+	test.waitUntil("the loop observes that the record is deleted", owner.recordDeleted.Load)
 }
 
-// A loop that gives up by itself, as after a gap in the store's history, is begun anew.
-func TestLoopThatEndedByItselfIsStartedAgain(t *testing.T) {
+// A loop that stops by itself, for example after a gap in the store's history, must be started again.
+func TestOwnerLoopThatStoppedByItselfIsRestarted(t *testing.T) {
 	test := runOwners(t)
 	test.host.ready.Store(true)
 	test.assignShardTo(test.session())
 	first := test.waitOwned()
 	first.Stop()
 	if second := test.waitOwned(); second == first || test.host.started.Load() != 2 {
-		t.Errorf("%d loops were started", test.host.started.Load())
+		t.Errorf("%d loops were started, want a second one", test.host.started.Load())
 	}
 }
 
-func TestLoopsEndWithTheSession(t *testing.T) {
+func TestOwnerLoopsStopWhenSessionEnds(t *testing.T) {
 	test := runOwners(t)
 	test.host.ready.Store(true)
 	test.assignShardTo(test.session())
@@ -172,8 +173,8 @@
 	if err := test.store.Revoke(t.Context(), owner.session.Lease); err != nil {
 		t.Fatal(err)
 	}
-	test.waitUntil("the loop of the session that ended is stopped", owner.Stopped)
+	test.waitUntil("the loop of the ended session stops", owner.Stopped)
 	if _, ok := test.Owner("east"); ok {
-		t.Error("a shard of the session that ended is still owned")
+		t.Error("the shard is still owned after the session ended")
 	}
 }
--- a/internal/shard/previous_release_test.go
+++ b/internal/shard/previous_release_test.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// previousReleaseAssignment is the value of an assignment as the version before reads and writes it.
+// previousReleaseAssignment is the stored value of an assignment as the previous release reads and writes it.
 type previousReleaseAssignment struct {
 	Job            wire.Job `msgpack:"job"`
 	AssignedAt     int64    `msgpack:"at"`
@@ -15,9 +15,9 @@
 	StopRequested  bool     `msgpack:"stop"`
 }
 
-// A leader of the version before cancels a job that goes on in a shard: it writes the assignment
-// anew, and the owner finds neither the job nor that it is to be stopped.
-func TestAssignmentThatTheEarlierVersionRewritesKeepsItsJob(t *testing.T) {
+// A leader of the previous release that cancels a job which was handed over rewrites the assignment with only the
+// fields that it knows. The owner then found neither the job nor that it is to be stopped.
+func TestAssignmentRewrittenByPreviousReleaseKeepsItsJob(t *testing.T) {
 	assignment := shard.NewAssignment(wire.Job{ID: "j-1", Tasks: 4}, 7, 0)
 	var earlier previousReleaseAssignment
 	if err := wire.Unmarshal(wire.MustMarshal(assignment), &earlier); err != nil {
@@ -29,6 +29,6 @@
 		t.Fatal(err)
 	}
 	if read.Spec().Tasks < 1 {
-		t.Error("an owner takes it for an assignment that it does not understand: the cancelled job runs on")
+		t.Error("the rewritten assignment has no job: an owner ignores it, and the cancelled job keeps running")
 	}
 }
--- a/internal/shard/property_test.go
+++ b/internal/shard/property_test.go
@@ -18,13 +18,13 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A site of controllers, a leader, one shard with its machines, and the store, played
-// step by step with transactions that are refused, unanswered or carried out late. What
-// is checked is read on the store's and the machines' side.
+// Simulation of three controllers, a leader, one shard with its machines, and the store. It runs step by step, with
+// transactions that are refused, get no response or are executed late. The checks use the records in the store, the
+// responses and commands that machines got, and which owners may serve.
 
 const (
 	sessionTTL    = 4 * micro.Second
-	sessionMargin = 20 * micro.Millisecond // by which a right ends before its lease
+	sessionMargin = 20 * micro.Millisecond // by which a controller's lease ends before that in the store
 	shardName     = "s"
 )
 
@@ -33,7 +33,7 @@
 	controllers = []string{"n-0", "n-1", "n-2"}
 )
 
-// simulatedController is a controller as an owner.
+// simulatedController is a controller with a session, and perhaps the ownership of the shard.
 type simulatedController struct {
 	self                 shard.Controller
 	lease                uint64
@@ -41,18 +41,19 @@
 	sessionUntil         micro.Time
 	owner                *shard.Owner
 	token                uint64
-	allocations          map[string]string // machine of each task that the records name
-	uncertainAllocations []string          // tasks whose record has no answer
+	allocations          map[string]string // machine by key of the allocation record
+	uncertainAllocations []string          // keys of records whose write got no response
 
-	paused bool // it stands still, or reaches nothing: its session is not renewed
+	paused bool // the process is paused, or cannot reach the store: its session is not renewed
 }
 
-// sentResponse is an answer that a machine was given.
+// sentResponse is a response that a machine was given.
 type sentResponse struct {
-	firstToken uint64 // of the ownership under which it was given
+	firstToken uint64 // of the ownership under which the response was given
 	at         micro.Time
 }
 
+// simulation is the state of one simulated run.
 type simulation struct {
 	fail                func(format string, args ...any)
 	draw                func(options []string) string
@@ -60,16 +61,16 @@
 	store               *fake.Store
 	controllers         map[string]*simulatedController
 	machines            map[string]*fake.Agent
-	delayedTransactions []wire.Transaction // that the network holds back
+	delayedTransactions []wire.Transaction // transactions that have not reached the store yet
 	delayedCommands     []delayedCommand
 	responses           []sentResponse
-	machinesByTask      map[string]map[string]bool // task: machines that it is on
+	machinesByTask      map[string]map[string]bool // machines on which each task has run
 	allocatedTasks      int
-	ignoresLease        bool // owners answer without looking at their right: the checks must notice
+	ignoresLease        bool // owners respond without checking their lease: the checks must detect it
 	transfers           int
 }
 
-// delayedCommand is a dispatched command that arrives late.
+// delayedCommand holds commands that were dispatched to a machine, and that may arrive late.
 type delayedCommand struct {
 	machine  string
 	commands wire.Commands
@@ -103,7 +104,7 @@
 	return s.store.Commit(context.Background(), store.Urgent, txn)
 }
 
-// register begins a new incarnation, which ends the session of the one before.
+// register starts a new incarnation of a controller, which ends the session of the previous one.
 func (s *simulation) register(node string) {
 	if previous := s.controllers[node]; previous != nil {
 		_ = s.store.Revoke(context.Background(), previous.lease)
@@ -127,19 +128,18 @@
 	}
 }
 
-// renew renews a session if it is still there.
+// renew renews a controller's session, or registers a new incarnation if the session has expired.
 func (s *simulation) renew(controller *simulatedController) {
 	if s.store.Renew(context.Background(), controller.lease) != nil {
 		s.register(controller.self.Node)
 		return
 	}
-	// A term's end cannot be put off from outside: the right goes on as a new one of the
-	// same session, which the owner holds from here on.
+	// The lease of the session's term, which the owner checks, is extended with the session.
 	controller.sessionUntil = s.now + sessionTTL - sessionMargin
 	controller.session.Extend(controller.sessionUntil)
 }
 
-// entry reads the shard's record.
+// entry returns the shard's record as stored.
 func (s *simulation) entry() shard.Entry {
 	all, err := readShards(context.Background(), s.store)
 	if err != nil || len(all) != 1 {
@@ -148,7 +148,7 @@
 	return all[0]
 }
 
-// refresh lets a controller read the record.
+// refresh has a controller read the shard's record, and update its ownership.
 func (s *simulation) refresh(controller *simulatedController) {
 	entry := s.entry()
 	if controller.owner != nil {
@@ -164,7 +164,7 @@
 	}
 }
 
-// allocations reads which machine each task was placed on.
+// allocations returns the machine in each stored allocation record, by key.
 func (s *simulation) allocations() map[string]string {
 	page, err := s.store.Range(context.Background(), store.Routine, shard.AllocationPrefixFor(shardName), "", 1000)
 	if err != nil {
@@ -183,7 +183,7 @@
 
 var outcomes = []string{"answered", "answered", "unanswered", "late", "refused"}
 
-// send sends a transaction, with one of the fates that the protocol knows.
+// send sends a transaction that has one of the outcomes.
 func (s *simulation) send(txn wire.Transaction, outcome string) (uint64, error) {
 	switch outcome {
 	case "answered":
@@ -198,7 +198,7 @@
 	return 0, store.ErrUncertain
 }
 
-// mayRespond reports whether a controller may answer now, as its owner sees it.
+// mayRespond reports whether a controller responds to machines now. With ignoresLease, any owner does.
 func (s *simulation) mayRespond(controller *simulatedController) bool {
 	if controller.owner == nil {
 		return false
@@ -206,7 +206,7 @@
 	return s.ignoresLease || controller.owner.MayServe(s.now)
 }
 
-// respond lets a controller answer a machine's heartbeat.
+// respond has a controller respond to a machine's heartbeat. No owner with later tokens may have responded before.
 func (s *simulation) respond(controller *simulatedController, machine *fake.Agent) {
 	if !s.mayRespond(controller) {
 		return
@@ -215,13 +215,13 @@
 	s.responses = append(s.responses, sentResponse{first, s.now})
 	for _, other := range s.responses {
 		if other.firstToken > first && other.at < s.now {
-			s.fail("%s answered under token %d after another owner did under %d", controller.self.Node, first, other.firstToken)
+			s.fail("%s responded with token %d after another owner did with %d", controller.self.Node, first, other.firstToken)
 		}
 	}
 	machine.HandleResponse(wire.Commands{FencingToken: wire.Count(controller.token)}, s.now)
 }
 
-// allocate lets a controller place a task: the record first, then the start.
+// allocate has a controller allocate a task: it writes the record first, then sends the start command.
 func (s *simulation) allocate(controller *simulatedController, machine string, outcome string, delivery string) {
 	if !s.mayRespond(controller) || !controller.owner.MayAllocate() {
 		return
@@ -255,7 +255,7 @@
 	s.deliverCommand(delayedCommand{machine, command})
 }
 
-// deliverCommand brings a dispatched command to its machine, and looks at what runs there.
+// deliverCommand delivers commands to their machine, and checks that no task runs on two machines.
 func (s *simulation) deliverCommand(command delayedCommand) {
 	machine := s.machines[command.machine]
 	machine.HandleDispatch(command.commands)
@@ -270,7 +270,7 @@
 	}
 }
 
-// transfer lets an owner that is to move transfer.
+// transfer has an owner transfer the shard, if a move is requested.
 func (s *simulation) transfer(controller *simulatedController, outcome string) {
 	if controller.owner == nil || len(controller.uncertainAllocations) > 0 || !s.mayRespond(controller) {
 		return
@@ -286,7 +286,7 @@
 	}
 }
 
-// resolveUncertain lets an owner in doubt resolve it.
+// resolveUncertain has an owner resolve an uncertain transfer.
 func (s *simulation) resolveUncertain(controller *simulatedController, outcome string) {
 	s.refresh(controller)
 	if controller.owner == nil {
@@ -297,8 +297,8 @@
 	}
 }
 
-// verifyAllocations lets a controller read what came of its uncertain placements. One that is not
-// there is written off only under a record that has changed since.
+// verifyAllocations has a controller read the results of its uncertain allocations. It drops one that is not stored
+// only if the shard's record has changed since.
 func (s *simulation) verifyAllocations(controller *simulatedController) {
 	if controller.owner == nil {
 		return
@@ -314,12 +314,12 @@
 	}
 	controller.uncertainAllocations = unresolved
 	if len(unresolved) > 0 && controller.owner.State() == shard.Draining {
-		// The move has changed the record: what was sent before fails for good.
+		// The move has changed the record: writes that were sent before fail permanently.
 		controller.uncertainAllocations = nil
 	}
 }
 
-// sessions reads who has a session.
+// sessions returns the controllers that have a session.
 func (s *simulation) sessions() shard.Sessions {
 	out, err := readSessions(context.Background(), s.store)
 	if err != nil {
@@ -328,7 +328,7 @@
 	return out
 }
 
-// leaderAction lets the leader begin or cancel a move, or take a shard from an owner that is gone.
+// leaderAction has the leader request or cancel a move, or reassign the shard if its owner has lost its session.
 func (s *simulation) leaderAction(action, target, outcome string) {
 	entry, sessions := s.entry(), s.sessions()
 	if entry.OwnerSessionLost(sessions) {
@@ -352,7 +352,7 @@
 	}
 }
 
-// checkInvariants looks at what must hold at each moment.
+// checkInvariants checks that the record names an owner, and that at most one controller may serve the shard.
 func (s *simulation) checkInvariants() {
 	entry := s.entry()
 	if entry.Record.Owner.Node == "" {
@@ -365,11 +365,11 @@
 		}
 	}
 	if len(serving) > 1 {
-		s.fail("%v may all act", serving)
+		s.fail("%v may all serve the shard", serving)
 	}
 }
 
-// step draws what happens next.
+// step draws and executes the next event.
 func (s *simulation) step() {
 	controller := s.drawController()
 	machine := s.draw([]string{"i-1", "i-2"})
@@ -416,7 +416,7 @@
 	s.checkInvariants()
 }
 
-// drawController draws a controller, the owner more often than others.
+// drawController draws a controller, more often the owner than another.
 func (s *simulation) drawController() *simulatedController {
 	if controller := s.controllers[s.entry().Record.Owner.Node]; controller != nil &&
 		s.draw([]string{"owner", "any"}) == "owner" {
@@ -425,7 +425,7 @@
 	return s.controllers[s.draw(controllers)]
 }
 
-// advance lets time go on: who is not frozen renews its session.
+// advance advances the time. All controllers that are not paused renew their sessions.
 func (s *simulation) advance(d micro.Time) {
 	s.now += d
 	for _, node := range controllers {
@@ -435,7 +435,7 @@
 	}
 }
 
-// run plays so many steps, and tells how often the shard was transferred.
+// run executes the given number of steps, and returns how often the shard was transferred.
 func (s *simulation) run(steps int) int {
 	for range steps {
 		s.step()
@@ -443,8 +443,8 @@
 	return s.transfers
 }
 
-// Whatever is late, lost or repeated, and whoever ends: at most one controller may act
-// for a shard, exactly one is named, and no task runs twice.
+// Whichever messages are late, lost or repeated, and whichever controllers restart: at most one controller may serve
+// the shard, its record names exactly one owner, and no task runs on two machines.
 func TestNoShardHasTwoOwnersUnderDelayAndLoss(t *testing.T) {
 	moves := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -453,13 +453,13 @@
 	})
 	t.Logf("%d moves", moves)
 	if moves == 0 {
-		t.Error("no share ever moved")
+		t.Error("no shard was transferred in any run")
 	}
 }
 
-// A transfer had no answer and was carried out, and the shard came back before its
-// first owner read the record again.
-func TestShardThatReturnsIsANewOwnership(t *testing.T) {
+// A transfer got no response but was executed, and the shard was moved back before its first owner read the record
+// again. That owner must start a new ownership with higher fencing tokens.
+func TestShardMovedBackStartsANewOwnership(t *testing.T) {
 	draw := func(options []string) string { return options[0] }
 	sim := newSimulation(t.Fatalf, draw)
 	first, second := sim.controllers["n-0"], sim.controllers["n-1"]
@@ -475,12 +475,12 @@
 	sim.advance(micro.Second)
 	sim.refresh(first)
 	if first.owner == nil || first.owner.FirstFencingToken() <= second.owner.FirstFencingToken() {
-		t.Fatal("no new ownership with higher tokens")
+		t.Fatal("the shard was moved back without a new ownership with higher tokens")
 	}
 	sim.respond(first, sim.machines["i-1"])
 }
 
-// The checks notice owners that answer without looking at their right.
+// The checks must detect owners that respond without checking their lease.
 func TestOwnersIgnoringTheirLeaseAreDetected(t *testing.T) {
 	const runs = 100
 	detected := 0
@@ -488,13 +488,13 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		detected += runIgnoringLease(func(options []string) string { return options[random.IntN(len(options))] })
 	}
-	t.Logf("noticed on %d of %d days", detected, runs)
+	t.Logf("detected in %d of %d runs", detected, runs)
 	if detected == 0 {
-		t.Error("none was noticed")
+		t.Error("no owner that ignores its lease was detected")
 	}
 }
 
-// runIgnoringLease plays a day of careless owners, and counts it if the checks notice.
+// runIgnoringLease runs a simulation in which owners ignore their lease. It returns 1 if the checks detect this, or 0.
 func runIgnoringLease(draw func([]string) string) (detected int) {
 	defer func() {
 		if recover() != nil {
--- a/internal/shard/update/update_test.go
+++ b/internal/shard/update/update_test.go
@@ -9,7 +9,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// noEffects is a cluster's effects where none matters.
+// noEffects implements the effects of a cluster by doing nothing.
 type noEffects struct{ cluster.Effects }
 
 func (noEffects) ChunkDirty(*cluster.TaskChunk) {}
@@ -19,7 +19,7 @@
 
 const now = micro.Minute
 
-// newTwoZoneCluster is a shard with one empty machine in each of two zones.
+// newTwoZoneCluster returns the state of a shard with one empty machine in each of two zones.
 func newTwoZoneCluster() *cluster.State {
 	state := cluster.New(noEffects{})
 	state.SetCatalog(&wire.Catalog{
@@ -33,20 +33,20 @@
 	return state
 }
 
-// Machines that a job waiting in the shard could use are not free for others; the rest are.
-func TestFreeCapacityLeavesOutWhatJobsOfTheShardCouldUse(t *testing.T) {
+// Machines that a waiting job of the shard could use are not reported as free capacity, and all others are.
+func TestFreeCapacityLeavesOutMachinesUsableByWaitingJobs(t *testing.T) {
 	zone := "b"
 	for name, row := range map[string]struct {
 		waiting        *wire.Job
 		maxAllocations int
 		want           []string // zones with free machines
 	}{
-		"nothing waits":              {want: []string{"a", "b"}},
-		"for any zone":               {waiting: &wire.Job{CPUs: 4}},
-		"for another zone":           {waiting: &wire.Job{CPUs: 4, Zone: &zone}, want: []string{"a"}},
-		"for a larger type":          {waiting: &wire.Job{CPUs: 17}, want: []string{"a", "b"}},
-		"beyond its part of a quota": {waiting: &wire.Job{CPUs: 4}, maxAllocations: 1, want: []string{"a", "b"}},
-		"within its part of a quota": {waiting: &wire.Job{CPUs: 4}, maxAllocations: 2},
+		"no job waits":                         {want: []string{"a", "b"}},
+		"job waits for any zone":               {waiting: &wire.Job{CPUs: 4}},
+		"job waits for one zone":               {waiting: &wire.Job{CPUs: 4, Zone: &zone}, want: []string{"a"}},
+		"job waits for a larger type":          {waiting: &wire.Job{CPUs: 17}, want: []string{"a", "b"}},
+		"job waits with its quota used up":     {waiting: &wire.Job{CPUs: 4}, maxAllocations: 1, want: []string{"a", "b"}},
+		"job waits within its part of a quota": {waiting: &wire.Job{CPUs: 4}, maxAllocations: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := newTwoZoneCluster()
@@ -54,20 +54,20 @@
 				addJobArray(state, *row.waiting, row.maxAllocations)
 			}
 			if got := freeZones(state); !slices.Equal(got, row.want) {
-				t.Errorf("machines are free in zones %v, want %v", got, row.want)
+				t.Errorf("free machines in zones %v, want %v", got, row.want)
 			}
 		})
 	}
 }
 
-// addJobArray adds an array of three tasks, one of which runs; it may have so many allocations at once.
+// addJobArray adds a job array of three tasks, one of which runs, that may have maxAllocations allocations at once.
 func addJobArray(state *cluster.State, spec wire.Job, maxAllocations int) {
 	spec.ID, spec.Kind, spec.Tasks = "j-1", wire.JobArray, 3
 	job := state.AddJob(spec, 0, 0)
 	job.MaxAllocations, job.AllocationCount = maxAllocations, 1
 }
 
-// freeZones lists the zones of the free machines, one for each.
+// freeZones returns the zone of each free machine.
 func freeZones(state *cluster.State) []string {
 	var zones []string
 	for _, free := range FreeCapacity(state, now) {
--- a/internal/shard/waiting_job.go
+++ b/internal/shard/waiting_job.go
@@ -6,7 +6,7 @@
 	Team           string   `msgpack:"team" json:"team"`
 	Tasks          int      `msgpack:"tasks" json:"tasks"`                            // number of waiting tasks
 	WaitingS       int      `msgpack:"waitingS" json:"waitingS"`                      // how long it has waited, in seconds
-	ServedBy       []string `msgpack:"by,omitempty" json:"servedBy,omitempty"`        // owners that may serve it
+	ServedBy       []string `msgpack:"by,omitempty" json:"servedBy,omitempty"`        // eligible owners
 	UnservedReason string   `msgpack:"why,omitempty" json:"unservedReason,omitempty"` // why no owner may serve it
 }
 
--- a/internal/shard/waiting_job_test.go
+++ b/internal/shard/waiting_job_test.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// detailedReplyBytes are those of the reply to a command, as a map of one key more.
+// detailedReplyBytes is the encoding of a command reply, as a map with one more key.
 const detailedReplyBytes = "83a772656675736564bb746865207368617265206973206d6f76696e6720616c7265616479a6736861726573918aa46e616d65a4677075" +
 	"73a67265636f726487a57374617465a66d6f76696e67a56f776e657282a46e6f6465a36e2d31a773657373696f6ecd012da67461726765" +
 	"7482a46e6f6465a36e2d32a773657373696f6ecd012ea673656c65637483a474797065a3677075a47a6f6e65a465617374a46b696e64a4" +
@@ -16,8 +16,8 @@
 	"6e6f7465a768656c64207570ab77616974696e674a6f62739186a36a6f62a36a2d36a47465616da6766973696f6ea57461736b7302a877" +
 	"616974696e675328a2627991aa73686172642067707573a3776879a573706c6974"
 
-// Nodes and command lines of two builds run side by side.
-func TestDetailedReplyKeepsItsBytesAndThoseOfAReplyToACommand(t *testing.T) {
+// Nodes and command lines of two releases run side by side: each must decode the other's replies.
+func TestDetailedReplyEncodingIsStableAndExtendsCommandReply(t *testing.T) {
 	detailed := DetailedReply{
 		CommandReply{RefusalReason: "the share is moving already", Shards: []Status{goldenStatus()}},
 		[]WaitingJob{{"j-6", "vision", 2, 40, []string{"shard gpus"}, "split"}},
@@ -27,10 +27,10 @@
 	}
 	plain := wire.MustMarshal(detailed.CommandReply)
 	if got := wire.MustMarshal(DetailedReply{CommandReply: detailed.CommandReply}); string(got) != string(plain) {
-		t.Errorf("without waiting jobs written as %x, want %x", got, plain)
+		t.Errorf("reply without waiting jobs is encoded as %x, want %x", got, plain)
 	}
-	var older CommandReply
-	if err := wire.Unmarshal(wire.MustMarshal(detailed), &older); err != nil || len(older.Shards) != 1 {
-		t.Errorf("%+v, %v", older, err)
+	var decoded CommandReply
+	if err := wire.Unmarshal(wire.MustMarshal(detailed), &decoded); err != nil || len(decoded.Shards) != 1 {
+		t.Errorf("detailed reply is decoded as command reply %+v, error %v, want one shard", decoded, err)
 	}
 }
