--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -18,8 +18,8 @@
 	MaxAllocations int      `msgpack:"tasks" json:"tasks"` // limit of allocations at once; never decreases
 	StopRequested  bool     `msgpack:"stop" json:"stop"`   // the job is being cancelled: its tasks are to be stopped
 
-	// Continued is how the previous release stored a job that had allocations before it was assigned; Job is
-	// empty then. It is still read, but no new assignment sets it.
+	// Continued is how the previous release stored a started job, which had allocations before it was assigned; Job
+	// is empty then. It is still read, but no new assignment sets it.
 	Continued *ContinuedJob `msgpack:"continued,omitempty" json:"continued,omitempty"`
 	// RecallRequested is set once the leader recalls the job, and is never cleared: no owner that has read it
 	// allocates any of the job's tasks.
--- a/internal/shard/sessions.go
+++ b/internal/shard/sessions.go
@@ -6,10 +6,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// HandoverFeature is announced by a controller that can resume jobs which had allocations before, and that releases
-// them when they are recalled. The announcement is in the controller's session and also in a record that remains
-// while the controller has no session. Such a job is handed over only while every controller of the settings
-// announces the feature.
+// HandoverFeature is announced by a controller that can resume started jobs, which had allocations before, and that
+// releases them when they are recalled. The announcement is in the controller's session and also in a record that
+// remains while the controller has no session. A started job is handed over only while every controller of the
+// settings announces the feature.
 const HandoverFeature = "continue"
 
 // Announcement lists the features that a controller announced with its last session.
