--- a/internal/shard/coordinator/admin.go
+++ b/internal/shard/coordinator/admin.go
@@ -8,7 +8,8 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// RunCommand carries out an operator's command, within a time. Any goroutine may call it.
+// RunCommand executes an operator's command and waits for its result for at most timeout. The reply
+// has a RefusalReason if the command was not executed. It may be called from any goroutine.
 func (c *Coordinator) RunCommand(command *shard.Command, timeout micro.Time) shard.DetailedReply {
 	reply, ok := eventloop.Call(
 		c.Loop, eventloop.Events, timeout,
@@ -16,14 +17,16 @@
 			return adminCommandReceived{c, command, reply}
 		},
 	)
-	// The lease may have lapsed meanwhile: then nothing may be said.
+	// The lease may have expired while the command ran: the result is then not authoritative.
 	if !ok || !c.Host.HoldsLease() {
-		refusal := shard.CommandReply{RefusalReason: "the leader does not act now: try again"}
+		refusal := shard.CommandReply{RefusalReason: "the leader did not answer in time or lost its lease: try again"}
 		return shard.DetailedReply{CommandReply: refusal}
 	}
 	return reply
 }
 
+// executeCommand executes an operator's command. It calls reply once, for a command that changes a
+// record after the write has finished.
 func (c *Coordinator) executeCommand(command *shard.Command, reply func(shard.CommandReply)) {
 	if command.Operation == shard.OperationList {
 		reply(shard.CommandReply{Shards: c.shardStatuses("")})
@@ -56,15 +59,16 @@
 	}
 }
 
-// changeByCommand changes a shard's record for an operator, who is told once it is stored.
+// changeByCommand changes a shard's record on behalf of an operator, and responds once the change is
+// stored, has failed or is refused.
 func (c *Coordinator) changeByCommand(entry shard.Entry, change recordChange, respond func(refused string)) {
 	if c.commitsInFlight[entry.Name] {
 		respond("another change of the share is under way: try again")
 		return
 	}
-	err := c.changeShardThen(entry, "an operator's command", change, func(err error) {
+	err := c.changeShardThen(entry, "operator command", change, func(err error) {
 		if err != nil {
-			respond(fmt.Sprintf("not stored (%v): try again", err))
+			respond(fmt.Sprintf("write share record failed (%v): try again", err))
 			return
 		}
 		respond("")
@@ -74,7 +78,7 @@
 	}
 }
 
-// shardStatuses tells of one shard, or of all.
+// shardStatuses returns the status of the shard named only, or of all shards if only is empty.
 func (c *Coordinator) shardStatuses(only string) []shard.Status {
 	jobs := map[string]int{}
 	for _, assigned := range c.assignedJobs {
@@ -104,7 +108,7 @@
 	return status
 }
 
-// blockedReason says what holds a shard's next change up.
+// blockedReason describes what the next change of a shard waits for; "" if no change is pending.
 func (c *Coordinator) blockedReason(entry shard.Entry, status *shard.Status) string {
 	switch {
 	case entry.Record.State == shard.Forming && !c.allRegistered():
@@ -114,11 +118,11 @@
 	case entry.Record.State == shard.Forming:
 		return fmt.Sprintf("waits for %d tasks on its machines to end", c.allocationsIn(entry))
 	case status.OwnerSessionLost:
-		return "its owner has lost its session: another gets it"
+		return "its owner has lost its session: it will be reassigned"
 	case entry.Record.State == shard.Moving:
-		return "waits for its owner to settle what it wrote, and to hand over"
+		return "waits for its owner to complete outstanding writes and to transfer it"
 	case entry.Record.State == shard.Released:
-		return "the leader takes its work back"
+		return "the leader is reclaiming its jobs and machines"
 	}
 	return ""
 }
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	// assignDelay is how long a job waits for capacity among the leader's own machines
-	// before it goes to a shard, and partialAssignDelay before an array or a service goes
-	// to one that has capacity for a part of it.
+	// assignDelay is how long a job waits for capacity on the leader's own machines before it may
+	// be assigned to a shard. After partialAssignDelay an array or a service may be assigned to a
+	// shard that has capacity for some of its tasks only.
 	assignDelay        = micro.Second
 	partialAssignDelay = 15 * micro.Second
-	// minReassignInterval is how long a job that came back from a shard stays with the leader:
-	// it must not go to and fro between two sides neither of which serves it.
+	// minReassignInterval is how long a job that returned from a shard stays with the leader, so
+	// that it does not alternate between two owners that cannot run it.
 	minReassignInterval = 30 * micro.Second
-	// maxAssignmentsPerRound is how many jobs are assigned in one round.
+	// maxAssignmentsPerRound limits the jobs assigned by one call of assignJobs.
 	maxAssignmentsPerRound = 24
 )
 
-// assignedJob is a job that was assigned to a shard.
+// assignedJob is the leader's state of a job that is assigned to a shard.
 type assignedJob struct {
 	job          *cluster.Job
 	shardName    string
 	assignment   shard.Assignment
 	storeRecord  *statestore.Record
-	stored       bool     // the record is in the store
-	cancelling   bool     // its cancellation is under way
-	endRequested bool     // the end of the cancellation is being written
-	fencedZones  []string // where tasks may still run, after its user was told
+	stored       bool     // the assignment record was stored
+	cancelling   bool     // the job is being cancelled
+	endRequested bool     // the end of the cancelled job is being written, or is stored
+	fencedZones  []string // zones where tasks may still run after the cancellation was confirmed
 
-	recordsCopied bool // the owner's records hold all that the leader's do, and those are to be deleted
+	recordsCopied bool // the owner has copied all of the leader's records, which are to be deleted
 
-	createdUnder uint64  // latest version of the shard's record under which the creation was tried
-	deletionRequested      bool    // its shard is taken back, and the record is to be deleted
-	recall       *recall // nil: it was not recalled, or its owner has not released it yet
+	createdUnder      uint64  // latest version of the shard's record that a creating write was conditional on
+	deletionRequested bool    // the shard was reclaimed, and the deletion of the assignment was requested
+	recall            *recall // nil unless the job was recalled and its owner has released it
 
-	handedBack     bool   // its owner deleted the record though the job is not over
-	fenceVersion   uint64 // the shard's record must have a later version before it is the leader's again
-	lookupInFlight bool   // whether the record is really gone is being looked up
+	handedBack     bool   // the owner deleted the assignment before the job had ended
+	fenceVersion   uint64 // the job is the leader's only once the shard's record has a later version than this
+	lookupInFlight bool   // a read that verifies the deletion of the assignment is in flight
 }
 
-// assignJobs gives jobs that wait to shards that have capacity for them.
+// assignJobs assigns pending jobs to shards that have capacity for them.
 func (c *Coordinator) assignJobs(now micro.Time) {
-	open := c.shardsWithCapacity(now)
-	if len(open) == 0 {
+	shards := c.shardsWithCapacity(now)
+	if len(shards) == 0 {
 		return
 	}
 	remaining := maxAssignmentsPerRound
 	for _, job := range c.assignableJobs() {
-		for _, entry := range open {
+		for _, entry := range shards {
 			if remaining > 0 && c.assignToShard(entry, job, now) {
 				remaining--
 				break
@@ -64,11 +64,11 @@
 	}
 }
 
-// assignableJobs lists the jobs that may be assigned, in the order in which they get capacity.
+// assignableJobs lists the jobs that may be assigned, in scheduling order.
 func (c *Coordinator) assignableJobs() []*cluster.Job {
 	var jobs []*cluster.Job
 	for job := range c.Cluster.PendingJobs {
-		// One that was taken back with its shard is the leader's, and its former assignment still stored.
+		// A job of a reclaimed shard is pending at the leader while its former assignment is still stored.
 		if c.assignedJobs[job.Spec.ID] == nil && c.Cluster.MayChangeHands(job) {
 			jobs = append(jobs, job)
 		}
@@ -86,12 +86,13 @@
 	return jobs
 }
 
-// acceptsTeam reports whether a shard takes jobs of a team.
+// acceptsTeam reports whether a shard accepts jobs of a team.
 func acceptsTeam(entry shard.Entry, team string) bool {
 	return len(entry.Record.Teams) == 0 || slices.Contains(entry.Record.Teams, team)
 }
 
-// waitedLongEnough reports whether a job may be assigned to a shard by now, as far as its wait goes.
+// waitedLongEnough reports whether a job has waited long enough to be assigned to a shard. A job of a
+// team that the shard is reserved for need not wait for assignDelay.
 func waitedLongEnough(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
 	if job.UnassignedAt > 0 && now-job.UnassignedAt < minReassignInterval {
 		return false
@@ -99,7 +100,8 @@
 	return slices.Contains(entry.Record.Teams, job.Spec.Team) || job.UnallocatedFor(now) >= assignDelay
 }
 
-// assignToShard assigns a job to a shard if that has capacity for it.
+// assignToShard assigns a job to a shard if the shard accepts it and has capacity for it, and reports
+// whether it did. If changes of the job are unwritten, it has them written first and reports false.
 func (c *Coordinator) assignToShard(entry shard.Entry, job *cluster.Job, now micro.Time) bool {
 	if !acceptsTeam(entry, job.Spec.Team) || !waitedLongEnough(entry, job, now) {
 		return false
@@ -135,14 +137,16 @@
 	return true
 }
 
-// largestEncodedForm is an assignment as it may be stored once its job comes back.
+// largestEncodedForm returns the assignment in its largest stored form, that of a recalled job in
+// transfer, so that its size can be checked against the store's limit before the job is assigned.
 func largestEncodedForm(assignment shard.Assignment) shard.Assignment {
 	assignment = assignment.BeginTransfer()
 	assignment.RecallRequested = true
 	return assignment
 }
 
-// storeAssignment keeps the record of an assignment.
+// storeAssignment registers an assignment and its store record. The caller marks the record dirty, or
+// sets its version if it is already stored.
 func (c *Coordinator) storeAssignment(shardName string, job *cluster.Job, assignment shard.Assignment) *assignedJob {
 	assigned := &assignedJob{
 		job: job, shardName: shardName, assignment: assignment,
@@ -175,18 +179,19 @@
 	return assigned
 }
 
-// mayCreateAssignment reports whether an assignment to a shard may be created: a shard that is taken
-// back gets none any more. Created under the version of its released record, one stayed in the store
-// for good, of a job that was the leader's again.
+// mayCreateAssignment reports whether the record of an assignment to a shard may be created: not once
+// the shard is released. A creation that was conditional on the version of the released record left an
+// assignment in the store permanently, of a job that the leader owned again.
 func (c *Coordinator) mayCreateAssignment(shardName string) bool {
 	entry, ok := c.table().Get(shardName)
 	return ok && entry.OwnedElsewhere()
 }
 
-// assignmentPreconditions are further conditions of the write that creates an assignment. An
-// earlier try without an answer may be carried out late, after the owner has deleted the
-// record: with the condition on its key alone, a job whose user was told that it is
-// cancelled was assigned once more, and ran. Later writes carry their key's version.
+// assignmentPreconditions returns the additional preconditions of the write that creates an
+// assignment: the job has no stored end, and the shard's record is unchanged. An unanswered earlier
+// attempt may be executed late, after the owner has deleted the record. With the precondition on the
+// assignment's own key alone, a job whose cancellation had been confirmed to its user was assigned
+// again and ran. Later writes need no more than the version of the assignment's own key.
 func (c *Coordinator) assignmentPreconditions(assigned *assignedJob) []wire.Precondition {
 	if assigned.storeRecord.Version() > 0 {
 		return nil
@@ -199,24 +204,25 @@
 	return preconditions
 }
 
-// assignmentDeleted takes in that an owner has deleted the record of an assignment. It
-// does so once nothing of the job is left in the shard: after the job's end, or to hand
-// it back. A late write can create the record of the former no more; for the latter the
-// shard's record has to change first.
+// assignmentDeleted handles the deletion of an assignment by the shard's owner. The owner deletes an
+// assignment once nothing of the job is left in the shard: after the job has ended, or to hand the
+// job back. After the job's end a late write cannot create the record again; for a job that was
+// handed back the shard's record has to change first to prevent that.
 func (c *Coordinator) assignmentDeleted(assigned *assignedJob) {
 	if assigned.job.IsTerminal() {
 		c.dropAssignment(assigned)
 		return
 	}
 	if assigned.mayDeleteAssignment() {
-		return // by this leader, which goes on with the answer to that write
+		return // deleted by this leader, which continues when that write is answered
 	}
 	if entry, ok := c.table().Get(assigned.shardName); ok && !assigned.handedBack {
 		assigned.handedBack, assigned.fenceVersion = true, entry.Version
 	}
 }
 
-// dropAssignment makes a job the leader's own again, or lets go of one that is over.
+// dropAssignment removes an assignment whose record is deleted. A job that has not ended is the
+// leader's own again.
 func (c *Coordinator) dropAssignment(assigned *assignedJob) {
 	if c.assignedJobs[assigned.job.Spec.ID] != assigned {
 		return
@@ -225,13 +231,13 @@
 	c.Records.Drop(assigned.storeRecord)
 	assigned.storeRecord.ClearDirty()
 	c.Cluster.Unassign(assigned.job, c.Now())
-	c.Cluster.FinishJobRestore(assigned.job, c.Now()) // all of it may be done
+	c.Cluster.FinishJobRestore(assigned.job, c.Now()) // all of its tasks may be done
 	if assigned.cancelling && !assigned.endRequested && assigned.job.State == cluster.Aborting {
-		c.Host.CancellationPending(assigned.job) // nothing of it is anywhere: its user may be told
+		c.Host.CancellationPending(assigned.job) // it has no allocation left: its cancellation may be confirmed
 	}
 }
 
-// applyAssignmentDeletions takes in what owners did to assignments.
+// applyAssignmentDeletions applies store events that show which assignments owners have deleted.
 func (c *Coordinator) applyAssignmentDeletions(events wire.Events) {
 	for _, event := range events.Events {
 		if event.Delete == "" {
@@ -246,15 +252,17 @@
 	}
 }
 
-// deletedBy reports whether an event in the store deleted the record as it is known.
+// deletedBy reports whether a store event deleted the version of the assignment record that this
+// leader knows, or an assignment that it has not seen stored.
 func (assigned *assignedJob) deletedBy(event wire.Event) bool {
 	record := assigned.storeRecord
 	return record.Key == event.Delete && uint64(event.Version) > record.Version() &&
 		(assigned.stored || record.Version() > 0)
 }
 
-// adjustReservation fits what a job takes of its team's quota to what its tasks still need:
-// less as they end, and more, up to all of them, where the quota leaves capacity.
+// adjustReservation adjusts the quota reserved for an assigned job to the number of allocations that
+// its tasks still need. The reservation shrinks as tasks end, and grows up to that number as far as
+// the team's quota allows.
 func (c *Coordinator) adjustReservation(job *cluster.Job, needed int) {
 	assigned := c.assignedJobs[job.Spec.ID]
 	if needed < 0 || assigned == nil || assigned.cancelling {
@@ -262,7 +270,7 @@
 	}
 	c.Cluster.ReleaseQuota(job, needed)
 	if more := c.Cluster.ReserveQuota(job, needed-assigned.assignment.MaxAllocations); more > 0 {
-		assigned.assignment.MaxAllocations += more // counted first, and used only once it is stored
+		assigned.assignment.MaxAllocations += more // reserved now; the owner may use it once it is stored
 		assigned.storeRecord.MarkDirty(c.Now(), statestore.PriorityHigh)
 	}
 }
--- a/internal/shard/coordinator/cancellation.go
+++ b/internal/shard/coordinator/cancellation.go
@@ -9,8 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// BeginCancellation begins the cancellation of a job that was assigned. That its tasks are to
-// be stopped is stored first, for whoever owns the shard by then.
+// BeginCancellation begins the cancellation of an assigned job. The request to stop its tasks is
+// stored in the assignment first, so that any later owner of the shard reads it, too.
 func (c *Coordinator) BeginCancellation(job *cluster.Job) {
 	assigned := c.assignedJobs[job.Spec.ID]
 	if assigned == nil || assigned.cancelling {
@@ -22,9 +22,10 @@
 	assigned.storeRecord.MarkDirty(c.Now(), statestore.PriorityUrgent)
 }
 
-// cancellationProgress takes in that the owner starts no task of a cancelled job any more, and
-// tells those that run to stop. Whoever owns the shard later reads the same from the
-// store; so the user may be told once the tasks are gone, or surely will be in time.
+// cancellationProgress applies an owner's report that it starts no more tasks of a cancelled job and
+// is stopping the running ones. A later owner of the shard reads the same request from the store, so
+// the end of the job may be written, and its cancellation confirmed to the user, once all its
+// allocations are released or certain to end in time.
 func (c *Coordinator) cancellationProgress(shardName string, stopping shard.StoppingJob, now micro.Time) {
 	assigned := c.assignedJobs[stopping.Job]
 	if assigned == nil || assigned.shardName != shardName || !assigned.cancelling {
@@ -39,15 +40,16 @@
 	assigned.endRequested = true
 	if stopping.UnreleasedAllocations > 0 {
 		assigned.fencedZones = stopping.Zones
-		c.Host.UpdateFencedZones() // lease proxies there must not keep the tasks alive any longer
+		c.Host.UpdateFencedZones() // lease proxies there must not renew leases, which would keep the tasks running
 	}
 	if assigned.job.State == cluster.Aborting {
 		c.Host.WriteJobEnd(assigned.job, wire.JobAborted)
 	}
 }
 
-// tasksEndInTime reports whether the tasks of a cancelled job in these zones end in time by
-// themselves, whatever lease proxies do from now on.
+// tasksEndInTime reports whether the leases of all tasks of a cancelled job in these zones expire
+// within the cancel timeout, regardless of what lease proxies do from now on. It is false if the
+// settings require proof that the tasks have terminated.
 func (c *Coordinator) tasksEndInTime(zones []string, now micro.Time) bool {
 	if c.Config.MustProveTermination() {
 		return false
@@ -61,8 +63,8 @@
 	return true
 }
 
-// AddFencedZones adds the zones where tasks of cancelled jobs may still run in shards. A nil
-// Coordinator adds none.
+// AddFencedZones adds to fenced the zones in which tasks of cancelled jobs may still run in shards. A
+// nil Coordinator adds none.
 func (c *Coordinator) AddFencedZones(fenced map[string]bool) {
 	if c == nil {
 		return
@@ -74,7 +76,7 @@
 	}
 }
 
-// resumeCancellations goes on with cancellations that the leader before had begun.
+// resumeCancellations resumes the cancellations of assigned jobs that an earlier leader began.
 func (c *Coordinator) resumeCancellations() {
 	for _, assigned := range c.assignedJobs {
 		if assigned.assignment.StopRequested && assigned.job.State == cluster.Assigned {
@@ -82,7 +84,7 @@
 			c.Cluster.BeginAbort(assigned.job)
 		}
 		if assigned.job.State == cluster.Aborted {
-			// Its user was told, and where its tasks run is not known yet.
+			// The cancellation was confirmed to the user, and the zones of its tasks are not known yet.
 			assigned.cancelling, assigned.endRequested, assigned.fencedZones = true, true, c.Config.Facts.Zones
 		}
 	}
--- a/internal/shard/coordinator/capacity.go
+++ b/internal/shard/coordinator/capacity.go
@@ -9,30 +9,30 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What is free in shards, as their owners told of late.
-
 const (
-	// maxCapacityAge is how old what an owner told of its free capacity may be.
+	// maxCapacityAge is how long an owner's report of free capacity is used.
 	maxCapacityAge = 3 * micro.Second
-	// capacityTolerance makes up for rounding where a machine takes a whole number of tasks.
+	// capacityTolerance compensates for rounding when a whole number of tasks fills a machine exactly.
 	capacityTolerance = 1e-9
 )
 
-// shardsWithCapacity lists the shards whose owners told of free capacity of late.
+// shardsWithCapacity lists the owned shards whose owner has reported free capacity within
+// maxCapacityAge.
 func (c *Coordinator) shardsWithCapacity(now micro.Time) []shard.Entry {
-	var open []shard.Entry
+	var entries []shard.Entry
 	c.table().Each(func(entry shard.Entry) bool {
 		view := c.viewOf(entry.Name)
 		recent := now-view.capacityAt < maxCapacityAge
 		if entry.Record.State == shard.Owned && recent && len(view.freeCapacity) > 0 {
-			open = append(open, entry)
+			entries = append(entries, entry)
 		}
 		return true
 	})
-	return open
+	return entries
 }
 
-// tasksThatFit is how many of a job's tasks fit the free capacity, by its rules on zones.
+// tasksThatFit returns how many of a job's tasks fit into the free capacity, subject to the job's
+// zone rules.
 func (c *Coordinator) tasksThatFit(capacity []shard.FreeCapacity, spec *wire.Job) int {
 	zones := map[string]int{}
 	for i := range capacity {
@@ -51,7 +51,7 @@
 	return sum
 }
 
-// tasksPerMachine is how many of a job's tasks one machine with so much free capacity takes.
+// tasksPerMachine returns how many of a job's tasks fit on one machine with this free capacity.
 func (c *Coordinator) tasksPerMachine(capacity *shard.FreeCapacity, spec *wire.Job) int {
 	machineType := c.Cluster.Types[capacity.Type]
 	if machineType == nil || !scheduler.Allowed(spec, machineType, capacity.Zone, capacity.Spot) {
@@ -72,7 +72,7 @@
 	return count
 }
 
-// deductCapacity takes the capacity for so many tasks out of what is free.
+// deductCapacity removes whole machines for this number of a job's tasks from a shard's free capacity.
 func (c *Coordinator) deductCapacity(view *shardView, spec *wire.Job, tasks int) {
 	for i := range view.freeCapacity {
 		capacity := &view.freeCapacity[i]
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -1,9 +1,10 @@
-// Package coordinator is the leader's part in shards: it forms them, decides who owns which,
-// takes them from owners that are gone, and assigns jobs to them.
+// Package coordinator implements the leader's management of shards: it forms shards, chooses their
+// owners, reassigns shards whose owner has lost its session, and assigns jobs to shards.
 //
-// A Coordinator owns what the leader knows of shards beside their records: the controllers'
-// sessions, what owners tell of their shards, and the assignments. The goroutine of the
-// leader's loop owns that state; only methods that say so may be called from others.
+// A Coordinator holds the state that the leader keeps about shards in addition to the shard
+// records: controller sessions, the latest status of each shard as reported by its owner, and job
+// assignments. That state belongs to the goroutine of the leader's event loop; methods may be
+// called from other goroutines only where their documentation says so.
 package coordinator
 
 import (
@@ -25,44 +26,47 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Host is what a Coordinator needs of the leader's other parts. Only the loop's goroutine
-// calls it, but for HoldsLease and Resign, which any goroutine may.
+// Host provides the parts of the leader that a Coordinator depends on. Its methods are called
+// from the event loop's goroutine only, except HoldsLease and Resign, which may be called from
+// any goroutine.
 type Host interface {
-	// HoldsLease reports whether the leader may answer and send commands.
+	// HoldsLease reports whether the leader holds its lease, and so may answer requests and
+	// send commands.
 	HoldsLease() bool
-	// Resign ends the term.
+	// Resign ends the leader's term.
 	Resign(reason string)
-	// MaxValueBytes is what a value in the store may take.
+	// MaxValueBytes returns the maximum size of a value in the state store, in bytes.
 	MaxValueBytes() int
-	// RaiseFencingToken raises the fencing token to at least this one.
+	// RaiseFencingToken raises the leader's fencing token to atLeast if it is lower.
 	RaiseFencingToken(atLeast uint64)
-	// Terminate marks a machine to be terminated.
+	// Terminate marks a machine for termination.
 	Terminate(machine *cluster.Machine, reason string)
 	// WriteJobEnd writes the final state of a job.
 	WriteJobEnd(job *cluster.Job, state wire.JobState)
-	// MarkChunkDirty has the record of a chunk of tasks written.
+	// MarkChunkDirty schedules a write of a task chunk's record.
 	MarkChunkDirty(chunk *cluster.TaskChunk, now micro.Time, priority statestore.Priority)
-	// ChunkRevision is the version of the key of a chunk's record; false if something of it is
-	// still to be written, or uncertain.
+	// ChunkRevision returns the version of the key of a chunk's record; persisted is false while a
+	// change of the chunk is unwritten or the result of a write is unknown.
 	ChunkRevision(chunk *cluster.TaskChunk) (revision uint64, persisted bool)
-	// JobRevision is the latest version of the keys of all of a job's chunks, 0 if there are none;
-	// false if something of them is still to be written, or uncertain.
+	// JobRevision returns the latest version of the keys of a job's chunks, 0 if there are none;
+	// persisted is false while a change of any chunk is unwritten or the result of a write is unknown.
 	JobRevision(job *cluster.Job) (revision uint64, persisted bool)
-	// PersistJob has what is still to be written of a job's chunks written soon.
+	// PersistJob schedules an early write of all unwritten changes of a job's chunks.
 	PersistJob(job *cluster.Job)
-	// DeleteHandedOver has the records of a job's chunks deleted, and reports whether none is left.
-	DeleteHandedOver(job *cluster.Job) (gone bool)
-	// CancellationPending notes that the end of a cancelled job is to be written once its
-	// user may be told.
+	// DeleteHandedOver schedules the deletion of the records of a job's chunks, and reports whether
+	// all of them are deleted.
+	DeleteHandedOver(job *cluster.Job) (deleted bool)
+	// CancellationPending registers a cancelled job whose end is to be written as soon as its
+	// cancellation may be confirmed to the user.
 	CancellationPending(job *cluster.Job)
-	// CancellationUnconfirmed notes that the user of a cancelled job was told, and that
-	// allocations of it are not proven released.
+	// CancellationUnconfirmed registers a job whose cancellation was confirmed to the user while
+	// some of its allocations are not yet proven released.
 	CancellationUnconfirmed(job *cluster.Job)
-	// UpdateFencedZones notes anew in which zones leases must not be renewed by proxy.
+	// UpdateFencedZones recomputes the zones in which lease proxies must not renew leases.
 	UpdateFencedZones()
 }
 
-// Dependencies are what a Coordinator works on.
+// Dependencies holds the components and settings that a Coordinator is constructed with.
 type Dependencies struct {
 	Host         Host
 	Config       *config.Config
@@ -78,65 +82,65 @@
 	Log          *slog.Logger
 }
 
-// Coordinator is the leader's part in shards, for one term. It acts on what the store
-// holds: each of its transactions carries the version that it looked at, so a late or
-// repeated one does nothing.
+// Coordinator manages shards and their jobs for one term of the leader. It acts on the content of
+// the store: each of its transactions is conditional on the record version that the decision was
+// based on, so a transaction that is executed late or twice has no effect.
 //
-// A nil Coordinator is that of a controller without shards: the methods that say so do
-// nothing then.
+// A controller without the shard feature has a nil Coordinator: methods that document it do nothing
+// on a nil receiver.
 type Coordinator struct {
 	Dependencies
 
-	recovered       bool // the leader has read all that the store holds
-	views           map[string]*shardView
-	sessions        sessionView
-	policies        policyView
-	commitsInFlight map[string]bool           // shards with a transaction under way
-	assignedJobs    map[string]*assignedJob   // by job
-	reclaims        map[string]*reclaim       // shards that are being taken back, by name
-	unstoredBeforeGrant        map[string]unstoredChunks // what is to be stored before a shard is given away, by its name
+	recovered           bool                  // the leader has restored its state from the store
+	views               map[string]*shardView // by shard name
+	sessions            sessionView
+	policies            policyView
+	commitsInFlight     map[string]bool           // by shard name; true while a transaction on its record is in flight
+	assignedJobs        map[string]*assignedJob   // by job ID
+	reclaims            map[string]*reclaim       // shards that the leader is reclaiming, by shard name
+	unstoredBeforeGrant map[string]unstoredChunks // chunks to be stored before a shard is granted, by shard name
 
-	zoneUnreachableAt map[string]micro.Time // when none of a zone's controllers was heard of last
+	zoneUnreachableAt map[string]micro.Time // latest time at which no controller of a zone was reachable, by zone
 	reconciledAt      micro.Time
-	marker            *statestore.Record // exists as long as any shard does
+	marker            *statestore.Record // its key exists while any shard exists
 }
 
-// sessionView is what is known of the controllers' sessions.
+// sessionView is the leader's view of the controllers' sessions.
 type sessionView struct {
 	current      shard.Sessions
-	continuing   map[string]bool // the nodes that announced shard.ContinueFeature with their last session
-	known        bool            // they were read in this term
+	continuing   map[string]bool // nodes that announced shard.ContinueFeature with their last session
+	known        bool            // whether the sessions have been read in this term
 	readInFlight bool
 	readAt       micro.Time
 }
 
-// shardView is what the leader knows of a shard beside its record.
+// shardView is the leader's view of a shard beyond its record.
 type shardView struct {
-	freeCapacity       []shard.FreeCapacity // free for jobs, less what was assigned since
-	capacityAt         micro.Time
-	assignedRevision   uint64 // revision of the last assignment that was stored
+	freeCapacity       []shard.FreeCapacity // reported by the owner, minus capacity assigned since
+	capacityAt         micro.Time           // time of that report
+	assignedRevision   uint64               // revision of the last stored assignment
 	machineCount       int
 	idleMachines       int
 	pendingTasks       int
-	unreachable        bool
-	ownership          uint64          // the change of owner that this is known of
-	loopStartedAt      int64           // when the owner's loop began, by its wall clock
-	readyMachines      map[string]bool // the machines that this loop said are up
-	allMachinesKnownAt micro.Time      // since when these are all that heartbeat to it; 0: not yet
-	unreachableMoves          int             // moves in a row because no agent reached the owner
-	unreachableMovedAt       micro.Time      // the last of them
+	unreachable        bool            // the owner reports that no agent reaches it
+	ownership          uint64          // shard.Record.OwnerChanges at the time of the last update
+	loopStartedAt      int64           // start of the owner's loop, in microseconds of the owner's wall clock
+	readyMachines      map[string]bool // machines reported up by that loop
+	allMachinesKnownAt micro.Time      // when readyMachines became complete; 0: not complete yet
+	unreachableMoves   int             // consecutive moves because no agent reached the owner
+	unreachableMovedAt micro.Time      // time of the last such move
 	demand             []shard.Demand
 }
 
-// New makes the leader's part in shards for a term that begins.
+// New returns the Coordinator for a new term of the leader.
 func New(dependencies Dependencies) *Coordinator {
 	c := &Coordinator{
-		Dependencies:    dependencies,
-		views:           map[string]*shardView{},
-		commitsInFlight: map[string]bool{},
-		assignedJobs:    map[string]*assignedJob{},
-		reclaims:        map[string]*reclaim{},
-		unstoredBeforeGrant:        map[string]unstoredChunks{},
+		Dependencies:        dependencies,
+		views:               map[string]*shardView{},
+		commitsInFlight:     map[string]bool{},
+		assignedJobs:        map[string]*assignedJob{},
+		reclaims:            map[string]*reclaim{},
+		unstoredBeforeGrant: map[string]unstoredChunks{},
 
 		zoneUnreachableAt: map[string]micro.Time{},
 	}
@@ -150,10 +154,11 @@
 	return c
 }
 
-// table is the shard table as it is now.
+// table returns a snapshot of the current shard table.
 func (c *Coordinator) table() shard.Snapshot { return c.Table.Snapshot() }
 
-// ShardDemands lists what waits for capacity in shards: their owners request no instances.
+// ShardDemands lists the tasks that wait for capacity in shards. The leader requests instances for
+// them, since shard owners do not.
 func (c *Coordinator) ShardDemands() []autoscaler.ShardDemand {
 	var demands []autoscaler.ShardDemand
 	c.table().Each(func(entry shard.Entry) bool {
@@ -179,7 +184,7 @@
 	return demands
 }
 
-// ShardCapacity lists what is free for jobs in shards, as far as their owners told of late.
+// ShardCapacity lists the free capacity of all shards whose owner reported it within maxCapacityAge.
 func (c *Coordinator) ShardCapacity() []autoscaler.ShardCapacity {
 	var capacities []autoscaler.ShardCapacity
 	for _, entry := range c.shardsWithCapacity(c.Now()) {
@@ -203,7 +208,8 @@
 	return view
 }
 
-// TableChanged takes in that the shard table has changed. A nil Coordinator does nothing.
+// TableChanged must be called after each change of the shard table. It drops the views of deleted
+// shards and updates the ownership of machines. It does nothing on a nil Coordinator or before recovery.
 func (c *Coordinator) TableChanged() {
 	if c == nil || !c.recovered {
 		return
@@ -216,13 +222,13 @@
 	c.Cluster.RefreshOwnership()
 }
 
-// How often the leader looks after the shards, and reads who has a session.
 const (
-	reconcileInterval   = 300 * micro.Millisecond
-	sessionReadInterval = micro.Second
+	reconcileInterval   = 300 * micro.Millisecond // minimum time between two reconciliations
+	sessionReadInterval = micro.Second            // minimum time between two reads of the sessions
 )
 
-// Reconcile looks after the shards; it is called with each tick. A nil Coordinator does nothing.
+// Reconcile advances all shards, handovers, recalls and assignments by one step. It is called on
+// each tick and acts at most once per reconcileInterval. It does nothing on a nil Coordinator.
 func (c *Coordinator) Reconcile(now micro.Time) {
 	if c == nil || now-c.reconciledAt < reconcileInterval {
 		return
@@ -247,11 +253,11 @@
 	c.assignJobs(now)
 }
 
-// maxSessions is how many controllers' sessions are read: one request holds them all.
+// maxSessions is the page size for reading sessions and announcements: one request returns all.
 const maxSessions = 1000
 
-// readSessions reads which controllers have a session, and what those that have none announced with
-// their last one.
+// readSessions reads the sessions of all controllers, and the announcements that controllers made
+// with their last session, which remain after the session has ended.
 func (c *Coordinator) readSessions(now micro.Time) {
 	if c.sessions.readInFlight || now-c.sessions.readAt < sessionReadInterval {
 		return
@@ -270,7 +276,7 @@
 	}()
 }
 
-// reconcileShard does what a shard's record calls for.
+// reconcileShard starts the next state transition of a shard, if one is due.
 func (c *Coordinator) reconcileShard(entry shard.Entry, now micro.Time) {
 	record := &entry.Record
 	targetGone := record.Target.Node != "" && !c.sessions.current.Has(record.Target)
@@ -282,10 +288,10 @@
 	case entry.OwnerSessionLost(c.sessions.current):
 		c.reassignShard(entry)
 	case record.State == shard.Moving && targetGone:
-		c.changeShard(entry, "move cancelled: its target is gone", record.CancelMove)
+		c.changeShard(entry, "move cancelled: the target has lost its session", record.CancelMove)
 	case c.Config.Shards.Dissolve && record.State == shard.Owned:
 		c.changeShard(
-			entry, "shard to be dissolved",
+			entry, "shards are to be dissolved",
 			func(wall int64) (shard.Record, error) { return record.Move(shard.Controller{}, wall) },
 		)
 	case record.State == shard.Owned && c.viewOf(entry.Name).unreachable:
@@ -293,7 +299,7 @@
 	}
 }
 
-// reassignShard gives a shard whose owner has lost its session to another controller.
+// reassignShard assigns a shard whose owner has lost its session to another controller.
 func (c *Coordinator) reassignShard(entry shard.Entry) {
 	successor, ok := entry.Successor(c.sessions.current, c.table())
 	if !ok {
@@ -301,7 +307,7 @@
 	}
 	transaction, err := entry.Reassign(successor, c.sessions.current, int64(c.Wall()), c.Term.Precondition())
 	if err != nil {
-		c.Log.Debug("shard not reassigned", "shard", entry.Name, "to", successor.Node, "err", err)
+		c.Log.Debug("reassign shard failed", "shard", entry.Name, "to", successor.Node, "err", err)
 		return
 	}
 	c.Log.Info(
@@ -312,16 +318,16 @@
 }
 
 const (
-	// moveCooldown is how long a shard stays where it is after it was moved maxHandovers
-	// times because no agent reached its owner: its machines may all be dead, and only an
-	// owner that stays can prove it. Sent round for ever, a shard once kept the allocations of
-	// its dead machines until the day was over.
+	// moveCooldown is how long a shard keeps its owner after maxUnreachableMoves consecutive moves
+	// because no agent reached the owner. All machines of the shard may be dead, which only an owner
+	// that keeps the shard can prove. Without the cooldown a shard whose machines had died moved
+	// between controllers indefinitely and kept the allocations of those machines for the rest of the day.
 	moveCooldown = 3 * micro.Minute
-	// maxUnreachableMoves leaves each of the other controllers its chance, whoever comes first.
+	// maxUnreachableMoves allows a move to each of the other controllers, in any order.
 	maxUnreachableMoves = 2
 )
 
-// moveUnreachableShard moves a shard whose owner no agent reaches.
+// moveUnreachableShard moves a shard to another controller because no agent reaches its owner.
 func (c *Coordinator) moveUnreachableShard(entry shard.Entry, now micro.Time) {
 	view := c.viewOf(entry.Name)
 	view.unreachable = false
@@ -345,21 +351,22 @@
 	)
 }
 
-// recordChange makes a shard's next record, as of a time by the wall clock.
+// recordChange returns the next record of a shard, changed at wall (microseconds of the wall clock),
+// or the reason why the change is not allowed.
 type recordChange func(wall int64) (shard.Record, error)
 
-// changeShard writes a change of a shard's record.
+// changeShard writes a change of a shard's record, and logs it if the change is not allowed.
 func (c *Coordinator) changeShard(entry shard.Entry, reason string, change recordChange) {
 	if err := c.changeShardThen(entry, reason, change, ignoreResult); err != nil {
-		c.Log.Info("shard not changed", "shard", entry.Name, "err", err)
+		c.Log.Info("shard change refused", "shard", entry.Name, "err", err)
 	}
 }
 
-// ignoreResult is for writes whose result shows in the table.
+// ignoreResult is the callback of writes whose result the table will show.
 func ignoreResult(error) {}
 
-// changeShardThen does the same, and tells what came of the write; it returns why the
-// change is refused.
+// changeShardThen starts writing a change of a shard's record and calls done with the result of the
+// write. It returns an error, without calling done, if the change is not allowed.
 func (c *Coordinator) changeShardThen(entry shard.Entry, reason string, change recordChange, done func(error)) error {
 	changed, err := change(int64(c.Wall()))
 	if err != nil {
@@ -373,11 +380,14 @@
 	return nil
 }
 
-// commitShard sends a transaction on a shard's record. What came of it shows in the table.
+// commitShard sends a transaction on a shard's record without waiting for its result, which the
+// table will show.
 func (c *Coordinator) commitShard(name string, transaction wire.Transaction) {
 	c.commitShardThen(name, transaction, ignoreResult)
 }
 
+// commitShardThen sends a transaction on a shard's record and calls done with its result on the
+// event loop. The shard counts as having a commit in flight until the table has had time to follow.
 func (c *Coordinator) commitShardThen(name string, transaction wire.Transaction, done func(error)) {
 	c.commitsInFlight[name] = true
 	go func() {
@@ -385,10 +395,10 @@
 		defer cancel()
 		_, err := c.Store.Commit(ctx, store.Urgent, transaction)
 		if err != nil {
-			c.Log.Info("shard not written", "shard", name, "err", err)
+			c.Log.Info("write shard record failed", "shard", name, "err", err)
 		}
 		c.Loop.Post(recordWritten{done, err})
-		time.Sleep(shard.WatchPause.Duration()) // the table follows
+		time.Sleep(shard.WatchPause.Duration()) // until the table has followed the change
 		c.Loop.Post(recordVisible{c, name})
 	}()
 }
--- a/internal/shard/coordinator/coordinator_test.go
+++ b/internal/shard/coordinator/coordinator_test.go
@@ -19,7 +19,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// noEffects is a cluster's surroundings that take nothing in.
+// noEffects implements cluster.Effects and ignores all calls.
 type noEffects struct{}
 
 func (noEffects) ChunkDirty(*cluster.TaskChunk)                           {}
@@ -34,7 +34,8 @@
 func (noEffects) ScheduleSoon()                                           {}
 func (noEffects) Log(string, ...any)                                      {}
 
-// leadingHost is a leader that holds its lease, and notes what it is asked.
+// leadingHost is the Host of a leader that holds its lease. It records the job ends, cancellations and
+// fencing tokens that it receives.
 type leadingHost struct {
 	ended                []string
 	pending, unconfirmed []*cluster.Job
@@ -66,7 +67,7 @@
 
 func (h *leadingHost) MarkChunkDirty(*cluster.TaskChunk, micro.Time, statestore.Priority) {}
 
-// writerHost is the loop as the writer of its records sees it.
+// writerHost is the host of the statestore.Writer of a testCoordinator.
 type writerHost struct{ test *testCoordinator }
 
 func (h writerHost) Now() micro.Time                    { return h.test.at }
@@ -77,6 +78,7 @@
 func (h writerHost) MaxTransactionOps() int             { return 100 }
 func (h writerHost) ObserveCommit(micro.Time)           {}
 
+// testCoordinator is a Coordinator with a fake store and a clock that the test sets.
 type testCoordinator struct {
 	*Coordinator
 	t     *testing.T
@@ -86,8 +88,8 @@
 	store *fake.Store
 }
 
-// newTestCoordinator makes the part of a leader where n-1 and n-2 have a session, and n-1 owns
-// the shard "east" of all machines in zone b.
+// newTestCoordinator returns the Coordinator of a leader, where n-1 and n-2 have sessions and n-1 owns
+// the shard "east", which selects all machines in zone b.
 func newTestCoordinator(t *testing.T) *testCoordinator {
 	t.Helper()
 	test := &testCoordinator{
@@ -119,6 +121,7 @@
 	}
 }
 
+// put writes a key to the store.
 func (test *testCoordinator) put(key string, value any) {
 	test.t.Helper()
 	transaction := wire.Transaction{Then: []wire.Change{{Put: key, Value: value}}}
@@ -127,7 +130,7 @@
 	}
 }
 
-// writeShard writes the record of the shard, and has the table follow.
+// writeShard writes the record of the shard "east", updates the table and returns the shard's entry.
 func (test *testCoordinator) writeShard(state shard.State, owner string) shard.Entry {
 	test.t.Helper()
 	record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
@@ -141,7 +144,7 @@
 	return entry
 }
 
-// serveUntil serves events until a condition holds.
+// serveUntil runs the event loop until a condition holds, for at most 20 s.
 func (test *testCoordinator) serveUntil(condition func() bool) {
 	test.t.Helper()
 	ctx, cancel := context.WithTimeout(test.t.Context(), 20*time.Second)
@@ -156,10 +159,11 @@
 		},
 	})
 	if !condition() {
-		test.t.Fatal("what was waited for did not happen")
+		test.t.Fatal("condition not met within 20 s")
 	}
 }
 
+// addJob submits a job, an array unless the spec has another kind.
 func (test *testCoordinator) addJob(id string, spec wire.Job) *cluster.Job {
 	spec.ID = id
 	if spec.Kind == "" {
@@ -188,12 +192,14 @@
 		"larger than any": {wire.Job{Tasks: 1, CPUs: 17}, 0},
 	} {
 		if got := test.tasksThatFit(capacity, &c.spec); got != c.want {
-			t.Errorf("%s: %d tasks fit, not %d", name, got, c.want)
+			t.Errorf("%s: %d tasks fit, want %d", name, got, c.want)
 		}
 	}
 }
 
-// Sent round for ever, a shard once kept the allocations of its dead machines.
+// A shard whose owner no agent reaches must stop moving after maxUnreachableMoves moves until the
+// cooldown is over. Without the limit a shard whose machines had died moved indefinitely, and kept
+// the allocations of these machines.
 func TestUnreachableShardIsNotMovedDuringCooldown(t *testing.T) {
 	test := newTestCoordinator(t)
 	moves := 0
@@ -207,44 +213,44 @@
 		}
 	}
 	if moves != maxUnreachableMoves {
-		t.Errorf("%d moves, not %d", moves, maxUnreachableMoves)
+		t.Errorf("shard was moved %d times, want %d", moves, maxUnreachableMoves)
 	}
 	test.at += moveCooldown
 	delete(test.commitsInFlight, "east")
 	test.moveUnreachableShard(test.writeShard(shard.Owned, "n-1"), test.at)
 	if !test.commitsInFlight["east"] {
-		t.Error("not moved after the cool-down")
+		t.Error("shard was not moved after the cooldown")
 	}
 }
 
-// A machine that is up just after a move does not show that the move was of use: in each
-// ownership one came up for a moment, and the shard went round.
+// A machine that is up shortly after a move must not reset the number of moves: a machine that came up
+// briefly under each owner once kept the shard moving.
 func TestUnreachableMoveCountIsResetOnlyAfterReachedTime(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.Config.SuspectAfter = 8 * micro.Second
 	for name, row := range map[string]struct {
-		after micro.Time // the move
+		after micro.Time // time since the last move
 		want  int
 	}{
-		"at once": {after: 2 * micro.Second, want: maxUnreachableMoves},
-		"later":   {after: test.Config.SuspectAfter + 1},
+		"before reached time": {after: 2 * micro.Second, want: maxUnreachableMoves},
+		"after reached time":  {after: test.Config.SuspectAfter + 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := &shardView{unreachableMoves: maxUnreachableMoves, unreachableMovedAt: test.at}
 			update := &shard.ShardUpdate{MachineCount: 1}
 			view.observe(update, test.at+row.after, test.Config.SuspectAfter)
 			if view.unreachableMoves != row.want {
-				t.Errorf("%d moves are remembered, want %d", view.unreachableMoves, row.want)
+				t.Errorf("%d moves are counted, want %d", view.unreachableMoves, row.want)
 			}
 		})
 	}
 }
 
-// A late write of an assignment that its owner has deleted once had a cancelled job run: a
-// job that was handed back waits until the shard's record has changed, and then until the
-// assignment is looked up.
+// A job that was handed back stays assigned until the shard's record has changed and the assignment has
+// been looked up. Without that a late write created an assignment that its owner had deleted, and a
+// cancelled job ran.
 func TestHandedBackJobIsLookedUpBeforeItIsUnassigned(t *testing.T) {
-	for name, assignedAgain := range map[string]bool{"gone": false, "assigned again by a late write": true} {
+	for name, assignedAgain := range map[string]bool{"deleted": false, "assigned again by a late write": true} {
 		t.Run(name, func(t *testing.T) {
 			test := newTestCoordinator(t)
 			job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1})
@@ -254,23 +260,23 @@
 			key := shard.AssignmentKey("east", "j-1")
 			test.applyAssignmentDeletions(wire.Events{Events: []wire.Event{{Delete: key, Version: 6}}})
 			if !assigned.handedBack || job.State != cluster.Assigned {
-				t.Fatal("not handed back, or already the leader's")
+				t.Fatal("the job was not handed back, or was unassigned at once")
 			}
-			test.writeShard(shard.Owned, "n-1") // no transaction that saw the earlier record goes through
+			test.writeShard(shard.Owned, "n-1") // transactions conditional on the earlier record now fail
 			if assignedAgain {
 				test.put(key, assigned.assignment)
 			}
 			test.reconcileHandedBack()
 			test.serveUntil(func() bool { return !assigned.lookupInFlight })
 			if assignedAgain != (job.State == cluster.Assigned) || assignedAgain != (test.assignedJobs["j-1"] != nil) {
-				t.Errorf("the job is %v", job.State)
+				t.Errorf("job state %v, which does not match the stored assignment", job.State)
 			}
 		})
 	}
 }
 
-// The first write of an assignment must not go through once the job's end is stored, or the
-// shard's record has changed.
+// The write that creates an assignment must fail once the job's end is stored or the shard's record has
+// changed.
 func TestAssignmentCreationHasPreconditions(t *testing.T) {
 	test := newTestCoordinator(t)
 	job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1})
@@ -279,7 +285,7 @@
 	entry, _ := test.table().Get("east")
 	if len(preconditions) != 2 || preconditions[0] != (wire.Precondition{Key: "job/j-1/end"}) ||
 		preconditions[1] != entry.Precondition() {
-		t.Errorf("preconditions %v", preconditions)
+		t.Errorf("the creation has preconditions %v", preconditions)
 	}
 	assigned.storeRecord.SetVersion(5)
 	if later := assigned.storeRecord.Preconditions(); later != nil {
@@ -308,7 +314,7 @@
 		t.Fatal(err)
 	}
 	if entry, _ = test.table().Get("east"); entry.Record.Owner.Node != "n-2" {
-		t.Errorf("the owner is %q", entry.Record.Owner.Node)
+		t.Errorf("owner %q, want n-2", entry.Record.Owner.Node)
 	}
 }
 
@@ -318,10 +324,10 @@
 	test.reclaimShard(entry, test.at)
 	test.serveUntil(func() bool { return !test.reclaims["east"].readInFlight })
 	if !test.reclaims["east"].reclaimed || test.host.fencingToken != shard.FirstFencingToken(entry.Version) {
-		t.Errorf("taken back: %v, with token %d", test.reclaims["east"].reclaimed, test.host.fencingToken)
+		t.Errorf("reclaimed %v, fencing token %d", test.reclaims["east"].reclaimed, test.host.fencingToken)
 	}
 	if test.ownedElsewhere(entry) {
-		t.Error("its machines are not the leader's")
+		t.Error("the machines of the reclaimed shard are not the leader's")
 	}
 }
 
@@ -332,16 +338,16 @@
 	assigned := test.storeAssignment("east", job, shard.Assignment{Job: job.Spec})
 	test.BeginCancellation(job)
 	if !assigned.assignment.StopRequested || !assigned.storeRecord.Dirty() {
-		t.Error("the owner is not told")
+		t.Error("the stop request is not being written to the assignment")
 	}
 	test.cancellationProgress("west", shard.StoppingJob{Job: "j-1"}, test.at)
 	if len(test.host.ended) != 0 {
-		t.Error("ended by what another shard's owner tells")
+		t.Error("job ended by the report of another shard's owner")
 	}
 	test.cancellationProgress("east", shard.StoppingJob{Job: "j-1"}, test.at)
 	test.cancellationProgress("east", shard.StoppingJob{Job: "j-1"}, test.at)
 	if len(test.host.ended) != 1 {
-		t.Errorf("%d ends were written", len(test.host.ended))
+		t.Errorf("the end of the job was written %d times, want once", len(test.host.ended))
 	}
 }
 
@@ -353,20 +359,20 @@
 	}{
 		"no such shard":     {shard.Command{Operation: shard.OperationShow, Shard: "west"}, `there is no share "west"`},
 		"no such operation": {shard.Command{Operation: "x", Shard: "east"}, `there is no operation "x"`},
-		"target is down": {
+		"target without session": {
 			shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-9"},
 			`"n-9": ` + shard.ErrTargetWithoutSession.Error(),
 		},
-		"owns it already": {
+		"target is the owner": {
 			shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-1"}, shard.ErrSameOwner.Error(),
 		},
 		"not moving": {shard.Command{Operation: shard.OperationCancel, Shard: "east"}, shard.ErrNotMoving.Error()},
-		"shown":      {shard.Command{Operation: shard.OperationShow, Shard: "east"}, ""},
+		"accepted":   {shard.Command{Operation: shard.OperationShow, Shard: "east"}, ""},
 	} {
 		var got shard.CommandReply
 		test.executeCommand(&c.command, func(reply shard.CommandReply) { got = reply })
 		if got.RefusalReason != c.want {
-			t.Errorf("%s: refused as %q, not %q", name, got.RefusalReason, c.want)
+			t.Errorf("%s: refused with %q, want %q", name, got.RefusalReason, c.want)
 		}
 	}
 }
@@ -378,13 +384,13 @@
 	c.FinishRecovery()
 	c.AddFencedZones(map[string]bool{})
 	assignments, ok := c.RecoverAssignments(t.Context(), func(context.Context, string, func(wire.Item)) (uint64, bool) {
-		t.Error("assignments were read")
+		t.Error("a nil Coordinator read assignments")
 		return 0, false
 	})
 	if c.RefusesHeartbeat(&wire.Heartbeat{}) || !ok || assignments != nil {
-		t.Error("a controller without shards has some")
+		t.Error("a nil Coordinator refuses heartbeats, fails to recover or has assignments")
 	}
 	if _, ok := c.ReceiveStatusUpdate(nil); ok {
-		t.Error("a status update was answered")
+		t.Error("a nil Coordinator answered a status update")
 	}
 }
--- a/internal/shard/coordinator/eligible_owners.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -10,31 +10,32 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// A job is served as a whole, by the leader on machines in no shard or by the owner of one
-// shard. Which of these sides may serve it follows from what the cloud offers, not from the
-// machines that there are.
+// All tasks of a job are served by one owner: the leader, on machines outside of all shards, or the
+// owner of one shard. The owners that can serve a job follow from the offers in the cloud's catalog,
+// not from the machines that currently exist.
 
-// DividedCatalog is what the cloud offers, by the shard that machines of an offer are in.
+// DividedCatalog is the cloud's catalog, with each offer attributed to the shard that machines of that
+// offer belong to.
 type DividedCatalog struct {
 	offers []catalogOffer
 	shards []shard.Entry // in the order of their names
 
-	continuesJobs bool // jobs that had allocations may be assigned, see cluster.State.ContinuesJobs
+	continuesJobs bool // started jobs may be assigned to shards, see cluster.State.ContinuesJobs
 }
 
-// catalogOffer is a type in a zone, spot or on-demand.
+// catalogOffer is a machine type in one zone, either spot or on-demand.
 type catalogOffer struct {
 	machineType *cluster.MachineType
 	zone        string
 	spot        bool
-	shard       int // index of the shard; leaderSide: in none
+	shard       int // index in DividedCatalog.shards, or noShard
 }
 
-// noShard stands for the leader among the sides.
+// noShard is the shard index of offers whose machines belong to the leader.
 const noShard = -1
 
-// DivideCatalog divides a catalog by the shards. Jobs that had allocations may be assigned to them
-// if controllers go on with those.
+// DivideCatalog attributes the offers of all types to the shards of a table. continuesJobs reports
+// whether all controllers continue started jobs, so that these may be assigned to shards.
 func DivideCatalog(types []*cluster.MachineType, table shard.Snapshot, continuesJobs bool) *DividedCatalog {
 	catalog := &DividedCatalog{continuesJobs: continuesJobs}
 	table.Each(func(entry shard.Entry) bool {
@@ -53,15 +54,15 @@
 	return catalog
 }
 
-// EligibleOwners says which sides have offers that a job may use, and which may serve it.
+// EligibleOwners describes the owners that can serve a job.
 type EligibleOwners struct {
-	LeaderOffers int
-	ShardOffers  map[string]int // of shards that have any
-	ServedBy     []string       // sides that may serve it as a whole, in words
-	Reason       string         // why none may; "": one may
+	LeaderOffers int            // number of the leader's offers that the job may use
+	ShardOffers  map[string]int // number of offers that the job may use, by shard; none if 0
+	ServedBy     []string       // owners that can serve the whole job: "the leader" or "shard NAME"
+	Reason       string         // why no owner can; "" if one can
 }
 
-// String says which sides may serve the job, or why none may.
+// String lists the owners that can serve the job, or gives the reason why none can.
 func (s EligibleOwners) String() string {
 	if len(s.ServedBy) == 0 {
 		return "none: " + s.Reason
@@ -69,54 +70,55 @@
 	return strings.Join(s.ServedBy, ", ")
 }
 
-// EligibleOwnersOf says which sides may serve a job: those with an offer that it may use, for a
-// spread service in two zones. A shard's owner gets only what may be assigned to the shard.
+// EligibleOwnersOf returns the owners that can serve a job. An owner needs an offer that the job may
+// use, or for a spread service such offers in two zones; a shard's owner can also only serve jobs that
+// may be assigned to the shard.
 func (c *DividedCatalog) EligibleOwnersOf(job *cluster.Job) EligibleOwners {
-	sides := c.usableOffersOf(job)
-	side := EligibleOwners{LeaderOffers: sides.leader.count, ShardOffers: map[string]int{}}
-	if sides.leader.suffice(job) {
-		side.ServedBy = append(side.ServedBy, leaderName)
+	usable := c.usableOffersOf(job)
+	eligible := EligibleOwners{LeaderOffers: usable.leader.offerCount, ShardOffers: map[string]int{}}
+	if usable.leader.suffice(job) {
+		eligible.ServedBy = append(eligible.ServedBy, leaderName)
 	}
 	var refusals []string
 	for i, entry := range c.shards {
-		if sides.shards[i].count == 0 {
+		if usable.shards[i].offerCount == 0 {
 			continue
 		}
-		side.ShardOffers[entry.Name] = sides.shards[i].count
-		if refusal := c.refusalReason(job, entry, &sides.shards[i]); refusal != "" {
+		eligible.ShardOffers[entry.Name] = usable.shards[i].offerCount
+		if refusal := c.refusalReason(job, entry, &usable.shards[i]); refusal != "" {
 			refusals = append(refusals, refusal)
 		} else {
-			side.ServedBy = append(side.ServedBy, "shard "+entry.Name)
+			eligible.ServedBy = append(eligible.ServedBy, "shard "+entry.Name)
 		}
 	}
-	if len(side.ServedBy) == 0 {
-		side.Reason = c.unservedReason(job, sides, refusals)
+	if len(eligible.ServedBy) == 0 {
+		eligible.Reason = c.unservedReason(job, usable, refusals)
 	}
-	return side
+	return eligible
 }
 
-// leaderName is the leader in lists of sides.
+// leaderName denotes the leader in EligibleOwners.ServedBy.
 const leaderName = "the leader"
 
-// usableOffersByOwner are what a job may use, by sides.
+// usableOffersByOwner holds the offers that a job may use, by owner.
 type usableOffersByOwner struct {
 	leader usableOffers
-	shards []usableOffers // as the catalog's shards
+	shards []usableOffers // in the order of DividedCatalog.shards
 }
 
-// usableOffers is what a job may use on one side.
+// usableOffers summarizes the offers of one owner that a job may use.
 type usableOffers struct {
-	count int
-	zones  []string
+	offerCount int
+	zones      []string
 }
 
-// Served reports whether some side may serve a job. It looks at no more offers than it takes.
+// Served reports whether any owner can serve a job. It stops at the first offer that shows it.
 func (c *DividedCatalog) Served(job *cluster.Job) bool {
-	sides := &usableOffersByOwner{shards: make([]usableOffers, len(c.shards))}
+	usable := &usableOffersByOwner{shards: make([]usableOffers, len(c.shards))}
 	for i := range c.offers {
 		offer := &c.offers[i]
-		side := sides.add(job, offer)
-		if side == nil || !side.suffice(job) {
+		ownerOffers := usable.add(job, offer)
+		if ownerOffers == nil || !ownerOffers.suffice(job) {
 			continue
 		}
 		if offer.shard == noShard || acceptsTeam(c.shards[offer.shard], job.Spec.Team) && c.mayBeAssigned(job) {
@@ -127,34 +129,34 @@
 }
 
 func (c *DividedCatalog) usableOffersOf(job *cluster.Job) *usableOffersByOwner {
-	sides := &usableOffersByOwner{shards: make([]usableOffers, len(c.shards))}
+	usable := &usableOffersByOwner{shards: make([]usableOffers, len(c.shards))}
 	for i := range c.offers {
-		sides.add(job, &c.offers[i])
+		usable.add(job, &c.offers[i])
 	}
-	return sides
+	return usable
 }
 
-// add counts an offer and returns its side; nil: the job may not use it.
+// add counts an offer and returns the offers of its owner so far; nil if the job may not use the offer.
 func (s *usableOffersByOwner) add(job *cluster.Job, offer *catalogOffer) *usableOffers {
 	if !scheduler.Allowed(&job.Spec, offer.machineType, offer.zone, offer.spot) {
 		return nil
 	}
-	side := &s.leader
+	offers := &s.leader
 	if offer.shard != noShard {
-		side = &s.shards[offer.shard]
+		offers = &s.shards[offer.shard]
 	}
-	side.count++
-	if !slices.Contains(side.zones, offer.zone) {
-		side.zones = append(side.zones, offer.zone)
+	offers.offerCount++
+	if !slices.Contains(offers.zones, offer.zone) {
+		offers.zones = append(offers.zones, offer.zone)
 	}
-	return side
+	return offers
 }
 
-// suffice reports whether a side has what all of a job's tasks need together.
+// suffice reports whether the offers are in enough zones for all tasks of a job together.
 func (s *usableOffers) suffice(job *cluster.Job) bool { return len(s.zones) >= zonesNeeded(job) }
 
-// zonesNeeded is in how many zones a job needs offers: at most half of a spread service's
-// tasks, rounded up, may be in one.
+// zonesNeeded returns the number of zones in which a job needs offers: two for a spread service of
+// several tasks, of which at most half, rounded up, may run in one zone.
 func zonesNeeded(job *cluster.Job) int {
 	if job.Spec.Spread && len(job.Tasks) > 1 {
 		return 2
@@ -162,74 +164,80 @@
 	return 1
 }
 
-// leaderServes reports whether the leader has what all of a job's tasks need together.
+// leaderServes reports whether the leader's offers suffice for all tasks of a job together.
 func (c *DividedCatalog) leaderServes(job *cluster.Job) bool {
 	return c.usableOffersOf(job).leader.suffice(job)
 }
 
-// mayBeAssigned reports whether a waiting job may be assigned to a shard at all.
+// mayBeAssigned reports whether a pending job may be assigned to any shard: it has no allocation, and
+// either never had one or all controllers continue started jobs.
 func (c *DividedCatalog) mayBeAssigned(job *cluster.Job) bool {
 	return job.AllocationCount == 0 && (c.continuesJobs || job.NeverAllocated())
 }
 
-// refusalReason says why a shard with offers for a job cannot serve it; "": it can.
-func (c *DividedCatalog) refusalReason(job *cluster.Job, entry shard.Entry, side *usableOffers) string {
+// refusalReason returns the reason why a shard with offers for a job cannot serve it; "" if it can.
+func (c *DividedCatalog) refusalReason(job *cluster.Job, entry shard.Entry, offers *usableOffers) string {
 	switch {
 	case !acceptsTeam(entry, job.Spec.Team):
 		return fmt.Sprintf("shard %s takes jobs of team %s only", entry.Name, strings.Join(entry.Record.Teams, ", "))
-	case !side.suffice(job):
-		return fmt.Sprintf("shard %s holds zone %s only", entry.Name, strings.Join(side.zones, ", "))
+	case !offers.suffice(job):
+		return fmt.Sprintf("shard %s holds zone %s only", entry.Name, strings.Join(offers.zones, ", "))
 	case job.AllocationCount > 0:
-		return fmt.Sprintf("it has allocations at the leader, and goes to shard %s as a whole", entry.Name)
+		return fmt.Sprintf(
+			"it has allocations at the leader, and can be assigned to shard %s only without any", entry.Name,
+		)
 	case !c.mayBeAssigned(job):
 		return fmt.Sprintf(
-			"a task of it had an allocation, and not all controllers could go on with it in shard %s", entry.Name,
+			"it had allocations before, and not all controllers support continuing such jobs in shard %s", entry.Name,
 		)
 	}
 	return ""
 }
 
-// unservedReason says why no side may serve a job.
-func (c *DividedCatalog) unservedReason(job *cluster.Job, sides *usableOffersByOwner, refusals []string) string {
-	names, held := c.describeShardOffers(sides)
-	zones, most := sides.zones()
+// unservedReason returns the reason why no owner can serve a job. refusals holds the reason of each
+// shard with offers for it.
+func (c *DividedCatalog) unservedReason(job *cluster.Job, usable *usableOffersByOwner, refusals []string) string {
+	names, zonesByShard := c.describeShardOffers(usable)
+	zones, maxZones := usable.zones()
 	switch {
 	case len(zones) == 0:
 		return "the cloud has no offer for it"
 	case len(zones) < zonesNeeded(job):
 		return fmt.Sprintf("only zone %s has offers for it, and a spread service needs two", zones[0])
-	case most < zonesNeeded(job) && sides.leader.count == 0:
-		return fmt.Sprintf("zones in several shards: %s; a spread service is not split", held)
-	case most < zonesNeeded(job):
-		return fmt.Sprintf("zones on both sides: %s; a spread service is not split", held)
-	case sides.leader.count == 0:
+	case maxZones < zonesNeeded(job) && usable.leader.offerCount == 0:
+		return fmt.Sprintf("zones in several shards: %s; a spread service is not split", zonesByShard)
+	case maxZones < zonesNeeded(job):
+		return fmt.Sprintf("zones at the leader and in shards: %s; a spread service is not split", zonesByShard)
+	case usable.leader.offerCount == 0:
 		return fmt.Sprintf("only shard %s has offers for it: %s", names, strings.Join(refusals, ", "))
 	}
 	return fmt.Sprintf(
-		"the leader has offers in zone %s only: %s", strings.Join(sides.leader.zones, ", "), strings.Join(refusals, ", "),
+		"the leader has offers in zone %s only: %s", strings.Join(usable.leader.zones, ", "), strings.Join(refusals, ", "),
 	)
 }
 
-// describeShardOffers names the shards that have offers for a job, and says in which zones.
-func (c *DividedCatalog) describeShardOffers(sides *usableOffersByOwner) (names, held string) {
+// describeShardOffers lists the names of the shards that have offers for a job, and for each shard the
+// zones of these offers.
+func (c *DividedCatalog) describeShardOffers(usable *usableOffersByOwner) (names, zonesByShard string) {
 	var shardNames, descriptions []string
 	for i, entry := range c.shards {
-		if side := sides.shards[i]; side.count > 0 {
+		if offers := usable.shards[i]; offers.offerCount > 0 {
 			shardNames = append(shardNames, entry.Name)
 			descriptions = append(
-				descriptions, fmt.Sprintf("shard %s holds zone %s", entry.Name, strings.Join(side.zones, ", ")),
+				descriptions, fmt.Sprintf("shard %s holds zone %s", entry.Name, strings.Join(offers.zones, ", ")),
 			)
 		}
 	}
 	return strings.Join(shardNames, ", "), strings.Join(descriptions, ", ")
 }
 
-// zones lists the zones of all sides, and says how many the side has that has most.
-func (s *usableOffersByOwner) zones() (all []string, most int) {
-	all, most = slices.Clone(s.leader.zones), len(s.leader.zones)
-	for _, side := range s.shards {
-		all, most = append(all, side.zones...), max(most, len(side.zones))
+// zones lists the zones of the offers of all owners, and returns the largest number of zones that one
+// owner has.
+func (s *usableOffersByOwner) zones() (all []string, maxZones int) {
+	all, maxZones = slices.Clone(s.leader.zones), len(s.leader.zones)
+	for _, offers := range s.shards {
+		all, maxZones = append(all, offers.zones...), max(maxZones, len(offers.zones))
 	}
 	slices.Sort(all)
-	return slices.Compact(all), most
+	return slices.Compact(all), maxZones
 }
--- a/internal/shard/coordinator/eligible_owners_test.go
+++ b/internal/shard/coordinator/eligible_owners_test.go
@@ -19,53 +19,53 @@
 	return shard.Entry{Name: name, Record: shard.Record{State: shard.Owned, Selector: selector, Teams: teams}}
 }
 
-// The cloud offers the types m and g in some zones.
+// The cloud offers the machine types m and g in the zones of each case.
 func TestEligibleOwnersOf(t *testing.T) {
-	const has = "it has allocations at the leader, and goes to shard "
+	const has = "it has allocations at the leader, and can be assigned to shard "
 	zone, inB := "b", shard.Selector{Zone: "b"}
 	none, east := tableOf(), tableOf(shardOf("east", inB))
 	needsGPU := wire.Job{Tasks: 2, Spread: true, GPUs: 1}
-	closed := tableOf(shardOf("east", inB, "vision"))
-	parted := tableOf(shardOf("east", inB), shardOf("west", shard.Selector{Zone: "a"}))
+	reserved := tableOf(shardOf("east", inB, "vision"))
+	twoShards := tableOf(shardOf("east", inB), shardOf("west", shard.Selector{Zone: "a"}))
 	gpu := tableOf(shardOf("gpu", shard.Selector{Type: "g"}))
-	closedGPU := tableOf(
+	reservedGPU := tableOf(
 		shardOf("gpu", shard.Selector{Type: "g"}, "vision"), shardOf("m", shard.Selector{Type: "m", Zone: "b"}),
 	)
-	any1, bound, spread := wire.Job{Tasks: 1}, wire.Job{Tasks: 1, Zone: &zone}, wire.Job{Tasks: 2, Spread: true}
+	oneTask, inZoneB, spread := wire.Job{Tasks: 1}, wire.Job{Tasks: 1, Zone: &zone}, wire.Job{Tasks: 2, Spread: true}
 	for name, c := range map[string]eligibleOwnersCase{
-		"no shard":        {"ab", none, any1, 0, "4 map[] the leader"},
-		"both sides":      {"ab", east, any1, 0, "2 map[east:2] the leader, shard east"},
-		"spot too":        {"ab", east, wire.Job{Tasks: 1, Spot: true}, 0, "4 map[east:4] the leader, shard east"},
-		"is allocated":    {"ab", east, any1, 1, "2 map[east:2] the leader"},
-		"bound":           {"ab", east, bound, 0, "0 map[east:2] shard east"},
+		"no shard":        {"ab", none, oneTask, 0, "4 map[] the leader"},
+		"any owner":       {"ab", east, oneTask, 0, "2 map[east:2] the leader, shard east"},
+		"spot allowed":    {"ab", east, wire.Job{Tasks: 1, Spot: true}, 0, "4 map[east:4] the leader, shard east"},
+		"allocated":       {"ab", east, oneTask, 1, "2 map[east:2] the leader"},
+		"one zone":        {"ab", east, inZoneB, 0, "0 map[east:2] shard east"},
 		"too large":       {"ab", east, wire.Job{CPUs: 99}, 0, "0 map[] none: the cloud has no offer for it"},
 		"spread, one":     {"ab", east, wire.Job{Tasks: 1, Spread: true}, 0, "2 map[east:2] the leader, shard east"},
 		"spread, outside": {"abc", east, spread, 0, "4 map[east:2] the leader"},
-		"bound, is allocated": {
-			"ab", east, bound, 1, "0 map[east:2] none: only shard east has offers for it: " + has + "east as a whole",
+		"one zone, allocated": {
+			"ab", east, inZoneB, 1, "0 map[east:2] none: only shard east has offers for it: " + has + "east only without any",
 		},
-		"bound, another team's shard": {
-			"ab", closed, bound, 0,
+		"one zone, in another team's shard": {
+			"ab", reserved, inZoneB, 0,
 			"0 map[east:2] none: only shard east has offers for it: shard east takes jobs of team vision only",
 		},
-		"spread, zones on both sides": {
+		"spread, zones divided between leader and shard": {
 			"ab", east, spread, 0,
-			"2 map[east:2] none: zones on both sides: shard east holds zone b; a spread service is not split",
+			"2 map[east:2] none: zones at the leader and in shards: shard east holds zone b; a spread service is not split",
 		},
 		"spread, zones in two shards": {
-			"ab", parted, spread, 0,
+			"ab", twoShards, spread, 0,
 			"0 map[east:2 west:2] none: zones in several shards: shard east holds zone b, shard west holds zone a; a spread " +
 				"service is not split",
 		},
 		"spread, the cloud has one zone": {
 			"a", none, spread, 0, "2 map[] none: only zone a has offers for it, and a spread service needs two",
 		},
-		"spread, is allocated, both zones in a shard": {
+		"spread, allocated, both zones in a shard": {
 			"ab", gpu, needsGPU, 1,
-			"0 map[gpu:2] none: only shard gpu has offers for it: " + has + "gpu as a whole",
+			"0 map[gpu:2] none: only shard gpu has offers for it: " + has + "gpu only without any",
 		},
 		"spread, both zones in another team's shard": {
-			"ab", closedGPU, spread, 0,
+			"ab", reservedGPU, spread, 0,
 			"1 map[gpu:2 m:1] none: the leader has offers in zone a only: shard gpu takes jobs of team vision only, shard m " +
 				"holds zone b only",
 		},
@@ -74,13 +74,13 @@
 	}
 }
 
-// eligibleOwnersCase is a job and the shards that may serve it.
+// eligibleOwnersCase is a job, the shards and the expected owners.
 type eligibleOwnersCase struct {
-	zones     string
+	zones     string // zones in which the cloud offers all types, one letter each
 	table     shard.Snapshot
 	spec      wire.Job
-	allocated int
-	want      string // the leader's offers, the shards', and the sides in words
+	allocated int    // number of allocations of the job at the leader
+	want      string // LeaderOffers, ShardOffers and String() of EligibleOwners
 }
 
 func (c eligibleOwnersCase) check(t *testing.T) {
@@ -89,14 +89,15 @@
 	job := test.addJob("j-1", c.spec)
 	job.AllocationCount = c.allocated
 	catalog := DivideCatalog(test.Cluster.CatalogOrder, c.table, true)
-	side := catalog.EligibleOwnersOf(job)
-	if got := fmt.Sprint(side.LeaderOffers, " ", side.ShardOffers, " ", side); got != c.want ||
-		catalog.Served(job) != (len(side.ServedBy) > 0) {
+	eligible := catalog.EligibleOwnersOf(job)
+	if got := fmt.Sprint(eligible.LeaderOffers, " ", eligible.ShardOffers, " ", eligible); got != c.want ||
+		catalog.Served(job) != (len(eligible.ServedBy) > 0) {
 		t.Errorf("%q, want %q; served %v", got, c.want, catalog.Served(job))
 	}
 }
 
-// A job that had allocations counts as one that no side may serve, though a shard takes it.
+// A started job without allocations, whose offers are all in a shard, is served exactly if all
+// controllers continue started jobs. Guards against reporting it as unserved although the shard takes it.
 func TestEligibleOwnersOfAJobThatHadAllocations(t *testing.T) {
 	zone := "b"
 	for _, continues := range []bool{false, true} {
@@ -105,9 +106,9 @@
 		job := test.addJob("j-1", wire.Job{Tasks: 1, Zone: &zone})
 		job.Chunk(0).MemoryVersion = 1
 		east := tableOf(shard.Entry{Name: "east", Record: shard.Record{Selector: shard.Selector{Zone: zone}}})
-		side := DivideCatalog(test.Cluster.CatalogOrder, east, continues).EligibleOwnersOf(job)
-		if served := len(side.ServedBy) > 0; served != continues {
-			t.Errorf("controllers go on with such jobs: %v, served by %q, %q", continues, side.ServedBy, side.Reason)
+		eligible := DivideCatalog(test.Cluster.CatalogOrder, east, continues).EligibleOwnersOf(job)
+		if served := len(eligible.ServedBy) > 0; served != continues {
+			t.Errorf("controllers continue jobs: %v, served by %q, reason %q", continues, eligible.ServedBy, eligible.Reason)
 		}
 	}
 }
--- a/internal/shard/coordinator/events.go
+++ b/internal/shard/coordinator/events.go
@@ -13,9 +13,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What a Coordinator's requests bring back to the loop.
+// The events in this file return results of a Coordinator's requests to the event loop, or bring
+// requests of other goroutines to it.
 
-// sessionsRead says which controllers have a session.
+// sessionsRead is the result of reading the controllers' sessions and announcements.
 type sessionsRead struct {
 	coordinator *Coordinator
 	page        wire.Page
@@ -23,12 +24,12 @@
 	err         error
 }
 
-// Apply takes the sessions in. After an error, the next reading decides.
+// Apply updates the view of the sessions. After an error the view stays until the next read.
 func (e sessionsRead) Apply() {
 	sessions := &e.coordinator.sessions
 	sessions.readInFlight = false
 	if e.err != nil {
-		e.coordinator.Log.Debug("sessions not read", "err", e.err)
+		e.coordinator.Log.Debug("read sessions failed", "err", e.err)
 		return
 	}
 	sessions.known = true
@@ -39,7 +40,7 @@
 		node := item.Key[len(shard.AnnouncementPrefix):]
 		sessions.continuing[node] = slices.Contains(announcement.Features, shard.ContinueFeature)
 	}
-	for _, item := range e.page.Items { // what a controller announces now counts
+	for _, item := range e.page.Items { // a current session overrides the announcement of an earlier one
 		var record election.Record
 		e.decode(item, &record)
 		node := item.Key[len(shard.SessionPrefix):]
@@ -53,8 +54,9 @@
 	e.coordinator.Cluster.ContinuesJobs = e.coordinator.allContinueJobs()
 }
 
-// withdrawAnnouncement deletes what a controller announced that has a session without it now: it runs
-// an earlier version, and must not count for the later one while it is away.
+// withdrawAnnouncement deletes the announcement of a controller whose current session does not have
+// the announced feature. The controller now runs a previous release, and must not count as having
+// the feature while it has no session.
 func (c *Coordinator) withdrawAnnouncement(node string, announced wire.Page) {
 	for _, item := range announced.Items {
 		if item.Key != shard.AnnouncementKey(node) {
@@ -67,44 +69,44 @@
 	}
 }
 
-// decode reads a record; what cannot be read announces nothing.
+// decode decodes a record. A record that cannot be decoded counts as announcing no features.
 func (e sessionsRead) decode(item wire.Item, into any) {
 	if err := wire.Unmarshal(item.Value, into); err != nil {
-		e.coordinator.Log.Debug("session not understood", "key", item.Key, "err", err)
+		e.coordinator.Log.Debug("decode session record failed", "key", item.Key, "err", err)
 	}
 }
 
-// recordWritten says what came of a transaction on a shard's record.
+// recordWritten is the result of a transaction on a shard's record.
 type recordWritten struct {
 	done func(error)
 	err  error
 }
 
-// Apply tells who asked for the transaction.
+// Apply passes the result to the callback of the transaction.
 func (e recordWritten) Apply() { e.done(e.err) }
 
-// recordVisible says that the table had time to show what a transaction changed.
+// recordVisible is posted when the table has had time to show the result of a transaction.
 type recordVisible struct {
 	coordinator *Coordinator
 	shardName   string
 }
 
-// Apply lets the shard be changed again.
+// Apply allows further changes of the shard.
 func (e recordVisible) Apply() { delete(e.coordinator.commitsInFlight, e.shardName) }
 
-// policiesEvaluated says which policies hold.
+// policiesEvaluated is the result of an evaluation of the operators' policies.
 type policiesEvaluated struct {
 	coordinator *Coordinator
 	holding     []config.MovePolicy
 }
 
-// Apply follows them.
+// Apply moves shards according to the policies whose condition holds.
 func (e policiesEvaluated) Apply() {
 	e.coordinator.policies.evaluationInFlight = false
 	e.coordinator.applyPolicies(e.holding)
 }
 
-// releasedShardRead brings the allocations of a released shard.
+// releasedShardRead is the result of reading the allocation records of a released shard.
 type releasedShardRead struct {
 	coordinator *Coordinator
 	entry       shard.Entry
@@ -113,11 +115,11 @@
 	err         error
 }
 
-// Apply takes the shard back; after an error it is read anew.
+// Apply reclaims the shard. After an error the records are read again by a later reconciliation.
 func (e releasedShardRead) Apply() {
 	e.reclaim.readInFlight = false
 	if e.err != nil {
-		e.coordinator.Log.Debug("released shard not read", "shard", e.entry.Name, "err", e.err)
+		e.coordinator.Log.Debug("read allocations of released shard failed", "shard", e.entry.Name, "err", e.err)
 		return
 	}
 	if !e.reclaim.reclaimed {
@@ -125,7 +127,7 @@
 	}
 }
 
-// handedBackVerified says whether the record of a job that was handed back is gone.
+// handedBackVerified is the result of looking up the assignment of a job that was handed back.
 type handedBackVerified struct {
 	coordinator *Coordinator
 	assigned    *assignedJob
@@ -133,52 +135,53 @@
 	err         error
 }
 
-// Apply makes the job the leader's own again, or its owner's. After another error the
-// record is looked up anew.
+// Apply returns the job to the leader if its assignment does not exist. If it exists, a late write
+// has created it again, and the job stays with the shard's owner. After any other error the
+// assignment is looked up again by a later reconciliation.
 func (e handedBackVerified) Apply() {
 	e.assigned.lookupInFlight = false
 	switch {
 	case errors.Is(e.err, store.ErrNotFound):
 		e.coordinator.dropAssignment(e.assigned)
 	case e.err == nil:
-		e.assigned.handedBack = false // assigned again: its owner has it
+		e.assigned.handedBack = false // assigned again: the shard's owner has the job
 		e.assigned.storeRecord.SetVersion(uint64(e.item.Version))
 	default:
 		e.coordinator.Log.Debug(
-			"assignment not read", "key", e.assigned.storeRecord.Key, "job", e.assigned.job.Spec.ID, "err", e.err,
+			"read assignment failed", "key", e.assigned.storeRecord.Key, "job", e.assigned.job.Spec.ID, "err", e.err,
 		)
 	}
 }
 
-// assignmentsChanged brings changes of the assignments in the store.
+// assignmentsChanged holds store events on assignments.
 type assignmentsChanged struct {
 	coordinator *Coordinator
 	events      wire.Events
 }
 
-// Apply takes in what owners deleted.
+// Apply handles the assignments that owners have deleted.
 func (e assignmentsChanged) Apply() { e.coordinator.applyAssignmentDeletions(e.events) }
 
-// statusUpdateReceived is what an owner tells the leader.
+// statusUpdateReceived is a status update from a shard owner.
 type statusUpdateReceived struct {
 	coordinator *Coordinator
 	update      *shard.StatusUpdate
 	reply       eventloop.Reply[shard.UpdateReply]
 }
 
-// Apply takes the update in, and answers it.
+// Apply applies the update and replies to it.
 func (e statusUpdateReceived) Apply() {
 	e.reply.Send(e.coordinator.applyStatusUpdate(e.update, e.coordinator.Now()))
 }
 
-// adminCommandReceived is an operator's command.
+// adminCommandReceived is a command from an operator.
 type adminCommandReceived struct {
 	coordinator *Coordinator
 	command     *shard.Command
 	reply       eventloop.Reply[shard.DetailedReply]
 }
 
-// Apply carries the command out; the answer may come later.
+// Apply executes the command. The reply is sent later if the command writes to the store.
 func (e adminCommandReceived) Apply() {
 	e.coordinator.executeCommand(e.command, func(reply shard.CommandReply) {
 		e.reply.Send(e.coordinator.detailReply(e.command, reply))
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -9,10 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// How shards come and go.
-
-// allRegistered reports whether every controller of the settings has a session: one that
-// runs without shards would take all machines for its own.
+// allRegistered reports whether every configured controller has a session. A controller without a
+// session may run without the shard feature, and would treat all machines as its own.
 func (c *Coordinator) allRegistered() bool {
 	for _, peer := range c.Config.Peers {
 		if _, ok := c.sessions.current.Controller(peer.Node); !ok {
@@ -23,8 +21,8 @@
 	return ok
 }
 
-// allContinueJobs reports whether every controller of the settings goes on with jobs that had
-// allocations under another one.
+// allContinueJobs reports whether every configured controller has announced shard.ContinueFeature: it
+// continues started jobs, which had allocations under another controller.
 func (c *Coordinator) allContinueJobs() bool {
 	for _, peer := range c.Config.Peers {
 		if !c.sessions.continuing[peer.Node] {
@@ -34,7 +32,8 @@
 	return c.sessions.continuing[c.Config.Node]
 }
 
-// formDeclaredShards forms the shards of the settings that do not exist.
+// formDeclaredShards creates the records of declared shards that do not exist yet and do not overlap
+// with an existing one.
 func (c *Coordinator) formDeclaredShards() {
 	if c.Config.Shards.Dissolve || !c.Cluster.CompactRecords || !c.allRegistered() {
 		return
@@ -44,11 +43,11 @@
 			continue
 		}
 		if other, ok := c.table().Overlapping(declared.Selector); ok {
-			c.Log.Debug("shard not formed", "shard", declared.Name, "err", shard.ErrOverlap, "other", other.Name)
+			c.Log.Debug("form shard failed", "shard", declared.Name, "err", shard.ErrOverlap, "other", other.Name)
 			continue
 		}
 		if c.marker.Version() == 0 {
-			c.marker.MarkDirty(c.Now(), statestore.PriorityHigh) // before the first shard
+			c.marker.MarkDirty(c.Now(), statestore.PriorityHigh) // must be stored before the first shard
 			return
 		}
 		c.Log.Info(
@@ -61,8 +60,8 @@
 	}
 }
 
-// reconcileForming clears the machines of a shard that is being formed, and gives it to its
-// first owner once none of them holds a task.
+// reconcileForming drains the replicas of services from the machines of a forming shard, and grants
+// the shard to its first owner once no machine of it holds an allocation.
 func (c *Coordinator) reconcileForming(entry shard.Entry, wall int64) {
 	if c.Config.Shards.Dissolve {
 		c.deleteShard(entry)
@@ -78,7 +77,7 @@
 	}
 	granted, err := entry.Record.Grant(owner, wall)
 	if err != nil {
-		c.Log.Debug("shard not granted", "shard", entry.Name, "to", owner.Node, "err", err)
+		c.Log.Debug("grant shard failed", "shard", entry.Name, "to", owner.Node, "err", err)
 		return
 	}
 	delete(c.unstoredBeforeGrant, entry.Name)
@@ -95,13 +94,14 @@
 	return c.sessions.current.LeastLoaded(c.table())
 }
 
-// unstoredChunks are chunks of which something is still to be written, by the version of that.
+// unstoredChunks holds chunks with unwritten changes, and for each the version of the chunk in memory
+// that has to be stored.
 type unstoredChunks map[*cluster.TaskChunk]uint64
 
-// machinesCleared reports whether nothing is left on the machines of a shard that is being formed,
-// and the store says so. Given away before, a task whose end was not stored yet ran again: its
+// machinesCleared reports whether the machines of a forming shard hold no allocation, and the store
+// shows that. When shards were granted earlier, a task whose end was not stored yet ran again: its
 // agent reported the end to the shard's owner, which did not know the job, and the next leader
-// took the machine for one that the task is on.
+// assumed that the task was still on the machine.
 func (c *Coordinator) machinesCleared(entry shard.Entry) bool {
 	if c.allocationsIn(entry) > 0 {
 		delete(c.unstoredBeforeGrant, entry.Name)
@@ -118,8 +118,8 @@
 	return len(unstored) == 0
 }
 
-// listUnstoredChunks lists the chunks of which something is to be written, and has them written
-// soon.
+// listUnstoredChunks lists the chunks with unwritten changes of all jobs that have not ended, and
+// schedules writes of them with high priority.
 func (c *Coordinator) listUnstoredChunks() unstoredChunks {
 	unstored, now := unstoredChunks{}, c.Now()
 	for _, job := range c.Cluster.Jobs {
@@ -136,61 +136,62 @@
 	return unstored
 }
 
-// maxReplicasStopping is how many replicas are moved at a time from the machines of a shard that is
-// being formed to the leader's own: a service keeps the others.
+// maxReplicasStopping limits the replicas that are stopped at the same time on the machines of a
+// forming shard to be moved to the leader's own machines, so that services keep their other replicas.
 const maxReplicasStopping = 4
 
-// allocationsIn counts the allocations on the machines of a shard that is being formed, and on
-// those of which it is not known yet whether they are in it: read from the records, a machine
-// has no type until its first heartbeat. Given away with such an allocation on it, a machine
-// was never proven released of it.
+// allocationsIn counts the allocations on the machines of a forming shard, and on machines of unknown
+// type, which may belong to it: a machine that is known only from stored records has no type until
+// its first heartbeat. When such a machine was granted with an allocation on it, the allocation was
+// never proven released.
 func (c *Coordinator) allocationsIn(entry shard.Entry) int {
-	held := 0
+	count := 0
 	for _, machine := range c.Cluster.SortedMachines() {
 		if machine.Type == nil || inFormingShard(entry, machine) {
-			held += len(machine.Allocations)
+			count += len(machine.Allocations)
 		}
 	}
-	return held
+	return count
 }
 
-// inFormingShard reports whether a machine is one of a shard that is being formed.
+// inFormingShard reports whether a machine belongs to this forming shard.
 func inFormingShard(entry shard.Entry, machine *cluster.Machine) bool {
 	return machine.TransferPending && entry.Record.Selector.Matches(machineAttributes(machine))
 }
 
-// drainReplicas has the replicas on a shard's machines stopped; other tasks end by themselves. A few
-// at a time go to the leader's own machines. Those that have no offer there run until nothing else
-// is left, and come back in the shard: stopped first, they were down for as long as the longest
-// task on the shard's machines ran.
+// drainReplicas stops the replicas of services on the machines of a forming shard; other tasks end by
+// themselves. Replicas of jobs that the leader can serve move to its own machines, at most
+// maxReplicasStopping at a time. All other replicas are stopped only when nothing else is left on
+// the machines, and restart in the shard: when they were stopped first, they were down for as long
+// as the longest task on the shard's machines ran.
 func (c *Coordinator) drainReplicas(entry shard.Entry) {
 	stopping, replicas := c.replicasIn(entry)
 	others := c.allocationsIn(entry) - stopping - len(replicas)
 	catalog := c.dividedCatalog()
-	var movable, bound []*cluster.Allocation
+	var movable, unmovable []*cluster.Allocation
 	for _, allocation := range replicas {
 		if catalog == nil || catalog.leaderServes(allocation.Job) {
 			movable = append(movable, allocation)
 		} else {
-			bound = append(bound, allocation)
+			unmovable = append(unmovable, allocation)
 		}
 	}
 	c.stopReplicas(movable[:max(min(len(movable), maxReplicasStopping-stopping), 0)])
 	if others == 0 && len(movable) == 0 {
-		c.stopReplicas(bound)
+		c.stopReplicas(unmovable)
 	}
 }
 
-// stopReplicas has replicas stopped, with time for a checkpoint.
+// stopReplicas stops replicas and grants each the time for a checkpoint.
 func (c *Coordinator) stopReplicas(replicas []*cluster.Allocation) {
 	now := c.Now()
 	for _, allocation := range replicas {
-		c.Cluster.StopAllocation(allocation, "the machine goes to a shard", allocation.Job.Spec.CheckpointDurationS, now)
+		c.Cluster.StopAllocation(allocation, "machine joins a shard", allocation.Job.Spec.CheckpointDurationS, now)
 	}
 }
 
-// replicasIn counts the replicas of services that stop on the machines of a shard that is being
-// formed, and lists the others.
+// replicasIn counts the replicas of services that are stopping on the machines of a forming shard,
+// and lists the replicas that are not stopping.
 func (c *Coordinator) replicasIn(entry shard.Entry) (stopping int, running []*cluster.Allocation) {
 	for _, machine := range c.Cluster.SortedMachines() {
 		if !inFormingShard(entry, machine) {
@@ -209,8 +210,8 @@
 	return stopping, running
 }
 
-// deleteShard deletes the record of a shard that has nothing left. The last one takes
-// the marker along.
+// deleteShard deletes the record of a shard without jobs or machines, and with the last shard also
+// the marker.
 func (c *Coordinator) deleteShard(entry shard.Entry) {
 	transaction := wire.Transaction{
 		If:   []wire.Precondition{c.Term.Precondition(), entry.Precondition()},
--- a/internal/shard/coordinator/form_warnings.go
+++ b/internal/shard/coordinator/form_warnings.go
@@ -9,24 +9,24 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// maxWarningsLogged bounds what one line says of a shard.
+// maxWarningsLogged limits the warnings that one log line contains.
 const maxWarningsLogged = 5
 
-// logDivisionWarnings says for which work a shard that is being formed leaves no place, beside the
-// others that exist or are declared.
+// logDivisionWarnings logs which kinds of jobs could not be placed anywhere once a declared shard is
+// formed, given the shards that exist or are declared.
 func (c *Coordinator) logDivisionWarnings(declared config.DeclaredShard) {
 	warnings := c.divisionWarnings(declared)
 	if len(warnings) == 0 {
 		return
 	}
-	told := warnings[:min(len(warnings), maxWarningsLogged)]
+	logged := warnings[:min(len(warnings), maxWarningsLogged)]
 	c.Log.Warn(
-		"shard leaves work without a place", "shard", declared.Name, "selects", declared.Selector.String(), "reason",
-		strings.Join(told, "; "), "warnings", len(warnings),
+		"forming shard leaves jobs that cannot be placed", "shard", declared.Name, "selects", declared.Selector.String(),
+		"reason", strings.Join(logged, "; "), "warnings", len(warnings),
 	)
 }
 
-// divisionWarnings are those that would not hold without the shard.
+// divisionWarnings returns the warnings that the declared shard adds to those of the other shards.
 func (c *Coordinator) divisionWarnings(declared config.DeclaredShard) []string {
 	var others []shard.Part
 	c.table().Each(func(entry shard.Entry) bool {
@@ -35,7 +35,7 @@
 	})
 	var formed shard.Part
 	for _, part := range c.Config.Shards.Parts() {
-		_, overlaps := c.table().Overlapping(part.Selector) // also where it exists
+		_, overlaps := c.table().Overlapping(part.Selector) // true also for a declared shard that exists
 		switch {
 		case part.Name == declared.Name:
 			formed = part
@@ -50,7 +50,7 @@
 	})
 }
 
-// catalogOffers lists what the cloud offers.
+// catalogOffers lists the offers of all machine types in the catalog.
 func catalogOffers(catalog []*cluster.MachineType) []shard.Attributes {
 	var offers []shard.Attributes
 	for _, machineType := range catalog {
@@ -59,7 +59,7 @@
 	return offers
 }
 
-// typeOffers lists what the cloud offers of a type.
+// typeOffers lists the offers of a machine type: on-demand and spot in each of its zones.
 func typeOffers(machineType *cluster.MachineType) []shard.Attributes {
 	var offers []shard.Attributes
 	for _, zone := range machineType.Zones {
--- a/internal/shard/coordinator/guards_handover_test.go
+++ b/internal/shard/coordinator/guards_handover_test.go
@@ -14,7 +14,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// changesKey reports whether a transaction puts, or with a minus deletes, a key of a prefix.
+// changesKey reports whether a transaction puts a key with a prefix, or, if the prefix begins with a
+// minus, deletes one.
 func changesKey(transaction wire.Transaction, prefix string) bool {
 	return slices.ContainsFunc(transaction.Then, func(change wire.Change) bool {
 		if deleted, ok := strings.CutPrefix(prefix, "-"); ok {
@@ -24,7 +25,7 @@
 	})
 }
 
-// failWrites has a fault meet the transactions that change a key of a prefix.
+// failWrites injects a fault into all transactions that change a key with a prefix.
 func (s *handoverEnv) failWrites(prefix string, fault fake.CommitFault) {
 	s.setFault(func(transaction wire.Transaction) fake.CommitFault {
 		if changesKey(transaction, prefix) {
@@ -34,7 +35,7 @@
 	})
 }
 
-// latestChunkVersion is the latest version of the leader's records of j-1.
+// latestChunkVersion returns the latest version of the leader's records of j-1; 0 if there are none.
 func (s *handoverEnv) latestChunkVersion() (latest uint64) {
 	for _, item := range s.items(keys.ChunkPrefixFor("j-1")) {
 		latest = max(latest, uint64(item.Version))
@@ -42,57 +43,59 @@
 	return latest
 }
 
-// offerCapacity has the owner tell of capacity for so long, every half second.
+// offerCapacity reports capacity every half second for the given time.
 func (s *handoverEnv) offerCapacity(span micro.Time) {
 	for end := s.now() + span; s.now() < end; s.sleep(500 * micro.Millisecond) {
 		s.reportCapacity()
 	}
 }
 
-// An assignment that names a revision before all is stored makes the owner do again what is done.
+// A started job may be assigned only after all its task records are stored. Otherwise the assignment
+// names a revision before the last changes, and the owner repeats tasks that are done.
 func TestStartedJobIsAssignedOnlyAfterItsRecordsAreStored(t *testing.T) {
 	faults := map[string]fake.CommitFault{
-		"refused":               {Refused: true},
-		"no answer, never":      {Unanswered: true, ExecuteAfter: 1000 * micro.Minute},
-		"no answer, but stored": {Unanswered: true},
+		"refused":                  {Refused: true},
+		"unanswered, not executed": {Unanswered: true, ExecuteAfter: 1000 * micro.Minute},
+		"unanswered, executed":     {Unanswered: true},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverEnv) {
-				site.failWrites(keys.ChunkPrefix, fault)
-				site.submit()
-				site.runTask(0, wire.CauseDone)
-				site.runTask(2, wire.CauseStopped)
-				site.offerCapacity(6 * micro.Second)
-				if _, version := site.assignment(); version > 0 || site.job().State != cluster.Active {
-					t.Fatalf("assigned at %d, state %v", version, site.job().State)
+			runHandover(t, func(env *handoverEnv) {
+				env.failWrites(keys.ChunkPrefix, fault)
+				env.submit()
+				env.runTask(0, wire.CauseDone)
+				env.runTask(2, wire.CauseStopped)
+				env.offerCapacity(6 * micro.Second)
+				if _, version := env.assignment(); version > 0 || env.job().State != cluster.Active {
+					t.Fatalf("before the records are stored: assignment at version %d, job state %v", version, env.job().State)
 				}
-				site.setFault(nil)
-				site.offerCapacity(6 * micro.Second)
-				assignment, version := site.assignment()
-				if version == 0 || assignment.Revision() == 0 || assignment.Revision() != site.latestChunkVersion() {
-					t.Errorf("assigned at %d, goes on from %d, stored %d", version, assignment.Revision(), site.latestChunkVersion())
+				env.setFault(nil)
+				env.offerCapacity(6 * micro.Second)
+				assignment, version := env.assignment()
+				if version == 0 || assignment.Revision() == 0 || assignment.Revision() != env.latestChunkVersion() {
+					t.Errorf("assignment at version %d continues from revision %d, latest record at %d", version,
+						assignment.Revision(), env.latestChunkVersion())
 				}
 			})
 		})
 	}
 }
 
-// The owner's word on an earlier stay, on a job that is not recalled, or on one that is being
-// cancelled, takes the job from an owner that goes on with it.
+// A release report must be ignored if the job is not recalled or is being cancelled, or if the owner
+// had not read the recall. Otherwise the job is taken from an owner that continues with it.
 func TestReleaseIsIgnoredUnlessOwnerHasReadTheRecall(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		site.release()
-		site.expectNotReleased("it is not recalled")
-		_, before := site.assignment()
-		site.recall()
-		site.sendUpdate(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: before}}})
-		site.expectNotReleased("the owner has not read the recall")
-		site.runOnLoop(func() { site.leader.BeginCancellation(site.job()) })
-		site.sleep(2 * micro.Second)
-		site.release()
-		site.expectNotReleased("it is being cancelled")
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		env.release()
+		env.expectNotReleased("the job is not recalled")
+		_, before := env.assignment()
+		env.recall()
+		env.sendUpdate(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: before}}})
+		env.expectNotReleased("the owner has not read the recall")
+		env.runOnLoop(func() { env.leader.BeginCancellation(env.job()) })
+		env.sleep(2 * micro.Second)
+		env.release()
+		env.expectNotReleased("the job is being cancelled")
 	})
 }
 
@@ -101,87 +104,90 @@
 	s.sleep(5 * micro.Second)
 	assigned := s.leader.assignedJobs["j-1"]
 	if _, version := s.assignment(); assigned == nil || assigned.recall != nil || version == 0 {
-		s.t.Fatalf("released, though %s", why)
+		s.t.Fatalf("the release was accepted although %s", why)
 	}
 }
 
-// The write that created the assignment is carried out once more, after the job came back: it
-// is assigned anew, and runs at both.
+// The write that created the assignment is executed again after the job has returned. The copy must
+// fail: otherwise the job is assigned again, and runs both at the leader and in the shard.
 func TestLateAssignmentCreationFailsAfterJobReturned(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
+	runHandover(t, func(env *handoverEnv) {
 		held := 0
-		site.setFault(func(transaction wire.Transaction) fake.CommitFault {
+		env.setFault(func(transaction wire.Transaction) fake.CommitFault {
 			if held > 0 || !changesKey(transaction, shard.AssignmentPrefix) {
 				return fake.CommitFault{}
 			}
 			held++
 			return fake.CommitFault{Unanswered: true, ExecuteAfter: micro.Minute}
 		})
-		site.assignStartedJob()
-		shardVersion := site.version(shard.RecordKey("east"))
-		site.recall()
-		site.release()
-		site.waitReturned()
-		if site.version(shard.RecordKey("east")) <= shardVersion {
-			t.Error("the shard's record is that under which the assignment was created")
+		env.assignStartedJob()
+		shardVersion := env.version(shard.RecordKey("east"))
+		env.recall()
+		env.release()
+		env.waitReturned()
+		if env.version(shard.RecordKey("east")) <= shardVersion {
+			t.Error("the shard's record still has the version that the assignment was created under")
 		}
-		site.sleep(2 * micro.Minute)
-		if _, version := site.assignment(); held != 1 || version != 0 {
-			t.Errorf("%d writes were held up; assigned again at %d", held, version)
+		env.sleep(2 * micro.Minute)
+		if _, version := env.assignment(); held != 1 || version != 0 {
+			t.Errorf("%d writes were delayed, want 1; the assignment was created again at version %d", held, version)
 		}
 	})
 }
 
-// waitReturned waits until j-1 is the leader's, and nothing of it is left in the shard.
+// waitReturned waits until j-1 is the leader's, and checks that the store holds neither assignments nor
+// records of owners.
 func (s *handoverEnv) waitReturned() {
 	s.t.Helper()
-	s.waitUntil("the job is the leader's", func() bool { return s.job().State == cluster.Active })
+	s.waitUntil("job has returned to the leader", func() bool { return s.job().State == cluster.Active })
 	if left := append(s.keys(shard.AssignmentPrefix), s.keys(shard.AllocationPrefix)...); len(left) > 0 {
-		s.t.Errorf("the leader's, with %v", left)
+		s.t.Errorf("the job has returned, and the store still holds %v", left)
 	}
 }
 
-// What is done is lost with the owner's records, or the job begins at the leader while a late write
-// may still change them.
+// The writes of a recall must be made in order: the fence, the leader's records, the deletion of the
+// owner's records, the deletion of the assignment. Otherwise progress is lost with the owner's
+// records, or the job starts at the leader while a late write may still change them.
 func TestRecallStepsAreWrittenInOrder(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		site.recordDone(0, 1)
-		site.recordDone(1, 3)
-		site.recall()
-		since := len(site.sent())
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		env.recordDone(0, 1)
+		env.recordDone(1, 3)
+		env.recall()
+		since := len(env.sent())
 		order := []string{
 			shard.RecordKey("east"), keys.ChunkPrefix, "-" + shard.AllocationPrefix, "-" + shard.AssignmentPrefix,
 		}
-		site.setFault(refuse(order[0]))
-		site.release()
+		env.setFault(refuse(order[0]))
+		env.release()
 		for i, prefix := range order {
-			site.setFault(refuse(prefix))
-			site.sleep(4 * micro.Second)
-			if got := site.firstChanges(since, order...); !slices.Equal(got, order[:i+1]) {
-				t.Errorf("while %s fails: %v", prefix, got)
+			env.setFault(refuse(prefix))
+			env.sleep(4 * micro.Second)
+			if got := env.firstChanges(since, order...); !slices.Equal(got, order[:i+1]) {
+				t.Errorf("changes while writes of %s fail: %v", prefix, got)
 			}
-			if site.job().State != cluster.Assigned {
-				t.Fatalf("%v while %s fails", site.job().State, prefix)
+			if env.job().State != cluster.Assigned {
+				t.Fatalf("job state %v while writes of %s fail", env.job().State, prefix)
 			}
-			if stored := len(site.keys(shard.AllocationPrefix)); stored == 0 != (i == 3) {
-				t.Errorf("%d records of the owner while %s fails", stored, prefix)
+			if stored := len(env.keys(shard.AllocationPrefix)); stored == 0 != (i == 3) {
+				t.Errorf("the store holds %d records of the owner while writes of %s fail", stored, prefix)
 			}
 		}
-		site.setFault(nil)
-		site.waitReturned()
-		site.expectRestored()
+		env.setFault(nil)
+		env.waitReturned()
+		env.expectRestored()
 	})
 }
 
-// refuse is a store that refuses transactions which change a key of a prefix.
+// refuse returns a fault function that refuses the transactions which change a key with a prefix.
 func refuse(prefix string) func(wire.Transaction) fake.CommitFault {
 	return func(transaction wire.Transaction) fake.CommitFault {
 		return fake.CommitFault{Refused: changesKey(transaction, prefix)}
 	}
 }
 
-// expectRestored checks that j-1 waits at the leader with all that was done before and in the shard.
+// expectRestored checks that j-1 is pending at the leader, with the tasks done that were done before the
+// handover and in the shard.
 func (s *handoverEnv) expectRestored() {
 	s.t.Helper()
 	job := s.job()
@@ -190,14 +196,14 @@
 		s.t.Errorf("done %v (%d), task 2 at attempt %d", done, job.DoneTasks, job.Tasks[2].Attempt)
 	}
 	if !s.leader.Cluster.PendingJobs[job] || job.PendingTasks() != 1 {
-		s.t.Errorf("%d tasks wait, the job waits: %v", job.PendingTasks(), s.leader.Cluster.PendingJobs[job])
+		s.t.Errorf("%d tasks are pending, want 1; job is pending: %v", job.PendingTasks(), s.leader.Cluster.PendingJobs[job])
 	}
 	if used := s.leader.Cluster.Teams["team"].UsedCPU; used != 0 {
-		s.t.Errorf("%v CPUs are used", used)
+		s.t.Errorf("%v CPUs of the quota are used, want 0", used)
 	}
 }
 
-// recallSteps are how far a recall is, by the write that fails then.
+// recallSteps returns fault functions that interrupt a recall, by the step that they interrupt.
 func recallSteps() map[string]func(wire.Transaction) fake.CommitFault {
 	late := func(after micro.Time) func(wire.Transaction) fake.CommitFault {
 		return func(transaction wire.Transaction) fake.CommitFault {
@@ -208,43 +214,44 @@
 		}
 	}
 	return map[string]func(wire.Transaction) fake.CommitFault{
-		"before the fence":                  refuse(shard.RecordKey("east")),
-		"before the records are taken":      refuse(keys.ChunkPrefix),
-		"before the owner's are deleted":    refuse("-" + shard.AllocationPrefix),
-		"before the assignment is deleted":  refuse("-" + shard.AssignmentPrefix),
-		"the deletion has no answer":        late(0),
-		"the deletion is carried out late":  late(3 * micro.Second),
-		"the deletion is never carried out": late(1000 * micro.Minute),
+		"fence refused":                         refuse(shard.RecordKey("east")),
+		"leader's records refused":              refuse(keys.ChunkPrefix),
+		"deletion of owner's records refused":   refuse("-" + shard.AllocationPrefix),
+		"deletion of assignment refused":        refuse("-" + shard.AssignmentPrefix),
+		"deletion of assignment unanswered":     late(0),
+		"deletion of assignment executed late":  late(3 * micro.Second),
+		"deletion of assignment never executed": late(1000 * micro.Minute),
 	}
 }
 
-// runRecallSteps plays a story at each step of a recall. Quota is counted once at each.
-func runRecallSteps(t *testing.T, story func(site *handoverEnv)) {
+// runRecallSteps runs a scenario for each interrupted step of a recall, and checks before that the quota
+// of the job is counted once.
+func runRecallSteps(t *testing.T, scenario func(env *handoverEnv)) {
 	t.Helper()
 	for name, fault := range recallSteps() {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverEnv) {
-				site.assignStartedJob()
-				site.recordDone(0, 1)
-				site.recordDone(1, 3)
-				site.recall()
+			runHandover(t, func(env *handoverEnv) {
+				env.assignStartedJob()
+				env.recordDone(0, 1)
+				env.recordDone(1, 3)
+				env.recall()
 				met := false
-				site.setFault(func(transaction wire.Transaction) fake.CommitFault {
-					fate := fault(transaction)
-					met = met || fate != fake.CommitFault{}
-					return fate
+				env.setFault(func(transaction wire.Transaction) fake.CommitFault {
+					injected := fault(transaction)
+					met = met || injected != fake.CommitFault{}
+					return injected
 				})
-				site.release()
-				site.waitUntil("the step", func() bool { return met })
-				site.sleep(100 * micro.Millisecond)
-				site.expectQuota(3)
-				story(site)
+				env.release()
+				env.waitUntil("the fault was injected", func() bool { return met })
+				env.sleep(100 * micro.Millisecond)
+				env.expectQuota(3)
+				scenario(env)
 			})
 		})
 	}
 }
 
-// expectQuota checks how many CPUs the team uses.
+// expectQuota checks how many CPUs of the team's quota are used.
 func (s *handoverEnv) expectQuota(want float64) {
 	s.t.Helper()
 	if got := s.leader.Cluster.Teams["team"].UsedCPU; got != want {
@@ -252,7 +259,8 @@
 	}
 }
 
-// simulateOwner has the shard's owner go on for a while, as one does that has released the job.
+// simulateOwner sends the reports of an owner that has released the job, or stops it when requested to,
+// once per second.
 func (s *handoverEnv) simulateOwner(span micro.Time) {
 	s.t.Helper()
 	for end := s.now() + span; s.now() < end; s.sleep(micro.Second) {
@@ -268,80 +276,84 @@
 	}
 }
 
-// A job that is cancelled on its way back is placed, or its user is told twice or never.
+// A job that is cancelled during its recall must end exactly once, and must not be placed. Otherwise
+// it runs, or its cancellation is confirmed to the user twice or never.
 func TestJobCancelledDuringRecallEndsOnce(t *testing.T) {
-	runRecallSteps(t, func(site *handoverEnv) {
-		site.runOnLoop(func() { site.leader.BeginCancellation(site.job()) })
-		site.sleep(micro.Second)
-		site.setFault(nil)
-		site.simulateOwner(10 * micro.Second)
-		leader := site.leader
-		if told := len(leader.cancelled) + strings.Count(leader.ends["j-1"], string(wire.JobAborted)); told != 1 {
-			t.Errorf("ends %q, and %d more: want one", leader.ends["j-1"], len(leader.cancelled))
+	runRecallSteps(t, func(env *handoverEnv) {
+		env.runOnLoop(func() { env.leader.BeginCancellation(env.job()) })
+		env.sleep(micro.Second)
+		env.setFault(nil)
+		env.simulateOwner(10 * micro.Second)
+		leader := env.leader
+		if endCount := len(leader.cancelled) + strings.Count(leader.ends["j-1"], string(wire.JobAborted)); endCount != 1 {
+			t.Errorf("ends %q and %d pending cancellations, want one in total", leader.ends["j-1"], len(leader.cancelled))
 		}
-		if job := site.job(); job.State != cluster.Aborting || leader.Cluster.PendingJobs[job] {
-			t.Errorf("%v, waits to be placed: %v", job.State, leader.Cluster.PendingJobs[job])
+		if job := env.job(); job.State != cluster.Aborting || leader.Cluster.PendingJobs[job] {
+			t.Errorf("job state %v, job is pending: %v", job.State, leader.Cluster.PendingJobs[job])
 		}
 	})
 }
 
-// A recall that a leader has begun is not ended by the next one: the job stays in the shard for good,
-// or what is done there is lost.
+// The next leader must complete a recall that its predecessor began. Otherwise the job stays in the
+// shard permanently, or its progress there is lost.
 func TestNextLeaderCompletesRecall(t *testing.T) {
-	runRecallSteps(t, func(site *handoverEnv) {
-		site.failOver()
-		site.setFault(nil)
-		if _, version := site.assignment(); version > 0 {
-			site.expectQuota(3)
+	runRecallSteps(t, func(env *handoverEnv) {
+		env.startNextTerm()
+		env.setFault(nil)
+		if _, version := env.assignment(); version > 0 {
+			env.expectQuota(3)
 		}
-		site.simulateOwner(10 * micro.Second)
-		site.waitReturned()
-		site.expectRestored()
+		env.simulateOwner(10 * micro.Second)
+		env.waitReturned()
+		env.expectRestored()
 	})
 }
 
-// A shard that is taken back with a recalled job in it leaves the job, or what is done, behind.
+// A shard is reclaimed while one of its jobs is being recalled. The job must return with its progress:
+// neither may be left behind in the shard.
 func TestShardReclaimedDuringRecallKeepsJobProgress(t *testing.T) {
-	runRecallSteps(t, func(site *handoverEnv) {
-		entry, _ := site.leader.table().Get("east")
+	runRecallSteps(t, func(env *handoverEnv) {
+		entry, _ := env.leader.table().Get("east")
 		released := entry.Record
 		released.State, released.Owner = shard.Released, shard.Controller{}
-		site.put(shard.RecordKey("east"), released)
-		site.sleep(micro.Second)
-		site.setFault(nil)
-		site.waitUntil("the shard is gone", func() bool { return len(site.keys(shard.RecordPrefix)) == 0 })
-		site.waitReturned()
-		site.expectRestored()
+		env.put(shard.RecordKey("east"), released)
+		env.sleep(micro.Second)
+		env.setFault(nil)
+		env.waitUntil("shard is deleted", func() bool { return len(env.keys(shard.RecordPrefix)) == 0 })
+		env.waitReturned()
+		env.expectRestored()
 	})
 }
 
-// A controller without the feature reads a continued assignment: it begins the job anew, or never
-// gives it back.
+// While any controller lacks the feature to continue jobs, a started job must be neither assigned nor
+// recalled. A controller without the feature that reads the assignment of a started job runs the job
+// from the start, or never releases it.
 func TestStartedJobsMoveOnlyWhileAllControllersContinueJobs(t *testing.T) {
 	for name, node := range map[string]string{"the leader": "n-0", "a peer": "n-1"} {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverEnv) {
-				site.setFeatures(node)
-				site.submit()
-				site.runTask(0, wire.CauseDone)
-				site.offerCapacity(40 * micro.Second)
-				if _, version := site.assignment(); version > 0 {
-					t.Fatal("assigned")
+			runHandover(t, func(env *handoverEnv) {
+				env.setFeatures(node)
+				env.submit()
+				env.runTask(0, wire.CauseDone)
+				env.offerCapacity(40 * micro.Second)
+				if _, version := env.assignment(); version > 0 {
+					t.Fatal("job was assigned although a controller lacks the feature")
 				}
-				site.setFeatures(node, shard.ContinueFeature)
-				site.assignUntilStored()
-				site.setFeatures(node)
-				site.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
-				site.sleep(5 * micro.Second)
-				if assignment, _ := site.assignment(); assignment.RecallRequested {
-					t.Error("recalled")
+				env.setFeatures(node, shard.ContinueFeature)
+				env.assignUntilStored()
+				env.setFeatures(node)
+				env.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
+				env.sleep(5 * micro.Second)
+				if assignment, _ := env.assignment(); assignment.RecallRequested {
+					t.Error("job was recalled although a controller lacks the feature")
 				}
 			})
 		})
 	}
 }
 
-// setFeatures has a node hold its session as one with these features; its version changes.
+// setFeatures rewrites a node's session with these features, which changes its version. For n-1 the
+// shard "east" is rewritten with the new incarnation as owner.
 func (s *handoverEnv) setFeatures(node string, features ...string) {
 	s.t.Helper()
 	s.put(shard.SessionKey(node), election.Record{Node: node, Features: features})
@@ -353,79 +365,80 @@
 	s.sleep(3 * micro.Second)
 }
 
-// A job goes to and fro without end between two sides neither of which serves it.
+// A job that returned from a shard stays at the leader for minReassignInterval. Otherwise it alternates
+// indefinitely between two owners that cannot run it.
 func TestReturnedJobIsNotReassignedWithinMinInterval(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		site.recall()
-		site.release()
-		site.waitReturned()
-		site.offerCapacity(minReassignInterval - 2*micro.Second)
-		if _, version := site.assignment(); version > 0 {
-			t.Error("assigned again at once")
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		env.recall()
+		env.release()
+		env.waitReturned()
+		env.offerCapacity(minReassignInterval - 2*micro.Second)
+		if _, version := env.assignment(); version > 0 {
+			t.Error("job was assigned again within minReassignInterval")
 		}
-		site.offerCapacity(5 * micro.Second)
-		if _, version := site.assignment(); version == 0 {
-			t.Error("never assigned again")
+		env.offerCapacity(5 * micro.Second)
+		if _, version := env.assignment(); version == 0 {
+			t.Error("job was not assigned again after minReassignInterval")
 		}
 	})
 }
 
-// The leader's records from before the assignment are taken for what it has taken back, and the
-// owner's are deleted unread.
+// The leader's records from before the assignment must not count as merged with the owner's. Otherwise
+// the owner's records are deleted without being read.
 func TestLeaderRecordsOlderThanTheAssignmentDoNotCountAsMerged(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		chunk := site.job().Chunk(0)
-		if site.leader.ownerRecordMerged(chunk) {
-			t.Error("a record from before the assignment counts as taken back")
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		chunk := env.job().Chunk(0)
+		if env.leader.ownerRecordMerged(chunk) {
+			t.Error("a record from before the assignment counts as merged")
 		}
-		site.recordDone(0, 1)
-		site.recordDone(1, 3)
-		site.recall()
-		site.setFault(refuse("-" + shard.AllocationPrefix))
-		site.release()
-		site.waitUntil("the records are taken", func() bool {
-			return site.leader.ownerRecordMerged(site.job().Chunk(0)) && site.leader.ownerRecordMerged(site.job().Chunk(2))
+		env.recordDone(0, 1)
+		env.recordDone(1, 3)
+		env.recall()
+		env.setFault(refuse("-" + shard.AllocationPrefix))
+		env.release()
+		env.waitUntil("records are merged", func() bool {
+			return env.leader.ownerRecordMerged(env.job().Chunk(0)) && env.leader.ownerRecordMerged(env.job().Chunk(2))
 		})
-		site.failOver()
-		taken := site.latestChunkVersion()
-		if !site.leader.ownerRecordMerged(site.job().Chunk(0)) || !site.leader.ownerRecordMerged(site.job().Chunk(2)) {
-			t.Error("the next leader does not know what was taken back")
+		env.startNextTerm()
+		merged := env.latestChunkVersion()
+		if !env.leader.ownerRecordMerged(env.job().Chunk(0)) || !env.leader.ownerRecordMerged(env.job().Chunk(2)) {
+			t.Error("the next leader does not detect that the records are merged")
 		}
-		site.setFault(nil)
-		site.simulateOwner(10 * micro.Second)
-		site.waitReturned()
-		site.expectRestored()
-		if site.latestChunkVersion() != taken {
-			t.Error("what was taken back is written again")
+		env.setFault(nil)
+		env.simulateOwner(10 * micro.Second)
+		env.waitReturned()
+		env.expectRestored()
+		if env.latestChunkVersion() != merged {
+			t.Error("the merged records were written again")
 		}
 	})
 }
 
-// A task is on a machine, or a job in the shard takes its part of the quota, and another job gets
-// the same part.
+// The quota of a job must be counted exactly once before, during and after its stay in a shard.
+// Otherwise another job gets the quota that a running task or the assigned job uses.
 func TestQuotaIsCountedOnceDuringHandoverAndRecall(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.submit()
-		site.runTask(0, wire.CauseDone)
-		site.expectQuota(0)
-		site.assignUntilStored()
-		site.expectQuota(3)
-		site.failOver()
-		site.expectQuota(3)
-		site.recall()
-		site.expectQuota(3)
-		site.release()
-		site.waitReturned()
-		site.expectQuota(0)
+	runHandover(t, func(env *handoverEnv) {
+		env.submit()
+		env.runTask(0, wire.CauseDone)
+		env.expectQuota(0)
+		env.assignUntilStored()
+		env.expectQuota(3)
+		env.startNextTerm()
+		env.expectQuota(3)
+		env.recall()
+		env.expectQuota(3)
+		env.release()
+		env.waitReturned()
+		env.expectQuota(0)
 	})
 }
 
-// assignUntilStored offers capacity until j-1 is assigned.
+// assignUntilStored reports capacity until the assignment of j-1 is stored.
 func (s *handoverEnv) assignUntilStored() {
 	s.t.Helper()
-	s.waitUntil("it is assigned", func() bool {
+	s.waitUntil("job is assigned", func() bool {
 		s.reportCapacity()
 		_, version := s.assignment()
 		return version > 0
--- a/internal/shard/coordinator/guards_test.go
+++ b/internal/shard/coordinator/guards_test.go
@@ -12,7 +12,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// interceptingStore has a test look at each transaction.
+// interceptingStore sends each transaction to a channel instead of executing it.
 type interceptingStore struct {
 	store.Store
 	sent chan wire.Transaction
@@ -23,12 +23,13 @@
 	return 0, nil
 }
 
-// assignJob assigns a job of one task to the shard, as stored at a version; 0: not yet.
+// assignJob assigns a job of one task to the shard "east", with its assignment stored at a version; 0
+// means not stored yet.
 func (test *testCoordinator) assignJob(version uint64) (*cluster.Job, *assignedJob) {
 	test.t.Helper()
 	job := test.addJob("j-1", wire.Job{Tasks: 1, CPUs: 1, MemoryGB: 1})
 	if test.Cluster.Assign(job, "east") != 1 {
-		test.t.Fatal("not assigned")
+		test.t.Fatal("job was not assigned")
 	}
 	assigned := test.storeAssignment("east", job, shard.Assignment{Job: job.Spec, MaxAllocations: 1})
 	assigned.stored = version > 0
@@ -36,8 +37,8 @@
 	return job, assigned
 }
 
-// A first write of an assignment may be executed late: it fails once the job has an end, or
-// the shard's record is another.
+// The write that creates an assignment may be executed late. It must then fail if the job has ended or
+// the shard's record has changed.
 func TestAssignmentCreationFailsAfterJobEndOrShardChange(t *testing.T) {
 	test := newTestCoordinator(t)
 	_, assigned := test.assignJob(0)
@@ -48,12 +49,12 @@
 	}
 	assigned.storeRecord.SetVersion(11)
 	if got := assigned.storeRecord.Preconditions(); len(got) > 0 {
-		t.Errorf("a later write carries its key's version, and %+v", got)
+		t.Errorf("a later write has additional preconditions %+v", got)
 	}
 }
 
-// A job that an owner handed back is the leader's only once the shard's record has a later
-// version, under which a late write cannot assign it again.
+// A job that an owner handed back must stay assigned until the shard's record has a later version, so
+// that a late write cannot assign it again.
 func TestHandedBackJobIsLookedUpOnlyAfterShardRecordChange(t *testing.T) {
 	test := newTestCoordinator(t)
 	sent := make(chan wire.Transaction, 1)
@@ -61,39 +62,40 @@
 	job, assigned := test.assignJob(11)
 	test.applyAssignmentDeletions(wire.Events{Events: []wire.Event{{Delete: assigned.storeRecord.Key, Version: 12}}})
 	if !assigned.handedBack || job.State != cluster.Assigned {
-		t.Fatalf("handed back %v, state %v", assigned.handedBack, job.State)
+		t.Fatalf("handed back %v, state %v; want handed back and assigned", assigned.handedBack, job.State)
 	}
 	entry, _ := test.table().Get("east")
 	test.reconcileHandedBack()
 	if job.State != cluster.Assigned || !test.commitsInFlight["east"] {
-		t.Fatalf("state %v, the shard's record is rewritten: %v", job.State, test.commitsInFlight["east"])
+		t.Fatalf("state %v, write of the shard's record in flight: %v", job.State, test.commitsInFlight["east"])
 	}
 	want := []wire.Precondition{{Key: "leader", Version: 7}, {Key: "share/east", Version: wire.Count(entry.Version)}}
 	if transaction := <-sent; !slices.Equal(transaction.If, want) || entry.Version == 0 {
-		t.Errorf("the record is rewritten under %+v, want %+v", transaction.If, want)
+		t.Errorf("the record is rewritten with preconditions %+v, want %+v", transaction.If, want)
 	}
 	if job.State != cluster.Assigned || assigned.lookupInFlight {
-		t.Fatal("the leader's again before the shard's record changed")
+		t.Fatal("the job was unassigned or looked up before the shard's record changed")
 	}
 	test.writeShard(shard.Owned, "n-1")
 	test.reconcileHandedBack()
 	if !assigned.lookupInFlight {
-		t.Fatal("not looked up once the shard's record has changed")
+		t.Fatal("the assignment was not looked up after the shard's record changed")
 	}
 }
 
-// A shard that is taken back may have had tokens above the leader's; and what its records
-// hold is in the leader's own before they go.
+// The owner of a shard that is reclaimed may have issued fencing tokens above the leader's, so these
+// are raised above them. The owner's records are deleted only after the leader's records, into which
+// they are merged, are stored.
 func TestReclaimRaisesTokensAndDeletesOwnerRecordsAfterLeaderRecordsAreStored(t *testing.T) {
 	test := newTestCoordinator(t)
 	job, _ := test.assignJob(11)
 	for range 70 {
-		test.put("another", true) // the revision that released the shard is above the term's
+		test.put("another", true) // so that the revision that releases the shard is above the term's
 	}
 	entry := test.writeShard(shard.Released, "")
 	lowest := entry.Version << 24
 	if entry.Version < 70 || test.Cluster.MinFencingToken >= lowest {
-		t.Fatalf("released at revision %d, tokens begin at %x", entry.Version, test.Cluster.MinFencingToken)
+		t.Fatalf("shard released at revision %d, minimum fencing token %x", entry.Version, test.Cluster.MinFencingToken)
 	}
 	record := cluster.CompactRecord{
 		Zones: []string{"c"}, Machines: []string{"i-1"}, MachineZones: []int{0},
@@ -104,26 +106,26 @@
 	test.restoreReleasedShard(entry, progress, []wire.Item{item})
 	if test.host.fencingToken < lowest || test.Cluster.MinFencingToken < lowest {
 		t.Errorf(
-			"tokens go on at %x, the lowest of this leader's counts as %x", test.host.fencingToken,
+			"next fencing token %x or minimum fencing token %x is below the shard's lowest", test.host.fencingToken,
 			test.Cluster.MinFencingToken,
 		)
 	}
 	if job.AllocationCount != 1 {
-		t.Fatalf("%d allocations are held, want 1", job.AllocationCount)
+		t.Fatalf("job has %d allocations, want 1", job.AllocationCount)
 	}
 	pending := progress.pendingDeletes[item.Key]
 	if value, _ := pending.Build(); value != any(statestore.NotReady) {
-		t.Errorf("the shard's record becomes %v before the leader's own is stored", value)
+		t.Errorf("the owner's record is written as %v before the leader's record is stored", value)
 	}
 	test.Cluster.ChunkPersisted(job.Chunk(0), job.Chunk(0).MemoryVersion)
 	if value, _ := pending.Build(); value != nil {
-		t.Errorf("the shard's record becomes %v, and is not deleted", value)
+		t.Errorf("the owner's record is written as %v, want it deleted", value)
 	}
 }
 
-// A machine without a type is known by allocations of the leader's own records: a shard that
-// selects by kind alone would match what is not known of it. While a shard is being taken
-// back, it may be one of those.
+// A machine without a type is known only from allocations in the leader's own records, and belongs to
+// the leader. A shard that selects only by kind must not match its unknown attributes. While a shard
+// is being reclaimed, the machine may be one of the shard's.
 func TestUndescribedMachineBelongsToLeaderUnlessAShardIsBeingReclaimed(t *testing.T) {
 	for name, row := range map[string]struct {
 		state     shard.State
--- a/internal/shard/coordinator/hand_back.go
+++ b/internal/shard/coordinator/hand_back.go
@@ -7,11 +7,12 @@
 	"notchmux.dev/notchmux/internal/store"
 )
 
-// Jobs that never had an allocation come back from a shard when its owner deletes their assignments.
-// For all others see recall.go.
+// An owner hands a job that never had an allocation back to the leader by deleting its assignment.
+// For started jobs see recall.go.
 
-// reconcileHandedBack brings jobs that were handed back to the leader's own, once no late write
-// can assign them again.
+// reconcileHandedBack returns jobs that were handed back to the leader, once no late write can assign
+// them again: the shard's record is rewritten, so that writes conditional on its earlier version
+// fail, and then the assignment is looked up.
 func (c *Coordinator) reconcileHandedBack() {
 	for _, assigned := range c.assignedJobs {
 		if !assigned.handedBack || assigned.lookupInFlight {
@@ -27,8 +28,8 @@
 	}
 }
 
-// verifyHandedBack looks whether a late write has assigned a job again before the shard's
-// record changed.
+// verifyHandedBack starts a lookup of a job's assignment, which a late write may have created again
+// before the shard's record changed.
 func (c *Coordinator) verifyHandedBack(assigned *assignedJob) {
 	assigned.lookupInFlight = true
 	go func() {
--- a/internal/shard/coordinator/hand_over.go
+++ b/internal/shard/coordinator/hand_over.go
@@ -6,19 +6,19 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// How a job with records of its tasks goes to a shard:
+// Handover of a job with task records from the leader to a shard:
 //
-//  1. The leader stores an assignment that says that the job changes hands. Nobody places its tasks.
-//  2. The owner reads the leader's records, writes its own, and says that they are stored.
+//  1. The leader stores an assignment in transfer. No controller places tasks of the job.
+//  2. The owner reads the leader's records, writes its own, and reports that they are stored.
 //  3. The leader deletes its records.
-//  4. The leader stores the assignment as that of any other job. The owner places its tasks.
+//  4. The leader stores the assignment in its ordinary form. The owner places the job's tasks.
 //
-// At each step a controller of a version before loses nothing of what is done: until the third the
-// leader's records hold all of it, from then on the owner's do, and while both exist no task runs.
-// A leader that takes over finds the assignment, and begins anew with the second step.
+// At each step a controller of the previous release preserves the job's progress: before step 3 the
+// leader's records hold all of it, after that the owner's do, and no task runs while both exist. A
+// leader that takes over finds the assignment and restarts from step 2.
 
-// applyCopiedJobs takes in of which jobs an owner's records hold all that the leader's do. Its word
-// counts for the assignment that it read.
+// applyCopiedJobs marks the jobs whose records an owner reports as completely copied. A report is
+// authoritative only for the version of the assignment that the owner had read.
 func (c *Coordinator) applyCopiedJobs(entry shard.Entry, copied []shard.CopiedJob) {
 	for _, each := range copied {
 		assigned := c.assignedJobs[each.Job]
@@ -31,14 +31,14 @@
 	}
 }
 
-// inTransfer reports whether a job changes hands. An owner of a version before does not know that, and
-// asks for capacity that it would not use.
+// inTransfer reports whether a job is in transfer between the leader and a shard. An owner of the
+// previous release does not know that state, and reports demand for capacity that it could not use.
 func (c *Coordinator) inTransfer(job string) bool {
 	assigned := c.assignedJobs[job]
 	return assigned != nil && assigned.assignment.InTransfer()
 }
 
-// reconcileHandovers brings the jobs on of which the owners have all records.
+// reconcileHandovers advances the handover of all jobs whose records the owners have copied.
 func (c *Coordinator) reconcileHandovers(now micro.Time) {
 	for _, assigned := range c.assignedJobs {
 		if assigned.recordsCopied && assigned.heldByOwner() && assigned.storeRecord.Settled() {
@@ -47,9 +47,10 @@
 	}
 }
 
+// reconcileHandover carries out steps 3 and 4 of a handover.
 func (c *Coordinator) reconcileHandover(assigned *assignedJob, now micro.Time) {
 	switch {
-	case assigned.assignment.Continued != nil: // its tasks run: from here on the owner's records alone count
+	case assigned.assignment.Continued != nil: // its tasks run: from now on only the owner's records are authoritative
 		assigned.assignment = assigned.assignment.KeepOwnerRecords()
 	case !c.Host.DeleteHandedOver(assigned.job):
 		return
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -14,130 +14,132 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A job of a shard that was taken back is assigned to another shard while its assignment to the
-// first is still stored: that one is forgotten, and the next leader finds two.
+// A job of a reclaimed shard must not be assigned to another shard while its assignment to the first is
+// still stored. Otherwise the leader loses track of the first assignment, and the next leader finds two.
 func TestJobOfReclaimedShardIsNotReassignedWhileItsAssignmentIsStored(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.createWestShard()
-		site.assignStartedJob()
-		site.recordDone(0, 1)
-		site.releaseEast()
-		site.setFault(refuse("-" + shard.AllocationPrefix)) // its records are deleted slowly
-		for end := site.now() + 50*micro.Second; site.now() < end; site.sleep(500 * micro.Millisecond) {
-			site.reportWestCapacity()
+	runHandover(t, func(env *handoverEnv) {
+		env.createWestShard()
+		env.assignStartedJob()
+		env.recordDone(0, 1)
+		env.releaseEast()
+		env.setFault(refuse("-" + shard.AllocationPrefix)) // delays the deletion of the shard's records
+		for end := env.now() + 50*micro.Second; env.now() < end; env.sleep(500 * micro.Millisecond) {
+			env.reportWestCapacity()
 		}
-		if stored := site.keys(shard.AssignmentPrefix); len(stored) > 1 {
-			t.Errorf("assigned to two shards: %v", stored)
+		if stored := env.keys(shard.AssignmentPrefix); len(stored) > 1 {
+			t.Errorf("job is assigned to two shards: %v", stored)
 		}
-		site.setFault(nil)
-		site.sleep(20 * micro.Second)
-		if left := site.keys(shard.AllocationPrefixFor("east")); len(left) > 0 {
-			t.Errorf("never deleted: %v", left)
+		env.setFault(nil)
+		env.sleep(20 * micro.Second)
+		if left := env.keys(shard.AllocationPrefixFor("east")); len(left) > 0 {
+			t.Errorf("records of the reclaimed shard were not deleted: %v", left)
 		}
-		if stored := site.keys(shard.AssignmentPrefix); len(stored) > 1 {
-			t.Errorf("assigned to two shards for good: %v", stored)
+		if stored := env.keys(shard.AssignmentPrefix); len(stored) > 1 {
+			t.Errorf("job is still assigned to two shards: %v", stored)
 		}
 	})
 }
 
-// The write that creates an assignment has no answer, and the shard is released before it is
-// known that it was not carried out: the shard is never gone.
+// The write that creates an assignment is unanswered, and the shard is released before it is known that
+// the write was not executed. The shard must still be deleted once it is reclaimed.
 func TestShardIsReclaimedWithAnUnstoredAssignment(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.submit()
-		site.runTask(0, wire.CauseDone)
-		site.failWrites(shard.AssignmentPrefix, fake.CommitFault{Unanswered: true, ExecuteAfter: 1000 * micro.Minute})
-		site.waitUntil("it is assigned in memory", func() bool {
-			site.reportCapacity()
-			return site.job().Shard != ""
+	runHandover(t, func(env *handoverEnv) {
+		env.submit()
+		env.runTask(0, wire.CauseDone)
+		env.failWrites(shard.AssignmentPrefix, fake.CommitFault{Unanswered: true, ExecuteAfter: 1000 * micro.Minute})
+		env.waitUntil("job is assigned in memory", func() bool {
+			env.reportCapacity()
+			return env.job().Shard != ""
 		})
-		site.releaseEast()
-		site.sleep(2 * micro.Second)
-		site.setFault(nil)
-		site.sleep(micro.Minute)
-		if left := site.keys(shard.RecordPrefix); len(left) > 0 || len(site.leader.assignedJobs) > 0 {
-			t.Errorf("still there: %v, %d assignments", left, len(site.leader.assignedJobs))
+		env.releaseEast()
+		env.sleep(2 * micro.Second)
+		env.setFault(nil)
+		env.sleep(micro.Minute)
+		if left := env.keys(shard.RecordPrefix); len(left) > 0 || len(env.leader.assignedJobs) > 0 {
+			t.Errorf("shard not deleted: records %v, %d assignments in memory", left, len(env.leader.assignedJobs))
 		}
 	})
 }
 
-// The owner that said that all of a recalled job is done is followed by another, which knows it
-// only as recalled: it is never told that the job is over, and the assignment, with its part of
-// the quota, stays for good.
+// The owner that reported a recalled job as finished is followed by another, which knows the job only as
+// recalled and reports it as released. The reply must contain the job's final state. Otherwise the
+// assignment stays permanently, together with its quota.
 func TestOwnerIsNotifiedOfTheEndOfARecalledJob(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		site.recall()
-		site.sendUpdate(shard.ShardUpdate{FinishedJobs: []string{"j-1"}}) // before it read the recall
-		site.runOnLoop(func() { site.leader.Cluster.FinalizeJob(site.job(), false, site.now()) })
-		_, version := site.assignment()
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		env.recall()
+		env.sendUpdate(shard.ShardUpdate{FinishedJobs: []string{"j-1"}}) // from the first owner, before it read the recall
+		env.runOnLoop(func() { env.leader.Cluster.FinalizeJob(env.job(), false, env.now()) })
+		_, version := env.assignment()
 		var reply shard.UpdateReply
-		site.runOnLoop(func() {
-			owner := site.owner()
-			reply = site.leader.applyStatusUpdate(&shard.StatusUpdate{
+		env.runOnLoop(func() {
+			owner := env.owner()
+			reply = env.leader.applyStatusUpdate(&shard.StatusUpdate{
 				Node: owner.Node, SessionVersion: uint64(owner.SessionVersion),
 				Shards: []shard.ShardUpdate{{
 					Name: "east", ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: version}},
 				}},
-			}, site.now())
+			}, env.now())
 		})
-		site.sleep(30 * micro.Second)
-		if _, version := site.assignment(); reply.FinalStates["j-1"] == "" && version > 0 {
-			t.Errorf("the owner is told %v, the leader keeps the assignment and %v CPUs of the quota",
-				reply.FinalStates, site.leader.Cluster.Teams["team"].UsedCPU)
+		env.sleep(30 * micro.Second)
+		if _, version := env.assignment(); reply.FinalStates["j-1"] == "" && version > 0 {
+			t.Errorf("final states in the reply: %v; the leader keeps the assignment and %v CPUs of the quota",
+				reply.FinalStates, env.leader.Cluster.Teams["team"].UsedCPU)
 		}
 	})
 }
 
-// An owner names a machine as up once. The leader, which does not know the machine yet (its list of
-// instances lags, or was not read in this term), must not hold it for unreported later.
+// An owner reports each machine as up once per term of the leader. A leader that does not know the
+// machine yet (the cloud's list of instances lags, or was not read in this term) must not treat it as
+// unreported later.
 func TestMachineReportedBeforeTheLeaderKnewItIsNotUnreported(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		entry, _ := site.leader.table().Get("east")
+	runHandover(t, func(env *handoverEnv) {
+		entry, _ := env.leader.table().Get("east")
 		granted := entry.Record
 		granted.OwnerChanges = 1
-		site.put(shard.RecordKey("east"), granted)
-		site.sleep(2 * micro.Second)
-		site.reportUp("i-9")
-		site.runOnLoop(func() {
-			c := site.leader.Cluster
-			c.DescribeMachine(c.EnsureMachine("i-9", site.now()), "m", "b", false) // listed at last
+		env.put(shard.RecordKey("east"), granted)
+		env.sleep(2 * micro.Second)
+		env.reportUp("i-9")
+		env.runOnLoop(func() {
+			c := env.leader.Cluster
+			c.DescribeMachine(c.EnsureMachine("i-9", env.now()), "m", "b", false) // listed by the cloud later
 		})
 		for range 300 {
-			site.sleep(micro.Second)
-			site.reportUp() // it was named once, and the update was answered
+			env.sleep(micro.Second)
+			env.reportUp() // without i-9: it was already reported, and the update was answered
 		}
-		machine := site.leader.Cluster.Machines["i-9"]
-		if unreported := site.leader.UnreportedFor(machine, site.now()); unreported > 0 {
-			t.Errorf("unreported for %v s", unreported.Seconds())
+		machine := env.leader.Cluster.Machines["i-9"]
+		if unreported := env.leader.UnreportedFor(machine, env.now()); unreported > 0 {
+			t.Errorf("machine counts as unreported for %v s, want 0", unreported.Seconds())
 		}
 	})
 }
 
-// The same, where the leader's table shows the shard's new owner late: the update is not taken in,
-// but answered as if it were, and the owner never names the machine again in this term.
+// The leader's table shows a shard's new owner late, so the update of that owner is not applied. The
+// reply must not have the leader's current term. Otherwise the owner assumes that its machines are
+// reported, and does not report them again in this term.
 func TestIgnoredUpdateIsNotAnsweredWithTheCurrentTerm(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
+	runHandover(t, func(env *handoverEnv) {
 		var reply shard.UpdateReply
-		site.runOnLoop(func() {
-			reply = site.leader.applyStatusUpdate(&shard.StatusUpdate{
-				Node: "n-2", SessionVersion: 99, Term: site.leader.Term.FencingRevision,
+		env.runOnLoop(func() {
+			reply = env.leader.applyStatusUpdate(&shard.StatusUpdate{
+				Node: "n-2", SessionVersion: 99, Term: env.leader.Term.FencingRevision,
 				Shards: []shard.ShardUpdate{{Name: "east", ReadyMachines: []string{"i-9"}}},
-			}, site.now())
+			}, env.now())
 		})
-		if reply.Term == site.leader.Term.FencingRevision {
-			t.Error("the owner takes its machines for reported")
+		if reply.Term == env.leader.Term.FencingRevision {
+			t.Error("the reply to an ignored update has the current term")
 		}
 	})
 }
 
-// reportUp has the owner tell of machines that are up, as it does to this leader.
+// reportUp reports machines as up, in an update meant for the current leader.
 func (s *handoverEnv) reportUp(machines ...string) {
 	s.t.Helper()
 	s.reportUpFrom(0, machines...)
 }
 
-// reportUpFrom does the same for a loop of the owner that began then.
+// reportUpFrom reports machines as up, from a loop of the owner that started at loopStartedAt.
 func (s *handoverEnv) reportUpFrom(loopStartedAt int64, machines ...string) {
 	s.t.Helper()
 	s.runOnLoop(func() {
@@ -151,49 +153,51 @@
 	})
 }
 
-// A record that a late write of an earlier owner left is taken in when its shard is taken back, though
-// the job is in another shard: the leader's records, from which that one goes on, change.
+// A late write of an earlier owner leaves a record of a job that is now assigned to another shard. When
+// the earlier shard is reclaimed, that record must not be merged: it would change the leader's records,
+// from which the other shard continues the job.
 func TestRecordOfALateWriteDoesNotChangeAJobInAnotherShard(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.createWestShard()
-		site.submit()
-		site.runTask(0, wire.CauseDone)
-		site.runTask(2, wire.CauseStopped)
-		site.waitUntil("it is in the other shard", func() bool {
-			site.reportWestCapacity()
-			return site.version(shard.AssignmentKey("west", "j-1")) > 0
+	runHandover(t, func(env *handoverEnv) {
+		env.createWestShard()
+		env.submit()
+		env.runTask(0, wire.CauseDone)
+		env.runTask(2, wire.CauseStopped)
+		env.waitUntil("job is assigned to the other shard", func() bool {
+			env.reportWestCapacity()
+			return env.version(shard.AssignmentKey("west", "j-1")) > 0
 		})
-		before := site.latestChunkVersion()
-		site.recordDone(0, 1)
-		site.releaseEast()
-		site.sleep(20 * micro.Second)
-		if after := site.latestChunkVersion(); after != before {
-			t.Errorf("the leader's records were at %d, and are at %d", before, after)
+		before := env.latestChunkVersion()
+		env.recordDone(0, 1)
+		env.releaseEast()
+		env.sleep(20 * micro.Second)
+		if after := env.latestChunkVersion(); after != before {
+			t.Errorf("the leader's records changed from version %d to %d", before, after)
 		}
 	})
 }
 
-// While one controller is out of action, for however long, begun jobs change hands no more: where
-// shards hold every offer that they may use, nobody serves them.
+// Started jobs must be assigned to shards also while a controller that announced the feature is down.
+// Otherwise they are served by no owner, for as long as the controller is down, if shards hold every
+// offer that they may use.
 func TestStartedJobsMoveWhileAControllerIsDown(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
+	runHandover(t, func(env *handoverEnv) {
 		features := []string{shard.ContinueFeature}
-		site.put(shard.SessionKey("n-2"), election.Record{Node: "n-2", Features: features})
-		site.put(shard.AnnouncementKey("n-2"), shard.Announcement{Features: features})
-		site.runOnLoop(func() { site.leader.Config.Peers = append(site.leader.Config.Peers, config.Peer{Node: "n-2"}) })
-		site.sleep(3 * micro.Second)
-		site.submit()
-		site.runTask(0, wire.CauseDone)
-		site.commit(wire.Change{Delete: shard.SessionKey("n-2")}) // it had the feature, and died
-		site.sleep(3 * micro.Second)
-		site.offerCapacity(micro.Minute)
-		if _, version := site.assignment(); version == 0 {
-			t.Error("not assigned in a minute")
+		env.put(shard.SessionKey("n-2"), election.Record{Node: "n-2", Features: features})
+		env.put(shard.AnnouncementKey("n-2"), shard.Announcement{Features: features})
+		env.runOnLoop(func() { env.leader.Config.Peers = append(env.leader.Config.Peers, config.Peer{Node: "n-2"}) })
+		env.sleep(3 * micro.Second)
+		env.submit()
+		env.runTask(0, wire.CauseDone)
+		env.commit(wire.Change{Delete: shard.SessionKey("n-2")}) // n-2 had the feature and died
+		env.sleep(3 * micro.Second)
+		env.offerCapacity(micro.Minute)
+		if _, version := env.assignment(); version == 0 {
+			t.Error("job was not assigned within a minute")
 		}
 	})
 }
 
-// createWestShard puts a shard "west" of the machines in zone a, of the same owner.
+// createWestShard writes a shard "west" that selects the machines in zone a and has the same owner.
 func (s *handoverEnv) createWestShard() {
 	s.t.Helper()
 	west := shard.NewRecord(shard.Selector{Zone: "a"}, nil, 0)
@@ -201,7 +205,7 @@
 	s.put(shard.RecordKey("west"), west)
 }
 
-// releaseEast has the owner give the shard "east" back.
+// releaseEast writes the record of "east" as released by its owner.
 func (s *handoverEnv) releaseEast() {
 	s.t.Helper()
 	entry, _ := s.leader.table().Get("east")
@@ -210,7 +214,7 @@
 	s.put(shard.RecordKey("east"), released)
 }
 
-// reportWestCapacity has the owner of "west" tell of capacity for all of j-1.
+// reportWestCapacity sends an update of "west" with free capacity for all of j-1.
 func (s *handoverEnv) reportWestCapacity() {
 	s.t.Helper()
 	s.runOnLoop(func() {
@@ -225,24 +229,25 @@
 	})
 }
 
-// The creation of an assignment is tried once more under the version of the released record, has no
-// answer, and is carried out after the read that found no key: the shard is gone, the job is the
-// leader's, and an assignment of it stays in the store.
+// The creation of an assignment is retried under the version of the released shard record, is
+// unanswered, and is executed after the read that found no key. No assignment may be left in the store
+// once the shard is deleted and the job is the leader's.
 func TestAssignmentIsNotCreatedLateWhileItsShardIsReclaimed(t *testing.T) {
 	for late := 1100 * micro.Millisecond; late <= 2400*micro.Millisecond; late += 100 * micro.Millisecond {
 		t.Run(fmt.Sprint(int64(late/micro.Millisecond), "ms"), func(t *testing.T) {
-			runHandover(t, func(site *handoverEnv) { site.checkLateCreation(late) })
+			runHandover(t, func(env *handoverEnv) { env.checkLateCreation(late) })
 		})
 	}
 }
 
-// checkLateCreation has the creation of an assignment under the released record carried out so late.
+// checkLateCreation delays the creation of an assignment under the released shard record by the given
+// time, and checks that no orphaned assignment is left.
 func (s *handoverEnv) checkLateCreation(late micro.Time) {
 	s.t.Helper()
 	s.submit()
 	s.runTask(0, wire.CauseDone)
 	s.failWrites(shard.AssignmentPrefix, fake.CommitFault{Refused: true})
-	s.waitUntil("it is assigned in memory", func() bool {
+	s.waitUntil("job is assigned in memory", func() bool {
 		s.reportCapacity()
 		return s.job().Shard != ""
 	})
@@ -250,21 +255,22 @@
 	held := s.delayCreation(late)
 	s.sleep(micro.Minute)
 	if left := s.keys(shard.AssignmentPrefix); len(left) > 0 && len(s.leader.assignedJobs) == 0 {
-		s.t.Errorf("the leader has the job, state %v, shard records %v, and the store has %v", s.job().State,
+		s.t.Errorf("the leader has the job in state %v; the store has shard records %v and assignments %v", s.job().State,
 			s.keys(shard.RecordPrefix), left)
-		s.failOver()
+		s.startNextTerm()
 		s.sleep(micro.Minute)
 		if job := s.job(); job.State == cluster.Assigned {
-			s.t.Errorf("for the next leader it is in %q, which does not exist", job.Shard)
+			s.t.Errorf("the next leader restores the job in shard %q, which does not exist", job.Shard)
 		}
 	}
 	if *held == 0 {
-		s.t.Log("no creation under the released record")
+		s.t.Log("the creation was not attempted under the released record")
 	}
 }
 
-// delayCreation has the first creation of an assignment under the shard's record as it is carried out late and
-// without an answer, and others refused until then. It counts those.
+// delayCreation leaves the first creation of an assignment under the current version of the shard's record
+// unanswered and executes it late. Other writes of assignments are refused until then. held counts the
+// delayed writes.
 func (s *handoverEnv) delayCreation(late micro.Time) (held *int) {
 	underRecord := wire.Precondition{
 		Key: shard.RecordKey("east"), Version: wire.Count(s.version(shard.RecordKey("east"))),
@@ -283,44 +289,45 @@
 	return held
 }
 
-// A controller that was set back to the version before, and is away for a moment, counts as one that
-// goes on with jobs which had allocations: its former version said so.
+// A controller is rolled back to the previous release and then loses its session for a while. It must not
+// count as continuing started jobs because of an announcement that the later release made.
 func TestAnnouncementIsDeletedBySessionWithoutTheFeature(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.ContinueFeature}})
-		site.setFeatures("n-1")
-		site.sleep(5 * micro.Second)
-		if site.leader.Cluster.ContinuesJobs {
-			t.Fatal("it does not say so in its session")
+	runHandover(t, func(env *handoverEnv) {
+		env.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.ContinueFeature}})
+		env.setFeatures("n-1")
+		env.sleep(5 * micro.Second)
+		if env.leader.Cluster.ContinuesJobs {
+			t.Fatal("started jobs may move, though the session of n-1 does not have the feature")
 		}
-		site.commit(wire.Change{Delete: shard.SessionKey("n-1")})
-		site.sleep(5 * micro.Second)
-		if site.leader.Cluster.ContinuesJobs {
-			t.Error("jobs that had allocations change hands, though the last session of n-1 did not announce it")
+		env.commit(wire.Change{Delete: shard.SessionKey("n-1")})
+		env.sleep(5 * micro.Second)
+		if env.leader.Cluster.ContinuesJobs {
+			t.Error("started jobs may move, though the last session of n-1 did not have the feature")
 		}
 	})
 }
 
-// The owner's loop begins anew in the same ownership, as after a compaction of the store's history, and
-// does not know a machine that died meanwhile, idle: what the loop before said keeps it for good.
+// The owner's loop restarts while the owner stays the same, as after a compaction of the store's history.
+// The new loop does not know an idle machine that died in between. The report of the former loop must
+// not keep the machine up permanently.
 func TestMachineReportedOnlyByAFormerOwnerLoopIsUnreported(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		entry, _ := site.leader.table().Get("east")
+	runHandover(t, func(env *handoverEnv) {
+		entry, _ := env.leader.table().Get("east")
 		granted := entry.Record
 		granted.OwnerChanges = 1
-		site.put(shard.RecordKey("east"), granted)
-		site.sleep(2 * micro.Second)
-		site.reportUp("i-9")
-		site.runOnLoop(func() {
-			c := site.leader.Cluster
-			c.DescribeMachine(c.EnsureMachine("i-9", site.now()), "m", "b", false)
+		env.put(shard.RecordKey("east"), granted)
+		env.sleep(2 * micro.Second)
+		env.reportUp("i-9")
+		env.runOnLoop(func() {
+			c := env.leader.Cluster
+			c.DescribeMachine(c.EnsureMachine("i-9", env.now()), "m", "b", false)
 		})
-		for range 300 { // of the new loop
-			site.sleep(micro.Second)
-			site.reportUpFrom(1)
+		for range 300 { // reports of the new loop
+			env.sleep(micro.Second)
+			env.reportUpFrom(1)
 		}
-		if site.leader.UnreportedFor(site.leader.Cluster.Machines["i-9"], site.now()) == 0 {
-			t.Error("it counts as reported")
+		if env.leader.UnreportedFor(env.leader.Cluster.Machines["i-9"], env.now()) == 0 {
+			t.Error("the machine counts as reported")
 		}
 	})
 }
--- a/internal/shard/coordinator/handover_test.go
+++ b/internal/shard/coordinator/handover_test.go
@@ -27,8 +27,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// handoverEnv is a store with the shard "east", whose owner n-1 the test plays, and one leader
-// after the other with the records of its jobs' tasks, in fake time.
+// handoverEnv is a test environment in fake time: a store with the shard "east", a leader with the
+// records of its jobs' tasks, and later leaders that take over from it. The test itself acts as n-1,
+// the owner of the shard.
 type handoverEnv struct {
 	t         *testing.T
 	startedAt time.Time
@@ -36,23 +37,23 @@
 	specs     []wire.Job
 	leader    *testLeader
 
-	mu        sync.Mutex         // of what follows
-	committed []wire.Transaction // what leaders sent, in order
+	mu        sync.Mutex         // guards the fields below
+	committed []wire.Transaction // transactions sent by the leaders, in order
 	fault     func(wire.Transaction) fake.CommitFault
 }
 
-// testLeader is one term of the leader, but for what has to do with machines.
+// testLeader is one term of the leader, without the management of machines.
 type testLeader struct {
 	*Coordinator
 	cluster.Effects
-	site      *handoverEnv
+	env       *handoverEnv
 	records   *persist.Records
-	cancelled []*cluster.Job    // whose end the usual way was to be written
-	ends      map[string]string // ends that were to be written, by job
+	cancelled []*cluster.Job    // arguments of CancellationPending
+	ends      map[string]string // states passed to WriteJobEnd, concatenated by job
 	stop      func()
 }
 
-// leaderRole is a leader's records: conditional on its term.
+// leaderRole makes writes of a leader's records conditional on its term.
 type leaderRole struct{ term *election.Term }
 
 func (r leaderRole) Preconditions() []wire.Precondition {
@@ -64,24 +65,24 @@
 }
 func (leaderRole) KeepsChunksOfEndedJobs() bool { return false }
 
-// handoverLimits are those of a store that takes values of 16 KB.
+// handoverLimits are the limits of a store with values of up to 16 KB and 24 operations per transaction.
 type handoverLimits struct{}
 
 func (handoverLimits) MaxValueBytes() (current, next int) { return 16 << 10, 16 << 10 }
 func (handoverLimits) MaxTxnOps() int                     { return 24 }
 
-// persistHost is the leader as its records see it.
+// persistHost is the host of a testLeader's persist.Records.
 type persistHost struct{ leader *testLeader }
 
-func (h persistHost) Now() micro.Time                      { return h.leader.site.now() }
-func (h persistHost) Wall() micro.Time                     { return h.leader.site.now() }
+func (h persistHost) Now() micro.Time                      { return h.leader.env.now() }
+func (h persistHost) Wall() micro.Time                     { return h.leader.env.now() }
 func (h persistHost) HoldsLease() bool                     { return true }
 func (h persistHost) Post(event eventloop.Event)           { h.leader.Loop.Post(event) }
 func (h persistHost) ObserveCommit(micro.Time)             {}
 func (h persistHost) JobEnded(*cluster.Job, wire.JobState) {}
 func (h persistHost) FormatRaised()                        {}
 
-// handoverHost is the leader as its part in shards sees it.
+// handoverHost is the Host of a testLeader's Coordinator.
 type handoverHost struct {
 	*leadingHost
 	leader *testLeader
@@ -115,30 +116,30 @@
 func (l *testLeader) ChunkDirty(chunk *cluster.TaskChunk)  { l.records.ChunkDirty(chunk) }
 func (l *testLeader) ChunkUrgent(chunk *cluster.TaskChunk) { l.records.ChunkUrgent(chunk) }
 
-// runHandover plays a story on a site where n-0 leads.
-func runHandover(t *testing.T, story func(site *handoverEnv)) {
+// runHandover runs a scenario in fake time, in an environment where n-0 is the leader.
+func runHandover(t *testing.T, scenario func(env *handoverEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		site := &handoverEnv{t: t, startedAt: time.Now(), store: fake.NewStore()}
-		site.store.Now = site.now
+		env := &handoverEnv{t: t, startedAt: time.Now(), store: fake.NewStore()}
+		env.store.Now = env.now
 		for _, node := range []string{"n-0", "n-1"} {
-			site.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.ContinueFeature}})
+			env.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.ContinueFeature}})
 		}
 		record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
-		record.State, record.Owner = shard.Owned, site.owner()
-		site.put(shard.RecordKey("east"), record)
-		site.failOver()
-		defer func() { site.leader.stop(); time.Sleep(time.Minute) }()
-		story(site)
+		record.State, record.Owner = shard.Owned, env.owner()
+		env.put(shard.RecordKey("east"), record)
+		env.startNextTerm()
+		defer func() { env.leader.stop(); time.Sleep(time.Minute) }()
+		scenario(env)
 	})
 }
 
-// now is the time since a minute before the story began.
+// now returns the fake time, which starts at one minute.
 func (s *handoverEnv) now() micro.Time {
 	return micro.Minute + micro.Time(time.Since(s.startedAt).Microseconds())
 }
 
-// owner is the incarnation of n-1 that has its session.
+// owner returns the incarnation of n-1 that holds the current session.
 func (s *handoverEnv) owner() shard.Controller {
 	return shard.Controller{Node: "n-1", SessionVersion: wire.Count(s.version(shard.SessionKey("n-1")))}
 }
@@ -155,7 +156,7 @@
 	}
 }
 
-// version is the version of a key; 0: it does not exist.
+// version returns the version of a key; 0 if it does not exist.
 func (s *handoverEnv) version(key string) uint64 {
 	item, err := s.store.Get(s.t.Context(), store.Routine, key)
 	if err != nil {
@@ -182,7 +183,8 @@
 	return page.Items
 }
 
-// assignment is what the store holds of the assignment of j-1.
+// assignment reads the assignment of j-1 to "east" from the store; version 0 means that it does not
+// exist.
 func (s *handoverEnv) assignment() (assignment shard.Assignment, version uint64) {
 	s.t.Helper()
 	item, err := s.store.Get(s.t.Context(), store.Routine, shard.AssignmentKey("east", "j-1"))
@@ -195,8 +197,9 @@
 	return assignment, uint64(item.Version)
 }
 
-// failOver begins another term, which finds what the store holds. The one before ends at once.
-func (s *handoverEnv) failOver() {
+// startNextTerm stops the current leader at once and starts another, which restores its state from the
+// store.
+func (s *handoverEnv) startNextTerm() {
 	s.t.Helper()
 	if s.leader != nil {
 		s.runOnLoop(s.leader.stop)
@@ -214,7 +217,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	link := fake.NewLink(s.store, rand.New(rand.NewPCG(1, 1)))
 	link.OnCommit(s.observeCommit)
-	leader := &testLeader{site: s, Effects: noEffects{}, ends: map[string]string{}}
+	leader := &testLeader{env: s, Effects: noEffects{}, ends: map[string]string{}}
 	log := slog.New(slog.DiscardHandler)
 	state := cluster.New(leader)
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64}}})
@@ -238,7 +241,7 @@
 	return leader
 }
 
-// observeCommit notes a transaction of a leader, and says what befalls it.
+// observeCommit records a transaction of a leader and returns the fault to inject into it.
 func (s *handoverEnv) observeCommit(transaction wire.Transaction) fake.CommitFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,7 +252,7 @@
 	return fake.CommitFault{}
 }
 
-// setFault says what befalls the leaders' transactions from now on; nil: nothing.
+// setFault sets the function that chooses the faults of the leaders' later transactions; nil injects none.
 func (s *handoverEnv) setFault(fault func(wire.Transaction) fake.CommitFault) {
 	s.mu.Lock()
 	s.fault = fault
@@ -263,16 +266,16 @@
 	return slices.Clone(s.committed)
 }
 
-// handoverConfig is n-0's, with n-1 as its peer.
+// handoverConfig returns the configuration of n-0, with n-1 as its peer.
 func handoverConfig() *config.Config {
 	settings := testConfig()
 	settings.Node, settings.Peers = "n-0", []config.Peer{{Node: "n-1"}}
 	return settings
 }
 
-// restore takes over what the store holds of the jobs.
+// restore restores the jobs, their assignments and chunks from the store.
 func (l *testLeader) restore() {
-	s := l.site
+	s := l.env
 	assignments, ok := l.RecoverAssignments(
 		s.t.Context(), func(ctx context.Context, prefix string, each func(wire.Item)) (uint64, bool) {
 			page, err := s.store.Range(ctx, store.Routine, prefix, "", 1000)
@@ -283,7 +286,7 @@
 		},
 	)
 	if !ok {
-		s.t.Fatal("no assignments read")
+		s.t.Fatal("read of the assignments failed")
 	}
 	for _, spec := range s.specs {
 		l.RestoreAssignment(l.Cluster.AddJob(spec, s.now(), s.now()), assignments[spec.ID])
@@ -300,14 +303,14 @@
 	l.FinishRecovery()
 }
 
-// sleep lets the leader go on for a while.
+// sleep lets the leader run for a while.
 func (s *handoverEnv) sleep(d micro.Time) {
-	s.runOnLoop(func() {}) // what the test read before comes before what the loop does next
+	s.runOnLoop(func() {}) // orders earlier reads of the test before later actions of the loop
 	time.Sleep(d.Duration())
 	synctest.Wait()
 }
 
-// waitUntil lets the leader go on until a condition holds.
+// waitUntil lets the leader run until a condition holds, for at most 10 s.
 func (s *handoverEnv) waitUntil(what string, condition func() bool) {
 	s.t.Helper()
 	synctest.Wait()
@@ -317,10 +320,10 @@
 		}
 		s.sleep(5 * micro.Millisecond)
 	}
-	s.t.Fatalf("never: %s", what)
+	s.t.Fatalf("condition not met: %s", what)
 }
 
-// sendUpdate has the shard's owner sendUpdate the leader something.
+// sendUpdate sends an update of "east" from its owner to the leader.
 func (s *handoverEnv) sendUpdate(update shard.ShardUpdate) {
 	s.t.Helper()
 	update.Name, update.AssignmentRevision = "east", 1<<40
@@ -332,16 +335,16 @@
 	})
 }
 
-// loopStep is a step of a test on the leader's loop.
+// loopStep is an event that runs a function on the leader's loop.
 type loopStep struct {
 	run  func()
 	done chan struct{}
 }
 
-// Apply runs it.
+// Apply runs the function and signals that it is done.
 func (e loopStep) Apply() { e.run(); close(e.done) }
 
-// runOnLoop runs a function on the leader's loop.
+// runOnLoop runs a function on the leader's loop and waits for it.
 func (s *handoverEnv) runOnLoop(run func()) {
 	done := make(chan struct{})
 	s.leader.Loop.Post(loopStep{run, done})
@@ -349,17 +352,17 @@
 	synctest.Wait()
 }
 
-// job is j-1, as the leader knows it.
+// job returns the current leader's state of j-1.
 func (s *handoverEnv) job() *cluster.Job { return s.leader.Cluster.Jobs["j-1"] }
 
-// submit adds j-1, an array of four tasks of one CPU: two chunks.
+// submit adds j-1, an array of four tasks with one CPU each, in two chunks.
 func (s *handoverEnv) submit() {
 	spec := wire.Job{ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Tasks: 4, CPUs: 1, MemoryGB: 1}
 	s.specs = append(s.specs, spec)
 	s.runOnLoop(func() { s.leader.Cluster.AddJob(spec, s.now(), s.now()) })
 }
 
-// runTask runs a task of j-1 on a machine of the leader; done, or to be done again.
+// runTask runs a task of j-1 on a machine of the leader until it exits with a cause.
 func (s *handoverEnv) runTask(index int, cause wire.ExitCause) {
 	s.t.Helper()
 	agent := fake.NewAgent("i-"+string(rune('0'+index)), "m", "a", 30*micro.Second)
@@ -375,13 +378,14 @@
 	})
 }
 
-// reportCapacity has the owner tell of capacity for all of j-1.
+// reportCapacity sends an update of "east" with free capacity for all of j-1.
 func (s *handoverEnv) reportCapacity() {
 	s.t.Helper()
 	s.sendUpdate(shard.ShardUpdate{FreeCapacity: []shard.FreeCapacity{{Type: "m", Zone: "b", Count: 1, CPU: 16, Mem: 64}}})
 }
 
-// assignStartedJob has j-1 assigned after its task 0 was done, and task 2 ended without.
+// assignStartedJob submits j-1, runs its task 0 until it is done and its task 2 until it is stopped, and
+// waits until the job is assigned to "east".
 func (s *handoverEnv) assignStartedJob() {
 	s.t.Helper()
 	s.submit()
@@ -390,7 +394,7 @@
 	s.assignUntilStored()
 }
 
-// recordDone puts the owner's record of a chunk of j-1 with a task that is done.
+// recordDone writes an owner's record of a chunk of j-1 in which one task is done.
 func (s *handoverEnv) recordDone(chunk, task int) {
 	s.put(shard.AllocationKey("east", "j-1", chunk), cluster.CompactRecord{
 		Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{},
@@ -398,25 +402,25 @@
 	})
 }
 
-// release has the owner say that it has released j-1, as of the assignment in the store.
+// release reports that the owner has released j-1, with the version of the stored assignment.
 func (s *handoverEnv) release() {
 	s.t.Helper()
 	_, version := s.assignment()
 	s.sendUpdate(shard.ShardUpdate{ReleasedJobs: []shard.ReleasedJob{{Job: "j-1", Version: version}}})
 }
 
-// recall has j-1 recalled, and stored so.
+// recall reports j-1 as waiting until its recall is stored.
 func (s *handoverEnv) recall() {
 	s.t.Helper()
-	s.waitUntil("the recall is stored", func() bool {
+	s.waitUntil("recall is stored", func() bool {
 		s.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
 		assignment, _ := s.assignment()
 		return assignment.RecallRequested
 	})
 }
 
-// firstChanges lists the first of the leader's transactions since a mark that put or delete keys of
-// these prefixes, in order; a deletion begins with a minus.
+// firstChanges lists those of the prefixes that the leaders' transactions since an index have changed,
+// in the order of their first change. A prefix that begins with a minus stands for deletions.
 func (s *handoverEnv) firstChanges(since int, prefixes ...string) []string {
 	var seen []string
 	for _, transaction := range s.sent()[since:] {
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -8,21 +8,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Whose machines are, and which of a shard's its owner knows to be up.
-
-// OwnsOffer reports whether a machine of an offer would be the leader's own.
+// OwnsOffer reports whether a machine of this offer would belong to the leader, not to a shard.
 func (c *Coordinator) OwnsOffer(offer autoscaler.InstanceOffer) bool {
 	_, sharded := c.table().ShardOf(offerAttributes(offer))
 	return !sharded
 }
 
-// ShardTakesJob reports whether a machine of an offer would be in a shard that takes a job's team.
+// ShardTakesJob reports whether a machine of this offer would belong to a shard that accepts jobs of
+// the job's team.
 func (c *Coordinator) ShardTakesJob(job *cluster.Job, offer autoscaler.InstanceOffer) bool {
 	entry, sharded := c.table().ShardOf(offerAttributes(offer))
 	return sharded && acceptsTeam(entry, job.Spec.Team)
 }
 
-// ClassifyMachine says whether another controller owns a machine, and whether it is to.
+// ClassifyMachine reports whether another controller owns a machine, and whether the machine belongs
+// to a forming shard and so is to be transferred to another controller.
 func (c *Coordinator) ClassifyMachine(machine *cluster.Machine) (ownedElsewhere, transferPending bool) {
 	if machine.TypeName == "" {
 		return c.undescribedOwnedElsewhere(), false
@@ -34,12 +34,12 @@
 	return c.ownedElsewhere(entry), entry.Record.State == shard.Forming
 }
 
-// undescribedOwnedElsewhere classifies a machine that was never described: the leader knows of
-// it by allocations in its own records alone. A shard gets no machine that has any, so it is
-// the leader's, unless the leader before was still taking a shard back. By what is not known of
-// it, such a machine once matched a shard of on-demand machines: nobody found its lease
-// expired, what it held of its team's quota was never released, and users of cancelled jobs with
-// tasks there were never told.
+// undescribedOwnedElsewhere classifies a machine whose type is unknown, since the leader knows it
+// only from allocations in its own records. No shard is granted with an allocation on one of its
+// machines, so the machine is the leader's, unless a previous leader was still reclaiming a shard.
+// When the selectors were applied to such a machine, its empty attributes matched a shard of
+// on-demand machines: the expiry of its lease went undetected, the quota that it held was never
+// released, and cancellations of jobs with tasks there were never confirmed to their users.
 func (c *Coordinator) undescribedOwnedElsewhere() bool {
 	reclaiming := false
 	c.table().Each(func(entry shard.Entry) bool {
@@ -49,10 +49,9 @@
 	return reclaiming
 }
 
-// RefusesHeartbeat reports whether a heartbeat comes from a machine that is not the leader's to
-// answer: another controller owns it, or a shard's work is still to be read before its
-// machines are answered. Answered earlier, they were told to stop all that they ran.
-// A nil Coordinator refuses none.
+// RefusesHeartbeat reports whether the leader must not answer a heartbeat, because another controller
+// owns the machine, or because the records of its released shard have not been read yet. Agents that
+// were answered before that were told to stop all their tasks. A nil Coordinator refuses none.
 func (c *Coordinator) RefusesHeartbeat(heartbeat *wire.Heartbeat) bool {
 	if c == nil {
 		return false
@@ -61,19 +60,20 @@
 	return ok && c.ownedElsewhere(entry)
 }
 
-// ownedElsewhere reports whether the machines of a shard are not the leader's.
+// ownedElsewhere reports whether the machines of a shard do not belong to the leader.
 func (c *Coordinator) ownedElsewhere(entry shard.Entry) bool {
 	reclaim := c.reclaims[entry.Name]
 	return entry.Record.State != shard.Forming && (reclaim == nil || !reclaim.reclaimed)
 }
 
-// UnreportedFor is for how long the owner of a machine's shard has not said that the machine is up,
-// though it would have by now: it has told this leader of all that send heartbeats, and each had
-// time to. 0: it has said so, or is not known to have had the time. Without that time, a leader
-// that had just taken over terminated machines at work.
+// UnreportedFor returns for how long the owner of a machine's shard could have reported the machine
+// as up but has not. That time begins when the owner has reported all machines that send it
+// heartbeats to this leader and the machine has had time to register. The result is 0 if the machine
+// was reported or that time has not begun. Without this allowance a leader that had just taken over
+// terminated working machines.
 //
-// What an earlier owner said does not count: machines that died before the shard's owner changed
-// were up for the leader for good, unknown to the new owner, and took up what the cloud had.
+// Reports of an earlier owner are ignored: machines that died before the owner changed were unknown
+// to the new owner, stayed up in the leader's view permanently, and used up the cloud's capacity.
 func (c *Coordinator) UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time {
 	entry, ok := c.table().ShardOf(machineAttributes(machine))
 	if !ok || !entry.OwnedElsewhere() {
@@ -89,8 +89,9 @@
 	return max(now-max(settledAt, machine.RequestedAt), 0)
 }
 
-// recordUnreachableZones notes the zones that may be cut off now, since none of their controllers is
-// heard of: that an owner outside has not heard of machines there says nothing of them.
+// recordUnreachableZones records the time for each zone that may be disconnected, because none of its
+// controllers has been heard from. While a zone is disconnected, an owner outside of it cannot report
+// the machines in it, so the lack of a report does not show that they are down.
 func (c *Coordinator) recordUnreachableZones(now micro.Time) {
 	reachable := map[string]bool{c.Config.Zone: true}
 	for _, peer := range c.Config.Peers {
--- a/internal/shard/coordinator/policy.go
+++ b/internal/shard/coordinator/policy.go
@@ -9,17 +9,18 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// policyInterval is how often the operators' policies are looked at.
+// policyInterval is the minimum time between two evaluations of the operators' policies.
 const policyInterval = 5 * micro.Second
 
-// policyView is how far the operators' policies were looked at.
+// policyView is the state of the evaluation of the operators' policies.
 type policyView struct {
 	evaluatedAt        micro.Time
 	evaluationInFlight bool
 }
 
-// evaluatePolicies looks which policies hold. The expressions are evaluated beside the
-// loop, on facts that do not change: however long they take, no tick waits.
+// evaluatePolicies starts an evaluation of all policies if one is due. The expressions are evaluated
+// outside the event loop, on an immutable snapshot of the facts, so that a slow expression does not
+// delay a tick.
 func (c *Coordinator) evaluatePolicies(now micro.Time) {
 	policies := c.Config.Shards.Policies
 	if c.Config.Shards.Dissolve || len(policies) == 0 || c.policies.evaluationInFlight ||
@@ -31,13 +32,13 @@
 	go func() { c.Loop.Post(policiesEvaluated{c, c.holdingPolicies(policies, facts)}) }()
 }
 
-// holdingPolicies lists the policies that hold; any goroutine may ask.
+// holdingPolicies lists the policies whose condition holds. It may be called from any goroutine.
 func (c *Coordinator) holdingPolicies(policies []config.MovePolicy, facts policy.Facts) []config.MovePolicy {
 	var holding []config.MovePolicy
 	for _, movePolicy := range policies {
 		applies, err := movePolicy.When.Holds(facts)
 		if err != nil {
-			c.Log.Error("policy not evaluated", "policy", movePolicy.Name, "err", err)
+			c.Log.Error("evaluate policy failed", "policy", movePolicy.Name, "err", err)
 		}
 		if applies {
 			holding = append(holding, movePolicy)
@@ -46,7 +47,7 @@
 	return holding
 }
 
-// policyFacts are what the policies may ask about, as it is now.
+// policyFacts returns a snapshot of the facts that policy conditions may refer to.
 func (c *Coordinator) policyFacts() policy.Facts {
 	facts := policy.Facts{
 		Waiting: map[string]int{}, Guaranteed: map[string]int{}, Free: map[string]int{}, Machines: map[string]int{},
@@ -65,10 +66,10 @@
 	return facts
 }
 
-// applyPolicies moves shards as the policies that hold want it. Of several for one shard
-// the first by name counts, whether or not it can be followed now: so two that want the
-// same shard do not send it to and fro, and one that flaps moves it once in the least
-// time between moves.
+// applyPolicies moves shards according to the policies whose condition holds. Of several policies for
+// one shard only the first by name applies, whether or not it can be followed now. So two policies
+// for the same shard do not move it back and forth, and a policy whose condition flaps moves it at
+// most once per minimum interval between moves.
 func (c *Coordinator) applyPolicies(holding []config.MovePolicy) {
 	moving := c.machinesMoving()
 	decided := map[string]bool{}
@@ -83,7 +84,7 @@
 		}
 		target, ok := c.sessions.current.Controller(movePolicy.Owner)
 		if !ok {
-			c.Log.Info("policy not followed", "policy", movePolicy.Name, "err", shard.ErrTargetWithoutSession)
+			c.Log.Info("apply policy failed", "policy", movePolicy.Name, "err", shard.ErrTargetWithoutSession)
 			continue
 		}
 		moving += c.viewOf(entry.Name).machineCount
@@ -93,7 +94,9 @@
 	}
 }
 
-// mayMoveShard reports whether a policy may move a shard now.
+// mayMoveShard reports whether a policy may move a shard now: the shard is owned by another controller
+// than the policy names, has not changed within the minimum interval between moves, and keeps the
+// number of machines in moving shards within the limit.
 func (c *Coordinator) mayMoveShard(entry shard.Entry, movePolicy config.MovePolicy, moving int) bool {
 	if entry.Record.State != shard.Owned || entry.Record.Owner.Node == movePolicy.Owner ||
 		c.commitsInFlight[entry.Name] {
@@ -105,7 +108,7 @@
 	return moving == 0 || moving+c.viewOf(entry.Name).machineCount <= c.Config.Shards.MaxMachinesMoving
 }
 
-// machinesMoving counts the machines of the shards that are moving.
+// machinesMoving counts the machines of all moving shards, at least one per shard.
 func (c *Coordinator) machinesMoving() int {
 	count := 0
 	c.table().Each(func(entry shard.Entry) bool {
--- a/internal/shard/coordinator/previous_release_test.go
+++ b/internal/shard/coordinator/previous_release_test.go
@@ -18,10 +18,11 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What a controller of the version before (6e04747) does with what the store holds of j-1, at each
-// revision. It knows four fields of an assignment, and reads past the rest.
+// The tests in this file check what a controller of the previous release (6e04747) does with the stored
+// records of j-1 at each revision of the store. That release knows four fields of an assignment and
+// ignores the others.
 
-// previousAssignment is an assignment as the version before reads it.
+// previousAssignment is an assignment as the previous release decodes it.
 type previousAssignment struct {
 	Job            wire.Job `msgpack:"job"`
 	AssignedAt     int64    `msgpack:"at"`
@@ -29,11 +30,12 @@
 	StopRequested  bool     `msgpack:"stop"`
 }
 
-// taskProgress is what records say of a job's tasks: the last attempt of each, and doneAttempt if it is done.
+// taskProgress maps each task of a job to its last recorded attempt, or to doneAttempt if it is done.
 type taskProgress map[int]int
 
 const doneAttempt = 1 << 30
 
+// add merges the progress that a record holds.
 func (p taskProgress) add(record records.CompactChunk) {
 	chunk, _ := record.Expand()
 	for _, tasks := range chunk.Done {
@@ -46,20 +48,21 @@
 	}
 }
 
-// previousReleaseView is the store at one revision.
+// previousReleaseView is the content of the store at one revision, as the previous release reads it.
 type previousReleaseView struct {
 	assignment    *previousAssignment
-	leader, owner map[int]records.CompactChunk // records of j-1, by chunk
+	leader, owner map[int]records.CompactChunk // task records of j-1, by chunk index
 	shard         shard.Record
 }
 
+// apply updates the view with a store event.
 func (v *previousReleaseView) apply(t *testing.T, event wire.Event) {
 	t.Helper()
 	key := event.Put + event.Delete
-	_, id, index, ofOwner := shard.ParseAllocationKey(key)
-	side := v.owner
+	_, id, index, isChunk := shard.ParseAllocationKey(key)
+	chunks := v.owner
 	if job, chunk, _, ok := keys.ParseChunk(key); ok && strings.HasPrefix(key, keys.ChunkPrefix) {
-		id, index, ofOwner, side = job, chunk, true, v.leader
+		id, index, isChunk, chunks = job, chunk, true, v.leader
 	}
 	var err error
 	switch {
@@ -70,61 +73,63 @@
 		}
 	case event.Put == shard.RecordKey("east"):
 		err = wire.Unmarshal(event.Value, &v.shard)
-	case !ofOwner || id != "j-1":
+	case !isChunk || id != "j-1":
 	case event.Delete != "":
-		delete(side, index)
+		delete(chunks, index)
 	default:
 		var record records.CompactChunk
 		err = wire.Unmarshal(event.Value, &record)
-		side[index] = record
+		chunks[index] = record
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
+// mergeProgress returns the progress that all records together hold.
 func mergeProgress(chunks ...map[int]records.CompactChunk) taskProgress {
 	all := taskProgress{}
-	for _, side := range chunks {
-		for _, record := range side {
+	for _, byIndex := range chunks {
+		for _, record := range byIndex {
 			all.add(record)
 		}
 	}
 	return all
 }
 
-// placeable reports whether its owner places tasks of the job on the shard's machines, if there is one.
+// placeable reports whether the shard has an owner that would place tasks of the job on its machines.
 func (v *previousReleaseView) placeable() bool {
 	machineType := &cluster.MachineType{MachineType: wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}}
 	owned := shard.Entry{Record: v.shard}.OwnedElsewhere()
 	return v.assignment != nil && owned && scheduler.Allowed(&v.assignment.Job, machineType, "b", false)
 }
 
-// violation is what a controller of the version before would do wrong with the job; "": nothing.
+// violation describes how a controller of the previous release would lose progress of the job or the job
+// itself at this revision; "" if it would not.
 func (v *previousReleaseView) violation() string {
 	all := mergeProgress(v.leader, v.owner)
 	if v.assignment == nil {
 		if got := mergeProgress(v.leader); !maps.Equal(got, all) {
-			return fmt.Sprintf("its leader goes on from %v, stored are %v", got, all)
+			return fmt.Sprintf("leader continues from progress %v, the store has %v", got, all)
 		}
 		return ""
 	}
 	if v.assignment.Job.Tasks < 1 {
-		return "its owner deletes the records of a job that it does not know, and its leader loses the job"
+		return "owner deletes the records of a job that it does not know, and leader loses the job"
 	}
 	if got := mergeProgress(v.owner); v.placeable() && !maps.Equal(got, all) {
-		return fmt.Sprintf("its owner goes on from %v, stored are %v", got, all)
+		return fmt.Sprintf("owner continues from progress %v, the store has %v", got, all)
 	}
-	taken := maps.Clone(v.owner)
-	maps.Copy(taken, v.leader) // it takes the leader's record of a chunk for what was taken back
-	if got := mergeProgress(taken); !maps.Equal(got, all) {
-		return fmt.Sprintf("its leader takes back %v, stored are %v", got, all)
+	reclaimed := maps.Clone(v.owner)
+	maps.Copy(reclaimed, v.leader) // it assumes that a leader's record of a chunk includes the owner's
+	if got := mergeProgress(reclaimed); !maps.Equal(got, all) {
+		return fmt.Sprintf("leader reclaims progress %v, the store has %v", got, all)
 	}
 	return ""
 }
 
-// checkRevisions shows the version before each revision of the store, and says whether its owner may have
-// placed the job at any.
+// checkRevisions checks that the previous release loses nothing at any revision of the store. It reports
+// whether an owner of that release could place the job at any of them.
 func (s *handoverEnv) checkRevisions() (placeable bool) {
 	s.t.Helper()
 	events, err := s.store.Watch(s.t.Context(), "", 0, micro.Second)
@@ -136,14 +141,15 @@
 		view.apply(s.t, event)
 		placeable = placeable || view.placeable()
 		last := i+1 == len(events.Events) || events.Events[i+1].Version != event.Version
-		if fault := view.violation(); last && fault != "" {
-			s.t.Errorf("revision %d: %s", uint64(event.Version), fault)
+		if violation := view.violation(); last && violation != "" {
+			s.t.Errorf("revision %d: %s", uint64(event.Version), violation)
 		}
 	}
 	return placeable
 }
 
-// copyRecords has the owner store all that the leader's records of j-1 hold, and say so.
+// copyRecords copies the leader's records of j-1 to records of the owner, and reports that they are
+// copied.
 func (s *handoverEnv) copyRecords() {
 	s.t.Helper()
 	for _, item := range s.items(keys.ChunkPrefixFor("j-1")) {
@@ -157,26 +163,29 @@
 	s.reportCopied()
 }
 
-// reportCopied has the owner say that its records of j-1 hold all, as of the assignment in the store.
+// reportCopied reports that the owner has copied all records of j-1, with the version of the stored
+// assignment.
 func (s *handoverEnv) reportCopied() {
 	s.t.Helper()
 	_, version := s.assignment()
 	s.sendUpdate(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version}}})
 }
 
-// waitHandedOver waits until only the owner has records of j-1, and may place it.
+// waitHandedOver waits until the handover of j-1 is complete, so that the owner may place it, and checks
+// that the leader has no records of it.
 func (s *handoverEnv) waitHandedOver() {
 	s.t.Helper()
-	s.waitUntil("the job is handed over", func() bool {
+	s.waitUntil("handover is complete", func() bool {
 		assignment, version := s.assignment()
 		return version > 0 && assignment.Continued == nil && assignment.Transfer == nil
 	})
 	if left := s.keys(keys.ChunkPrefixFor("j-1")); len(left) > 0 {
-		s.t.Errorf("handed over, and the leader has %v", left)
+		s.t.Errorf("the job was handed over, and the leader still has records %v", left)
 	}
 }
 
-// recordShardProgress has tasks 1 and 3 done in the shard, beside what was known of the tasks before.
+// recordShardProgress writes owner's records of j-1 in which tasks 1 and 3 are done in addition to the
+// progress before the handover.
 func (s *handoverEnv) recordShardProgress() {
 	s.t.Helper()
 	for index, done := range [][2]int{{0, 1}, {3, 3}} {
@@ -188,179 +197,180 @@
 	}
 }
 
-// reclaimEast has the owner give the shard back, and waits until the leader has all of it.
+// reclaimEast releases the shard "east" and waits until the leader has reclaimed and deleted it.
 func (s *handoverEnv) reclaimEast() {
 	s.t.Helper()
 	s.releaseEast()
-	s.waitUntil("the shard is gone", func() bool { return len(s.keys(shard.RecordPrefix)) == 0 })
+	s.waitUntil("shard is deleted", func() bool { return len(s.keys(shard.RecordPrefix)) == 0 })
 }
 
-// A controller of the version before that is started at any moment while a job goes to a shard, runs
-// there and comes back, or is in a shard that is taken back, begins done tasks anew, uses attempt
-// numbers twice, deletes records or loses the job. Rolled back at any of these steps, it must not.
+// A controller may be rolled back to the previous release at any step while a job is handed over to a
+// shard, runs there and is recalled, or its shard is reclaimed. At none of these steps may it repeat done
+// tasks, reuse attempt numbers, delete records or lose the job.
 func TestPreviousReleaseLosesNothingAtAnyHandoverRevision(t *testing.T) {
-	ways := map[string]func(site *handoverEnv){
-		"recalled": func(site *handoverEnv) {
-			site.recall()
-			site.release()
+	returns := map[string]func(env *handoverEnv){
+		"recalled": func(env *handoverEnv) {
+			env.recall()
+			env.release()
 		},
-		"shard taken back": (*handoverEnv).reclaimEast,
+		"shard reclaimed": (*handoverEnv).reclaimEast,
 	}
-	for name, comeBack := range ways {
+	for name, returnJob := range returns {
 		t.Run(name, func(t *testing.T) {
-			runHandover(t, func(site *handoverEnv) {
-				site.assignStartedJob()
-				site.copyRecords()
-				site.waitHandedOver()
-				site.recordShardProgress()
-				comeBack(site)
-				site.waitReturned()
-				site.expectRestored()
-				if !site.checkRevisions() {
-					t.Error("its owner may place the job at no revision")
+			runHandover(t, func(env *handoverEnv) {
+				env.assignStartedJob()
+				env.copyRecords()
+				env.waitHandedOver()
+				env.recordShardProgress()
+				returnJob(env)
+				env.waitReturned()
+				env.expectRestored()
+				if !env.checkRevisions() {
+					t.Error("the owner could not place the job at any revision")
 				}
 			})
 		})
 	}
 }
 
-// The same where a step of the handover fails for a while, and the next leader or the shard's return
-// to the leader comes between.
+// A step of the handover fails for a while, during which another leader takes over, the shard is released
+// or the job is reported as waiting. The handover must then complete, and the previous release must not
+// lose anything at any revision.
 func TestHandoverCompletesAfterFailedStepAndInterruption(t *testing.T) {
-	interruptions := map[string]func(site *handoverEnv){
-		"nothing":          func(*handoverEnv) {},
-		"next leader":      (*handoverEnv).failOver,
-		"shard taken back": (*handoverEnv).releaseEast,
-		"recall": func(site *handoverEnv) {
-			site.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
-			site.sleep(2 * micro.Second)
-			if assigned := site.leader.assignedJobs["j-1"]; assigned.recordsCopied && assigned.assignment.RecallRequested {
-				site.t.Error("recalled while the leader's records are being deleted")
+	interruptions := map[string]func(env *handoverEnv){
+		"no interruption": func(*handoverEnv) {},
+		"next leader":     (*handoverEnv).startNextTerm,
+		"shard released":  (*handoverEnv).releaseEast,
+		"recall": func(env *handoverEnv) {
+			env.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
+			env.sleep(2 * micro.Second)
+			if assigned := env.leader.assignedJobs["j-1"]; assigned.recordsCopied && assigned.assignment.RecallRequested {
+				env.t.Error("job was recalled while the leader's records are being deleted")
 			}
-			site.release()
-			site.sleep(2 * micro.Second)
+			env.release()
+			env.sleep(2 * micro.Second)
 		},
 	}
 	for name, interrupt := range interruptions {
 		for _, failing := range []string{"-" + keys.ChunkPrefix, shard.AssignmentPrefix} {
 			t.Run(name+", "+failing, func(t *testing.T) {
-				runHandover(t, func(site *handoverEnv) {
-					site.assignStartedJob()
-					site.setFault(refuse(failing))
-					site.copyRecords()
-					site.sleep(2 * micro.Second)
-					interrupt(site)
-					site.setFault(nil)
-					site.sleep(2 * micro.Second)
-					if _, version := site.assignment(); version > 0 {
-						site.reportCopied()
-						site.waitHandedOver()
-						site.recordShardProgress()
-						site.recall()
-						site.release()
-						site.waitReturned()
-						site.expectRestored()
+				runHandover(t, func(env *handoverEnv) {
+					env.assignStartedJob()
+					env.setFault(refuse(failing))
+					env.copyRecords()
+					env.sleep(2 * micro.Second)
+					interrupt(env)
+					env.setFault(nil)
+					env.sleep(2 * micro.Second)
+					if _, version := env.assignment(); version > 0 {
+						env.reportCopied()
+						env.waitHandedOver()
+						env.recordShardProgress()
+						env.recall()
+						env.release()
+						env.waitReturned()
+						env.expectRestored()
 					}
-					site.waitReturned()
-					site.checkRevisions()
+					env.waitReturned()
+					env.checkRevisions()
 				})
 			})
 		}
 	}
 }
 
-// The owner's word counts before it has read the assignment that it copies records for: the leader's
-// are deleted, and nobody has them.
+// A report of copied records must be ignored unless the owner had read the current version of the
+// assignment. Otherwise the leader's records are deleted although no owner has copied them.
 func TestLeaderKeepsItsRecordsUntilOwnerHasCopiedThem(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		_, version := site.assignment()
-		site.sendUpdate(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version - 1}}})
-		site.sleep(5 * micro.Second)
-		if left := site.keys(keys.ChunkPrefixFor("j-1")); len(left) != 2 {
-			t.Errorf("the leader has %v", left)
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		_, version := env.assignment()
+		env.sendUpdate(shard.ShardUpdate{CopiedJobs: []shard.CopiedJob{{Job: "j-1", Version: version - 1}}})
+		env.sleep(5 * micro.Second)
+		if left := env.keys(keys.ChunkPrefixFor("j-1")); len(left) != 2 {
+			t.Errorf("the leader has records %v, want 2", left)
 		}
-		site.expectDemands(0)
-		site.failOver()
-		site.sleep(5 * micro.Second)
-		if assignment, _ := site.assignment(); !assignment.InTransfer() {
-			t.Error("the next leader lets the owner place it")
+		env.expectDemands(0)
+		env.startNextTerm()
+		env.sleep(5 * micro.Second)
+		if assignment, _ := env.assignment(); !assignment.InTransfer() {
+			t.Error("the next leader ended the transfer, so that the owner may place the job")
 		}
-		site.copyRecords()
-		site.waitHandedOver()
-		site.expectDemands(1)
+		env.copyRecords()
+		env.waitHandedOver()
+		env.expectDemands(1)
 	})
 }
 
-// expectDemands has the owner ask for capacity for j-1, and checks whether the leader scales out for it.
+// expectDemands reports demand for j-1 and checks how many demands the leader passes to the autoscaler.
 func (s *handoverEnv) expectDemands(want int) {
 	s.t.Helper()
 	s.sendUpdate(shard.ShardUpdate{Demand: []shard.Demand{{Job: "j-1", Tasks: 3}}})
 	s.runOnLoop(func() {
 		if got := s.leader.ShardDemands(); len(got) != want {
-			s.t.Errorf("demand of %d jobs, want %d", len(got), want)
+			s.t.Errorf("%d shard demands, want %d", len(got), want)
 		}
 	})
 }
 
-// A site that was upgraded has assignments in the form of the version before: their jobs go on, and the
-// leader's records go once the owner's hold all.
+// After an upgrade the store has assignments in the form of the previous release. Their jobs must
+// continue, and the leader's records must be deleted once the owner has copied all of them.
 func TestPreviousReleaseAssignmentIsConvertedToCurrentForm(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		assignment, _ := site.assignment()
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		assignment, _ := env.assignment()
 		job := assignment.Spec()
 		assignment.Continued = &shard.ContinuedJob{Job: job, Revision: assignment.Transfer.Revision}
 		assignment.Job, assignment.Transfer = wire.Job{}, nil
-		site.put(shard.AssignmentKey("east", "j-1"), assignment)
-		site.failOver()
-		since := len(site.sent())
-		site.setFault(refuse("-" + keys.ChunkPrefix))
-		site.copyRecords()
-		site.waitUntil("the owner needs the leader's records no more", func() bool {
-			assignment, _ := site.assignment()
+		env.put(shard.AssignmentKey("east", "j-1"), assignment)
+		env.startNextTerm()
+		since := len(env.sent())
+		env.setFault(refuse("-" + keys.ChunkPrefix))
+		env.copyRecords()
+		env.waitUntil("owner's records are authoritative", func() bool {
+			assignment, _ := env.assignment()
 			return assignment.RecordsCopied()
 		})
-		site.failOver() // the owner says no more that it has copied them
-		site.setFault(nil)
-		site.waitHandedOver()
+		env.startNextTerm() // the owner does not report the copied records again
+		env.setFault(nil)
+		env.waitHandedOver()
 		order := []string{shard.AssignmentPrefix, "-" + keys.ChunkPrefix}
-		if got := site.firstChanges(since, order...); !slices.Equal(got, order) {
-			t.Errorf("%v: while the leader's records go, the assignment must not ask for them", got)
+		if got := env.firstChanges(since, order...); !slices.Equal(got, order) {
+			t.Errorf("changes %v: the assignment must not refer to the leader's records when these are deleted", got)
 		}
-		site.recordShardProgress()
-		site.failOver()
-		site.reclaimEast()
-		site.waitReturned()
-		site.expectRestored()
+		env.recordShardProgress()
+		env.startNextTerm()
+		env.reclaimEast()
+		env.waitReturned()
+		env.expectRestored()
 	})
 }
 
-// The owner's records are taken, and deleted, before it is stored that the job changes hands: an owner of
-// the version before begins done tasks anew.
+// The owner's records may be merged and deleted only after the assignment in transfer is stored.
+// Otherwise an owner of the previous release repeats done tasks.
 func TestRecalledJobIsMergedOnlyAfterItsTransferIsStored(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		site.copyRecords()
-		site.waitHandedOver()
-		site.recall()
-		site.failWrites(shard.AssignmentPrefix, fake.CommitFault{Refused: true})
-		site.release()
-		site.sleep(10 * micro.Second)
-		if recall := site.leader.assignedJobs["j-1"].recall; recall == nil || recall.merged {
-			t.Errorf("%+v", recall)
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		env.copyRecords()
+		env.waitHandedOver()
+		env.recall()
+		env.failWrites(shard.AssignmentPrefix, fake.CommitFault{Refused: true})
+		env.release()
+		env.sleep(10 * micro.Second)
+		if recall := env.leader.assignedJobs["j-1"].recall; recall == nil || recall.merged {
+			t.Errorf("recall %+v, want released and not merged", recall)
 		}
-		site.setFault(nil)
-		site.waitReturned()
+		env.setFault(nil)
+		env.waitReturned()
 	})
 }
 
-// A leader of the version before writes the assignment of a job that changes hands anew: the next
-// owner cannot read its zone, and it comes back.
+// A leader of the previous release rewrites the assignment of a job in transfer, and so drops the job's
+// own zone, which the next owner then cannot read. The job must still return to the leader.
 func TestJobReturnsAfterPreviousReleaseRewroteItsTransferAssignment(t *testing.T) {
-	runHandover(t, func(site *handoverEnv) {
-		site.assignStartedJob()
-		item, err := site.store.Get(t.Context(), store.Routine, shard.AssignmentKey("east", "j-1"))
+	runHandover(t, func(env *handoverEnv) {
+		env.assignStartedJob()
+		item, err := env.store.Get(t.Context(), store.Routine, shard.AssignmentKey("east", "j-1"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -368,15 +378,15 @@
 		if err := wire.Unmarshal(item.Value, &earlier); err != nil {
 			t.Fatal(err)
 		}
-		site.put(item.Key, earlier)
-		site.failOver()
-		if assignment, _ := site.assignment(); !assignment.InTransfer() || assignment.ReadsLeaderRecords() {
-			t.Fatalf("%+v", assignment)
+		env.put(item.Key, earlier)
+		env.startNextTerm()
+		if assignment, _ := env.assignment(); !assignment.InTransfer() || assignment.ReadsLeaderRecords() {
+			t.Fatalf("assignment %+v, want in transfer and without leader's records", assignment)
 		}
-		site.recall()
-		site.release()
-		site.waitReturned()
-		if job := site.job(); job.DoneTasks != 1 || job.Spec.Zone != nil || job.Tasks[2].Attempt != 1 {
+		env.recall()
+		env.release()
+		env.waitReturned()
+		if job := env.job(); job.DoneTasks != 1 || job.Spec.Zone != nil || job.Tasks[2].Attempt != 1 {
 			t.Errorf("%d done, zone %v, task 2 at attempt %d", job.DoneTasks, job.Spec.Zone, job.Tasks[2].Attempt)
 		}
 	})
