--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -8,34 +8,36 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// How a job with records of its tasks comes back from a shard where it waits:
+// Recall of a job with task records from a shard in which it waits without an allocation:
 //
-//  1. The leader stores in the assignment that the job is recalled. That is never taken back: no
-//     owner that reads it places any of the job's tasks.
-//  2. The owner says that nothing of the job is left but stored records.
-//  3. The shard's record gets a later version, so that no late write fits it any more: neither a copy
-//     of the one that created the assignment, nor one of an earlier loop of the owner.
-//  4. The leader stores in the assignment that the job changes hands, if it does not say so yet: a
-//     controller of a version before, which does not know of recalls, places none of its tasks either.
-//  5. The owner's records of the tasks are read into the leader's, which are written.
-//  6. Then the owner's records are deleted, and last the assignment. The job is the leader's.
+//  1. The leader stores the recall request in the assignment. The request is never withdrawn: an
+//     owner that has read it places no task of the job.
+//  2. The owner releases the job: it reports that only stored records of the job are left.
+//  3. The shard's record is rewritten with a later version, so that late writes that are conditional
+//     on an earlier version fail: a copy of the write that created the assignment, and any write of
+//     an earlier loop of the owner.
+//  4. The leader stores the assignment in transfer, unless it already is. A controller of the
+//     previous release, which does not know of recalls, then places none of its tasks either.
+//  5. The leader merges the owner's task records into its own, and writes these.
+//  6. The leader deletes the owner's records, and then the assignment. The job is the leader's.
 //
-// A leader that takes over finds the assignment, and begins anew with the second step: what the
-// owner recorded does not change any more, and reading it twice changes nothing.
+// A leader that takes over finds the assignment and restarts from step 2: the owner's records no
+// longer change, and merging them twice has no further effect.
 
-// recall is how far a recalled job is, once its owner has released it.
+// recall is the progress of the recall of a job that its owner has released.
 type recall struct {
-	fencedAbove    uint64 // no write under the shard's record at this version, or before, may be carried out any more
+	fencedAbove    uint64 // the shard's record must have a later version, so that all earlier writes fail
 	readInFlight   bool
-	merged         bool                          // the owner's records are in the leader's memory
-	pendingDeletes map[string]*statestore.Record // the owner's records, until they are deleted
-	deleting       bool                          // nothing but the assignment is left
+	merged         bool                          // the owner's records are merged into the leader's memory
+	pendingDeletes map[string]*statestore.Record // the owner's records that are not deleted yet, by key
+	deleting       bool                          // only the assignment is left to delete
 }
 
-// recallWaitingJobs recalls jobs that wait in a shard: there may be capacity elsewhere.
+// recallWaitingJobs recalls jobs that wait in a shard without an allocation, since there may be
+// capacity elsewhere.
 func (c *Coordinator) recallWaitingJobs(shardName string, waiting []string, now micro.Time) {
 	if !c.Cluster.ContinuesJobs {
-		return // the owner could not follow
+		return // some controller does not support recalls
 	}
 	for _, id := range waiting {
 		assigned := c.assignedJobs[id]
@@ -44,18 +46,20 @@
 			continue
 		}
 		assigned.assignment.RecallRequested = true
-		c.Log.Info("job recalled", "job", id, "shard", shardName, "reason", "it waits there without any allocation")
+		c.Log.Info("job recalled", "job", id, "shard", shardName, "reason", "it waits in the shard without any allocation")
 		assigned.storeRecord.MarkDirty(now, statestore.PriorityHigh)
 	}
 }
 
-// heldByOwner reports whether the shard's owner has the job, and nothing else is to become of it.
+// heldByOwner reports whether the shard's owner has the job, which is neither ended, being cancelled
+// nor handed back.
 func (assigned *assignedJob) heldByOwner() bool {
 	return assigned.stored && !assigned.handedBack && !assigned.cancelling && assigned.job.State == cluster.Assigned
 }
 
-// applyReleasedJobs takes in which recalled jobs an owner has released. Its word counts for the
-// assignment that it read: one of an earlier stay of the job in the shard says nothing.
+// applyReleasedJobs marks the recalled jobs that an owner has released. A report is authoritative only
+// for the version of the assignment that the owner had read: one about an earlier assignment of the
+// job to the same shard is ignored.
 func (c *Coordinator) applyReleasedJobs(entry shard.Entry, released []shard.ReleasedJob) {
 	for _, each := range released {
 		assigned := c.assignedJobs[each.Job]
@@ -63,14 +67,14 @@
 			!assigned.assignment.RecallRequested || assigned.storeRecord.Version() != each.Version {
 			continue
 		}
-		c.Log.Info("recalled job released", "job", each.Job, "shard", entry.Name)
+		c.Log.Info("recalled job released by its owner", "job", each.Job, "shard", entry.Name)
 		assigned.recall = &recall{
 			fencedAbove: max(entry.Version, assigned.createdUnder), pendingDeletes: map[string]*statestore.Record{},
 		}
 	}
 }
 
-// reconcileRecalls brings the recalled jobs on that their owners have released.
+// reconcileRecalls advances the recalls of all jobs that their owners have released.
 func (c *Coordinator) reconcileRecalls(now micro.Time) {
 	for _, assigned := range c.assignedJobs {
 		entry, ok := c.table().Get(assigned.shardName)
@@ -80,6 +84,7 @@
 	}
 }
 
+// reconcileRecall starts the next of steps 3 to 6 of a recall once the previous one is done.
 func (c *Coordinator) reconcileRecall(entry shard.Entry, assigned *assignedJob, now micro.Time) {
 	recall := assigned.recall
 	switch {
@@ -104,7 +109,7 @@
 	}
 }
 
-// readReleasedJob reads what the owner recorded of a released job's tasks.
+// readReleasedJob starts reading the owner's task records of a released job.
 func (c *Coordinator) readReleasedJob(assigned *assignedJob) {
 	recall := assigned.recall
 	recall.readInFlight = true
@@ -114,7 +119,7 @@
 	}()
 }
 
-// releasedJobRead brings what the owner recorded of a released job's tasks.
+// releasedJobRead is the result of reading the owner's task records of a released job.
 type releasedJobRead struct {
 	coordinator *Coordinator
 	assigned    *assignedJob
@@ -123,13 +128,13 @@
 	err         error
 }
 
-// Apply takes the records into the leader's; after an error they are read anew. Whatever else has
-// become of the job meanwhile goes first.
+// Apply merges the records into the leader's. After an error they are read again by a later
+// reconciliation. Nothing is merged if the job was cancelled, ended or reclaimed during the read.
 func (e releasedJobRead) Apply() {
 	c, assigned := e.coordinator, e.assigned
 	e.recall.readInFlight = false
 	if e.err != nil {
-		c.Log.Debug("released job not read", "job", assigned.job.Spec.ID, "err", e.err)
+		c.Log.Debug("read records of released job failed", "job", assigned.job.Spec.ID, "err", e.err)
 		return
 	}
 	current := c.assignedJobs[assigned.job.Spec.ID] == assigned && assigned.job.Shard == assigned.shardName
@@ -138,8 +143,8 @@
 	}
 }
 
-// mergeReleasedJob takes the owner's records of a released job into the leader's, which are
-// written before those are deleted.
+// mergeReleasedJob merges the owner's records of a released job into the leader's, which are written
+// before the owner's are deleted.
 func (c *Coordinator) mergeReleasedJob(assigned *assignedJob, items []wire.Item) {
 	now := c.Now()
 	assigned.recall.merged = true
@@ -147,28 +152,30 @@
 		c.reclaimAllocation(item, assigned.recall.pendingDeletes, now)
 	}
 	if assigned.job.AllocationCount > 0 {
-		c.Log.Error("released job has allocations", "job", assigned.job.Spec.ID, "shard", assigned.shardName)
+		c.Log.Error(
+			"owner released a job that has allocations", "job", assigned.job.Spec.ID, "shard", assigned.shardName,
+		)
 	}
 }
 
-// mayDeleteAssignment reports whether nothing of a recalled job is left in its shard, and nobody
-// has cancelled it meanwhile: its owner takes part in that.
+// mayDeleteAssignment reports whether only the assignment of a recalled job is left in its shard. It is
+// false while the job is being cancelled, since the cancellation involves the shard's owner.
 func (assigned *assignedJob) mayDeleteAssignment() bool {
 	return assigned.recall != nil && assigned.recall.deleting && !assigned.cancelling
 }
 
-// finishRecall makes a recalled job the leader's own: its assignment is deleted, and no late write
-// creates it anew.
+// finishRecall returns a recalled job to the leader. Its assignment is deleted, and step 3 ensures
+// that no late write can create it again.
 func (c *Coordinator) finishRecall(assigned *assignedJob) {
 	c.dropAssignment(assigned)
 	c.Log.Info(
-		"job taken back", "job", assigned.job.Spec.ID, "shard", assigned.shardName, "done", assigned.job.DoneTasks,
-		"tasks", len(assigned.job.Tasks),
+		"recalled job returned to the leader", "job", assigned.job.Spec.ID, "shard", assigned.shardName,
+		"done", assigned.job.DoneTasks, "tasks", len(assigned.job.Tasks),
 	)
 }
 
-// ownerRecordMerged reports whether the leader's record of a chunk holds what the owner's does: it is
-// later than those that the assignment goes on from.
+// ownerRecordMerged reports whether the leader's stored record of a chunk includes the owner's: its
+// version is later than that of the leader's records from before the assignment.
 func (c *Coordinator) ownerRecordMerged(chunk *cluster.TaskChunk) bool {
 	if !chunk.Stored {
 		return false
--- a/internal/shard/coordinator/reclaim.go
+++ b/internal/shard/coordinator/reclaim.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// reclaimReadTimeout is how long one request for a released shard's allocations may take.
+	// reclaimReadTimeout is the timeout of one request for a page of allocation records.
 	reclaimReadTimeout = 3 * time.Second
-	// reclaimPageSize is how many of them it brings.
+	// reclaimPageSize is the maximum number of allocation records per request.
 	reclaimPageSize = 1000
 )
 
-// reclaim is how far the leader is with taking back a shard that its owner released.
+// reclaim is the leader's progress in reclaiming a shard that its owner has released.
 type reclaim struct {
 	readInFlight   bool
-	reclaimed      bool                          // its machines and jobs are the leader's
-	pendingDeletes map[string]*statestore.Record // allocations that are still to be deleted
+	reclaimed      bool                          // the shard's machines and jobs belong to the leader
+	pendingDeletes map[string]*statestore.Record // allocation records of the shard that are not deleted yet, by key
 }
 
-// reclaimShard takes back a released shard: first what the store holds of it is read, then
-// its jobs and machines join the leader's, then its records are deleted.
+// reclaimShard starts the next step of reclaiming a released shard: its allocation records are read,
+// its machines and jobs become the leader's, its records are deleted, and last the shard itself.
 func (c *Coordinator) reclaimShard(entry shard.Entry, now micro.Time) {
 	progress := c.reclaims[entry.Name]
 	if progress == nil {
@@ -51,7 +51,8 @@
 	}
 }
 
-// readAllocations reads the records with a prefix that owners left; any goroutine may.
+// readAllocations reads all allocation records of shard owners with a key prefix. It may be called
+// from any goroutine.
 func (c *Coordinator) readAllocations(prefix string) ([]wire.Item, error) {
 	var items []wire.Item
 	after := ""
@@ -76,8 +77,9 @@
 	return c.Store.Range(ctx, store.Routine, prefix, after, reclaimPageSize)
 }
 
-// restoreReleasedShard joins a released shard's machines and jobs to the leader's. Its last
-// owner gave out fencing tokens above those of this term, perhaps: the leader's go above them.
+// restoreReleasedShard makes a released shard's machines and jobs the leader's. The last owner of the
+// shard may have issued fencing tokens above those of this term, so the leader's tokens are raised
+// above them.
 func (c *Coordinator) restoreReleasedShard(entry shard.Entry, progress *reclaim, items []wire.Item) {
 	now := c.Now()
 	firstToken := shard.FirstFencingToken(entry.Version)
@@ -103,10 +105,11 @@
 			c.resumeReclaimedJob(assigned, now)
 		}
 	}
-	c.Log.Info("shard taken back", "shard", entry.Name, "records", len(items))
+	c.Log.Info("shard reclaimed", "shard", entry.Name, "records", len(items))
 }
 
-// resumeReclaimedJob goes on with a job of a shard that was taken back, as with any other.
+// resumeReclaimedJob continues a job of a reclaimed shard as a job of the leader, including a
+// cancellation in progress.
 func (c *Coordinator) resumeReclaimedJob(assigned *assignedJob, now micro.Time) {
 	job := assigned.job
 	c.Cluster.FinishJobRestore(job, now)
@@ -115,7 +118,7 @@
 		c.Host.CancellationUnconfirmed(job)
 	}
 	if assigned.cancelling && !assigned.endRequested && job.State == cluster.Aborting {
-		assigned.endRequested = true // the usual way, from here on
+		assigned.endRequested = true // the cancellation continues as for the leader's own jobs
 		for _, allocation := range job.Allocations() {
 			c.Cluster.StopAllocation(allocation, "cancelled", 0, now)
 		}
@@ -123,8 +126,8 @@
 	}
 }
 
-// reclaimAllocation takes an owner's record into the leader's own, which is written before that is
-// deleted.
+// reclaimAllocation merges an owner's record into the leader's record of the same chunk, and adds the
+// owner's record to pendingDeletes. It is deleted only after the leader's record is written.
 func (c *Coordinator) reclaimAllocation(
 	item wire.Item, pendingDeletes map[string]*statestore.Record, now micro.Time,
 ) {
@@ -141,8 +144,8 @@
 	record.OnCommitted = func(uint64) { delete(pendingDeletes, item.Key) }
 }
 
-// reclaimChunk finds the chunk of tasks that a record is about, and restores it; nil if no job
-// has such a chunk.
+// reclaimChunk restores the chunk of tasks that an owner's record describes. It returns nil if the
+// record cannot be decoded, or belongs to no chunk of a job that is assigned to the record's shard.
 func (c *Coordinator) reclaimChunk(item wire.Item, now micro.Time) (*cluster.Job, *cluster.TaskChunk) {
 	shardName, id, index, ok := shard.ParseAllocationKey(item.Key)
 	job, assigned := c.Cluster.Jobs[id], c.assignedJobs[id]
@@ -150,35 +153,35 @@
 		return nil, nil
 	}
 	if assigned == nil || assigned.shardName != shardName {
-		return nil, nil // left by a late write: the job is not in that shard any more
+		return nil, nil // left by a late write: the job is no longer assigned to that shard
 	}
 	var stored cluster.CompactRecord
 	if err := wire.Unmarshal(item.Value, &stored); err != nil {
-		c.Log.Debug("allocation record not understood", "key", item.Key, "job", id, "err", err)
+		c.Log.Debug("decode allocation record failed", "key", item.Key, "job", id, "err", err)
 		return nil, nil
 	}
 	chunk := job.Chunks[index]
-	if !c.ownerRecordMerged(chunk) { // else this leader has, or an earlier one
+	if !c.ownerRecordMerged(chunk) { // otherwise this leader or an earlier one has merged it
 		c.Cluster.ReclaimChunk(job, index, &stored, now)
 		c.Host.MarkChunkDirty(chunk, now, statestore.PriorityHigh)
 	}
 	return job, chunk
 }
 
-// deleteShardRecords deletes what is left of a shard that was taken back.
+// deleteShardRecords deletes the allocation records of a reclaimed shard, and then its assignments.
 func (c *Coordinator) deleteShardRecords(shardName string, progress *reclaim, now micro.Time) {
 	for _, record := range progress.pendingDeletes {
 		record.MarkDirty(now, statestore.PriorityHigh)
 	}
 	if len(progress.pendingDeletes) > 0 {
-		return // a next leader needs them to know where the allocations belong
+		return // until then the next leader needs the assignments to know which shard the allocations belong to
 	}
 	for _, assigned := range c.assignedJobs {
 		if assigned.shardName != shardName {
 			continue
 		}
 		if assigned.deletionRequested && assigned.storeRecord.AbsentAsRead() {
-			c.dropAssignment(assigned) // it never was in the store, and a late write of it fails by the shard's version
+			c.dropAssignment(assigned) // never stored; a late write of it fails since the shard's version has changed
 			continue
 		}
 		assigned.deletionRequested = true
@@ -188,7 +191,7 @@
 	}
 }
 
-// hasAssignments reports whether the record of an assignment to a shard is left.
+// hasAssignments reports whether any assignment to a shard is left.
 func (c *Coordinator) hasAssignments(shardName string) bool {
 	for _, assigned := range c.assignedJobs {
 		if assigned.shardName == shardName {
--- a/internal/shard/coordinator/recovery.go
+++ b/internal/shard/coordinator/recovery.go
@@ -10,20 +10,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// StoredAssignment is an assignment as a failover reads it.
+// StoredAssignment is an assignment as read from the store during a failover.
 type StoredAssignment struct {
 	shardName  string
 	assignment shard.Assignment
-	version    uint64
+	version    uint64 // version of the assignment's key
 }
 
-// ReadAll reads all keys with a prefix, until it has them all; false if the term ended. The
-// revision is one from which changes can be watched.
+// ReadAll reads all keys with a prefix and calls each for every item, retrying until it has read all.
+// It returns false if the term ended before, else a revision from which changes can be watched.
 type ReadAll func(ctx context.Context, prefix string, each func(wire.Item)) (revision uint64, ok bool)
 
-// RecoverAssignments reads the shards and what was assigned to them, before the jobs: those
-// are not this leader's to place, and count against their teams' quotas. The assignments are
-// by job; false if the term ended. A nil Coordinator has none.
+// RecoverAssignments reads the shards and the assignments to them, which it returns by job ID, or
+// false if the term ended. It must be called before the jobs are restored: assigned jobs are not
+// scheduled by this leader, and count against the quotas of their teams. A nil Coordinator has no
+// assignments.
 func (c *Coordinator) RecoverAssignments(ctx context.Context, readAll ReadAll) (map[string]*StoredAssignment, bool) {
 	if c == nil {
 		return nil, true
@@ -41,7 +42,8 @@
 		if !ok {
 			return nil, false
 		}
-		// The table is as new as the assignments: a shard that was formed since holds none.
+		// The table is read after the assignments, so it is at least as recent: a shard that was formed
+		// in between has no assignments.
 		_, err := c.Table.Read(ctx)
 		if err == nil {
 			go c.watchAssignmentDeletions(ctx, revision)
@@ -57,18 +59,19 @@
 func (c *Coordinator) readAssignment(item wire.Item, assignments map[string]*StoredAssignment) {
 	shardName, id, ok := shard.ParseAssignmentKey(item.Key)
 	if !ok {
-		c.Log.Debug("key of an assignment not understood", "key", item.Key)
+		c.Log.Debug("parse assignment key failed", "key", item.Key)
 		return
 	}
 	stored := &StoredAssignment{shardName: shardName, version: uint64(item.Version)}
 	if err := wire.Unmarshal(item.Value, &stored.assignment); err != nil {
-		c.Log.Debug("assignment not understood", "key", item.Key, "err", err)
+		c.Log.Debug("decode assignment record failed", "key", item.Key, "err", err)
 		return
 	}
 	assignments[id] = stored
 }
 
-// RestoreAssignment notes that a job was assigned when this leader took over; nil: it was not.
+// RestoreAssignment restores the assignment of a job during a failover. stored is nil for a job that
+// was not assigned.
 func (c *Coordinator) RestoreAssignment(job *cluster.Job, stored *StoredAssignment) {
 	if stored == nil {
 		return
@@ -80,8 +83,9 @@
 	assigned.recordsCopied = stored.assignment.RecordsCopied()
 }
 
-// FinishRecovery goes on with what the leader before had begun, once all that the store holds
-// was read. A nil Coordinator does nothing.
+// FinishRecovery resumes the cancellations that an earlier leader began, and enables handling of table
+// changes. It must be called once the leader has restored its state from the store. A nil
+// Coordinator does nothing.
 func (c *Coordinator) FinishRecovery() {
 	if c == nil {
 		return
@@ -91,13 +95,14 @@
 	c.Cluster.RefreshOwnership()
 }
 
-// watchAssignmentDeletions finds the assignments that owners delete, until the loop is stopped.
+// watchAssignmentDeletions watches the assignments for deletions by owners until the loop is stopped.
+// If the store has compacted the history since revision, the leader resigns.
 func (c *Coordinator) watchAssignmentDeletions(ctx context.Context, revision uint64) {
 	for {
 		events, err := c.Store.Watch(ctx, shard.AssignmentPrefix, revision, shard.WatchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
-			c.Host.Resign("the store's history is too short to follow")
+			c.Host.Resign("the store has compacted the history that the watch of assignments needs")
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
@@ -109,5 +114,6 @@
 	}
 }
 
-// ObserveMarker takes in the version of the record that says that there are shards.
+// ObserveMarker sets the version of the marker record, which exists while any shard exists, as read
+// from the store.
 func (c *Coordinator) ObserveMarker(version uint64) { c.marker.SetVersion(version) }
--- a/internal/shard/coordinator/status.go
+++ b/internal/shard/coordinator/status.go
@@ -8,17 +8,16 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What owners tell the leader, and what it answers.
-
-// ReceiveStatusUpdate takes in what an owner tells, and answers it; false if it cannot now. Any
-// goroutine may call it. A nil Coordinator answers none.
+// ReceiveStatusUpdate applies an encoded status update from a shard owner and returns the reply, or
+// false if the update cannot be decoded, the loop does not process it in time, or the leader does
+// not hold its lease. It may be called from any goroutine. A nil Coordinator returns false.
 func (c *Coordinator) ReceiveStatusUpdate(body []byte) (shard.UpdateReply, bool) {
 	if c == nil {
 		return shard.UpdateReply{}, false
 	}
 	var update shard.StatusUpdate
 	if err := wire.Unmarshal(body, &update); err != nil {
-		c.Log.Debug("status update not understood", "err", err)
+		c.Log.Debug("decode status update failed", "err", err)
 		return shard.UpdateReply{}, false
 	}
 	reply, ok := eventloop.Call(
@@ -27,14 +26,15 @@
 			return statusUpdateReceived{c, &update, reply}
 		},
 	)
-	// The lease may have lapsed meanwhile: then nothing may be said.
+	// The lease may have expired while the update was applied: the reply is then not authoritative.
 	if !ok || !c.Host.HoldsLease() {
 		return shard.UpdateReply{}, false
 	}
 	return reply, true
 }
 
-// applyStatusUpdate takes in a status update.
+// applyStatusUpdate applies the updates of all shards in a status update and builds the reply. An
+// update of a shard that the table does not show as owned by the sender is not applied.
 func (c *Coordinator) applyStatusUpdate(update *shard.StatusUpdate, now micro.Time) shard.UpdateReply {
 	reply := shard.UpdateReply{
 		Term: c.Term.FencingRevision, FinalStates: map[string]string{}, ProxyRenewalAge: map[string]int64{},
@@ -46,7 +46,7 @@
 		if ok && entry.OwnedElsewhere() && entry.Record.Owner == owner {
 			c.applyShardUpdate(entry, shardUpdate, update.Term, now)
 		} else {
-			reply.Term = 0 // the owner tells of its machines once more
+			reply.Term = 0 // makes the owner report its machines again
 		}
 		c.acknowledge(shardUpdate, &reply)
 	}
@@ -62,7 +62,8 @@
 	return reply
 }
 
-// applyShardUpdate takes in what the owner of a shard tells of it.
+// applyShardUpdate applies an update from the current owner of a shard. term is the term of the leader
+// whose reply the owner received last.
 func (c *Coordinator) applyShardUpdate(entry shard.Entry, update *shard.ShardUpdate, term uint64, now micro.Time) {
 	view := c.viewOf(entry.Name)
 	if view.ownership != entry.Record.OwnerChanges || update.LoopStartedAt > view.loopStartedAt {
@@ -85,11 +86,13 @@
 	c.applyMachines(view, update, term, now)
 }
 
-// applyMachines takes in which machines an owner says are up, and which are to be terminated.
+// applyMachines applies the machines that an owner reports as up, and those that it wants to be
+// terminated. Reports of machines that are up are ignored if they were meant for an earlier term or
+// come from an earlier loop of the owner.
 func (c *Coordinator) applyMachines(view *shardView, update *shard.ShardUpdate, term uint64, now micro.Time) {
 	if term == c.Term.FencingRevision && update.LoopStartedAt == view.loopStartedAt {
 		for _, name := range update.ReadyMachines {
-			view.readyMachines[name] = true // also one that this leader does not know yet
+			view.readyMachines[name] = true // the leader may not know the machine yet
 			c.markMachineUp(name)
 		}
 		if view.allMachinesKnownAt == 0 && len(update.ReadyMachines) < shard.MaxStatusItems {
@@ -101,14 +104,15 @@
 		if !c.Cluster.WasTerminated(name) {
 			machine := c.Cluster.EnsureMachine(name, now)
 			machine.OwnedElsewhere = true
-			c.Host.Terminate(machine, "its shard's owner wants it returned")
+			c.Host.Terminate(machine, "termination requested by its shard's owner")
 		}
 	}
 }
 
-// observe takes in what an update says of the shard as a whole. Machines that are up within
-// reachedTime after a move do not show that it was of use: dead ones are not suspect anew by
-// then, and a single machine that came up in each ownership once kept a shard going round.
+// observe applies the part of an update that describes the whole shard. The number of moves because
+// the owner was unreachable is reset only if machines are up later than reachedTime after the last
+// move. Until then dead machines are not yet suspected by the new owner, and a single machine that
+// came up under each owner once kept a shard moving indefinitely.
 func (view *shardView) observe(update *shard.ShardUpdate, now, reachedTime micro.Time) {
 	view.machineCount, view.idleMachines = update.MachineCount, update.IdleMachines
 	view.pendingTasks = update.PendingTasks
@@ -117,12 +121,12 @@
 		view.unreachableMoves = 0
 	}
 	if update.AssignmentRevision >= view.assignedRevision {
-		// The owner knows of all that it was given: its free capacity is net of that.
+		// The owner has read all assignments, so the free capacity that it reports accounts for them.
 		view.freeCapacity, view.capacityAt = update.FreeCapacity, now
 	}
 }
 
-// applyProgress takes in how far the jobs of a shard are.
+// applyProgress applies the progress of a shard's jobs and adjusts their quota reservations.
 func (c *Coordinator) applyProgress(shardName string, progress []shard.Progress) {
 	for _, each := range progress {
 		job := c.Cluster.Jobs[each.Job]
@@ -134,14 +138,15 @@
 	}
 }
 
-// markMachineUp notes a machine that sends its heartbeats to the owner of its shard.
+// markMachineUp marks a machine as up that sends its heartbeats to the owner of its shard.
 func (c *Coordinator) markMachineUp(name string) {
 	if machine := c.Cluster.Machines[name]; machine != nil && machine.OwnedElsewhere {
-		c.Cluster.TransitionMachine(machine, cluster.Up, "its shard's owner says so")
+		c.Cluster.TransitionMachine(machine, cluster.Up, "reported up by its shard's owner")
 	}
 }
 
-// acknowledge answers for the jobs and machines that an owner named, whoever owns them now.
+// acknowledge adds to the reply the final states of the jobs and the terminated machines that an update
+// names. It does so even if the sender no longer owns the shard.
 func (c *Coordinator) acknowledge(update *shard.ShardUpdate, reply *shard.UpdateReply) {
 	for _, id := range update.FinishedJobs {
 		c.acknowledgeEnd(id, reply)
@@ -159,6 +164,7 @@
 	}
 }
 
+// acknowledgeEnd adds the final state of a job to the reply if the job has ended.
 func (c *Coordinator) acknowledgeEnd(id string, reply *shard.UpdateReply) {
 	end, over := c.Cluster.FinalStatuses[id]
 	switch {
--- a/internal/shard/coordinator/unserved_jobs.go
+++ b/internal/shard/coordinator/unserved_jobs.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// unservedScanInterval is the least time between the parts of a review.
+	// unservedScanInterval is the minimum time between two steps of a scan.
 	unservedScanInterval = micro.Second
-	// maxJobsPerScanStep is how many jobs a part looks at: with more, a review takes several.
+	// maxJobsPerScanStep limits the jobs that one step checks: with more jobs, a scan takes several steps.
 	maxJobsPerScanStep = 300
 )
 
-// UnservedJobScan counts the waiting jobs that no side may serve. The goroutine of the leader's
-// loop owns it.
+// UnservedJobScan periodically counts the pending jobs that no owner can serve. It belongs to the
+// goroutine of the leader's event loop.
 type UnservedJobScan struct {
 	coordinator *Coordinator
-	steppedAt  micro.Time
-	remaining   []*cluster.Job // jobs that the review under way has not looked at
-	unserved    int            // jobs that it has found
+	steppedAt   micro.Time
+	remaining   []*cluster.Job // jobs that the current scan has not checked yet
+	unserved    int            // unserved jobs that the current scan has found
 }
 
-// NewUnservedJobScan makes a review of the jobs that wait at the leader. A nil Coordinator has none.
+// NewUnservedJobScan returns a scan of the jobs that are pending at the leader; nil for a nil
+// Coordinator.
 func NewUnservedJobScan(c *Coordinator) *UnservedJobScan {
 	if c == nil {
 		return nil
@@ -29,34 +30,35 @@
 	return &UnservedJobScan{coordinator: c}
 }
 
-// Advance looks at some more jobs if it is time to. Once all were looked at, it says how many
-// no side may serve; the next call begins anew. A nil ServingReview does nothing.
-func (r *UnservedJobScan) Advance(now micro.Time) (unserved int, complete bool) {
-	if r == nil || now-r.steppedAt < unservedScanInterval {
+// Advance checks up to maxJobsPerScanStep jobs if a step is due. complete reports that all jobs of
+// the scan have been checked; unserved is then their total, and the next step starts a new scan. A
+// nil UnservedJobScan does nothing.
+func (s *UnservedJobScan) Advance(now micro.Time) (unserved int, complete bool) {
+	if s == nil || now-s.steppedAt < unservedScanInterval {
 		return 0, false
 	}
-	r.steppedAt = now
-	if len(r.remaining) == 0 {
-		r.unserved = 0
-		r.remaining = r.coordinator.pendingJobs()
+	s.steppedAt = now
+	if len(s.remaining) == 0 {
+		s.unserved = 0
+		s.remaining = s.coordinator.pendingJobs()
 	}
-	catalog := r.coordinator.dividedCatalog()
+	catalog := s.coordinator.dividedCatalog()
 	if catalog == nil {
-		r.remaining = nil
+		s.remaining = nil
 		return 0, true
 	}
-	part := r.remaining[:min(len(r.remaining), maxJobsPerScanStep)]
-	r.remaining = r.remaining[len(part):]
-	for _, job := range part {
+	step := s.remaining[:min(len(s.remaining), maxJobsPerScanStep)]
+	s.remaining = s.remaining[len(step):]
+	for _, job := range step {
 		if job.PendingTasks() > 0 && !catalog.Served(job) {
-			r.unserved++
+			s.unserved++
 		}
 	}
-	return r.unserved, len(r.remaining) == 0
+	return s.unserved, len(s.remaining) == 0
 }
 
-// dividedCatalog is the catalog by shards; nil where there is nothing to tell: no shard, or no
-// catalog yet.
+// dividedCatalog returns the catalog divided by the current shards; nil if there are no shards or
+// the catalog is not known yet.
 func (c *Coordinator) dividedCatalog() *DividedCatalog {
 	if c.table().Len() == 0 || len(c.Cluster.CatalogOrder) == 0 {
 		return nil
@@ -64,7 +66,7 @@
 	return DivideCatalog(c.Cluster.CatalogOrder, c.table(), c.Cluster.ContinuesJobs)
 }
 
-// pendingJobs lists the jobs that wait at the leader.
+// pendingJobs lists the jobs that are pending at the leader, in no particular order.
 func (c *Coordinator) pendingJobs() []*cluster.Job {
 	jobs := make([]*cluster.Job, 0, len(c.Cluster.PendingJobs))
 	for job := range c.Cluster.PendingJobs {
--- a/internal/shard/coordinator/unserved_jobs_test.go
+++ b/internal/shard/coordinator/unserved_jobs_test.go
@@ -10,7 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The shard "east" has all of zone b.
+// A spread service can run neither at the leader nor in the shard "east", which selects all of zone b.
+// A scan counts such jobs in steps of maxJobsPerScanStep, at most one step per unservedScanInterval.
 func TestUnservedJobScanCountsJobsInSteps(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.setZones("a", "b")
@@ -19,25 +20,26 @@
 		test.addJob(fmt.Sprint("j-", i), wire.Job{Tasks: 2, CPUs: 1, Spread: true})
 	}
 	test.addJob("served", wire.Job{Tasks: 2, CPUs: 1})
-	review := NewUnservedJobScan(test.Coordinator)
+	scan := NewUnservedJobScan(test.Coordinator)
 	for range 2 {
-		if _, complete := review.Advance(test.at); complete {
-			t.Fatal("complete too soon")
+		if _, complete := scan.Advance(test.at); complete {
+			t.Fatal("scan completed before all jobs were checked")
 		}
-		if review.Advance(test.at + micro.Millisecond); review.steppedAt != test.at {
-			t.Fatal("reviewed again at once")
+		if scan.Advance(test.at + micro.Millisecond); scan.steppedAt != test.at {
+			t.Fatal("a step was made within unservedScanInterval")
 		}
 		test.at += unservedScanInterval
 	}
-	if count, complete := review.Advance(test.at); !complete || count != unserved {
-		t.Fatalf("%d counted, complete %v, want %d", count, complete, unserved)
+	if count, complete := scan.Advance(test.at); !complete || count != unserved {
+		t.Fatalf("counted %d unserved jobs, complete %v; want %d, true", count, complete, unserved)
 	}
 	if _, complete := NewUnservedJobScan(nil).Advance(test.at); complete {
-		t.Error("a controller without the feature has a count")
+		t.Error("the scan of a nil Coordinator completed")
 	}
 }
 
-// A part of a review: as many jobs as it looks at, 24 types in 6 zones, and 8 shards.
+// BenchmarkUnservedJobScan measures one step of a scan: maxJobsPerScanStep jobs, 24 machine types in 6
+// zones, and 8 shards.
 func BenchmarkUnservedJobScan(b *testing.B) {
 	state, catalog, entries := cluster.New(noEffects{}), &wire.Catalog{}, []shard.Entry{}
 	for i := range 24 {
--- a/internal/shard/coordinator/waiting_jobs.go
+++ b/internal/shard/coordinator/waiting_jobs.go
@@ -9,11 +9,11 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// maxWaitingJobs is how many waiting jobs an operator is told of.
+// maxWaitingJobs limits the waiting jobs in the reply to an operator's command.
 const maxWaitingJobs = 10
 
-// DescribeEligibleOwners says which sides may serve a job that waits at the leader, or why none
-// may; "": there are no shards. A nil Coordinator has none.
+// DescribeEligibleOwners lists the owners that can serve a job that is pending at the leader, or gives
+// the reason why none can. It returns "" if there are no shards, or for a nil Coordinator.
 func (c *Coordinator) DescribeEligibleOwners(job *cluster.Job) string {
 	if c == nil {
 		return ""
@@ -25,8 +25,7 @@
 	return catalog.EligibleOwnersOf(job).String()
 }
 
-// detailReply adds to the answer to a command what an operator who looks at a shard is told of
-// the jobs that wait for it.
+// detailReply adds the jobs that wait for the shard to the reply to a show command.
 func (c *Coordinator) detailReply(command *shard.Command, reply shard.CommandReply) shard.DetailedReply {
 	detailed := shard.DetailedReply{CommandReply: reply}
 	if command.Operation == shard.OperationShow {
@@ -35,8 +34,8 @@
 	return detailed
 }
 
-// waitingJobs tells of the jobs that wait longest at the leader and may use machines of a
-// shard, first of those that no side may serve.
+// waitingJobs lists the jobs that have waited longest at the leader and may use offers of a shard. Jobs
+// that no owner can serve come first.
 func (c *Coordinator) waitingJobs(shardName string) []shard.WaitingJob {
 	catalog := c.dividedCatalog()
 	if catalog == nil {
@@ -45,13 +44,13 @@
 	now := c.Now()
 	var waiting []shard.WaitingJob
 	for _, job := range c.longestWaitingJobs() {
-		side := catalog.EligibleOwnersOf(job)
-		if job.PendingTasks() == 0 || side.ShardOffers[shardName] == 0 {
+		eligible := catalog.EligibleOwnersOf(job)
+		if job.PendingTasks() == 0 || eligible.ShardOffers[shardName] == 0 {
 			continue
 		}
 		waiting = append(waiting, shard.WaitingJob{
 			ID: job.Spec.ID, Team: job.Spec.Team, Tasks: job.PendingTasks(),
-			WaitingS: int((now - job.WaitingSince) / micro.Second), ServedBy: side.ServedBy, UnservedReason: side.Reason,
+			WaitingS: int((now - job.WaitingSince) / micro.Second), ServedBy: eligible.ServedBy, UnservedReason: eligible.Reason,
 		})
 	}
 	slices.SortStableFunc(waiting, func(a, b shard.WaitingJob) int {
@@ -60,8 +59,8 @@
 	return waiting[:min(len(waiting), maxWaitingJobs)]
 }
 
-// longestWaitingJobs lists the jobs that have waited longest at the leader, at most
-// maxReviewedJobs.
+// longestWaitingJobs lists up to maxJobsPerScanStep jobs that are pending at the leader, longest
+// waiting first.
 func (c *Coordinator) longestWaitingJobs() []*cluster.Job {
 	jobs := c.pendingJobs()
 	slices.SortFunc(jobs, func(a, b *cluster.Job) int {
--- a/internal/shard/coordinator/waiting_jobs_test.go
+++ b/internal/shard/coordinator/waiting_jobs_test.go
@@ -9,7 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The shard "east" has all of zone b.
+// The shard "east" selects all of zone b. A show command lists the jobs that may use its offers, the
+// longest waiting first, after those that no owner can serve; a list command lists none.
 func TestShowListsTheJobsWaitingForTheShard(t *testing.T) {
 	test := newTestCoordinator(t)
 	test.setZones("a", "b")
@@ -23,15 +24,15 @@
 	waiting := test.detailReply(show, shard.CommandReply{}).WaitingJobs
 	if len(waiting) != maxWaitingJobs || waiting[0].ID != "spread" || waiting[0].UnservedReason == "" ||
 		waiting[0].WaitingS != 10 || waiting[0].Tasks != 2 {
-		t.Fatalf("%+v", waiting)
+		t.Fatalf("waiting jobs %+v", waiting)
 	}
 	for i, job := range waiting[1:] {
 		if job.ID != fmt.Sprint("j-", i) || job.Team != "vision" || fmt.Sprint(job.ServedBy) != "[the leader shard east]" {
-			t.Errorf("%+v", job)
+			t.Errorf("waiting job %+v", job)
 		}
 	}
 	list := test.detailReply(&shard.Command{Operation: shard.OperationList}, shard.CommandReply{})
-	if side := (*Coordinator)(nil).DescribeEligibleOwners(nil); len(list.WaitingJobs) > 0 || side != "" {
-		t.Errorf("list tells of %+v, a leader without shards of %q", list.WaitingJobs, side)
+	if owners := (*Coordinator)(nil).DescribeEligibleOwners(nil); len(list.WaitingJobs) > 0 || owners != "" {
+		t.Errorf("list returned waiting jobs %+v, a nil Coordinator described owners %q", list.WaitingJobs, owners)
 	}
 }
