--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -69,7 +69,7 @@
 	var jobs []*cluster.Job
 	for job := range c.Cluster.PendingJobs {
 		// A job of a reclaimed shard is pending at the leader while its former assignment is still stored.
-		if c.assignedJobs[job.Spec.ID] == nil && c.Cluster.MayChangeHands(job) {
+		if c.assignedJobs[job.Spec.ID] == nil && c.Cluster.CanTransfer(job) {
 			jobs = append(jobs, job)
 		}
 	}
@@ -184,7 +184,7 @@
 // assignment in the store permanently, of a job that the leader owned again.
 func (c *Coordinator) mayCreateAssignment(shardName string) bool {
 	entry, ok := c.table().Get(shardName)
-	return ok && entry.OwnedElsewhere()
+	return ok && entry.HasOwner()
 }
 
 // assignmentPreconditions returns the additional preconditions of the write that creates an
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -72,7 +72,7 @@
 	Config       *config.Config
 	Cluster      *cluster.State
 	Records      *statestore.Writer
-	Table        *shard.Follower
+	Table        *shard.Watcher
 	Store        store.Store
 	Term         *election.Term
 	RenewalBound *leasekeeper.RenewalBound
@@ -108,7 +108,7 @@
 // sessionView is the leader's view of the controllers' sessions.
 type sessionView struct {
 	current      shard.Sessions
-	continuing   map[string]bool // nodes that announced shard.ContinueFeature with their last session
+	continuing   map[string]bool // nodes that announced shard.HandoverFeature with their last session
 	known        bool            // whether the sessions have been read in this term
 	readInFlight bool
 	readAt       micro.Time
@@ -162,7 +162,7 @@
 func (c *Coordinator) ShardDemands() []autoscaler.ShardDemand {
 	var demands []autoscaler.ShardDemand
 	c.table().Each(func(entry shard.Entry) bool {
-		if entry.OwnedElsewhere() {
+		if entry.HasOwner() {
 			demands = c.appendDemands(demands, entry)
 		}
 		return true
--- a/internal/shard/coordinator/eligible_owners.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -20,7 +20,7 @@
 	offers []catalogOffer
 	shards []shard.Entry // in the order of their names
 
-	continuesJobs bool // started jobs may be assigned to shards, see cluster.State.ContinuesJobs
+	continuesJobs bool // started jobs may be assigned to shards, see cluster.State.HandoverSupported
 }
 
 // catalogOffer is a machine type in one zone, either spot or on-demand.
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -21,7 +21,7 @@
 	return ok
 }
 
-// allContinueJobs reports whether every configured controller has announced shard.ContinueFeature: it
+// allContinueJobs reports whether every configured controller has announced shard.HandoverFeature: it
 // continues started jobs, which had allocations under another controller.
 func (c *Coordinator) allContinueJobs() bool {
 	for _, peer := range c.Config.Peers {
@@ -215,7 +215,7 @@
 func (c *Coordinator) deleteShard(entry shard.Entry) {
 	transaction := wire.Transaction{
 		If:   []wire.Precondition{c.Term.Precondition(), entry.Precondition()},
-		Then: []wire.Change{{Delete: entry.Key()}, {Delete: shard.MachineAgesKey(entry.Name)}},
+		Then: []wire.Change{{Delete: entry.Key()}, {Delete: shard.MachineInactivityKey(entry.Name)}},
 	}
 	if c.table().Len() == 1 {
 		transaction.Then = append(transaction.Then, wire.Change{Delete: shard.MarkerKey})
--- a/internal/shard/coordinator/guards_handover_test.go
+++ b/internal/shard/coordinator/guards_handover_test.go
@@ -339,7 +339,7 @@
 				if _, version := env.assignment(); version > 0 {
 					t.Fatal("job was assigned although a controller lacks the feature")
 				}
-				env.setFeatures(node, shard.ContinueFeature)
+				env.setFeatures(node, shard.HandoverFeature)
 				env.assignUntilStored()
 				env.setFeatures(node)
 				env.sendUpdate(shard.ShardUpdate{WaitingJobs: []string{"j-1"}})
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -181,7 +181,7 @@
 // offer that they may use.
 func TestStartedJobsMoveWhileAControllerIsDown(t *testing.T) {
 	runHandover(t, func(env *handoverEnv) {
-		features := []string{shard.ContinueFeature}
+		features := []string{shard.HandoverFeature}
 		env.put(shard.SessionKey("n-2"), election.Record{Node: "n-2", Features: features})
 		env.put(shard.AnnouncementKey("n-2"), shard.Announcement{Features: features})
 		env.runOnLoop(func() { env.leader.Config.Peers = append(env.leader.Config.Peers, config.Peer{Node: "n-2"}) })
@@ -293,15 +293,15 @@
 // count as continuing started jobs because of an announcement that the later release made.
 func TestAnnouncementIsDeletedBySessionWithoutTheFeature(t *testing.T) {
 	runHandover(t, func(env *handoverEnv) {
-		env.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.ContinueFeature}})
+		env.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.HandoverFeature}})
 		env.setFeatures("n-1")
 		env.sleep(5 * micro.Second)
-		if env.leader.Cluster.ContinuesJobs {
+		if env.leader.Cluster.HandoverSupported {
 			t.Fatal("started jobs may move, though the session of n-1 does not have the feature")
 		}
 		env.commit(wire.Change{Delete: shard.SessionKey("n-1")})
 		env.sleep(5 * micro.Second)
-		if env.leader.Cluster.ContinuesJobs {
+		if env.leader.Cluster.HandoverSupported {
 			t.Error("started jobs may move, though the last session of n-1 did not have the feature")
 		}
 	})
--- a/internal/shard/coordinator/handover_test.go
+++ b/internal/shard/coordinator/handover_test.go
@@ -123,7 +123,7 @@
 		env := &handoverEnv{t: t, startedAt: time.Now(), store: fake.NewStore()}
 		env.store.Now = env.now
 		for _, node := range []string{"n-0", "n-1"} {
-			env.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.ContinueFeature}})
+			env.put(shard.SessionKey(node), election.Record{Node: node, Features: []string{shard.HandoverFeature}})
 		}
 		record := shard.NewRecord(shard.Selector{Zone: "b"}, nil, 0)
 		record.State, record.Owner = shard.Owned, env.owner()
@@ -228,7 +228,7 @@
 		Speeds: scheduler.NewSpeedEstimator(), Store: link, Log: log,
 	})
 	loop := eventloop.New()
-	follower := shard.NewFollower(link, log, func() {})
+	follower := shard.NewWatcher(link, log, func() {})
 	leader.Coordinator = New(Dependencies{
 		Host: handoverHost{&leadingHost{}, leader}, Config: handoverConfig(), Cluster: state,
 		Records: leader.records.Writer, Table: follower, Store: link, Term: term, Loop: loop,
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -76,7 +76,7 @@
 // to the new owner, stayed up in the leader's view permanently, and used up the cloud's capacity.
 func (c *Coordinator) UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time {
 	entry, ok := c.table().ShardOf(machineAttributes(machine))
-	if !ok || !entry.OwnedElsewhere() {
+	if !ok || !entry.HasOwner() {
 		return 0
 	}
 	view := c.viewOf(entry.Name)
--- a/internal/shard/coordinator/previous_release_test.go
+++ b/internal/shard/coordinator/previous_release_test.go
@@ -100,7 +100,7 @@
 // placeable reports whether the shard has an owner that would place tasks of the job on its machines.
 func (v *previousReleaseView) placeable() bool {
 	machineType := &cluster.MachineType{MachineType: wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}}
-	owned := shard.Entry{Record: v.shard}.OwnedElsewhere()
+	owned := shard.Entry{Record: v.shard}.HasOwner()
 	return v.assignment != nil && owned && scheduler.Allowed(&v.assignment.Job, machineType, "b", false)
 }
 
--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -36,7 +36,7 @@
 // recallWaitingJobs recalls jobs that wait in a shard without an allocation, since there may be
 // capacity elsewhere.
 func (c *Coordinator) recallWaitingJobs(shardName string, waiting []string, now micro.Time) {
-	if !c.Cluster.ContinuesJobs {
+	if !c.Cluster.HandoverSupported {
 		return // some controller does not support recalls
 	}
 	for _, id := range waiting {
@@ -78,7 +78,7 @@
 func (c *Coordinator) reconcileRecalls(now micro.Time) {
 	for _, assigned := range c.assignedJobs {
 		entry, ok := c.table().Get(assigned.shardName)
-		if assigned.recall != nil && ok && entry.OwnedElsewhere() && assigned.heldByOwner() {
+		if assigned.recall != nil && ok && entry.HasOwner() && assigned.heldByOwner() {
 			c.reconcileRecall(entry, assigned, now)
 		}
 	}
