--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -19,7 +19,7 @@
 	var shards autoscaler.Config
 	if l.coordinator != nil {
 		shards.ShardDemands, shards.OwnsOffer = l.coordinator.ShardDemands, l.coordinator.OwnsOffer
-		shards.ShardCapacity, shards.ShardAcceptsJob = l.coordinator.ShardCapacity, l.coordinator.ShardTakesJob
+		shards.ShardCapacity, shards.ShardAcceptsJob = l.coordinator.ShardCapacity, l.coordinator.ShardAcceptsJob
 	}
 	return provision.New(
 		provision.Config{FencingRevision: l.term.FencingRevision, CloudRPS: l.node.Cfg.Facts.Cloud.RPS},
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -108,7 +108,7 @@
 // sessionView is the leader's view of the controllers' sessions.
 type sessionView struct {
 	current      shard.Sessions
-	continuing   map[string]bool // nodes that announced shard.HandoverFeature with their last session
+	handoverSupport   map[string]bool // nodes that announced shard.HandoverFeature with their last session
 	known        bool            // whether the sessions have been read in this term
 	readInFlight bool
 	readAt       micro.Time
--- a/internal/shard/coordinator/eligible_owners.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -20,7 +20,7 @@
 	offers []catalogOffer
 	shards []shard.Entry // in the order of their names
 
-	continuesJobs bool // started jobs may be assigned to shards, see cluster.State.HandoverSupported
+	handoverSupported bool // started jobs may be assigned to shards, see cluster.State.HandoverSupported
 }
 
 // catalogOffer is a machine type in one zone, either spot or on-demand.
@@ -37,7 +37,7 @@
 // DivideCatalog attributes the offers of all types to the shards of a table. continuesJobs reports
 // whether all controllers continue started jobs, so that these may be assigned to shards.
 func DivideCatalog(types []*cluster.MachineType, table shard.Snapshot, continuesJobs bool) *DividedCatalog {
-	catalog := &DividedCatalog{continuesJobs: continuesJobs}
+	catalog := &DividedCatalog{handoverSupported: continuesJobs}
 	table.Each(func(entry shard.Entry) bool {
 		catalog.shards = append(catalog.shards, entry)
 		return true
@@ -172,7 +172,7 @@
 // mayBeAssigned reports whether a pending job may be assigned to any shard: it has no allocation, and
 // either never had one or all controllers continue started jobs.
 func (c *DividedCatalog) mayBeAssigned(job *cluster.Job) bool {
-	return job.AllocationCount == 0 && (c.continuesJobs || job.NeverAllocated())
+	return job.AllocationCount == 0 && (c.handoverSupported || job.NeverAllocated())
 }
 
 // refusalReason returns the reason why a shard with offers for a job cannot serve it; "" if it can.
--- a/internal/shard/coordinator/events.go
+++ b/internal/shard/coordinator/events.go
@@ -33,25 +33,25 @@
 		return
 	}
 	sessions.known = true
-	sessions.current, sessions.continuing = shard.Sessions{}, map[string]bool{}
+	sessions.current, sessions.handoverSupport = shard.Sessions{}, map[string]bool{}
 	for _, item := range e.announced.Items {
 		var announcement shard.Announcement
 		e.decode(item, &announcement)
 		node := item.Key[len(shard.AnnouncementPrefix):]
-		sessions.continuing[node] = slices.Contains(announcement.Features, shard.HandoverFeature)
+		sessions.handoverSupport[node] = slices.Contains(announcement.Features, shard.HandoverFeature)
 	}
 	for _, item := range e.page.Items { // a current session overrides the announcement of an earlier one
 		var record election.Record
 		e.decode(item, &record)
 		node := item.Key[len(shard.SessionPrefix):]
 		sessions.current[node] = item.Version
-		announced := sessions.continuing[node]
-		sessions.continuing[node] = slices.Contains(record.Features, shard.HandoverFeature)
-		if announced && !sessions.continuing[node] {
+		announced := sessions.handoverSupport[node]
+		sessions.handoverSupport[node] = slices.Contains(record.Features, shard.HandoverFeature)
+		if announced && !sessions.handoverSupport[node] {
 			e.coordinator.withdrawAnnouncement(node, e.announced)
 		}
 	}
-	e.coordinator.Cluster.HandoverSupported = e.coordinator.allContinueJobs()
+	e.coordinator.Cluster.HandoverSupported = e.coordinator.allSupportHandover()
 }
 
 // withdrawAnnouncement deletes the announcement of a controller whose current session does not have
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -21,15 +21,15 @@
 	return ok
 }
 
-// allContinueJobs reports whether every configured controller has announced shard.HandoverFeature: it
+// allSupportHandover reports whether every configured controller has announced shard.HandoverFeature: it
 // continues started jobs, which had allocations under another controller.
-func (c *Coordinator) allContinueJobs() bool {
+func (c *Coordinator) allSupportHandover() bool {
 	for _, peer := range c.Config.Peers {
-		if !c.sessions.continuing[peer.Node] {
+		if !c.sessions.handoverSupport[peer.Node] {
 			return false
 		}
 	}
-	return c.sessions.continuing[c.Config.Node]
+	return c.sessions.handoverSupport[c.Config.Node]
 }
 
 // formDeclaredShards creates the records of declared shards that do not exist yet and do not overlap
@@ -53,7 +53,7 @@
 		c.Log.Info(
 			"shard formed", "shard", declared.Name, "selects", declared.Selector.String(), "teams", declared.Teams,
 		)
-		c.logDivisionWarnings(declared)
+		c.logPlacementWarnings(declared)
 		entry := shard.Entry{Name: declared.Name}
 		record := shard.NewRecord(declared.Selector, declared.Teams, int64(c.Wall()))
 		c.commitShard(declared.Name, entry.Update(record, c.Term.Precondition()))
--- a/internal/shard/coordinator/form_warnings.go
+++ b/internal/shard/coordinator/form_warnings.go
@@ -12,10 +12,10 @@
 // maxWarningsLogged limits the warnings that one log line contains.
 const maxWarningsLogged = 5
 
-// logDivisionWarnings logs which kinds of jobs could not be placed anywhere once a declared shard is
+// logPlacementWarnings logs which kinds of jobs could not be placed anywhere once a declared shard is
 // formed, given the shards that exist or are declared.
-func (c *Coordinator) logDivisionWarnings(declared config.DeclaredShard) {
-	warnings := c.divisionWarnings(declared)
+func (c *Coordinator) logPlacementWarnings(declared config.DeclaredShard) {
+	warnings := c.placementWarnings(declared)
 	if len(warnings) == 0 {
 		return
 	}
@@ -26,8 +26,8 @@
 	)
 }
 
-// divisionWarnings returns the warnings that the declared shard adds to those of the other shards.
-func (c *Coordinator) divisionWarnings(declared config.DeclaredShard) []string {
+// placementWarnings returns the warnings that the declared shard adds to those of the other shards.
+func (c *Coordinator) placementWarnings(declared config.DeclaredShard) []string {
 	var others []shard.Definition
 	c.table().Each(func(entry shard.Entry) bool {
 		others = append(others, shard.Definition{
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -14,9 +14,9 @@
 	return !sharded
 }
 
-// ShardTakesJob reports whether a machine of this offer would belong to a shard that accepts jobs of
+// ShardAcceptsJob reports whether a machine of this offer would belong to a shard that accepts jobs of
 // the job's team.
-func (c *Coordinator) ShardTakesJob(job *cluster.Job, offer autoscaler.InstanceOffer) bool {
+func (c *Coordinator) ShardAcceptsJob(job *cluster.Job, offer autoscaler.InstanceOffer) bool {
 	entry, sharded := c.table().ShardOf(offerAttributes(offer))
 	return sharded && acceptsTeam(entry, job.Spec.Team)
 }
