--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -107,11 +107,11 @@
 
 // sessionView is the leader's view of the controllers' sessions.
 type sessionView struct {
-	current      shard.Sessions
-	handoverSupport   map[string]bool // nodes that announced shard.HandoverFeature with their last session
-	known        bool            // whether the sessions have been read in this term
-	readInFlight bool
-	readAt       micro.Time
+	current         shard.Sessions
+	handoverSupport map[string]bool // nodes whose last session announced shard.HandoverFeature
+	known           bool            // whether the sessions have been read in this term
+	readInFlight    bool
+	readAt          micro.Time
 }
 
 // shardView is the leader's view of a shard beyond its record.
--- a/internal/shard/coordinator/eligible_owners.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -34,10 +34,10 @@
 // noShard is the shard index of offers whose machines belong to the leader.
 const noShard = -1
 
-// DivideCatalog attributes the offers of all types to the shards of a table. continuesJobs reports
-// whether all controllers continue started jobs, so that these may be assigned to shards.
-func DivideCatalog(types []*cluster.MachineType, table shard.Snapshot, continuesJobs bool) *DividedCatalog {
-	catalog := &DividedCatalog{handoverSupported: continuesJobs}
+// DivideCatalog attributes the offers of all types to the shards of a table. handoverSupported reports
+// whether all controllers support handover, so that started jobs may be assigned to shards.
+func DivideCatalog(types []*cluster.MachineType, table shard.Snapshot, handoverSupported bool) *DividedCatalog {
+	catalog := &DividedCatalog{handoverSupported: handoverSupported}
 	table.Each(func(entry shard.Entry) bool {
 		catalog.shards = append(catalog.shards, entry)
 		return true
@@ -170,7 +170,7 @@
 }
 
 // mayBeAssigned reports whether a pending job may be assigned to any shard: it has no allocation, and
-// either never had one or all controllers continue started jobs.
+// either never had one or all controllers support handover.
 func (c *DividedCatalog) mayBeAssigned(job *cluster.Job) bool {
 	return job.AllocationCount == 0 && (c.handoverSupported || job.NeverAllocated())
 }
@@ -179,7 +179,7 @@
 func (c *DividedCatalog) refusalReason(job *cluster.Job, entry shard.Entry, offers *usableOffers) string {
 	switch {
 	case !acceptsTeam(entry, job.Spec.Team):
-		return fmt.Sprintf("shard %s takes jobs of team %s only", entry.Name, strings.Join(entry.Record.Teams, ", "))
+		return fmt.Sprintf("shard %s accepts jobs of team %s only", entry.Name, strings.Join(entry.Record.Teams, ", "))
 	case !offers.suffice(job):
 		return fmt.Sprintf("shard %s holds zone %s only", entry.Name, strings.Join(offers.zones, ", "))
 	case job.AllocationCount > 0:
@@ -188,7 +188,7 @@
 		)
 	case !c.mayBeAssigned(job):
 		return fmt.Sprintf(
-			"it had allocations before, and not all controllers support continuing such jobs in shard %s", entry.Name,
+			"it had allocations before, and not all controllers support its handover to shard %s", entry.Name,
 		)
 	}
 	return ""
--- a/internal/shard/coordinator/eligible_owners_test.go
+++ b/internal/shard/coordinator/eligible_owners_test.go
@@ -46,7 +46,7 @@
 		},
 		"one zone, in another team's shard": {
 			"ab", reserved, inZoneB, 0,
-			"0 map[east:2] none: only shard east has offers for it: shard east takes jobs of team vision only",
+			"0 map[east:2] none: only shard east has offers for it: shard east accepts jobs of team vision only",
 		},
 		"spread, zones divided between leader and shard": {
 			"ab", east, spread, 0,
@@ -66,7 +66,7 @@
 		},
 		"spread, both zones in another team's shard": {
 			"ab", reservedGPU, spread, 0,
-			"1 map[gpu:2 m:1] none: the leader has offers in zone a only: shard gpu takes jobs of team vision only, shard m " +
+			"1 map[gpu:2 m:1] none: the leader has offers in zone a only: shard gpu accepts jobs of team vision only, shard m " +
 				"holds zone b only",
 		},
 	} {
@@ -97,18 +97,18 @@
 }
 
 // A started job without allocations, whose offers are all in a shard, is served exactly if all
-// controllers continue started jobs. Guards against reporting it as unserved although the shard takes it.
+// controllers support handover. Guards against reporting it as unserved although the shard accepts it.
 func TestEligibleOwnersOfAJobThatHadAllocations(t *testing.T) {
 	zone := "b"
-	for _, continues := range []bool{false, true} {
+	for _, supported := range []bool{false, true} {
 		test := newTestCoordinator(t)
 		test.setZones("a", zone)
 		job := test.addJob("j-1", wire.Job{Tasks: 1, Zone: &zone})
 		job.Chunk(0).MemoryVersion = 1
 		east := tableOf(shard.Entry{Name: "east", Record: shard.Record{Selector: shard.Selector{Zone: zone}}})
-		eligible := DivideCatalog(test.Cluster.CatalogOrder, east, continues).EligibleOwnersOf(job)
-		if served := len(eligible.ServedBy) > 0; served != continues {
-			t.Errorf("controllers continue jobs: %v, served by %q, reason %q", continues, eligible.ServedBy, eligible.Reason)
+		eligible := DivideCatalog(test.Cluster.CatalogOrder, east, supported).EligibleOwnersOf(job)
+		if served := len(eligible.ServedBy) > 0; served != supported {
+			t.Errorf("handover supported %v, served by %q, reason %q", supported, eligible.ServedBy, eligible.Reason)
 		}
 	}
 }
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -21,8 +21,8 @@
 	return ok
 }
 
-// allSupportHandover reports whether every configured controller has announced shard.HandoverFeature: it
-// continues started jobs, which had allocations under another controller.
+// allSupportHandover reports whether every configured controller has announced shard.HandoverFeature, that
+// is, continues started jobs, which had allocations under another controller.
 func (c *Coordinator) allSupportHandover() bool {
 	for _, peer := range c.Config.Peers {
 		if !c.sessions.handoverSupport[peer.Node] {
--- a/internal/shard/coordinator/form_warnings.go
+++ b/internal/shard/coordinator/form_warnings.go
@@ -36,13 +36,13 @@
 		return true
 	})
 	var formed shard.Definition
-	for _, part := range c.Config.Shards.Parts() {
-		_, overlaps := c.table().Overlapping(part.Selector) // true also for a declared shard that exists
+	for _, definition := range c.Config.Shards.Parts() {
+		_, overlaps := c.table().Overlapping(definition.Selector) // true also for a declared shard that exists
 		switch {
-		case part.Name == declared.Name:
-			formed = part
+		case definition.Name == declared.Name:
+			formed = definition
 		case !overlaps:
-			others = append(others, part)
+			others = append(others, definition)
 		}
 	}
 	offers, teams := catalogOffers(c.Cluster.CatalogOrder), c.Config.TeamNames()
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -290,7 +290,7 @@
 }
 
 // A controller is rolled back to the previous release and then loses its session for a while. It must not
-// count as continuing started jobs because of an announcement that the later release made.
+// count as supporting handover because of an announcement that the later release made.
 func TestAnnouncementIsDeletedBySessionWithoutTheFeature(t *testing.T) {
 	runHandover(t, func(env *handoverEnv) {
 		env.put(shard.AnnouncementKey("n-1"), shard.Announcement{Features: []string{shard.HandoverFeature}})
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -14,8 +14,8 @@
 	return !sharded
 }
 
-// ShardAcceptsJob reports whether a machine of this offer would belong to a shard that accepts jobs of
-// the job's team.
+// ShardAcceptsJob reports whether a machine of this offer would belong to a shard that accepts jobs of the
+// job's team.
 func (c *Coordinator) ShardAcceptsJob(job *cluster.Job, offer autoscaler.InstanceOffer) bool {
 	entry, sharded := c.table().ShardOf(offerAttributes(offer))
 	return sharded && acceptsTeam(entry, job.Spec.Team)
