--- a/internal/shard/coordinator/admin.go
+++ b/internal/shard/coordinator/admin.go
@@ -78,15 +78,15 @@
 	}
 }
 
-// shardStatuses returns the status of the shard named only, or of all shards if only is empty.
-func (c *Coordinator) shardStatuses(only string) []shard.Status {
+// shardStatuses returns the status of the shard with this name, or of all shards if the name is empty.
+func (c *Coordinator) shardStatuses(name string) []shard.Status {
 	jobs := map[string]int{}
 	for _, assigned := range c.assignedJobs {
 		jobs[assigned.shardName]++
 	}
 	var statuses []shard.Status
 	c.table().Each(func(entry shard.Entry) bool {
-		if only == "" || entry.Name == only {
+		if name == "" || entry.Name == name {
 			statuses = append(statuses, c.shardStatus(entry, jobs[entry.Name]))
 		}
 		return true
--- a/internal/shard/coordinator/coordinator_test.go
+++ b/internal/shard/coordinator/coordinator_test.go
@@ -184,12 +184,12 @@
 		spec wire.Job
 		want int
 	}{
-		"by CPUs":         {wire.Job{Tasks: 20, CPUs: 4}, 4 + 4 + 4 + 2},
-		"by memory":       {wire.Job{Tasks: 20, CPUs: 1, MemoryGB: 32}, 2 + 2 + 2 + 2},
-		"by GPUs":         {wire.Job{Tasks: 20, CPUs: 1, GPUs: 2}, 2},
-		"in one zone":     {wire.Job{Tasks: 20, CPUs: 4, OneZone: true}, 8},
-		"spread":          {wire.Job{Tasks: 6, CPUs: 4, Spread: true}, 3 + 3},
-		"larger than any": {wire.Job{Tasks: 1, CPUs: 17}, 0},
+		"by CPUs":                 {wire.Job{Tasks: 20, CPUs: 4}, 4 + 4 + 4 + 2},
+		"by memory":               {wire.Job{Tasks: 20, CPUs: 1, MemoryGB: 32}, 2 + 2 + 2 + 2},
+		"by GPUs":                 {wire.Job{Tasks: 20, CPUs: 1, GPUs: 2}, 2},
+		"in one zone":             {wire.Job{Tasks: 20, CPUs: 4, OneZone: true}, 8},
+		"spread":                  {wire.Job{Tasks: 6, CPUs: 4, Spread: true}, 3 + 3},
+		"larger than any machine": {wire.Job{Tasks: 1, CPUs: 17}, 0},
 	} {
 		if got := test.tasksThatFit(capacity, &c.spec); got != c.want {
 			t.Errorf("%s: %d tasks fit, want %d", name, got, c.want)
--- a/internal/shard/coordinator/eligible_owners_test.go
+++ b/internal/shard/coordinator/eligible_owners_test.go
@@ -33,18 +33,20 @@
 	)
 	oneTask, inZoneB, spread := wire.Job{Tasks: 1}, wire.Job{Tasks: 1, Zone: &zone}, wire.Job{Tasks: 2, Spread: true}
 	for name, c := range map[string]eligibleOwnersCase{
-		"no shard":        {"ab", none, oneTask, 0, "4 map[] the leader"},
-		"any owner":       {"ab", east, oneTask, 0, "2 map[east:2] the leader, shard east"},
-		"spot allowed":    {"ab", east, wire.Job{Tasks: 1, Spot: true}, 0, "4 map[east:4] the leader, shard east"},
-		"allocated":       {"ab", east, oneTask, 1, "2 map[east:2] the leader"},
-		"one zone":        {"ab", east, inZoneB, 0, "0 map[east:2] shard east"},
-		"too large":       {"ab", east, wire.Job{CPUs: 99}, 0, "0 map[] none: the cloud has no offer for it"},
-		"spread, one":     {"ab", east, wire.Job{Tasks: 1, Spread: true}, 0, "2 map[east:2] the leader, shard east"},
-		"spread, outside": {"abc", east, spread, 0, "4 map[east:2] the leader"},
-		"one zone, allocated": {
+		"no shard":          {"ab", none, oneTask, 0, "4 map[] the leader"},
+		"no constraint":     {"ab", east, oneTask, 0, "2 map[east:2] the leader, shard east"},
+		"spot allowed":      {"ab", east, wire.Job{Tasks: 1, Spot: true}, 0, "4 map[east:4] the leader, shard east"},
+		"allocated":         {"ab", east, oneTask, 1, "2 map[east:2] the leader"},
+		"zone of the shard": {"ab", east, inZoneB, 0, "0 map[east:2] shard east"},
+		"too large":         {"ab", east, wire.Job{CPUs: 99}, 0, "0 map[] none: the cloud has no offer for it"},
+		"spread, one task":  {"ab", east, wire.Job{Tasks: 1, Spread: true}, 0, "2 map[east:2] the leader, shard east"},
+		"spread, two zones outside the shard": {
+			"abc", east, spread, 0, "4 map[east:2] the leader",
+		},
+		"zone of the shard, allocated": {
 			"ab", east, inZoneB, 1, "0 map[east:2] none: only shard east has offers for it: " + has + "east only without any",
 		},
-		"one zone, in another team's shard": {
+		"zone of another team's shard": {
 			"ab", reserved, inZoneB, 0,
 			"0 map[east:2] none: only shard east has offers for it: shard east accepts jobs of team vision only",
 		},
--- a/internal/shard/coordinator/guards_handover_test.go
+++ b/internal/shard/coordinator/guards_handover_test.go
@@ -328,7 +328,7 @@
 // While any controller lacks shard.HandoverFeature, a started job must be neither assigned nor recalled. A
 // controller without the feature that reads the assignment of a started job runs the job from the start,
 // or never releases it.
-func TestStartedJobsMoveOnlyWhileAllControllersSupportHandover(t *testing.T) {
+func TestStartedJobsAreHandedOverOnlyWhileAllControllersSupportIt(t *testing.T) {
 	for name, node := range map[string]string{"the leader": "n-0", "a peer": "n-1"} {
 		t.Run(name, func(t *testing.T) {
 			runHandover(t, func(env *handoverEnv) {
--- a/internal/shard/coordinator/handover_faults_test.go
+++ b/internal/shard/coordinator/handover_faults_test.go
@@ -179,7 +179,7 @@
 // Started jobs must be assigned to shards also while a controller that announced the feature is down.
 // Otherwise they are served by no owner, for as long as the controller is down, if shards hold every
 // offer that they may use.
-func TestStartedJobsMoveWhileAControllerIsDown(t *testing.T) {
+func TestStartedJobsAreHandedOverWhileAControllerIsDown(t *testing.T) {
 	runHandover(t, func(env *handoverEnv) {
 		features := []string{shard.HandoverFeature}
 		env.put(shard.SessionKey("n-2"), election.Record{Node: "n-2", Features: features})
@@ -297,12 +297,12 @@
 		env.setFeatures("n-1")
 		env.sleep(5 * micro.Second)
 		if env.leader.Cluster.HandoverSupported {
-			t.Fatal("started jobs may move, though the session of n-1 does not have the feature")
+			t.Fatal("handover is supported, though the session of n-1 does not have the feature")
 		}
 		env.commit(wire.Change{Delete: shard.SessionKey("n-1")})
 		env.sleep(5 * micro.Second)
 		if env.leader.Cluster.HandoverSupported {
-			t.Error("started jobs may move, though the last session of n-1 did not have the feature")
+			t.Error("handover is supported, though the last session of n-1 did not have the feature")
 		}
 	})
 }
