--- a/internal/scheduler/allocation.go
+++ b/internal/scheduler/allocation.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// allocationOutcome says how an attempt to place some of a job's tasks ended.
+// allocationOutcome is the result of an attempt to place a batch of a job's tasks.
 type allocationOutcome uint8
 
 const (
@@ -16,8 +16,8 @@
 	outOfCapacity
 )
 
-// allocateTasks places a job's independent tasks one by one. Overdue ones take what capacity
-// there is.
+// allocateTasks places the independent tasks of a job one by one, with the rules relaxed up to limit.
+// It returns the number of tasks placed and whether it stopped because no machine had capacity.
 func (s *Scheduler) allocateTasks(job *cluster.Job, limit relaxation, now micro.Time) (placed int, noCapacity bool) {
 	for {
 		batch := s.nextBatch(job, now)
@@ -32,15 +32,15 @@
 	}
 }
 
-// nextBatch lists the job's next tasks to place, not all of a huge job at once, and notes
-// whether it is held back from capacity that there is.
+// nextBatch returns the indices of the job's next tasks to place, at most allocationBatch. It sets
+// Throttled if the job may not place any task now although there is capacity.
 func (s *Scheduler) nextBatch(job *cluster.Job, now micro.Time) []int {
 	schedulable := job.SchedulableTasks(now)
 	job.Throttled = schedulable == 0 && s.hasCapacity(job, now)
 	return job.NextTasks(now, min(allocationBatch, schedulable))
 }
 
-// allocateBatch places tasks until one finds no capacity or none is left of the quota.
+// allocateBatch places the tasks of a batch until the quota is exhausted or a task finds no capacity.
 func (s *Scheduler) allocateBatch(
 	job *cluster.Job, batch []int, limit relaxation, now micro.Time,
 ) (placed int, outcome allocationOutcome) {
@@ -58,8 +58,9 @@
 	return placed, allocatedAll
 }
 
-// machineForTask finds a machine for the first of a job's waiting tasks. Where there is none
-// it preempts for them, and gives one only if expensive capacity will do instead.
+// machineForTask returns a machine for the first of a job's waiting tasks, or nil. If no machine has
+// capacity, it preempts allocations of lower priority for the waiting tasks and returns nil: a later pass
+// uses the capacity once it is free. If nothing can be preempted, it falls back to an expensive machine.
 func (s *Scheduler) machineForTask(job *cluster.Job, waiting []int, limit relaxation, now micro.Time) *cluster.Machine {
 	placement := placementRequest{job: job, preferOnDemand: s.prefersOnDemand(job, waiting[0], now), now: now}
 	if machine := s.bestMachine(&placement); machine != nil {
@@ -77,8 +78,8 @@
 	return s.expensiveMachine(job, now)
 }
 
-// expensiveMachine finds a machine at any price for a job of the highest priority: for that
-// expensive capacity is better than none.
+// expensiveMachine returns a machine at any price for a job of the highest priority, for which expensive
+// capacity is better than none. For other jobs it returns nil.
 func (s *Scheduler) expensiveMachine(job *cluster.Job, now micro.Time) *cluster.Machine {
 	if job.PriorityLevel != highestPriorityLevel {
 		return nil
@@ -86,20 +87,21 @@
 	return s.bestMachine(&placementRequest{job: job, anyPrice: true, now: now})
 }
 
-// hasCapacity reports whether there is capacity for one more of the job's tasks.
+// hasCapacity reports whether quota and machines allow one more of the job's tasks.
 func (s *Scheduler) hasCapacity(job *cluster.Job, now micro.Time) bool {
 	return withinQuota(job, 1) && s.bestMachine(&placementRequest{job: job, now: now}) != nil
 }
 
-// withinQuota reports whether the team's limits leave capacity for n more of a job's
-// tasks, and are not being saved up for another of its jobs.
+// withinQuota reports whether the team's limits allow that many more tasks of a job and the quota is
+// not reserved for another job of the team. The recipient of a quota transfer gets all the quota it
+// needs at once: it stays out of quota until all of its pending tasks fit.
 func withinQuota(job *cluster.Job, tasks int) bool {
 	team := job.Team
 	if team == nil {
 		return true
 	}
 	if transfer := &team.Transfer; transfer.StopsRequested && transfer.Recipient == job {
-		return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, job.PendingTasks()) // whole, or not yet
+		return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, job.PendingTasks()) // all pending tasks or none
 	}
 	if team.QuotaKeptFrom(job) {
 		return false
@@ -111,9 +113,11 @@
 	return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, tasks)
 }
 
-// allocationBatch is how many tasks of a job are looked at together.
+// allocationBatch is the maximum number of a job's tasks that are tried in one batch.
 const allocationBatch = 32
 
+// allocate places task i of the job on a machine. If the machine was reserved for the job because it
+// starved, transferReservation passes the reservation on to another job of the same class and team.
 func (s *Scheduler) allocate(job *cluster.Job, i int, machine *cluster.Machine, attempt uint32, now micro.Time) {
 	scaled := ScaledCPUs(job.Spec.CPUs, machine.Type.SpeedFactor, machine.Type.CPUs)
 	starvationReservation, since := machine.ReservedFor == job && machine.StarvationReservation, machine.ReservedAt
@@ -129,14 +133,15 @@
 	}
 	if s.Cluster.Verbose {
 		s.Cluster.Log(
-			"allocate", "task", allocation.TaskName, "attempt", attempt, "machine", machine.Name,
+			"task allocated", "task", allocation.TaskName, "attempt", attempt, "machine", machine.Name,
 			"score", Score(job.Spec.CPUs, machine.Type.SpeedFactor, s.Properties.ScoreL1, s.Properties.ScoreL2),
 			"free_cpus", machine.Type.CPUs-machine.UsedScaledCPU,
 		)
 	}
 }
 
-// allocateGang places all of a gang's tasks or none.
+// allocateGang places all of a gang's tasks or none. If there is no capacity, it preempts allocations of
+// lower priority in the first zone where that frees enough capacity for all tasks, and reports noCapacity.
 func (s *Scheduler) allocateGang(job *cluster.Job, limit relaxation, now micro.Time) (placed int, noCapacity bool) {
 	size := len(job.Tasks)
 	if job.AllocationCount > 0 || job.PendingTasks() < size {
@@ -173,7 +178,8 @@
 	return 0, true
 }
 
-// machinesForGang chooses machines for n tasks at once, in one of the zones.
+// machinesForGang returns a machine for each of count tasks, all in the first of the zones that has
+// capacity for them, or nil if none has.
 func (s *Scheduler) machinesForGang(
 	job *cluster.Job, count int, zones []string, limit relaxation, now micro.Time,
 ) []*cluster.Machine {
@@ -186,7 +192,8 @@
 	return nil
 }
 
-// planGang plans tasks of a gang one by one, as many as there is capacity for.
+// planGang chooses machines for up to count tasks of a job, as many as there is capacity for, and adds
+// them to the plan of the placement.
 func (s *Scheduler) planGang(placement *placementRequest, count int, limit relaxation) []*cluster.Machine {
 	chosen := make([]*cluster.Machine, 0, count)
 	for len(chosen) < count {
@@ -203,7 +210,8 @@
 	return chosen
 }
 
-// candidateZones lists the zones to try one by one, "" for all at once.
+// candidateZones returns the zones to try one after the other, in alphabetical order. For a job that is
+// not restricted to one zone it returns only "", which stands for all zones together.
 func (s *Scheduler) candidateZones(job *cluster.Job) []string {
 	if !job.Spec.OneZone {
 		return []string{""}
--- a/internal/scheduler/best_effort_test.go
+++ b/internal/scheduler/best_effort_test.go
@@ -9,9 +9,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// bestEffortScenario is a fleet that the work of other teams keeps full, and a guest team
-// without a guarantee beside it: a huge array, some arrays and a swarm of single
-// tasks, and ten of each of some other classes, all of the lowest priority.
+// bestEffortScenario is a fleet that the jobs of team "host", which has a guarantee, keep full. Team
+// "guest", which has none, submits jobs of the lowest priority: a huge array, small arrays, a steady supply
+// of single-task jobs, and ten jobs of each of a number of other classes.
 type bestEffortScenario struct {
 	*simulation
 	hugeArray   *cluster.Job
@@ -19,8 +19,8 @@
 	singleTasks []*cluster.Job
 
 	submitted     int
-	otherTeamDone int // tasks of the other teams
-	maxReserved   int // machines that were gathered at a time
+	otherTeamDone int // completed tasks of team "host"
+	maxReserved   int // maximum number of machines with a starvation reservation at a time
 }
 
 const (
@@ -28,6 +28,8 @@
 	bestEffortDuration = 10 * micro.Minute
 )
 
+// runBestEffortScenario runs the scenario for span. The guest team submits jobs of otherClasses further
+// classes. configure, if not nil, changes the scheduler before the start.
 func runBestEffortScenario(
 	t *testing.T, span micro.Time, otherClasses int, configure func(*Scheduler),
 ) *bestEffortScenario {
@@ -60,6 +62,7 @@
 	return scenario
 }
 
+// submit adds an array of one-CPU tasks, whose ID marks it as healthy in the simulation.
 func (b *bestEffortScenario) submit(team, class string, priority wire.Priority, tasks int) *cluster.Job {
 	b.submitted++
 	return b.cluster.AddJob(wire.Job{
@@ -68,7 +71,7 @@
 	}, b.now, b.now)
 }
 
-// submitGuestJobs submits all of the guest team's jobs but the swarm of single tasks.
+// submitGuestJobs submits all jobs of the guest team except the single-task jobs.
 func (b *bestEffortScenario) submitGuestJobs(otherClasses int) {
 	b.hugeArray = b.submit("guest", "tagging", wire.Low, 2000)
 	for range 6 {
@@ -81,7 +84,7 @@
 	}
 }
 
-// keepBusy submits more of the others' work than there is capacity for.
+// keepBusy submits arrays of the host team until its pending tasks exceed the capacity of the fleet.
 func (b *bestEffortScenario) keepBusy() {
 	waiting := 0
 	for job := range b.cluster.PendingJobs {
@@ -94,7 +97,7 @@
 	}
 }
 
-// countReserved counts the machines that are held for work that waited long.
+// countReserved returns the number of machines with a starvation reservation.
 func (b *bestEffortScenario) countReserved() int {
 	reserved := 0
 	for _, machine := range b.cluster.SortedMachines() {
@@ -105,8 +108,7 @@
 	return reserved
 }
 
-// countStartedWithin counts the jobs whose first task began to run within a time of their
-// submission.
+// countStartedWithin returns the number of jobs of which a task started within limit of the submission.
 func (b *bestEffortScenario) countStartedWithin(jobs []*cluster.Job, limit micro.Time) int {
 	count := 0
 	for _, job := range jobs {
@@ -120,10 +122,10 @@
 	return count
 }
 
-// A guest team without a guarantee asks for capacity while the others, of a higher priority,
-// have more work than there is capacity for. Ageing alone gives it any: capacity is reserved
-// for its starved classes. Half of each class begins within four minutes, the
-// largest jobs among them, and the others lose little. Without ageing nothing does.
+// A team without a guarantee submits jobs of the lowest priority while another team has more jobs of a
+// higher priority than there is capacity for. It gets capacity only through starvation reservations. At
+// least half of the jobs of each class, the largest ones included, must start within four minutes, and the
+// other team may lose at most a tenth of its throughput.
 func TestTeamWithoutGuaranteeIsServedByStarvationReservations(t *testing.T) {
 	const limit = 4 * micro.Minute
 	scenario := runBestEffortScenario(t, bestEffortDuration, 0, nil)
@@ -131,32 +133,37 @@
 		"tagging": {scenario.hugeArray}, "crawl": scenario.smallArrays, "spellcheck": scenario.singleTasks,
 	} {
 		started := scenario.countStartedWithin(jobs, limit)
-		t.Logf("%s: %d of %d began within four minutes", class, started, len(jobs))
+		t.Logf("class %s: %d of %d jobs started within four minutes", class, started, len(jobs))
 		if 2*started < len(jobs) {
-			t.Errorf("%s: %d of %d began within four minutes", class, started, len(jobs))
+			t.Errorf("class %s: %d of %d jobs started within four minutes, want at least half", class, started, len(jobs))
 		}
 	}
-	t.Logf("%d tasks of the huge array are done, %d of the others", scenario.hugeArray.DoneTasks, scenario.otherTeamDone)
+	t.Logf(
+		"tasks done: %d of the huge array, %d of the host team", scenario.hugeArray.DoneTasks, scenario.otherTeamDone,
+	)
 	if scenario.hugeArray.DoneTasks < 8 {
-		t.Errorf("%d tasks of the huge array are done", scenario.hugeArray.DoneTasks)
+		t.Errorf("%d tasks of the huge array are done, want at least 8", scenario.hugeArray.DoneTasks)
 	}
-	// The capacity of all machines for all the time, less a tenth and the fetches.
+	// all is the number of tasks that all machines can complete in the whole time, with a fetch before each.
+	// The host team must get nine tenths of it.
 	if all := 8 * bestEffortMachines * int(
 		bestEffortDuration/(simulatedRun+simulatedFetch+2*micro.Second),
 	); scenario.otherTeamDone < all*9/10 {
-		t.Errorf("the others got %d tasks done, of %d at the most", scenario.otherTeamDone, all)
+		t.Errorf("the host team completed %d of at most %d tasks, want at least nine tenths", scenario.otherTeamDone, all)
 	}
 }
 
-// However many classes starve, one machine in sixteen is held for them at most beside
-// those, as many again, that are being gathered.
+// However many classes starve, reservations that are passed on within a class hold at most one machine in
+// reservedFleetDivisor, and zone reservations as many again.
 func TestReservedMachinesAreBoundedWhenManyClassesStarve(t *testing.T) {
 	if scenario := runBestEffortScenario(t, 5*micro.Minute, 4, nil); scenario.maxReserved == 0 ||
 		scenario.maxReserved > 2*bestEffortMachines/reservedFleetDivisor {
-		t.Errorf("%d machines were held at a time", scenario.maxReserved)
+		t.Errorf("%d machines were reserved at a time, want at least 1 and at most 1 in 8", scenario.maxReserved)
 	}
 }
 
+// Without starvation reservations the guest team must get nothing. Otherwise the scenario has spare capacity, and
+// TestTeamWithoutGuaranteeIsServedByStarvationReservations proves nothing.
 func TestTeamWithoutGuaranteeIsNotServedWithoutStarvationReservations(t *testing.T) {
 	scenario := runBestEffortScenario(
 		t, 5*micro.Minute, 0, func(scheduler *Scheduler) { scheduler.Properties.StarvationAfter = PlanningHorizon },
@@ -165,7 +172,7 @@
 		append(append(scenario.smallArrays, scenario.singleTasks...), scenario.hugeArray), PlanningHorizon,
 	); n > 0 {
 		t.Errorf(
-			"%d of the guest's jobs began: other room than what is gathered is left, and the test before shows nothing", n,
+			"%d allocations and started jobs of the guest team without starvation reservations, want 0", n,
 		)
 	}
 }
--- a/internal/scheduler/decisions_test.go
+++ b/internal/scheduler/decisions_test.go
@@ -15,8 +15,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedDecisions is the digest of all decisions on the random clusters. It changes only
-// with a change that is meant to decide otherwise; such a commit says so.
+// recordedDecisions is the digest of all decisions on the random clusters. It may be updated only by a commit
+// that changes decisions on purpose and says so.
 const recordedDecisions = "7877c09c9f85dead"
 
 const (
@@ -25,7 +25,7 @@
 	decisionStep     = 6 * micro.Second
 )
 
-// decisionEffects lets finished jobs end.
+// decisionEffects finalizes finished jobs at once and discards all other effects.
 type decisionEffects struct {
 	discardEffects
 	scenario *decisionScenario
@@ -44,13 +44,13 @@
 	scheduler *Scheduler
 	now       micro.Time
 	digest    hash.Hash
-	jobs      []*cluster.Job // in the order of their submission
+	jobs      []*cluster.Job // in order of submission
 	sequence  wire.Count
 	coverage  *decisionCoverage
 }
 
-// decisionCoverage counts what the clusters have shown, so that the digest cannot become one
-// of clusters in which nothing happens.
+// decisionCoverage counts the kinds of decisions that the digest covers, to make sure that each of them is
+// taken often enough.
 type decisionCoverage struct {
 	allocations, gangs, services, spread, onSpot, onDemand, onGPU     int
 	sampledPasses, overloadedPasses                                   int
@@ -59,9 +59,9 @@
 	reasons                                                           [ReasonGangStopping + 1]int
 }
 
-func newDecisionScenario(seed uint64, out hash.Hash, seen *decisionCoverage) *decisionScenario {
+func newDecisionScenario(seed uint64, digest hash.Hash, coverage *decisionCoverage) *decisionScenario {
 	scenario := &decisionScenario{
-		rng: rand.New(rand.NewPCG(seed, 11)), now: 1000 * micro.Second, digest: out, coverage: seen,
+		rng: rand.New(rand.NewPCG(seed, 11)), now: 1000 * micro.Second, digest: digest, coverage: coverage,
 	}
 	scenario.state = cluster.New(decisionEffects{scenario: scenario})
 	scenario.state.LeaseDuration = 30 * micro.Second
@@ -74,7 +74,7 @@
 	return scenario
 }
 
-// addMachines makes a fleet of several types, speeds, zones and kinds.
+// addMachines adds a random fleet of several types, speeds and zones, with spot and on-demand machines.
 func (d *decisionScenario) addMachines() {
 	d.state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, FetchGBPerS: 0.5},
@@ -103,6 +103,7 @@
 	d.state.RestoreImages(images, 1)
 }
 
+// addTeams adds a team with a guarantee and a team with a low limit.
 func (d *decisionScenario) addTeams() {
 	d.state.Teams["guaranteed"] = &cluster.Team{
 		Name: "guaranteed", GuaranteedCPUs: 20, GuaranteedGPUs: pick(d.rng, 0.0, 4), CPULimit: 200,
@@ -112,6 +113,8 @@
 	}
 }
 
+// newScheduler returns a scheduler with random properties and objectives, and in half of the clusters with a
+// price limit.
 func (d *decisionScenario) newScheduler(seed uint64) *Scheduler {
 	properties := config.Defaults()
 	properties.StarvationAfter = pick[micro.Time](d.rng, 20, 40, 180) * micro.Second
@@ -125,7 +128,7 @@
 	if d.rng.IntN(2) == 0 {
 		objectives = append(objectives, config.Objective{Kind: "guarantee", WithinS: 60})
 	}
-	if d.rng.IntN(2) == 0 { // that of gangs, whose class is overloaded if it is short
+	if d.rng.IntN(2) == 0 { // a short start objective, so that the class of gangs becomes overloaded
 		objectives = append(objectives, config.Objective{Kind: "wait", Class: "training", WithinS: 90})
 	}
 	scheduler := &Scheduler{
@@ -140,7 +143,7 @@
 	return scheduler
 }
 
-// submit adds a random job that has waited for up to two minutes, or for much longer.
+// submit adds a random job that has waited for up to two minutes, or, one in five, for three to five minutes.
 func (d *decisionScenario) submit() {
 	spec := wire.Job{
 		ID: fmt.Sprint("j-", 1000+len(d.jobs)), Team: pick(d.rng, "", "guaranteed", "limited"),
@@ -161,7 +164,7 @@
 	d.jobs = append(d.jobs, d.state.AddJob(spec, d.now-waited, d.now))
 }
 
-// setClassAndRequest gives a job of some kind its class, its tasks and what they ask for.
+// setClassAndRequest sets the class, the number of tasks and the request of a job according to its kind.
 func (d *decisionScenario) setClassAndRequest(spec *wire.Job) {
 	switch spec.Kind {
 	case wire.Gang:
@@ -191,7 +194,7 @@
 	}
 }
 
-// runPass lets the cluster change, looks for capacity once and records what was decided.
+// runPass changes the cluster at random, runs one scheduling pass, and records the decisions.
 func (d *decisionScenario) runPass() {
 	d.now += decisionStep
 	d.heartbeats()
@@ -209,15 +212,15 @@
 	d.recordMachines()
 	d.recordTeams()
 	d.recordJobs()
-	for _, job := range d.jobs { // what is placed may start
+	for _, job := range d.jobs { // placed tasks may start once their records are stored
 		for _, chunk := range job.Chunks {
 			d.state.ChunkPersisted(chunk, chunk.MemoryVersion)
 		}
 	}
 }
 
-// heartbeats lets two in three machines report: what is to stop is over, the rest runs, and
-// some of it ends.
+// heartbeats sends a heartbeat for two in three machines in state Up. Stopping tasks are reported as exited
+// and the others as running, some of which complete or fail.
 func (d *decisionScenario) heartbeats() {
 	d.sequence++
 	for _, machine := range d.state.SortedMachines() {
@@ -235,6 +238,8 @@
 	}
 }
 
+// taskStatus returns the reported status of an allocation. One in 40 running tasks fails; tasks that are not of
+// a service complete after half of their estimated run time.
 func (d *decisionScenario) taskStatus(allocation *cluster.Allocation) wire.TaskStatus {
 	status := wire.TaskStatus{
 		Task: allocation.TaskName, Attempt: wire.Count(allocation.Attempt), State: wire.TaskRunning,
@@ -252,7 +257,8 @@
 	return status
 }
 
-// injectRandomFault changes the state of a machine now and then.
+// injectRandomFault quarantines, cordons or uncordons a random machine, changes its state, or toggles whether
+// it leaves dispatches unanswered. Three times in eight it does nothing.
 func (d *decisionScenario) injectRandomFault() {
 	machines := d.state.SortedMachines()
 	machine := machines[d.rng.IntN(len(machines))]
@@ -270,7 +276,7 @@
 	}
 }
 
-// record adds a line to what the digest is made of.
+// record adds a line with the values to the digest.
 func (d *decisionScenario) record(values ...any) { d.digest.Write(fmt.Appendln(nil, values...)) }
 
 func (d *decisionScenario) recordMachines() {
@@ -294,8 +300,8 @@
 }
 
 func (d *decisionScenario) recordAllocation(allocation *cluster.Allocation) {
-	// Which of a gang's tasks counts as the one that was preempted is left open: all of
-	// them stop.
+	// Which task of a preempted gang was the victim is not determined, since all of them are stopped. The
+	// digest must not depend on it.
 	gangPreempted := strings.HasPrefix(allocation.StopReason, "preempted") && allocation.Job.Spec.Kind == wire.Gang
 	reason := allocation.StopReason
 	if gangPreempted {
@@ -308,7 +314,7 @@
 	d.coverage.add(allocation, d.now, gangPreempted)
 }
 
-// add counts a new allocation, or one that is preempted since this pass.
+// add counts an allocation that was placed or preempted in this pass.
 func (c *decisionCoverage) add(allocation *cluster.Allocation, now micro.Time, gangPreempted bool) {
 	if allocation.Stopping && allocation.StopRequestedAt == now {
 		c.preemptions += boolToInt(strings.HasPrefix(allocation.StopReason, "preempted"))
@@ -340,7 +346,7 @@
 	}
 }
 
-// recordJobs records which jobs capacity is reserved for, and why the pending ones wait.
+// recordJobs records the jobs with a zone reservation, and the reasons why jobs are pending.
 func (d *decisionScenario) recordJobs() {
 	for _, job := range d.jobs {
 		if reservation, ok := d.scheduler.reservations[job]; ok {
@@ -354,7 +360,7 @@
 	}
 }
 
-// pick chooses one of several values.
+// pick returns a random one of the values.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
 func boolToInt(condition bool) int {
@@ -364,27 +370,27 @@
 	return 0
 }
 
-// The scheduler's code is changed in shape now and then, and must decide as before: each
-// allocation, preemption, reservation and pending reason on some hundred random
-// clusters, and each random number drawn, is in the digest.
+// Refactoring must not change decisions. The digest covers each allocation, preemption, reservation and
+// pending reason on 300 random clusters, and the state of the random number generator, so that a change in
+// the number of draws shows as well.
 func TestDecisionsOnRandomClustersMatchRecordedDigest(t *testing.T) {
 	digest := fnv.New64a()
-	seen := &decisionCoverage{}
+	coverage := &decisionCoverage{}
 	for seed := range uint64(decisionClusters) {
-		scenario := newDecisionScenario(seed, digest, seen)
+		scenario := newDecisionScenario(seed, digest, coverage)
 		for range decisionPasses {
 			scenario.runPass()
 		}
 		scenario.record("cluster", seed, scenario.scheduler.Rand.Uint64())
 	}
-	t.Logf("%+v", *seen)
-	seen.check(t)
+	t.Logf("%+v", *coverage)
+	coverage.check(t)
 	if got := fmt.Sprintf("%016x", digest.Sum64()); got != recordedDecisions {
-		t.Fatalf("the decisions' digest is %s, not %s", got, recordedDecisions)
+		t.Fatalf("digest of the decisions is %s, want %s", got, recordedDecisions)
 	}
 }
 
-// check fails if some kind of decision was seldom taken.
+// check fails the test if a kind of decision was taken fewer than 20 times.
 func (c *decisionCoverage) check(t *testing.T) {
 	t.Helper()
 	const enough = 20
@@ -393,6 +399,6 @@
 		c.preemptions, c.preemptedGangs, c.reservations, c.starvationReservations, c.quotaReservations, c.lastResort,
 	}
 	if least := slices.Min(append(counts, c.reasons[:]...)); least < enough {
-		t.Errorf("a kind of decision was taken only %d times, want %d: %+v", least, enough, *c)
+		t.Errorf("a kind of decision was taken only %d times, want at least %d: %+v", least, enough, *c)
 	}
 }
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -6,7 +6,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Allowed reports whether the job may use machines of a type, zone and kind.
+// Allowed reports whether the job's spec admits machines of the type and zone, spot or on-demand, and
+// whether one of its tasks fits on an empty machine of the type.
 func Allowed(spec *wire.Job, typ *cluster.MachineType, zone string, spot bool) bool {
 	if spot && !spec.Spot || spec.Zone != nil && *spec.Zone != zone {
 		return false
@@ -25,17 +26,18 @@
 	return false
 }
 
-// ZoneAllowed checks the one-zone and spread constraints against every allocation not proven
-// free, and against those that are planned by zone.
+// ZoneAllowed reports whether one more task in the zone meets the job's one-zone and spread constraints.
+// It counts every allocation that is not proven released, and the tasks planned so far by zone. A spread
+// job may have at most half of its tasks, rounded up, in one zone.
 func ZoneAllowed(job *cluster.Job, zone string, tasksByZone map[string]int) bool {
 	if job.Spec.OneZone {
 		for z, n := range job.AllocationsByZone {
-			if n > 0 && z != zone { // also where the zone is not known
+			if n > 0 && z != zone { // also if z is "", an unknown zone
 				return false
 			}
 		}
 	}
-	// An allocation in a zone that is not known may be in this one.
+	// An allocation in an unknown zone may be in this one.
 	if job.Spec.Spread &&
 		job.AllocationsByZone[zone]+job.AllocationsByZone[""]+tasksByZone[zone]+1 > (len(job.Tasks)+1)/2 {
 		return false
@@ -43,10 +45,12 @@
 	return true
 }
 
+// eps is the tolerance of floating-point comparisons of resources.
 const eps = 1e-9
 
-// fits checks the scaled request, which guides, and the raw one, which the
-// agent enforces.
+// fits reports whether a request fits on a machine when the resources in taken are planned in addition
+// to its allocations, and those in freed become free. It checks both the scaled CPUs, which the
+// scheduler accounts in, and the unscaled CPUs, which the agent enforces.
 func fits(request resources, m *cluster.Machine, taken *resources, freed resources) bool {
 	var planned resources
 	if taken != nil {
@@ -59,31 +63,32 @@
 		m.UsedMemoryGB+planned.MemoryGB-freed.MemoryGB+request.MemoryGB <= t.MemoryGB+eps
 }
 
-// isCandidatePool reports whether a pool has machines, in the zone if one is given, that the
-// job may use.
+// isCandidatePool reports whether a pool has machines that the job may use. If zone is not "", the pool
+// must also be in that zone.
 func isCandidatePool(job *cluster.Job, pool *cluster.MachinePool, zone string) bool {
 	return pool.MachineCount > 0 && (zone == "" || pool.Zone == zone) &&
 		Allowed(&job.Spec, pool.Type, pool.Zone, pool.Spot)
 }
 
-// tooExpensive reports whether a pool's price keeps the job from it. An expensive machine pinned
-// by small work costs a large part of the bill; work that is overdue, or of the highest
-// priority and without other capacity, takes it nevertheless.
+// tooExpensive reports whether a pool's price rules it out for the placement. Expensive machines that
+// small tasks keep from being terminated make up a large part of the bill. Overdue jobs, and jobs of the
+// highest priority that find no other capacity, use them regardless.
 func (s *Scheduler) tooExpensive(placement *placementRequest, pool *cluster.MachinePool) bool {
 	return !placement.anyPrice && s.relaxation == relaxNone && s.WithinPrice != nil &&
 		!s.WithinPrice(placement.job, pool.Type, pool.Spot, placement.now)
 }
 
-// mayUse reports whether a machine of a suitable pool may take the job's tasks.
+// mayUse reports whether a machine of a candidate pool may run the job's tasks, free resources and price
+// aside, under the current relaxation.
 func (s *Scheduler) mayUse(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return s.Cluster.MachineReachable(m) && !s.excludes(job, m, now) && !s.reservedForOther(job, m, now) &&
 		(s.relaxation >= relaxReservations || s.keepsGPUHeadroom(job, m))
 }
 
-// excludes reports whether a machine is avoided, or the job failed on it and there
-// are others. As a last resort it is tried again, but not soon after it last
-// failed, and by one job first: one that is really faulty would fail the tasks of
-// all that wait.
+// excludes reports whether a machine is ruled out for a job: because it is quarantined, or because the
+// job failed on it and on fewer than half of all machines. As a last resort such a machine is used
+// again, but only overdueAfter after its last fault, and by one job at first: a machine that really is
+// faulty would fail the tasks of all waiting jobs.
 func (s *Scheduler) excludes(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	if s.relaxation >= relaxQuarantine {
 		return m.LastFaultAt > 0 && (now-m.LastFaultAt < overdueAfter || onProbation(job, m, now))
@@ -91,12 +96,12 @@
 	return m.QuarantinedUntil > now || job.FailedOn[m.Name] && len(job.FailedOn) < len(s.Cluster.Machines)/2
 }
 
-// probationPeriod is how long a job's tasks must have been on an avoided machine before
-// others follow.
+// probationPeriod is how long the first job's tasks must have been allocated on a quarantined machine
+// before other jobs may use it.
 const probationPeriod = 15 * micro.Second
 
-// onProbation reports whether another job tries an avoided machine, and has not done so
-// for long enough to tell.
+// onProbation reports whether another job probes a quarantined machine and none has done so for
+// probationPeriod yet.
 func onProbation(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	tried := false
 	for _, allocation := range m.Allocations {
@@ -111,16 +116,17 @@
 	return tried
 }
 
-// reservedForOther reports whether a machine is kept for another job. Reservations follow
-// one another; capacity that none of them used for long is open to overdue work.
+// reservedForOther reports whether a machine is reserved for another job and closed to this one. Since
+// one reservation may follow another, a machine that has been reserved but unused for overdueAfter is
+// open to overdue jobs.
 func (s *Scheduler) reservedForOther(job *cluster.Job, m *cluster.Machine, now micro.Time) bool {
 	return m.ReservedFor != nil && m.ReservedFor != job && reservationBlocks(m, job) &&
 		(s.relaxation < relaxReservations || now-m.UnusedReservationSince < overdueAfter)
 }
 
-// reservationBlocks reports whether a machine reserved for another job is closed to this
-// one: one that is being cleared by preemption to its priority and those below, one
-// that is reserved for work that waited long to all but the highest priority.
+// reservationBlocks reports whether the reservation of a machine for another job closes it to this job.
+// Any reservation blocks jobs of the holder's priority and below. A starvation reservation also blocks
+// higher priorities, except for the highest.
 func reservationBlocks(m *cluster.Machine, job *cluster.Job) bool {
 	holder := m.ReservedFor
 	if holder.State != cluster.Active {
--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -14,8 +14,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Names tell what jobs and machines do in a simulation: the tasks of bad jobs, and
-// all tasks on faulty machines, end with an error.
+// Prefixes of the IDs and names by which jobs and machines behave in a simulation: the tasks of failing jobs,
+// and all tasks on faulty machines, exit with an error.
 const (
 	healthyJobs     = "j-1"
 	failingJobs     = "j-9"
@@ -23,9 +23,9 @@
 	faultyMachines  = "faulty-"
 )
 
-// simulation is a cluster whose tasks run in simulated time.
+// simulation is a cluster with fake agents whose tasks run in simulated time.
 type simulation struct {
-	cluster.Effects // what the model asks for beyond the methods below is an error
+	cluster.Effects // nil: an effect that is not implemented below panics
 	t               *testing.T
 	cluster         *cluster.State
 	scheduler       *Scheduler
@@ -34,16 +34,16 @@
 	fencingToken    uint64
 	schedulePending bool
 	dirtyChunks     map[*cluster.TaskChunk]bool
-	stateSince      map[string]micro.Time // when a task on an agent began its present state
-	failsAfter      micro.Time            // for so long a task runs that fails
+	stateSince      map[string]micro.Time // when a task on an agent entered its current state
+	failsAfter      micro.Time            // run time of failing tasks
 	afterStep       func()                // called after each step
 
 	schedulingPasses int
 	starts           map[string]int        // by job
-	writes           map[string]int        // records written, by job
-	lastStartedAt    map[string]micro.Time // when the last of a job's tasks began to run first
-	completedRuns    int                   // completed runs that speeds are learnt from
-	quarantineTime   map[string]micro.Time // for how long each machine was avoided
+	writes           map[string]int        // chunk records written, by job
+	lastStartedAt    map[string]micro.Time // latest start of a task that does not fail, by task name
+	completedRuns    int                   // completed attempts, from which speeds are learnt
+	quarantineTime   map[string]micro.Time // total time in quarantine, by machine
 }
 
 const (
@@ -52,6 +52,8 @@
 	simulatedRun   = 20 * micro.Second
 )
 
+// newSimulation returns a simulation in which each agent has sent a heartbeat. The first machines are faulty, as
+// many as given.
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
 	t.Helper()
 	sim := &simulation{
@@ -78,7 +80,7 @@
 		sim.agents = append(sim.agents, agent)
 	}
 	sim.step()
-	sim.step() // each agent has reported
+	sim.step() // each agent has sent a heartbeat
 	return sim
 }
 
@@ -91,6 +93,7 @@
 func (s *simulation) JobFinished(job *cluster.Job)                     { s.cluster.FinalizeJob(job, false, s.now) }
 func (s *simulation) AttemptCompleted(*cluster.Allocation, micro.Time) { s.completedRuns++ }
 
+// submitArray submits an array whose class is the prefix of its ID.
 func (s *simulation) submitArray(id string, tasks int) *cluster.Job {
 	return s.cluster.AddJob(
 		wire.Job{
@@ -102,8 +105,9 @@
 	)
 }
 
-// step lets half a second go by: tasks go on, half of the agents report, what
-// changed is placed and written. Once a second the scheduler looks in any case.
+// step advances the simulation by half a second: half of the agents advance their tasks and send a heartbeat,
+// the scheduler runs a pass if anything changed, and dirty chunks are written. Once a second a pass runs in
+// any case.
 func (s *simulation) step() {
 	s.now += simulatedStep
 	if s.now%micro.Second == 0 {
@@ -136,7 +140,7 @@
 	}
 }
 
-// advanceTasks lets the tasks of an agent go on.
+// advanceTasks moves the tasks of an agent to their next state if they are due.
 func (s *simulation) advanceTasks(agent *fake.Agent) {
 	for taskKey, task := range agent.Tasks {
 		id, index, _ := wire.ParseTaskName(taskKey.Task)
@@ -164,12 +168,15 @@
 	}
 }
 
+// heartbeat delivers a heartbeat of the agent and the response to it.
 func (s *simulation) heartbeat(agent *fake.Agent) {
 	m, outcome := s.cluster.Reconcile(agent.Heartbeat(), cluster.FromHeartbeat, s.now)
 	if outcome != cluster.Applied {
-		s.t.Fatalf("%s: not taken", agent.Name)
+		s.t.Fatalf("heartbeat of %s was not applied", agent.Name)
+	}
+	commands := wire.Commands{
+		FencingToken: wire.Count(s.fencingToken), Items: s.cluster.Commands(m, s.fencingToken, false, s.now),
 	}
-	commands := wire.Commands{FencingToken: wire.Count(s.fencingToken), Items: s.cluster.Commands(m, s.fencingToken, false, s.now)}
 	s.cluster.ResponseSent(m, s.fencingToken)
 	agent.HandleResponse(commands, s.now)
 }
@@ -180,7 +187,7 @@
 	}
 }
 
-// sumByPrefix adds up the counts of the jobs whose names begin so.
+// sumByPrefix returns the sum of the counts of the jobs whose IDs have the prefix.
 func sumByPrefix(counts map[string]int, prefix string) int {
 	sum := 0
 	for id, count := range counts {
@@ -191,7 +198,7 @@
 	return sum
 }
 
-// quarantinedFor adds up for how long machines were avoided whose names begin so.
+// quarantinedFor returns the total time in quarantine of the machines whose names have the prefix.
 func (s *simulation) quarantinedFor(prefix string) micro.Time {
 	var sum micro.Time
 	for name, duration := range s.quarantineTime {
@@ -202,10 +209,11 @@
 	return sum
 }
 
-// runHealthyJobs submits an array of eight tasks every five seconds, half a minute's
-// capacity of the machines in all, and says how long after the submission of its array
-// the last task began, by array.
-func (s *simulation) runHealthyJobs(span micro.Time, alongside func()) map[string]micro.Time {
+// runHealthyJobs submits an array of eight tasks every five seconds for span and then waits for a minute. In four
+// minutes the arrays are half a minute's work for 40 machines. After the fourth submission it calls
+// afterFourth, if that is not nil. It returns for each array the time from its submission to the start of its
+// last task.
+func (s *simulation) runHealthyJobs(span micro.Time, afterFourth func()) map[string]micro.Time {
 	var ids []string
 	submittedAt := map[string]micro.Time{}
 	end, submitted := s.now+span, 0
@@ -215,8 +223,8 @@
 		ids = append(ids, id)
 		submittedAt[id] = s.now
 		s.submitArray(id, 8)
-		if submitted == 4 && alongside != nil {
-			alongside()
+		if submitted == 4 && afterFourth != nil {
+			afterFourth()
 		}
 		s.runFor(5 * micro.Second)
 	}
@@ -226,7 +234,7 @@
 		for i := range 8 {
 			startedAt, ok := s.lastStartedAt[wire.TaskName(id, i)]
 			if !ok || s.cluster.Jobs[id].State != cluster.Done {
-				s.t.Errorf("%s was not served: %d of 8 tasks done", id, s.cluster.Jobs[id].DoneTasks)
+				s.t.Errorf("job %s did not complete: %d of 8 tasks done", id, s.cluster.Jobs[id].DoneTasks)
 				break
 			}
 			delays[id] = max(delays[id], startedAt-submittedAt[id])
@@ -235,10 +243,9 @@
 	return delays
 }
 
-// Hundreds of jobs that fail everywhere come at once, beside good work and one
-// machine that is really faulty. Before a job has failed on three machines it looks
-// like one that met a faulty machine, and two of them had failed on each machine by
-// then: all machines were avoided at once, and good work with them.
+// 300 jobs that fail everywhere are submitted at once, beside healthy jobs and one faulty machine. Until a job
+// has failed on three machines, it cannot be told from a job on a faulty machine. Two such jobs had failed on
+// each machine by then, so all machines were quarantined at once and healthy jobs could not be placed.
 func TestJobsFailingEverywhereDoNotDelayHealthyJobs(t *testing.T) {
 	const (
 		machines     = 40
@@ -255,59 +262,61 @@
 	})
 	starts, writes := sumByPrefix(sim.starts, failingJobs), sumByPrefix(sim.writes, failingJobs)
 	t.Logf(
-		"%d starts, %d writes, %d passes (%d without them); sound machines avoided for %v s, the faulty one for %v s", starts,
-		writes, sim.schedulingPasses, baseline.schedulingPasses, sim.quarantinedFor(healthyMachines).Seconds(),
+		"%d starts, %d writes, %d passes (%d without failing jobs); quarantined: healthy machines %v s, the faulty one %v s",
+		starts, writes, sim.schedulingPasses, baseline.schedulingPasses, sim.quarantinedFor(healthyMachines).Seconds(),
 		sim.quarantinedFor(faultyMachines).Seconds(),
 	)
-	// In five minutes: three tries at once, then pauses of 8, 16 and 32 s.
+	// Within five minutes: three attempts at once, then with delays of 8, 16 and 32 s.
 	for id, count := range sim.startsOutside(failingJobs, 4, 14) {
-		t.Errorf("%s was started %d times", id, count)
+		t.Errorf("failing job %s was started %d times, want 4 to 14", id, count)
 	}
 	if starts > 12*failingCount || writes > 4*starts {
-		t.Errorf("%d starts and %d writes for %d jobs", starts, writes, failingCount)
+		t.Errorf("%d starts and %d writes for %d failing jobs, want at most 12 starts per job and 4 writes per start",
+			starts, writes, failingCount)
 	}
 	if sim.schedulingPasses > baseline.schedulingPasses+starts/10 {
-		t.Errorf("%d passes, without the jobs that fail %d", sim.schedulingPasses, baseline.schedulingPasses)
+		t.Errorf("%d scheduling passes, %d without the failing jobs", sim.schedulingPasses, baseline.schedulingPasses)
 	}
-	// The first few of them may look like one faulty machine for a moment.
+	// The first few failures may look like those of a faulty machine for a moment.
 	if got := sim.quarantinedFor(healthyMachines); got > 20*micro.Second {
-		t.Errorf("sound machines were avoided for %v s in all", got.Seconds())
+		t.Errorf("healthy machines were quarantined for %v s in total, want at most 20 s", got.Seconds())
 	}
 	if got := sim.quarantinedFor(faultyMachines); got < 3*micro.Minute {
-		t.Errorf("the faulty machine was avoided for %v s", got.Seconds())
+		t.Errorf("the faulty machine was quarantined for %v s, want at least 3 minutes", got.Seconds())
 	}
 	if sim.completedRuns != baseline.completedRuns {
 		t.Errorf(
-			"speeds are learnt from %d runs, without the jobs that fail from %d", sim.completedRuns, baseline.completedRuns,
+			"speeds are learnt from %d attempts, from %d without the failing jobs", sim.completedRuns, baseline.completedRuns,
 		)
 	}
 	for id, baselineDelay := range baselineDelays {
 		if delays[id] > baselineDelay+8*micro.Second {
-			t.Errorf("%s began after %v s, without the others after %v s", id, delays[id].Seconds(), baselineDelay.Seconds())
+			t.Errorf("job %s started after %v s, without the failing jobs after %v s", id, delays[id].Seconds(),
+				baselineDelay.Seconds())
 		}
 	}
 }
 
-// startsOutside lists the jobs of a name's beginning that were started more or less often.
-func (s *simulation) startsOutside(prefix string, least, most int) map[string]int {
+// startsOutside returns the jobs with the prefix that were started fewer than minStarts or more than maxStarts
+// times, with their number of starts.
+func (s *simulation) startsOutside(prefix string, minStarts, maxStarts int) map[string]int {
 	found := map[string]int{}
 	for id, count := range s.starts {
-		if strings.HasPrefix(id, prefix) && (count > most || count < least) {
+		if strings.HasPrefix(id, prefix) && (count > maxStarts || count < minStarts) {
 			found[id] = count
 		}
 	}
 	return found
 }
 
-// An array that fails everywhere took all the capacity there was, again and again: each
-// time that it was tried, with as many tasks as fitted.
+// An array that fails everywhere repeatedly took all free capacity: each retry started as many tasks as fit.
 func TestArrayThatFailsEverywhereIsRetriedWithFewTasks(t *testing.T) {
 	const (
 		machines = 150 // capacity for 1200 tasks
-		// What may start before the job counts as failing everywhere: its first wave,
-		// and what takes the place of the first failures that are heard of.
+		// Maximum starts until the job counts as failing everywhere: the tasks placed at first, and those
+		// that replace the first reported failures.
 		maxStartsAtFirst = 600
-		// After that, four at a time with 32 s between them.
+		// Maximum starts in the five minutes after that: four at a time, 32 s apart.
 		maxStartsAfter = 60
 	)
 	for _, test := range []struct {
@@ -328,21 +337,25 @@
 		sim.runFor(5 * micro.Minute)
 		after := sim.starts[job.Spec.ID] - atFirst
 		t.Logf(
-			"%d tasks that fail after %v s: %d starts until it counts as failing everywhere, "+
-				"%d in five minutes after that, %d writes",
+			"%d tasks that fail after %v s: %d starts until the job counts as failing everywhere, "+
+				"%d in the five minutes after that, %d writes",
 			tasks, failsAfter.Seconds(), atFirst, after, sim.writes[job.Spec.ID],
 		)
 		if atFirst > maxStartsAtFirst || after > maxStartsAfter {
-			t.Errorf("%d tasks: %d starts at first, %d in five minutes after that", tasks, atFirst, after)
+			t.Errorf(
+				"%d tasks: %d starts until backoff (limit 600), %d in the five minutes after that (limit 60)",
+				tasks, atFirst, after,
+			)
 		}
 		if after < 2 {
-			t.Errorf("%d tasks: tried %d times in five minutes", tasks, after)
+			t.Errorf("%d tasks: %d starts in five minutes of backoff, want at least 2", tasks, after)
 		}
 		if maxWrites := 4 * (atFirst + after); sim.writes[job.Spec.ID] > maxWrites {
-			t.Errorf("%d tasks: %d writes", tasks, sim.writes[job.Spec.ID])
+			t.Errorf("%d tasks: %d writes, want at most four per start", tasks, sim.writes[job.Spec.ID])
 		}
 		if got := sim.quarantinedFor(healthyMachines); got > 5*micro.Second || sim.completedRuns > 0 {
-			t.Errorf("%d tasks: machines avoided for %v s, speeds learnt from %d runs", tasks, got.Seconds(), sim.completedRuns)
+			t.Errorf("%d tasks: machines quarantined for %v s, speeds learnt from %d attempts, want at most 5 s and 0",
+				tasks, got.Seconds(), sim.completedRuns)
 		}
 		sim.cluster.FinalizeJob(job, true, sim.now)
 		sim.runFor(2 * micro.Second)
@@ -350,32 +363,32 @@
 		sim.runFor(micro.Minute)
 		if job.AllocationCount > 0 || sim.starts[job.Spec.ID] > starts {
 			t.Errorf(
-				"%d tasks: cancelled, and %d places held, %d more starts", tasks, job.AllocationCount,
+				"%d tasks: the cancelled job holds %d allocations and had %d more starts, want 0", tasks, job.AllocationCount,
 				sim.starts[job.Spec.ID]-starts,
 			)
 		}
 	}
 }
 
-// runUntilBackoff lets time go by until a job counts as failing everywhere.
+// runUntilBackoff advances the simulation until a job counts as failing everywhere.
 func (s *simulation) runUntilBackoff(job *cluster.Job) {
 	for job.NotBefore <= s.now {
 		s.step()
 	}
 }
 
-// On two machines a job never fails on three: an array went on without end, as
-// fast as its tasks failed.
+// With only two machines, a job never fails on three of them. An array that failed on both was restarted without
+// a limit, as fast as its tasks failed.
 func TestArrayThatFailsOnTheOnlyTwoMachinesIsThrottled(t *testing.T) {
 	sim := newSimulation(t, 2, 0)
 	job := sim.submitArray(failingJobs+"001", 5000)
 	sim.runFor(5 * micro.Minute)
 	if n := sim.starts[job.Spec.ID]; n > 200 || n < 70 {
-		t.Errorf("%d starts in five minutes", n)
+		t.Errorf("%d starts in five minutes, want 70 to 200", n)
 	}
 }
 
-// timeToFill is how long a large sound array takes until it has all the capacity.
+// timeToFill returns how long a large healthy array takes to get all capacity of the machines that are not faulty.
 func timeToFill(t *testing.T, machines, faulty int) (*simulation, micro.Time) {
 	t.Helper()
 	sim := newSimulation(t, machines, faulty)
@@ -384,35 +397,39 @@
 	for job.AllocationCount < 8*(machines-faulty) {
 		sim.step()
 		if sim.now-from > micro.Minute {
-			t.Fatalf("%d places after a minute", job.AllocationCount)
+			t.Fatalf("%d allocations after a minute, want all capacity of the healthy machines", job.AllocationCount)
 		}
 	}
 	return sim, sim.now - from
 }
 
-// A sound array waits for no more than the first of its tasks to have run for a few
-// seconds, and one that meets a faulty machine no longer than that.
+// A healthy array is throttled only until the first of its tasks have run for a few seconds, also if some of its
+// tasks fail on faulty machines.
 func TestHealthyArrayIsNotThrottledForLong(t *testing.T) {
 	if _, took := timeToFill(t, 60, 0); took > simulatedStep {
-		t.Errorf("an array that no more than the first wave has room for: after %v s", took.Seconds())
+		t.Errorf("60 machines, which hold no more than the unproven limit: filled after %v s, want at most one step",
+			took.Seconds())
 	}
 	const maxDelay = 10 * micro.Second
 	for _, faulty := range []int{0, 1, 2, 5} {
 		sim, took := timeToFill(t, 150, faulty)
-		t.Logf("%d faulty machines: all the room after %v s", faulty, took.Seconds())
+		t.Logf("%d faulty machines: all capacity allocated after %v s", faulty, took.Seconds())
 		if took > maxDelay {
-			t.Errorf("%d faulty machines: all the room after %v s", faulty, took.Seconds())
+			t.Errorf("%d faulty machines: all capacity allocated after %v s, want at most 10 s", faulty, took.Seconds())
 		}
 		sim.runFor(simulatedRun + 10*micro.Second)
 		job := sim.cluster.Jobs[healthyJobs+"001"]
 		if job.DoneTasks == 0 || job.AllocationCount < 8*(150-faulty)-40 || job.InBackoff(sim.now) {
-			t.Errorf("%d faulty machines: %d tasks done, %d places held", faulty, job.DoneTasks, job.AllocationCount)
+			t.Errorf(
+				"%d faulty machines: %d tasks done, %d allocations; want tasks done, all but 40 CPUs allocated and no backoff",
+				faulty, job.DoneTasks, job.AllocationCount,
+			)
 		}
 	}
 }
 
-// While so many jobs fail that machines are doubted no more, one that is really
-// faulty is found by the jobs that failed on it and completed tasks elsewhere.
+// While so many jobs fail that their failures are not held against machines, a faulty machine is still identified
+// by the jobs that failed on it and completed tasks elsewhere.
 func TestFaultyMachineIsQuarantinedWhileManyJobsFailEverywhere(t *testing.T) {
 	sim := newSimulation(t, 40, 1)
 	for i := range 300 {
@@ -425,21 +442,21 @@
 			found = sim.now - from
 		}
 	}
-	for i := range 60 { // some of them meet the machine
+	for i := range 60 { // some of these run on the faulty machine
 		sim.submitArray(fmt.Sprint(healthyJobs, 100+i), 5)
 	}
 	sim.runFor(micro.Minute)
-	t.Logf("found after %v s", found.Seconds())
+	t.Logf("the faulty machine was quarantined after %v s", found.Seconds())
 	if found == 0 || found > 45*micro.Second {
-		t.Errorf("the faulty machine was found after %v s", found.Seconds())
+		t.Errorf("the faulty machine was quarantined after %v s (0: never), want at most 45 s", found.Seconds())
 	}
 	if got := sim.quarantinedFor(healthyMachines); got > 20*micro.Second {
-		t.Errorf("sound machines were avoided for %v s in all", got.Seconds())
+		t.Errorf("healthy machines were quarantined for %v s in total, want at most 20 s", got.Seconds())
 	}
 }
 
-// The jobs that failed on a faulty machine tell so once they completed elsewhere,
-// though nothing fails any more by then.
+// A machine is quarantined once the jobs that failed on it have completed elsewhere, even if no task fails any
+// more by then.
 func TestFaultyMachineIsQuarantinedOnceItsFailedJobsCompleteElsewhere(t *testing.T) {
 	sim := newSimulation(t, 40, 1)
 	for i := range 300 {
@@ -457,12 +474,13 @@
 	sim.runFor(10 * micro.Second)
 	for _, job := range jobs {
 		if len(job.FailedOn) != 1 {
-			t.Fatalf("%s failed on %v", job.Spec.ID, job.FailedOn)
+			t.Fatalf("job %s failed on %v, want exactly one machine", job.Spec.ID, job.FailedOn)
 		}
 	}
 	before := sim.quarantinedFor(faultyMachines)
 	sim.runFor(25 * micro.Second)
 	if got := sim.quarantinedFor(faultyMachines); before > 0 || got == 0 {
-		t.Errorf("the faulty machine was avoided for %v s before, %v s after they completed", before.Seconds(), got.Seconds())
+		t.Errorf("the faulty machine was quarantined for %v s before the jobs completed and %v s after, want 0 s and more",
+			before.Seconds(), got.Seconds())
 	}
 }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -6,40 +6,39 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Work that can save may use machines with GPUs while these are idle. Stopping it
-// again takes a save and two messages: seconds that a GPU job has not got whose
-// image takes half of the time in which it should start. So some machines are kept
-// clear of such work, as many as GPU tasks arrive in headroomWindow. What ends meanwhile
-// clears others.
+// Tasks that write checkpoints may use GPU machines whose GPUs are idle. Stopping them takes a
+// checkpoint and two messages. A GPU job that spends half of its start objective on fetching its image
+// cannot wait those seconds. So a number of machines is kept free of such tasks: as many as GPU tasks
+// arrive within headroomWindow. Tasks that end in the meantime free further machines.
 
-// headroomWindow is for how long arriving GPU tasks find machines clear.
+// headroomWindow is the period for whose expected arrivals of GPU tasks machines are kept free.
 const headroomWindow = 10 * micro.Second
 
-// gpuHeadroom counts the machines that can take a task of a class of GPU jobs as they
-// are.
+// gpuHeadroom is the headroom of a class of GPU jobs.
 type gpuHeadroom struct {
 	class     *cluster.Class
-	available int
-	target    int
+	available int // machines on which a task of the class fits now
+	target    int // machines to keep available: expected arrivals within headroomWindow
 }
 
-// countHeadroom counts, for a pass, the machines that are clear for the classes of GPU
-// jobs that cannot wait for others' work to be saved.
+// countHeadroom computes the headroom of all classes of GPU jobs that have a start objective, at the
+// start of a pass. isHeadroom decides whether a class can wait for a checkpoint of another job.
 func (s *Scheduler) countHeadroom(now micro.Time) {
 	s.headroom = s.headroom[:0]
 	for _, class := range s.Cluster.Classes {
 		if class.LastJob == nil || class.LastJob.GPUs <= 0 || s.effectiveStartObjective(class) == 0 {
 			continue
 		}
-		wanted := int(class.ArrivalRate(now) * headroomWindow.Seconds())
-		if wanted > 0 {
-			s.headroom = append(s.headroom, gpuHeadroom{class, s.countFittingMachines(class), wanted})
+		target := int(class.ArrivalRate(now) * headroomWindow.Seconds())
+		if target > 0 {
+			s.headroom = append(s.headroom, gpuHeadroom{class, s.countFittingMachines(class), target})
 		}
 	}
 }
 
-// effectiveStartObjective is within how long jobs of a class should start, by its own objective
-// or by the teams' guarantees; 0 if nothing is said.
+// effectiveStartObjective returns the time within which jobs of a class should start: the shorter of the
+// class's own objective and, if any team has guaranteed GPUs, the guaranteed start. It returns 0 if
+// neither is set.
 func (s *Scheduler) effectiveStartObjective(class *cluster.Class) micro.Time {
 	startObjective := s.Objectives.StartObjective(class.Name)
 	if guaranteed := s.Objectives.GuaranteedStart(); guaranteed > 0 && s.guaranteesGPUs() &&
@@ -49,6 +48,7 @@
 	return startObjective
 }
 
+// guaranteesGPUs reports whether any team has guaranteed GPUs.
 func (s *Scheduler) guaranteesGPUs() bool {
 	for _, team := range s.Cluster.Teams {
 		if team.GuaranteedGPUs > 0 {
@@ -58,6 +58,7 @@
 	return false
 }
 
+// countFittingMachines returns the number of machines on which a task of the class's latest job fits now.
 func (s *Scheduler) countFittingMachines(class *cluster.Class) int {
 	count := 0
 	for _, pool := range s.Cluster.Pools {
@@ -71,9 +72,10 @@
 	return count
 }
 
-// isHeadroom reports whether a machine is kept clear for a class of GPU jobs: it is
-// clear, no more are than tasks are about to arrive, and their start cannot wait
-// until a task of the given job has saved.
+// isHeadroom reports whether a machine must be kept free of the given job for a class of GPU jobs. This
+// is so if a task of the class fits on it now, no more machines are available than the target, and the
+// start objective of the class, less the time to fetch an image, does not leave enough time for a
+// checkpoint of the given job.
 func (s *Scheduler) isHeadroom(job *cluster.Job, m *cluster.Machine, class *cluster.Class) bool {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
@@ -89,8 +91,8 @@
 	return false
 }
 
-// updateHeadroom keeps the count of clear machines while a pass places tasks; it is told
-// before a task is allocated to a machine.
+// updateHeadroom updates the counts of available machines within a pass. It must be called before a task
+// of the job is allocated on the machine.
 func (s *Scheduler) updateHeadroom(job *cluster.Job, m *cluster.Machine) {
 	for i := range s.headroom {
 		entry := &s.headroom[i]
@@ -105,13 +107,15 @@
 	}
 }
 
-// checkpointTimeFactor is how many save times an objective on starting must leave.
+// checkpointTimeFactor is the number of checkpoint durations that a start objective must leave for a job
+// to wait for a checkpoint.
 const checkpointTimeFactor = 8
 
-// keepsGPUHeadroom reports whether a job without GPUs leaves a GPU machine capacity for the
-// GPU jobs seen so far: a GPU that lacks CPUs beside it serves nobody. Work that
-// can save, and yields to the GPU jobs' priority well within the time they have to
-// start, may use the capacity meanwhile.
+// keepsGPUHeadroom reports whether a job may use a GPU machine without taking the CPUs and memory that
+// the latest job of each GPU class needs beside the machine's idle GPUs: a GPU without free CPUs on its
+// machine cannot be used by any job. A job with GPUs always may. So may a job that writes checkpoints
+// and is preempted by the GPU jobs well within their start objective, outside the machines kept free
+// for them.
 func (s *Scheduler) keepsGPUHeadroom(job *cluster.Job, machine *cluster.Machine) bool {
 	if job.Spec.GPUs > 0 || machine.Type.GPUs == 0 {
 		return true
@@ -134,8 +138,8 @@
 	return true
 }
 
-// leavesCapacityForGPUs reports whether a job leaves capacity beside a machine's idle GPUs
-// for as many tasks of a GPU job as they are enough for.
+// leavesCapacityForGPUs reports whether, beside a task of the job, the machine has enough CPUs and memory
+// for as many tasks of gpuJob as its idle GPUs can serve.
 func leavesCapacityForGPUs(job *cluster.Job, machine *cluster.Machine, gpuJob *wire.Job) bool {
 	gpuTasks := float64(int((machine.Type.GPUs - machine.UsedGPU) / gpuJob.GPUs))
 	if gpuTasks <= 0 {
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -13,13 +13,13 @@
 
 const (
 	gpuMachines       = 30
-	gpuTasksPerWindow = 10 // GPU tasks that arrive in headroomWindow
-	cpusBesideGPUTask = 3  // CPUs of a machine that a GPU task leaves
+	gpuTasksPerWindow = 10 // GPU tasks that arrive within headroomWindow
+	cpusBesideGPUTask = 3  // CPUs of a machine that a GPU task leaves free
 	testNow           = 1000 * micro.Second
 )
 
-// newGPUCluster is a site of GPU machines whose GPU jobs arrive one a second, with images
-// that take 14 s, and an idle array that could fill all machines.
+// newGPUCluster returns the scheduler of a cluster of GPU machines, and a low-priority array that could fill all
+// of them. GPU jobs arrive once a second, and their images take 14 s to fetch.
 func newGPUCluster(t *testing.T, objectives ...config.Objective) (*Scheduler, *cluster.Job) {
 	t.Helper()
 	state := cluster.New(discardEffects{})
@@ -32,7 +32,7 @@
 	for i := range gpuMachines {
 		machine := state.EnsureMachine("i-"+strconv.Itoa(1000+i), 1)
 		state.DescribeMachine(machine, "gpu", "a", false)
-		state.TransitionMachine(machine, cluster.Up, "reports")
+		state.TransitionMachine(machine, cluster.Up, "heartbeat")
 	}
 	gang := state.AddJob(
 		wire.Job{
@@ -49,8 +49,8 @@
 	scheduler := &Scheduler{
 		Cluster: state, Objectives: NewObjectives(objectives), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
 	}
-	scheduler.Schedule(testNow) // the gang has its machine
-	idle := state.AddJob(
+	scheduler.Schedule(testNow) // places the gang
+	lowPriority := state.AddJob(
 		wire.Job{
 			ID: "j-idle", Class: "crawl", Team: "team", Kind: wire.JobArray, Priority: wire.Low, Tasks: 24 * gpuMachines,
 			CPUs: 1, MemoryGB: 1, CheckpointIntervalS: 30, CheckpointDurationS: 3,
@@ -58,48 +58,49 @@
 		testNow,
 		testNow,
 	)
-	idle.DoneTasks = 1 // it is known not to fail everywhere
-	return scheduler, idle
+	lowPriority.DoneTasks = 1 // proves that the array does not fail everywhere, so that it is not throttled
+	return scheduler, lowPriority
 }
 
-// freeGPUMachines counts the machines that can take another GPU task at once.
+// freeGPUMachines returns the number of machines on which another GPU task fits now.
 func freeGPUMachines(scheduler *Scheduler) int {
 	return scheduler.countFittingMachines(scheduler.Cluster.Classes["train"])
 }
 
 var startWithinTwoMinutes = config.Objective{Kind: "wait", Class: "train", WithinS: 120, Share: 0.9}
 
-// Idle work that saved first before it yielded cost each GPU job of a busy site 2 to
-// 4 s of the 30 s in which it should start.
+// Low-priority tasks that wrote a checkpoint before they were preempted delayed each GPU job of a busy cluster by
+// 2 to 4 s of the 30 s within which it should start.
 func TestGPUHeadroomIsKeptForJobsThatCannotWaitForACheckpoint(t *testing.T) {
-	scheduler, idle := newGPUCluster(
+	scheduler, lowPriority := newGPUCluster(
 		t, startWithinTwoMinutes, config.Objective{Kind: "guarantee", WithinS: 30, Share: 0.9},
 	)
 	scheduler.Schedule(testNow)
 	if got := freeGPUMachines(scheduler); got != gpuTasksPerWindow {
-		t.Errorf("%d machines are clear, want %d", got, gpuTasksPerWindow)
+		t.Errorf("%d machines are free for GPU jobs, want %d", got, gpuTasksPerWindow)
 	}
-	// All other capacity is used: whole machines, and what GPU tasks leave beside them.
+	// All other capacity is used: the remaining machines, and the CPUs beside running and expected GPU tasks.
 	want := 24*(gpuMachines-1-gpuTasksPerWindow) + cpusBesideGPUTask*(1+gpuTasksPerWindow)
-	if idle.AllocationCount != want {
-		t.Errorf("%d idle tasks were placed, want %d", idle.AllocationCount, want)
+	if lowPriority.AllocationCount != want {
+		t.Errorf("%d low-priority tasks were placed, want %d", lowPriority.AllocationCount, want)
 	}
 }
 
+// A start objective of two minutes leaves time for a checkpoint, so no capacity may stay unused for GPU jobs.
 func TestNoGPUHeadroomIsKeptForJobsThatCanWaitForACheckpoint(t *testing.T) {
-	scheduler, idle := newGPUCluster(t, startWithinTwoMinutes)
+	scheduler, lowPriority := newGPUCluster(t, startWithinTwoMinutes)
 	scheduler.Schedule(testNow)
 	if got := freeGPUMachines(scheduler); got != 0 {
-		t.Errorf("%d machines are clear, though two minutes leave time for a save", got)
+		t.Errorf("%d machines are free for GPU jobs, want 0: two minutes leave time for a checkpoint", got)
 	}
-	if want := 24*(gpuMachines-1) + cpusBesideGPUTask; idle.AllocationCount != want {
-		t.Errorf("%d idle tasks were placed, want %d", idle.AllocationCount, want)
+	if want := 24*(gpuMachines-1) + cpusBesideGPUTask; lowPriority.AllocationCount != want {
+		t.Errorf("%d low-priority tasks were placed, want %d", lowPriority.AllocationCount, want)
 	}
 }
 
-// No job waits for good beside capacity that is kept clear.
+// Headroom must not keep a job waiting indefinitely.
 func TestGPUHeadroomIsOpenToOverdueJobs(t *testing.T) {
-	scheduler, idle := newGPUCluster(t, config.Objective{Kind: "guarantee", WithinS: 30, Share: 0.9})
+	scheduler, lowPriority := newGPUCluster(t, config.Objective{Kind: "guarantee", WithinS: 30, Share: 0.9})
 	scheduler.Schedule(testNow)
 	overdueJob := scheduler.Cluster.AddJob(
 		wire.Job{
@@ -110,9 +111,11 @@
 		testNow,
 	)
 	if scheduler.Schedule(testNow + micro.Second); overdueJob.AllocationCount > 0 {
-		t.Fatalf("placed at once, beside %d idle tasks", idle.AllocationCount)
+		t.Fatalf(
+			"the job was placed at once beside %d low-priority tasks, want headroom kept free", lowPriority.AllocationCount,
+		)
 	}
 	if scheduler.Schedule(testNow + overdueAfter); overdueJob.AllocationCount == 0 {
-		t.Error("still waits after a minute")
+		t.Error("the overdue job is not placed after a minute")
 	}
 }
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -7,24 +7,25 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// placementRequest asks for a machine for one task of a job.
+// placementRequest holds the conditions under which a machine is chosen for one task of a job.
 type placementRequest struct {
 	job            *cluster.Job
-	zone           string         // the only zone to look in; "": any
-	plan           allocationPlan // what is planned for other tasks of the job already
-	anyPrice       bool           // expensive machines are as good as others
-	preferOnDemand bool           // on-demand machines come before spot ones
+	zone           string         // the only zone to search; "": all zones
+	plan           allocationPlan // machines already planned for other tasks of the job
+	anyPrice       bool           // the price limit does not apply
+	preferOnDemand bool           // on-demand machines rank before spot machines
 	now            micro.Time
 }
 
-// allocationPlan is what tasks of a job take that are to be placed together, before they are.
+// allocationPlan holds the resources planned for tasks of a job that are placed together. The zero value
+// is an empty plan.
 type allocationPlan struct {
 	taken       map[*cluster.Machine]*resources
 	tasksByZone map[string]int
 }
 
-// add plans one more task of the job on a machine. Most plans come to nothing: the maps are
-// made with the first task.
+// add plans one more task of the job on a machine. The maps are allocated with the first task, since
+// most plans stay empty.
 func (p *allocationPlan) add(job *cluster.Job, m *cluster.Machine) {
 	if p.taken == nil {
 		p.taken, p.tasksByZone = map[*cluster.Machine]*resources{}, map[string]int{}
@@ -38,15 +39,15 @@
 	p.tasksByZone[m.Zone]++
 }
 
-// includes reports whether tasks are planned on a machine.
+// includes reports whether the plan has tasks on a machine.
 func (p *allocationPlan) includes(m *cluster.Machine) bool {
 	return len(p.taken) > 0 && p.taken[m] != nil
 }
 
-// firstRowFor is the first of a pool's rows whose machines may have capacity for a request.
+// firstRowFor returns the index of the first row of a pool whose machines may have capacity for a request.
 func firstRowFor(request resources) int { return int(request.ScaledCPU - eps) }
 
-// machinesOf gives the machines of a pool, row by row.
+// machinesOf iterates over the machines of a pool, row by row.
 func machinesOf(pool *cluster.MachinePool) iter.Seq[*cluster.Machine] {
 	return func(yield func(*cluster.Machine) bool) {
 		for row := range pool.Rows() {
@@ -59,8 +60,7 @@
 	}
 }
 
-// machinesWithCapacity gives the machines of a pool that have capacity for a request as they
-// are.
+// machinesWithCapacity iterates over the machines of a pool on which a request fits now.
 func machinesWithCapacity(pool *cluster.MachinePool, request resources) iter.Seq[*cluster.Machine] {
 	return func(yield func(*cluster.Machine) bool) {
 		for row := firstRowFor(request); row < pool.Rows(); row++ {
@@ -73,12 +73,11 @@
 	}
 }
 
-// bestMachine chooses the machine for one task: the design's score decides, ties go to
-// the least scaled capacity left. Exceptions come first: machines whose GPUs or
-// on-demand kind others need are looked at after the rest, and a machine of
-// score 0 last. The score is the same for all machines of a pool, whose rows
-// are in order of capacity: the first row that has a machine with capacity holds the
-// pool's tightest fit.
+// bestMachine returns the best machine for one task, or nil if none is eligible and has capacity. Pools
+// are ranked by tier, then by score. The tier puts machines that other jobs need more, because of their
+// GPUs or because they are on-demand, after the rest, and machines of score 0 last. Ties go to the
+// machine with the least scaled CPUs left. All machines of a pool have the same score, and its rows are
+// ordered by free CPUs, so the first row that has an eligible machine holds the pool's tightest fit.
 func (s *Scheduler) bestMachine(placement *placementRequest) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
@@ -107,8 +106,8 @@
 	return best.machine
 }
 
-// considerPlanned compares the machines of a pool that the plan uses already: their rows do
-// not know what the plan took.
+// considerPlanned updates best with the machines of a pool that the plan already includes. They are handled
+// separately because the rows of a pool do not account for planned resources.
 func (s *Scheduler) considerPlanned(
 	placement *placementRequest, pool *cluster.MachinePool, request resources, best *candidate,
 ) {
@@ -124,6 +123,8 @@
 	}
 }
 
+// evaluate returns the candidate for placing a request of the job on machine m, with taken scaled CPUs
+// planned there already.
 func (s *Scheduler) evaluate(job *cluster.Job, m *cluster.Machine, request resources, taken float64) candidate {
 	return candidate{
 		m, m.Type.CPUs - m.UsedScaledCPU - taken - request.ScaledCPU, m.HasImage(job.Spec.Image),
@@ -131,8 +132,8 @@
 	}
 }
 
-// tightestFit finds the machine of a pool with the least capacity left, among those that the
-// plan does not use.
+// tightestFit returns the machine of a pool with the least scaled CPUs left among those that the plan
+// does not include. If the task takes a whole machine, it searches on for one that has the image.
 func (s *Scheduler) tightestFit(
 	placement *placementRequest, pool *cluster.MachinePool, request resources,
 ) candidate {
@@ -146,7 +147,7 @@
 	return best
 }
 
-// considerRow compares the machines of a row, or a sample of them.
+// considerRow updates best with the machines of a row, or with a sample of them.
 func (s *Scheduler) considerRow(
 	placement *placementRequest, machines []*cluster.Machine, request resources, best *candidate,
 ) {
@@ -164,9 +165,9 @@
 	}
 }
 
-// sampleRow says how many machines of a row are looked at, and from which on. While the
-// scheduler is overloaded a full search for each task would cost more than the better fit
-// among like machines is worth.
+// sampleRow returns how many machines of a row to examine, and the index of the first. While the
+// scheduler is overloaded, a full search for each task would cost more than a better fit among
+// equivalent machines is worth.
 func (s *Scheduler) sampleRow(machines []*cluster.Machine) (count, offset int) {
 	if !s.sampling || len(machines) <= s.Properties.SampleSize {
 		return len(machines), 0
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -6,15 +6,15 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Objectives are the objectives by class.
+// Objectives holds the configured service-level objectives by job class.
 type Objectives struct {
 	startWithin     map[string][]micro.Time
 	finishWithin    map[string][]micro.Time
 	deadlineFactors map[string][]float64
-	guaranteedStart micro.Time // within which work within a guarantee should start; 0: not said
+	guaranteedStart micro.Time // time within which jobs within a guarantee should start; 0: not set
 }
 
-// NewObjectives reads the settings' objectives.
+// NewObjectives returns the objectives of the settings. Objectives of unknown kinds are ignored.
 func NewObjectives(configured []config.Objective) *Objectives {
 	objectives := &Objectives{
 		startWithin: map[string][]micro.Time{}, finishWithin: map[string][]micro.Time{},
@@ -41,7 +41,8 @@
 	return objectives
 }
 
-// StartObjective is the class's tightest objective on starting, 0 if it has none.
+// StartObjective returns the shortest time within which jobs of the class should start, or 0 if the class
+// has no such objective.
 func (o *Objectives) StartObjective(class string) micro.Time {
 	var tightest micro.Time
 	for _, objective := range o.startWithin[class] {
@@ -52,29 +53,30 @@
 	return tightest
 }
 
-// AppliesTo reports whether any objective says when a job should start or end.
+// AppliesTo reports whether any objective or deadline says when a job should start or end.
 func (o *Objectives) AppliesTo(job *cluster.Job) bool {
 	class := job.Spec.Class
 	return len(o.startWithin[class]) > 0 || len(o.finishWithin[class]) > 0 || len(o.deadlineFactors[class]) > 0 ||
 		job.DeadlineSource != nil
 }
 
-// GuaranteedStart is within how long work within a guarantee should start, 0 if nothing
-// is said.
+// GuaranteedStart returns the time within which jobs within a guarantee should start, or 0 if it is not
+// set.
 func (o *Objectives) GuaranteedStart() micro.Time { return o.guaranteedStart }
 
-// EstimatedRuntime is how long a task of the job is expected to run, from its owner's
-// estimate and what its class has shown.
+// EstimatedRuntime returns how long a task of the job is expected to run: its owner's estimate, corrected
+// by the bias observed for its class.
 func EstimatedRuntime(job *cluster.Job) micro.Time {
 	return micro.Time(float64(micro.FromSeconds(job.Spec.EstimateS)) * job.Class.EstimateBias)
 }
 
-// PlanningHorizon is beyond any objective: the latest start of work that can meet none.
+// PlanningHorizon is longer than any objective. Added to the time a job became eligible, it is the latest
+// start of a job that has no objective left to meet.
 const PlanningHorizon = 24 * 3600 * micro.Second
 
-// LatestStart is the latest time at which the job's tasks can start and still
-// meet the nearest objective that can be met; a job past them all comes later
-// than any that is not.
+// LatestStart returns the latest time at which the job's tasks can start and still meet the nearest
+// objective that can be met. For a job that can meet none it is PlanningHorizon after the job became
+// eligible, later than for any other job.
 func (o *Objectives) LatestStart(job *cluster.Job, now micro.Time) micro.Time {
 	runtime := EstimatedRuntime(job) + micro.FromSeconds(job.Spec.ImageGB)
 	latest := PlanningHorizon + job.EligibleSince
@@ -95,8 +97,8 @@
 	return latest
 }
 
-// eachDeadline gives the times by which deadlines ask a job to be done: its own, or that
-// of the job whose deadline it inherits, less what comes after it.
+// eachDeadline calls visit with each time by which a deadline requires the job to be done. The deadline is
+// the job's own or an inherited one, less the time that the jobs after it take.
 func (o *Objectives) eachDeadline(job *cluster.Job, visit func(micro.Time)) {
 	source := job.DeadlineSource
 	if source == nil {
@@ -111,12 +113,11 @@
 	}
 }
 
-// CanRunTwice reports whether a job's tasks could run twice in a row, begun now, and
-// still meet an objective on finishing that they can meet at all; also if there
-// is none.
+// CanRunTwice reports whether a job's tasks could run twice in a row, starting now, and still meet the
+// nearest finish objective or deadline that a single run can meet. It returns true if there is none.
 func (o *Objectives) CanRunTwice(job *cluster.Job, now micro.Time) bool {
 	runtime := EstimatedRuntime(job) + micro.FromSeconds(job.Spec.ImageGB)
-	nearest := micro.Time(0) // the nearest that can be met
+	nearest := micro.Time(0) // nearest time limit that a single run can meet; 0: none
 	consider := func(due micro.Time) {
 		if due >= now+runtime && (nearest == 0 || due < nearest) {
 			nearest = due
--- a/internal/scheduler/pending_reason.go
+++ b/internal/scheduler/pending_reason.go
@@ -6,24 +6,24 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// PendingReason is why a job waits. Those that hold for machines with capacity are in the
-// order in which they give way; of several the first is told.
+// PendingReason is the reason why a job is pending. The reasons that concern single machines are in order
+// of precedence: if different ones hold for different machines, the first is reported.
 type PendingReason uint8
 
-// The reasons. Their names in the log are in docs/operations.md.
+// Pending reasons. docs/operations.md describes them under their names in the log.
 const (
-	ReasonNextPass    PendingReason = iota // there is capacity: the next passes reach it
-	ReasonPartialFit                       // capacity for some of a gang's tasks
-	ReasonGPUHeadroom                      // capacity beside GPUs is kept for work that needs them
+	ReasonNextPass    PendingReason = iota // there is capacity; one of the next passes places the job
+	ReasonPartialFit                       // there is capacity for some of a gang's tasks, not for all
+	ReasonGPUHeadroom                      // the free capacity beside GPUs is kept for GPU jobs
 	ReasonPrice
-	ReasonReserved // what has capacity is reserved for other jobs
+	ReasonReserved // the machines with capacity are reserved for other jobs
 	ReasonQuarantined
 	ReasonUnreachable
 	ReasonZoneConstraint
 	ReasonInsufficientResources
-	ReasonQuota         // of its team
-	ReasonQuotaReserved // its team's limit is saved up for another of its jobs
-	ReasonBackoff       // its tasks failed, or were refused
+	ReasonQuota         // the team's limit is reached
+	ReasonQuotaReserved // the team's quota is reserved for another of its jobs
+	ReasonBackoff       // tasks failed or were refused, and the next attempt is not due yet
 	ReasonGangStopping
 )
 
@@ -43,12 +43,12 @@
 	ReasonGangStopping:          "gang stopping",
 }
 
-// String is the reason as operators read it in the log.
+// String returns the name of the reason as it appears in the log.
 func (r PendingReason) String() string { return pendingReasonNames[r] }
 
-// ExplainPending says why a job with tasks to place has not been given capacity. It looks at the
-// machines that have capacity for one of its tasks, so it costs about as much as a try
-// to place that.
+// ExplainPending returns the reason why a job with tasks to place has no allocation for them. It examines
+// the machines that have capacity for one of its tasks, so it costs about as much as an attempt to place
+// that task.
 func (s *Scheduler) ExplainPending(job *cluster.Job, now micro.Time) PendingReason {
 	needed := minAllocations(job)
 	switch {
@@ -68,8 +68,8 @@
 	return reason
 }
 
-// explainMachines says what keeps a job from the machines that have capacity for one of its
-// tasks: of several reasons the first.
+// explainMachines returns the reason of highest precedence that keeps a job from the machines with
+// capacity for one of its tasks.
 func (s *Scheduler) explainMachines(job *cluster.Job, now micro.Time) PendingReason {
 	reason := ReasonInsufficientResources
 	for _, pool := range s.Cluster.Pools {
@@ -83,7 +83,8 @@
 	return reason
 }
 
-// explainMachine says what keeps a job from a machine that has capacity.
+// explainMachine returns the reason that keeps a job from a machine with capacity, or ReasonNextPass if
+// none does.
 func (s *Scheduler) explainMachine(
 	job *cluster.Job, pool *cluster.MachinePool, machine *cluster.Machine, now micro.Time,
 ) PendingReason {
--- a/internal/scheduler/pending_reason_test.go
+++ b/internal/scheduler/pending_reason_test.go
@@ -8,7 +8,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-func TestExplainPendingReturnsFirstApplicableReason(t *testing.T) {
+// Each case restricts a job that could be placed, and expects the reason that follows from the restriction.
+func TestExplainPendingReturnsReason(t *testing.T) {
 	now := 10 * micro.Second
 	for _, test := range []struct {
 		want PendingReason
@@ -51,7 +52,7 @@
 		job, machine := tc.submitArray("j-1", 2, 1, 0), tc.addMachine("i-1", "small", "a")
 		test.set(tc, job, machine)
 		if got := tc.scheduler.ExplainPending(job, now); got != test.want {
-			t.Errorf("it says %v, want %v", got, test.want)
+			t.Errorf("ExplainPending returned %q, want %q", got, test.want)
 		}
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,31 +8,33 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Preemption looks at no more machines than this that could make capacity. Work of
-// the highest priority clears so many at a time; other arrays one: the work they stop
-// has objectives of its own.
 const (
-	victimSample    = 24
+	// victimSample is the maximum number of machines that are compared to find the cheapest victims for
+	// one task.
+	victimSample = 24
+	// preemptionBatch is the maximum number of tasks of a highest-priority job for which capacity is
+	// freed at a time. Other arrays and services free it for one task at a time, since the jobs that
+	// they preempt have objectives of their own.
 	preemptionBatch = 16
 )
 
-// minStartPerCheckpoint is how many of a victim's checkpoints an objective on starting must
-// be longer than for the victim to save first.
+// minStartPerCheckpoint is the multiple of a victim's checkpoint duration that the preempting job's start
+// objective must exceed for the victim to be given time to write a checkpoint.
 const minStartPerCheckpoint = 3
 
-// preemptionPlan is what is to be stopped, and on which machines, for tasks of a job.
+// preemptionPlan holds the allocations to stop for tasks of a job, and the machines for these tasks.
 type preemptionPlan struct {
 	job     *cluster.Job
-	zone    string // the only zone to look in; "": any
+	zone    string // the only zone to search; "": all zones
 	now     micro.Time
-	planned allocationPlan // what the tasks take
-	freed   map[*cluster.Machine]*resources
+	planned allocationPlan                  // resources of the tasks
+	freed   map[*cluster.Machine]*resources // resources of the victims
 	victims []*cluster.Allocation
-	chosen  map[*cluster.Allocation]bool // the same
-	targets []*cluster.Machine           // a machine for each task
+	chosen  map[*cluster.Allocation]bool // the victims, as a set
+	targets []*cluster.Machine           // one machine for each task
 }
 
-// add plans a task on a machine that its victims are stopped on.
+// add plans a task on a machine, with the allocations to stop there.
 func (p *preemptionPlan) add(machine *cluster.Machine, victims []*cluster.Allocation) {
 	p.planned.add(p.job, machine)
 	if p.freed == nil {
@@ -51,9 +53,9 @@
 	p.targets = append(p.targets, machine)
 }
 
-// preempt stops work of lower priority so that the given tasks fit, if that is
-// possible for all of them (for an array: for some), and reports whether capacity is
-// coming.
+// preempt stops allocations of lower priority to free capacity for the given tasks of a job, and reserves
+// the machines for the job. For a gang it does so only if all tasks will fit, for other jobs also if
+// some will. It reports whether capacity has been or is being freed.
 func (s *Scheduler) preempt(job *cluster.Job, idx []int, zone string, now micro.Time) bool {
 	reserved := s.countReserved(job)
 	if reserved >= len(idx) || job.Spec.Kind != wire.Gang && reserved > 0 {
@@ -73,7 +75,7 @@
 	return true
 }
 
-// preemptionTasks is for how many of a job's waiting tasks machines are cleared at a time.
+// preemptionTasks returns for how many of a job's waiting tasks capacity is freed at a time.
 func preemptionTasks(job *cluster.Job, waiting int) int {
 	switch {
 	case job.Spec.Kind == wire.Gang:
@@ -84,8 +86,8 @@
 	return min(waiting, 1)
 }
 
-// planPreemption finds machines to clear for so many of the job's tasks, for a gang's all or
-// none.
+// planPreemption adds machines and victims for up to the given number of tasks to the plan, for a gang for
+// all tasks or none.
 func (s *Scheduler) planPreemption(plan *preemptionPlan, tasks int) {
 	for range tasks {
 		machine, victims := s.findVictims(plan)
@@ -99,7 +101,8 @@
 	}
 }
 
-// preemptAllocation stops an allocation for a job, and with it the gang that it is of.
+// preemptAllocation stops an allocation to free capacity for a job. If it belongs to a gang, all
+// allocations of the gang are stopped.
 func (s *Scheduler) preemptAllocation(victim *cluster.Allocation, job *cluster.Job, now micro.Time) {
 	grace := s.checkpointGrace(&victim.Job.Spec, job)
 	s.Cluster.StopAllocation(victim, "preempted by "+job.Spec.ID, grace, now)
@@ -111,8 +114,9 @@
 	}
 }
 
-// checkpointGrace is how many seconds a task that is preempted for a job gets to save: what
-// it needs, unless the job's start is wanted sooner than that.
+// checkpointGrace returns the grace period in seconds for a victim to write a checkpoint when it is
+// preempted for a job: its checkpoint duration, or 0 if it writes no checkpoints or the job's start
+// objective is too short to wait for one.
 func (s *Scheduler) checkpointGrace(victim *wire.Job, job *cluster.Job) float64 {
 	if victim.CheckpointIntervalS <= 0 {
 		return 0
@@ -124,16 +128,16 @@
 	return victim.CheckpointDurationS
 }
 
-// victimSearch is the machine found so far where making capacity for one task loses least.
+// victimSearch holds the cheapest machine found so far on which to free capacity for one task.
 type victimSearch struct {
 	machine  *cluster.Machine
 	victims  []*cluster.Allocation
 	cost     float64
-	examined int
+	examined int // number of machines compared
 }
 
-// findVictims finds the machine where making capacity for one task loses least, among a
-// sample of those that could make it, and what must go from it.
+// findVictims returns the machine on which freeing capacity for one task costs least, and the allocations
+// to stop there. It compares at most victimSample machines.
 func (s *Scheduler) findVictims(plan *preemptionPlan) (*cluster.Machine, []*cluster.Allocation) {
 	var search victimSearch
 	for _, pool := range s.Cluster.Pools {
@@ -153,7 +157,7 @@
 	return search.machine, search.victims
 }
 
-// searchRow compares the machines of a row, and reports whether the search goes on.
+// searchRow compares the machines of a row, and reports whether the search continues.
 func (s *Scheduler) searchRow(
 	plan *preemptionPlan, machines []*cluster.Machine, request resources, search *victimSearch,
 ) bool {
@@ -173,8 +177,7 @@
 	return true
 }
 
-// mayPreemptOn reports whether preemption could make capacity on a machine, and the job
-// would be let use it.
+// mayPreemptOn reports whether preemption could free enough capacity on a machine that the job may use.
 func (s *Scheduler) mayPreemptOn(plan *preemptionPlan, machine *cluster.Machine, request resources) bool {
 	job, planned := plan.job, plan.planned.taken[machine]
 	if !fits(request, machine, planned, machine.Preemptible(job.PriorityLevel)) ||
@@ -184,25 +187,27 @@
 		job.FailedOn[machine.Name] {
 		return false
 	}
-	// Where there is capacity without, it is refused, not taken.
+	// If the task fits without preemption, the machine is skipped unless the job may use it: it is not
+	// lack of capacity that kept the job from it.
 	return !fits(request, machine, planned, resources{}) || s.mayUse(job, machine, plan.now)
 }
 
-// rejectsPrice reports whether capacity is too expensive for a job that would not take it once it
-// is cleared. Machines that stood empty were reserved for such jobs, again and
-// again, and closed to all others.
+// rejectsPrice reports whether a pool is too expensive for a job that could not use its capacity once it
+// is freed. Without this check, empty machines were repeatedly reserved for such jobs and closed to all
+// others. Only arrays and services of the highest priority use machines at any price.
 func (s *Scheduler) rejectsPrice(job *cluster.Job, pool *cluster.MachinePool, now micro.Time) bool {
 	return (job.PriorityLevel > highestPriorityLevel || job.Spec.Kind == wire.Gang) && s.WithinPrice != nil &&
 		!s.WithinPrice(job, pool.Type, pool.Spot, now)
 }
 
-// preemptionOption is an allocation that may be stopped, and what that costs.
+// preemptionOption is an allocation that may be stopped, and the cost of stopping it.
 type preemptionOption struct {
 	allocation *cluster.Allocation
 	cost       float64
 }
 
-// victimsOn lists what must go from a machine for a task to fit.
+// victimsOn returns the allocations to stop on a machine for a task to fit, the cheapest first, and their
+// total cost. ok is false if the task does not fit even then.
 func (s *Scheduler) victimsOn(
 	plan *preemptionPlan, machine *cluster.Machine, request resources,
 ) (victims []*cluster.Allocation, cost float64, ok bool) {
@@ -219,8 +224,8 @@
 	return victims, cost, fits(request, machine, planned, freed)
 }
 
-// preemptionOptions lists what may be stopped on a machine, the least loss first, and what
-// comes free there without: what the plan stops, and what is stopping anyway.
+// preemptionOptions returns the allocations that may be stopped on a machine, the cheapest first. freed is
+// the sum of the resources of the allocations there that the plan stops or that are already stopping.
 func (s *Scheduler) preemptionOptions(
 	plan *preemptionPlan, machine *cluster.Machine,
 ) (options []preemptionOption, freed resources) {
@@ -246,15 +251,16 @@
 	return options, freed
 }
 
-// A task that has lost less than recentStartS of work has begun only now. Of a class with an
-// objective on starting, such a start would not count, which costs lostStartCost more.
+// A task with less than recentStartS seconds of unsaved work counts as recently started. If its class has a
+// start objective, preemption would undo a start that met the objective, which adds lostStartCost seconds
+// to the cost.
 const (
 	recentStartS  = 30
 	lostStartCost = 60
 )
 
-// preemptionCost is what stopping an allocation costs: work that is not saved, in seconds of
-// CPU, weighted by its priority.
+// preemptionCost returns the cost of stopping an allocation: its unsaved work, at most that of one checkpoint
+// interval, in CPU seconds and weighted by its priority.
 func (s *Scheduler) preemptionCost(allocation *cluster.Allocation, now micro.Time) float64 {
 	cost := 1.0
 	if allocation.RunningSince > 0 {
@@ -270,7 +276,7 @@
 	return cost * allocation.Job.Spec.CPUs * priorityWeight(allocation.PriorityLevel())
 }
 
-// priorityWeight is 1 for the lowest priority, and 1 more for each level above.
+// priorityWeight returns 1 for the lowest priority, and 1 more for each level above it.
 func priorityWeight(level int) float64 {
 	return float64(lowestPriorityLevel + 1 - min(level, lowestPriorityLevel))
 }
--- a/internal/scheduler/quota_shortage.go
+++ b/internal/scheduler/quota_shortage.go
@@ -5,13 +5,15 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// quotaShortage is what a team's limits lack for a service; below 0: what they have beyond.
+// quotaShortage is the quota missing from a team's limits for a service to be fully placed. A negative
+// amount is a surplus.
 type quotaShortage struct {
 	cpus, gpus float64
 }
 
-// missingQuota is what a service lacks of its team's limits, beside what is free and what is coming
-// free. What is saved up for another job is not there for it.
+// missingQuota returns the quota that the pending replicas of a service need beyond the team's free quota
+// and the quota of tasks that are stopping. If the quota is reserved for another job, neither counts,
+// except for a service of the highest priority. A limit of 0 means no limit, so nothing of it is missing.
 func (s *Scheduler) missingQuota(job *cluster.Job) quotaShortage {
 	team, pending := job.Team, float64(job.PendingTasks())
 	missing := quotaShortage{pending * job.Spec.CPUs, pending * job.Spec.GPUs}
@@ -30,7 +32,8 @@
 	return missing
 }
 
-// countStoppingQuota counts by team what comes free of the limits: of tasks that are being stopped.
+// countStoppingQuota returns by team the quota held by allocations that are stopping, which is free once
+// they are released.
 func (s *Scheduler) countStoppingQuota() map[*cluster.Team]resources {
 	stopping := map[*cluster.Team]resources{}
 	for _, machine := range s.Cluster.Machines {
@@ -46,19 +49,22 @@
 	return stopping
 }
 
+// covered reports whether no quota is missing.
 func (q *quotaShortage) covered() bool { return q.cpus <= eps && q.gpus <= eps }
 
-// unaffectedBy reports whether a replica would give nothing of what is missing.
+// unaffectedBy reports whether stopping a replica of the spec would free none of the missing quota.
 func (q *quotaShortage) unaffectedBy(spec *wire.Job) bool {
 	return (q.cpus <= eps || spec.CPUs <= 0) && (q.gpus <= eps || spec.GPUs <= 0)
 }
 
+// subtract reduces the shortage by the quota of one replica of the spec.
 func (q *quotaShortage) subtract(spec *wire.Job) {
 	q.cpus -= spec.CPUs
 	q.gpus -= spec.GPUs
 }
 
-// dropIfUnneeded takes out a replica without which enough is given, and reports whether it did.
+// dropIfUnneeded adds the quota of a replica back to the shortage if it stays covered without stopping that
+// replica, and reports whether it did.
 func (q *quotaShortage) dropIfUnneeded(allocation *cluster.Allocation) bool {
 	spec := &allocation.Job.Spec
 	rest := quotaShortage{q.cpus + spec.CPUs, q.gpus + spec.GPUs}
--- a/internal/scheduler/quota_transfer.go
+++ b/internal/scheduler/quota_transfer.go
@@ -9,43 +9,46 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The replicas of a service are placed one by one. Where its team wants more than its limit,
-// services that are each placed in part may hold the whole limit, and none of them ever gets the
-// rest of its replicas: a service runs until it is cancelled, and quota is not preempted. So quota
-// is transferred among them: replicas of those that come last are stopped, if another service
-// becomes whole by that. Machines for it must be there first, and are requested beyond the limit.
-// Only a service that is placed in part gives, and one that became whole does not: each transfer
-// leaves one more whole, so they come to an end.
+// The replicas of a service are placed one by one. If a team requests more than its limit, partially
+// placed services may together hold the whole limit, and none of them ever gets its remaining replicas:
+// a service runs until it is cancelled, and quota is not preempted. Quota is therefore transferred
+// between them: replicas of the services that rank last are stopped if another service becomes fully
+// placed by that. Machines for the recipient must be available first; they are requested beyond the
+// limit. Only partially placed services are donors. Each transfer adds one fully placed service, which is
+// not a donor again, so the sequence of transfers ends.
 
 const (
-	// quotaReviewInterval is how often teams are looked at.
+	// quotaReviewInterval is the interval at which teams are checked for possible transfers.
 	quotaReviewInterval = micro.Second
-	// quotaTransferAfter is how long services have waited in vain that take part in a transfer.
+	// quotaTransferAfter is the minimum time without success after which a waiting service takes part in
+	// a transfer.
 	quotaTransferAfter = 30 * micro.Second
-	// maxRecipientsTried is for how many services of a team machines are looked for at a time.
+	// maxRecipientsTried is the maximum number of services of a team and priority for which machines are
+	// searched in one review.
 	maxRecipientsTried = 8
-	// quotaTransferMargin is how long a transfer may take beyond the time in which the machines
-	// that it waits for are up, or a machine that hangs has given its tasks up.
+	// quotaTransferMargin is how long a transfer may take beyond the boot time of the machines that it
+	// waits for, or beyond the lease after which a hung machine has stopped its tasks.
 	quotaTransferMargin = 30 * micro.Second
-	// quotaTransferBackoff is how long a service waits after a transfer to it came to nothing,
-	// doubled with each up to maxTransferBackoffShift.
+	// quotaTransferBackoff is the delay before the next transfer to a service after a failed one. It
+	// doubles with each failure, at most maxTransferBackoffShift times.
 	quotaTransferBackoff    = 2 * micro.Minute
 	maxTransferBackoffShift = 4
-	// maxTransferGraceS is how many seconds a replica that is stopped gets to save at the most.
+	// maxTransferGraceS is the maximum time in seconds that a stopped replica has to write a checkpoint.
 	maxTransferGraceS = 20
-	// bootTimeFactor is how many of its type's boot times a requested machine is waited for.
+	// bootTimeFactor is the multiple of the boot time that a transfer waits for requested machines.
 	bootTimeFactor = 2
 )
 
-// transferRecord is what came of the transfers to a service so far.
+// transferRecord is the history of failed transfers to a service.
 type transferRecord struct {
 	failures            int
-	nextMachinesAt      micro.Time // no machines are requested before
-	nextTransferAt      micro.Time // no replicas are stopped before
-	machinesUnavailable bool       // none came up for it the last time
+	nextMachinesAt      micro.Time // earliest time at which machines are requested again
+	nextTransferAt      micro.Time // earliest time at which replicas are stopped again
+	machinesUnavailable bool       // no machines came up for it in a failed transfer
 }
 
-// serviceRank orders the services of a team: by priority, then those that have replicas, then by age.
+// serviceRank compares two services of a team: by priority, then services with replicas before those
+// without, then by age. Job IDs break ties.
 func serviceRank(x, y *cluster.Job) int {
 	return cmp.Or(
 		cmp.Compare(x.PriorityLevel, y.PriorityLevel),
@@ -55,7 +58,8 @@
 	)
 }
 
-// transferQuota begins transfers in the teams whose services wait for quota.
+// transferQuota starts transfers in the teams whose services wait for quota. It runs once per
+// quotaReviewInterval.
 func (s *Scheduler) transferQuota(now micro.Time) {
 	if now < s.nextQuotaReview {
 		return
@@ -78,7 +82,8 @@
 	}
 }
 
-// servicesWithoutQuota lists the services that wait for quota, by team and in order.
+// servicesWithoutQuota returns the services that wait for quota, grouped by team and ordered by
+// serviceRank.
 func (s *Scheduler) servicesWithoutQuota() [][]*cluster.Job {
 	byTeam := map[*cluster.Team][]*cluster.Job{}
 	for job := range s.Cluster.PendingJobs {
@@ -95,13 +100,14 @@
 	return teams
 }
 
-// lacksQuota reports whether the team's limit does not allow all tasks that wait.
+// lacksQuota reports whether the team's limit does not allow all pending tasks of a job.
 func lacksQuota(job *cluster.Job) bool {
 	return job.State == cluster.Active && job.Team != nil &&
 		!job.Team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, job.PendingTasks())
 }
 
-// transferWithinTeam begins a transfer among a team's services, to those of the highest priority first.
+// transferWithinTeam starts a transfer between a team's services. It tries the recipients of each priority
+// in turn, the highest first.
 func (s *Scheduler) transferWithinTeam(services []*cluster.Job, now micro.Time) {
 	for rest := services; len(rest) > 0; {
 		level := rest[0].PriorityLevel
@@ -116,17 +122,18 @@
 	}
 }
 
-// transferToLevel begins a transfer to one of the services of a priority, and reports whether those
-// of lower ones have to wait: also for one that has not waited for long. Where none of them has
-// machines yet, they are requested for the first.
+// transferToLevel starts a transfer to one of the recipients, which have the same priority. If machines are
+// available for none of them, it has machines requested for the first. It reports whether recipients of
+// lower priorities must wait: because of a transfer, or because a recipient of this priority has not
+// waited for quotaTransferAfter yet.
 func (s *Scheduler) transferToLevel(recipients, services []*cluster.Job, now micro.Time) bool {
 	var next *cluster.Job
 	tooSoon := false
-	passedOver := map[*cluster.Job]bool{}
+	skipped := map[*cluster.Job]bool{}
 	for _, recipient := range recipientsToTry(recipients, now) {
-		transfer := s.planQuotaTransfer(recipient, services, passedOver, now)
+		transfer := s.planQuotaTransfer(recipient, services, skipped, now)
 		if transfer == nil {
-			passedOver[recipient] = true
+			skipped[recipient] = true
 			continue
 		}
 		if !s.waitedForQuota(recipient, now) {
@@ -149,16 +156,17 @@
 		return tooSoon
 	}
 	*current = cluster.QuotaTransfer{Recipient: next, Since: now}
-	s.Cluster.Log("quota transfer", "job", next.Spec.ID, "reason", "waits for machines")
+	s.Cluster.Log("quota transfer pending", "job", next.Spec.ID, "reason", "waiting for machines")
 	return true
 }
 
-// waitedForQuota reports whether a service has waited for so long that it takes part in transfers.
+// waitedForQuota reports whether a service has waited long enough to take part in transfers.
 func (s *Scheduler) waitedForQuota(job *cluster.Job, now micro.Time) bool {
 	return s.Cluster.WaitingTime(job, now) >= quotaTransferAfter
 }
 
-// recipientsToTry is a part of many services, another one each time.
+// recipientsToTry returns at most maxRecipientsTried of the recipients. If there are more, successive reviews
+// get successive parts of them.
 func recipientsToTry(recipients []*cluster.Job, now micro.Time) []*cluster.Job {
 	if len(recipients) <= maxRecipientsTried {
 		return recipients
@@ -168,7 +176,9 @@
 	return recipients[first:min(first+maxRecipientsTried, len(recipients))]
 }
 
-// mayReceive reports whether a service would have all its replicas placed if it had the quota.
+// mayReceive reports whether a service could have all its replicas placed if it had the quota: no transfer
+// backoff applies, all pending replicas may be placed now, no replica has failed without another one proving
+// that the service works, and all placed replicas are on reachable machines.
 func (s *Scheduler) mayReceive(job *cluster.Job, now micro.Time) bool {
 	pending := job.PendingTasks()
 	return now >= s.transferRecords[job].nextTransferAt && !job.FailsUnproven(now) &&
@@ -176,10 +186,11 @@
 		len(s.reachableReplicas(job)) == job.AllocationCount
 }
 
-// mayDonate reports whether a service that waits may have replicas stopped for another one: one of
-// higher priority, or one of the same that has begun. Of the same priority, one that comes before
-// the other gives only if it was passed over, or no machines came up for it.
-func (s *Scheduler) mayDonate(donor, recipient *cluster.Job, passedOver map[*cluster.Job]bool) bool {
+// mayDonate reports whether replicas of a waiting service may be stopped for the recipient. The recipient
+// must have a higher priority, or the same priority and at least one replica. A service of the same
+// priority does not donate while it is the recipient of a transfer itself. If it ranks before the
+// recipient, it donates only if it was skipped as a recipient, or if no machines came up for it.
+func (s *Scheduler) mayDonate(donor, recipient *cluster.Job, skipped map[*cluster.Job]bool) bool {
 	switch {
 	case donor == recipient || donor.AllocationCount == 0:
 		return false
@@ -188,10 +199,11 @@
 	case recipient.AllocationCount == 0 || donor.Team.Transfer.Recipient == donor:
 		return false
 	}
-	return serviceRank(recipient, donor) < 0 || passedOver[donor] || s.transferRecords[donor].machinesUnavailable
+	return serviceRank(recipient, donor) < 0 || skipped[donor] || s.transferRecords[donor].machinesUnavailable
 }
 
-// plannedTransfer is what is to be stopped so that a service becomes whole, and the machines for it.
+// plannedTransfer holds the replicas to stop so that a service becomes fully placed, and the machines for
+// its pending replicas.
 type plannedTransfer struct {
 	recipient *cluster.Job
 	toStop    []*cluster.Allocation
@@ -199,10 +211,10 @@
 	now       micro.Time
 }
 
-// planQuotaTransfer chooses the replicas to stop for a service, those of the last first; nil: it would
-// not become whole, or none is needed.
+// planQuotaTransfer chooses the replicas to stop for a service, starting with the services that rank last.
+// It returns nil if the service would not become fully placed, or if no replica needs to be stopped.
 func (s *Scheduler) planQuotaTransfer(
-	recipient *cluster.Job, services []*cluster.Job, passedOver map[*cluster.Job]bool, now micro.Time,
+	recipient *cluster.Job, services []*cluster.Job, skipped map[*cluster.Job]bool, now micro.Time,
 ) *plannedTransfer {
 	if !s.mayReceive(recipient, now) {
 		return nil
@@ -210,7 +222,7 @@
 	missing := s.missingQuota(recipient)
 	transfer := &plannedTransfer{recipient: recipient, now: now}
 	for _, donor := range slices.Backward(services) {
-		if !s.waitedForQuota(donor, now) || !s.mayDonate(donor, recipient, passedOver) {
+		if !s.waitedForQuota(donor, now) || !s.mayDonate(donor, recipient, skipped) {
 			continue
 		}
 		for _, allocation := range s.reachableReplicas(donor) {
@@ -224,13 +236,13 @@
 	if !missing.covered() || len(transfer.toStop) == 0 {
 		return nil
 	}
-	slices.Reverse(transfer.toStop) // what comes first is put back first
+	slices.Reverse(transfer.toStop) // unneeded stops are dropped for the highest-ranked donors first
 	transfer.toStop = slices.DeleteFunc(transfer.toStop, missing.dropIfUnneeded)
 	return transfer
 }
 
-// reachableReplicas lists the replicas of a service that are on machines that answer and are not
-// being stopped, the latest first.
+// reachableReplicas returns the replicas of a service that are not stopping and are on reachable machines in
+// state Up, the most recently placed first.
 func (s *Scheduler) reachableReplicas(job *cluster.Job) []*cluster.Allocation {
 	replicas := slices.DeleteFunc(job.Allocations(), func(allocation *cluster.Allocation) bool {
 		machine := allocation.Machine
@@ -242,8 +254,8 @@
 	return replicas
 }
 
-// planMachines chooses machines for all replicas that the service lacks, and reports whether there
-// are, in one of the zones if it has to be one.
+// planMachines chooses machines for all pending replicas of the recipient, and reports whether there are
+// enough. For a service restricted to one zone they are all in one zone.
 func (s *Scheduler) planMachines(transfer *plannedTransfer) bool {
 	for _, zone := range s.candidateZones(transfer.recipient) {
 		if s.planMachinesIn(zone, transfer) {
@@ -253,9 +265,9 @@
 	return false
 }
 
-// planMachinesIn chooses machines in a zone, or in all if it is "": those that have capacity, then
-// those on which replicas are stopped for the service, then those that work of lower priority is
-// preempted on once it has the quota.
+// planMachinesIn chooses machines in a zone, or in all zones if it is "". It uses machines with capacity
+// first, then machines on which replicas are stopped for the recipient. The rest of the replicas must
+// find capacity by preemption of lower priorities, which happens once the recipient has the quota.
 func (s *Scheduler) planMachinesIn(zone string, transfer *plannedTransfer) bool {
 	job, now := transfer.recipient, transfer.now
 	count := job.PendingTasks()
@@ -274,8 +286,8 @@
 	return true
 }
 
-// machineFreedByStops finds a machine that has capacity for one more replica once those planned to
-// stop there have.
+// machineFreedByStops returns a machine that has capacity for one more replica once the replicas to stop
+// there have stopped, or nil.
 func (s *Scheduler) machineFreedByStops(transfer *plannedTransfer, placement *placementRequest) *cluster.Machine {
 	job := transfer.recipient
 	freed := map[*cluster.Machine]resources{}
@@ -301,7 +313,8 @@
 	return nil
 }
 
-// couldPreempt reports whether work of lower priority could be preempted for so many more replicas.
+// couldPreempt reports whether preemption of lower priorities could free capacity for that many more
+// replicas.
 func (s *Scheduler) couldPreempt(placement *placementRequest, replicas int) bool {
 	if placement.job.PriorityLevel >= lowestPriorityLevel {
 		return false
@@ -313,7 +326,8 @@
 	return len(preemption.targets) == replicas
 }
 
-// startQuotaTransfer stops the replicas that were chosen. What comes free is kept for the service.
+// startQuotaTransfer stops the chosen replicas. The quota that becomes free is reserved for the recipient,
+// as are the planned machines that have no reservation yet.
 func (s *Scheduler) startQuotaTransfer(transfer *plannedTransfer) {
 	job, now := transfer.recipient, transfer.now
 	for _, allocation := range transfer.toStop {
@@ -327,12 +341,12 @@
 	}
 	job.Team.Transfer = cluster.QuotaTransfer{Recipient: job, Since: now, StopsRequested: true}
 	s.Cluster.Log(
-		"quota transfer", "job", job.Spec.ID, "replicas", job.PendingTasks(), "stopped", len(transfer.toStop),
-		"reason", "services in part hold the team's limit",
+		"quota transfer started", "job", job.Spec.ID, "replicas", job.PendingTasks(), "stopped", len(transfer.toStop),
+		"reason", "partially placed services hold the team's limit",
 	)
 }
 
-// expireQuotaTransfers ends the transfers that are over or took too long.
+// expireQuotaTransfers ends the transfers that are complete, or whose time limit has passed.
 func (s *Scheduler) expireQuotaTransfers(now micro.Time) {
 	for _, team := range s.Cluster.Teams {
 		recipient := team.Transfer.Recipient
@@ -347,7 +361,8 @@
 	}
 }
 
-// quotaTransferTTL is how long a transfer may take.
+// quotaTransferTTL returns the time limit of a transfer in its current phase: waiting for stopped replicas
+// or for machines.
 func (s *Scheduler) quotaTransferTTL(transfer *cluster.QuotaTransfer) micro.Time {
 	if transfer.StopsRequested {
 		return s.Cluster.LeaseDuration + quotaTransferMargin
@@ -355,7 +370,7 @@
 	return bootTimeFactor*s.maxBootTime(&transfer.Recipient.Spec) + quotaTransferMargin
 }
 
-// maxBootTime is the longest boot time among the types that a job may use.
+// maxBootTime returns the longest boot time of the machine types that a job may use.
 func (s *Scheduler) maxBootTime(spec *wire.Job) micro.Time {
 	var longest micro.Time
 	for _, typ := range s.Cluster.CatalogOrder {
@@ -368,7 +383,7 @@
 	return longest
 }
 
-// recordTransferFailure puts off the next transfer to a service that did not become whole.
+// recordTransferFailure delays the next transfer to a service that did not become fully placed in time.
 func (s *Scheduler) recordTransferFailure(transfer *cluster.QuotaTransfer, now micro.Time) {
 	if s.transferRecords == nil {
 		s.transferRecords = map[*cluster.Job]transferRecord{}
@@ -383,5 +398,7 @@
 		record.machinesUnavailable = true
 	}
 	s.transferRecords[transfer.Recipient] = record
-	s.Cluster.Log("quota transfer", "job", transfer.Recipient.Spec.ID, "reason", "not whole in time")
+	s.Cluster.Log(
+		"quota transfer failed", "job", transfer.Recipient.Spec.ID, "reason", "service not fully placed in time",
+	)
 }
--- a/internal/scheduler/quota_transfer_test.go
+++ b/internal/scheduler/quota_transfer_test.go
@@ -12,7 +12,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// quotaCluster is a cluster whose team wants more than its limit.
+// quotaCluster is a cluster with a team whose services need more quota than its limit allows.
 type quotaCluster struct {
 	tb        testing.TB
 	state     *cluster.State
@@ -20,12 +20,13 @@
 	scheduler *Scheduler
 	now       micro.Time
 	sequence  wire.Count
-	hung      map[string]bool // machines that are not heard
+	hung      map[string]bool // machines that send no heartbeats
 	services  []*cluster.Job
 	stopped   map[string]int // replicas stopped for another service's quota, by service
 }
 
-// newQuotaCluster makes a team with its limits and as many machines in zone a and in zone b.
+// newQuotaCluster returns a cluster with inA machines in zone a and inB in zone b. Its team has the given limits; 0
+// is no limit.
 func newQuotaCluster(tb testing.TB, cpuLimit, gpuLimit float64, inA, inB int) *quotaCluster {
 	tb.Helper()
 	qc := &quotaCluster{tb: tb, now: micro.Minute, hung: map[string]bool{}, stopped: map[string]int{}}
@@ -57,7 +58,8 @@
 	qc.state.TransitionMachine(machine, cluster.Up, "heartbeat")
 }
 
-// submitService submits a submitService some of whose replicas run already, on the first machines that have capacity.
+// submitService submits a service and places the given number of its replicas on the first machines that have
+// capacity. Services count as submitted in the last minute, in the order of the calls.
 func (qc *quotaCluster) submitService(priority wire.Priority, replicas, running int, spec wire.Job) *cluster.Job {
 	spec.ID, spec.Team, spec.Class = fmt.Sprint("j-", 1000+len(qc.services)), "team", "c"
 	spec.Kind, spec.Priority, spec.Tasks = wire.Service, priority, replicas
@@ -73,27 +75,29 @@
 		}
 	}
 	if job.AllocationCount != running {
-		qc.tb.Fatalf("%s: %d replicas are placed, want %d", spec.ID, job.AllocationCount, running)
+		qc.tb.Fatalf("service %s: %d replicas are placed, want %d", spec.ID, job.AllocationCount, running)
 	}
 	return job
 }
 
-// runFor lets time go by. Each second all machines report: what is to stop is over, all else runs.
+// runFor advances the time by span. Each second all machines that are not hung send a heartbeat, which reports
+// stopping tasks as exited and the others as running, and a scheduling pass runs.
 func (qc *quotaCluster) runFor(span micro.Time) {
 	qc.tb.Helper()
 	for end := qc.now + span; qc.now < end; {
 		qc.now += micro.Second
 		qc.heartbeats()
-		whole := qc.fullyPlacedServices()
+		fullyPlaced := qc.fullyPlacedServices()
 		qc.scheduler.Schedule(qc.now)
-		qc.countStops(whole)
+		qc.countStops(fullyPlaced)
 		if !qc.team.WithinLimit(0, 0, 0) {
-			qc.tb.Fatalf("%v CPUs and %v GPUs are used", qc.team.UsedCPU, qc.team.UsedGPU)
+			qc.tb.Fatalf("the team uses %v CPUs and %v GPUs, over its limits", qc.team.UsedCPU, qc.team.UsedGPU)
 		}
 		qc.persistRecords()
 	}
 }
 
+// heartbeats sends a heartbeat of each machine that is not hung.
 func (qc *quotaCluster) heartbeats() {
 	qc.sequence++
 	for _, machine := range qc.state.SortedMachines() {
@@ -103,7 +107,7 @@
 	}
 }
 
-// persistRecords has the store take all records, so that what is placed may start.
+// persistRecords marks all chunk records as stored, so that placed tasks may start.
 func (qc *quotaCluster) persistRecords() {
 	for _, job := range qc.services {
 		for _, chunk := range job.Chunks {
@@ -129,9 +133,9 @@
 	qc.state.Reconcile(heartbeat, cluster.FromHeartbeat, qc.now)
 }
 
-// countStops counts the replicas that were stopped in this pass, and fails if a whole service was
-// among those that gave them.
-func (qc *quotaCluster) countStops(whole map[*cluster.Job]bool) {
+// countStops counts the replicas that were stopped for quota in this pass. It fails the test if one of them belongs
+// to a service that was fully placed before the pass.
+func (qc *quotaCluster) countStops(fullyPlaced map[*cluster.Job]bool) {
 	qc.tb.Helper()
 	for _, job := range qc.services {
 		for _, allocation := range job.Allocations() {
@@ -139,23 +143,25 @@
 				continue
 			}
 			qc.stopped[job.Spec.ID]++
-			if whole[job] {
-				qc.tb.Fatalf("%v: a replica of %s was stopped, which was whole", qc.now, job.Spec.ID)
+			if fullyPlaced[job] {
+				qc.tb.Fatalf("%v: a replica of %s was stopped although the service was fully placed", qc.now, job.Spec.ID)
 			}
 		}
 	}
 }
 
+// fullyPlacedServices returns the active services without pending replicas.
 func (qc *quotaCluster) fullyPlacedServices() map[*cluster.Job]bool {
-	whole := map[*cluster.Job]bool{}
+	fullyPlaced := map[*cluster.Job]bool{}
 	for _, job := range qc.services {
 		if job.State == cluster.Active && job.PendingTasks() == 0 {
-			whole[job] = true
+			fullyPlaced[job] = true
 		}
 	}
-	return whole
+	return fullyPlaced
 }
 
+// stopCount returns the total number of replicas stopped for quota so far.
 func (qc *quotaCluster) stopCount() int {
 	count := 0
 	for _, stops := range qc.stopped {
@@ -164,7 +170,7 @@
 	return count
 }
 
-// expectPlaced expects so many replicas of each service, in the order of their submission.
+// expectPlaced checks the number of placed replicas of each service, in order of submission.
 func (qc *quotaCluster) expectPlaced(want ...int) {
 	qc.tb.Helper()
 	got := make([]int, 0, len(qc.services))
@@ -186,60 +192,62 @@
 	spread    = wire.Job{CPUs: 1, Spread: true}
 )
 
-// partialServiceCases are teams whose limit is held by services in part.
+// partialServiceCases are sets of partially placed services that hold the limit of their team.
 var partialServiceCases = []struct {
 	name               string
 	cpuLimit, gpuLimit float64
 	submit             func(qc *quotaCluster)
-	want               []int // replicas placed
-	stops              int
+	want               []int // replicas placed in the end, by service
+	stops              int   // replicas stopped for quota
 }{
-	{"of one priority, the first become whole", 4, 0, func(qc *quotaCluster) {
+	{"same priority: the oldest are completed", 4, 0, func(qc *quotaCluster) {
 		for range 4 {
 			qc.submitService(wire.Normal, 2, 1, oneCPU)
 		}
 	}, []int{2, 2, 0, 0}, 2},
-	{"the most urgent comes first, though it came last", 4, 0, func(qc *quotaCluster) {
+	{"highest priority is completed first although submitted last", 4, 0, func(qc *quotaCluster) {
 		qc.submitService(wire.Low, 2, 1, oneCPU)
 		qc.submitService(wire.Normal, 2, 1, oneCPU)
 		qc.submitService(wire.Normal, 2, 1, oneCPU)
 		qc.submitService(wire.Production, 2, 1, oneCPU)
 	}, []int{0, 2, 0, 2}, 2},
-	{"an urgent one that has not begun", 4, 0, func(qc *quotaCluster) {
+	{"high priority without replicas is completed", 4, 0, func(qc *quotaCluster) {
 		for range 4 {
 			qc.submitService(wire.Low, 2, 1, oneCPU)
 		}
 		qc.submitService(wire.High, 2, 0, oneCPU)
 	}, []int{2, 0, 0, 0, 2}, 3},
-	{"mixed sizes", 8, 0, func(qc *quotaCluster) {
+	{"replicas of different sizes", 8, 0, func(qc *quotaCluster) {
 		qc.submitService(wire.Normal, 3, 1, twoCPUs)
 		qc.submitService(wire.Normal, 2, 1, threeCPUs)
 		qc.submitService(wire.Normal, 4, 3, oneCPU)
 	}, []int{3, 0, 2}, 2},
-	{"no more than it takes, of the last", 10, 0, func(qc *quotaCluster) {
+	{"no more replicas than needed are stopped, of the lowest rank", 10, 0, func(qc *quotaCluster) {
 		qc.submitService(wire.High, 2, 1, fourCPUs)
 		qc.submitService(wire.Normal, 2, 1, threeCPUs)
 		qc.submitService(wire.Normal, 2, 1, twoCPUs)
 		qc.submitService(wire.Low, 2, 1, oneCPU)
 	}, []int{2, 0, 1, 0}, 2},
-	{"GPUs", 0, 4, func(qc *quotaCluster) {
+	{"GPU limit", 0, 4, func(qc *quotaCluster) {
 		qc.submitService(wire.Normal, 2, 1, twoGPUs)
 		qc.submitService(wire.Normal, 2, 1, oneGPU)
 		qc.submitService(wire.Normal, 2, 1, oneGPU)
 	}, []int{2, 0, 0}, 2},
-	{"GPUs, beside services without", 16, 2, func(qc *quotaCluster) {
+	{"GPU limit: services without GPUs keep their replicas", 16, 2, func(qc *quotaCluster) {
 		qc.submitService(wire.Normal, 2, 1, oneGPU)
 		qc.submitService(wire.Normal, 2, 1, oneGPU)
 		qc.submitService(wire.Low, 4, 4, oneCPU)
 	}, []int{2, 0, 4}, 1},
-	{"spread over zones", 4, 0, func(qc *quotaCluster) {
+	{"spread services", 4, 0, func(qc *quotaCluster) {
 		for range 4 {
 			qc.submitService(wire.Normal, 2, 1, spread)
 		}
 	}, []int{2, 2, 0, 0}, 2},
 }
 
-// Services that hold their team's limit for each other waited for good, also the most urgent.
+// Partially placed services that together held their team's limit waited for each other forever, those of the
+// highest priority included. Quota must be transferred until as many as possible are fully placed, and no replica
+// may be stopped after that.
 func TestPartiallyPlacedServicesAreCompletedWithinTeamLimit(t *testing.T) {
 	for _, tt := range partialServiceCases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -248,18 +256,18 @@
 			qc.runFor(4 * micro.Minute)
 			qc.expectPlaced(tt.want...)
 			if got := qc.stopCount(); got != tt.stops {
-				t.Errorf("%d replicas were stopped, want %d: %v", got, tt.stops, qc.stopped)
+				t.Errorf("%d replicas were stopped, want %d; by service: %v", got, tt.stops, qc.stopped)
 			}
 			qc.runFor(10 * micro.Minute)
 			if got := qc.stopCount(); got != tt.stops {
-				t.Errorf("%d replicas were stopped later", got-tt.stops)
+				t.Errorf("%d more replicas were stopped in the ten minutes after that, want 0", got-tt.stops)
 			}
 		})
 	}
 }
 
-// An urgent service that came a moment ago is not too late: what idle ones hold in part does not go to
-// one of them first.
+// A high-priority service submitted just before a transfer is due must get the quota that partially placed
+// low-priority services hold, before one of these does.
 func TestNewHighPriorityServiceIsCompletedBeforeLowPriorityOnes(t *testing.T) {
 	qc := newQuotaCluster(t, 4, 0, 4, 4)
 	for range 4 {
@@ -272,62 +280,61 @@
 	qc.expectPlaced(2, 0, 0, 0, 2)
 }
 
-// On a site whose machines are full of work of lower priority, a service has that preempted once it
-// has the quota.
+// On a cluster full of lower-priority tasks, a service must have some of them preempted once it has the quota.
 func TestServiceIsCompletedByPreemptionOnFullCluster(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 1, 1)
 	for _, zone := range []string{"a", "b"} {
 		qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 1, Zone: &zone})
 	}
-	idle := wire.Job{ID: "j-9", Class: "idle", Kind: wire.JobArray, Priority: wire.Low, Tasks: 9, CPUs: 1}
-	qc.services = append(qc.services, qc.state.AddJob(idle, qc.now, qc.now))
+	array := wire.Job{ID: "j-9", Class: "idle", Kind: wire.JobArray, Priority: wire.Low, Tasks: 9, CPUs: 1}
+	qc.services = append(qc.services, qc.state.AddJob(array, qc.now, qc.now))
 	qc.runFor(4 * micro.Minute)
 	qc.expectPlaced(2, 0, 6)
 }
 
-// A replica is stopped only if another service becomes whole by that.
+// A replica may be stopped only if another service becomes fully placed by that.
 func TestNoReplicaIsStoppedWhenRecipientCannotBeCompleted(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		cpuLimit float64
 		submit   func(qc *quotaCluster)
 	}{
-		{"no machine in the zone that all lack", 2, func(qc *quotaCluster) {
+		{"no machine in the zone that all services need", 2, func(qc *quotaCluster) {
 			qc.submitService(wire.Normal, 2, 1, spread)
 			qc.submitService(wire.Normal, 2, 1, spread)
 		}},
-		{"the others are whole", 4, func(qc *quotaCluster) {
+		{"the other services are fully placed", 4, func(qc *quotaCluster) {
 			qc.submitService(wire.Low, 3, 3, oneCPU)
 			qc.submitService(wire.Production, 2, 1, oneCPU)
 		}},
-		{"all that they hold is not enough", 4, func(qc *quotaCluster) {
+		{"the quota of all donors is not enough", 4, func(qc *quotaCluster) {
 			qc.submitService(wire.Low, 2, 2, oneCPU)
 			qc.submitService(wire.Normal, 4, 1, oneCPU)
 			qc.submitService(wire.Normal, 4, 1, oneCPU)
 		}},
-		{"one that has not begun, of the same priority", 2, func(qc *quotaCluster) {
+		{"recipient of the same priority has no replica", 2, func(qc *quotaCluster) {
 			qc.submitService(wire.Normal, 2, 0, oneCPU)
 			qc.submitService(wire.Normal, 2, 1, spread)
 			qc.submitService(wire.Normal, 2, 1, spread)
 		}},
-		{"the replica of the one that comes first is on a machine that does not answer", 8, func(qc *quotaCluster) {
+		{"replica of the first service is on an unreachable machine", 8, func(qc *quotaCluster) {
 			machine := qc.submitService(wire.Normal, 2, 1, fourCPUs).Allocations()[0].Machine
 			qc.state.TransitionMachine(machine, cluster.Suspect, "test")
 			qc.hung[machine.Name] = true
 			qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 4, Spread: true})
 		}},
-		{"machines in two zones for one that has to be in one", 28, func(qc *quotaCluster) {
+		{"one-zone recipient, but free machines in two zones", 28, func(qc *quotaCluster) {
 			zoneA, zoneB := "a", "b"
 			qc.submitService(wire.Production, 3, 3, fourCPUs)
 			qc.addMachine(zoneB)
 			qc.addMachine(zoneB)
 			qc.addMachine(zoneB)
-			for _, zone := range []*string{&zoneA, &zoneA, &zoneB, &zoneB} { // none can become whole
+			for _, zone := range []*string{&zoneA, &zoneA, &zoneB, &zoneB} { // none can be fully placed
 				qc.submitService(wire.Low, 2, 1, wire.Job{CPUs: 4, Spread: true, Zone: zone})
 			}
 			qc.submitService(wire.Normal, 4, 0, wire.Job{CPUs: 4, OneZone: true})
 		}},
-		{"the one that comes first fails", 2, func(qc *quotaCluster) {
+		{"first service fails", 2, func(qc *quotaCluster) {
 			qc.submitService(wire.Normal, 2, 0, oneCPU).RecordFailure("i-1", 0)
 			qc.submitService(wire.Low, 2, 1, spread)
 			qc.submitService(wire.Low, 2, 1, spread)
@@ -338,21 +345,21 @@
 			tt.submit(qc)
 			qc.runFor(20 * micro.Minute)
 			if len(qc.stopped) > 0 {
-				t.Errorf("replicas were stopped: %v", qc.stopped)
+				t.Errorf("replicas stopped by service: %v, want none", qc.stopped)
 			}
 		})
 	}
 }
 
-// Where machines of one zone do not come up, services that can do without it are not kept waiting
-// for those that cannot, and these do not take the quota back.
+// If no machines come up in a zone, services that do not need the zone must not wait for those that do. The latter
+// must not take the quota back once a machine comes up.
 func TestServiceWithoutZoneCapacityDoesNotBlockOthers(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 6, 0)
 	qc.submitService(wire.Normal, 2, 1, spread)
 	qc.submitService(wire.Normal, 2, 1, oneCPU)
 	qc.runFor(micro.Minute)
 	if qc.team.Transfer.Recipient != qc.services[0] && qc.services[1].PendingTasks() > 0 {
-		t.Error("no machine is requested for the service that comes first")
+		t.Error("no machines are requested for the service of the highest rank")
 	}
 	qc.runFor(3 * micro.Minute)
 	qc.expectPlaced(0, 2)
@@ -361,30 +368,31 @@
 	qc.expectPlaced(0, 2)
 }
 
-// What comes free is for the service that becomes whole, not for those that it was taken from, nor
-// for a shard.
+// The quota of stopped replicas must go to the recipient, not back to the donors, to other services, or to a
+// shard.
 func TestQuotaOfStoppedReplicasIsReservedForRecipient(t *testing.T) {
 	qc := newQuotaCluster(t, 4, 0, 6, 0)
 	first := qc.submitService(wire.Normal, 3, 2, oneCPU)
 	last := qc.submitService(wire.Normal, 3, 2, oneCPU)
-	idle := qc.submitService(wire.Low, 1, 0, oneCPU)
+	lowPriority := qc.submitService(wire.Low, 1, 0, oneCPU)
 	urgent := qc.submitService(wire.Production, 1, 0, oneCPU)
 	for qc.stopCount() == 0 && qc.now < 3*micro.Minute {
 		qc.runFor(micro.Second)
 	}
 	if transfer := qc.team.Transfer; !transfer.StopsRequested || transfer.Recipient != urgent {
-		t.Fatalf("the transfer is %+v, want one to the urgent service", transfer)
+		t.Fatalf("transfer is %+v, want one to the production service with stops requested", transfer)
 	}
-	for _, job := range []*cluster.Job{first, last, idle} {
+	for _, job := range []*cluster.Job{first, last, lowPriority} {
 		if withinQuota(job, 1) || qc.state.Assign(job, "shard") > 0 {
-			t.Errorf("%s takes the quota that is kept", job.Spec.ID)
+			t.Errorf("service %s may use the quota reserved for the recipient", job.Spec.ID)
 		}
 	}
 	qc.runFor(2 * micro.Minute)
 	qc.expectPlaced(3, 0, 0, 1)
 }
 
-// A shard takes no job of the team, and no more of one, while quota is kept.
+// While quota is reserved for the recipient of a transfer, a shard must get no further job of the team, and no more
+// quota for a job that it has.
 func TestQuotaOfStoppedReplicasIsNotAvailableToShards(t *testing.T) {
 	qc := newQuotaCluster(t, 4, 0, 6, 0)
 	recipient := qc.submitService(wire.Normal, 3, 1, oneCPU)
@@ -393,15 +401,16 @@
 	qc.state.ReleaseQuota(assigned, 1)
 	qc.team.Transfer = cluster.QuotaTransfer{Recipient: recipient, Since: qc.now, StopsRequested: true}
 	if qc.state.Assign(waiting, "shard") > 0 || qc.state.ReserveQuota(assigned, 1) > 0 {
-		t.Error("a shard takes the quota that is kept")
+		t.Error("a shard got quota reserved for the recipient")
 	}
 	qc.team.Transfer = cluster.QuotaTransfer{}
 	if qc.state.Assign(waiting, "shard") != 1 || qc.state.ReserveQuota(assigned, 1) != 1 {
-		t.Error("a shard takes no quota that is free")
+		t.Error("a shard got no quota after the transfer ended")
 	}
 }
 
-// A service to which quota is given begins none of the replicas until all of them may be placed.
+// The recipient of a transfer must not start any replica until all its pending replicas fit the quota: here one
+// donor's machine is hung, so only part of the quota is free at first.
 func TestRecipientStartsReplicasOnlyOnceAllFitQuota(t *testing.T) {
 	qc := newQuotaCluster(t, 12, 0, 6, 0)
 	recipient := qc.submitService(wire.Normal, 3, 1, fourCPUs)
@@ -411,16 +420,17 @@
 	qc.hung[hung] = true
 	qc.runFor(10 * micro.Second)
 	if recipient.AllocationCount != 1 || !qc.team.Transfer.StopsRequested || qc.team.UsedCPU != 8 {
-		t.Fatalf("%d replicas, %v CPUs are used, %+v", recipient.AllocationCount, qc.team.UsedCPU, qc.team.Transfer)
+		t.Fatalf("recipient has %d replicas, %v CPUs are used, transfer is %+v; want 1 replica, 8 CPUs and stops requested",
+			recipient.AllocationCount, qc.team.UsedCPU, qc.team.Transfer)
 	}
 	qc.hung[hung] = false
 	qc.runFor(3 * micro.Second)
 	qc.expectPlaced(3, 0, 0)
 }
 
-// The machine that a replica was stopped for is kept until the quota is free, and a replica that
-// takes long to save is not waited for.
-func TestMachineOfStoppedReplicaIsReservedUntilQuotaIsFree(t *testing.T) {
+// A machine planned for the recipient must stay reserved until the quota is free. A stopped replica must not get
+// more than maxTransferGraceS for its checkpoint.
+func TestMachineForRecipientIsReservedUntilQuotaIsFree(t *testing.T) {
 	qc := newQuotaCluster(t, 8, 0, 2, 1)
 	zoneA, zoneB := "a", "b"
 	qc.submitService(wire.Normal, 2, 1, wire.Job{CPUs: 4, Zone: &zoneA})
@@ -432,7 +442,9 @@
 	qc.hung[stopped.Machine.Name] = true
 	qc.runFor(4 * micro.Second)
 	if !stopped.Stopping || stopped.GraceS != maxTransferGraceS {
-		t.Fatalf("stopping %v, within %v s", stopped.Stopping, stopped.GraceS)
+		t.Fatalf(
+			"replica: stopping %v, grace period %v s; want true, maxTransferGraceS (20 s)", stopped.Stopping, stopped.GraceS,
+		)
 	}
 	other := wire.Job{ID: "j-9", Class: "other", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 4}
 	qc.state.AddJob(other, qc.now, qc.now)
@@ -442,7 +454,7 @@
 	qc.expectPlaced(2, 0)
 }
 
-// A service takes the machine of the replica that is stopped for it, if there is no other.
+// If no other machine is free, the recipient must use the machine of the replica that is stopped for it.
 func TestRecipientUsesMachineOfStoppedReplica(t *testing.T) {
 	qc := newQuotaCluster(t, 8, 0, 2, 0)
 	for range 2 {
@@ -452,7 +464,7 @@
 	qc.expectPlaced(2, 0)
 }
 
-// What is saved up for a job that waited long is not given to a service in part.
+// Quota reserved for a starved job must not be used to complete a partially placed service.
 func TestTransferDoesNotUseQuotaReservedForAnotherJob(t *testing.T) {
 	qc := newQuotaCluster(t, 5, 0, 6, 0)
 	qc.submitService(wire.Normal, 4, 2, oneCPU)
@@ -462,11 +474,11 @@
 	qc.runFor(50 * micro.Second)
 	qc.expectPlaced(4, 0)
 	if free := qc.team.CPULimit - qc.team.UsedCPU; free != 1 {
-		t.Errorf("%v CPUs are left of the quota that was saved up, want 1", free)
+		t.Errorf("%v CPUs of the quota reserved for the gang are free, want 1", free)
 	}
 }
 
-// A service that has quota coming free of a task that is being stopped takes none from others.
+// If the quota of a task that is already stopping suffices for a service, no replica may be stopped for it.
 func TestTransferCountsQuotaOfStoppingTasks(t *testing.T) {
 	qc := newQuotaCluster(t, 3, 0, 6, 0)
 	qc.submitService(wire.Normal, 2, 1, oneCPU)
@@ -479,28 +491,29 @@
 	qc.state.StopAllocation(cancelled.Allocations()[0], "test", 0, qc.now)
 	qc.runFor(40 * micro.Second)
 	if qc.stopCount() > 0 {
-		t.Errorf("replicas were stopped: %v", qc.stopped)
+		t.Errorf("replicas stopped by service: %v, want none", qc.stopped)
 	}
 }
 
-// A transfer to a service that does not become whole is tried again later and later.
+// After a transfer by which the recipient did not become fully placed, the next one is delayed, so that replicas
+// are not stopped again and again.
 func TestFailedTransferBacksOff(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 2, 0)
 	qc.submitService(wire.Normal, 2, 1, oneCPU)
 	donor := qc.submitService(wire.Normal, 2, 1, oneCPU)
 	for _, machine := range qc.state.Machines {
-		qc.hung[machine.Name] = true // its stop is not confirmed, and no lease runs out
+		qc.hung[machine.Name] = true // stops are never confirmed, and the leases never expire
 	}
 	qc.runFor(30 * micro.Minute)
 	if stops := qc.stopped[donor.Spec.ID]; stops != 1 {
 		t.Errorf("%d replicas were stopped, want 1", stops)
 	}
 	if record := qc.scheduler.transferRecords[qc.services[0]]; record.failures != 1 {
-		t.Errorf("%d transfers came to nothing, want 1", record.failures)
+		t.Errorf("%d transfers failed, want 1", record.failures)
 	}
 }
 
-// A transfer that came to nothing is not tried again before its time.
+// After a failed transfer, no replica may be stopped for the recipient until the backoff ends. Then one is.
 func TestTransferIsNotRetriedBeforeBackoffEnds(t *testing.T) {
 	qc := newQuotaCluster(t, 2, 0, 2, 0)
 	recipient := qc.submitService(wire.Production, 2, 1, oneCPU)
@@ -512,10 +525,10 @@
 	qc.expectPlaced(2, 0)
 }
 
-const randomServiceSeeds = 40
+const randomServiceSeeds = 40 // number of random sets of services
 
-// Transfers among random services come to an end, with more services whole than before, and no
-// service that could become whole is left in part.
+// Transfers between random services must end. After that at least as many services are fully placed as before,
+// and no partially placed service is left that others' quota could complete.
 func TestTransfersAmongRandomServicesTerminate(t *testing.T) {
 	for seed := range uint64(randomServiceSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -526,11 +539,14 @@
 			qc.runFor(15 * micro.Minute)
 			after, stops := len(qc.fullyPlacedServices()), qc.stopCount()
 			if after < before {
-				t.Errorf("%d services are whole, before %d", after, before)
+				t.Errorf("%d services are fully placed after the transfers, %d before", after, before)
 			}
 			qc.runFor(30 * micro.Minute)
 			if qc.stopCount() != stops || len(qc.fullyPlacedServices()) != after {
-				t.Errorf("%d replicas were stopped later", qc.stopCount()-stops)
+				t.Errorf(
+					"%d replicas were stopped after the transfers, want 0 and the same number of fully placed services",
+					qc.stopCount()-stops,
+				)
 			}
 			qc.expectNoCompletableService()
 		})
@@ -559,7 +575,8 @@
 	}
 }
 
-// expectNoCompletableService expects that no service in part would become whole by what others in part hold.
+// expectNoCompletableService checks that no partially placed service could be completed with the free quota and that
+// of other partially placed services of the same or lower priorities.
 func (qc *quotaCluster) expectNoCompletableService() {
 	qc.tb.Helper()
 	for _, job := range qc.services {
@@ -575,14 +592,14 @@
 		}
 		pending := float64(job.PendingTasks())
 		if free.cpus >= pending*job.Spec.CPUs && (qc.team.GPULimit == 0 || free.gpus >= pending*job.Spec.GPUs) {
-			qc.tb.Errorf("%s has %d of %d replicas, and others hold its quota in part", job.Spec.ID, job.AllocationCount,
-				len(job.Tasks))
+			qc.tb.Errorf("service %s has %d of %d replicas, while partially placed services hold enough quota for the rest",
+				job.Spec.ID, job.AllocationCount, len(job.Tasks))
 		}
 	}
 }
 
-// BenchmarkQuotaReview is a look at 300 services in part, none of which has a machine to become
-// whole with, on a site of 4,000 machines.
+// BenchmarkQuotaReview measures the review of 300 partially placed services on a cluster of 4,000 machines, none of
+// which can run the missing replicas.
 func BenchmarkQuotaReview(b *testing.B) {
 	for _, tt := range []struct {
 		name     string
@@ -607,7 +624,7 @@
 	}
 }
 
-// fillMachines has work of another team, of the same priority, take all machines.
+// fillMachines fills all empty machines with tasks without a team, of the same priority as the services.
 func (qc *quotaCluster) fillMachines() {
 	spec := wire.Job{ID: "j-9", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 5000, CPUs: 4}
 	array := qc.state.AddJob(spec, qc.now, qc.now)
--- a/internal/scheduler/relaxation.go
+++ b/internal/scheduler/relaxation.go
@@ -5,28 +5,27 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// The ordinary rules leave capacity unused for good reasons: machines that are
-// avoided, capacity beside idle GPUs, expensive capacity, capacity reserved for others. None of
-// them knows how long a job has waited. So work that nothing was found for in
-// overdueAfter takes what fits, the ordinary choice first and the avoided machines
-// last.
+// The placement rules deliberately leave some capacity unused: quarantined machines, capacity beside idle
+// GPUs, expensive machines, and machines reserved for other jobs. None of these rules considers how long a
+// job has waited. For a job that got no allocation within overdueAfter they are therefore relaxed step by
+// step: the regular choice still comes first, and quarantined machines come last.
 
-// overdueAfter is how long a job's tasks wait, without an allocation for any of them,
-// until the ordinary rules give way.
+// overdueAfter is how long a job waits, without an allocation for any of its tasks, until the placement
+// rules are relaxed for it.
 const overdueAfter = micro.Minute
 
-// relaxation says which of the ordinary rules give way.
+// relaxation is the degree to which the placement rules are relaxed. Each level includes the previous ones.
 type relaxation uint8
 
-// The levels; each includes those before it.
 const (
 	relaxNone         relaxation = iota
-	relaxReservations            // capacity kept for GPU work or held in vain, and expensive capacity
-	relaxQuarantine              // machines that are avoided
+	relaxReservations            // admits capacity kept for GPU jobs, unused reservations and expensive machines
+	relaxQuarantine              // admits quarantined machines
 )
 
-// relaxationLimit says how far the ordinary rules may give way for a job. The wait for avoided machines
-// counts from the failover: those that serve better are heard one by one.
+// relaxationLimit returns how far the placement rules may be relaxed for a job. The wait for quarantined
+// machines counts from the failover at the earliest: healthy machines send their first heartbeats to a
+// new leader one by one.
 func (s *Scheduler) relaxationLimit(job *cluster.Job, now micro.Time) relaxation {
 	switch {
 	case now-job.WaitingSince >= overdueAfter:
@@ -37,9 +36,9 @@
 	return relaxNone
 }
 
-// fallbackMachine chooses a machine for an overdue job's task once nothing was found by the
-// ordinary rules, which give way as far as they may. It looks at all machines: samples may miss
-// the only one with capacity.
+// fallbackMachine returns a machine for an overdue job's task when the regular rules yield none. It relaxes
+// the rules level by level up to limit. It examines all machines, since a sample may miss the only one
+// with capacity.
 func (s *Scheduler) fallbackMachine(placement *placementRequest, limit relaxation) *cluster.Machine {
 	sampling := s.sampling
 	defer func() { s.relaxation, s.sampling = relaxNone, sampling }()
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -9,11 +9,11 @@
 // hasReservation reports whether machines are reserved for the job.
 func (s *Scheduler) hasReservation(job *cluster.Job) bool { return s.countReserved(job) > 0 }
 
-// transferReservation keeps a machine that was reserved for a job for the next of its class and
-// team that none was placed of, as long as it would have been kept for the first: a
-// swarm of single tasks got no more than one of them through at a time, once in a
-// minute and a half. None is handed on while one machine to reservedFleetDivisor is held
-// already.
+// transferReservation passes the starvation reservation of a machine on to the oldest array or service of the
+// same class and team of which no task has been placed. The reservation still expires when it would have for the
+// previous job. Without this, many single-task jobs were served only one at a time, once in a minute and
+// a half. Nothing is passed on if one machine in reservedFleetDivisor is already reserved for starved
+// jobs.
 func (s *Scheduler) transferReservation(machine *cluster.Machine, previous *cluster.Job, since, now micro.Time) {
 	reservedCount := 0
 	for other := range s.reservedMachines {
@@ -44,23 +44,23 @@
 	}
 }
 
-// preemptionReservationTTL is how long a machine that is being cleared stays reserved, and
-// starvationReservationTTL one that is waited for.
 const (
+	// preemptionReservationTTL is how long a machine stays reserved while preemption frees its capacity.
 	preemptionReservationTTL = 20 * micro.Second
+	// starvationReservationTTL is how long a machine, or a team's quota, stays reserved for a starved job.
 	starvationReservationTTL = micro.Minute
 )
 
-// reservationGap is how soon after a reservation that ended unused the next counts as
-// the same hold.
+// reservationGap is the maximum gap between an unused reservation of a machine and the next one for both
+// to count as one unused period.
 const reservationGap = 10 * micro.Second
 
-// quotaReservationBackoff is for how long no team's limit is saved up after it was. Saved up
-// again at once, for a job that never got enough, it kept all others of its team
-// waiting for ever.
+// quotaReservationBackoff is how long a team's quota is not reserved again after a reservation of it ended.
+// Without this delay, reserving it again and again for a job that never got enough kept all other jobs of
+// the team waiting forever.
 const quotaReservationBackoff = 15 * micro.Second
 
-// reserveMachine reserves a machine for a job.
+// reserveMachine reserves a machine for a job, either for starvation or for preemption.
 func (s *Scheduler) reserveMachine(m *cluster.Machine, job *cluster.Job, starvationReservation bool, now micro.Time) {
 	if s.reservedMachines == nil {
 		s.reservedMachines = map[*cluster.Machine]bool{}
@@ -72,7 +72,7 @@
 	s.reservedMachines[m] = true
 }
 
-// expireReservations gives up reservations that are used, over or too old.
+// expireReservations ends the reservations that were used, are no longer needed, or have expired.
 func (s *Scheduler) expireReservations(now micro.Time) {
 	for _, team := range s.Cluster.Teams {
 		if team.QuotaReservedFor != nil && quotaReservationOver(team, now) {
@@ -90,12 +90,16 @@
 	}
 }
 
+// quotaReservationOver reports whether the holder of a team's quota reservation no longer needs it, or the
+// reservation has expired.
 func quotaReservationOver(team *cluster.Team, now micro.Time) bool {
 	holder := team.QuotaReservedFor
 	return holder.State != cluster.Active || holder.PendingTasks() == 0 || holder.AllocationCount > 0 ||
 		now-team.QuotaReservedAt > starvationReservationTTL
 }
 
+// reservationOver reports whether the holder of a machine's reservation no longer needs it, the reservation
+// has expired, or the machine takes no new tasks.
 func reservationOver(machine *cluster.Machine, now micro.Time) bool {
 	holder, ttl := machine.ReservedFor, preemptionReservationTTL
 	if machine.StarvationReservation {
@@ -105,7 +109,7 @@
 		!machine.Schedulable(now)
 }
 
-// countReserved is how many machines are reserved for a job.
+// countReserved returns the number of machines reserved for a job.
 func (s *Scheduler) countReserved(job *cluster.Job) int {
 	count := 0
 	for m := range s.reservedMachines {
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -11,6 +11,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
+// discardEffects ignores the effects that the tests need. Any other effect panics.
 type discardEffects struct{ cluster.Effects }
 
 func (discardEffects) ScheduleSoon()                  {}
@@ -19,26 +20,27 @@
 func (discardEffects) ChunkUrgent(*cluster.TaskChunk) {}
 func (discardEffects) DispatchSoon(*cluster.Machine)  {}
 
-// newLargeCluster is a cluster with a job of the most tasks and more machines than a
-// sample holds.
+// newLargeCluster returns the scheduler of a cluster of identical machines, with one array of the maximum number of
+// tasks.
 func newLargeCluster(machines int) *Scheduler {
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range machines {
 		m := state.EnsureMachine("i-"+strconv.Itoa(1000+i), 1)
 		state.DescribeMachine(m, "small", "a", false)
-		state.TransitionMachine(m, cluster.Up, "reports")
+		state.TransitionMachine(m, cluster.Up, "heartbeat")
 	}
 	job := state.AddJob(
 		wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0,
 	)
-	job.DoneTasks = 1 // it is known not to fail everywhere, see cluster.Job.SchedulableTasks
+	job.DoneTasks = 1 // proves that the job does not fail everywhere, see cluster.Job.SchedulableTasks
 	properties := config.Defaults()
 	return &Scheduler{
 		Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
+// While overloaded, the scheduler examines fewer machines per task, but still fills all machines.
 func TestSamplingUnderOverloadFillsAllMachines(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		scheduler := newLargeCluster(400)
@@ -48,18 +50,21 @@
 			total += scheduler.Schedule(micro.Second)
 		}
 		if total != 1600 {
-			t.Fatalf("%d tasks on 1600 CPUs", total)
+			t.Fatalf("%d tasks were placed on 1600 CPUs, want 1600", total)
 		}
-		// A machine's capacity falls by rows: a task looks at no more than a sample
-		// of each row.
+		// Each placed task moves its machine to the next lower row. There are four rows with capacity, and with
+		// sampling at most a sample of each is examined for a task.
 		maxExamined := total * (scheduler.Properties.SampleSize + 1) * 4
 		if got := scheduler.MachinesExamined <= maxExamined; got != overloaded {
-			t.Errorf("busy %v: looked at %d machines for %d tasks", overloaded, scheduler.MachinesExamined, total)
+			t.Errorf(
+				"overloaded %v: examined %d machines for %d tasks, want no more than the samples only under overload", overloaded,
+				scheduler.MachinesExamined, total,
+			)
 		}
 	}
 }
 
-// fullSearch is the design's choice by a full search over all machines.
+// fullSearch returns the best machine for a task of the job by comparing all machines.
 func fullSearch(scheduler *Scheduler, job *cluster.Job, now micro.Time) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
@@ -80,14 +85,14 @@
 	return best.machine
 }
 
-// maybeHoldImage notes the one image on one machine in four.
+// maybeHoldImage records that a machine holds the image, with probability 1/4.
 func maybeHoldImage(rng *rand.Rand, images cluster.ImageRecord, machine *cluster.Machine) {
 	if rng.IntN(4) == 0 {
 		images.Machines[machine.Name] = []int{0}
 	}
 }
 
-// randomGPUs is some GPUs for one job in four.
+// randomGPUs returns 1 to 4 GPUs with probability 1/4, else 0.
 func randomGPUs(rng *rand.Rand) float64 {
 	if rng.IntN(4) > 0 {
 		return 0
@@ -95,7 +100,7 @@
 	return float64(1 + rng.IntN(4))
 }
 
-// maybeReleaseAllocation releases an allocation one in three times, and lists those that are left.
+// maybeReleaseAllocation releases a random allocation with probability 1/3, and returns the remaining ones.
 func maybeReleaseAllocation(
 	rng *rand.Rand, state *cluster.State, allocations []*cluster.Allocation, now micro.Time,
 ) []*cluster.Allocation {
@@ -103,11 +108,11 @@
 		return allocations
 	}
 	released := rng.IntN(len(allocations))
-	state.StopAllocation(allocations[released], "over", 0, now) // still planned: free at once
+	state.StopAllocation(allocations[released], "test", 0, now) // not started yet: released at once
 	return append(allocations[:released], allocations[released+1:]...)
 }
 
-// changeRandomMachine lets one in five times a machine fall silent, or a silent one heartbeat.
+// changeRandomMachine moves a random machine from Up to Suspect or back, with probability 1/5.
 func changeRandomMachine(state *cluster.State, rng *rand.Rand) {
 	machines := state.SortedMachines()
 	if machine := machines[rng.IntN(len(machines))]; rng.IntN(5) == 0 {
@@ -116,8 +121,8 @@
 	}
 }
 
-// The rows by capacity must give the very machine that a full search gives, on any
-// fleet and through any history of allocations, freed capacity and states.
+// The search by rows of free capacity must choose the same machine as a full search, on any fleet and after any
+// history of allocations, releases and machine states.
 func TestPoolRowSearchMatchesFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -133,7 +138,7 @@
 		for i := range 60 {
 			machine := state.EnsureMachine("i-"+strconv.Itoa(100+i), 1)
 			state.DescribeMachine(machine, names[rng.IntN(3)], []string{"a", "b"}[rng.IntN(2)], rng.IntN(3) == 0)
-			state.TransitionMachine(machine, cluster.Up, "reports")
+			state.TransitionMachine(machine, cluster.Up, "heartbeat")
 			maybeHoldImage(rng, images, machine)
 		}
 		state.RestoreImages(images, 1)
@@ -152,7 +157,7 @@
 			job := state.AddJob(spec, 0, 0)
 			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(&placementRequest{job: job, now: now})
 			if want != got {
-				t.Fatalf("seed %d, task %d: the rows give %+v, a full search %+v", seed, step, got, want)
+				t.Fatalf("seed %d, step %d: the row search chose %+v, the full search %+v", seed, step, got, want)
 			}
 			if got != nil {
 				found++
@@ -163,7 +168,7 @@
 			changeRandomMachine(state, rng)
 		}
 		if found < 50 {
-			t.Fatalf("seed %d compared only %d choices", seed, found)
+			t.Fatalf("seed %d: only %d comparisons found a machine, want at least 50", seed, found)
 		}
 	}
 }
@@ -184,16 +189,15 @@
 	}
 }
 
-// Tasks that cannot save, lost with a spot machine, went back to spot machines
-// and were lost again: an array of a hundred tasks of 100 s was late more often
-// than not.
+// Tasks without checkpoints that were lost with a spot machine were placed on spot machines again and lost again: an
+// array of a hundred tasks of 100 s was late more often than not.
 func TestTasksThatCannotBeRerunInTimePreferOnDemandMachines(t *testing.T) {
 	state := cluster.New(discardEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16}}})
 	for i := range 20 {
 		machine := state.EnsureMachine("i-"+strconv.Itoa(10+i), 1)
 		state.DescribeMachine(machine, "small", "a", i%2 == 0)
-		state.TransitionMachine(machine, cluster.Up, "reports")
+		state.TransitionMachine(machine, cluster.Up, "heartbeat")
 	}
 	properties := config.Defaults()
 	scheduler := &Scheduler{
@@ -225,21 +229,21 @@
 		return count
 	}
 	for _, test := range []struct {
-		name            string
-		estimate, saves float64
-		lost            uint32
-		submitted       micro.Time
-		want            int
+		name                 string
+		estimate, checkpoint float64
+		attempts             uint32
+		submitted            micro.Time
+		want                 int
 	}{
-		{"short, and new", 50, 0, 0, now, 5},
+		{"short, first attempt", 50, 0, 0, now, 5},
 		{"lost once", 50, 0, 1, now, 0},
-		{"lost once, but it saves", 50, 10, 1, now, 5},
-		{"too long to be run twice in time", 130, 0, 0, now, 0},
-		{"short, but it has waited", 50, 0, 0, now - 160*micro.Second, 0},
-		{"too late in any case", 50, 0, 0, now - 240*micro.Second, 5},
+		{"lost once, writes checkpoints", 50, 10, 1, now, 5},
+		{"too long to run twice in time", 130, 0, 0, now, 0},
+		{"short, waited too long to run twice in time", 50, 0, 0, now - 160*micro.Second, 0},
+		{"too late to run even once in time", 50, 0, 0, now - 240*micro.Second, 5},
 	} {
-		if got := countOnSpot(test.estimate, test.saves, test.lost, test.submitted); got != test.want {
-			t.Errorf("%s: %d of 5 on spot machines, want %d", test.name, got, test.want)
+		if got := countOnSpot(test.estimate, test.checkpoint, test.attempts, test.submitted); got != test.want {
+			t.Errorf("%s: %d of 5 tasks on spot machines, want %d", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -8,17 +8,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// queuedJob is a job in the order of a pass.
+// queuedJob is a pending job with the keys that determine its position in a scheduling pass.
 type queuedJob struct {
 	job             *cluster.Job
 	withinGuarantee bool
-	canStartInTime  bool // it can still start in time, or its class is not overloaded
+	canStartInTime  bool // false if its class is overloaded and its start objective is already missed
 	latestStart     micro.Time
 }
 
-// Schedule places what it can, in order of priority, guarantee and nearness of the
-// objective, and reports how many tasks it placed. For work that has waited too
-// long and found no capacity, capacity is reserved.
+// Schedule runs one scheduling pass and returns the number of tasks placed. It tries pending jobs in
+// order of priority, guarantee and latest start that meets their objectives. It reserves capacity for
+// starved jobs and transfers quota between partially placed services.
 func (s *Scheduler) Schedule(now micro.Time) int {
 	s.Cluster.MarkGuarantees()
 	s.expireReservations(now)
@@ -34,8 +34,8 @@
 	return placed
 }
 
-// buildQueue lists the jobs with tasks to place in the order in which they are tried, and
-// says how many tasks they are.
+// buildQueue returns the pending jobs in the order in which they are tried, and the total number of
+// their pending tasks.
 func (s *Scheduler) buildQueue(
 	overloaded map[*cluster.Class]micro.Time, now micro.Time,
 ) (queue []queuedJob, waiting int) {
@@ -59,9 +59,10 @@
 	return queue, waiting
 }
 
-// prioritizeShortest ranks a job of an overloaded class by the work that it is, not by its latest
-// start: in the order of latest starts, all of a burst start just too late. A job whose
-// image is nowhere at hand is as good as one that runs for longer.
+// prioritizeShortest ranks a job of an overloaded class by its total run time instead of its latest
+// start: in order of latest start, all jobs of a burst would start just too late. An image that no
+// suitable machine holds adds its fetch time to the run time. A job that has waited longer than the start
+// objective or the guaranteed start loses its place among those that can still meet it.
 func (s *Scheduler) prioritizeShortest(
 	entry *queuedJob, startObjective micro.Time, images map[string]bool, now micro.Time,
 ) {
@@ -76,7 +77,8 @@
 		(s.Objectives.guaranteedStart == 0 || now <= job.EligibleSince+s.Objectives.guaranteedStart)
 }
 
-// allocateQueue tries the jobs one after the other, and lists those that have waited too long.
+// allocateQueue tries to place the jobs in order. It returns the number of tasks placed and the
+// starved jobs.
 func (s *Scheduler) allocateQueue(queue []queuedJob, now micro.Time) (placed int, starved []*cluster.Job) {
 	rejected := unschedulable{}
 	for i := range queue {
@@ -100,7 +102,8 @@
 	return placed, starved
 }
 
-// allocateJob places what it can of a job, and reports whether it lacked capacity.
+// allocateJob places as many tasks of a job as possible, for a gang all or none. It returns the number
+// of tasks placed and whether machine capacity was lacking.
 func (s *Scheduler) allocateJob(job *cluster.Job, limit relaxation, now micro.Time) (placed int, noCapacity bool) {
 	if job.Spec.Kind == wire.Gang {
 		return s.allocateGang(job, limit, now)
@@ -108,6 +111,7 @@
 	return s.allocateTasks(job, limit, now)
 }
 
+// schedulesBefore reports whether job x is tried before job y. Job IDs break ties.
 func schedulesBefore(x, y *queuedJob) bool {
 	switch {
 	case x.job.PriorityLevel != y.job.PriorityLevel:
@@ -122,12 +126,14 @@
 	return x.job.Spec.ID < y.job.Spec.ID
 }
 
-// overloadedClasses finds the classes that wait longer than their objective on starting
-// allows, with that objective: what waits, over what runs. Taken in the order of
-// their latest starts, all their jobs would start just too late; the least
-// work first, most start in time. Those that can no longer come after those that can,
-// whatever their guarantee: when all teams ask for theirs at once, there may be
-// more guaranteed than there is.
+// overloadedClasses returns the classes whose gangs are expected to miss their start objective, each
+// with that objective. The expected wait is the estimated run time of the pending gang tasks divided by
+// the number of allocations of the class.
+//
+// In order of latest start, all jobs of such a class would start just too late; in order of shortest
+// run time, most of them start in time. Jobs that have already missed the objective come after those
+// that can still meet it, regardless of guarantees: if all teams claim their guarantees at once, the
+// guarantees may exceed the capacity.
 func (s *Scheduler) overloadedClasses() map[*cluster.Class]micro.Time {
 	byClass := map[*cluster.Class]micro.Time{}
 	for job := range s.Cluster.PendingJobs {
@@ -135,9 +141,9 @@
 			byClass[job.Class] += EstimatedRuntime(job) * micro.Time(job.PendingTasks())
 		}
 	}
-	for class, amount := range byClass {
+	for class, backlog := range byClass {
 		startObjective := s.Objectives.StartObjective(class.Name)
-		if startObjective == 0 || amount/micro.Time(max(class.AllocationCount, 1)) < startObjective/overloadDivisor {
+		if startObjective == 0 || backlog/micro.Time(max(class.AllocationCount, 1)) < startObjective/overloadDivisor {
 			delete(byClass, class)
 			continue
 		}
@@ -146,8 +152,8 @@
 	return byClass
 }
 
-// availableImages lists the images on GPU machines that have capacity for more than half
-// a machine: where a job's image is at hand, it takes the machine for less long.
+// availableImages returns the images held by GPU machines on which at least half of the scaled CPUs are
+// free. A job whose image is among them occupies its machine for a shorter time.
 func (s *Scheduler) availableImages() map[string]bool {
 	images := map[string]bool{}
 	for _, pool := range s.Cluster.Pools {
@@ -163,7 +169,8 @@
 	return images
 }
 
-// fetchTime is how long a job's image takes on the machines with GPUs.
+// fetchTime returns the shortest time to fetch a job's image on a machine type that has enough GPUs, or
+// 0 if no such type has a known fetch rate.
 func (s *Scheduler) fetchTime(spec *wire.Job) micro.Time {
 	var best micro.Time
 	for _, t := range s.Cluster.CatalogOrder {
@@ -176,6 +183,6 @@
 	return best
 }
 
-// overloadDivisor is the part of the objective at which a class counts as
-// overloaded: in good time before it is missed.
+// overloadDivisor makes a class count as overloaded once its expected wait reaches 1/overloadDivisor of
+// the start objective, well before the objective is missed.
 const overloadDivisor = 2
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -9,48 +9,51 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Scheduler chooses machines for tasks. Its fields and those of the cluster are read and changed
-// only on the goroutine that owns the cluster's state; only that calls its methods.
+// Scheduler chooses machines for tasks. It is not safe for concurrent use: only the goroutine that
+// owns the cluster state may call its methods or access its fields.
 type Scheduler struct {
 	Cluster    *cluster.State
 	Objectives *Objectives
 	Properties *config.Properties
 	Rand       *rand.Rand
-	// WithinPrice says whether a job may use machines of a type and kind, by their price;
-	// nil: always.
+	// WithinPrice reports whether the price of a machine type, spot or on-demand, is acceptable for a
+	// job. If it is nil, every price is.
 	WithinPrice func(job *cluster.Job, t *cluster.MachineType, spot bool, now micro.Time) bool
-	// Overloaded is set while passes take too long. With many tasks pending, each row
-	// of like machines is then looked at in samples.
+	// Overloaded is set while scheduling passes take too long. If many tasks are pending as well, only
+	// a sample of each row of equivalent machines is examined.
 	Overloaded bool
 
-	MachinesExamined int // machines looked at, for tests and metrics
+	MachinesExamined int // number of machines examined so far, for tests and metrics
 	sampling         bool
 	relaxation       relaxation
 	reservedMachines map[*cluster.Machine]bool
 	reservations     map[*cluster.Job]zoneReservation
-	maxTasksByClass  map[string]int // the most tasks that a class's jobs have
-	headroom         []gpuHeadroom  // machines kept free for GPU jobs, as this pass finds them
+	maxTasksByClass  map[string]int // largest task count of any job seen, by class
+	headroom         []gpuHeadroom  // machines kept free for GPU jobs, recounted in each pass
 	nextQuotaReview  micro.Time
 	transferRecords  map[*cluster.Job]transferRecord
-	stoppingQuota    map[*cluster.Team]resources // quota that is coming free, by the last review
+	stoppingQuota    map[*cluster.Team]resources // quota held by stopping tasks, as of the last quota review
 }
 
-// resources is what a task asks for, or what a plan has taken of a machine beyond what
-// allocations hold.
+// resources is the request of a task, or the amount of a machine's resources that a plan uses in
+// addition to existing allocations.
 type resources = cluster.Resources
 
+// requestOn returns the resources that a task of the job uses on a machine of type t. ScaledCPU depends
+// on the type's speed.
 func requestOn(spec *wire.Job, t *cluster.MachineType) resources {
 	return resources{
 		CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: ScaledCPUs(spec.CPUs, t.SpeedFactor, t.CPUs),
 	}
 }
 
-// The ends of the jobs' priority levels.
+// Range of the jobs' priority levels. A smaller number is a higher priority.
 const (
 	highestPriorityLevel = 0
 	lowestPriorityLevel  = 3
 )
 
+// allocatedResources returns the resources that an allocation uses. The allocation must have a job.
 func allocatedResources(allocation *cluster.Allocation) resources {
 	spec := &allocation.Job.Spec
 	return resources{CPU: spec.CPUs, GPU: spec.GPUs, MemoryGB: spec.MemoryGB, ScaledCPU: allocation.ScaledCPU}
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -1,5 +1,6 @@
-// Package scheduler decides what runs where: the design's speed estimate and score,
-// placement, quota and preemption. It reads no clock and does no I/O.
+// Package scheduler decides which task runs on which machine. It implements the speed estimate and the
+// score of docs/design.md ("the design"), placement, quota and preemption. It reads no clock and does no
+// I/O.
 package scheduler
 
 import (
@@ -8,14 +9,15 @@
 	"notchmux.dev/notchmux/internal/cluster"
 )
 
-// ScaledCPUs is a request's CPUs on a machine of speed k, capped at its CPUs. The
-// reference speed is 1, the first type's.
+// ScaledCPUs returns the CPUs that a request occupies on a machine with the given speed factor (k in the
+// design), at most the machine's CPUs. The reference factor 1 is that of the first machine type.
 func ScaledCPUs(cpus, speedFactor, machineCPUs float64) float64 {
 	return min(cpus/speedFactor, machineCPUs)
 }
 
-// Score is the design's score S of a machine of speed k for a request, whose
-// limit equals it. The cases are tried in the design's order.
+// Score returns the design's score S, between 0 and 100, of a machine with the given speed factor for a
+// request whose CPU limit equals the request. The cases are tested in the order of the design. l1 and l2
+// are its parameters L1 and L2.
 func Score(cpus, speedFactor, l1, l2 float64) float64 {
 	const eps = 1e-9
 	scaled, ceil := cpus/speedFactor, math.Ceil(cpus-eps)
@@ -30,14 +32,16 @@
 	return l2 + (l1-l2)*speedFactor
 }
 
-// SpeedEstimator learns each type's k from run times: for tasks of one array, k is the
-// run time times CPUs granted on the reference type over those on the type.
+// SpeedEstimator learns the speed factor of each machine type from run times. For tasks of one array, the
+// factor is the mean of run time times granted CPUs on the reference type, divided by that mean on the
+// type.
 type SpeedEstimator struct {
-	samplesByJob map[string]map[string]*mean // job, type
-	ratiosByType map[string]*mean            // averaged ratios to the reference
-	dirty        bool
+	samplesByJob map[string]map[string]*mean // by job ID and type
+	ratiosByType map[string]*mean            // speed factors relative to the reference type
+	dirty        bool                        // ratiosByType changed since the last TakeDirty
 }
 
+// mean is a running mean. Without samples its value is 0.
 type mean struct {
 	sum   float64
 	count int
@@ -51,13 +55,14 @@
 	return m.sum / float64(m.count)
 }
 
-// NewSpeedEstimator starts with nothing known.
+// NewSpeedEstimator returns an estimator without samples.
 func NewSpeedEstimator() *SpeedEstimator {
 	return &SpeedEstimator{samplesByJob: map[string]map[string]*mean{}, ratiosByType: map[string]*mean{}}
 }
 
-// AddSample takes in a completed run of an array's task. Failed runs are no
-// samples: a job that fails at once would make a type look fast.
+// AddSample records a completed run of an array's task. The caller must not add failed runs: a job that
+// fails at once would make a type look fast. Runs of at most 1 s are ignored. If there are samples of more
+// than 1000 jobs, they are dropped before a new job is added.
 func (e *SpeedEstimator) AddSample(job, typ string, durationS, grantedCPUs float64) {
 	if durationS <= 1 || grantedCPUs <= 0 {
 		return
@@ -76,9 +81,9 @@
 	byType[typ].add(durationS * grantedCPUs)
 }
 
-// FinishArray compares the types that a completed array ran on. It must wait for the
-// whole array: short tasks complete first, so a comparison made earlier takes
-// whatever completes later for slow.
+// FinishArray compares the machine types that a completed array ran on, and updates their speed factors. It
+// must be called only once the whole array is complete: short tasks complete first, so an earlier
+// comparison would make the types of later completions look slow.
 func (e *SpeedEstimator) FinishArray(job, reference string) {
 	byType := e.samplesByJob[job]
 	delete(e.samplesByJob, job)
@@ -97,7 +102,7 @@
 			ratio = &mean{}
 			e.ratiosByType[typ] = ratio
 		}
-		if fade := maxSampleWeight / (float64(ratio.count) + weight); fade < 1 { // old samples fade
+		if fade := maxSampleWeight / (float64(ratio.count) + weight); fade < 1 { // older samples lose weight
 			ratio.sum *= fade
 			ratio.count = int(float64(ratio.count) * fade)
 		}
@@ -108,18 +113,18 @@
 }
 
 const (
-	maxSampleWeight = 400  // weight of all samples kept
-	minRunsPerType  = 2    // runs of an array on each type before they are compared
-	minTypeWeight   = 16   // weight a type needs before its k leaves 1
-	updateThreshold = 0.08 // least relative change that updates a k
+	maxSampleWeight = 400  // total weight of the samples kept for a type
+	minRunsPerType  = 2    // minimum runs of an array on each type for a comparison
+	minTypeWeight   = 16   // minimum sample weight for a type's speed factor to change from 1
+	updateThreshold = 0.08 // relative change above which a speed factor is updated
 )
 
-// DropSamples drops a job's samples.
+// DropSamples discards a job's samples without comparing them.
 func (e *SpeedEstimator) DropSamples(job string) { delete(e.samplesByJob, job) }
 
-// Apply sets each type's k from what was learnt, where it differs by more than
-// the threshold (the paper's formula 4): smaller differences are noise, and
-// every scaled request pays for them in capacity.
+// Apply sets the speed factor of each type but the reference type to the learnt value, if it differs by more
+// than updateThreshold (formula 4 of the paper). Smaller differences are noise, and would cost capacity
+// through every scaled request.
 func (e *SpeedEstimator) Apply(state *cluster.State) {
 	for name, m := range e.ratiosByType {
 		t := state.Types[name]
@@ -132,15 +137,15 @@
 	}
 }
 
-// SpeedRecord is the learnt speeds as one state value.
+// SpeedRecord is the stored form of the learnt speed factors.
 type SpeedRecord struct {
-	Speeds map[string][2]float64 `msgpack:"k" json:"k"` // mean and samples
+	Speeds map[string][2]float64 `msgpack:"k" json:"k"` // speed factor and sample weight by type
 }
 
-// TakeDirty reports whether there is something new to write, and clears the mark.
+// TakeDirty reports whether the speed factors changed since the last call, and clears the mark.
 func (e *SpeedEstimator) TakeDirty() bool { dirty := e.dirty; e.dirty = false; return dirty }
 
-// Record builds the state value.
+// Record returns the record to store.
 func (e *SpeedEstimator) Record() SpeedRecord {
 	r := SpeedRecord{Speeds: map[string][2]float64{}}
 	for name, m := range e.ratiosByType {
@@ -149,7 +154,7 @@
 	return r
 }
 
-// Restore reads the state value.
+// Restore replaces the speed factors of the types in a stored record. Invalid entries are ignored.
 func (e *SpeedEstimator) Restore(r SpeedRecord) {
 	for name, v := range r.Speeds {
 		if v[0] > 0 && v[1] >= 1 && !math.IsNaN(v[0]) && !math.IsInf(v[0], 0) {
--- a/internal/scheduler/soonest_free.go
+++ b/internal/scheduler/soonest_free.go
@@ -8,9 +8,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// reserveSoonestFree reserves the machines that are soonest free for a job that waited long
-// and that nothing came free for, enough for a gang in one zone, or for one task of another
-// job.
+// reserveSoonestFree reserves the machines expected to be free soonest for a starved job for which no machine
+// has become free. They must hold the given number of tasks, for a one-zone job in one zone.
 func (s *Scheduler) reserveSoonestFree(job *cluster.Job, tasks int, now micro.Time) {
 	var best []soonFreeMachine
 	var bestAt micro.Time
@@ -28,14 +27,15 @@
 	}
 }
 
-// soonFreeMachine is a machine that a job may use, and when.
+// soonFreeMachine is a machine that a job may use once it is free.
 type soonFreeMachine struct {
 	machine *cluster.Machine
-	tasks   int // that it could hold
-	freeAt  micro.Time
+	tasks   int        // number of the job's tasks that fit then
+	freeAt  micro.Time // expected time
 }
 
-// soonFreeMachines lists a zone's machines for a job in the order in which they come free.
+// soonFreeMachines returns a zone's machines for a job in the order in which they are expected to be free.
+// The zone "" stands for all zones.
 func (s *Scheduler) soonFreeMachines(job *cluster.Job, zone string, now micro.Time) []soonFreeMachine {
 	var options []soonFreeMachine
 	for _, pool := range s.Cluster.Pools {
@@ -61,14 +61,14 @@
 	return options
 }
 
-// mayReserveBusy reports whether a busy machine may be reserved for a job.
+// mayReserveBusy reports whether a machine may be reserved for a job before it has capacity.
 func (s *Scheduler) mayReserveBusy(job *cluster.Job, machine *cluster.Machine, now micro.Time) bool {
 	return machine.ReservedFor == nil && machine.QuarantinedUntil <= now && s.Cluster.MachineReachable(machine) &&
 		!job.FailedOn[machine.Name]
 }
 
-// smallestCoveringPrefix is the first of the machines that hold so many tasks together; none if all
-// do not.
+// smallestCoveringPrefix returns the shortest prefix of the options whose machines together hold the given
+// number of tasks, or nil if all of them do not.
 func smallestCoveringPrefix(options []soonFreeMachine, tasks int) []soonFreeMachine {
 	covered := 0
 	for i, option := range options {
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// freeAt is when a machine is expected to be clear of all but services, and how
-// many tasks fit then.
+// freeAt returns the time at which all tasks on a machine except running services are expected to have ended,
+// and how many tasks of the request fit then.
 func freeAt(request resources, machine *cluster.Machine, now micro.Time) (at micro.Time, tasks int) {
 	at = now
 	var remaining resources
 	for _, allocation := range machine.Allocations {
 		switch {
-		case allocation.Job == nil: // it holds nothing that is counted
+		case allocation.Job == nil: // its resources are not accounted for
 		case allocation.Job.Spec.Kind == wire.Service && !allocation.Stopping:
 			remaining.Add(allocatedResources(allocation), 1)
 		default:
@@ -96,11 +96,11 @@
 	return at, tasksFitting(request, machine.Type, remaining)
 }
 
-// minRemainingDivisor is the part of its estimate that a task is expected to run for yet, at
-// the least.
+// minRemainingDivisor sets the minimum remaining run time of a running task to 1/minRemainingDivisor of its
+// estimated run time.
 const minRemainingDivisor = 4
 
-// expectedEnd is when an allocation is expected to be over.
+// expectedEnd returns the time at which an allocation's task is expected to end.
 func expectedEnd(allocation *cluster.Allocation, now micro.Time) micro.Time {
 	if allocation.Stopping {
 		return now
@@ -112,10 +112,11 @@
 	return max(allocation.RunningSince+estimate, now+estimate/minRemainingDivisor)
 }
 
-// maxTasksOnMachine bounds the tasks of a job that asks for nothing.
+// maxTasksOnMachine bounds the result of tasksFitting for a request without resources.
 const maxTasksOnMachine = 1 << 20
 
-// tasksFitting is how many tasks fit on a machine of a type beside what remains there.
+// tasksFitting returns how many tasks of the request fit on a machine of the type beside the remaining
+// allocations.
 func tasksFitting(request resources, typ *cluster.MachineType, remaining resources) int {
 	tasks := maxTasksOnMachine
 	for _, dimension := range []struct{ free, each float64 }{
--- a/internal/scheduler/speeds_test.go
+++ b/internal/scheduler/speeds_test.go
@@ -7,16 +7,18 @@
 	"notchmux.dev/notchmux/wire"
 )
 
+// noEffects panics on any effect.
 type noEffects struct{ cluster.Effects }
 
+// newTwoTypeCluster returns a state whose reference type is "ref".
 func newTwoTypeCluster() *cluster.State {
 	state := cluster.New(noEffects{})
 	state.SetCatalog(&wire.Catalog{Types: []wire.MachineType{{Name: "ref", CPUs: 4}, {Name: "other", CPUs: 4}}})
 	return state
 }
 
-// Short tasks complete first: compared while an array runs, the type that
-// completes later looks slow. Only whole arrays count.
+// Short tasks complete first. If types were compared while an array runs, the type whose tasks complete later would
+// look slow, so only complete arrays count.
 func TestEqualTypesKeepEqualSpeedForAnyCompletionOrder(t *testing.T) {
 	estimator, state := NewSpeedEstimator(), newTwoTypeCluster()
 	for range 20 {
@@ -28,11 +30,11 @@
 	}
 	estimator.Apply(state)
 	if speedFactor := state.Types["other"].SpeedFactor; speedFactor != 1 {
-		t.Errorf("k of a like type is %v", speedFactor)
+		t.Errorf("speed factor of a type with equal run times is %v, want 1", speedFactor)
 	}
 }
 
-func TestSlowTypeSpeedIsLearnedAndRestoredFromRecord(t *testing.T) {
+func TestSlowTypeSpeedIsLearntAndRestoredFromRecord(t *testing.T) {
 	estimator, state := NewSpeedEstimator(), newTwoTypeCluster()
 	for range 10 {
 		for range 4 {
@@ -42,13 +44,13 @@
 		estimator.FinishArray("j-1", "ref")
 	}
 	if !estimator.TakeDirty() || estimator.TakeDirty() {
-		t.Error("the mark for writing")
+		t.Error("TakeDirty must return true once after a change, then false")
 	}
 	restored := NewSpeedEstimator()
 	restored.Restore(estimator.Record())
 	restored.Apply(state)
 	if speedFactor := state.Types["other"].SpeedFactor; speedFactor < 0.49 || speedFactor > 0.51 {
-		t.Errorf("k is %v, want 0.5", speedFactor)
+		t.Errorf("speed factor is %v, want 0.5", speedFactor)
 	}
 }
 
@@ -65,6 +67,6 @@
 	estimator.FinishArray("j-2", "ref")
 	estimator.Apply(state)
 	if speedFactor := state.Types["other"].SpeedFactor; speedFactor != 1 {
-		t.Errorf("k is %v", speedFactor)
+		t.Errorf("speed factor is %v, want 1", speedFactor)
 	}
 }
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,30 +8,31 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Priorities alone would let work of the lowest priority, and the largest gangs and arrays
-// of any, wait for ever behind a stream of other work. So age counts: for those
-// that have waited longest, capacity is reserved, whatever their priority: machines soon
-// free take nothing else until they fit. It is reserved for a few at a time only:
-// most of the capacity still goes by priority and objective.
-
-// Capacity is reserved for at most maxReservingJobs jobs at a time, and for no more than
-// one to so many machines.
+// With priorities alone, jobs of the lowest priority, and the largest gangs and arrays of any priority,
+// could wait forever behind a stream of other jobs. Capacity is therefore reserved for the jobs that have
+// waited longest, regardless of priority: machines that are free soon take no other tasks until the job
+// fits. Only a few jobs at a time have such a reservation, so that most capacity is still assigned by
+// priority and objective.
+
 const (
-	maxReservingJobs     = 4
+	// maxReservingJobs is the maximum number of jobs for which capacity is reserved at a time.
+	maxReservingJobs = 4
+	// reservedFleetDivisor bounds the machines reserved for starved jobs to one in reservedFleetDivisor, or
+	// to a single one in a smaller fleet.
 	reservedFleetDivisor = 16
 )
 
-// The largest jobs should begin within this. Of those for which capacity is reserved
-// the ones that still can come first.
+// largeJobStartTarget is the time within which the largest jobs should start. Starved jobs that can still
+// meet it get reservations first.
 const largeJobStartTarget = 225 * micro.Second
 
-// earlyStarvationDivisor is the part of the time after which work counts as starved that the
-// largest jobs wait, and that a class or team may go without an allocation.
+// earlyStarvationDivisor divides StarvationAfter. The quotient is how long the largest jobs wait until they
+// count as starved, and how long a class or team may go without an allocation until its waiting jobs do.
 const earlyStarvationDivisor = 2
 
-// starved reports whether an old job will not be reached in its turn: the
-// largest, which what comes free is seldom enough for, and those of a class or a
-// team none of whose tasks has been placed for long.
+// starved reports whether a job has waited too long and is unlikely to be placed in regular order: it is one
+// of the largest jobs, for which the capacity that becomes free is seldom enough, or no task of its class
+// or team has been placed for a long time.
 func (s *Scheduler) starved(job *cluster.Job, now micro.Time) bool {
 	if !s.waitedTooLong(job, now) {
 		return false
@@ -41,18 +42,18 @@
 		job.Team != nil && job.Team.LastPlacedAt < since
 }
 
-// zoneReservation is a job that capacity is reserved for: machines of a zone as they come
-// free, one by one.
+// zoneReservation reserves machines of a zone for a job, one by one as they become free.
 type zoneReservation struct {
-	zone  string // "": any
+	zone  string // "": all zones
 	since micro.Time
 }
 
-// reserveBusyAfter is how long capacity may be reserved from what comes free by itself.
-// After that machines are cleared for the job.
+// reserveBusyAfter is how long only free machines are reserved for a job. If it has none after that time,
+// the busy machines that are expected to be free soonest are reserved.
 const reserveBusyAfter = 15 * micro.Second
 
-// fillReservations reserves what came free for the jobs that capacity is reserved for.
+// fillReservations reserves machines for the jobs that have a zone reservation, and ends the reservations
+// that have expired.
 func (s *Scheduler) fillReservations(now micro.Time) {
 	for _, job := range s.reservingJobs() {
 		reservation := s.reservations[job]
@@ -61,13 +62,13 @@
 			s.reserveSoonestFree(job, minAllocations(job), now)
 		}
 		if now-reservation.since > starvationReservationTTL {
-			delete(s.reservations, job) // another zone, perhaps
+			delete(s.reservations, job) // the next reservation may use another zone
 		}
 	}
 }
 
-// reservingJobs lists the jobs that capacity is still reserved for, the oldest reservation
-// first, and drops the others.
+// reservingJobs returns the jobs that still need their zone reservation, the oldest reservation first, and
+// deletes the reservations of the other jobs.
 func (s *Scheduler) reservingJobs() []*cluster.Job {
 	jobs := make([]*cluster.Job, 0, len(s.reservations))
 	for job := range s.reservations {
@@ -87,8 +88,8 @@
 	return jobs
 }
 
-// reserveFree reserves machines that have capacity for the job as they are, as many as it
-// lacks.
+// reserveFree reserves machines of the zone on which a task of the job fits now, until the job has as many
+// reserved machines as it needs allocations.
 func (s *Scheduler) reserveFree(job *cluster.Job, zone string, now micro.Time) {
 	missing := minAllocations(job) - s.countReserved(job)
 	for _, pool := range s.Cluster.Pools {
@@ -110,7 +111,7 @@
 	}
 }
 
-// minAllocations is how many allocations a job needs at once.
+// minAllocations returns how many allocations a job needs at once: one per task for a gang, else 1.
 func minAllocations(job *cluster.Job) int {
 	if job.Spec.Kind == wire.Gang {
 		return len(job.Tasks)
@@ -118,7 +119,8 @@
 	return 1
 }
 
-// startReservations begins to reserve capacity for the oldest jobs that still wait.
+// startReservations starts reservations for starved jobs that are still waiting, in the order of
+// reservesBefore and up to maxReservations.
 func (s *Scheduler) startReservations(starved []*cluster.Job, overloaded bool, now micro.Time) {
 	limit := s.maxReservations(overloaded)
 	if len(s.reservations) >= limit || len(starved) == 0 {
@@ -139,8 +141,9 @@
 	}
 }
 
-// maxReservations is for how many jobs capacity is reserved at a time. While a class is
-// overloaded, what comes free soon is enough for one, and all else waits for it meanwhile.
+// maxReservations returns the maximum number of jobs with a zone reservation: maxReservingJobs, or less in a
+// small fleet. While a class is overloaded it is 1: the capacity that becomes free soon is enough for one
+// job, and all other jobs wait for it.
 func (s *Scheduler) maxReservations(overloaded bool) int {
 	if overloaded {
 		return 1
@@ -148,13 +151,13 @@
 	return min(maxReservingJobs, s.maxReservedMachines())
 }
 
-// maxReservedMachines is the part of the fleet that may be reserved for work that waited long.
+// maxReservedMachines returns the maximum number of machines that may be reserved for starved jobs.
 func (s *Scheduler) maxReservedMachines() int {
 	return max(len(s.Cluster.Machines)/reservedFleetDivisor, 1)
 }
 
-// reservesBefore orders starved jobs: those that can still begin within largeJobStartTarget
-// first, then the oldest.
+// reservesBefore reports whether starved job x gets a reservation before y: jobs that can still start within
+// largeJobStartTarget come first, then the oldest. Job IDs break ties.
 func reservesBefore(x, y *cluster.Job, now micro.Time) bool {
 	lateBefore := now - largeJobStartTarget
 	xLate, yLate := x.EligibleSince < lateBefore, y.EligibleSince < lateBefore
@@ -167,7 +170,7 @@
 	return x.Spec.ID < y.Spec.ID
 }
 
-// startReservation begins to reserve capacity for a job, or what it lacks of its team's quota.
+// startReservation starts to reserve machines for a job, or its team's quota if the job exceeds that.
 func (s *Scheduler) startReservation(job *cluster.Job, now micro.Time) {
 	if team := job.Team; team != nil && !team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, minAllocations(job)) {
 		reserveQuota(job, now)
@@ -175,12 +178,12 @@
 	}
 	if zone, ok := s.reservationZone(job); ok {
 		s.reservations[job] = zoneReservation{zone, now}
-		s.Cluster.Log("reservation", "job", job.Spec.ID, "allocations", minAllocations(job), "zone", zone)
+		s.Cluster.Log("reservation started", "job", job.Spec.ID, "allocations", minAllocations(job), "zone", zone)
 	}
 }
 
-// reserveQuota saves a team's quota up for a job: its smaller jobs would use up each bit of it
-// that comes free.
+// reserveQuota reserves a team's quota for a job. Otherwise the team's smaller jobs would use each part of
+// it as soon as it becomes free.
 func reserveQuota(job *cluster.Job, now micro.Time) {
 	team := job.Team
 	if team.QuotaReservedFor == nil && job.AllocationCount == 0 && now >= team.QuotaReservableAfter {
@@ -188,8 +191,8 @@
 	}
 }
 
-// reservationZone is the zone with most machines for the job, over the jobs that machines
-// are being reserved for there already.
+// reservationZone returns the zone with the most machines that the job may use, relative to the number of
+// zone reservations there including the new one. ok is false if no zone has such a machine.
 func (s *Scheduler) reservationZone(job *cluster.Job) (zone string, ok bool) {
 	best := 0.0
 	for _, option := range s.candidateZones(job) {
@@ -202,7 +205,7 @@
 	return zone, ok
 }
 
-// countMachines counts the machines that a job may use in a zone, or in all if it is "".
+// countMachines returns the number of machines that a job may use in a zone, or in all zones if it is "".
 func countMachines(pools []*cluster.MachinePool, job *cluster.Job, zone string) int {
 	count := 0
 	for _, pool := range pools {
@@ -213,7 +216,7 @@
 	return count
 }
 
-// countReservations counts the jobs that capacity is reserved for in a zone.
+// countReservations returns the number of jobs with a zone reservation in a zone.
 func (s *Scheduler) countReservations(zone string) int {
 	count := 0
 	for _, reservation := range s.reservations {
@@ -224,7 +227,8 @@
 	return count
 }
 
-// amongLargest reports whether a job is among the largest of its class.
+// amongLargest reports whether a job has several tasks, and at least three quarters as many as the largest
+// job of its class seen so far.
 func (s *Scheduler) amongLargest(job *cluster.Job) bool {
 	if s.maxTasksByClass == nil {
 		s.maxTasksByClass = map[string]int{}
@@ -233,10 +237,11 @@
 	if tasks > s.maxTasksByClass[job.Spec.Class] {
 		s.maxTasksByClass[job.Spec.Class] = tasks
 	}
-	return tasks > 1 && 4*tasks >= 3*s.maxTasksByClass[job.Spec.Class] // within a quarter
+	return tasks > 1 && 4*tasks >= 3*s.maxTasksByClass[job.Spec.Class]
 }
 
-// waitedTooLong reports whether a job has waited too long; the largest wait half as long.
+// waitedTooLong reports whether a job has waited longer than StarvationAfter since it became eligible. For
+// the largest jobs that have not started, 1/earlyStarvationDivisor of that time is enough.
 func (s *Scheduler) waitedTooLong(job *cluster.Job, now micro.Time) bool {
 	waitLimit := s.Properties.StarvationAfter
 	if s.amongLargest(job) && !job.Started {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -11,13 +11,13 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// contendedCluster is a full cluster that other work keeps coming to.
+// contendedCluster is a cluster to which more jobs are submitted than it has capacity for.
 type contendedCluster struct {
 	t         *testing.T
 	cluster   *cluster.State
 	scheduler *Scheduler
 	submitted int
-	startedAt map[*cluster.Job]micro.Time
+	startedAt map[*cluster.Job]micro.Time // when the other jobs got their allocations
 }
 
 func newContendedCluster(t *testing.T, machines int) *contendedCluster {
@@ -27,7 +27,7 @@
 	for i := range machines {
 		m := state.EnsureMachine("i-"+strconv.Itoa(10+i), 1)
 		state.DescribeMachine(m, "gpu", []string{"a", "b"}[i%2], false)
-		state.TransitionMachine(m, cluster.Up, "reports")
+		state.TransitionMachine(m, cluster.Up, "heartbeat")
 	}
 	state.Teams["team"] = &cluster.Team{Name: "team", GPULimit: float64(4 * machines)}
 	properties := config.Defaults()
@@ -41,6 +41,7 @@
 	}
 }
 
+// submit adds a job whose tasks take a whole machine each. Gangs use all its GPUs and must be in one zone.
 func (cc *contendedCluster) submit(kind wire.JobKind, priority wire.Priority, tasks int, now micro.Time) *cluster.Job {
 	cc.submitted++
 	spec := wire.Job{
@@ -53,7 +54,7 @@
 	return cc.cluster.AddJob(spec, now, now)
 }
 
-// finishOldJobs ends the other jobs that have run for their 3 to 6 seconds.
+// finishOldJobs ends the other jobs once their run time is over, which is 3 to 6 seconds depending on the ID.
 func (cc *contendedCluster) finishOldJobs(now micro.Time) {
 	for other, started := range cc.startedAt {
 		id := other.Spec.ID
@@ -64,16 +65,16 @@
 	}
 }
 
-// runUntilAllocated lets more work come than there is capacity for, until the job holds its
-// places, and says how long that took; 0 if it never did. The other work takes
-// some seconds each, so that machines come free one by one.
+// runUntilAllocated runs a scheduling pass each second until the job has the wanted number of allocations, and returns
+// the time; 0 if that did not happen within ten minutes. It calls submitMore before each pass to submit other
+// jobs. These run for a few seconds each, so that machines become free one by one.
 func (cc *contendedCluster) runUntilAllocated(job *cluster.Job, want int, submitMore func(now micro.Time)) micro.Time {
 	for now := micro.Second; now < 10*micro.Minute; now += micro.Second {
 		submitMore(now)
 		cc.finishOldJobs(now)
 		cc.scheduler.Schedule(now)
 		if team := cc.cluster.Teams["team"]; team.UsedGPU > team.GPULimit {
-			cc.t.Fatalf("%v GPUs used of %v", team.UsedGPU, team.GPULimit)
+			cc.t.Fatalf("the team uses %v GPUs, over its limit of %v", team.UsedGPU, team.GPULimit)
 		}
 		if job.AllocationCount >= want {
 			return now
@@ -87,8 +88,8 @@
 	return 0
 }
 
-// Small gangs took each machine as it came free, and the largest never found
-// four in one zone.
+// Small gangs took each machine as it became free, so the largest gang never found four free machines in one zone. It
+// must start within four minutes.
 func TestLargestGangIsNotStarvedBySmallGangs(t *testing.T) {
 	contended := newContendedCluster(t, 8)
 	contended.scheduler.Schedule(micro.Second)
@@ -103,34 +104,35 @@
 		}
 	})
 	if took == 0 || took > 4*micro.Minute {
-		t.Fatalf("begun after %v s", took.Seconds())
+		t.Fatalf("the large gang was placed after %v s (0: never), want at most four minutes", took.Seconds())
 	}
 	for zone, tasks := range large.AllocationsByZone {
 		if tasks != 0 && tasks != 4 {
-			t.Fatalf("%d tasks in zone %s", tasks, zone)
+			t.Fatalf("%d tasks of the one-zone gang are in zone %s, want 0 or 4", tasks, zone)
 		}
 	}
 }
 
-// Work of the lowest priority waited for as long as higher priorities kept coming.
+// Jobs of the lowest priority waited for as long as jobs of higher priorities were submitted. They must start within
+// four minutes.
 func TestLowestPriorityJobIsNotStarvedByHigherPriorities(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	for range 8 {
 		contended.submit(wire.JobArray, wire.Normal, 1, 0)
 	}
 	contended.scheduler.Schedule(micro.Second)
-	idle := contended.submit(wire.JobArray, wire.Low, 2, 0)
-	took := contended.runUntilAllocated(idle, 1, func(now micro.Time) {
+	lowPriority := contended.submit(wire.JobArray, wire.Low, 2, 0)
+	took := contended.runUntilAllocated(lowPriority, 1, func(now micro.Time) {
 		contended.submit(wire.JobArray, wire.Normal, 1, now)
 		contended.submit(wire.JobArray, wire.Normal, 1, now)
 	})
 	if took == 0 || took > 4*micro.Minute {
-		t.Fatalf("begun after %v s", took.Seconds())
+		t.Fatalf("the low-priority job was placed after %v s (0: never), want at most four minutes", took.Seconds())
 	}
 }
 
-// In a burst, all gangs were started in the order of their latest starts, each
-// just too late: most start in time if the shortest come first.
+// In a burst, gangs started in order of their latest starts, each just too late. If the shortest ones start first,
+// most start in time.
 func TestOverloadedClassStartsShortestJobsFirst(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	contended.scheduler.Objectives = NewObjectives(
@@ -145,13 +147,15 @@
 	contended.scheduler.Schedule(20 * micro.Second)
 	for i, job := range jobs {
 		if want := i >= 8; (job.AllocationCount > 0) != want {
-			t.Errorf("the job of %v s holds %d places", job.Spec.EstimateS, job.AllocationCount)
+			t.Errorf(
+				"the gang of %v s has %d allocations, want only the four shortest placed", job.Spec.EstimateS, job.AllocationCount,
+			)
 		}
 	}
 }
 
-// Capacity was cleared for one service at a time: the others were passed over, as if
-// there were none to be had.
+// Capacity was freed by preemption for only one of several services: the others were skipped in the same pass, as if
+// there were no capacity to free.
 func TestPreemptionFreesCapacityForEachProductionService(t *testing.T) {
 	contended := newContendedCluster(t, 4)
 	contended.submit(wire.JobArray, wire.Low, 4, 0)
@@ -174,6 +178,6 @@
 		}
 	}
 	if stopping != 3 {
-		t.Fatalf("%d tasks make room for 3 services", stopping)
+		t.Fatalf("%d tasks are being preempted for 3 services, want 3", stopping)
 	}
 }
--- a/internal/scheduler/unschedulable.go
+++ b/internal/scheduler/unschedulable.go
@@ -5,33 +5,37 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// add notes that a job found no capacity.
+// add records that a job found no capacity.
 func (u unschedulable) add(job *cluster.Job, limit relaxation) {
 	if zonesNarrowedByAllocations(job) || len(job.FailedOn) > 0 {
-		return // it alone may have found no capacity
+		return // restrictions of its own may be why it found no capacity
 	}
 	key, request := unschedulableKeyOf(job, limit)
 	u[key] = append(u[key], request)
 }
 
-// unschedulable remembers what found no capacity in this pass: whatever asks for as much
-// or more, under the same rules, finds none either.
+// unschedulable holds the requests that found no capacity in a scheduling pass. Under the same constraints,
+// a request for at least as much finds none either and need not be tried.
 type unschedulable map[unschedulableKey][]unschedulableRequest
 
+// unschedulableKey holds the constraints under which a request found no capacity.
 type unschedulableKey struct {
 	types, zone, class string
 	spot, checkpoints  bool
 	gpu                bool
 	limit              relaxation
-	oneZone, spread    bool // a gang of one zone finds no capacity where another does
+	oneZone, spread    bool // a one-zone gang may find no capacity although another gang does
 	priorityLevel      int
 }
 
+// unschedulableRequest is the size of a request: the resources of a task, and the number of tasks to place
+// at once.
 type unschedulableRequest struct {
 	cpu, gpu, mem float64
 	tasks         int
 }
 
+// unschedulableKeyOf returns the constraints and the size of a job's request.
 func unschedulableKeyOf(job *cluster.Job, limit relaxation) (unschedulableKey, unschedulableRequest) {
 	spec := &job.Spec
 	key := unschedulableKey{
@@ -51,16 +55,17 @@
 	return key, request
 }
 
-// zonesNarrowedByAllocations reports whether the job's own allocations keep it from zones that
-// others like it may use.
+// zonesNarrowedByAllocations reports whether a job's own allocations may keep it from zones that similar jobs
+// may use.
 func zonesNarrowedByAllocations(job *cluster.Job) bool {
 	return (job.Spec.OneZone || job.Spec.Spread) && job.AllocationCount > 0
 }
 
-// covers reports whether something that asks for no more found no capacity in this pass.
+// covers reports whether a request under the same constraints, for no more than the job's, found no capacity
+// in this pass.
 func (u unschedulable) covers(job *cluster.Job, limit relaxation) bool {
-	// Each job of the highest priority is tried by itself: one for which capacity is being
-	// cleared must not keep the next from having capacity cleared too.
+	// Each job of the highest priority is tried on its own: one for which preemption is freeing capacity
+	// must not keep the next from preempting as well.
 	if len(u) == 0 || job.PriorityLevel == highestPriorityLevel || zonesNarrowedByAllocations(job) {
 		return false
 	}
