--- a/internal/controller/shard_machine_ages_test.go
+++ b/internal/controller/shard_machine_ages_test.go
@@ -19,9 +19,9 @@
 	})
 	t.Cleanup(kill)
 	const silentFor = 20 * micro.Second
-	ages := shard.MachineAges{SinceRenewal: map[string]int64{"i-1": int64(silentFor)}}
+	ages := shard.MachineInactivity{SinceRenewal: map[string]int64{"i-1": int64(silentFor)}}
 	version, err := node.Store.Commit(context.Background(), store.Leadership, wire.Transaction{
-		Then: []wire.Change{{Put: shard.MachineAgesKey("gpus"), Value: ages}},
+		Then: []wire.Change{{Put: shard.MachineInactivityKey("gpus"), Value: ages}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		{"the second loop", version, false},
 	} {
 		owner := begin(c.version)
-		at, inherits := owner.cluster.Inherited.RenewedAt["i-1"]
+		at, inherits := owner.cluster.PreviousTerm.RenewedAt["i-1"]
 		if inherits != c.inherits || inherits && at != owner.cluster.TermStartedAt-silentFor {
 			t.Errorf("%s: inherits %v, renewed at %v", c.name, inherits, at)
 		}
--- a/internal/scheduler/allocation.go
+++ b/internal/scheduler/allocation.go
@@ -103,7 +103,7 @@
 	if transfer := &team.Transfer; transfer.StopsRequested && transfer.Recipient == job {
 		return team.WithinLimit(job.Spec.CPUs, job.Spec.GPUs, job.PendingTasks()) // all pending tasks or none
 	}
-	if team.QuotaKeptFrom(job) {
+	if team.QuotaWithheldFrom(job) {
 		return false
 	}
 	if holder := team.QuotaReservedFor; holder != nil && holder != job && job.PriorityLevel > highestPriorityLevel &&
--- a/internal/scheduler/quota_transfer.go
+++ b/internal/scheduler/quota_transfer.go
@@ -181,7 +181,7 @@
 // that the service works, and all placed replicas are on reachable machines.
 func (s *Scheduler) mayReceive(job *cluster.Job, now micro.Time) bool {
 	pending := job.PendingTasks()
-	return now >= s.transferRecords[job].nextTransferAt && !job.FailsUnproven(now) &&
+	return now >= s.transferRecords[job].nextTransferAt && !job.FailedWithoutSuccess(now) &&
 		job.SchedulableTasks(now) >= pending && len(job.NextTasks(now, pending)) == pending &&
 		len(s.reachableReplicas(job)) == job.AllocationCount
 }
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -76,7 +76,7 @@
 // were up for the leader for good, unknown to the new owner, and took up what the cloud had.
 func (c *Coordinator) UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time {
 	entry, ok := c.table().ShardOf(machineAttributes(machine))
-	if !ok || !entry.OwnedElsewhere() {
+	if !ok || !entry.HasOwner() {
 		return 0
 	}
 	view := c.viewOf(entry.Name)
@@ -89,9 +89,9 @@
 	return max(now-max(settledAt, machine.RequestedAt), 0)
 }
 
-// noteUnreachableZones notes the zones that may be cut off now, since none of their controllers is
+// recordUnreachableZones notes the zones that may be cut off now, since none of their controllers is
 // heard of: that an owner outside has not heard of machines there says nothing of them.
-func (c *Coordinator) noteUnreachableZones(now micro.Time) {
+func (c *Coordinator) recordUnreachableZones(now micro.Time) {
 	reachable := map[string]bool{c.Config.Zone: true}
 	for _, peer := range c.Config.Peers {
 		reachable[peer.Zone] = reachable[peer.Zone] || c.RenewalBound.HeardLately(peer.Node, now)
--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -34,7 +34,7 @@
 
 // recallWaitingJobs recalls jobs that wait in a shard: there may be capacity elsewhere.
 func (c *Coordinator) recallWaitingJobs(shardName string, waiting []string, now micro.Time) {
-	if !c.Cluster.ContinuesJobs {
+	if !c.Cluster.HandoverSupported {
 		return // the owner could not follow
 	}
 	for _, id := range waiting {
@@ -74,7 +74,7 @@
 func (c *Coordinator) reconcileRecalls(now micro.Time) {
 	for _, assigned := range c.assignedJobs {
 		entry, ok := c.table().Get(assigned.shardName)
-		if assigned.recall != nil && ok && entry.OwnedElsewhere() && assigned.heldByOwner() {
+		if assigned.recall != nil && ok && entry.HasOwner() && assigned.heldByOwner() {
 			c.reconcileRecall(entry, assigned, now)
 		}
 	}
@@ -167,9 +167,9 @@
 	)
 }
 
-// takenBack reports whether the leader's record of a chunk holds what the owner's does: it is
+// ownerRecordMerged reports whether the leader's record of a chunk holds what the owner's does: it is
 // later than those that the assignment goes on from.
-func (c *Coordinator) takenBack(chunk *cluster.TaskChunk) bool {
+func (c *Coordinator) ownerRecordMerged(chunk *cluster.TaskChunk) bool {
 	if !chunk.Stored {
 		return false
 	}
