--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -14,8 +14,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Prefixes of the IDs and names by which jobs and machines behave in a simulation: the tasks of failing jobs,
-// and all tasks on faulty machines, exit with an error.
+// Prefixes of job IDs, classes and machine names. They determine the behaviour in a simulation: the tasks of failing
+// jobs, and all tasks on faulty machines, exit with an error.
 const (
 	healthyJobs     = "j-1"
 	failingJobs     = "j-9"
@@ -52,8 +52,8 @@
 	simulatedRun   = 20 * micro.Second
 )
 
-// newSimulation returns a simulation in which each agent has sent a heartbeat. The first machines are faulty, as
-// many as given.
+// newSimulation returns a simulation in which each agent has sent a heartbeat. The first machines, up to the number
+// faulty, fail all their tasks.
 func newSimulation(t *testing.T, machines, faulty int) *simulation {
 	t.Helper()
 	sim := &simulation{
@@ -243,7 +243,7 @@
 	return delays
 }
 
-// 300 jobs that fail everywhere are submitted at once, beside healthy jobs and one faulty machine. Until a job
+// 300 jobs that fail on every machine are submitted at once, beside healthy jobs and one faulty machine. Until a job
 // has failed on three machines, it cannot be told from a job on a faulty machine. Two such jobs had failed on
 // each machine by then, so all machines were quarantined at once and healthy jobs could not be placed.
 func TestJobsFailingEverywhereDoNotDelayHealthyJobs(t *testing.T) {
@@ -309,11 +309,11 @@
 	return found
 }
 
-// An array that fails everywhere repeatedly took all free capacity: each retry started as many tasks as fit.
+// An array that fails on every machine repeatedly took all free capacity: each retry started as many tasks as fit.
 func TestArrayThatFailsEverywhereIsRetriedWithFewTasks(t *testing.T) {
 	const (
 		machines = 150 // capacity for 1200 tasks
-		// Maximum starts until the job counts as failing everywhere: the tasks placed at first, and those
+		// Maximum starts until the job counts as failing on every machine: the tasks placed at first, and those
 		// that replace the first reported failures.
 		maxStartsAtFirst = 600
 		// Maximum starts in the five minutes after that: four at a time, 32 s apart.
@@ -337,7 +337,7 @@
 		sim.runFor(5 * micro.Minute)
 		after := sim.starts[job.Spec.ID] - atFirst
 		t.Logf(
-			"%d tasks that fail after %v s: %d starts until the job counts as failing everywhere, "+
+			"%d tasks that fail after %v s: %d starts until the job counts as failing on every machine, "+
 				"%d in the five minutes after that, %d writes",
 			tasks, failsAfter.Seconds(), atFirst, after, sim.writes[job.Spec.ID],
 		)
@@ -370,7 +370,7 @@
 	}
 }
 
-// runUntilBackoff advances the simulation until a job counts as failing everywhere.
+// runUntilBackoff advances the simulation until a job counts as failing on every machine.
 func (s *simulation) runUntilBackoff(job *cluster.Job) {
 	for job.NotBefore <= s.now {
 		s.step()
@@ -407,7 +407,7 @@
 // tasks fail on faulty machines.
 func TestHealthyArrayIsNotThrottledForLong(t *testing.T) {
 	if _, took := timeToFill(t, 60, 0); took > simulatedStep {
-		t.Errorf("60 machines, which hold no more than the unproven limit: filled after %v s, want at most one step",
+		t.Errorf("60 machines hold no more tasks than an unproven job may have: filled after %v s, want at most one step",
 			took.Seconds())
 	}
 	const maxDelay = 10 * micro.Second
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -58,7 +58,7 @@
 		testNow,
 		testNow,
 	)
-	lowPriority.DoneTasks = 1 // proves that the array does not fail everywhere, so that it is not throttled
+	lowPriority.DoneTasks = 1 // proves that the array does not fail on every machine, so that it is not throttled
 	return scheduler, lowPriority
 }
 
--- a/internal/scheduler/machine_choice.go
+++ b/internal/scheduler/machine_choice.go
@@ -44,14 +44,14 @@
 	return len(p.taken) > 0 && p.taken[m] != nil
 }
 
-// firstRowFor returns the index of the first row of a pool whose machines may have capacity for a request.
-func firstRowFor(request resources) int { return int(request.ScaledCPU - eps) }
+// firstBucketFor returns the index of the first bucket of a pool whose machines may have capacity for a request.
+func firstBucketFor(request resources) int { return int(request.ScaledCPU - eps) }
 
-// machinesOf iterates over the machines of a pool, row by row.
+// machinesOf iterates over the machines of a pool, bucket by bucket.
 func machinesOf(pool *cluster.MachinePool) iter.Seq[*cluster.Machine] {
 	return func(yield func(*cluster.Machine) bool) {
-		for row := range pool.BucketCount() {
-			for _, machine := range pool.Bucket(row) {
+		for bucket := range pool.BucketCount() {
+			for _, machine := range pool.Bucket(bucket) {
 				if !yield(machine) {
 					return
 				}
@@ -63,8 +63,8 @@
 // machinesWithCapacity iterates over the machines of a pool on which a request fits now.
 func machinesWithCapacity(pool *cluster.MachinePool, request resources) iter.Seq[*cluster.Machine] {
 	return func(yield func(*cluster.Machine) bool) {
-		for row := firstRowFor(request); row < pool.BucketCount(); row++ {
-			for _, machine := range pool.Bucket(row) {
+		for bucket := firstBucketFor(request); bucket < pool.BucketCount(); bucket++ {
+			for _, machine := range pool.Bucket(bucket) {
 				if fits(request, machine, nil, resources{}) && !yield(machine) {
 					return
 				}
@@ -76,15 +76,15 @@
 // bestMachine returns the best machine for one task, or nil if none is eligible and has capacity. Pools
 // are ranked by tier, then by score. The tier puts machines that other jobs need more, because of their
 // GPUs or because they are on-demand, after the rest, and machines of score 0 last. Ties go to the
-// machine with the least scaled CPUs left. All machines of a pool have the same score, and its rows are
-// ordered by free CPUs, so the first row that has an eligible machine holds the pool's tightest fit.
+// machine with the least scaled CPUs left. All machines of a pool have the same score, and its buckets are
+// ordered by free CPUs, so the first bucket that has an eligible machine holds the pool's tightest fit.
 func (s *Scheduler) bestMachine(placement *placementRequest) *cluster.Machine {
 	var best candidate
 	var bestRank poolRank
 	job := placement.job
 	for _, pool := range s.Cluster.Pools {
 		request := requestOn(&job.Spec, pool.Type)
-		if firstRowFor(request) >= pool.BucketCount() || !isCandidatePool(job, pool, placement.zone) {
+		if firstBucketFor(request) >= pool.BucketCount() || !isCandidatePool(job, pool, placement.zone) {
 			continue
 		}
 		rank := s.rankPool(&job.Spec, pool, placement.preferOnDemand)
@@ -107,7 +107,7 @@
 }
 
 // considerPlanned updates best with the machines of a pool that the plan already includes. They are handled
-// separately because the rows of a pool do not account for planned resources.
+// separately because the buckets of a pool do not account for planned resources.
 func (s *Scheduler) considerPlanned(
 	placement *placementRequest, pool *cluster.MachinePool, request resources, best *candidate,
 ) {
@@ -138,8 +138,8 @@
 	placement *placementRequest, pool *cluster.MachinePool, request resources,
 ) candidate {
 	var best candidate
-	for row := firstRowFor(request); row < pool.BucketCount(); row++ {
-		s.considerRow(placement, pool.Bucket(row), request, &best)
+	for bucket := firstBucketFor(request); bucket < pool.BucketCount(); bucket++ {
+		s.considerBucket(placement, pool.Bucket(bucket), request, &best)
 		if best.machine != nil && (best.hasImage || !best.wholeMachine) {
 			break
 		}
@@ -147,11 +147,11 @@
 	return best
 }
 
-// considerRow updates best with the machines of a row, or with a sample of them.
-func (s *Scheduler) considerRow(
+// considerBucket updates best with the machines of a bucket, or with a sample of them.
+func (s *Scheduler) considerBucket(
 	placement *placementRequest, machines []*cluster.Machine, request resources, best *candidate,
 ) {
-	count, offset := s.sampleRow(machines)
+	count, offset := s.sampleBucket(machines)
 	for k := range count {
 		machine := machines[(offset+k)%len(machines)]
 		s.MachinesExamined++
@@ -165,10 +165,10 @@
 	}
 }
 
-// sampleRow returns how many machines of a row to examine, and the index of the first. While the
+// sampleBucket returns how many machines of a bucket to examine, and the index of the first. While the
 // scheduler is overloaded, a full search for each task would cost more than a better fit among
 // equivalent machines is worth.
-func (s *Scheduler) sampleRow(machines []*cluster.Machine) (count, offset int) {
+func (s *Scheduler) sampleBucket(machines []*cluster.Machine) (count, offset int) {
 	if !s.sampling || len(machines) <= s.Properties.SampleSize {
 		return len(machines), 0
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -149,7 +149,7 @@
 		request := requestOn(&plan.job.Spec, pool.Type)
 		start := s.Rand.IntN(pool.BucketCount())
 		for k := range pool.BucketCount() {
-			if !s.searchRow(plan, pool.Bucket((start+k)%pool.BucketCount()), request, &search) {
+			if !s.searchBucket(plan, pool.Bucket((start+k)%pool.BucketCount()), request, &search) {
 				return search.machine, search.victims
 			}
 		}
@@ -157,8 +157,8 @@
 	return search.machine, search.victims
 }
 
-// searchRow compares the machines of a row, and reports whether the search continues.
-func (s *Scheduler) searchRow(
+// searchBucket compares the machines of a bucket, and reports whether the search continues.
+func (s *Scheduler) searchBucket(
 	plan *preemptionPlan, machines []*cluster.Machine, request resources, search *victimSearch,
 ) bool {
 	for _, machine := range machines {
--- a/internal/scheduler/quota_transfer.go
+++ b/internal/scheduler/quota_transfer.go
@@ -20,8 +20,8 @@
 const (
 	// quotaReviewInterval is the interval at which teams are checked for possible transfers.
 	quotaReviewInterval = micro.Second
-	// quotaTransferAfter is the minimum time without success after which a waiting service takes part in
-	// a transfer.
+	// quotaTransferAfter is how long a service must have waited without success to take part in a
+	// transfer.
 	quotaTransferAfter = 30 * micro.Second
 	// maxRecipientsTried is the maximum number of services of a team and priority for which machines are
 	// searched in one review.
--- a/internal/scheduler/sampling_test.go
+++ b/internal/scheduler/sampling_test.go
@@ -33,7 +33,7 @@
 	job := state.AddJob(
 		wire.Job{ID: "j-1", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: wire.MaxTasks, CPUs: 1}, 0, 0,
 	)
-	job.DoneTasks = 1 // proves that the job does not fail everywhere, see cluster.Job.SchedulableTasks
+	job.DoneTasks = 1 // proves that the job does not fail on every machine, see cluster.Job.SchedulableTasks
 	properties := config.Defaults()
 	return &Scheduler{
 		Cluster: state, Objectives: NewObjectives(nil), Properties: &properties, Rand: rand.New(rand.NewPCG(1, 2)),
@@ -52,7 +52,7 @@
 		if total != 1600 {
 			t.Fatalf("%d tasks were placed on 1600 CPUs, want 1600", total)
 		}
-		// Each placed task moves its machine to the next lower row. There are four rows with capacity, and with
+		// Each placed task moves its machine to the next lower bucket. There are four buckets with capacity, and with
 		// sampling at most a sample of each is examined for a task.
 		maxExamined := total * (scheduler.Properties.SampleSize + 1) * 4
 		if got := scheduler.MachinesExamined <= maxExamined; got != overloaded {
@@ -121,9 +121,9 @@
 	}
 }
 
-// The search by rows of free capacity must choose the same machine as a full search, on any fleet and after any
+// The search by buckets of free capacity must choose the same machine as a full search, on any fleet and after any
 // history of allocations, releases and machine states.
-func TestPoolRowSearchMatchesFullSearch(t *testing.T) {
+func TestPoolBucketSearchMatchesFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		state := cluster.New(discardEffects{})
@@ -157,7 +157,7 @@
 			job := state.AddJob(spec, 0, 0)
 			want, got := fullSearch(scheduler, job, now), scheduler.bestMachine(&placementRequest{job: job, now: now})
 			if want != got {
-				t.Fatalf("seed %d, step %d: the row search chose %+v, the full search %+v", seed, step, got, want)
+				t.Fatalf("seed %d, step %d: the bucket search chose %+v, the full search %+v", seed, step, got, want)
 			}
 			if got != nil {
 				found++
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -160,8 +160,8 @@
 		if pool.Type.GPUs == 0 {
 			continue
 		}
-		for row := int(pool.Type.CPUs / 2); row < pool.BucketCount(); row++ {
-			for _, m := range pool.Bucket(row) {
+		for bucket := int(pool.Type.CPUs / 2); bucket < pool.BucketCount(); bucket++ {
+			for _, m := range pool.Bucket(bucket) {
 				m.EachImage(func(name string) { images[name] = true })
 			}
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -20,7 +20,7 @@
 	// job. If it is nil, every price is.
 	WithinPrice func(job *cluster.Job, t *cluster.MachineType, spot bool, now micro.Time) bool
 	// Overloaded is set while scheduling passes take too long. If many tasks are pending as well, only
-	// a sample of each row of equivalent machines is examined.
+	// a sample of each bucket of equivalent machines is examined.
 	Overloaded bool
 
 	MachinesExamined int // number of machines examined so far, for tests and metrics
