--- a/internal/scheduler/failing_jobs_test.go
+++ b/internal/scheduler/failing_jobs_test.go
@@ -244,7 +244,7 @@
 }
 
 // 300 jobs that fail on every machine are submitted at once, beside healthy jobs and one faulty machine. Until a job
-// has failed on three machines, it cannot be told from a job on a faulty machine. Two such jobs had failed on
+// has failed on three machines, it cannot be distinguished from one on a faulty machine. Two such jobs had failed on
 // each machine by then, so all machines were quarantined at once and healthy jobs could not be placed.
 func TestJobsFailingEverywhereDoNotDelayHealthyJobs(t *testing.T) {
 	const (
