--- a/internal/cluster/capacity/capacity.go
+++ b/internal/cluster/capacity/capacity.go
@@ -1,7 +1,8 @@
-// Package capacity counts what machines have, and what the allocations on them use, and keeps
-// the index by which the scheduler finds a machine with enough left. It decides nothing.
+// Package capacity tracks the capacity of machines and what the allocations on them use, and keeps
+// the index by which the scheduler finds a machine with enough free resources. It makes no
+// scheduling decisions.
 //
-// It locks nothing: all of it belongs to the goroutine that owns the cluster's state.
+// It does no locking: all of it belongs to the goroutine that owns the cluster state.
 package capacity
 
 import (
@@ -9,20 +10,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// PriorityLevels is the number of priority levels of jobs; 0 is the highest.
+// PriorityLevels is the number of job priority levels; 0 is the highest.
 const PriorityLevels = 4
 
-// MachineType is a machine type of the cloud's catalog, with its learnt speed.
+// MachineType is a machine type of the cloud's catalog with its learnt speed.
 type MachineType struct {
 	wire.MachineType
-	Index       int     // in the catalog
-	SpeedFactor float64 // how much faster than the catalog says
+	Index       int     // position in the catalog
+	SpeedFactor float64 // actual speed relative to the catalog's
 }
 
-// Resources is an amount of a machine: cores, GPUs, GB, and cores as the scheduler counts them.
+// Resources is an amount of a machine's resources: cores, GPUs, memory in GB, and cores weighted by
+// the speed of the machine type.
 type Resources struct{ CPU, GPU, MemoryGB, ScaledCPU float64 }
 
-// Add adds another amount, times factor.
+// Add adds factor times the other amount.
 func (r *Resources) Add(other Resources, factor float64) {
 	r.CPU += factor * other.CPU
 	r.GPU += factor * other.GPU
@@ -35,15 +37,15 @@
 	UsedCPU        float64 // cores
 	UsedGPU        float64
 	UsedMemoryGB   float64
-	UsedScaledCPU  float64                   // cores as the scheduler counts them, by the type's speed
-	UsedByPriority [PriorityLevels]Resources // by priority level, without what is stopping
-	UsedByStopping Resources                 // by attempts that were told to stop
+	UsedScaledCPU  float64                   // cores weighted by the speed of the machine type
+	UsedByPriority [PriorityLevels]Resources // by priority level, excluding attempts that are being stopped
+	UsedByStopping Resources                 // by attempts that are being stopped
 
-	IdleSince             micro.Time // since when it is idle, while it holds no allocation
-	LastNeededForHeadroom micro.Time // when headroom last counted on it
+	IdleSince             micro.Time // since when it has been idle; valid while it has no allocation
+	LastNeededForHeadroom micro.Time // when it was last counted as headroom
 }
 
-// AddUsage counts an allocation in (factor 1) or out (factor -1) of the totals.
+// AddUsage adds (factor 1) or subtracts (factor -1) the usage of an allocation.
 func (c *Capacity) AddUsage(amount Resources, factor float64) {
 	c.UsedCPU += factor * amount.CPU
 	c.UsedGPU += factor * amount.GPU
@@ -51,8 +53,8 @@
 	c.UsedScaledCPU += factor * amount.ScaledCPU
 }
 
-// AddUsageByPriority counts an allocation in (factor 1) or out (factor -1) by its priority level or, once
-// its task is told to stop, as resources that come free anyway.
+// AddUsageByPriority adds (factor 1) or subtracts (factor -1) the usage of an allocation at its
+// priority level or, if its task is being stopped, as resources that will become free in any case.
 func (c *Capacity) AddUsageByPriority(level int, stopping bool, amount Resources, factor float64) {
 	if stopping {
 		c.UsedByStopping.Add(amount, factor)
@@ -61,13 +63,14 @@
 	}
 }
 
-// ResetUsage says that there is no allocation left: exactly nothing is used, whatever rounding left.
+// ResetUsage sets the usage to exactly zero when no allocation is left, to discard rounding errors.
 func (c *Capacity) ResetUsage() {
 	c.UsedCPU, c.UsedGPU, c.UsedMemoryGB, c.UsedScaledCPU = 0, 0, 0, 0
 	c.UsedByPriority, c.UsedByStopping = [PriorityLevels]Resources{}, Resources{}
 }
 
-// Preemptible is what tasks of a lower priority than the level's use, or what comes free anyway.
+// Preemptible returns the resources used by tasks of lower priority than the given level or by
+// tasks that are being stopped.
 func (c *Capacity) Preemptible(level int) Resources {
 	resources := c.UsedByStopping
 	for lower := level + 1; lower < PriorityLevels; lower++ {
--- a/internal/cluster/capacity/pool.go
+++ b/internal/cluster/capacity/pool.go
@@ -2,9 +2,9 @@
 
 import "sort"
 
-// Pool holds the machines of one type, zone and kind that take new tasks, in rows by their
-// whole scaled CPUs free. The design's score depends on the type alone, so the tightest fit
-// is found in the first rows that have capacity, and no other machine needs to be looked at.
+// Pool holds the schedulable machines of one type, zone and kind (spot or not), in buckets by their
+// whole scaled CPUs free. The design's score depends on the type alone, so the tightest fit is in
+// the first buckets with enough capacity, and no other machine has to be examined.
 type Pool[M any] struct {
 	Type         *MachineType
 	Zone         string
@@ -14,17 +14,17 @@
 	buckets [][]*M
 }
 
-// BucketCount is how many rows there are; those from it on are empty.
+// BucketCount returns the number of buckets. All buckets from this index on are empty.
 func (p *Pool[M]) BucketCount() int { return len(p.buckets) }
 
-// Bucket lists the machines with this many whole scaled CPUs free, in no order.
+// Bucket returns the machines with n whole scaled CPUs free, in no particular order.
 func (p *Pool[M]) Bucket(n int) []*M { return p.buckets[n] }
 
-// CountIf is how many machines of the pool match.
+// CountIf returns the number of machines in the pool that match.
 func (p *Pool[M]) CountIf(matches func(*M) bool) int {
 	count := 0
-	for _, row := range p.buckets {
-		for _, machine := range row {
+	for _, bucket := range p.buckets {
+		for _, machine := range bucket {
 			if matches(machine) {
 				count++
 			}
@@ -33,20 +33,20 @@
 	return count
 }
 
-// BucketFor is the row of a machine with so many scaled CPUs free.
+// BucketFor returns the bucket of a machine with the given number of scaled CPUs free.
 func BucketFor(freeCPU float64) int { return max(int(freeCPU+1e-9), 0) }
 
-// Position is where an index holds a machine, which embeds it.
+// Position is the place of a machine in an Index. It is embedded in the machine.
 type Position[M any] struct {
-	pool   *Pool[M] // nil: nowhere
+	pool   *Pool[M] // nil if the machine is in no pool
 	bucket int
 	index  int
 }
 
-// PoolPosition gives itself, for machines that embed it.
+// PoolPosition returns the position itself. It makes it accessible for machines that embed it.
 func (p *Position[M]) PoolPosition() *Position[M] { return p }
 
-// Positioned is a machine that embeds its position.
+// Positioned is a pointer to a machine that embeds its position.
 type Positioned[M any] interface {
 	*M
 	PoolPosition() *Position[M]
@@ -57,51 +57,51 @@
 	spot           bool
 }
 
-// Index holds the machines that take new tasks.
+// Index holds the schedulable machines.
 type Index[M any, P Positioned[M]] struct {
 	Pools []*Pool[M] // by type, zone and kind
 
 	byKey map[poolKey]*Pool[M]
 }
 
-// PutInPool puts a machine into the row where the scheduler looks for it.
+// PutInPool puts a machine into the bucket in which the scheduler looks for it.
 func (x *Index[M, P]) PutInPool(machine P, machineType *MachineType, zone string, spot bool, freeCPU float64) {
-	pool, row := x.ensurePool(machineType, zone, spot), BucketFor(freeCPU)
-	at := machine.PoolPosition()
-	if pool == at.pool && row == at.bucket {
+	pool, bucket := x.ensurePool(machineType, zone, spot), BucketFor(freeCPU)
+	position := machine.PoolPosition()
+	if pool == position.pool && bucket == position.bucket {
 		return
 	}
 	x.RemoveFromPool(machine)
-	at.pool, at.bucket = pool, row
-	for len(pool.buckets) <= row {
-		if len(pool.buckets) < cap(pool.buckets) { // keeps the rows' own capacity
+	position.pool, position.bucket = pool, bucket
+	for len(pool.buckets) <= bucket {
+		if len(pool.buckets) < cap(pool.buckets) { // reuses the capacity of the buckets' slices
 			pool.buckets = pool.buckets[:len(pool.buckets)+1]
 		} else {
 			pool.buckets = append(pool.buckets, nil)
 		}
 	}
-	at.index = len(pool.buckets[row])
-	pool.buckets[row] = append(pool.buckets[row], (*M)(machine))
+	position.index = len(pool.buckets[bucket])
+	pool.buckets[bucket] = append(pool.buckets[bucket], (*M)(machine))
 	pool.MachineCount++
 }
 
-// RemoveFromPool takes a machine out, if it is in: it takes no new tasks.
+// RemoveFromPool removes a machine if it is in a pool, so that no new tasks are placed on it.
 func (x *Index[M, P]) RemoveFromPool(machine P) {
-	at := machine.PoolPosition()
-	pool := at.pool
+	position := machine.PoolPosition()
+	pool := position.pool
 	if pool == nil {
 		return
 	}
-	machines := pool.buckets[at.bucket]
+	machines := pool.buckets[position.bucket]
 	last := machines[len(machines)-1]
-	machines[at.index], P(last).PoolPosition().index = last, at.index
+	machines[position.index], P(last).PoolPosition().index = last, position.index
 	machines[len(machines)-1] = nil
-	pool.buckets[at.bucket] = machines[:len(machines)-1]
+	pool.buckets[position.bucket] = machines[:len(machines)-1]
 	pool.MachineCount--
 	for len(pool.buckets) > 0 && len(pool.buckets[len(pool.buckets)-1]) == 0 {
 		pool.buckets = pool.buckets[:len(pool.buckets)-1]
 	}
-	at.pool, at.bucket = nil, 0
+	position.pool, position.bucket = nil, 0
 }
 
 func (x *Index[M, P]) ensurePool(machineType *MachineType, zone string, spot bool) *Pool[M] {
--- a/internal/cluster/capacity/pool_test.go
+++ b/internal/cluster/capacity/pool_test.go
@@ -15,9 +15,9 @@
 	in   bool
 }
 
-// However machines come, go and fill up, each that is in stands once, in the row of what it
-// has free.
-func TestEachMachineStandsOnceInTheRowOfItsFreeCPUs(t *testing.T) {
+// Each machine that was put into the index and not removed since is in exactly one bucket, the one
+// of its free CPUs, in whatever order machines are put in, updated and removed.
+func TestEachMachineIsInExactlyTheBucketOfItsFreeCPUs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var index capacity.Index[machine, *machine]
 		machineType := &capacity.MachineType{MachineType: wire.MachineType{Name: "small"}}
@@ -31,17 +31,17 @@
 			} else {
 				index.RemoveFromPool(changed)
 			}
-			expectRows(t, &index, machines)
+			expectBuckets(t, &index, machines)
 		}
 	})
 }
 
-func expectRows(t *rapid.T, index *capacity.Index[machine, *machine], machines []machine) {
+func expectBuckets(t *rapid.T, index *capacity.Index[machine, *machine], machines []machine) {
 	found := map[*machine]int{}
 	count := 0
 	for _, pool := range index.Pools {
 		count += pool.MachineCount
-		countMembers(t, pool, found)
+		countMachines(t, pool, found)
 	}
 	in := 0
 	for i := range machines {
@@ -51,20 +51,20 @@
 		}
 		in += want
 		if found[&machines[i]] != want {
-			t.Fatalf("machine %d stands %d times, want %d", i, found[&machines[i]], want)
+			t.Fatalf("machine %d is in the index %d times, want %d", i, found[&machines[i]], want)
 		}
 	}
 	if count != in {
-		t.Fatalf("%d machines counted, %d are in", count, in)
+		t.Fatalf("MachineCount adds up to %d, but %d machines are in the index", count, in)
 	}
 }
 
-func countMembers(t *rapid.T, pool *capacity.Pool[machine], found map[*machine]int) {
-	for row := range pool.BucketCount() {
-		for _, member := range pool.Bucket(row) {
-			found[member]++
-			if capacity.BucketFor(member.free) != row {
-				t.Fatalf("a machine with %v CPUs free stands in row %d", member.free, row)
+func countMachines(t *rapid.T, pool *capacity.Pool[machine], found map[*machine]int) {
+	for bucket := range pool.BucketCount() {
+		for _, machine := range pool.Bucket(bucket) {
+			found[machine]++
+			if capacity.BucketFor(machine.free) != bucket {
+				t.Fatalf("a machine with %v CPUs free is in bucket %d", machine.free, bucket)
 			}
 		}
 	}
--- a/internal/cluster/contact/contact.go
+++ b/internal/cluster/contact/contact.go
@@ -1,80 +1,83 @@
-// Package contact holds what a machine's agent shows by its messages: its epoch, the newest
-// message, the fencing token that it has seen, and whether responses reach it. It locks
-// nothing: a Contact belongs to the goroutine that owns the cluster's state. Times are on
-// that process's steady clock; 0: never.
+// Package contact tracks what a machine's agent reveals by its messages: its epoch, its most recent
+// message, the fencing token that it has seen, and whether responses reach it. It does no locking:
+// a Contact belongs to the goroutine that owns the cluster state. Times are on that process's
+// monotonic clock, and 0 means never.
 package contact
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// Source says how an agent's message came.
+// Source is the way in which an agent's message arrived.
 type Source uint8
 
-// The ways.
+// Sources of messages.
 const (
-	FromHeartbeat        Source = iota // the agent's own heartbeat
-	FromDispatchResponse               // the body of the response to a dispatch
+	FromHeartbeat        Source = iota // a heartbeat that the agent sent
+	FromDispatchResponse               // the response body of a dispatch
 )
 
-// Outcome says what became of a message.
+// Outcome is the result of processing a message.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of processing a message.
 const (
-	Applied Outcome = iota
-	Stale           // older than what is known: nothing was read from it
-	Refused         // from an epoch or machine that is over
+	Applied Outcome = iota // newer than the known state; applied
+	Stale                  // older than the known state; ignored
+	Refused                // from an epoch or a machine that has ended
 )
 
-// lostResponseThreshold is how many heartbeats in a row show that responses do not arrive.
+// lostResponseThreshold is the number of consecutive heartbeats without the expected token after
+// which responses are considered lost.
 const lostResponseThreshold = 3
 
-// Contact is what is known of a machine's agent by its messages, and of its lease.
+// Contact is what a controller knows about a machine's agent and its lease from the agent's
+// messages.
 type Contact struct {
-	AgentEpoch           uint64 // the agent's current epoch: a new one begins when its lease ran out
-	ExpiredEpoch         uint64 // epochs up to this one surely ended
-	Sequence             uint64 // of the newest message in the epoch
-	FencingToken         uint64 // the highest that the agent has seen
-	RequiredFencingToken uint64 // the machine counts as up once it has shown this token
+	AgentEpoch           uint64 // current epoch of the agent; a new one begins when its lease has expired
+	ExpiredEpoch         uint64 // epochs up to and including this one have certainly ended
+	Sequence             uint64 // sequence number of the most recent message in the epoch
+	FencingToken         uint64 // highest fencing token that the agent has seen
+	RequiredFencingToken uint64 // the machine is considered up once the agent has seen this token
 	FirstHeartbeat       micro.Time
-	LastHeartbeat        micro.Time // the last new proof of life
+	LastHeartbeat        micro.Time // last message that proved the agent alive
 
-	// LeaseRenewedAt is when a heartbeat, new or not, was last answered, or when the epoch
-	// first showed: the agent's lease may count from it.
+	// LeaseRenewedAt is the time of the last response to a heartbeat, whether the heartbeat was new
+	// or not, or the time when the epoch was first seen. The agent's lease may be running from
+	// then.
 	LeaseRenewedAt micro.Time
 
-	MissedResponses    int        // heartbeats in a row that had not seen the token they should have
-	ResponsesLost      bool       // its heartbeats come, but no response reaches it: it takes no new tasks
-	ResponsesLostSince micro.Time // since when
+	MissedResponses    int        // consecutive heartbeats that did not contain the token of the last response
+	ResponsesLost      bool       // no response reaches the agent: the machine gets no new tasks
+	ResponsesLostSince micro.Time // when ResponsesLost last changed
 
-	lastResponseToken uint64 // the token of the last response; 0: not known
+	lastResponseToken uint64 // fencing token of the last response; 0 if unknown
 }
 
-// CheckFreshness decides by a message's epoch and sequence number whether it is newer than
-// what is known of the agent.
+// CheckFreshness determines from a message's epoch and sequence number whether the message is newer
+// than the known state of the agent.
 func (c *Contact) CheckFreshness(epoch, sequence uint64, source Source, now micro.Time) Outcome {
 	if epoch <= c.ExpiredEpoch {
-		// Held up on the way: this epoch's lease surely ran out already.
+		// Delayed in the network: the lease of this epoch has certainly expired.
 		return Refused
 	}
 	if epoch > c.AgentEpoch || epoch == c.AgentEpoch && sequence > c.Sequence {
 		return Applied
 	}
 	if source == FromHeartbeat && epoch == c.AgentEpoch {
-		// Overtaken by the response to a dispatch, or a late copy. The agent may
-		// still take our response, and that would renew its lease; but it is no
-		// sign of life: copies may come long after the agent died.
+		// Overtaken by the response to a dispatch, or a duplicate. The agent may still accept the
+		// response to it, which would renew its lease. The message is no proof of liveness, since
+		// duplicates may arrive long after the agent stopped.
 		c.LeaseRenewedAt = now
 	}
 	return Stale
 }
 
-// SetLastResponse notes the token of a response that went out in good time; 0: it may have
-// come too late for the agent to take it.
+// SetLastResponse records the fencing token of a response that was sent in time; 0 if it may have
+// been sent too late for the agent to accept it.
 func (c *Contact) SetLastResponse(token uint64) { c.lastResponseToken = token }
 
-// TrackResponse looks whether a heartbeat's agent has taken the response before, and reports
-// whether responses are sure to arrive. The next heartbeat is sent only after that response,
-// or after the agent gave it up.
+// TrackResponse checks from the token in a heartbeat whether the agent received the previous
+// response, and reports whether it certainly did. The agent sends its next heartbeat only after it
+// has received that response or has stopped waiting for it.
 func (c *Contact) TrackResponse(token uint64) bool {
 	if c.lastResponseToken > 0 && token >= c.lastResponseToken {
 		c.MissedResponses = 0
@@ -86,14 +89,15 @@
 	return false
 }
 
-// RecordUnexpectedLeaseExpiry notes that the agent's lease ran out though it was answered.
+// RecordUnexpectedLeaseExpiry records that the agent's lease expired although its heartbeats were
+// answered.
 func (c *Contact) RecordUnexpectedLeaseExpiry() { c.MissedResponses = lostResponseThreshold }
 
-// ResponsesLikelyLost reports whether heartbeats come, but nothing reaches the agent.
+// ResponsesLikelyLost reports whether heartbeats arrive although responses do not reach the agent.
 func (c *Contact) ResponsesLikelyLost() bool { return c.MissedResponses >= lostResponseThreshold }
 
-// LivenessUnproven reports whether the agent was heard, but has yet to show the token that
-// proves it alive.
+// LivenessUnproven reports whether the agent has sent messages but has not yet reported the token
+// that proves that it is alive.
 func (c *Contact) LivenessUnproven() bool {
 	return c.LastHeartbeat > 0 && c.FencingToken < c.RequiredFencingToken
 }
--- a/internal/cluster/imagecache/cache.go
+++ b/internal/cluster/imagecache/cache.go
@@ -1,8 +1,7 @@
-// Package imagecache models which container images machines have on their disks, and puts
-// that into the records by which the next leader knows it. Sizes are in GB.
+// Package imagecache estimates which container images machines have on their disks, and converts
+// this to and from the records by which the next leader learns it. Sizes are in GB.
 //
-// It does no I/O and locks nothing: a Cache belongs to the goroutine that owns the cluster's
-// state.
+// It does no I/O and no locking: a Cache belongs to the goroutine that owns the cluster state.
 package imagecache
 
 import (
@@ -12,30 +11,31 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Image is an image that a machine has fetched.
+// Image is a container image that a machine has fetched.
 type Image struct {
 	LastUsed micro.Time
 	SizeGB   float64
 }
 
-// Cache is the images that a machine is thought to have, by name. Machines embed it.
+// Cache holds the images that a machine is assumed to have, by name. It is embedded in
+// cluster.Machine.
 type Cache map[string]Image
 
-// HasImage reports whether the machine is thought to have an image.
+// HasImage reports whether the machine is assumed to have an image.
 func (c Cache) HasImage(name string) bool {
 	_, ok := c[name]
 	return ok
 }
 
-// EachImage calls yield with the name of each image, in no order.
+// EachImage calls yield with the name of each image, in no particular order.
 func (c Cache) EachImage(yield func(name string)) {
 	for name := range c {
 		yield(name)
 	}
 }
 
-// UseImage notes that a machine has an image. A machine keeps the most recently used ones, as far
-// as its disk goes; capacityGB 0: there is no known limit.
+// UseImage records that a machine has an image and has just used it. A machine keeps the most
+// recently used images that fit its disk. A capacityGB of 0 means that no limit is known.
 func (c Cache) UseImage(name string, sizeGB, capacityGB float64, now micro.Time) {
 	c[name] = Image{now, sizeGB}
 	if capacityGB <= 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TotalGB is the size of all images.
+// TotalGB returns the total size of all images.
 func (c Cache) TotalGB() float64 {
 	totalGB := 0.0
 	for _, image := range c {
@@ -58,8 +58,8 @@
 	return totalGB
 }
 
-// leastRecentlyUsed names the image to evict: of those last used at the same time the first
-// by name, and never the given one.
+// leastRecentlyUsed returns the name of the image to evict, which is never the kept one. Of images
+// last used at the same time it returns the first by name.
 func (c Cache) leastRecentlyUsed(kept string) string {
 	oldest := ""
 	for name, image := range c {
@@ -71,7 +71,7 @@
 	return oldest
 }
 
-// namesByUse names the images, the least recently used first.
+// namesByUse returns the names of the images, least recently used first.
 func (c Cache) namesByUse() []string {
 	names := make([]string, 0, len(c))
 	for name := range c {
@@ -87,8 +87,9 @@
 	return names
 }
 
-// FromRecord reads a record: the images by machine, as if used shortly before now. One whose
-// lists do not fit each other is nothing; an index that it lacks is left out.
+// FromRecord returns the images in a record by machine, as if they had been used shortly before
+// now. It returns nil if the record's lists differ in length, and skips indices that are out of
+// range.
 func FromRecord(record records.Images, now micro.Time) map[string]Cache {
 	if len(record.Names) != len(record.GB) {
 		return nil
--- a/internal/cluster/imagecache/pages.go
+++ b/internal/cluster/imagecache/pages.go
@@ -6,35 +6,36 @@
 	"notchmux.dev/notchmux/internal/cluster/records"
 )
 
-// minTotalGB is how much a machine must have for its images to be worth a place in a record.
+// minTotalGB is the minimum total size, in GB, at which a machine's images are recorded.
 const minTotalGB = 3
 
-// What the parts of a record take in the store's count, beside the names themselves.
+// Sizes of the parts of a record as the store's limits count them, excluding the names.
 const (
 	machineOverheadBytes = 6
 	imageOverheadBytes   = 12
 	indexBytes           = 4
 )
 
-// MachineImages is a machine and its images.
+// MachineImages is a machine and the images that it is assumed to have.
 type MachineImages struct {
 	Machine string
 	Images  Cache
 	totalGB float64
 }
 
-// Pages builds the records of machines' images, each of at most size bytes in the store's
-// count. The first holds the machines that have most, as far as it goes; the others hold the
-// rest in the order of their names, so that a machine mostly keeps its page.
+// Pages builds the records of the machines' images, each of at most size bytes as the store's
+// limits count them. The first record holds the machines with the most GB of images that fit in it.
+// The others hold the remaining machines in the order of their names, so that a machine usually
+// stays on the same page.
 func Pages(machines []MachineImages, size int) []records.Images {
-	holders := recordable(machines)
+	candidates := recordable(machines)
 	first := newPage(size)
 	included := 0
-	for included < len(holders) && first.add(&holders[included]) {
+	for included < len(candidates) && first.add(&candidates[included]) {
 		included++
 	}
 	pages := []records.Images{first.record}
-	rest := holders[included:]
+	rest := candidates[included:]
 	sort.Slice(rest, func(a, b int) bool { return rest[a].Machine < rest[b].Machine })
 	current := newPage(size)
 	for i := range rest {
@@ -42,7 +43,7 @@
 			continue
 		}
 		if len(current.record.Machines) == 0 {
-			continue // its images alone are too many
+			continue // the images of this machine alone exceed a record
 		}
 		pages = append(pages, current.record)
 		current = newPage(size)
@@ -54,28 +55,29 @@
 	return pages
 }
 
-// recordable lists the machines that have enough, the ones that have most first.
+// recordable returns the machines with at least minTotalGB of images, sorted by descending total
+// size.
 func recordable(machines []MachineImages) []MachineImages {
-	var holders []MachineImages
-	for _, holder := range machines {
-		if holder.totalGB = holder.Images.TotalGB(); holder.totalGB >= minTotalGB {
-			holders = append(holders, holder)
+	var candidates []MachineImages
+	for _, candidate := range machines {
+		if candidate.totalGB = candidate.Images.TotalGB(); candidate.totalGB >= minTotalGB {
+			candidates = append(candidates, candidate)
 		}
 	}
-	sort.Slice(holders, func(a, b int) bool {
-		if holders[a].totalGB != holders[b].totalGB {
-			return holders[a].totalGB > holders[b].totalGB
+	sort.Slice(candidates, func(a, b int) bool {
+		if candidates[a].totalGB != candidates[b].totalGB {
+			return candidates[a].totalGB > candidates[b].totalGB
 		}
-		return holders[a].Machine < holders[b].Machine
+		return candidates[a].Machine < candidates[b].Machine
 	})
-	return holders
+	return candidates
 }
 
-// page is a record being built.
+// page is a record under construction.
 type page struct {
 	record    records.Images
-	index     map[string]int // of each image in the record's names
-	remaining int            // of the size in the store's count
+	index     map[string]int // index of each image in the record's names
+	remaining int            // bytes left, as the store's limits count them
 }
 
 func newPage(size int) *page {
@@ -86,17 +88,17 @@
 	}
 }
 
-// add takes a machine into the record; false if there is no capacity for it.
-func (p *page) add(holder *MachineImages) bool {
-	p.remaining -= len(holder.Machine) + machineOverheadBytes
+// add adds a machine to the record. It returns false if the record is full.
+func (p *page) add(machine *MachineImages) bool {
+	p.remaining -= len(machine.Machine) + machineOverheadBytes
 	var indices []int
-	for _, name := range holder.Images.namesByUse() {
+	for _, name := range machine.Images.namesByUse() {
 		index, ok := p.index[name]
 		if !ok {
 			index = len(p.record.Names)
 			p.index[name] = index
 			p.record.Names = append(p.record.Names, name)
-			p.record.GB = append(p.record.GB, holder.Images[name].SizeGB)
+			p.record.GB = append(p.record.GB, machine.Images[name].SizeGB)
 			p.remaining -= len(name) + imageOverheadBytes
 		}
 		indices = append(indices, index)
@@ -105,6 +107,6 @@
 	if p.remaining < 0 {
 		return false
 	}
-	p.record.Machines[holder.Machine] = indices
+	p.record.Machines[machine.Machine] = indices
 	return true
 }
--- a/internal/cluster/lifecycle/allocation.go
+++ b/internal/cluster/lifecycle/allocation.go
@@ -2,27 +2,27 @@
 
 import "notchmux.dev/notchmux/wire"
 
-// AllocationState is the state of one attempt on a machine.
+// AllocationState is the state of an allocation, that is, of one attempt on a machine.
 type AllocationState uint8
 
-// The states of an allocation.
+// States of an allocation.
 const (
 	Planned  AllocationState = iota // decided; its record is being written
-	Starting                        // its record is stored; the start may have been sent
+	Starting                        // its record is stored; the start command may have been sent
 	Fetching
 	Waiting
 	Running
 	Checkpointing
-	Released // proven released
+	Released // proven to no longer run
 )
 
-// String is the state as operators and logs name it.
+// String returns the name of the state in logs and for operators.
 func (s AllocationState) String() string {
 	return [...]string{"planned", "starting", "fetching", "waiting", "running", "checkpointing", "released"}[s]
 }
 
-// allocationTransitions lists the states that may follow each state. Released is final. A
-// heartbeat may skip states, since agents report what is, not each change.
+// allocationTransitions lists the states that may follow each state. Released is final. A heartbeat
+// may skip states, because agents report the current state and not every change.
 var allocationTransitions = transitions[AllocationState]{
 	Planned:       {Starting, Released, Fetching, Waiting, Running, Checkpointing},
 	Starting:      {Fetching, Waiting, Running, Checkpointing, Released},
@@ -32,12 +32,12 @@
 	Checkpointing: {Released},
 }
 
-// CanTransitionTo reports whether a transition is allowed.
+// CanTransitionTo reports whether the transition to the given state is allowed.
 func (s AllocationState) CanTransitionTo(to AllocationState) bool {
 	return allocationTransitions.allow(s, to)
 }
 
-// reportedStates maps what agents report to the states of allocations.
+// reportedStates maps the task states that agents report to allocation states.
 var reportedStates = map[wire.TaskState]AllocationState{
 	wire.TaskFetching:       Fetching,
 	wire.TaskWaitingForGang: Waiting,
@@ -45,6 +45,6 @@
 	wire.TaskCheckpointing:  Checkpointing,
 }
 
-// ReportedState is the state of an allocation whose task an agent reports; Planned, which no
-// other state may become, if the agent's word for it is not known.
+// ReportedState returns the allocation state for a task state that an agent reports. For an unknown
+// task state it returns Planned, to which no other state can transition.
 func ReportedState(state wire.TaskState) AllocationState { return reportedStates[state] }
--- a/internal/cluster/lifecycle/job.go
+++ b/internal/cluster/lifecycle/job.go
@@ -1,20 +1,20 @@
 package lifecycle
 
-// JobState is a job's state in a controller's picture.
+// JobState is the state of a job as a controller sees it.
 type JobState uint8
 
-// The states of a job.
+// States of a job.
 const (
 	Active    JobState = iota
-	Finishing          // all tasks are done, the final status is being written
+	Finishing          // all tasks are done and the final status is being written
 	Aborting           // its cancellation is being written
 	Done
 	Aborted
-	Blocked  // its dependencies are not all done
-	Assigned // to a shard of the machines, whose owner schedules it
+	Blocked  // not all of its dependencies are done
+	Assigned // assigned to a shard, whose owner schedules it
 )
 
-// String is the state as operators and logs name it.
+// String returns the name of the state in logs and for operators.
 func (s JobState) String() string {
 	return [...]string{"active", "finishing", "aborting", "done", "aborted", "blocked", "assigned"}[s]
 }
@@ -28,5 +28,5 @@
 	Assigned:  {Active, Aborting, Finishing, Done, Aborted},
 }
 
-// CanTransitionTo reports whether a transition is allowed.
+// CanTransitionTo reports whether the transition to the given state is allowed.
 func (s JobState) CanTransitionTo(to JobState) bool { return jobTransitions.allow(s, to) }
--- a/internal/cluster/lifecycle/lifecycle_test.go
+++ b/internal/cluster/lifecycle/lifecycle_test.go
@@ -6,47 +6,47 @@
 	"notchmux.dev/notchmux/internal/cluster/lifecycle"
 )
 
-func TestFinalStatesAreNeverLeft(t *testing.T) {
+func TestFinalStatesHaveNoTransitions(t *testing.T) {
 	for to := lifecycle.Active; to <= lifecycle.Assigned; to++ {
 		if lifecycle.Done.CanTransitionTo(to) || lifecycle.Aborted.CanTransitionTo(to) {
-			t.Errorf("a job that is over may become %v", to)
+			t.Errorf("a job in a final state can transition to %v", to)
 		}
 	}
 	for to := lifecycle.Planned; to <= lifecycle.Released; to++ {
 		if lifecycle.Released.CanTransitionTo(to) {
-			t.Errorf("an allocation that was released may become %v", to)
+			t.Errorf("a released allocation can transition to %v", to)
 		}
 	}
 	for to := lifecycle.Registering; to <= lifecycle.Terminated; to++ {
 		if lifecycle.Terminated.CanTransitionTo(to) {
-			t.Errorf("a machine that was terminated may become %v", to)
+			t.Errorf("a terminated machine can transition to %v", to)
 		}
 	}
 }
 
-// Planned is what an unknown state on the wire reads as: it must change nothing.
-func TestNoAllocationBecomesPlannedAgain(t *testing.T) {
+// An unknown task state in a message maps to Planned, which must not change any allocation.
+func TestNoAllocationStateCanTransitionToPlanned(t *testing.T) {
 	for from := lifecycle.Planned; from <= lifecycle.Released; from++ {
 		if from.CanTransitionTo(lifecycle.Planned) {
-			t.Errorf("%v may become planned", from)
+			t.Errorf("%v can transition to planned", from)
 		}
 	}
 }
 
-func TestEveryLiveStateMayEnd(t *testing.T) {
+func TestEveryNonFinalStateCanEnd(t *testing.T) {
 	for from := lifecycle.Planned; from < lifecycle.Released; from++ {
 		if !from.CanTransitionTo(lifecycle.Released) {
-			t.Errorf("an allocation that is %v is never released", from)
+			t.Errorf("a %v allocation cannot be released", from)
 		}
 	}
 	for from := lifecycle.Registering; from < lifecycle.Terminating; from++ {
 		if !from.CanTransitionTo(lifecycle.Terminating) {
-			t.Errorf("a machine that is %v is never terminated", from)
+			t.Errorf("a %v machine cannot be terminated", from)
 		}
 	}
 	for from := lifecycle.Active; from <= lifecycle.Assigned; from++ {
 		if from != lifecycle.Done && from != lifecycle.Aborted && !from.CanTransitionTo(lifecycle.Aborted) {
-			t.Errorf("a job that is %v is never aborted", from)
+			t.Errorf("a %v job cannot be aborted", from)
 		}
 	}
 }
--- a/internal/cluster/lifecycle/machine.go
+++ b/internal/cluster/lifecycle/machine.go
@@ -3,17 +3,17 @@
 // MachineState is the state of a machine.
 type MachineState uint8
 
-// The states of a machine.
+// States of a machine.
 const (
-	Registering MachineState = iota // requested, listed or recorded; no heartbeat in this term
-	Up                              // its heartbeats come
-	Suspect                         // its heartbeats came, and stopped
-	Expired                         // its agent's lease surely ran out
-	Terminating                     // the cloud was asked to take it back
-	Terminated                      // the cloud said so
+	Registering MachineState = iota // requested, listed or recorded, but no heartbeat in this term
+	Up                              // its heartbeats arrive
+	Suspect                         // its heartbeats have stopped
+	Expired                         // its agent's lease has certainly expired
+	Terminating                     // its termination was requested from the cloud
+	Terminated                      // the cloud confirmed the termination
 )
 
-// String is the state as operators and logs name it.
+// String returns the name of the state in logs and for operators.
 func (s MachineState) String() string {
 	return [...]string{"registering", "up", "suspect", "expired", "terminating", "terminated"}[s]
 }
@@ -27,5 +27,5 @@
 	Terminating: {Terminated},
 }
 
-// CanTransitionTo reports whether a transition is allowed.
+// CanTransitionTo reports whether the transition to the given state is allowed.
 func (s MachineState) CanTransitionTo(to MachineState) bool { return machineTransitions.allow(s, to) }
--- a/internal/cluster/quarantine/policy.go
+++ b/internal/cluster/quarantine/policy.go
@@ -2,55 +2,57 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// defaultThreshold is how many jobs fail on a machine before it is quarantined, where the
-// settings say nothing else.
+// defaultThreshold is the number of jobs that must fail on a machine before it is quarantined,
+// unless configured otherwise.
 const defaultThreshold = 2
 
-// One machine in quarantineDivisor may be quarantined at a time on the word of jobs of which
-// nothing is known. Where more look faulty the jobs are the likelier cause, and for
-// suspension machines are held responsible only by jobs that do well elsewhere: of hundreds
-// of mistaken jobs that came at once, two had failed on each machine before any of them had
-// failed on three.
+// At most one machine in quarantineDivisor may be quarantined at a time because of jobs that are
+// not proven to succeed elsewhere. If more machines appear faulty, the jobs are the more likely
+// cause, and for the suspension time failures are attributed only for jobs that succeed elsewhere.
+// When hundreds of faulty jobs were submitted at once, two of them had failed on each machine
+// before any of them had failed on three machines.
 const (
 	quarantineDivisor = 16
 	suspension        = micro.Minute
 )
 
-// Policy decides which machines of a fleet are quarantined for the failures on them.
+// Policy decides which machines of a fleet are quarantined because of failures on them.
 type Policy struct {
-	QuarantineThreshold int // jobs failing on a machine before it is quarantined
+	QuarantineThreshold int // number of jobs that must fail on a machine before it is quarantined
 
-	candidates     map[string]*Machine // machines that jobs failed on
-	suspendedUntil micro.Time          // until when so many look faulty that the jobs are the likelier cause
+	candidates     map[string]*Machine // machines on which jobs failed
+	suspendedUntil micro.Time          // until then many machines appear faulty, so the jobs are the likelier cause
 }
 
-// NewPolicy makes the policy of a fleet without failures.
+// NewPolicy returns the policy of a fleet without failures.
 func NewPolicy() Policy {
 	return Policy{QuarantineThreshold: defaultThreshold, candidates: map[string]*Machine{}}
 }
 
-// Fleet is what the policy asks of the machines and jobs that are there.
+// Fleet gives the policy access to the machines and jobs.
 type Fleet interface {
-	// MachineCount is the number of machines.
+	// MachineCount returns the number of machines.
 	MachineCount() int
-	// SucceedsElsewhere reports whether a job is known whose tasks do well elsewhere.
+	// SucceedsElsewhere reports whether the job is known and has tasks that succeed on other
+	// machines.
 	SucceedsElsewhere(job string, now micro.Time) bool
-	// Quarantined is told that a machine is quarantined from now on.
+	// Quarantined is called when a machine has been quarantined.
 	Quarantined(machine string)
-	// QuarantineLifted is told that a machine's quarantine is over.
+	// QuarantineLifted is called when a machine's quarantine has been lifted.
 	QuarantineLifted(machine string)
 }
 
-// AttributeFailure notes that a job failed on a machine, which may be faulty.
+// AttributeFailure records that a job failed on a machine, which may be faulty.
 func (p *Policy) AttributeFailure(name string, machine *Machine, jobID string, job *Job, now micro.Time) {
 	machine.JobFailures[jobID] = now
 	p.candidates[name] = machine
 	job.failuresRetracted = false
 }
 
-// RetractFailures takes back what a job that fails everywhere was held against machines, and reports
-// whether that is new; find gives a machine by its name, nil if there is none. On a recorded
-// night with such jobs, machines were quarantined 59 times since several jobs had failed there.
+// RetractFailures removes the failures of a job that fails on every machine from the machines to
+// which they were attributed. It returns false if they had been retracted already. find returns a
+// machine by name, or nil if there is none. On a recorded night with such jobs, machines were
+// quarantined 59 times because several jobs had failed on them.
 func (p *Policy) RetractFailures(
 	fleet Fleet, jobID string, job *Job, find func(name string) *Machine, now micro.Time,
 ) bool {
@@ -71,10 +73,10 @@
 	return true
 }
 
-// ForgetMachine drops a machine that is no more.
+// ForgetMachine removes a machine that no longer exists.
 func (p *Policy) ForgetMachine(name string) { delete(p.candidates, name) }
 
-// UpdateQuarantine decides anew which machines are quarantined for the failures on them.
+// UpdateQuarantine re-evaluates which machines are quarantined because of failures on them.
 func (p *Policy) UpdateQuarantine(fleet Fleet, now micro.Time) {
 	faulty, suspected := p.classify(fleet, now)
 	for _, name := range faulty {
@@ -93,8 +95,8 @@
 	}
 }
 
-// classify lists the machines that are faulty by jobs that do well elsewhere, and those that
-// are only suspected.
+// classify returns the machines that are faulty according to jobs that succeed elsewhere, and those
+// that are only suspected.
 func (p *Policy) classify(fleet Fleet, now micro.Time) (faulty, suspected []string) {
 	for name, machine := range p.candidates {
 		machine.pruneFailures(now)
@@ -110,7 +112,7 @@
 	return faulty, suspected
 }
 
-// provenFailures counts the jobs that failed on a machine and do well elsewhere.
+// provenFailures returns the number of jobs that failed on the machine and succeed elsewhere.
 func provenFailures(fleet Fleet, machine *Machine, now micro.Time) int {
 	count := 0
 	for id := range machine.JobFailures {
--- a/internal/cluster/records/chunk.go
+++ b/internal/cluster/records/chunk.go
@@ -7,12 +7,12 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// LegacyTasksPerChunk is how many tasks a record in the first form holds.
+// LegacyTasksPerChunk is the number of tasks in a chunk record in the legacy format.
 const LegacyTasksPerChunk = 128
 
-// Allocation is an allocation in a chunk's record.
+// Allocation is an allocation in a chunk record.
 type Allocation struct {
-	//lint:ignore U1000 the codec reads its tag: a list without field names, since records are written often
+	//lint:ignore U1000 read by the codec: encodes a list without field names, since records are written often
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index   int        `msgpack:"Index"`
@@ -22,25 +22,25 @@
 	Zone    string     `msgpack:"Zone"`
 }
 
-// MarshalJSON gives the form that the store's limits count: a list, as in the
-// store. With its fields' names, records that fit were once put aside as too large.
+// MarshalJSON encodes the allocation as a list, as the store does, because the store's limits count
+// the JSON form. When field names were included, records that fit were rejected as too large.
 func (r Allocation) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{r.Index, r.Attempt, r.Machine, r.Session, r.Zone})
 }
 
-// Chunk is a chunk of tasks as the store keeps it in the first form.
+// Chunk is a chunk of tasks as stored in the legacy format.
 type Chunk struct {
 	Allocations []Allocation `msgpack:"p" json:"p"`
-	Done        [][2]int     `msgpack:"d" json:"d"` // first and last of each range
-	Attempts    [][2]int     `msgpack:"t" json:"t"` // task and attempt, where there is no allocation
+	Done        [][2]int     `msgpack:"d" json:"d"` // first and last task of each range
+	Attempts    [][2]int     `msgpack:"t" json:"t"` // task and attempt number of tasks without an allocation
 }
 
-// NewChunk makes a record of nothing, whose lists are empty in the store's bytes, not absent.
+// NewChunk returns an empty record whose lists are encoded as empty rather than as absent.
 func NewChunk() Chunk {
 	return Chunk{Allocations: []Allocation{}, Done: [][2]int{}, Attempts: [][2]int{}}
 }
 
-// AddDone notes that a task is done. Tasks are added in their order.
+// AddDone marks a task as done. Tasks must be added in ascending order.
 func (r *Chunk) AddDone(task int) {
 	if ranges := len(r.Done); ranges > 0 && r.Done[ranges-1][1] == task-1 {
 		r.Done[ranges-1][1] = task
@@ -49,7 +49,7 @@
 	r.Done = append(r.Done, [2]int{task, task})
 }
 
-// SortAllocations puts the allocations in the order of their tasks.
+// SortAllocations sorts the allocations by task.
 func (r *Chunk) SortAllocations() {
 	sort.Slice(r.Allocations, func(a, b int) bool { return r.Allocations[a].Index < r.Allocations[b].Index })
 }
--- a/internal/cluster/records/compact.go
+++ b/internal/cluster/records/compact.go
@@ -2,19 +2,18 @@
 
 import "notchmux.dev/notchmux/wire"
 
-// CompactChunk is a chunk of tasks as the store keeps it in the compact form, which names each
-// machine and zone once. Allocations are (machine, agent epoch, task, attempt), with the machine
-// by its index.
+// CompactChunk is a chunk of tasks as stored in the compact format, which lists each machine and
+// zone once. An allocation is a tuple of machine index, agent epoch, task and attempt.
 type CompactChunk struct {
 	Zones        []string        `msgpack:"z" json:"z"`
 	Machines     []string        `msgpack:"m" json:"m"`
-	MachineZones []int           `msgpack:"i" json:"i"` // the zone of each machine, by its index
+	MachineZones []int           `msgpack:"i" json:"i"` // zone index of each machine
 	Allocations  [][4]wire.Count `msgpack:"p" json:"p"`
-	Done         [][2]int        `msgpack:"d" json:"d"` // first and last of each range
-	Attempts     [][2]int        `msgpack:"t" json:"t"` // task and attempt, where there is no allocation
+	Done         [][2]int        `msgpack:"d" json:"d"` // first and last task of each range
+	Attempts     [][2]int        `msgpack:"t" json:"t"` // task and attempt number of tasks without an allocation
 }
 
-// Compact puts a record into the compact form.
+// Compact converts a record to the compact format.
 func (r *Chunk) Compact() CompactChunk {
 	out := CompactChunk{
 		Zones: []string{}, Machines: []string{}, MachineZones: []int{}, Allocations: [][4]wire.Count{}, Done: r.Done,
@@ -43,7 +42,7 @@
 	return out
 }
 
-// Expand puts a record back into the first form; false if it makes no sense.
+// Expand converts a record to the legacy format. It returns false if the record is inconsistent.
 func (r *CompactChunk) Expand() (Chunk, bool) {
 	out := Chunk{Done: r.Done, Attempts: r.Attempts}
 	if len(r.MachineZones) != len(r.Machines) {
@@ -68,15 +67,15 @@
 	return out, true
 }
 
-// allocationBytes is what an allocation takes in the compact form, on a machine of its own: its
-// name, its zone, and four numbers.
+// allocationBytes is the size of an allocation in the compact format on a machine of its own: the
+// machine's name, its zone, and four numbers.
 const allocationBytes = 30
 
-// recordOverheadBytes is what a record takes besides its allocations.
+// recordOverheadBytes is the size of a record excluding its allocations.
 const recordOverheadBytes = 120
 
-// TasksPerCompactChunk is how many tasks a chunk of the compact form may have for its record to
-// fit a value of so many bytes.
+// TasksPerCompactChunk returns how many tasks a chunk in the compact format may have so that its
+// record fits in a value of the given size.
 func TasksPerCompactChunk(bytes int) int {
 	tasks := 8
 	for tasks < LegacyTasksPerChunk && (2*tasks)*allocationBytes+recordOverheadBytes <= bytes {
--- a/internal/cluster/records/count.go
+++ b/internal/cluster/records/count.go
@@ -6,13 +6,13 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// TaskCounter counts a job's tasks from its records, in either form.
+// TaskCounter counts a job's tasks from its chunk records in either format.
 type TaskCounter struct {
 	compact, legacy []Chunk
 }
 
-// Add reads a record by the last part of its key, which compactPrefix begins in the compact
-// form. An error is one of decoding.
+// Add adds a record. keySuffix is the last part of its key, which starts with compactPrefix if the
+// record is in the compact format. Add returns an error if the value cannot be decoded.
 func (c *TaskCounter) Add(keySuffix, compactPrefix string, value []byte) error {
 	if strings.HasPrefix(keySuffix, compactPrefix) {
 		var record CompactChunk
@@ -32,8 +32,9 @@
 	return nil
 }
 
-// Count is how many tasks are done, and how many others are allocated. A record in the first
-// form may lag behind one in the compact form: a task counts as done if either says so.
+// Count returns the number of tasks that are done and the number of others that are allocated.
+// Because a record in the legacy format may lag behind one in the compact format, a task counts as
+// done if either record says so.
 func (c *TaskCounter) Count() (done, allocated int) {
 	if len(c.compact) == 0 || len(c.legacy) == 0 {
 		return countTasks(append(c.compact, c.legacy...))
@@ -41,7 +42,7 @@
 	return countDistinctTasks(append(c.compact, c.legacy...))
 }
 
-// countTasks adds up records of one form, no two of which hold the same task.
+// countTasks sums over records of one format, in which no task occurs twice.
 func countTasks(records []Chunk) (done, allocated int) {
 	for _, record := range records {
 		for _, taskRange := range record.Done {
--- a/internal/cluster/taskqueue/queue.go
+++ b/internal/cluster/taskqueue/queue.go
@@ -1,6 +1,6 @@
-// Package taskqueue holds a job's tasks in the order in which they are placed: first those
-// that were put back, then all that never had an allocation, by index. It locks nothing: a
-// queue belongs to the goroutine that owns the cluster's state.
+// Package taskqueue holds a job's tasks in the order in which they are placed: first the requeued
+// ones, then all that never had an allocation, by index. It does no locking: a queue belongs to the
+// goroutine that owns the cluster state.
 package taskqueue
 
 import (
@@ -11,21 +11,22 @@
 
 // Task is one task of a job.
 type Task struct {
-	Attempt         uint32 // the highest attempt number used
-	AllocationCount uint8  // allocations not proven released
+	Attempt         uint32 // highest attempt number used
+	AllocationCount uint8  // allocations that are not proven released
 	Done            bool
-	Requeued        bool // put back, and waits for an allocation
+	Requeued        bool // requeued after losing its allocation, and still waiting
 	Failures        uint8
-	NotBefore       micro.Time // the next try, on the steady clock
+	NotBefore       micro.Time // time of the next try, on the monotonic clock
 }
 
-// The pauses of a task after failures: baseBackoff, doubled with each up to maxBackoffShift.
+// Backoff of a task after failures: baseBackoff, doubled with each failure up to maxBackoffShift
+// times.
 const (
 	baseBackoff     = 250 * micro.Millisecond
 	maxBackoffShift = 6
 )
 
-// BackOff puts off the task's next try after a failure.
+// BackOff postpones the task's next try after a failure.
 func (t *Task) BackOff(now micro.Time) {
 	if t.Failures < maxBackoffShift {
 		t.Failures++
@@ -33,33 +34,35 @@
 	t.NotBefore = now + baseBackoff<<t.Failures
 }
 
-// needsAllocation reports whether a task is neither done nor allocated.
+// needsAllocation reports whether the task is neither done nor allocated.
 func (t *Task) needsAllocation() bool { return !t.Done && t.AllocationCount == 0 }
 
-// Queue holds the tasks of a job that wait for an allocation. The job keeps the tasks.
+// Queue holds the tasks of a job that wait for an allocation. The tasks themselves are kept by the
+// job.
 type Queue struct {
-	WaitingSince       micro.Time // since when it waits and none of its tasks was allocated
-	WaitReasonLoggedAt micro.Time // when operators were last told why it waits
-	Throttled          bool       // its tasks were kept from resources that were free
+	WaitingSince       micro.Time // since when it has been waiting without any allocation being made
+	WaitReasonLoggedAt micro.Time // when the reason why it waits was last logged
+	Throttled          bool       // its tasks were withheld from resources that were free
 
-	firstNeverDequeued int // tasks from here on never had an allocation and were never put back
+	firstNeverDequeued int // tasks from this index on never had an allocation and were never requeued
 	requeued           []int32
 }
 
-// QueueLength is how many of the job's tasks wait.
+// QueueLength returns the number of the job's tasks that wait.
 func (q *Queue) QueueLength(tasks []Task) int {
 	return len(q.requeued) + len(tasks) - q.firstNeverDequeued
 }
 
-// NeverDequeued reports whether the queue still holds all tasks in their first order.
+// NeverDequeued reports whether the queue still holds all tasks in their initial order.
 func (q *Queue) NeverDequeued() bool { return q.firstNeverDequeued == 0 }
 
-// HoldsTask reports whether a task waits.
+// HoldsTask reports whether a task waits in the queue.
 func (q *Queue) HoldsTask(tasks []Task, index int) bool {
 	return tasks[index].Requeued || index >= q.firstNeverDequeued
 }
 
-// RequeueTask queues a task that lost its allocation; false if it needs none, or waits already.
+// RequeueTask queues a task that lost its allocation. It returns false if the task needs no
+// allocation or is queued already.
 func (q *Queue) RequeueTask(tasks []Task, index int) bool {
 	task := &tasks[index]
 	if !task.needsAllocation() || q.HoldsTask(tasks, index) {
@@ -70,7 +73,8 @@
 	return true
 }
 
-// NextWaiting gives up to limit tasks that may be placed now, without taking them.
+// NextWaiting returns up to limit tasks that may be placed now, without removing them from the
+// queue.
 func (q *Queue) NextWaiting(tasks []Task, now micro.Time, limit int) []int {
 	var indices []int
 	for _, i := range q.requeued {
@@ -89,7 +93,7 @@
 	return indices
 }
 
-// RemoveTask takes a task from the queue.
+// RemoveTask removes a task from the queue.
 func (q *Queue) RemoveTask(tasks []Task, index int) {
 	if index >= q.firstNeverDequeued {
 		q.requeueSkipped(tasks, index)
@@ -105,7 +109,7 @@
 	}
 }
 
-// requeueSkipped queues the tasks before the given one that were never queued.
+// requeueSkipped requeues the tasks before the given one that were never dequeued.
 func (q *Queue) requeueSkipped(tasks []Task, before int) {
 	for index := q.firstNeverDequeued; index < before; index++ {
 		if task := &tasks[index]; task.needsAllocation() && !task.Requeued {
--- a/internal/cluster/taskqueue/queue_test.go
+++ b/internal/cluster/taskqueue/queue_test.go
@@ -9,8 +9,8 @@
 	"notchmux.dev/notchmux/internal/cluster/taskqueue"
 )
 
-// Whatever is allocated, lost and completed, and in which order: each task that needs an
-// allocation waits, once, and no other does.
+// In whatever order tasks are allocated, lose their allocation and complete, exactly the tasks that
+// need an allocation wait, and each of them once.
 func TestQueueHoldsExactlyTheTasksThatNeedAnAllocation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue taskqueue.Queue
@@ -26,7 +26,7 @@
 			case task.AllocationCount > 0:
 				task.AllocationCount, task.Done = 0, true
 				if queue.HoldsTask(tasks, index) {
-					t.Fatalf("task %d is allocated and waits", index)
+					t.Fatalf("task %d is allocated but still in the queue", index)
 				}
 			default:
 				queue.RemoveTask(tasks, index)
@@ -47,6 +47,6 @@
 	got := queue.NextWaiting(tasks, 0, len(tasks))
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		t.Fatalf("waiting: %v, want %v", got, want)
+		t.Fatalf("waiting tasks %v, want %v", got, want)
 	}
 }
