--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -7,36 +7,38 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Allocation is one attempt of a task on a machine, and what it uses there. Its fields belong to
-// the goroutine that owns the state; times are on the steady clock of this process.
+// Allocation is one attempt of a task on a machine together with the resources it uses there. Its
+// fields may be accessed only on the goroutine that owns the state. Times are on this process's
+// monotonic clock.
 type Allocation struct {
-	Job             *Job // nil: an agent has a task of a job that nobody knows
+	Job             *Job // nil if an agent reported a task of an unknown job
 	Index           int
-	TaskName        string // the task's name on the wire
+	TaskName        string // task name as used in messages to and from agents
 	Attempt         uint64
 	Machine         *Machine
 	AgentEpoch      uint64
 	State           AllocationState
 	Stopping        bool
-	GraceS          float64 // seconds that the task has to stop
+	GraceS          float64 // grace period for stopping the task, in seconds
 	StopRequestedAt micro.Time
 	StopReason      string
-	DispatchToken   uint64  // highest fencing token of a dispatched start that may be under way
-	ChunkVersion    uint64  // chunk version that must be stored before the start goes out
-	ScaledCPU       float64 // cores as the scheduler counts them, by the machine type's speed
+	DispatchToken   uint64  // highest fencing token of a dispatched start command that may still be in flight
+	ChunkVersion    uint64  // chunk version that must be stored before the start command is sent
+	ScaledCPU       float64 // cores weighted by the speed of the machine type
 	PlannedAt       micro.Time
-	RunningSince    micro.Time // first heartbeat that showed it running; 0: none
-	Observed        bool       // a heartbeat showed it
-	Restored        bool       // read from the records of an earlier term: it is never started again
-	LastResort      bool       // on a quarantined machine, since there was no other
-	overran         bool       // counted as an overrun
-	taskKnown       bool       // Job has a task of that index
+	RunningSince    micro.Time // time of the first heartbeat that reported it running; 0 if there was none
+	Observed        bool       // a heartbeat has reported the attempt
+	Restored        bool       // loaded from the records of an earlier term; never started again
+	LastResort      bool       // allocated on a quarantined machine because no other machine was available
+	overran         bool       // already counted as an overrun
+	taskKnown       bool       // Job is set and has a task with this index
 }
 
-// key names the attempt on its machine.
+// key returns the key of the attempt in Machine.Allocations.
 func (a *Allocation) key() AllocationKey { return AllocationKey{a.TaskName, a.Attempt} }
 
-// PriorityLevel is the priority level of the allocation's job; 0 is the highest.
+// PriorityLevel returns the priority level of the allocation's job, where 0 is the highest. An
+// allocation of an unknown job has level 99.
 func (a *Allocation) PriorityLevel() int {
 	if a.Job == nil {
 		return 99
@@ -44,9 +46,9 @@
 	return a.Job.PriorityLevel
 }
 
-// Allocate allocates a machine to a task. The caller, on the goroutine that owns the state, has
-// checked that quota and machine allow it. The start goes out once the chunk's record is stored,
-// see ChunkPersisted.
+// Allocate allocates a machine to a task. The caller, on the goroutine that owns the state, must
+// have checked that the team's quota and the machine's free resources allow it. The start command
+// is sent after the chunk record has been stored, see ChunkPersisted.
 func (s *State) Allocate(
 	job *Job, index int, machine *Machine, attempt uint32, scaledCPU float64, now micro.Time,
 ) *Allocation {
@@ -67,7 +69,7 @@
 	return allocation
 }
 
-// reserve counts an allocation's resources, quota and zone.
+// reserve adds an allocation to its machine and chunk, and counts its resources, quota and zone.
 func (s *State) reserve(allocation *Allocation) {
 	machine := allocation.Machine
 	machine.Allocations[allocation.key()] = allocation
@@ -87,7 +89,7 @@
 	chunk.Allocations = append(chunk.Allocations, allocation)
 }
 
-// unreserve undoes reserve.
+// unreserve reverses the accounting of reserve and removes the allocation from its chunk.
 func (s *State) unreserve(allocation *Allocation) {
 	machine, job := allocation.Machine, allocation.Job
 	machine.AddUsage(allocation.resources(), -1)
--- a/internal/cluster/allocation_lifecycle.go
+++ b/internal/cluster/allocation_lifecycle.go
@@ -5,7 +5,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// transitionAllocation is the only function that changes an allocation's state.
+// transitionAllocation changes an allocation's state and reports whether the transition was
+// allowed. It is the only function that changes that state.
 func (s *State) transitionAllocation(allocation *Allocation, to AllocationState) bool {
 	if allocation.State == to || !allocation.State.CanTransitionTo(to) {
 		return false
@@ -18,8 +19,8 @@
 	return true
 }
 
-// updateRunningCount keeps the number of a job's running tasks after a transition of one of its
-// allocations.
+// updateRunningCount updates the number of running tasks of a job after a state transition of one
+// of its allocations.
 func (s *State) updateRunningCount(job *Job, from, to AllocationState) {
 	if from == Running {
 		job.RunningTasks--
@@ -30,14 +31,19 @@
 	job.RunningTasks++
 	if !job.Started {
 		job.Started = true
-		s.Log("job runs", "job", job.Spec.ID)
+		s.Log("job started running", "job", job.Spec.ID)
 	}
 }
 
-// release gives an allocation up. It is called only with one of the proofs: a newer message of
-// the agent shows that the attempt ended, or does not show it after it had been seen or its
-// start had settled; a later agent epoch; the agent's lease surely ran out; the cloud said that
-// the machine is gone.
+// release releases an allocation and its resources. Callers must have one of these proofs that the
+// attempt no longer runs and cannot start:
+//
+//   - a newer message of the agent reports that the attempt ended;
+//   - a newer message of the agent no longer reports an attempt that was observed before or whose
+//     start command can no longer take effect;
+//   - the agent has begun a later epoch;
+//   - the agent's lease has certainly expired;
+//   - the cloud reports that the machine no longer exists.
 func (s *State) release(allocation *Allocation, now micro.Time) {
 	if !s.transitionAllocation(allocation, Released) {
 		return
@@ -62,15 +68,15 @@
 	s.requeue(job, allocation.Index, now)
 }
 
-// StopAllocation asks for an attempt to be stopped. A grace period of at least the job's
-// checkpoint duration, in seconds, lets it write a checkpoint. A second call can only shorten
-// the grace period.
+// StopAllocation requests that an attempt be stopped. graceS is the grace period in seconds; if it
+// is at least the job's checkpoint duration, the task can write a checkpoint. A further call can
+// only shorten the grace period.
 func (s *State) StopAllocation(allocation *Allocation, reason string, graceS float64, now micro.Time) {
 	if allocation.State == Released {
 		return
 	}
 	if allocation.State == Planned {
-		// No start has gone out, and none will: nothing is used at once.
+		// No start command has been sent and none will be, so the resources are free at once.
 		s.release(allocation, now)
 		return
 	}
@@ -90,7 +96,7 @@
 	}
 	if s.Verbose {
 		s.Log(
-			"stop",
+			"stopping task",
 			"task",
 			allocation.TaskName,
 			"attempt",
@@ -106,7 +112,8 @@
 	s.DispatchSoon(allocation.Machine)
 }
 
-// ChunkPersisted notes that a chunk's version is in the store: starts may go out.
+// ChunkPersisted records that a version of a chunk is in the store. Start commands that were
+// waiting for it can now be sent.
 func (s *State) ChunkPersisted(chunk *TaskChunk, version uint64) {
 	chunk.StoredVersion = max(chunk.StoredVersion, version)
 	if !chunk.Stored {
@@ -125,10 +132,10 @@
 	}
 }
 
-// abortGangAttempt stops a gang's attempt after a member went; when all its allocations are
-// released, every task is scheduled anew under the next attempt number. Starting a replacement
-// under the same number is allowed only before the gang has started, which a new leader cannot
-// know: the attempt is always given up whole.
+// abortGangAttempt stops a gang's attempt after it lost a member. Once all its allocations are
+// released, every task is requeued under the next attempt number. A replacement may be started
+// under the same number only before the gang has started. A new leader cannot know whether it has,
+// so the attempt is always aborted as a whole.
 func (s *State) abortGangAttempt(job *Job, now micro.Time) {
 	if job.State != Active {
 		return
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -5,13 +5,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A job may be assigned as a whole to a shard of the machines, whose owner schedules its
-// tasks. From then on all of them count against its team's quota, until the record of
-// the assignment is gone: only then is surely none of them on a machine. While it is assigned,
-// the leader's records of its tasks stay as they are, or are deleted once the owner has its own.
-
-// NeverAllocated reports whether none of a job's tasks was ever allocated: there are no records
-// of its tasks.
+// A job may be assigned as a whole to a shard, whose owner then schedules its tasks. From then on
+// the tasks count against the quota of the job's team until the assignment record is deleted,
+// because only then is it certain that none of them is on a machine. While the job is assigned, the
+// leader's chunk records of its tasks are left unchanged, or are deleted once the shard owner has
+// stored its own.
+
+// NeverAllocated reports whether none of the job's tasks was ever allocated, that is, whether the
+// store has no records of its tasks.
 func (j *Job) NeverAllocated() bool {
 	if j.AllocationCount > 0 || j.DoneTasks > 0 || !j.NeverDequeued() {
 		return false
@@ -24,9 +25,9 @@
 	return true
 }
 
-// CanTransfer reports whether a job that waits could go to a shard, or back, as a whole: none
-// of its tasks is on a machine, or may be. A job that had allocations before may only where all
-// controllers can go on with it.
+// CanTransfer reports whether a waiting job may be transferred as a whole to a shard or back: none
+// of its tasks is, or may be, on a machine. A job that had allocations earlier may be transferred
+// only if all controllers support handover.
 func (s *State) CanTransfer(job *Job) bool {
 	if job.State != Active || job.AllocationCount > 0 {
 		return false
@@ -34,17 +35,19 @@
 	return s.HandoverSupported || job.NeverAllocated()
 }
 
-// UnallocatedFor is for how long a job that waits has had no allocation at all. Where WaitingSince is
-// since when its first tasks wait, others may have run until now.
+// UnallocatedFor returns how long a waiting job has had no allocation at all. WaitingSince alone is
+// not sufficient: it is the time since which the first of its pending tasks have been waiting, and
+// other tasks may have run until now.
 func (j *Job) UnallocatedFor(now micro.Time) micro.Time {
 	return now - max(j.WaitingSince, j.UnallocatedSince)
 }
 
-// UnfinishedTasks is how many of a job's tasks are not done.
+// UnfinishedTasks returns the number of the job's tasks that are not done.
 func (j *Job) UnfinishedTasks() int { return len(j.Tasks) - j.DoneTasks }
 
-// Assign gives a waiting job to a shard, and says how many of its tasks its team's quota has
-// capacity for: all that are not done, or some of an array's; 0: it was not assigned.
+// Assign assigns a waiting job to a shard and reserves quota for its tasks. It returns the number
+// of tasks that the team's quota allows: all unfinished tasks or, for an array, possibly only some
+// of them. It returns 0 if the job was not assigned.
 func (s *State) Assign(job *Job, shard string) int {
 	tasks := job.UnfinishedTasks()
 	if tasks == 0 || !s.CanTransfer(job) || job.Team != nil && job.Team.QuotaWithheldFrom(job) {
@@ -63,8 +66,8 @@
 	return tasks
 }
 
-// RestoreAssignment notes that a job's assignment was read from the store, whatever the quotas
-// are now.
+// RestoreAssignment restores a job's assignment that was read from the store, regardless of the
+// current quotas.
 func (s *State) RestoreAssignment(job *Job, shard string, tasks int) {
 	if job.State == Active {
 		s.transitionJob(job, Assigned)
@@ -74,12 +77,14 @@
 	}
 }
 
+// setAssignment records the shard and reserves quota for the given number of tasks.
 func (s *State) setAssignment(job *Job, shard string, tasks int) {
 	job.Shard, job.ReservedTasks = shard, tasks
 	s.chargeQuota(job, tasks)
 }
 
-// chargeQuota changes by so many tasks what a job uses of its team's quota.
+// chargeQuota adds the resources of the given number of tasks, which may be negative, to the quota
+// usage of the job's team.
 func (s *State) chargeQuota(job *Job, tasks int) {
 	if job.Team != nil {
 		job.Team.UsedCPU += float64(tasks) * job.Spec.CPUs
@@ -87,8 +92,8 @@
 	}
 }
 
-// Unassign notes that the record of a job's assignment is gone: none of its tasks is in the
-// shard. One that is not over waits to be scheduled again.
+// Unassign handles the deletion of a job's assignment record: none of its tasks is in the shard any
+// longer. An unfinished job is scheduled by this controller again.
 func (s *State) Unassign(job *Job, now micro.Time) {
 	if job.Shard == "" {
 		return
@@ -101,8 +106,8 @@
 	s.ScheduleSoon()
 }
 
-// FinishAssigned notes that the owner of a job's shard says that all its tasks are done, and has
-// stored that.
+// FinishAssigned marks a job as finishing after the shard owner reported that all its tasks are
+// done and that this is stored.
 func (s *State) FinishAssigned(job *Job) {
 	if job.State != Assigned {
 		return
@@ -112,20 +117,20 @@
 	s.JobFinished(job)
 }
 
-// PrepareTransfer keeps a job's tasks from being scheduled here: it is handed back. Those that
-// still have allocations are stopped, with the time that a checkpoint takes.
+// PrepareTransfer stops scheduling the tasks of a job that is being handed back. Remaining
+// allocations are stopped with a grace period long enough for a checkpoint.
 func (s *State) PrepareTransfer(job *Job, now micro.Time) {
 	if job.State != Active {
 		return
 	}
 	s.transitionJob(job, Assigned)
 	for _, allocation := range job.Allocations() {
-		s.StopAllocation(allocation, "the job is handed back", job.Spec.CheckpointDurationS, now)
+		s.StopAllocation(allocation, "job is being handed back", job.Spec.CheckpointDurationS, now)
 	}
 }
 
-// ResumeScheduling has a job that was kept from being scheduled here scheduled: it is this
-// controller's by now.
+// ResumeScheduling schedules a job again that was assigned to a shard or prepared for a transfer
+// and now belongs to this controller.
 func (s *State) ResumeScheduling(job *Job, now micro.Time) {
 	if job.State != Assigned {
 		return
@@ -135,7 +140,8 @@
 	job.WaitingSince = now
 }
 
-// rewriteHandedOverChunks has the records written anew that were deleted as a job went to a shard.
+// rewriteHandedOverChunks marks the chunk records that were deleted when the job was handed over to
+// a shard as dirty, so that they are written again.
 func (s *State) rewriteHandedOverChunks(job *Job) {
 	for _, chunk := range job.Chunks {
 		if chunk.HandedOver {
@@ -146,8 +152,8 @@
 	}
 }
 
-// ReleaseQuota gives back what a job in a shard has reserved beyond the tasks that it may still
-// run at once.
+// ReleaseQuota releases the quota that is reserved for a job in a shard beyond the given number of
+// tasks, which is the number that may still run at the same time.
 func (s *State) ReleaseQuota(job *Job, needed int) {
 	if job.Shard == "" || needed >= job.ReservedTasks {
 		return
@@ -157,8 +163,8 @@
 	s.ScheduleSoon()
 }
 
-// ReserveQuota reserves quota for up to so many more tasks of a job in a shard, and says for how
-// many there was some.
+// ReserveQuota reserves quota for up to the given number of additional tasks of a job in a shard.
+// It returns the number of tasks for which quota was available.
 func (s *State) ReserveQuota(job *Job, tasks int) int {
 	if job.Shard == "" || tasks <= 0 || job.Team != nil && job.Team.QuotaWithheldFrom(job) {
 		return 0
--- a/internal/cluster/chunk.go
+++ b/internal/cluster/chunk.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Record builds the chunk's record from what is in memory.
+// Record builds the chunk record from the state in memory.
 func (c *TaskChunk) Record() records.Chunk {
 	record := records.NewChunk()
 	allocated := map[int]bool{}
@@ -36,8 +36,8 @@
 	return record
 }
 
-// RestoreCompactChunk reads a chunk's record in the compact form. It comes before the records
-// of the first form, which it stands for.
+// RestoreCompactChunk restores a chunk from a record in the compact format. It must be called
+// before the records in the legacy format that this record supersedes are restored.
 func (s *State) RestoreCompactChunk(
 	job *Job, index int, record *records.CompactChunk, keyRevision uint64, now micro.Time,
 ) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// ReclaimChunk reads a record of a shard's owner into a job whose allocations are this
-// controller's from now on. The record of its own is still to be written.
+// ReclaimChunk restores a chunk from a record of a shard owner for a job whose allocations now
+// belong to this controller. This controller's own record of the chunk still has to be written.
 func (s *State) ReclaimChunk(job *Job, index int, record *records.CompactChunk, now micro.Time) {
 	expanded, ok := s.expandChunk(job, index, record)
 	if !ok {
@@ -64,48 +64,52 @@
 	chunk.MemoryVersion++
 }
 
-// RestoreContinuedChunk reads what the leader recorded of a chunk of a job that goes on in a
-// shard: which tasks are done, and the numbers of their attempts. None of them had an allocation.
+// RestoreContinuedChunk restores a chunk from the leader's record for a job that continues in a
+// shard: which tasks are done, and their attempt numbers. None of the tasks may have had an
+// allocation when the job was handed over.
 func (s *State) RestoreContinuedChunk(job *Job, index int, record *records.CompactChunk, now micro.Time) {
 	expanded, ok := s.expandChunk(job, index, record)
 	if !ok {
 		return
 	}
 	if len(expanded.Allocations) > 0 {
-		s.Log("allocations of a job that changed hands", "job", job.Spec.ID, "chunk", index)
+		s.Log("ignoring allocations in the record of a job that was handed over", "job", job.Spec.ID, "chunk", index)
 	}
 	expanded.Allocations = nil
 	chunk := job.Chunks[index]
 	before := chunk.Record()
 	s.restoreTasks(job, expanded, job.chunkFilter(index), now)
 	if !chunk.Stored || !reflect.DeepEqual(before, chunk.Record()) {
-		chunk.MemoryVersion++ // the shard's own record lacks some of it
+		chunk.MemoryVersion++ // the shard owner's record lacks part of this state
 	}
 }
 
-// expandChunk reads a compact record; false if the job has no such chunk, or it makes no sense.
+// expandChunk expands a compact record. It returns false if the job has no chunk with that index or
+// if the record is inconsistent.
 func (s *State) expandChunk(job *Job, index int, record *records.CompactChunk) (*records.Chunk, bool) {
 	if index < 0 || index >= len(job.Chunks) {
 		return nil, false
 	}
 	expanded, ok := record.Expand()
 	if !ok {
-		s.Log("record not understood", "job", job.Spec.ID, "chunk", index)
+		s.Log("chunk record is inconsistent, ignoring it", "job", job.Spec.ID, "chunk", index)
 	}
 	return &expanded, ok
 }
 
-// chunkFilter tells which tasks a chunk holds.
+// chunkFilter returns a predicate that reports whether the chunk with the given index contains a
+// task.
 func (j *Job) chunkFilter(index int) func(task int) bool {
 	return func(task int) bool { return task >= 0 && task < len(j.Tasks) && task/j.tasksPerChunk == index }
 }
 
-// restoreTasks reads a record's tasks into a job, as far as they are included.
+// restoreTasks restores those tasks of a record for which includes returns true.
 func (s *State) restoreTasks(job *Job, record *records.Chunk, includes func(i int) bool, now micro.Time) {
 	for _, attempt := range record.Attempts {
 		if includes(attempt[0]) {
 			task := &job.Tasks[attempt[0]]
-			task.Attempt = max(task.Attempt, uint32(attempt[1])) // the other side's record may be the later one
+			// The record of the other controller may be the more recent one.
+			task.Attempt = max(task.Attempt, uint32(attempt[1]))
 			job.GangAttempt = max(job.GangAttempt, uint32(attempt[1]))
 		}
 	}
@@ -121,7 +125,7 @@
 	}
 }
 
-// restoreCompletion notes that a task is done by its record.
+// restoreCompletion marks a task as done that is done according to its record.
 func (s *State) restoreCompletion(job *Job, index int) {
 	if job.Tasks[index].Done {
 		return
@@ -131,7 +135,7 @@
 	s.dequeue(job, index)
 }
 
-// restoreAllocation takes an allocation over from its record.
+// restoreAllocation restores an allocation from its record.
 func (s *State) restoreAllocation(job *Job, entry *records.Allocation, now micro.Time) {
 	task := &job.Tasks[entry.Index]
 	if job.State == Active && !task.Done {
@@ -150,14 +154,14 @@
 	})
 }
 
-// FinishRestore completes a failover: all records have been read.
+// FinishRestore completes a failover after all records have been read.
 func (s *State) FinishRestore(now micro.Time) {
 	for _, job := range s.Jobs {
 		s.FinishJobRestore(job, now)
 	}
 }
 
-// FinishJobRestore continues a job all of whose records have been read.
+// FinishJobRestore resumes a job after all its records have been read.
 func (s *State) FinishJobRestore(job *Job, now micro.Time) {
 	switch {
 	case job.IsTerminal():
@@ -169,7 +173,7 @@
 		s.JobFinished(job)
 	case job.State == Active && job.Spec.Kind == wire.Gang &&
 		job.AllocationCount > 0 && job.AllocationCount < len(job.Tasks):
-		// Only part of the attempt was written: it never started whole.
+		// Only part of the attempt was stored, so it never started completely.
 		s.abortGangAttempt(job, now)
 	}
 }
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -5,9 +5,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Commands lists what a machine's agent is to do now. Token is the one that the commands go
-// out under; dispatched says that they go to the agent by themselves, not in the response to
-// a heartbeat. Called on the goroutine that owns the state.
+// Commands returns the commands that a machine's agent is to execute now. token is the fencing
+// token under which they are sent. dispatched reports whether they are sent in a request of their
+// own rather than in the response to a heartbeat. It must be called on the goroutine that owns the
+// state.
 func (s *State) Commands(machine *Machine, token uint64, dispatched bool, _ micro.Time) []wire.Command {
 	var commands []wire.Command
 	for _, allocation := range machine.SortedAllocations() {
@@ -32,12 +33,12 @@
 	return commands
 }
 
-// newCommand names an attempt that an agent is to start, stop or forget.
+// newCommand returns a command to start, stop or forget an attempt.
 func newCommand(kind wire.CommandKind, key AllocationKey) wire.Command {
 	return wire.Command{Kind: kind, Task: key.Task, Attempt: wire.Count(key.Attempt)}
 }
 
-// needsStop reports whether an agent is to stop the attempt.
+// needsStop reports whether the agent is to stop the attempt.
 func (a *Allocation) needsStop() bool { return a.Stopping && (a.Observed || a.State != Planned) }
 
 func (a *Allocation) stopCommand() wire.Command {
@@ -47,22 +48,22 @@
 	return command
 }
 
-// needsStart reports whether an agent is to start the attempt: its record is stored, no
-// heartbeat has shown it, and it was allocated in this term and for this agent epoch.
+// needsStart reports whether the agent is to start the attempt: its record is stored, no heartbeat
+// has reported it, and it was allocated in this term and for the current agent epoch.
 func (a *Allocation) needsStart() bool {
 	return a.State == Starting && !a.Observed && !a.Restored && a.AgentEpoch == a.Machine.AgentEpoch
 }
 
-// canForget reports whether the agent may drop an exited attempt from its list. A late
-// copy of a dispatched start would run the attempt again after it was forgotten: the agent
-// must have seen a newer token first.
+// canForget reports whether the agent may drop an exited attempt from its list. A delayed copy of a
+// dispatched start command would run the attempt again after it was forgotten, so the agent must
+// have seen a newer fencing token first.
 func (e *exitedAttempt) canForget(seenToken uint64) bool {
 	return seenToken > e.dispatchToken &&
 		(e.chunk == nil || e.chunk.StoredVersion >= e.chunkVersion || e.chunk.Job.IsTerminal())
 }
 
-// NeedsNewerToken reports whether something on the machine waits for its agent to see a fencing
-// token above the given one.
+// NeedsNewerToken reports whether progress on the machine requires its agent to see a fencing token
+// above the given one.
 func (m *Machine) NeedsNewerToken(token uint64) bool {
 	if m.RequiredFencingToken > token {
 		return true
--- a/internal/cluster/compact_test.go
+++ b/internal/cluster/compact_test.go
@@ -10,7 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// describeAllocations lists what a state holds, in a fixed order.
+// describeAllocations returns a line for each allocation and each done task of a state, in a fixed
+// order.
 func describeAllocations(state *cluster.State) []string {
 	var lines []string
 	for _, job := range state.Jobs {
@@ -18,7 +19,7 @@
 			lines = append(
 				lines,
 				fmt.Sprint(
-					allocation.TaskName, " try ", allocation.Attempt, " on ", allocation.Machine.Name, " session ",
+					allocation.TaskName, " attempt ", allocation.Attempt, " on ", allocation.Machine.Name, " epoch ",
 					allocation.AgentEpoch, " in ", allocation.Machine.Zone,
 				),
 			)
@@ -33,12 +34,13 @@
 	return lines
 }
 
-// jobStore is what the store holds of one job's tasks.
+// jobStore holds the stored chunk records of one job.
 type jobStore struct {
 	legacy  map[int]cluster.ChunkRecord
 	compact map[int]cluster.CompactRecord
 }
 
+// failOver returns the state of a new leader that has read the stored records.
 func (s *jobStore) failOver(spec wire.Job, tasks int, now micro.Time, effects cluster.Effects) *cluster.State {
 	state := cluster.New(effects)
 	state.MinFencingToken = 2 << 24
@@ -53,7 +55,7 @@
 	return state
 }
 
-// lineSet is the set of some lines.
+// lineSet returns the lines as a set.
 func lineSet(lines []string) map[string]bool {
 	set := map[string]bool{}
 	for _, line := range lines {
@@ -62,7 +64,8 @@
 	return set
 }
 
-// firstMissing is the first of the lines that a set lacks, but the excepted one; "": none.
+// firstMissing returns the first of the lines that is not in the set, except for the given one; ""
+// if there is none.
 func firstMissing(lines []string, set map[string]bool, except string) string {
 	for _, line := range lines {
 		if !set[line] && line != except {
@@ -72,9 +75,10 @@
 	return ""
 }
 
-// A job begun under the earlier version has records of 128 tasks. Its tasks move
-// to smaller records, one change at a time, and the leader may end after any.
-func TestMigrationToCompactRecordsRestoresAfterEachStep(t *testing.T) {
+// A job that started under the previous version has records of 128 tasks. Its tasks are migrated to
+// smaller records one write at a time, and a failover after any of these writes must restore the
+// same state.
+func TestStateIsRestoredAfterEachStepOfTheCompactMigration(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
 	stored := jobStore{legacy: map[int]cluster.ChunkRecord{}, compact: map[int]cluster.CompactRecord{}}
@@ -92,29 +96,29 @@
 	tc.persist()
 	tc.heartbeat(agent)
 	agent.ExitTask("j-1/3", 1, wire.CauseDone)
-	tc.heartbeat(agent) // its completion is not written yet
+	tc.heartbeat(agent) // its completion is not stored yet
 	before := describeAllocations(tc.cluster)
 	tc.cluster.EnableCompactRecords(32)
 	if got := describeAllocations(tc.cluster); fmt.Sprint(got) != fmt.Sprint(before) {
-		t.Fatal("the move itself changed the picture")
+		t.Fatal("the migration itself changed the state")
 	}
 	other := newTestCluster(t)
 	check := func(step string) {
 		t.Helper()
 		restored := lineSet(describeAllocations(stored.failOver(spec, 32, tc.now, other)))
-		// The agent keeps the completion of j-1/3 until it is written.
+		// The agent keeps the completion of j-1/3 until it is stored.
 		if line := firstMissing(before, restored, "j-1/3 done"); line != "" {
-			t.Fatalf("%s: a failover misses %q", step, line)
+			t.Fatalf("%s: a failover does not restore %q", step, line)
 		}
-		if restored["j-1/3 done"] && restored["j-1/3 try 1 on i-1 session 1 in a"] {
-			t.Fatalf("%s: the old record still has its say", step)
+		if restored["j-1/3 done"] && restored["j-1/3 attempt 1 on i-1 epoch 1 in a"] {
+			t.Fatalf("%s: a failover still applies the superseded record", step)
 		}
 	}
 	deleteSuperseded := func() {
 		t.Helper()
 		for _, legacy := range tc.supersededRecords {
 			if !legacy.Obsolete() {
-				t.Fatal("a record is given up that still stands for tasks")
+				t.Fatal("a legacy record that still covers tasks is deleted")
 			}
 			delete(stored.legacy, legacy.Index)
 		}
@@ -125,12 +129,12 @@
 		check(fmt.Sprint("record ", chunk.Index, " written"))
 		tc.cluster.ChunkPersisted(chunk, chunk.MemoryVersion)
 		deleteSuperseded()
-		check(fmt.Sprint("record ", chunk.Index, " confirmed"))
+		check(fmt.Sprint("record ", chunk.Index, " persisted"))
 	}
 	if len(stored.legacy) != 0 {
-		t.Fatalf("%d records in the first form are left", len(stored.legacy))
+		t.Fatalf("%d records in the legacy format remain", len(stored.legacy))
 	}
 	if got := describeAllocations(stored.failOver(spec, 32, tc.now, other)); fmt.Sprint(got) != fmt.Sprint(before) {
-		t.Fatalf("%d places, want %d", len(got), len(before))
+		t.Fatalf("%d lines restored after the migration, want the same %d as before", len(got), len(before))
 	}
 }
--- a/internal/cluster/contact.go
+++ b/internal/cluster/contact.go
@@ -6,11 +6,12 @@
 )
 
 type (
-	// Contact is what is known of a machine's agent by its messages, and of its lease.
+	// Contact is what a controller knows about a machine's agent and its lease from the agent's
+	// messages.
 	Contact = contact.Contact
-	// Source says how an agent's message came.
+	// Source is the way in which an agent's message arrived.
 	Source = contact.Source
-	// Outcome says what became of a message.
+	// Outcome is the result of processing a message.
 	Outcome = contact.Outcome
 )
 
@@ -23,46 +24,49 @@
 	Refused              = contact.Refused
 )
 
-// latestLeaseStart is the latest time from which the agent's lease may count: the last response
-// to any of its heartbeats, a late copy included, or the failover, before which another leader
-// may have responded; or the last time at which a lease proxy of its zone may have.
+// latestLeaseStart returns the latest time from which the agent's lease may be running. That is the
+// latest of the last response to any of its heartbeats, including duplicates, the failover, before
+// which another leader may have responded, and the last time at which a lease proxy in the
+// machine's zone may have renewed it.
 func (s *State) latestLeaseStart(machine *Machine) micro.Time {
 	return max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine), s.ProxyRenewedUntil[machine.Zone])
 }
 
-// ResponseSent notes the fencing token of a response that went out in good time; 0: it may have
-// come too late for the agent to take it.
+// ResponseSent records the fencing token of a response that was sent in time; 0 if it may have been
+// sent too late for the agent to accept it.
 func (s *State) ResponseSent(machine *Machine, token uint64) { machine.SetLastResponse(token) }
 
-// WouldProveLiveness reports whether a machine's agent was heard, but has yet to show a token that
-// proves it alive, and the given one would.
+// WouldProveLiveness reports whether the machine's agent has sent messages but has not yet reported
+// a token that proves that it is alive, and the given token would be such a proof.
 func (m *Machine) WouldProveLiveness(token uint64) bool {
 	return m.State != Up && m.State != Terminating && m.State != Terminated && m.LivenessUnproven() &&
 		m.RequiredFencingToken <= token
 }
 
-// SetResponsesLost marks a machine whose agent gets no responses (a one-way partition): it takes
-// no new tasks, and what it has runs elsewhere only once it is proven released. It is used again as
-// soon as a heartbeat shows that responses arrive.
+// SetResponsesLost marks a machine whose agent receives no responses because of a one-way network
+// partition. The machine gets no new tasks, and its current tasks are moved only after their
+// allocations are proven released. It is used again as soon as a heartbeat shows that responses
+// arrive.
 func (s *State) SetResponsesLost(machine *Machine, lost bool, now micro.Time) {
 	if machine.ResponsesLost == lost {
 		return
 	}
 	machine.ResponsesLost, machine.ResponsesLostSince = lost, now
-	s.Log("heartbeat responses lost", "machine", machine.Name, "lost", lost)
+	s.Log("heartbeat response loss changed", "machine", machine.Name, "lost", lost)
 	s.updatePool(machine)
 	s.ScheduleSoon()
 }
 
-// LeaseExpired reports whether the agent's lease surely ran out.
+// LeaseExpired reports whether the agent's lease has certainly expired.
 func (s *State) LeaseExpired(machine *Machine, now micro.Time) bool {
 	return now > s.latestLeaseStart(machine)+s.LeaseDuration
 }
 
-// MachineReachable reports whether commands are likely to arrive: not on a machine that left a
-// dispatch unanswered, nor in a zone that became unreachable as a whole, unless a message came
-// since. In the first seconds of a partition, gangs were placed beyond it until their machines'
-// heartbeats were overdue, and stayed there until it ended.
+// MachineReachable reports whether commands are likely to reach the machine. They are not if the
+// machine left a dispatch unanswered or if its whole zone became unreachable, unless a message has
+// arrived since. Without this check, gangs were placed on machines beyond a network partition in
+// its first seconds, before the heartbeats of these machines were overdue, and stayed there until
+// the partition ended.
 func (s *State) MachineReachable(machine *Machine) bool {
 	if machine.DispatchUnanswered {
 		return false
@@ -71,8 +75,9 @@
 	return !unreachable || machine.LastHeartbeat > since
 }
 
-// ZoneReachable reports whether an instance that is requested in the zone is likely to be heard
-// from: its controllers answer, or one of its machines was heard from since they do not.
+// ZoneReachable reports whether the controller is likely to receive heartbeats from a machine that
+// is newly requested in the zone: the zone's controllers respond, or one of its machines has sent a
+// heartbeat since they stopped responding.
 func (s *State) ZoneReachable(zone string) bool {
 	since, unreachable := s.ZoneUnreachableSince[zone]
 	if !unreachable {
@@ -86,7 +91,7 @@
 	return false
 }
 
-// beginAgentEpoch releases what a machine held in earlier agent epochs.
+// beginAgentEpoch releases the allocations that a machine held in earlier agent epochs.
 func (s *State) beginAgentEpoch(machine *Machine, epoch uint64, now micro.Time) {
 	if machine.AgentEpoch > 0 && machine.State == Up && now-machine.LeaseRenewedAt < s.LeaseDuration/2 {
 		machine.RecordUnexpectedLeaseExpiry()
@@ -97,13 +102,13 @@
 		}
 	}
 	clear(machine.exitedAttempts)
-	// The lease of an epoch counts from its beginning, before any response to a
-	// heartbeat: first seen in the response to a dispatch after an outage, a new
-	// epoch was taken for over by the last response to the one before.
+	// The lease of an epoch runs from the beginning of the epoch, before any response to a
+	// heartbeat. When a new epoch was first seen in the response to a dispatch after an outage, it
+	// used to be treated as expired, based on the last response to the previous epoch.
 	machine.LeaseRenewedAt = now
 }
 
-// recordHeartbeat notes a sign of life and the fencing token that the agent has seen.
+// recordHeartbeat records that the agent is alive and which fencing token it has seen.
 func (s *State) recordHeartbeat(machine *Machine, token uint64, source Source, now micro.Time) {
 	machine.FencingToken = max(machine.FencingToken, token)
 	machine.LastHeartbeat, machine.DispatchUnanswered = now, false
@@ -121,8 +126,9 @@
 		}
 	}
 	if token >= machine.RequiredFencingToken {
-		// Only an echo of a token given out since then proves that the message
-		// is no late copy from a machine that is gone, suspect or terminated.
-		s.TransitionMachine(machine, Up, "reports")
+		// Without this token the message may be a delayed copy from a machine that no longer
+		// exists, is suspect or was terminated. Only an agent that received a response after the
+		// token was issued can report it.
+		s.TransitionMachine(machine, Up, "heartbeat received")
 	}
 }
--- a/internal/cluster/dependencies.go
+++ b/internal/cluster/dependencies.go
@@ -2,15 +2,15 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// FinalStatus is how a job ended, as it is in the store.
+// FinalStatus is how a job ended, according to the store.
 type FinalStatus struct {
 	Aborted bool
-	EndedAt micro.Time // on the steady clock
+	EndedAt micro.Time // monotonic clock
 }
 
-// awaitDependencies counts a job's dependencies that are not over. That one is done is known
-// from its stored final status alone: one that has left the lists of live jobs may have been
-// cancelled.
+// awaitDependencies counts a job's dependencies that have not ended. Whether a dependency completed
+// is taken from its stored final status only: a job that is no longer in the list of live jobs may
+// have been cancelled.
 func (s *State) awaitDependencies(job *Job) {
 	var lastEnd micro.Time
 	dependencyAborted := false
@@ -41,9 +41,9 @@
 	}
 }
 
-// ApplyFinalStatus takes in a final status that is in the store: it unblocks the job's
-// dependents, or aborts all of them, through any depth. What is aborted here follows from that
-// one status, so that any other leader, or node, comes to the same.
+// ApplyFinalStatus applies a job's stored final status. It unblocks the job's dependents or, if the
+// job was aborted, aborts all direct and indirect dependents. The aborts follow from that one
+// status alone, so any other leader or controller reaches the same result.
 func (s *State) ApplyFinalStatus(id string, status FinalStatus, _ micro.Time) {
 	if _, known := s.FinalStatuses[id]; known {
 		return
@@ -60,15 +60,16 @@
 		case job.UnmetDependencies == 0:
 			job.EligibleSince = max(job.SubmittedAt, status.EndedAt)
 			s.transitionJob(job, Active)
-			s.Log("job may start", "job", job.Spec.ID)
+			s.Log("job dependencies are met", "job", job.Spec.ID)
 		}
 	}
 	if job := s.Jobs[id]; job != nil && status.Aborted {
-		s.propagateToDependencies(job) // one dependent less passes its priority on
+		s.propagateToDependencies(job) // one dependent fewer passes on its priority and deadline
 	}
 }
 
-// cascadeAbort aborts a job and all its dependents. None of them has ever started.
+// cascadeAbort aborts a job and all its direct and indirect dependents. None of them has ever
+// started.
 func (s *State) cascadeAbort(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		next := stack[len(stack)-1]
@@ -83,18 +84,19 @@
 	}
 }
 
-// expectedDuration is how long a job of a pipeline is expected to take.
+// expectedDuration returns how long a job in a pipeline is expected to take.
 func (j *Job) expectedDuration() micro.Time { return j.Class.ExpectedDuration(&j.Spec, len(j.Tasks)) }
 
-// effectiveDeadline is when the inherited deadline asks the job itself to be done.
+// effectiveDeadline returns the time by which the job itself must be done to meet the deadline that
+// it inherits.
 func (j *Job) effectiveDeadline() micro.Time {
 	return j.DeadlineSource.SubmittedAt + micro.FromSeconds(*j.DeadlineSource.Spec.DeadlineS) - j.CriticalPath
 }
 
-// inheritFromDependents passes priority level and deadline back from a job's dependents: it
-// counts as the highest of their levels and its own, and has to be done as early as the tightest
-// of their deadlines asks, less what comes after it. Users set both on the last job of a
-// pipeline only, and allow this.
+// inheritFromDependents derives a job's priority level and deadline from its own and those of its
+// dependents. The job gets the highest of these levels, and must be done in time for the tightest
+// of these deadlines, reduced by the duration of the jobs that follow it. Users set both on the
+// last job of a pipeline only, and accept that they apply to its dependencies.
 func (s *State) inheritFromDependents(job *Job) {
 	inherited := s.inheritance(job)
 	if inherited.level == job.PriorityLevel && inherited.source == job.DeadlineSource &&
@@ -107,16 +109,17 @@
 	s.ScheduleSoon()
 }
 
-// inheritance is what a job has of its own and from its dependents: the highest priority
-// level, and the tightest deadline with what comes after the job until then.
+// inheritance is what a job has itself or inherits from its dependents: the highest priority level,
+// and the tightest deadline with the duration of the jobs that follow until then.
 type inheritance struct {
 	level        int
 	source       *Job
 	criticalPath micro.Time
-	deadline     micro.Time // when the job itself has to be done; meaningless without a source
+	deadline     micro.Time // when the job itself has to be done; valid only if source is set
 }
 
-// inheritance compares a job's own level and deadline with those of its dependents.
+// inheritance determines the priority level and deadline of a job from its own and those of its
+// dependents.
 func (s *State) inheritance(job *Job) inheritance {
 	inherited := inheritance{level: job.Spec.Priority.Level()}
 	if job.Spec.DeadlineS != nil {
@@ -135,7 +138,7 @@
 	return inherited
 }
 
-// tighten takes a dependent's deadline over if it asks the job to be done earlier.
+// tighten adopts a dependent's deadline if it requires the job to be done earlier.
 func (i *inheritance) tighten(dependent *Job) {
 	duration := dependent.expectedDuration()
 	deadline := dependent.effectiveDeadline() - duration
@@ -144,7 +147,8 @@
 	}
 }
 
-// setPriorityLevel changes a job's level, by which machines count what it holds.
+// setPriorityLevel changes a job's priority level, and moves the usage of its allocations to that
+// level on their machines.
 func (j *Job) setPriorityLevel(level int) {
 	if level == j.PriorityLevel {
 		return
@@ -159,7 +163,7 @@
 	}
 }
 
-// propagateToDependencies lets a job's dependencies inherit from it anew.
+// propagateToDependencies updates what a job's dependencies inherit from it.
 func (s *State) propagateToDependencies(job *Job) {
 	for _, id := range job.Spec.Dependencies {
 		if dependency := s.Jobs[id]; dependency != nil && !dependency.IsTerminal() {
--- a/internal/cluster/dependencies_test.go
+++ b/internal/cluster/dependencies_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// Done in memory is not done: until the end is in the store, another leader could
-// find the dependency cancelled.
-func TestTaskStartsOnlyOnceEachDependencysFinalStatusIsStored(t *testing.T) {
+// A dependency whose completion is only in memory does not count as done. Until its final status is
+// stored, another leader could find it cancelled.
+func TestJobStartsOnlyAfterTheFinalStatusOfEachDependencyIsStored(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
 	first, second := tc.submitSpec(pipelineJob("j-1")), tc.submitSpec(pipelineJob("j-2"))
@@ -30,43 +30,49 @@
 	agent.ExitTask("j-2/0", 1, wire.CauseDone)
 	tc.heartbeat(agent)
 	if first.State != cluster.Finishing || second.State != cluster.Finishing {
-		t.Fatalf("%v, %v", first.State, second.State)
+		t.Fatalf("dependencies are %v and %v, want finishing", first.State, second.State)
 	}
 	tc.expectScheduled(0)
 	if dependent.State != cluster.Blocked || dependent.AllocationCount > 0 || dependent.Status().State != wire.JobPending {
-		t.Fatalf("it goes by what is not stored: %v with %d places", dependent.State, dependent.AllocationCount)
+		t.Fatalf(
+			"dependent starts on a final status that is not stored: %v with %d allocations",
+			dependent.State, dependent.AllocationCount,
+		)
 	}
 	tc.cluster.FinalizeJob(first, false, tc.now)
 	tc.expectScheduled(0)
 	if dependent.AllocationCount > 0 {
-		t.Fatal("one of two ends was enough")
+		t.Fatal("dependent starts after one of its two dependencies")
 	}
 	tc.now += 7 * micro.Second
 	tc.cluster.FinalizeJob(second, false, tc.now)
 	tc.expectScheduled(1)
 	if dependent.AllocationCount != 1 || dependent.EligibleSince != tc.now {
-		t.Fatalf("%v with %d places, its clocks from %v", dependent.State, dependent.AllocationCount, dependent.EligibleSince)
+		t.Fatalf(
+			"dependent is %v with %d allocations, eligible since %v",
+			dependent.State, dependent.AllocationCount, dependent.EligibleSince,
+		)
 	}
 }
 
-// Nothing is known of a dependency: it may have been cancelled under an earlier
-// leader and have left the lists.
-func TestUnknownDependencyIsNeverTakenForDone(t *testing.T) {
+// A dependency about which nothing is known may have been cancelled under an earlier leader, and is
+// no longer in the list of live jobs.
+func TestUnknownDependencyDoesNotCountAsDone(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.addAgent("i-1", "a")
 	job := tc.submitSpec(pipelineJob("j-2", "j-1"))
 	tc.expectScheduled(0)
 	if job.State != cluster.Blocked || len(tc.unknownDependencies) != 1 || tc.unknownDependencies[0] != "j-1" {
-		t.Fatalf("%v, looked up: %v", job.State, tc.unknownDependencies)
+		t.Fatalf("dependent is %v, looked up: %v", job.State, tc.unknownDependencies)
 	}
 	tc.cluster.ApplyFinalStatus("j-1", cluster.FinalStatus{Aborted: true, EndedAt: tc.now}, tc.now)
 	tc.expectScheduled(0)
 	if job.AllocationCount > 0 || job.Status().State != wire.JobAborted {
-		t.Fatalf("%v with %d places", job.Status().State, job.AllocationCount)
+		t.Fatalf("dependent is %v with %d allocations, want aborted", job.Status().State, job.AllocationCount)
 	}
 }
 
-func TestAbortCascadesToAllDependentsAndNothingElse(t *testing.T) {
+func TestAbortCascadesToAllDependentsOnly(t *testing.T) {
 	tc := newTestCluster(t)
 	first := tc.submitSpec(pipelineJob("j-0"))
 	other := tc.submitSpec(pipelineJob("j-100"))
@@ -76,56 +82,58 @@
 	both := tc.submitSpec(pipelineJob("j-101", "j-100", "j-19"))
 	tc.cluster.BeginAbort(first)
 	if len(tc.dependencyAborted) > 0 {
-		t.Fatal("the withdrawal is not stored yet: its last task may still win")
+		t.Fatal("dependents were aborted before the cancellation was stored: the last task may still complete first")
 	}
 	tc.cluster.FinalizeJob(first, true, tc.now)
 	if len(tc.dependencyAborted) != 20 || both.Status().State != wire.JobAborted {
-		t.Fatalf("%d fell, the last is %v", len(tc.dependencyAborted), both.Status().State)
+		t.Fatalf("%d dependents aborted, want 20; the last is %v", len(tc.dependencyAborted), both.Status().State)
 	}
 	if other.State != cluster.Active {
-		t.Fatalf("%v: nobody cancelled it", other.State)
+		t.Fatalf("%v: a job that does not depend on the cancelled one was aborted", other.State)
 	}
 	if late := tc.submitSpec(pipelineJob("j-102", "j-101")); late.Status().State != wire.JobAborted ||
 		late.State != cluster.Aborting {
-		t.Fatalf("submitted later: %v", late.State)
+		t.Fatalf("dependent submitted after the abort is %v, want aborting", late.State)
 	}
 	if done := tc.submitSpec(pipelineJob("j-103", "j-100")); done.State != cluster.Blocked {
-		t.Fatalf("%v", done.State)
+		t.Fatalf("dependent of a job that was not cancelled is %v, want blocked", done.State)
 	}
 }
 
-// A job is answered `done` to its cancellation: what comes after it goes on.
+// The cancellation of a job is answered with `done`, so its dependents may start.
 func TestCancellationAfterCompletionLetsDependentsStart(t *testing.T) {
 	tc := newTestCluster(t)
 	dependency := tc.submitSpec(pipelineJob("j-1"))
 	dependent := tc.submitSpec(pipelineJob("j-2", "j-1"))
 	tc.cluster.BeginAbort(dependency)
-	tc.cluster.FinalizeJob(dependency, false, tc.now) // its last task had won
+	tc.cluster.FinalizeJob(dependency, false, tc.now) // its last task completed first
 	if dependent.State != cluster.Active {
-		t.Fatalf("%v", dependent.State)
+		t.Fatalf("dependent is %v, want active", dependent.State)
 	}
 }
 
-// A new leader finds one level aborted and stored, the next not yet.
-func TestFailoverBetweenTwoLevelsFinishesTheCascade(t *testing.T) {
+// A new leader finds the abort of one level of the pipeline stored, but not yet that of the next.
+func TestAbortCascadeContinuesAfterAFailover(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.FinalStatuses["j-1"] = cluster.FinalStatus{Aborted: true}
 	tc.cluster.FinalStatuses["j-5"] = cluster.FinalStatus{EndedAt: tc.now - 9*micro.Second}
 	third, second := tc.submitSpec(pipelineJob("j-3", "j-2")), tc.submitSpec(
 		pipelineJob("j-2", "j-1"),
-	) // read in any command
+	) // jobs are read in no particular order
 	if second.Status().State != wire.JobAborted || third.Status().State != wire.JobAborted ||
 		len(tc.dependencyAborted) != 2 {
-		t.Fatalf("%v, %v", second.Status().State, third.Status().State)
+		t.Fatalf("dependents are %v and %v, want aborted", second.Status().State, third.Status().State)
 	}
 	tc.now += 5 * micro.Second
 	if job := tc.cluster.AddJob(pipelineJob("j-6", "j-5"), tc.now-60*micro.Second, tc.now); job.State != cluster.Active ||
 		job.EligibleSince != tc.now-14*micro.Second {
-		t.Fatalf("%v, its clocks from %v s ago", job.State, (tc.now - job.EligibleSince).Seconds())
+		t.Fatalf(
+			"dependent is %v, eligible for %v s, want active and 14 s", job.State, (tc.now - job.EligibleSince).Seconds(),
+		)
 	}
 }
 
-func TestBlockedJobHoldsNoGuaranteeAndNoQueuePosition(t *testing.T) {
+func TestBlockedJobUsesNoGuaranteeAndIsNotQueued(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].GuaranteedCPUs = 2
 	big := pipelineJob("j-2", "j-1")
@@ -136,12 +144,12 @@
 	tc.cluster.MarkGuarantees()
 	if !later.WithinGuarantee || tc.cluster.PendingJobs[tc.cluster.Jobs["j-2"]] ||
 		tc.cluster.ActiveJobs[tc.cluster.Jobs["j-2"]] {
-		t.Fatal("a job that can't start yet counts")
+		t.Fatal("a blocked job uses the guarantee or is scheduled")
 	}
 	tc.now += 300 * micro.Second
 	tc.cluster.FinalizeJob(tc.cluster.Jobs["j-1"], false, tc.now)
 	if job := tc.cluster.Jobs["j-2"]; !tc.cluster.PendingJobs[job] || job.EligibleSince != tc.now {
-		t.Fatal("its age counts from the end of what it awaited")
+		t.Fatal("the job is not eligible from the time when its dependency ended")
 	}
 }
 
@@ -159,18 +167,18 @@
 		second.CriticalPath >= first.CriticalPath ||
 		second.CriticalPath == 0 {
 		t.Fatalf(
-			"ranks %d, %d; %v after the first, %v after the second", first.PriorityLevel, second.PriorityLevel,
+			"priority levels %d and %d, critical paths %v and %v", first.PriorityLevel, second.PriorityLevel,
 			first.CriticalPath, second.CriticalPath,
 		)
 	}
 	machine := tc.cluster.Machines["i-1"]
 	if machine.Preemptible(1).CPU != 0 || machine.Preemptible(0).CPU != 1 {
-		t.Fatalf("the machine counts its place under the old rank: %+v", machine.UsedByPriority)
+		t.Fatalf("the machine counts the allocation under the old priority level: %+v", machine.UsedByPriority)
 	}
 	tc.cluster.BeginAbort(third)
 	tc.cluster.FinalizeJob(third, true, tc.now)
 	if first.PriorityLevel != 3 || first.DeadlineSource != nil || second.PriorityLevel != 3 ||
 		machine.Preemptible(1).CPU != 1 {
-		t.Fatalf("the job that asked for it is gone: rank %d", first.PriorityLevel)
+		t.Fatalf("the job that set priority and deadline was aborted, but the level is still %d", first.PriorityLevel)
 	}
 }
--- a/internal/cluster/dependency_record.go
+++ b/internal/cluster/dependency_record.go
@@ -1,6 +1,7 @@
 package cluster
 
-// DependencyRecord is a part of a long list of dependencies, stored in a key of its own.
+// DependencyRecord is one part of a long list of dependencies. Each part is stored under its own
+// key.
 type DependencyRecord struct {
 	Dependencies []string `msgpack:"n" json:"n"`
 }
--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -8,7 +8,7 @@
 
 type images = imagecache.Cache
 
-// recordImage notes that a machine has an image.
+// recordImage records that a machine has an image.
 func (m *Machine) recordImage(name string, sizeGB float64, now micro.Time) {
 	if name == "" {
 		return
@@ -20,18 +20,19 @@
 	m.UseImage(name, sizeGB, capacityGB, now)
 }
 
-// ImagePages builds the records of the machines' images, each of at most size bytes in the
-// store's count.
+// ImagePages builds the records of the machines' images, each of at most size bytes as the store's
+// limits count them.
 func (s *State) ImagePages(size int) []records.Images {
-	holders := make([]imagecache.MachineImages, 0, len(s.Machines))
+	machines := make([]imagecache.MachineImages, 0, len(s.Machines))
 	for name, machine := range s.Machines {
-		holders = append(holders, imagecache.MachineImages{Machine: name, Images: machine.images})
+		machines = append(machines, imagecache.MachineImages{Machine: name, Images: machine.images})
 	}
-	return imagecache.Pages(holders, size)
+	return imagecache.Pages(machines, size)
 }
 
-// RestoreImages reads a record. What it says of machines that are not known yet is kept for
-// when they are: only the first heartbeat tells of an operators' own machine.
+// RestoreImages restores the machines' images from a record. Entries of machines that are not known
+// yet are kept until they are, because the operators' own machines become known only with their
+// first heartbeat.
 func (s *State) RestoreImages(record records.Images, now micro.Time) {
 	for name, cache := range imagecache.FromRecord(record, now) {
 		if machine := s.Machines[name]; machine != nil {
@@ -42,7 +43,8 @@
 	}
 }
 
-// takeImageHint gives the images that a machine had by the records, for good.
+// takeImageHint removes and returns the images that the records list for a machine that was not
+// known when they were read.
 func (s *State) takeImageHint(name string) imagecache.Cache {
 	cache, ok := s.imageHints[name]
 	if !ok {
--- a/internal/cluster/images_test.go
+++ b/internal/cluster/images_test.go
@@ -8,9 +8,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A new leader knew of no images, and for minutes gangs fetched again what some
-// free machine had.
-func TestImagesAreKnownToTheNextLeaderWithinTheStoresLimit(t *testing.T) {
+// A new leader knew of no images, and for minutes gangs fetched images again that some free
+// machines already had.
+func TestImagePagesFitTheStoreLimitAndAreRestoredByTheNextLeader(t *testing.T) {
 	tc := newTestCluster(t)
 	for i := range 40 {
 		agent := tc.addAgent("m"+strconv.Itoa(10+i), "a")
@@ -26,15 +26,15 @@
 	pages := tc.cluster.ImagePages(4096)
 	record := pages[0]
 	if len(pages) != 1 {
-		t.Fatalf("%d records where one holds all", len(pages))
+		t.Fatalf("%d records, want one that holds all machines", len(pages))
 	}
 	if len(record.Machines) != 40 || len(record.Names) != 3 {
-		t.Fatalf("%d machines, %d images", len(record.Machines), len(record.Names))
+		t.Fatalf("record has %d machines and %d images, want 40 and 3", len(record.Machines), len(record.Names))
 	}
 	recorded := map[string]bool{}
 	for _, page := range tc.cluster.ImagePages(500) {
 		if size := wire.JSONSize(page); size > 500 {
-			t.Fatalf("%d bytes where 500 are allowed", size)
+			t.Fatalf("record of %d bytes, limit 500", size)
 		}
 		for name := range page.Machines {
 			if recorded[name] {
@@ -49,7 +49,7 @@
 	tc.failOver(2)
 	tc.cluster.RestoreImages(record, tc.now)
 	if machine := tc.cluster.Machines["m10"]; !machine.HasImage("image-0") || machine.HasImage("image-1") {
-		t.Fatal("the record does not say what the machine has")
+		t.Fatal("the images restored from the record are not those of the machine")
 	}
 	tc.cluster.RestoreImages(cluster.ImageRecord{Names: []string{"x"}, Machines: map[string][]int{"m10": {7}}}, tc.now)
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -7,32 +7,32 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// TaskChunk is the record of some of a job's tasks.
+// TaskChunk is a group of a job's tasks that are stored in one record.
 type TaskChunk struct {
 	Job           *Job
 	Index         int
 	Allocations   []*Allocation
-	MemoryVersion uint64        // version of what is in memory
-	StoredVersion uint64        // version known to be in the store
-	KeyRevision   uint64        // the key's version in the store
-	Stored        bool          // the key is in the store, in the form of this chunk
-	HandedOver    bool          // the key is to be deleted, or is: the owner of the job's shard has its own
-	Legacy        *LegacyRecord // the record in the first form that this chunk comes from
+	MemoryVersion uint64        // version of the state in memory
+	StoredVersion uint64        // latest version known to be in the store
+	KeyRevision   uint64        // revision of the chunk's key in the store
+	Stored        bool          // the key is in the store, in this chunk's format
+	HandedOver    bool          // the key is deleted or to be deleted, because the owner of the job's shard has its own
+	Legacy        *LegacyRecord // the legacy format record that this chunk was migrated from
 }
 
-// Job is a job with its tasks. Its fields are read and changed only on the goroutine that
-// owns the state; times are on the steady clock of this process.
+// Job is a job with its tasks. Its fields may be accessed only on the goroutine that owns the
+// state. Times are on this process's monotonic clock.
 type Job struct {
 	Spec            wire.Job
 	State           JobState
 	Tasks           []Task
 	Chunks          []*TaskChunk
-	Team            *Team // nil: a team without settings, which has no quota
+	Team            *Team // nil if the team has no settings and therefore no quota
 	Class           *Class
 	SubmittedAt     micro.Time
-	EligibleSince   micro.Time // when its last dependency was done, else its submission
-	PriorityLevel   int        // 0 is the highest; inherited from dependents too
-	WithinGuarantee bool       // lies within its team's guarantee, see MarkGuarantees
+	EligibleSince   micro.Time // when its last dependency was done, or its submission if it has none
+	PriorityLevel   int        // 0 is the highest; includes the level inherited from dependents
+	WithinGuarantee bool       // the job is covered by its team's guarantee, see MarkGuarantees
 
 	Progress
 	Pipeline
@@ -43,44 +43,44 @@
 	tasksPerChunk int
 }
 
-// Progress counts a job's tasks.
+// Progress counts a job's tasks and allocations.
 type Progress struct {
 	DoneTasks         int
 	RunningTasks      int
-	UnallocatedSince  micro.Time // when its last allocation was released; 0: it had none in this term
+	UnallocatedSince  micro.Time // when its last allocation was released; 0 if it had none in this term
 	AllocationCount   int        // allocations that are not proven released
 	AllocationsByZone map[string]int
-	Started           bool   // a task of it has run
-	GangAttempt       uint32 // the gang's highest attempt number
-	GangStopping      bool   // the gang's attempt is being stopped
+	Started           bool   // one of its tasks has run
+	GangAttempt       uint32 // highest attempt number of the gang
+	GangStopping      bool   // the gang's current attempt is being stopped
 }
 
-// Pipeline is where a job stands among those that it depends on and that depend on it.
+// Pipeline is a job's position among its dependencies and dependents.
 type Pipeline struct {
 	UnmetDependencies int        // dependencies whose final status is not stored
-	DependencyAborted bool       // a dependency is stored as aborted: so is the job, by derivation
-	DeadlineSource    *Job       // the job whose deadline it inherits, perhaps itself; nil: none
-	CriticalPath      micro.Time // how long all that comes after it takes, the deadline's job included
+	DependencyAborted bool       // a dependency is stored as aborted, from which this job's abort follows
+	DeadlineSource    *Job       // the job whose deadline it inherits, possibly itself; nil if none
+	CriticalPath      micro.Time // expected duration of the jobs that follow it, up to and including DeadlineSource
 }
 
-// Assignment is a job's stay in a shard of the machines, whose owner places its tasks.
+// Assignment describes a job that is assigned to a shard, whose owner schedules its tasks.
 type Assignment struct {
-	Shard             string // the shard, until the assignment's record is gone
-	ReservedTasks     int    // tasks that count against its team's quota meanwhile
-	MaxAllocations    int    // allocations at once, as the leader reserved them; 0: any number
-	ShardRunningTasks int    // tasks that run there, as the owner last said
-	ShardDoneTasks    int    // tasks that are done, as the owner last said
+	Shard             string // the shard, until the assignment record is deleted
+	ReservedTasks     int    // tasks that count against the quota of its team while it is assigned
+	MaxAllocations    int    // concurrent allocations that the leader reserved quota for; 0 if unlimited
+	ShardRunningTasks int    // running tasks, as last reported by the shard owner
+	ShardDoneTasks    int    // done tasks, as last reported by the shard owner
 
-	UnassignedAt micro.Time // when it last came back from a shard in this term; 0: never
+	UnassignedAt micro.Time // when its last assignment ended in this term; 0 if never
 }
 
-// FailureHistory is what is known of a job's failed attempts.
+// FailureHistory records a job's failed attempts.
 type FailureHistory = quarantine.Job
 
-// Class is what has been learnt about a class of jobs.
+// Class holds the statistics learnt about a class of jobs.
 type Class = jobclass.Class
 
-// EnsureClass finds or makes a class.
+// EnsureClass returns the class with the given name, creating it if necessary.
 func (s *State) EnsureClass(name string) *Class {
 	class := s.Classes[name]
 	if class == nil {
@@ -90,9 +90,9 @@
 	return class
 }
 
-// AddJob takes in a job; a known one is returned as it is. One with dependencies holds nothing
-// of its team's guarantee, and is not scheduled, until each of their final statuses is known to
-// be in the store.
+// AddJob adds a job, or returns the existing one if it is known already. A job with dependencies
+// uses none of its team's guarantee and is not scheduled until the final statuses of all of them
+// are known to be in the store.
 func (s *State) AddJob(spec wire.Job, submitted, _ micro.Time) *Job {
 	if job := s.Jobs[spec.ID]; job != nil {
 		return job
@@ -118,10 +118,10 @@
 	return job
 }
 
-// Chunk is the record that holds a task.
+// Chunk returns the chunk that contains the task with the given index.
 func (j *Job) Chunk(index int) *TaskChunk { return j.Chunks[index/j.tasksPerChunk] }
 
-// markChunkDirty notes that a task's record changed.
+// markChunkDirty records that the stored state of a task changed, and returns its chunk.
 func (s *State) markChunkDirty(job *Job, index int) *TaskChunk {
 	chunk := job.Chunk(index)
 	chunk.MemoryVersion++
@@ -129,7 +129,7 @@
 	return chunk
 }
 
-// finishTask notes that a task is done.
+// finishTask marks a task as done.
 func (s *State) finishTask(job *Job, index int, now micro.Time) {
 	task := &job.Tasks[index]
 	if task.Done || job.State == Done || job.State == Aborted {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Allocations lists the allocations of the job's tasks.
+// Allocations returns the allocations of the job's tasks.
 func (j *Job) Allocations() []*Allocation {
 	var out []*Allocation
 	for _, chunk := range j.Chunks {
@@ -158,7 +158,7 @@
 	return out
 }
 
-// Status is the job's status as users see it.
+// Status returns the job's status as shown to users.
 func (j *Job) Status() wire.JobStatus {
 	status := wire.JobStatus{
 		ID: j.Spec.ID, State: wire.JobPending, Done: max(j.DoneTasks, j.ShardDoneTasks),
@@ -177,10 +177,11 @@
 	return status
 }
 
-// maxListedDependencies is how many of a job's unmet dependencies its user is told.
+// maxListedDependencies is the maximum number of unmet dependencies listed to a job's user.
 const maxListedDependencies = 10
 
-// PendingDependencies names some of the jobs that a job still waits for.
+// PendingDependencies returns up to maxListedDependencies of the jobs that a blocked job still
+// waits for.
 func (s *State) PendingDependencies(job *Job) []string {
 	var ids []string
 	if job.State != Blocked {
--- a/internal/cluster/job_lifecycle.go
+++ b/internal/cluster/job_lifecycle.go
@@ -5,13 +5,13 @@
 // IsTerminal reports whether the job's final status is in the store.
 func (j *Job) IsTerminal() bool { return j.State == Done || j.State == Aborted }
 
-// transitionJob is the only function that changes a job's state.
+// transitionJob changes a job's state. It is the only function that does so.
 func (s *State) transitionJob(job *Job, to JobState) {
 	if job.State == to {
 		return
 	}
 	if !job.State.CanTransitionTo(to) {
-		s.Log("job state refused", "job", job.Spec.ID, "from", job.State.String(), "to", to.String())
+		s.Log("job state transition refused", "job", job.Spec.ID, "from", job.State.String(), "to", to.String())
 		return
 	}
 	if job.State == Blocked {
@@ -21,7 +21,7 @@
 	switch to {
 	case Active:
 		s.activateJob(job)
-	case Assigned: // it still takes its part of its team's guarantee
+	case Assigned: // the job still uses its part of its team's guarantee
 		delete(s.PendingJobs, job)
 		delete(s.ActiveJobs, job)
 	default:
@@ -31,11 +31,11 @@
 	}
 }
 
-// activateJob lets a job compete for resources.
+// activateJob makes a job eligible for scheduling.
 func (s *State) activateJob(job *Job) {
 	s.ActiveJobs[job] = true
 	s.PendingJobs[job] = true
-	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // nobody schedules in the time before this term
+	job.WaitingSince = max(job.EligibleSince, s.TermStartedAt) // nothing is scheduled before this term begins
 	if job.Team != nil {
 		job.Team.addUnfinished(job)
 	}
@@ -43,10 +43,10 @@
 	s.ScheduleSoon()
 }
 
-// BeginAbort notes that a cancellation is about to be written.
+// BeginAbort marks a job whose cancellation is about to be stored.
 func (s *State) BeginAbort(job *Job) { s.transitionJob(job, Aborting) }
 
-// FinalizeJob settles a job for good and winds its tasks up.
+// FinalizeJob moves a job to its final state and stops its remaining tasks.
 func (s *State) FinalizeJob(job *Job, aborted bool, now micro.Time) {
 	if aborted {
 		s.transitionJob(job, Aborted)
--- a/internal/cluster/late_heartbeat_test.go
+++ b/internal/cluster/late_heartbeat_test.go
@@ -8,31 +8,31 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A machine's heartbeats arrived, but no response and no command reached it.
-func TestMachineWhoseResponsesAreLostTakesNoTasksUntilTheyArrive(t *testing.T) {
+// The heartbeats of the machine arrive, but no response and no command reaches it.
+func TestMachineWithLostResponsesGetsNoTasksUntilTheyArrive(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
 	tc.startTasks(agent)
 	machine := tc.cluster.Machines["m1"]
 	for range 2 {
 		tc.token++
 		tc.now += 6 * micro.Second
-		tc.heartbeatWithResponseLost(agent) // its heartbeat comes, the response is lost
+		tc.heartbeatWithResponseLost(agent) // the heartbeat arrives, the response is lost
 	}
 	if machine.ResponsesLikelyLost() {
-		t.Fatal("one lost answer is no sign: the report after it was sent before the token was told")
+		t.Fatal("responses count as lost after one lost response, when the next heartbeat preceded the token")
 	}
 	for range 2 {
 		tc.now += 6 * micro.Second
 		tc.heartbeatWithResponseLost(agent)
 	}
 	if !machine.ResponsesLikelyLost() {
-		t.Fatal("three reports in a row had not seen the token, and it passes for one that hears")
+		t.Fatal("responses do not count as lost although three consecutive heartbeats lacked the token")
 	}
 	tc.cluster.SetResponsesLost(machine, true, tc.now)
 	tc.submit("j-2", wire.JobArray, 1, 1)
 	tc.expectScheduled(0)
-	tc.expectAllocations(job, 1) // what it runs goes elsewhere only once proven released
-	agent.Epoch++                // its lease ran out, since no response arrived
+	tc.expectAllocations(job, 1) // its task moves only once its allocation is proven released
+	agent.Epoch++                // its lease expired because no response arrived
 	clear(agent.Tasks)
 	tc.heartbeatWithResponseLost(agent)
 	tc.expectAllocations(job, 0)
@@ -42,9 +42,10 @@
 	tc.expectScheduled(2)
 }
 
-// Copies of heartbeats come seconds to minutes late. A copy of a heartbeat that was
-// read is older than what is known; one of a heartbeat that was lost looks new.
-func TestDuplicateHeartbeatsAreNoProofOfLife(t *testing.T) {
+// Duplicates of heartbeats arrive seconds to minutes late. A duplicate of a heartbeat that was
+// applied is older than the known state. A duplicate of a heartbeat that was lost appears to be
+// new.
+func TestDuplicateHeartbeatsDoNotProveLiveness(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	received := agent.Heartbeat()
@@ -52,38 +53,38 @@
 	lost := agent.Heartbeat()
 	machine := tc.cluster.Machines["m1"]
 	lastHeartbeat := machine.LastHeartbeat
-	tc.now += 20 * micro.Second // the machine died
+	tc.now += 20 * micro.Second // the machine failed
 	if _, outcome := tc.cluster.Reconcile(received, cluster.FromHeartbeat, tc.now); outcome != cluster.Stale {
-		t.Fatalf("verdict %v", outcome)
+		t.Fatalf("outcome %v, want stale", outcome)
 	}
 	if machine.LastHeartbeat != lastHeartbeat {
-		t.Fatal("a copy of a report that was read made a silent machine look alive")
+		t.Fatal("a duplicate of an applied heartbeat made a failed machine appear alive")
 	}
 	if tc.cluster.LeaseExpired(machine, tc.now+leaseDuration-micro.Second) {
-		t.Fatal("the worker may have taken the answer to the copy: its lease counts from it")
+		t.Fatal("lease expired although the agent may have accepted the response to the duplicate, which renews it")
 	}
 	machine.RequiredFencingToken = tc.token + 1
-	tc.cluster.TransitionMachine(machine, cluster.Suspect, "no reports")
+	tc.cluster.TransitionMachine(machine, cluster.Suspect, "no heartbeats")
 	tc.cluster.Reconcile(lost, cluster.FromHeartbeat, tc.now)
 	if machine.State != cluster.Suspect {
-		t.Fatal("a copy of a lost report revived a silent machine")
+		t.Fatal("a delayed copy of a lost heartbeat made a failed machine appear alive")
 	}
 	tc.expectAllocations(job, 1)
 	if !machine.NeedsNewerToken(tc.token) {
-		t.Fatal("nobody asks for the token that would prove it alive")
+		t.Fatal("no newer token is requested to prove the machine alive")
 	}
 	tc.token++
-	tc.heartbeat(agent) // it lives after all
+	tc.heartbeat(agent) // it is still alive
 	tc.heartbeat(agent)
 	if machine.State != cluster.Up {
-		t.Fatal("its echo of the new token is proof of life")
+		t.Fatal("the machine is not up although it reported the new token")
 	}
 }
 
-// A new leader knows no newer heartbeat, and no list of machines that are gone.
+// A new leader has no newer heartbeat to compare with, and no list of terminated machines.
 func TestDuplicateHeartbeatsToANewLeaderChangeNothing(t *testing.T) {
 	tc, agent, _ := newClusterWithTask(t, 4)
-	before := agent.Heartbeat() // sent before the start arrived
+	before := agent.Heartbeat() // sent before the start command arrived
 	terminated := tc.addAgent("m0", "a")
 	terminatedCopy := terminated.Heartbeat()
 	for range 2 {
@@ -95,21 +96,22 @@
 	tc.cluster.Reconcile(terminatedCopy, cluster.FromHeartbeat, tc.now)
 	tc.cluster.Reconcile(before, cluster.FromHeartbeat, tc.now)
 	if tc.cluster.Machines["m0"].State == cluster.Up {
-		t.Fatal("a late copy revived a machine")
+		t.Fatal("a delayed heartbeat made a terminated machine appear alive")
 	}
-	tc.expectAllocations(job, 1) // the copy lacks the task, which frees nothing
+	tc.expectAllocations(job, 1) // the delayed heartbeat lacks the task, which releases nothing
 	tc.submit("j-2", wire.JobArray, 1, 1)
 	tc.expectScheduled(0) // and it offers no capacity
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 1)
 	if job.RunningTasks != 1 {
-		t.Fatal("the running task was not found")
+		t.Fatal("the running task was not recognized")
 	}
 }
 
-// Silent for a moment and back, in the same epoch or the next.
-func TestReturningMachineKeepsItsAllocationsOnlyInTheSameAgentEpoch(t *testing.T) {
+// A machine stops sending heartbeats for a short time and resumes, in the same agent epoch or the
+// next one.
+func TestReconnectedMachineKeepsItsAllocationsOnlyInTheSameAgentEpoch(t *testing.T) {
 	for _, newEpoch := range []bool{false, true} {
 		tc := newTestCluster(t)
 		agent := tc.addAgent("m1", "a")
@@ -120,7 +122,7 @@
 		tc.heartbeat(agent)
 		machine := tc.cluster.Machines["m1"]
 		machine.RequiredFencingToken = tc.token + 1
-		tc.cluster.TransitionMachine(machine, cluster.Suspect, "no reports")
+		tc.cluster.TransitionMachine(machine, cluster.Suspect, "no heartbeats")
 		tc.token++
 		if newEpoch {
 			agent.Epoch, agent.Sequence = agent.Epoch+1, 0
@@ -135,14 +137,17 @@
 		tc.expectAllocations(job, want)
 		tc.expectScheduled(1 - want)
 		if machine.State != cluster.Up || len(machine.Allocations) != 1 {
-			t.Fatalf("next session %v: %v with %d places", newEpoch, machine.State, len(machine.Allocations))
+			t.Fatalf(
+				"new epoch %v: machine is %v with %d allocations, want up with 1",
+				newEpoch, machine.State, len(machine.Allocations),
+			)
 		}
 	}
 }
 
-// A zone was partitioned. Until its machines' heartbeats were overdue, work was placed
-// there, and stayed until the cut ended.
-func TestUnreachableMachinesTakeNoTasksUntilTheirNextHeartbeat(t *testing.T) {
+// A zone was partitioned. Until the heartbeats of its machines were overdue, tasks were placed
+// there, and stayed there until the partition ended.
+func TestMachineStaysUnreachableUntilItsNextHeartbeat(t *testing.T) {
 	tc := newTestCluster(t)
 	first, second := tc.addAgent("m1", "a"), tc.addAgent("m2", "b")
 	tc.heartbeat(first)
@@ -151,12 +156,12 @@
 	tc.now += micro.Second
 	tc.cluster.ZoneUnreachableSince["a"], unanswered.DispatchUnanswered = tc.now, true
 	if tc.cluster.MachineReachable(unreachable) || tc.cluster.MachineReachable(unanswered) {
-		t.Fatal("one is in a zone that fell silent, the other left an order unanswered")
+		t.Fatal("a machine in an unreachable zone or one that left a dispatch unanswered counts as reachable")
 	}
 	tc.now += micro.Second
 	tc.heartbeat(first)
 	tc.heartbeat(second)
 	if !tc.cluster.MachineReachable(unreachable) || !tc.cluster.MachineReachable(unanswered) {
-		t.Fatal("both were heard since")
+		t.Fatal("a machine that has sent a heartbeat since counts as unreachable")
 	}
 }
--- a/internal/cluster/legacy.go
+++ b/internal/cluster/legacy.go
@@ -8,18 +8,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// This file holds all that is done for records in the first form, which version 1 wrote
-// (docs/design.md, "Two versions side by side"). It can go, with records.LegacyTasksPerChunk,
-// TaskChunk.Legacy and Effects.ChunkMigrated and LegacyRecordSuperseded, when both hold:
+// This file contains all support for chunk records in the legacy format, which version 1 wrote
+// (docs/design.md, "Two versions side by side"). It can be removed, together with
+// records.LegacyTasksPerChunk, TaskChunk.Legacy, Effects.ChunkMigrated and
+// Effects.LegacyRecordSuperseded, when both of these conditions hold:
 //
 //   - production in deploy/service.toml names a commit of version 2, so that no controller of
-//     version 1 runs beside this one, and compact records are written from the start;
-//   - no site's store has a key run/ID/N left (N a number): fleet/format was raised there, and
-//     each job that was begun before is over and its records are deleted.
+//     version 1 runs alongside this one, and compact records are written from the start;
+//   - no site's store contains a key run/ID/N (N a number): fleet/format was raised there, and
+//     every job that was begun before has ended and its records are deleted.
 
-// LegacyRecord is a record in the first form whose tasks have moved to chunks of the compact
-// form. It is deleted once each of these is in the store: until then a failover reads from it
-// what they do not cover.
+// LegacyRecord is a record in the legacy format whose tasks have been migrated to chunks in the
+// compact format. It is deleted once all of these chunks are in the store. Until then, a failover
+// reads from it the tasks that the stored chunks do not cover.
 type LegacyRecord struct {
 	Job           *Job
 	Index         int
@@ -27,13 +28,13 @@
 	PendingChunks int // chunks that are not in the store yet
 }
 
-// Obsolete reports whether nothing depends on the record any more.
+// Obsolete reports whether the record is no longer needed.
 func (r *LegacyRecord) Obsolete() bool {
 	return r.PendingChunks <= 0 || r.Job.IsTerminal() && r.Job.AllocationCount == 0
 }
 
-// EnableCompactRecords turns to the compact form, with so many tasks to a chunk. Records in the
-// first form stay until what they hold is written anew.
+// EnableCompactRecords switches to the compact format with the given number of tasks per chunk.
+// Records in the legacy format remain until their contents have been written in the compact format.
 func (s *State) EnableCompactRecords(tasks int) {
 	if s.CompactRecords {
 		return
@@ -65,8 +66,8 @@
 	}
 }
 
-// rechunk cuts a job into chunks of the compact form. Each former chunk's record stays until
-// the new chunks that stand for its tasks are stored.
+// rechunk divides a job into chunks of the compact format. The record of each previous chunk
+// remains until the new chunks that cover its tasks are stored.
 func (s *State) rechunk(job *Job, migrated map[*TaskChunk]*LegacyRecord) {
 	previousChunks := job.Chunks
 	job.tasksPerChunk, job.Chunks = s.TasksPerChunk, nil
@@ -80,8 +81,8 @@
 	}
 }
 
-// migrateChunk moves what a chunk holds to the chunks that stand for its tasks now. What was
-// not stored yet is to be written anew.
+// migrateChunk moves the state of a chunk to the chunks that now cover its tasks. State that was
+// not stored yet is marked to be written.
 func (s *State) migrateChunk(previous *TaskChunk, legacy *LegacyRecord) {
 	job := previous.Job
 	dirty := previous.MemoryVersion > previous.StoredVersion
@@ -107,7 +108,8 @@
 	previous.Allocations = nil
 }
 
-// markMigrated asks for a migrated chunk's record, soon if a start waits for it.
+// markMigrated marks a migrated chunk as dirty, and as urgent if a start command waits for its
+// record.
 func (s *State) markMigrated(chunk *TaskChunk) {
 	s.ChunkDirty(chunk)
 	for _, allocation := range chunk.Allocations {
@@ -118,7 +120,7 @@
 	}
 }
 
-// chunksOfLegacyRecord lists the chunks that stand for the tasks of a record in the first form.
+// chunksOfLegacyRecord returns the chunks that cover the tasks of a record in the legacy format.
 func (j *Job) chunksOfLegacyRecord(index int) []*TaskChunk {
 	var chunks []*TaskChunk
 	last := min((index+1)*records.LegacyTasksPerChunk, len(j.Tasks))
@@ -128,12 +130,15 @@
 	return chunks
 }
 
-// RestoreChunk reads a chunk's record, in its first form, into a job that was just added. Every
-// allocation in it counts, with a start that may still be under way; but no start of this term
-// goes out for it. The records lag behind what the earlier leader knew: an allocation that it
-// had given up, or had adopted from a late copy of a heartbeat, was started anew under the next
-// one, beside what had taken its part of the quota, or beside the task itself elsewhere. What a
-// record in the compact form covers is left to that.
+// RestoreChunk restores a chunk from a record in the legacy format into a job that was just added.
+// Tasks that a record in the compact format covers are skipped. Every allocation in the record
+// counts, including its start command, which may still be in flight, but no start command is sent
+// for it in this term.
+//
+// The records lag behind the state of the previous leader. If allocations that it had released, or
+// had adopted from a delayed copy of a heartbeat, were started again by the next leader, they would
+// run in addition to whatever uses their part of the quota by then, or in addition to the task
+// itself on another machine.
 func (s *State) RestoreChunk(job *Job, index int, record *records.Chunk, keyRevision uint64, now micro.Time) {
 	if index < 0 || index*records.LegacyTasksPerChunk >= len(job.Tasks) {
 		return
--- a/internal/cluster/lifecycle.go
+++ b/internal/cluster/lifecycle.go
@@ -2,11 +2,11 @@
 
 import "notchmux.dev/notchmux/internal/cluster/lifecycle"
 
-// The states of jobs, allocations and machines, whose transitions package lifecycle lists.
+// States of jobs, allocations and machines. Package lifecycle defines their transitions.
 type (
-	// JobState is a job's state in the leader's picture.
+	// JobState is the state of a job as a controller sees it.
 	JobState = lifecycle.JobState
-	// AllocationState is the state of one attempt's allocation on a machine.
+	// AllocationState is the state of an allocation, that is, of one attempt on a machine.
 	AllocationState = lifecycle.AllocationState
 	// MachineState is the state of a machine.
 	MachineState = lifecycle.MachineState
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -8,30 +8,30 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// AllocationKey names an attempt on a machine.
+// AllocationKey identifies an attempt on a machine.
 type AllocationKey struct {
 	Task    string
 	Attempt uint64
 }
 
-// exitedAttempt is an attempt that ended and that the agent still lists.
+// exitedAttempt is an ended attempt that the agent still reports.
 type exitedAttempt struct {
-	chunk         *TaskChunk // whose version must be stored before it is forgotten
-	chunkVersion  uint64
-	dispatchToken uint64 // a token above this one must have been seen
+	chunk         *TaskChunk // chunk that contains the task
+	chunkVersion  uint64     // version of the chunk that must be stored before the agent may forget the attempt
+	dispatchToken uint64     // the agent must have seen a fencing token above this one
 }
 
-// Machine is a machine with its agent. Its fields are read and changed only on the goroutine
-// that owns the state; times are on the steady clock of this process, 0 meaning never.
+// Machine is a machine with its agent. Its fields may be accessed only on the goroutine that owns
+// the state. Times are on this process's monotonic clock, and 0 means never.
 type Machine struct {
 	Name              string
 	Addr              string
-	Type              *MachineType // nil: not in the catalog, or not described yet
+	Type              *MachineType // nil if it is not in the catalog or not described yet
 	TypeName          string
-	Zone              string // empty: not known yet
+	Zone              string // empty if not known yet
 	Spot              bool
 	State             MachineState
-	InstanceRequestID string // the instance request that it came of, as far as known
+	InstanceRequestID string // the instance request that created it, if known
 	Allocations       map[AllocationKey]*Allocation
 
 	Contact
@@ -42,48 +42,49 @@
 	Reservation
 	Dispatch
 	poolPosition
-	images // that it is thought to have
+	images // images that it is assumed to have
 
 	exitedAttempts map[AllocationKey]*exitedAttempt
 }
 
-// Instance is a machine as the cloud knows it.
+// Instance is the state of a machine as the cloud reports it.
 type Instance struct {
-	RequestedAt  micro.Time // when it was requested, as far as known
-	LastListed   micro.Time // the last list of the cloud's that showed it
+	RequestedAt  micro.Time // when it was requested, if known
+	LastListed   micro.Time // last machine list of the cloud that contained it
 	CloudState   wire.MachineState
-	PreemptionAt micro.Time // when the cloud takes it back; 0: no notice
-	Permanent    bool       // here before the service: never terminated for being idle
-	Cordoned     bool       // takes no new tasks, to be terminated once it is empty
+	PreemptionAt micro.Time // when the cloud will preempt it; 0 if there is no notice
+	Permanent    bool       // existed before the service started; never terminated for being idle
+	Cordoned     bool       // gets no new tasks and is terminated once it is empty
 }
 
-// Ownership says which controller a machine belongs to.
+// Ownership describes which controller owns a machine.
 type Ownership struct {
-	OwnedElsewhere  bool // another controller's: not this one's to respond to or to schedule on
-	TransferPending bool // it is to become another's: it takes no new tasks
+	OwnedElsewhere  bool // owned by another controller: this one neither responds to it nor schedules on it
+	TransferPending bool // about to be transferred to another controller: no new tasks are placed on it
 }
 
-// Quarantine is what speaks against a machine.
+// Quarantine holds the failures attributed to a machine and its quarantine state.
 type Quarantine = quarantine.Machine
 
-// Reservation keeps a machine free for a job that is too large for what is free elsewhere.
+// Reservation keeps a machine free for a job that is too large for the resources free on other
+// machines.
 type Reservation struct {
 	ReservedFor              *Job
 	ReservedAt               micro.Time
-	StarvationReservation    bool       // for a job that has waited long
-	UnusedReservationSince   micro.Time // since when it is reserved, for one job or another, and none of them used it
-	UnusedReservationEndedAt micro.Time // when a reservation of it last ended unused
+	StarvationReservation    bool       // for a job that has been waiting for long
+	UnusedReservationSince   micro.Time // since when it is reserved, for one or several jobs, and unused
+	UnusedReservationEndedAt micro.Time // when an unused reservation of it last ended
 }
 
-// Dispatch is the state of the commands that are sent to the agent by themselves.
+// Dispatch is the state of the commands that are sent to the agent in requests of their own.
 type Dispatch struct {
-	DispatchInFlight   bool       // a dispatch is under way
-	DispatchPending    bool       // more came up meanwhile
-	NextDispatchAt     micro.Time // no dispatch before
-	DispatchUnanswered bool       // the latest was left unanswered, and no message came since
+	DispatchInFlight   bool       // a dispatch is in progress
+	DispatchPending    bool       // further commands arrived in the meantime
+	NextDispatchAt     micro.Time // no dispatch before this time
+	DispatchUnanswered bool       // the last dispatch was not answered, and no message has arrived since
 }
 
-// EnsureMachine finds or makes a machine.
+// EnsureMachine returns the machine with the given name, creating it if necessary.
 func (s *State) EnsureMachine(name string, now micro.Time) *Machine {
 	machine := s.Machines[name]
 	if machine == nil {
@@ -103,9 +104,9 @@
 	return machine
 }
 
-// DescribeMachine fills in what a machine is. Allocations restored before its zone was known are
-// counted anew: counted under no zone, they once let a spread service run two of its tasks in
-// one.
+// DescribeMachine sets a machine's type, zone and kind. Allocations restored before the zone was
+// known are moved to the new zone's count. When they stayed counted under no zone, two tasks of a
+// spread service ran in one zone.
 func (s *State) DescribeMachine(machine *Machine, typeName, zone string, spot bool) {
 	if machine.Zone != zone {
 		for _, allocation := range machine.Allocations {
@@ -123,7 +124,8 @@
 	s.updatePool(machine)
 }
 
-// RefreshOwnership notes that the division of the machines among the controllers changed.
+// RefreshOwnership updates the ownership of all machines after their division among the controllers
+// changed.
 func (s *State) RefreshOwnership() {
 	for _, machine := range s.SortedMachines() {
 		wasExcluded := machine.OwnedElsewhere || machine.TransferPending
@@ -135,18 +137,18 @@
 	s.ScheduleSoon()
 }
 
-// RaiseMinFencingToken notes that this controller was given machines that another owned, under
-// tokens below the given one. What is found on a machine from now on may have been
-// started under one of those, also on machines that are not known yet.
+// RaiseMinFencingToken records that this controller received machines that another controller owned
+// under tokens below the given one. Attempts found on a machine from now on may have been started
+// under one of those tokens, including on machines that are not known yet.
 func (s *State) RaiseMinFencingToken(token uint64) { s.MinFencingToken = max(s.MinFencingToken, token) }
 
-// AcquireMachine notes that this controller was given a machine that another owned, which may
-// have responded to it until now.
+// AcquireMachine records that this controller received a machine from another controller, which may
+// have responded to its agent until now.
 func (s *State) AcquireMachine(machine *Machine, now micro.Time) {
 	machine.RequiredFencingToken = s.MinFencingToken
 	machine.LeaseRenewedAt = now
 	if machine.State == Up {
-		s.TransitionMachine(machine, Suspect, "received from another controller")
+		s.TransitionMachine(machine, Suspect, "transferred from another controller")
 	}
 }
 
@@ -155,13 +157,13 @@
 	return m.acceptsTasks() && m.QuarantinedUntil <= now
 }
 
-// acceptsTasks reports whether new tasks may be placed on the machine, its quarantine aside.
+// acceptsTasks reports whether new tasks may be placed on the machine, ignoring any quarantine.
 func (m *Machine) acceptsTasks() bool {
 	return m.State == Up && m.Type != nil && m.PreemptionAt == 0 &&
 		!m.ResponsesLost && !m.Cordoned && !m.OwnedElsewhere && !m.TransferPending
 }
 
-// SetCordoned lets a machine take new tasks no more, or again.
+// SetCordoned stops or resumes the placement of new tasks on a machine.
 func (s *State) SetCordoned(machine *Machine, cordoned bool) {
 	if machine.Cordoned == cordoned {
 		return
@@ -173,7 +175,8 @@
 	}
 }
 
-// SortedAllocations lists the allocations by task and attempt: a fixed order, so that runs repeat.
+// SortedAllocations returns the allocations ordered by task and attempt, so that runs are
+// reproducible.
 func (m *Machine) SortedAllocations() []*Allocation {
 	out := make([]*Allocation, 0, len(m.Allocations))
 	for _, allocation := range m.Allocations {
@@ -188,7 +191,7 @@
 	return out
 }
 
-// SortedMachines gives the machines in the order of their names.
+// SortedMachines returns the machines ordered by name.
 func (s *State) SortedMachines() []*Machine {
 	if s.sortedMachines == nil {
 		s.sortedMachines = make([]*Machine, 0, len(s.Machines))
--- a/internal/cluster/machine_history.go
+++ b/internal/cluster/machine_history.go
@@ -2,17 +2,18 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// MachineHistory is what is known of machines from before this controller's term.
+// MachineHistory is what is known about machines from before this controller's term.
 type MachineHistory struct {
-	// RenewedAt is when the lease of a machine's agent may last have been renewed before the
-	// term, by machine; those that are not named may have been until the term began.
+	// RenewedAt is the time, by machine, at which the lease of the machine's agent may last have
+	// been renewed before the term. The lease of a machine without an entry may have been renewed
+	// until the term began.
 	RenewedAt map[string]micro.Time
-	// IdleSince is since when a machine was idle as the term began, by machine.
+	// IdleSince is the time, by machine, since which the machine had been idle when the term began.
 	IdleSince map[string]micro.Time
 }
 
-// lastRenewalBeforeTerm is until when an earlier controller may have renewed the lease of a
-// machine's agent.
+// lastRenewalBeforeTerm returns the latest time at which an earlier controller may have renewed the
+// lease of a machine's agent.
 func (s *State) lastRenewalBeforeTerm(machine *Machine) micro.Time {
 	if at, ok := s.PreviousTerm.RenewedAt[machine.Name]; ok {
 		return at
@@ -20,22 +21,23 @@
 	return s.TermStartedAt
 }
 
-// ExportMachineHistory lists what a controller that takes over all machines of this one can count on: since
-// when no lease was renewed of those whose agents are silent, and since when others are idle.
+// ExportMachineHistory returns what a controller that takes over all machines of this one can rely
+// on: the last possible lease renewals of machines with allocations that send no heartbeats, and
+// the times since which other machines are idle.
 func (s *State) ExportMachineHistory() MachineHistory {
-	bequest := MachineHistory{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
+	history := MachineHistory{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
 	for name, idleSince := range s.PreviousTerm.IdleSince {
 		if s.Machines[name] == nil {
-			bequest.IdleSince[name] = idleSince // its agent has not come here yet
+			history.IdleSince[name] = idleSince // its agent has not sent a heartbeat in this term
 		}
 	}
 	for _, machine := range s.SortedMachines() {
 		switch {
 		case machine.State != Up && len(machine.Allocations) > 0:
-			bequest.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
+			history.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
 		case machine.State == Up && len(machine.Allocations) == 0:
-			bequest.IdleSince[machine.Name] = machine.IdleSince
+			history.IdleSince[machine.Name] = machine.IdleSince
 		}
 	}
-	return bequest
+	return history
 }
--- a/internal/cluster/quarantine.go
+++ b/internal/cluster/quarantine.go
@@ -8,8 +8,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// provenHealthy reports whether a task of the job completed, or runs for longer than a failure took
-// to show so far.
+// provenHealthy reports whether a task of the job has completed, or has been running for longer
+// than any failure so far took to occur.
 func (j *Job) provenHealthy(now micro.Time) bool {
 	if j.DoneTasks > 0 {
 		return true
@@ -25,20 +25,21 @@
 	return false
 }
 
-// failsEverywhere reports whether a job seems to fail wherever it goes, for a mistake in its
-// submission: it is tried seldom, and no machine is held responsible for it.
+// failsEverywhere reports whether the job appears to fail on every machine because of a mistake in
+// its submission. Such a job is retried rarely, and its failures are not attributed to machines.
 func (j *Job) failsEverywhere(now micro.Time) bool { return j.FailedWidely() && !j.provenHealthy(now) }
 
-// FailedWithoutSuccess reports whether tasks of the job failed, and none shows that it does well elsewhere.
+// FailedWithoutSuccess reports whether tasks of the job failed and no other task of it is proven
+// healthy.
 func (j *Job) FailedWithoutSuccess(now micro.Time) bool {
 	return j.Failures > 0 && !j.provenHealthy(now)
 }
 
-// InBackoff reports whether the job waits for its next try, as one that fails everywhere does.
+// InBackoff reports whether the job is waiting for its next try because it fails on every machine.
 func (j *Job) InBackoff(now micro.Time) bool { return j.NotBefore > now && !j.provenHealthy(now) }
 
-// SchedulableTasks is how many more tasks of the job may be placed now, whatever resources
-// are free. A gang starts whole or not at all.
+// SchedulableTasks returns how many more tasks of the job may be placed now, regardless of the
+// resources that are free. A gang is either started completely or not at all.
 func (j *Job) SchedulableTasks(now micro.Time) int {
 	allowed := j.failureAllowance(now)
 	if j.MaxAllocations > 0 {
@@ -47,7 +48,8 @@
 	return allowed
 }
 
-// failureAllowance leaves out the part of the quota that the job has in a shard.
+// failureAllowance returns how many more tasks of the job may be placed given its failures. It
+// ignores MaxAllocations, the part of the quota that the job has in a shard.
 func (j *Job) failureAllowance(now micro.Time) int {
 	if j.Spec.Kind == wire.Gang || j.DoneTasks > 0 || len(j.Tasks) <= quarantine.FailingAllocationLimit {
 		return math.MaxInt
@@ -62,9 +64,9 @@
 	return 0
 }
 
-// Demand is for how many of the job's waiting tasks instances may be requested. A job that
-// fails everywhere is worth no more than what it is tried with, and one that is held back
-// beside free resources needs none yet.
+// Demand returns the number of the job's pending tasks for which instances may be requested. A job
+// that fails on every machine justifies only as many as are used to retry it. A job that is held
+// back although resources are free needs none yet.
 func (j *Job) Demand(now micro.Time) int {
 	pending := j.PendingTasks()
 	if pending == 0 {
@@ -77,7 +79,7 @@
 	return pending
 }
 
-// recordTaskError notes a failure that the job's own task or its machine caused.
+// recordTaskError records a failure caused by the job's own task or by its machine.
 func (s *State) recordTaskError(machine *Machine, allocation *Allocation, now micro.Time) {
 	job := allocation.Job
 	ran := micro.Time(0)
@@ -97,48 +99,49 @@
 	}
 }
 
-// recordFirstCompletion notes that a job's first task completed: where it failed before, the
-// machine was the cause.
+// recordFirstCompletion handles the completion of a job's first task. It shows that earlier
+// failures of the job were caused by the machines on which they occurred.
 func (s *State) recordFirstCompletion(job *Job, now micro.Time) {
 	if len(job.FailedOn) > 0 {
 		s.UpdateQuarantine((*quarantineFleet)(s), now)
 	}
 }
 
-// quarantineFleet is the state as the quarantine policy sees it.
+// quarantineFleet implements quarantine.Fleet on the state.
 type quarantineFleet State
 
 func (f *quarantineFleet) record(name string) *quarantine.Machine {
+	// record returns the quarantine record of a machine, or nil if the machine is not known.
 	if machine := f.Machines[name]; machine != nil {
 		return &machine.Quarantine
 	}
 	return nil
 }
 
-// MachineCount is the number of machines.
+// MachineCount returns the number of machines.
 func (f *quarantineFleet) MachineCount() int { return len(f.Machines) }
 
-// SucceedsElsewhere reports whether a job is known whose tasks do well elsewhere.
+// SucceedsElsewhere reports whether the job is known and proven healthy.
 func (f *quarantineFleet) SucceedsElsewhere(id string, now micro.Time) bool {
 	job := f.Jobs[id]
 	return job != nil && job.provenHealthy(now)
 }
 
-// Quarantined tells operators that a machine is quarantined.
+// Quarantined logs that a machine was quarantined.
 func (f *quarantineFleet) Quarantined(machine string) {
 	f.Log("machine quarantined", "machine", machine, "reason", "several jobs failed on it")
 }
 
-// QuarantineLifted tells operators that a quarantine is over, and has tasks scheduled there.
+// QuarantineLifted logs that a quarantine was lifted, and requests a scheduling pass.
 func (f *quarantineFleet) QuarantineLifted(machine string) {
-	f.Log("machine quarantine lifted", "machine", machine, "reason", "what failed on it fails elsewhere too")
+	f.Log("machine quarantine lifted", "machine", machine, "reason", "jobs that failed on it also fail elsewhere")
 	f.ScheduleSoon()
 }
 
-// CheckOverrun looks at a running attempt that was expected to take so long. A machine with
-// several that overran is slow: it takes no tasks for a while, and those that overran move.
-// This is the exception to the design's assumption that a type's speed is its machines'
-// speed.
+// CheckOverrun checks a running attempt against its expected run time. A machine on which several
+// attempts overran is considered slow: it gets no tasks for some time, and the tasks of the
+// attempts that overran are moved. This is the exception to the design's assumption that all
+// machines of a type are equally fast.
 func (s *State) CheckOverrun(allocation *Allocation, expected, now micro.Time) {
 	if allocation.State != Running || allocation.RunningSince == 0 || allocation.Stopping || expected < 5*micro.Second ||
 		allocation.Job.Spec.Kind == wire.Service || !quarantine.Overran(now-allocation.RunningSince, expected) {
@@ -153,9 +156,9 @@
 		return
 	}
 	if machine.QuarantineSlow(now) {
-		s.Log("machine quarantined", "machine", machine.Name, "reason", "much slower than its type")
+		s.Log("machine quarantined", "machine", machine.Name, "reason", "much slower than other machines of its type")
 	}
-	// A task that found no other machine would be stopped over and over.
+	// A task for which no other machine is available would be stopped again and again.
 	if len(allocation.Job.FailedOn) == 0 && allocation.Job.Spec.Kind == wire.JobArray && !allocation.LastResort {
 		s.StopAllocation(allocation, "slow machine", allocation.Job.Spec.CheckpointDurationS, now)
 	}
--- a/internal/cluster/quota_test.go
+++ b/internal/cluster/quota_test.go
@@ -9,8 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// newClusterAtQuota is a site whose team's quota of 8 CPUs is used up by a job on m1 and m2,
-// each of whose tasks runs there; m3 stands empty, and j-2 waits for the quota.
+// newClusterAtQuota returns a cluster whose team has used its quota of 8 CPUs for the tasks of j-1,
+// one running on m1 and one on m2. m3 is empty, and j-2 waits for quota.
 func newClusterAtQuota(t *testing.T) (tc *testCluster, m1, m2 *fake.Agent) {
 	t.Helper()
 	tc = newTestCluster(t)
@@ -26,8 +26,8 @@
 	return tc, m1, m2
 }
 
-// failOverWithAgent is a new leader that finds j-1's final status in the store, before its
-// allocations, and hears from the given agent only.
+// failOverWithAgent starts a new leader that reads j-1's final status from the store before its
+// allocations, and receives heartbeats from the given agent only.
 func (tc *testCluster) failOverWithAgent(revision uint64, agent *fake.Agent) {
 	tc.startTerm(revision)
 	for _, spec := range tc.jobs {
@@ -44,8 +44,9 @@
 	tc.heartbeat(agent)
 }
 
-// The machines of a cancelled job are partitioned: whichever leader comes, the quota
-// counts what may still run there until the lease is out, counted anew by each.
+// The machines of a cancelled job are partitioned. Under each new leader, the quota includes the
+// tasks that may still run there until their leases have expired. Each leader has to count them
+// again.
 func TestQuotaCountsPartitionedAllocationsUnderEachLeader(t *testing.T) {
 	tc, _, _ := newClusterAtQuota(t)
 	m3 := fake.NewAgent("m3", "small", "a", leaseDuration)
@@ -61,36 +62,35 @@
 	tc.expireLeases("m1", "m2")
 	tc.expectQuotaUsed(0)
 	tc.heartbeat(m3)
-	tc.expectScheduled(1) // m3 has capacity for one
+	tc.expectScheduled(1) // m3 has capacity for one task
 	tc.expectQuotaUsed(4)
 }
 
-// A machine hangs and comes back within its lease: its task ends then, and the
-// quota is free at the next pass after that proof, not before.
+// A machine hangs and resumes within its lease, and its task ends then. The quota is free at the
+// first scheduling pass after that proof, and not before.
 func TestQuotaCountsHungTasksUntilProvenReleased(t *testing.T) {
 	tc, m1, m2 := newClusterAtQuota(t)
 	tc.cancel()
-	tc.failOverWithAgent(2, m2) // its task is stopped, and shown to be
+	tc.failOverWithAgent(2, m2) // m2 stops its task and reports it
 	tc.expectQuotaUsed(4)
 	tc.expectScheduled(1)
 	tc.persist()
-	tc.heartbeat(m2) // the start
+	tc.heartbeat(m2) // delivers the start command
 	tc.now += 5 * micro.Second
 	tc.failOverWithAgent(3, m2)
-	tc.expectQuotaUsed(8) // what hangs, and the allocation that the last leader gave
+	tc.expectQuotaUsed(8) // the hung task and the allocation that the previous leader made
 	tc.expectScheduled(0)
-	tc.heartbeat(m1) // hears of the stop
+	tc.heartbeat(m1) // m1 receives the stop command
 	tc.expectQuotaUsed(8)
 	tc.expectScheduled(0)
-	tc.heartbeat(m1) // and shows that it is gone
+	tc.heartbeat(m1) // and reports that the task has ended
 	tc.expectQuotaUsed(4)
 	tc.expectScheduled(1)
 	tc.expectQuotaUsed(8)
 }
 
-// A start that went out directly and was left unanswered may run as long as the
-// agent has not seen a newer token, whatever its heartbeats say, and whichever
-// leader reads them.
+// A dispatched start command that was left unanswered may take effect until the agent has seen a
+// newer token, regardless of its heartbeats and of the leader that receives them.
 func TestQuotaCountsUnansweredDispatchedStarts(t *testing.T) {
 	tc := newTestCluster(t)
 	agent, other := tc.addAgent("m1", "a"), tc.addAgent("m2", "a")
@@ -99,7 +99,7 @@
 	tc.cluster.Machines["m2"].DispatchUnanswered = true
 	tc.expectScheduled(1)
 	tc.persist()
-	delayed := tc.dispatchCommands(agent) // on its way, the sender gave up
+	delayed := tc.dispatchCommands(agent) // in flight, but the sender has timed out
 	tc.cluster.Machines["m1"].DispatchUnanswered = true
 	tc.cancel()
 	tc.failOver(2)
@@ -109,28 +109,27 @@
 		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
 	); outcome != cluster.Applied ||
 		machine.State == cluster.Up {
-		t.Fatalf("verdict %v, %v: a report that may be a late copy", outcome, machine.State)
+		t.Fatalf("outcome %v, machine %v after a heartbeat that may be a delayed copy", outcome, machine.State)
 	}
-	tc.expectQuotaUsed(4) // absent, and the start may still run
+	tc.expectQuotaUsed(4) // not reported, but the start command may still take effect
 	tc.heartbeat(other)
 	tc.heartbeat(other)
 	tc.expectScheduled(1)
 	tc.expectQuotaUsed(8)
 	tc.expectScheduled(0)
-	tc.heartbeat(agent) // it sees the token of this term
+	tc.heartbeat(agent) // receives the token of this term
 	tc.expectQuotaUsed(8)
-	tc.heartbeat(agent) // and says so
+	tc.heartbeat(agent) // and reports it
 	tc.expectQuotaUsed(4)
 	if _, ok := agent.HandleDispatch(delayed); ok || len(agent.StartedTasks) != 0 {
-		t.Fatal("the held start ran after its place was given up")
+		t.Fatal("the delayed start command took effect after its allocation was released")
 	}
 	tc.expectScheduled(1)
 	tc.expectQuotaUsed(8)
 }
 
-// A job cancelled under one leader is cancelled under the next, whose picture of
-// it comes from the records: an allocation on a machine that nobody has described yet
-// counts as much.
+// A job that was cancelled under one leader stays cancelled under the next, which knows it from the
+// records. An allocation on a machine that has not been described yet counts as well.
 func TestQuotaCountsAllocationsOnMachinesRegisteringAfterFailover(t *testing.T) {
 	tc, m1, m2 := newClusterAtQuota(t)
 	tc.failOver(2)
@@ -139,7 +138,7 @@
 	tc.expectQuotaUsed(8)
 	tc.addAgent("m4", "a")
 	tc.expectScheduled(0)
-	m1.Epoch++ // its lease ran out meanwhile: all it had is gone
+	m1.Epoch++ // its lease expired meanwhile, so all its tasks have ended
 	clear(m1.Tasks)
 	tc.heartbeat(m1)
 	tc.expectQuotaUsed(4)
--- a/internal/cluster/reconcile.go
+++ b/internal/cluster/reconcile.go
@@ -6,16 +6,16 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Reconcile takes an agent's message into the state, on the goroutine that owns it. The machine
-// is nil if the message is from one that was terminated.
+// Reconcile applies an agent's message to the state. It must be called on the goroutine that owns
+// the state. The returned machine is nil if the message came from a machine that was terminated.
 func (s *State) Reconcile(heartbeat *wire.Heartbeat, source Source, now micro.Time) (*Machine, Outcome) {
 	if s.WasTerminated(heartbeat.Machine) {
 		return nil, Refused
 	}
 	machine := s.EnsureMachine(heartbeat.Machine, now)
 	if machine.State == Terminating {
-		// It goes; only proofs of freedom could still be read, and the cloud's
-		// response is a better one.
+		// The machine is being terminated. Its messages could only prove allocations released, and
+		// the cloud's confirmation of the termination is a stronger proof.
 		return machine, Refused
 	}
 	epoch, sequence := uint64(heartbeat.AgentEpoch), uint64(heartbeat.Sequence)
@@ -31,7 +31,7 @@
 	return machine, Applied
 }
 
-// reconcileDescription takes over what the agent says of its machine.
+// reconcileDescription updates the machine's description from the heartbeat.
 func (s *State) reconcileDescription(machine *Machine, heartbeat *wire.Heartbeat) {
 	if machine.Type == nil || machine.TypeName != heartbeat.Type {
 		s.DescribeMachine(machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
@@ -39,7 +39,7 @@
 	machine.Addr = heartbeat.Addr
 }
 
-// reconcileContact takes over the agent's epoch, sequence number and fencing token.
+// reconcileContact updates the agent's epoch, sequence number and fencing token.
 func (s *State) reconcileContact(machine *Machine, heartbeat *wire.Heartbeat, source Source, now micro.Time) {
 	if epoch := uint64(heartbeat.AgentEpoch); epoch > machine.AgentEpoch {
 		s.beginAgentEpoch(machine, epoch, now)
@@ -48,7 +48,7 @@
 	s.recordHeartbeat(machine, uint64(heartbeat.FencingToken), source, now)
 }
 
-// reconcilePreemptionNotice notes the first notice that the cloud takes a spot machine back.
+// reconcilePreemptionNotice handles the first notice that the cloud will preempt a spot machine.
 func (s *State) reconcilePreemptionNotice(machine *Machine, heartbeat *wire.Heartbeat, now micro.Time) {
 	if heartbeat.PreemptionNoticeS == nil || machine.PreemptionAt != 0 {
 		return
@@ -58,7 +58,7 @@
 	s.handlePreemptionNotice(machine, now)
 }
 
-// reconcileTasks reads the tasks of a heartbeat, and tells which attempts it names.
+// reconcileTasks applies the tasks in a heartbeat, and returns the attempts that it reports.
 func (s *State) reconcileTasks(
 	machine *Machine, heartbeat *wire.Heartbeat, now micro.Time,
 ) (reported map[AllocationKey]bool) {
@@ -76,7 +76,7 @@
 	return reported
 }
 
-// dropForgottenExits drops the exited attempts that the agent lists no more.
+// dropForgottenExits drops the exited attempts that the agent no longer reports.
 func (m *Machine) dropForgottenExits(reported map[AllocationKey]bool) {
 	for key := range m.exitedAttempts {
 		if !reported[key] {
@@ -85,8 +85,8 @@
 	}
 }
 
-// releaseAbsent releases the allocations of attempts that a heartbeat does not name, where
-// that proves that they are not on the machine and cannot come to it.
+// releaseAbsent releases the allocations of attempts that a heartbeat does not report, if that
+// proves that they are not on the machine and can no longer start there.
 func (s *State) releaseAbsent(machine *Machine, reported map[AllocationKey]bool, source Source, now micro.Time) {
 	for _, allocation := range machine.SortedAllocations() {
 		if !reported[allocation.key()] && allocation.absenceProvesRelease(source) {
@@ -95,26 +95,26 @@
 	}
 }
 
-// absenceProvesRelease reports whether an attempt that a heartbeat does not name is surely not on
-// its machine, and cannot come to it.
+// absenceProvesRelease reports whether an attempt that a heartbeat does not report is certainly not
+// on its machine and can no longer start there.
 func (a *Allocation) absenceProvesRelease(source Source) bool {
 	seenNewerToken := a.Machine.FencingToken > a.DispatchToken
 	switch {
 	case a.Observed:
 		return true
 	case source == FromHeartbeat && a.Stopping && seenNewerToken:
-		// Never seen, and no start can still run: a start in the response to a
-		// heartbeat runs before the next heartbeat or not at all, and dispatched
-		// ones carry tokens below what the agent has seen by now.
+		// Never observed, and no start command can still take effect: one in the response to a
+		// heartbeat is executed before the next heartbeat or not at all, and dispatched ones carry
+		// tokens below the one that the agent has seen by now.
 		return true
 	default:
-		// Never seen, and the agent has seen a token of this term: whatever an
-		// earlier one sent, in a response or dispatched, it drops.
+		// Never observed, and the agent has seen a token of this term, so it discards all commands
+		// of earlier terms, whether sent in a response or dispatched.
 		return a.Restored && seenNewerToken
 	}
 }
 
-// reconcileTask reads a task that is on the machine.
+// reconcileTask applies the status of a task that is on the machine.
 func (s *State) reconcileTask(machine *Machine, key AllocationKey, status *wire.TaskStatus, now micro.Time) {
 	allocation := machine.Allocations[key]
 	if allocation == nil {
@@ -132,9 +132,9 @@
 	}
 }
 
-// localJob finds the job of a task whose records are kept here; nil: there is none, or another
-// controller keeps them. An attempt that an agent reports late, and that is in no record, must not
-// change those of a job that has changed hands since.
+// localJob returns the job of a task if this controller keeps its records. It returns nil if the
+// job is unknown or another controller keeps its records. A late report of an attempt that is in no
+// record must not change the records of a job that has been transferred since.
 func (s *State) localJob(id string, index int) *Job {
 	job := s.Jobs[id]
 	if job == nil || index >= len(job.Tasks) || job.Shard != "" || job.State == Assigned {
@@ -143,8 +143,8 @@
 	return job
 }
 
-// adoptAttempt makes an allocation for a task that an agent has and the records lack. It uses
-// its resources until it is gone.
+// adoptAttempt creates an allocation for an attempt that an agent reports but the records lack. It
+// uses the task's resources until it is released.
 func (s *State) adoptAttempt(machine *Machine, key AllocationKey) *Allocation {
 	allocation := &Allocation{
 		TaskName: key.Task, Attempt: key.Attempt, Machine: machine, AgentEpoch: machine.AgentEpoch, State: Starting,
@@ -167,7 +167,7 @@
 	return allocation
 }
 
-// reconcileExit reads an ended attempt.
+// reconcileExit applies the status of an ended attempt.
 func (s *State) reconcileExit(machine *Machine, key AllocationKey, status *wire.TaskStatus, now micro.Time) {
 	if machine.exitedAttempts[key] != nil {
 		return
@@ -201,7 +201,8 @@
 	exited.chunkVersion = exited.chunk.MemoryVersion
 }
 
-// recordCompletion reads a task's completion. A gang completes as one.
+// recordCompletion records the completion of a task. If one task of a gang completes, the whole
+// gang is complete.
 func (s *State) recordCompletion(job *Job, index int, allocation *Allocation, now micro.Time) {
 	if allocation != nil && allocation.RunningSince > 0 {
 		s.AttemptCompleted(allocation, now-allocation.RunningSince)
@@ -215,14 +216,14 @@
 	s.finishTask(job, index, now)
 }
 
-// recordFailure reads any other exit.
+// recordFailure records an exit other than a completion.
 func (s *State) recordFailure(machine *Machine, allocation *Allocation, status *wire.TaskStatus, now micro.Time) {
 	job := allocation.Job
 	task := &job.Tasks[allocation.Index]
 	if s.Verbose && (!allocation.Stopping || status.Cause != wire.CauseStopped) || status.Cause == wire.CauseError {
 		s.Log(
-			"exit", "task", allocation.TaskName, "attempt", allocation.Attempt, "machine", machine.Name, "cause",
-			string(status.Cause),
+			"task attempt exited", "task", allocation.TaskName, "attempt", allocation.Attempt,
+			"machine", machine.Name, "cause", string(status.Cause),
 		)
 	}
 	switch status.Cause {
@@ -237,15 +238,16 @@
 	}
 }
 
-// handlePreemptionNotice reacts to the cloud's notice that it takes a spot instance back: what
-// can write a checkpoint does so at once; the rest may still complete in time.
+// handlePreemptionNotice handles the cloud's notice that it will preempt a spot instance. Tasks
+// that can write a checkpoint are stopped so that they do so at once. Other running tasks may still
+// complete in time.
 func (s *State) handlePreemptionNotice(machine *Machine, now micro.Time) {
-	s.Log("preemption notice", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
+	s.Log("preemption notice received", "machine", machine.Name, "left_s", (machine.PreemptionAt - now).Seconds())
 	for _, allocation := range machine.SortedAllocations() {
 		if allocation.taskKnown && allocation.State == Running && allocation.Job.Spec.CheckpointIntervalS > 0 {
-			s.StopAllocation(allocation, "spot notice", allocation.Job.Spec.CheckpointDurationS, now)
+			s.StopAllocation(allocation, "spot preemption notice", allocation.Job.Spec.CheckpointDurationS, now)
 		} else if allocation.taskKnown && allocation.State < Running {
-			s.StopAllocation(allocation, "spot notice", 0, now)
+			s.StopAllocation(allocation, "spot preemption notice", 0, now)
 		}
 	}
 	s.ScheduleSoon()
--- a/internal/cluster/retention.go
+++ b/internal/cluster/retention.go
@@ -2,23 +2,23 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// How long the state remembers what is over. A term may last for months: kept for
-// good, the jobs and machines of a large fleet would fill the node's memory.
+// Retention times of ended jobs and terminated machines. A term may last for months. If they were
+// kept until its end, those of a large fleet would fill the memory of the controller's node.
 const (
-	// jobRetention is for how long a job stays after it ended. The store has it for good.
+	// jobRetention is how long a job is kept in memory after it ended. The store keeps it
+	// permanently.
 	jobRetention = 10 * micro.Minute
-	// finalStatusRetention is for how long a final status is remembered. A late copy of its
-	// submission must not bring it back to life, and messages are late by minutes at
-	// the most.
+	// finalStatusRetention is how long a final status is kept in memory. It prevents a delayed copy
+	// of the job's submission from starting the job again. Messages are delayed by minutes at most.
 	finalStatusRetention = 60 * micro.Minute
-	// terminatedRetention is for how long a terminated machine is remembered, so that a late
-	// heartbeat, or a list that lags, does not bring it back.
+	// terminatedRetention is how long a terminated machine is remembered, so that neither a delayed
+	// heartbeat nor an outdated machine list makes it known again.
 	terminatedRetention = 60 * micro.Minute
 )
 
-// Prune forgets what has been over for long, and lists the jobs that it forgot. A job stays
-// while an allocation of it is not proven released, or while settled says that something of it has
-// still to be written.
+// Prune removes entries that ended long ago, and returns the jobs that it removed. A job is kept as
+// long as one of its allocations is not proven released, or settled returns false for it because
+// part of its state still has to be written.
 func (s *State) Prune(now micro.Time, settled func(*Job) bool) []*Job {
 	var pruned []*Job
 	for id, job := range s.Jobs {
@@ -29,7 +29,7 @@
 	}
 	s.pruneFinalStatuses(now)
 	if now-s.TermStartedAt > terminatedRetention {
-		clear(s.imageHints) // of machines that never came
+		clear(s.imageHints) // hints for machines that never appeared
 	}
 	for name, terminatedAt := range s.TerminatedAt {
 		if now-terminatedAt > terminatedRetention {
@@ -39,8 +39,8 @@
 	return pruned
 }
 
-// pruneFinalStatuses forgets old final statuses, but those of jobs that are still here or that a
-// blocked job depends on.
+// pruneFinalStatuses removes old final statuses, except those of jobs that are still in memory or
+// that a blocked job depends on.
 func (s *State) pruneFinalStatuses(now micro.Time) {
 	dependencies := s.awaitedJobs()
 	for id, status := range s.FinalStatuses {
@@ -50,7 +50,7 @@
 	}
 }
 
-// awaitedJobs lists the jobs that blocked ones depend on.
+// awaitedJobs returns the jobs on which blocked jobs depend.
 func (s *State) awaitedJobs() map[string]bool {
 	dependencies := map[string]bool{}
 	if s.BlockedJobs == 0 {
--- a/internal/cluster/retention_test.go
+++ b/internal/cluster/retention_test.go
@@ -11,7 +11,7 @@
 
 func alwaysSettled(*cluster.Job) bool { return true }
 
-// A leader of a fleet that runs for months kept each job that it ever saw.
+// In a fleet that had been running for months, the leader kept every job that it had ever seen.
 func TestRetainedEntriesDoNotGrowWithTheAgeOfATerm(t *testing.T) {
 	tc := newTestCluster(t)
 	const perMinute = 50
@@ -26,19 +26,19 @@
 		tc.cluster.Prune(tc.now, alwaysSettled)
 	}
 	if limit := 11 * perMinute; len(tc.cluster.Jobs) > limit {
-		t.Errorf("%d jobs are kept, %d at the most", len(tc.cluster.Jobs), limit)
+		t.Errorf("%d jobs kept, want at most %d", len(tc.cluster.Jobs), limit)
 	}
 	if limit := 61 * perMinute; len(tc.cluster.FinalStatuses) > limit || len(tc.cluster.TerminatedAt) > limit {
 		t.Errorf(
-			"%d ends and %d departed machines are kept, %d at the most", len(tc.cluster.FinalStatuses),
+			"%d final statuses and %d terminated machines kept, want at most %d", len(tc.cluster.FinalStatuses),
 			len(tc.cluster.TerminatedAt), limit,
 		)
 	}
 }
 
-// What is over, but for an allocation that is not proven released, still takes part of its
-// team's quota; and a final status that a waiting job names is what that job waits for.
-func TestPruneKeepsWhatIsStillNeeded(t *testing.T) {
+// An ended job with an allocation that is not proven released still uses part of its team's quota.
+// A final status that a blocked job depends on is still needed to unblock it.
+func TestPruneKeepsEntriesThatAreStillNeeded(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("i-1", "a")
 	allocated := tc.submitScheduled("j-1", wire.JobArray, 1, 1)
@@ -52,25 +52,28 @@
 	tc.now += 2 * 60 * micro.Minute
 	tc.cluster.Prune(tc.now, func(job *cluster.Job) bool { return job != unwritten })
 	if tc.cluster.Jobs["j-1"] == nil {
-		t.Error("a job with a place that is not proven free was forgotten")
+		t.Error("a job with an allocation that is not proven released was pruned")
 	}
 	if tc.cluster.Jobs["j-4"] == nil {
-		t.Error("a job with something still to be written was forgotten")
+		t.Error("a job with unwritten changes was pruned")
 	}
 	if _, ok := tc.cluster.FinalStatuses["j-2"]; !ok || len(tc.cluster.PendingDependencies(blocked)) != 1 {
-		t.Errorf("the end of an awaited job was forgotten: waits for %v", tc.cluster.PendingDependencies(blocked))
+		t.Errorf(
+			"the final status of a dependency was pruned: blocked job waits for %v",
+			tc.cluster.PendingDependencies(blocked),
+		)
 	}
 	if tc.cluster.Jobs["j-3"] != nil || tc.cluster.Jobs["j-5"] == nil {
-		t.Error("what is over was kept, or what waits forgotten")
+		t.Error("an ended job was kept, or a blocked one was pruned")
 	}
 	if _, ok := tc.cluster.FinalStatuses["j-3"]; ok {
-		t.Error("an end that nobody needs was kept")
+		t.Error("a final status that is no longer needed was kept")
 	}
 }
 
-// The records of one value held the images of some 200 machines: those of a larger
-// fleet were not known to the next leader.
-func TestImagesOfAFleetOfThousandsAreKnownToTheNextLeader(t *testing.T) {
+// A single record holds the images of only about 200 machines, so those of a larger fleet were not
+// known to the next leader.
+func TestImagesOfThousandsOfMachinesAreRestoredByTheNextLeader(t *testing.T) {
 	tc := newTestCluster(t)
 	record := cluster.ImageRecord{Names: []string{"image-1", "image-2"}, GB: []float64{4, 5}, Machines: map[string][]int{}}
 	const machines = 4000
@@ -84,17 +87,17 @@
 	tc.failOver(2)
 	for _, page := range pages {
 		if size := wire.JSONSize(page); size > 4096 {
-			t.Errorf("a record of %d bytes", size)
+			t.Errorf("record of %d bytes, limit 4096", size)
 		}
 		tc.cluster.RestoreImages(page, tc.now)
 	}
 	if len(tc.cluster.Machines) != 0 {
-		t.Errorf("%d machines were made of records that are only a hint", len(tc.cluster.Machines))
+		t.Errorf("%d machines were created from image records, which are only hints", len(tc.cluster.Machines))
 	}
 	for i := range machines {
 		machine := tc.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), tc.now)
 		if !machine.HasImage(fmt.Sprintf("image-%d", i%2+1)) {
-			t.Fatalf("the image of %s is not known", machine.Name)
+			t.Fatalf("the image of %s was not restored", machine.Name)
 		}
 	}
 	t.Logf("%d records", len(pages))
--- a/internal/cluster/scenario_test.go
+++ b/internal/cluster/scenario_test.go
@@ -10,39 +10,45 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-func TestLeaderLostBetweenPersistAndStart(t *testing.T) {
+// A leader fails after storing the record of an allocation and before sending the start command.
+// The next leader must not start that attempt, but a new one after the allocation is proven
+// released.
+func TestAllocationPersistedButNotStartedIsReplacedByTheNextLeader(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	tc.submit("j-1", wire.JobArray, 1, 1)
 	tc.expectScheduled(1)
 	if commands := tc.dispatchCommands(agent); len(commands.Items) != 0 {
-		t.Fatal("a start went out before its record was written")
+		t.Fatal("a start command was sent before its record was stored")
 	}
 	tc.persist()
-	tc.failOver(2) // the start was never sent
+	tc.failOver(2) // the start command was never sent
 	job := tc.cluster.Jobs["j-1"]
 	tc.expectAllocations(job, 1)
 	tc.expectScheduled(0)
 	tc.heartbeat(agent)
-	tc.expectAllocations(job, 1) // that heartbeat may be older than a start of the last term
+	tc.expectAllocations(job, 1) // this heartbeat may have been sent before a start command of the last term arrived
 	tc.expectScheduled(0)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 0)
 	if len(agent.StartedTasks) != 0 {
-		t.Fatalf("a place of the last term was started: %v", agent.StartedTasks)
+		t.Fatalf("an allocation of the last term was started: %v", agent.StartedTasks)
 	}
 	tc.expectScheduled(1)
 	tc.persist()
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if len(agent.StartedTasks) != 1 || job.RunningTasks != 1 || job.Tasks[0].Attempt != 2 {
-		t.Fatalf("started %v, running %d, attempt %d", agent.StartedTasks, job.RunningTasks, job.Tasks[0].Attempt)
+		t.Fatalf(
+			"started %v, %d running, attempt %d, want 1, 1 and 2",
+			agent.StartedTasks, job.RunningTasks, job.Tasks[0].Attempt,
+		)
 	}
 }
 
-// A leader gave an allocation up that had never been started and used the quota for
-// another, whose record it wrote first. The next leader read both, and started
-// both: the team was over its quota.
+// A leader released an allocation that had never been started, and used its quota for another one
+// whose record it stored first. The next leader read both records and started both tasks, so the
+// team exceeded its quota.
 func TestAllocationReleasedByThePreviousLeaderIsNotStarted(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 4
@@ -59,20 +65,20 @@
 	tc.cluster.Jobs["j-1"].NotBefore = tc.now + micro.Minute
 	tc.submitScheduled("j-2", wire.JobArray, 1, 4)
 	tc.startTasks(agent)
-	tc.storedRecords["j-1"][0] = previousRecord // what it gave up was to be written later
+	tc.storedRecords["j-1"][0] = previousRecord // the release was to be stored later
 	tc.failOver(2)
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if fmt.Sprint(agent.StartedTasks) != "[j-2/0]" {
-		t.Fatalf("started %v on one machine with room for one", agent.StartedTasks)
+		t.Fatalf("started %v, want only j-2/0: the machine has capacity for one task", agent.StartedTasks)
 	}
 	tc.expectAllocations(tc.cluster.Jobs["j-1"], 0)
 }
 
-// A heartbeat of an earlier attempt reached the next leader before any other. It took
-// the attempt for one that the records lacked, wrote it down, and the leader after
-// that started it once more, while the task ran elsewhere.
+// A heartbeat with an ended attempt reached the next leader before any other heartbeat. That leader
+// treated it as an attempt missing from the records and stored it, and the leader after that
+// started it again while the task was running on another machine.
 func TestAttemptFromAStaleHeartbeatIsNeverStartedAgain(t *testing.T) {
 	tc := newTestCluster(t)
 	first := tc.addAgent("m1", "a")
@@ -84,10 +90,10 @@
 	tc.persist()
 	tc.token++
 	tc.heartbeat(first)
-	tc.heartbeat(first) // forgotten
+	tc.heartbeat(first) // the agent forgets the attempt
 	tc.heartbeat(first)
 	if len(first.Tasks) != 0 {
-		t.Fatal("the worker still knows the attempt")
+		t.Fatal("the agent still lists the attempt")
 	}
 	second := tc.addAgent("m2", "a")
 	tc.cluster.Machines["m1"].QuarantinedUntil = tc.now + 60*micro.Minute
@@ -105,29 +111,33 @@
 		tc.heartbeat(second)
 	}
 	if len(first.StartedTasks) != 1 || len(second.StartedTasks) != 1 {
-		t.Fatalf("started %v and %v", first.StartedTasks, second.StartedTasks)
+		t.Fatalf("started %v and %v, want one task each", first.StartedTasks, second.StartedTasks)
 	}
 	if job := tc.cluster.Jobs["j-1"]; job.RunningTasks != 1 || job.AllocationCount != 1 {
-		t.Fatalf("running %d, places %d", job.RunningTasks, job.AllocationCount)
+		t.Fatalf("%d running tasks, %d allocations, want 1 each", job.RunningTasks, job.AllocationCount)
 	}
 }
 
-func TestLateDispatchedStartAfterAStopHoldsItsAllocationUntilItCannotRun(t *testing.T) {
+// A dispatched start command that is delayed beyond the stop of its task may still take effect
+// until the agent has seen a newer token.
+func TestLateDispatchedStartOfAStoppedTaskKeepsItsAllocationUntilItCannotRun(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
-	late := tc.dispatchCommands(agent) // held in the network, sender has given up
+	late := tc.dispatchCommands(agent) // delayed in the network; the sender has timed out
 	tc.cluster.FinalizeJob(job, true, tc.now)
 	tc.heartbeat(agent)
-	tc.expectAllocations(job, 1) // absent, but the start may still run
+	tc.expectAllocations(job, 1) // not reported, but the start command may still take effect
 	tc.token++
-	tc.heartbeat(agent) // the agent sees the newer token
-	tc.heartbeat(agent) // and says so
+	tc.heartbeat(agent) // the agent receives the newer token
+	tc.heartbeat(agent) // and reports it
 	tc.expectAllocations(job, 0)
 	if _, ok := agent.HandleDispatch(late); ok || len(agent.StartedTasks) != 0 {
-		t.Fatal("the late start ran after its place was given up")
+		t.Fatal("the delayed start command took effect after its allocation was released")
 	}
 }
 
-func TestLateCopyOfAStartIsHarmlessAfterForget(t *testing.T) {
+// A delayed copy of a dispatched start command would run an attempt again that the agent has
+// forgotten. The agent is therefore told to forget it only after it has seen a newer token.
+func TestLateCopyOfAStartIsRefusedAfterForget(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	tc.submitScheduled("j-1", wire.JobArray, 2, 1)
@@ -139,23 +149,24 @@
 	tc.persist()
 	tc.heartbeat(agent)
 	if len(agent.Tasks) != 2 {
-		t.Fatal("forgotten while a late copy of its start could run it again")
+		t.Fatal("attempt forgotten while a delayed copy of its start command could run it again")
 	}
 	if !tc.cluster.Machines["m1"].NeedsNewerToken(tc.token) {
-		t.Fatal("nobody asks for a newer token")
+		t.Fatal("no newer token is requested")
 	}
 	tc.token++
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if len(agent.Tasks) != 1 {
-		t.Fatal("never forgotten")
+		t.Fatal("attempt not forgotten after the agent has seen a newer token")
 	}
 	if _, ok := agent.HandleDispatch(commands); ok {
-		t.Fatal("the late copy ran")
+		t.Fatal("the agent accepted the delayed copy")
 	}
 }
 
-func TestDoneIsForgottenOnlyOnceItIsInTheStore(t *testing.T) {
+// The agent is the only one that knows of a completion until the completion is stored.
+func TestCompletionIsForgottenOnlyAfterItIsStored(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
 	agent.ExitTask("j-1/0", 1, wire.CauseDone)
@@ -164,10 +175,10 @@
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if len(agent.Tasks) != 1 {
-		t.Fatal("forgotten before the completion was written")
+		t.Fatal("attempt forgotten before its completion was stored")
 	}
 	if job.Status().State == wire.JobDone || len(tc.finishedJobs) != 1 {
-		t.Fatalf("state %v before the end is written, ends asked for: %v", job.Status().State, tc.finishedJobs)
+		t.Fatalf("state %v before the final status is stored, requested for %v", job.Status().State, tc.finishedJobs)
 	}
 	tc.failOver(2)
 	tc.heartbeat(agent)
@@ -180,13 +191,13 @@
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	job := tc.submit("j-1", wire.JobArray, 1, 1)
-	stale := agent.Heartbeat() // overtaken on its way
+	stale := agent.Heartbeat() // overtaken in the network
 	tc.expectScheduled(1)
 	tc.persist()
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if _, outcome := tc.cluster.Reconcile(stale, cluster.FromHeartbeat, tc.now); outcome != cluster.Stale {
-		t.Fatalf("verdict %v", outcome)
+		t.Fatalf("outcome %v, want stale", outcome)
 	}
 	tc.expectAllocations(job, 1)
 }
@@ -200,12 +211,12 @@
 	machine := tc.cluster.Machines["m1"]
 	tc.now += leaseDuration
 	if tc.cluster.LeaseExpired(machine, tc.now) {
-		t.Fatal("given up within a lease of the takeover")
+		t.Fatal("lease expired within its duration after the failover")
 	}
 	tc.expectScheduled(0)
 	tc.now += 2 * micro.Second
 	if !agent.ExpireLease(tc.now) || !tc.cluster.LeaseExpired(machine, tc.now) {
-		t.Fatal("the lease should be over on both sides")
+		t.Fatal("the lease has not expired for both the agent and the leader")
 	}
 	tc.cluster.ExpireMachine(machine, tc.now)
 	tc.expectAllocations(job, 0)
@@ -216,11 +227,11 @@
 func TestDelayedHeartbeatOfAnExpiredAgentEpochIsRefused(t *testing.T) {
 	tc, agent, _ := newClusterWithTask(t, 1)
 	tc.heartbeat(agent)
-	delayed := agent.Heartbeat() // sent before the cut, delivered after it
+	delayed := agent.Heartbeat() // sent before the partition and delivered after it
 	tc.now += leaseDuration + 2*micro.Second
 	tc.cluster.ExpireMachine(tc.cluster.Machines["m1"], tc.now)
 	if _, outcome := tc.cluster.Reconcile(delayed, cluster.FromHeartbeat, tc.now); outcome != cluster.Refused {
-		t.Fatalf("verdict %v", outcome)
+		t.Fatalf("outcome %v, want refused", outcome)
 	}
 }
 
@@ -236,7 +247,7 @@
 			tc.heartbeat(second)
 		}
 		first.LeaseStart = 0
-		first.ExpireLease(tc.now + 2*leaseDuration) // its tasks are gone
+		first.ExpireLease(tc.now + 2*leaseDuration) // its tasks have ended
 		tc.heartbeat(first)
 		tc.heartbeat(first)
 		tc.expectAllocations(job, 1)
@@ -248,13 +259,13 @@
 		tc.expectAllocations(job, 0)
 		tc.expectScheduled(2)
 		if job.GangAttempt != 2 {
-			t.Fatalf("attempt %d", job.GangAttempt)
+			t.Fatalf("gang attempt %d, want 2", job.GangAttempt)
 		}
 	}
 }
 
-func TestQuotaCountsUnsettledStarts(t *testing.T) {
-	tc := newTestCluster(t) // the team may use 8 CPUs
+func TestQuotaCountsStartsThatMayBeInFlight(t *testing.T) {
+	tc := newTestCluster(t) // the team's limit is 8 CPUs
 	for _, name := range []string{"m1", "m2", "m3"} {
 		tc.addAgent(name, "a")
 	}
@@ -263,41 +274,41 @@
 	tc.persist()
 	tc.failOver(2)
 	tc.addAgent("m3", "a")
-	tc.expectScheduled(0) // two starts may still be under way
+	tc.expectScheduled(0) // two start commands may still be in flight
 	if team := tc.cluster.Teams["team"]; team.UsedCPU != 8 {
-		t.Fatalf("%v CPUs counted", team.UsedCPU)
+		t.Fatalf("%v CPUs of the quota used, want 8", team.UsedCPU)
 	}
 }
 
-// A restored allocation was counted under no zone until its machine was described,
-// and a spread service put both tasks into one zone.
+// A restored allocation was counted under no zone until its machine was described, and both tasks
+// of a spread service were placed in one zone.
 func TestSpreadHoldsForAllocationsInUnknownZones(t *testing.T) {
 	tc := newTestCluster(t)
 	m1 := tc.addAgent("m1", "a")
 	job := tc.submit("j-1", wire.Service, 2, 1)
 	job.Spec.Spread = true
 	tc.jobs[0].Spread = true
-	tc.expectScheduled(1) // the other must go to another zone
+	tc.expectScheduled(1) // the other task must be placed in another zone
 	tc.persist()
 	for _, entry := range tc.storedRecords["j-1"][0].Allocations {
 		if entry.Zone != "a" {
-			t.Fatalf("recorded zone %q", entry.Zone)
+			t.Fatalf("recorded zone %q, want a", entry.Zone)
 		}
 	}
 	for i := range tc.storedRecords["j-1"][0].Allocations {
-		tc.storedRecords["j-1"][0].Allocations[i].Zone = "" // as an older record
+		tc.storedRecords["j-1"][0].Allocations[i].Zone = "" // as in a record of an older version
 	}
 	tc.heartbeat(m1)
 	tc.failOver(2)
 	tc.addAgent("m2", "a")
 	tc.expectScheduled(0)
 	tc.addAgent("m3", "b")
-	tc.expectScheduled(0) // it may be in b as well
+	tc.expectScheduled(0) // the restored allocation may be in zone b as well
 	tc.heartbeat(m1)
 	tc.heartbeat(m1)
 	tc.expectScheduled(1)
 	if tasks := tc.cluster.Jobs["j-1"].AllocationsByZone["a"]; tasks != 1 {
-		t.Fatalf("%d tasks in zone a", tasks)
+		t.Fatalf("%d tasks counted in zone a, want 1", tasks)
 	}
 }
 
@@ -311,7 +322,7 @@
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 	if job.Tasks[0].Attempt < 7 {
-		t.Fatal("its attempt number may be used again")
+		t.Fatal("the attempt number of the reported task may be used again")
 	}
 	tc.addAgent("m2", "a")
 	tc.persist()
@@ -319,7 +330,7 @@
 	tc.heartbeat(agent)
 	tc.expectScheduled(1)
 	if job.Tasks[0].Attempt != 8 {
-		t.Fatalf("attempt %d", job.Tasks[0].Attempt)
+		t.Fatalf("attempt %d, want 8", job.Tasks[0].Attempt)
 	}
 }
 
@@ -336,7 +347,7 @@
 	agent.ExitTask("j-2/0", 1, wire.CauseError)
 	tc.heartbeat(agent)
 	if tc.cluster.Machines["m1"].Schedulable(tc.now) {
-		t.Fatal("two jobs failed there and it is still used")
+		t.Fatal("a machine on which two jobs failed is still schedulable")
 	}
 	job := tc.cluster.Jobs["j-1"]
 	job.FailedOn["x"], job.FailedOn["y"] = true, true
@@ -359,13 +370,13 @@
 	tc.now += 20 * micro.Second
 	checkOverruns()
 	if !machine.Schedulable(tc.now) {
-		t.Fatal("avoided though its tasks are only twice late")
+		t.Fatal("machine quarantined although its tasks took only twice their expected run time")
 	}
 	tc.now += 10 * micro.Second
 	checkOverruns()
-	checkOverruns() // the first of them is counted before the machine is known as slow
+	checkOverruns() // the first overrun is recorded before the machine counts as slow
 	if machine.Schedulable(tc.now) {
-		t.Fatal("still used")
+		t.Fatal("slow machine is still schedulable")
 	}
 	tc.addAgent("m2", "a")
 	tc.heartbeat(agent)
@@ -373,19 +384,20 @@
 	tc.expectAllocations(job, 0)
 	tc.expectScheduled(2)
 	if len(tc.cluster.Machines["m2"].Allocations) != 2 {
-		t.Fatal("its tasks did not move")
+		t.Fatal("the tasks of the slow machine did not move to m2")
 	}
 }
 
-// After an outage that outlived its lease, an agent responded to a dispatch before
-// it sent a heartbeat, and hung then. Its epoch had just begun, and was given up by the
-// last response to the epoch before: its tasks started elsewhere beside it.
-func TestLeaseOfAnAgentEpochSeenInADispatchResponseCountsFromThen(t *testing.T) {
+// After an outage longer than its lease, an agent answered a dispatch before it sent a heartbeat,
+// and then hung. Its new epoch had just begun, but was treated as expired based on the last
+// response to the previous epoch, so its tasks were started on another machine while they still ran
+// on this one.
+func TestLeaseOfAnEpochFirstSeenInADispatchResponseRunsFromThen(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
-	tc.now += leaseDuration + 10*micro.Second // nobody responds
+	tc.now += leaseDuration + 10*micro.Second // no heartbeat is answered
 	if !agent.ExpireLease(tc.now) {
-		t.Fatal("its lease should have run out")
+		t.Fatal("the agent's lease has not expired")
 	}
 	tc.token++
 	heartbeat, _ := agent.HandleDispatch(wire.Commands{FencingToken: wire.Count(tc.token), AgentEpoch: 2})
@@ -393,22 +405,22 @@
 	job := tc.submitScheduled("j-1", wire.JobArray, 1, 1)
 	agent.HandleDispatch(tc.dispatchCommands(agent))
 	if len(agent.StartedTasks) != 1 {
-		t.Fatal("not started")
+		t.Fatal("the dispatched task was not started")
 	}
 	machine := tc.cluster.Machines["m1"]
 	tc.now += leaseDuration - micro.Second
 	if tc.cluster.LeaseExpired(machine, tc.now) {
-		t.Fatal("given up within the lease of its session")
+		t.Fatal("lease expired within its duration after the epoch was first seen")
 	}
 	tc.now += 3 * micro.Second
 	if !tc.cluster.LeaseExpired(machine, tc.now) {
-		t.Fatal("never given up")
+		t.Fatal("lease not expired after its duration")
 	}
 	tc.expectAllocations(job, 1)
 }
 
-// Jobs with a mistake fail on every machine. Two of them had each machine avoided
-// on which both had failed; a faulty machine beside them must still be found.
+// Jobs submitted with a mistake fail on every machine. Two of them caused each machine on which
+// both had failed to be quarantined. A faulty machine must still be detected alongside such jobs.
 func TestNoMachineIsQuarantinedForJobsThatFailEverywhere(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
@@ -429,11 +441,11 @@
 		tc.expectScheduled(3)
 		failTasks(id, agents...)
 		if job.NotBefore <= tc.now {
-			t.Fatalf("%s is tried again at once", id)
+			t.Fatalf("%s is retried without backoff", id)
 		}
 	}
 	if got := tc.quarantinedMachines(); got != "" {
-		t.Fatalf("avoided: %s", got)
+		t.Fatalf("quarantined: %s, want none", got)
 	}
 	for _, machine := range tc.cluster.SortedMachines() {
 		if machine.Name != "m1" {
@@ -444,17 +456,17 @@
 		tc.submit(id, wire.JobArray, 1, 4)
 		tc.expectScheduled(1)
 		failTasks(id, agents[0])
-		tc.token++ // exits are forgotten
+		tc.token++ // exited attempts are forgotten
 		tc.heartbeat(agents[0])
 		tc.heartbeat(agents[0])
 	}
 	if got := tc.quarantinedMachines(); got != "m1 " {
-		t.Fatalf("avoided: %q, want the faulty one", got)
+		t.Fatalf("quarantined: %q, want only the faulty m1", got)
 	}
 }
 
-// A large job met three faulty machines, and all its tasks waited as if it failed
-// everywhere, though others had completed.
+// A large job failed on three faulty machines, and all its tasks were held back as if it failed on
+// every machine, although others of its tasks had completed.
 func TestJobWithACompletedTaskDoesNotFailEverywhere(t *testing.T) {
 	tc := newTestCluster(t)
 	tc.cluster.Teams["team"].CPULimit = 0
@@ -469,6 +481,6 @@
 		tc.heartbeat(agent)
 	}
 	if len(job.FailedOn) != 3 || job.NotBefore > tc.now {
-		t.Fatalf("failed on %d, waits until %v", len(job.FailedOn), job.NotBefore-tc.now)
+		t.Fatalf("failed on %d machines, next try in %v, want 3 and none", len(job.FailedOn), job.NotBefore-tc.now)
 	}
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,9 +1,10 @@
-// Package cluster holds a controller's picture of the cluster: jobs, tasks, gangs, machines and
-// the allocations of tasks on them, with their changes of state and the reconciliation with
-// what agents report. It does no I/O and reads no clock. One goroutine, the event loop of the
-// leader or of a shard's owner, owns a State and all that it holds: nothing is locked.
+// Package cluster holds a controller's view of the cluster: jobs, tasks, gangs, machines and the
+// allocations of tasks on them, with their state transitions and the reconciliation with what
+// agents report. It does no I/O and reads no clock. A single goroutine, the event loop of the
+// leader or of a shard owner, owns a State and everything in it, so there is no locking.
 //
-// An allocation counts until it is proven released. See State.release for the proofs.
+// An allocation counts as using its resources until it is proven released. See State.release for
+// the proofs.
 package cluster
 
 import (
@@ -14,36 +15,38 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Effects are what a change of the state asks its owner to do. They are called on the
-// goroutine that owns the state, in the middle of a change.
+// Effects are the actions that a state change requests from the owner of the state. They are called
+// on the goroutine that owns the state, while the change is in progress.
 type Effects interface {
-	// ChunkDirty says that the chunk must be written.
+	// ChunkDirty requests that the chunk record be written.
 	ChunkDirty(chunk *TaskChunk)
-	// ChunkUrgent says that a start waits for the chunk's record.
+	// ChunkUrgent reports that a start command waits for the chunk record to be stored.
 	ChunkUrgent(chunk *TaskChunk)
-	// DispatchSoon says that there are commands worth sending to the machine by themselves.
+	// DispatchSoon reports that there are commands worth sending to the machine without waiting for
+	// its next heartbeat.
 	DispatchSoon(machine *Machine)
-	// JobFinished says that all tasks are done: the final status is to be written.
+	// JobFinished reports that all tasks are done, so the final status must be written.
 	JobFinished(job *Job)
-	// DependencyAborted says that a dependency is aborted: so is the job, to be written.
+	// DependencyAborted reports that a dependency of the job was aborted, so the abort of the job
+	// must be written.
 	DependencyAborted(job *Job)
-	// DependencyUnknown says that nothing is known of a job that another depends on: the
-	// store has to be asked.
+	// DependencyUnknown reports that a job on which another depends is unknown, so it must be
+	// looked up in the store.
 	DependencyUnknown(id string)
-	// AttemptCompleted says that an attempt completed, and how long it ran.
+	// AttemptCompleted reports that an attempt completed, and how long it ran.
 	AttemptCompleted(allocation *Allocation, took micro.Time)
-	// ChunkMigrated says that what a chunk held is in chunks of the compact form now.
+	// ChunkMigrated reports that the state of a chunk was moved to chunks in the compact format.
 	ChunkMigrated(chunk *TaskChunk, legacy *LegacyRecord)
-	// LegacyRecordSuperseded names a record in the first form, to be deleted once each chunk
-	// that stands for a part of it is stored.
+	// LegacyRecordSuperseded reports a record in the legacy format that is to be deleted once all
+	// chunks that cover a part of it are stored.
 	LegacyRecordSuperseded(legacy *LegacyRecord)
-	// ScheduleSoon says that a scheduling pass may find more than before.
+	// ScheduleSoon reports that a scheduling pass may now place more tasks than before.
 	ScheduleSoon()
-	// Log writes one line for operators.
+	// Log writes one log line for operators.
 	Log(event string, args ...any)
 }
 
-// State is the whole picture of the cluster. One goroutine owns it: nothing in it is locked.
+// State is the complete view of the cluster. It is owned by a single goroutine and not locked.
 type State struct {
 	Effects
 	Jobs     map[string]*Job
@@ -59,65 +62,65 @@
 	FailureAttribution
 	PreviousTerm MachineHistory
 
-	// Verbose logs each allocation and exit.
+	// Verbose enables log lines for each stopped allocation and each exit.
 	Verbose bool
 
-	// HandoverSupported is set while every controller can go on with a job that had allocations
-	// under another one.
+	// HandoverSupported is set as long as every controller is able to continue a job that had
+	// allocations under another controller.
 	HandoverSupported bool
 
-	// Ownership says whether another controller owns a machine, and whether it is to;
-	// nil: this one owns all.
+	// Ownership reports whether another controller owns a machine, and whether the machine is about
+	// to be transferred to another controller. It is nil if this controller owns all machines.
 	Ownership func(machine *Machine) (ownedElsewhere, transferPending bool)
 }
 
-// Catalog is the cloud's machine types.
+// Catalog holds the machine types that the cloud offers.
 type Catalog struct {
 	Types        map[string]*MachineType
 	CatalogOrder []*MachineType
 }
 
-// Term is what holds for one controller's time as leader, or as owner of a shard.
+// Term holds the parameters of a controller's term as leader or shard owner.
 type Term struct {
 	TermStartedAt        micro.Time
-	MinFencingToken      uint64                // the lowest token of this term
-	LeaseDuration        micro.Time            // the agents' lease, with room for clock drift
-	GangWaitTimeout      micro.Time            // how long a gang's members wait for each other
-	ProxyRenewedUntil    map[string]micro.Time // until when a lease proxy may have renewed leases, by zone; "": any
-	ZoneUnreachableSince map[string]micro.Time // zones none of whose controllers answer, since when
+	MinFencingToken      uint64                // lowest fencing token of this term
+	LeaseDuration        micro.Time            // duration of the agents' leases, including a margin for clock drift
+	GangWaitTimeout      micro.Time            // how long the members of a gang wait for each other
+	ProxyRenewedUntil    map[string]micro.Time // when a lease proxy may last have renewed leases, by zone; "": any
+	ZoneUnreachableSince map[string]micro.Time // time since which no controller of a zone has responded, by zone
 }
 
-// RecordFormat is the form in which chunks are stored.
+// RecordFormat is the format in which chunks are stored.
 type RecordFormat struct {
-	TasksPerChunk  int  // of jobs that are added from now on
-	CompactRecords bool // chunks are written in the compact form
+	TasksPerChunk  int  // of jobs added from now on
+	CompactRecords bool // chunk records are written in the compact format
 }
 
-// JobSets are the jobs by what they wait for.
+// JobSets holds sets of jobs by what they wait for.
 type JobSets struct {
-	ActiveJobs    map[*Job]bool          // jobs in the state Active
-	PendingJobs   map[*Job]bool          // active jobs with tasks to place
-	BlockedJobs   int                    // how many jobs wait for dependencies
-	FinalStatuses map[string]FinalStatus // final statuses that are in the store, by job
+	ActiveJobs    map[*Job]bool          // jobs in state Active
+	PendingJobs   map[*Job]bool          // active jobs with pending tasks
+	BlockedJobs   int                    // number of jobs that wait for dependencies
+	FinalStatuses map[string]FinalStatus // stored final statuses, by job
 
-	dependents map[string][]*Job // jobs by each of those that they wait for
+	dependents map[string][]*Job // jobs by each dependency that has not ended
 }
 
-// MachineSets are the machines in the commands in which they are looked for.
+// MachineSets holds sets of machines by what they are needed for.
 type MachineSets struct {
-	poolIndex // Pools: the machines that take new tasks
+	poolIndex // Pools: the machines on which new tasks may be placed
 
-	TerminatedAt map[string]micro.Time // machines terminated in this term, and when
+	TerminatedAt map[string]micro.Time // machines terminated in this term, with the time
 
-	sortedMachines []*Machine                  // by name; nil: to be sorted anew
+	sortedMachines []*Machine                  // sorted by name; nil if it must be sorted again
 	imageHints     map[string]imagecache.Cache // images of machines that are not known yet
 }
 
-// FailureAttribution is what decides whether failures are held against machines.
+// FailureAttribution decides whether failures are attributed to machines.
 type FailureAttribution = quarantine.Policy
 
-// New makes an empty picture. Its settings (term, quarantine threshold, teams, catalog) are
-// filled in by the goroutine that owns it, before the first job or machine is added.
+// New returns an empty state. Its settings (term, quarantine threshold, teams, catalog) are to be
+// set by the goroutine that owns it before the first job or machine is added.
 func New(effects Effects) *State {
 	return &State{
 		Effects:  effects,
@@ -145,7 +148,7 @@
 	}
 }
 
-// SetCatalog takes over the cloud's machine types, keeping learnt speeds.
+// SetCatalog replaces the cloud's machine types, keeping their learnt speeds.
 func (s *State) SetCatalog(catalog *wire.Catalog) {
 	s.CatalogOrder = s.CatalogOrder[:0]
 	for i, spec := range catalog.Types {
--- a/internal/cluster/stored_forms.go
+++ b/internal/cluster/stored_forms.go
@@ -2,7 +2,7 @@
 
 import "notchmux.dev/notchmux/internal/cluster/records"
 
-// Names of the stored forms that other packages still know as this package's.
+// Aliases of the record types, for packages that do not import records.
 type (
 	// ChunkRecord is records.Chunk.
 	ChunkRecord = records.Chunk
--- a/internal/cluster/task_queue.go
+++ b/internal/cluster/task_queue.go
@@ -12,7 +12,7 @@
 	TaskQueue = taskqueue.Queue
 )
 
-// PendingTasks is how many tasks wait for an allocation.
+// PendingTasks returns the number of tasks that wait for an allocation.
 func (j *Job) PendingTasks() int {
 	if j.State != Active {
 		return 0
@@ -20,7 +20,7 @@
 	return j.QueueLength(j.Tasks)
 }
 
-// NextTasks gives up to limit tasks that may be placed now, without taking them.
+// NextTasks returns up to limit tasks that may be placed now, without removing them from the queue.
 func (j *Job) NextTasks(now micro.Time, limit int) []int {
 	if j.State != Active || j.InBackoff(now) {
 		return nil
@@ -28,7 +28,7 @@
 	return j.NextWaiting(j.Tasks, now, limit)
 }
 
-// requeue puts a task back in line.
+// requeue puts a task back into the queue.
 func (s *State) requeue(job *Job, index int, now micro.Time) {
 	if job.State != Active || !job.RequeueTask(job.Tasks, index) {
 		return
@@ -40,7 +40,7 @@
 	s.ScheduleSoon()
 }
 
-// dequeue removes a task from the line.
+// dequeue removes a task from the queue.
 func (s *State) dequeue(job *Job, index int) {
 	job.RemoveTask(job.Tasks, index)
 	if job.PendingTasks() == 0 {
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -7,38 +7,38 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Team is a team's quota and what its allocations use of it: cores and GPUs. A limit of 0 is
-// none.
+// Team is a team's quota and what its allocations use of it, in cores and GPUs. A limit of 0 means
+// unlimited.
 type Team struct {
 	Name                     string
 	GuaranteedCPUs, CPULimit float64
 	GuaranteedGPUs, GPULimit float64
 	UsedCPU, UsedGPU         float64
-	QuotaReservedFor         *Job // the quota that comes free is kept for this job, which waited long
+	QuotaReservedFor         *Job // released quota is reserved for this job, which has waited for long
 	QuotaReservedAt          micro.Time
-	QuotaReservableAfter     micro.Time // nothing is saved up before, so that its other jobs get their turn
+	QuotaReservableAfter     micro.Time // earliest reservation, so that the team's other jobs are served before
 	LastPlacedAt             micro.Time // when one of its tasks was last placed
 	Transfer                 QuotaTransfer
 	unfinished               []*Job
 }
 
-// QuotaTransfer is quota that services placed in part give to another service of their team, so
-// that it becomes whole. Of a team there is one at a time.
+// QuotaTransfer is quota that partially placed services give up for another service of their team
+// so that it becomes fully placed. A team has at most one transfer at a time.
 type QuotaTransfer struct {
-	Recipient      *Job // nil: there is none
+	Recipient      *Job // nil if there is no transfer
 	Since          micro.Time
-	StopsRequested bool // replicas were stopped for it; before that, it waits for machines
+	StopsRequested bool // replicas were stopped for it; until then it waits for machines
 }
 
-// QuotaWithheldFrom reports whether the quota that comes free is kept from a job: replicas were stopped
-// for a service that comes before it, or is of the same priority.
+// QuotaWithheldFrom reports whether released quota is withheld from a job because replicas were
+// stopped for a service of the same or a higher priority.
 func (t *Team) QuotaWithheldFrom(job *Job) bool {
 	recipient := t.Transfer.Recipient
 	return t.Transfer.StopsRequested && recipient != job && recipient.PriorityLevel <= job.PriorityLevel &&
 		(t.CPULimit > 0 || recipient.Spec.GPUs > 0 && job.Spec.GPUs > 0)
 }
 
-// WithinLimit reports whether the team's limits allow so many more such tasks.
+// WithinLimit reports whether the team's limits allow the given number of additional tasks.
 func (t *Team) WithinLimit(cpus, gpus float64, tasks int) bool {
 	const eps = 1e-9
 	count := float64(tasks)
@@ -46,30 +46,30 @@
 		(t.GPULimit <= 0 || t.UsedGPU+count*gpus <= t.GPULimit+eps)
 }
 
-// TaskHeadroom is how many more such tasks the team's limits allow.
+// TaskHeadroom returns how many more tasks of the given size the team's limits allow.
 func (t *Team) TaskHeadroom(cpus, gpus float64) int {
 	return t.TaskHeadroomAfter(Resources{}, cpus, gpus)
 }
 
-// TaskHeadroomAfter is how many more such tasks the team's limits allow beside what is planned for
-// others.
+// TaskHeadroomAfter returns how many more tasks of the given size the team's limits allow in
+// addition to resources that are planned for others.
 func (t *Team) TaskHeadroomAfter(planned Resources, cpus, gpus float64) int {
 	const eps = 1e-9
 	tasks := math.MaxInt32
-	for _, quota := range []struct{ most, used, each float64 }{
+	for _, quota := range []struct{ limit, used, perTask float64 }{
 		{t.CPULimit, t.UsedCPU + planned.CPU, cpus},
 		{t.GPULimit, t.UsedGPU + planned.GPU, gpus},
 	} {
-		if quota.most > 0 && quota.each > 0 {
-			tasks = min(tasks, int((quota.most-quota.used)/quota.each+eps))
+		if quota.limit > 0 && quota.perTask > 0 {
+			tasks = min(tasks, int((quota.limit-quota.used)/quota.perTask+eps))
 		}
 	}
 	return max(tasks, 0)
 }
 
-// MarkGuarantees marks the active jobs that fit their team's guarantee together
-// with the team's earlier unfinished jobs. An amount of 0 guarantees nothing of
-// that kind, and a team without any guarantee has none.
+// MarkGuarantees marks the active jobs that fit in their team's guarantee together with the team's
+// earlier unfinished jobs. An amount of 0 guarantees nothing of that resource, and a team without
+// any guarantee has none.
 func (s *State) MarkGuarantees() {
 	for _, team := range s.Teams {
 		if team.GuaranteedCPUs <= 0 && team.GuaranteedGPUs <= 0 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// addUnfinished takes an unfinished job in, in the order in which the team's jobs could start, which
-// is the order of their guarantees.
+// addUnfinished adds an unfinished job, keeping the order in which the team's jobs became eligible,
+// which is the order in which the guarantee is given to them.
 func (t *Team) addUnfinished(job *Job) {
 	t.unfinished = append(t.unfinished, job)
 	jobs := t.unfinished
@@ -96,7 +96,7 @@
 	}
 }
 
-// removeUnfinished takes a job that is over, or handed back, from its team's unfinished ones.
+// removeUnfinished removes a job that has ended or was handed back from its team's unfinished jobs.
 func (s *State) removeUnfinished(job *Job) {
 	if job.Team == nil {
 		return
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -14,7 +14,8 @@
 
 const leaseDuration = 30 * micro.Second
 
-// testCluster is a leader's state among fake agents, with its records kept as the store would.
+// testCluster is a leader's state with fake agents. It stores the chunk records as the state store
+// would.
 type testCluster struct {
 	t             *testing.T
 	cluster       *cluster.State
@@ -67,7 +68,7 @@
 	return tc
 }
 
-// startTerm starts a term with an empty state, as a new leader has.
+// startTerm starts a term with an empty state, like that of a new leader.
 func (tc *testCluster) startTerm(revision uint64) {
 	tc.dirtyChunks = map[*cluster.TaskChunk]bool{}
 	tc.token = revision << 24
@@ -86,7 +87,8 @@
 	}
 }
 
-// failOver is a new leader after a crash: the records are read.
+// failOver starts the term of a new leader after a crash and restores the state from the stored
+// records.
 func (tc *testCluster) failOver(revision uint64) {
 	tc.startTerm(revision)
 	for _, spec := range tc.jobs {
@@ -98,6 +100,7 @@
 	tc.cluster.FinishRestore(tc.now)
 }
 
+// submit submits a job of the team and class that all tests share.
 func (tc *testCluster) submit(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
 	spec := wire.Job{
 		ID: id, Team: "team", Class: "c", Kind: kind, Priority: wire.Normal, Tasks: tasks, CPUs: cpus, MemoryGB: 1,
@@ -106,8 +109,8 @@
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
 
-// submitScheduled submits a job of which so many tasks are scheduled at once, and stores that:
-// their starts may go out.
+// submitScheduled submits a job, schedules the given number of its tasks in one pass and stores the
+// records, so that start commands may be sent.
 func (tc *testCluster) submitScheduled(id string, kind wire.JobKind, tasks int, cpus float64) *cluster.Job {
 	tc.t.Helper()
 	job := tc.submit(id, kind, tasks, cpus)
@@ -116,8 +119,8 @@
 	return job
 }
 
-// newClusterWithTask is a cluster of one machine, on which the only task of an array is
-// scheduled; its start may go out.
+// newClusterWithTask returns a cluster of one machine on which the only task of an array is
+// scheduled. Its start command may be sent.
 func newClusterWithTask(t *testing.T, cpus float64) (*testCluster, *fake.Agent, *cluster.Job) {
 	t.Helper()
 	tc := newTestCluster(t)
@@ -125,13 +128,14 @@
 	return tc, agent, tc.submitScheduled("j-1", wire.JobArray, 1, cpus)
 }
 
-// startTasks is a machine's heartbeat that brings it its starts, and the one that shows them.
+// startTasks sends the heartbeat whose response delivers the start commands, and the one that
+// reports the started tasks.
 func (tc *testCluster) startTasks(agent *fake.Agent) {
 	tc.heartbeat(agent)
 	tc.heartbeat(agent)
 }
 
-// quarantinedMachines names the machines that are quarantined, each followed by a space.
+// quarantinedMachines returns the names of the quarantined machines, each followed by a space.
 func (tc *testCluster) quarantinedMachines() (names string) {
 	for _, machine := range tc.cluster.SortedMachines() {
 		if machine.QuarantinedUntil > tc.now {
@@ -141,7 +145,7 @@
 	return names
 }
 
-// failTasksOf ends a job's tasks on an agent with an error.
+// failTasksOf ends all tasks of a job on an agent with an error.
 func failTasksOf(agent *fake.Agent, id string) {
 	for key := range agent.Tasks {
 		if job, _, _ := wire.ParseTaskName(key.Task); job == id {
@@ -150,7 +154,7 @@
 	}
 }
 
-// persist writes all records, after which starts may go out.
+// persist stores the records of all dirty chunks, after which start commands may be sent.
 func (tc *testCluster) persist() {
 	for chunk := range tc.dirtyChunks {
 		id := chunk.Job.Spec.ID
@@ -163,9 +167,10 @@
 	}
 }
 
-// heartbeat is an agent's heartbeat with its response.
+// heartbeat sends an agent's heartbeat and delivers the response.
 func (tc *testCluster) heartbeat(agent *fake.Agent) { tc.reconcile(agent, agent.Heartbeat()) }
 
+// reconcile applies a heartbeat and delivers the response if the heartbeat was applied.
 func (tc *testCluster) reconcile(agent *fake.Agent, heartbeat *wire.Heartbeat) {
 	machine, outcome := tc.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, tc.now)
 	if outcome == cluster.Applied {
@@ -176,7 +181,7 @@
 	}
 }
 
-// dispatchCommands builds the commands that are dispatched to an agent.
+// dispatchCommands returns the commands that would be dispatched to an agent.
 func (tc *testCluster) dispatchCommands(agent *fake.Agent) wire.Commands {
 	machine := tc.cluster.Machines[agent.Name]
 	return wire.Commands{
@@ -185,29 +190,32 @@
 	}
 }
 
+// addAgent adds an agent and sends heartbeats until its machine is up.
 func (tc *testCluster) addAgent(name, zone string) *fake.Agent {
 	agent := fake.NewAgent(name, "small", zone, leaseDuration)
 	agent.LeaseStart = tc.now
 	tc.heartbeat(agent)
-	tc.heartbeat(agent) // it counts as up once it has shown this term's token
+	tc.heartbeat(agent) // up once it has reported this term's token
 	return agent
 }
 
+// expectScheduled runs a scheduling pass and checks how many tasks it placed.
 func (tc *testCluster) expectScheduled(want int) {
 	tc.t.Helper()
 	if got := tc.scheduler.Schedule(tc.now); got != want {
-		tc.t.Fatalf("placed %d tasks, want %d", got, want)
+		tc.t.Fatalf("scheduled %d tasks, want %d", got, want)
 	}
 }
 
+// expectAllocations checks how many allocations a job has.
 func (tc *testCluster) expectAllocations(job *cluster.Job, want int) {
 	tc.t.Helper()
 	if job.AllocationCount != want {
-		tc.t.Fatalf("%d places are held, want %d", job.AllocationCount, want)
+		tc.t.Fatalf("job has %d allocations, want %d", job.AllocationCount, want)
 	}
 }
 
-// heartbeatWithResponseLost is a heartbeat whose response does not arrive.
+// heartbeatWithResponseLost sends a heartbeat whose response does not arrive.
 func (tc *testCluster) heartbeatWithResponseLost(agent *fake.Agent) {
 	if machine, outcome := tc.cluster.Reconcile(
 		agent.Heartbeat(), cluster.FromHeartbeat, tc.now,
@@ -220,30 +228,30 @@
 	return tc.cluster.AddJob(spec, tc.now, tc.now)
 }
 
-// cancel is the final status of j-1, which was cancelled.
+// cancel finalizes j-1 as cancelled.
 func (tc *testCluster) cancel() { tc.cluster.FinalizeJob(tc.cluster.Jobs["j-1"], true, tc.now) }
 
-// expectQuotaUsed checks how many CPUs of the team's quota count as used.
+// expectQuotaUsed checks how many CPUs of the team's quota are used.
 func (tc *testCluster) expectQuotaUsed(want float64) {
 	tc.t.Helper()
 	if got := tc.cluster.Teams["team"].UsedCPU; got != want {
-		tc.t.Fatalf("%v CPUs of the limit count as used, want %v", got, want)
+		tc.t.Fatalf("%v CPUs of the quota used, want %v", got, want)
 	}
 }
 
-// expireLeases lets pass what an agent's lease may take from now on, and expires the machines
-// whose lease surely ran out, as the leader does.
+// expireLeases advances the time beyond the lease duration and expires the given machines, as the
+// leader does. It fails the test if a lease expires early or does not expire.
 func (tc *testCluster) expireLeases(names ...string) {
 	tc.t.Helper()
 	for _, name := range names {
 		if tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
-			tc.t.Fatalf("%s was given up within its lease", name)
+			tc.t.Fatalf("the lease of %s expired too early", name)
 		}
 	}
 	tc.now += leaseDuration + 2*micro.Second
 	for _, name := range names {
 		if !tc.cluster.LeaseExpired(tc.cluster.Machines[name], tc.now) {
-			tc.t.Fatalf("%s is never given up", name)
+			tc.t.Fatalf("the lease of %s did not expire", name)
 		}
 		tc.cluster.ExpireMachine(tc.cluster.Machines[name], tc.now)
 	}
--- a/internal/cluster/unallocated_test.go
+++ b/internal/cluster/unallocated_test.go
@@ -8,10 +8,11 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// An array some of whose tasks never had an allocation (its quota, or the capacity, is too small for
-// all at once) loses the only one that runs. It waits "since none of its tasks was allocated": from
-// now on, not from when that task was placed; else its shard's owner has it recalled at once.
-func TestJobThatLosesItsLastAllocationWaitsFromThen(t *testing.T) {
+// An array of which some tasks never had an allocation, because its quota or the capacity is too
+// small for all of them at once, loses the only running task. Its time without an allocation starts
+// now and not when that task was placed. Otherwise, the owner of its shard would have it recalled
+// at once.
+func TestUnallocatedTimeStartsWhenTheLastAllocationIsLost(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	job := tc.submit("j-1", wire.JobArray, 2, 1)
@@ -22,6 +23,6 @@
 	tc.cluster.RemoveMachine(tc.cluster.Machines["m1"], tc.now)
 	tc.expectAllocations(job, 0)
 	if waited := job.UnallocatedFor(tc.now); job.State != cluster.Active || waited > micro.Second {
-		t.Errorf("%v, has waited for %v s", job.State, waited.Seconds())
+		t.Errorf("job is %v, unallocated for %v s, want active and at most 1 s", job.State, waited.Seconds())
 	}
 }
--- a/internal/cluster/wait_test.go
+++ b/internal/cluster/wait_test.go
@@ -9,9 +9,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A job that fails wherever it goes is retried ever more seldom, but is retried:
-// its user may have mended what was wrong.
-func TestJobThatFailsEverywhereIsRetriedEachMinute(t *testing.T) {
+// A job that fails on every machine is retried less and less often, but it is still retried,
+// because its user may have corrected the mistake.
+func TestJobThatFailsEverywhereIsRetriedEveryMinute(t *testing.T) {
 	tc := newTestCluster(t)
 	var agents []*fake.Agent
 	for i := range 12 {
@@ -22,7 +22,7 @@
 	for tries := 0; tries < 40; tc.now += micro.Second {
 		if tc.scheduler.Schedule(tc.now) == 0 {
 			if tc.now-failed > 10*micro.Minute {
-				t.Fatalf("given up after %d tries", tries)
+				t.Fatalf("not retried for 10 minutes after %d tries", tries)
 			}
 			continue
 		}
@@ -38,13 +38,13 @@
 		failed = tc.now
 	}
 	if longest < 30*micro.Second || longest > 62*micro.Second {
-		t.Fatalf("the longest time between tries is %v s", longest.Seconds())
+		t.Fatalf("the longest time between tries is %v s, want 30 to 62 s", longest.Seconds())
 	}
 }
 
-// On the only machine left, which is slow, an array's task was stopped each time
-// it overran, and never completed.
-func TestTaskOnASlowMachineStaysIfNothingElseFits(t *testing.T) {
+// An array's task on the only remaining machine, which was slow, was stopped each time it overran
+// and never completed.
+func TestTaskOnASlowMachineIsNotStoppedIfNoOtherMachineFits(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	machine := tc.cluster.Machines["m1"]
@@ -59,14 +59,14 @@
 	tc.now += 2 * micro.Minute
 	for _, allocation := range job.Allocations() {
 		if tc.cluster.CheckOverrun(allocation, 10*micro.Second, tc.now); allocation.Stopping {
-			t.Fatal("stopped, to come back to the same machine")
+			t.Fatal("the task is stopped although only the same machine is available")
 		}
 	}
 }
 
-// A machine that left a dispatch unanswered, or whose zone's controllers are out of
-// touch, takes tasks again with its next heartbeat.
-func TestMachineTakesTasksAtOnceAfterItsNextHeartbeat(t *testing.T) {
+// A machine that left a dispatch unanswered, or whose zone's controllers are unreachable, accepts
+// tasks again after its next heartbeat.
+func TestUnreachableMachineGetsTasksAfterItsNextHeartbeat(t *testing.T) {
 	tc := newTestCluster(t)
 	agent := tc.addAgent("m1", "a")
 	tc.cluster.Machines["m1"].DispatchUnanswered = true
@@ -78,14 +78,14 @@
 	tc.expectScheduled(1)
 }
 
-// A task that ran for long and was lost does not count as one that waited all the
-// time: the ordinary rules hold for it again.
+// A task that ran for long and lost its allocation does not count as having waited all the time: the
+// ordinary rules apply to it again.
 func TestRequeuedTaskRestartsItsWaitingTime(t *testing.T) {
 	tc, agent, job := newClusterWithTask(t, 1)
 	tc.startTasks(agent)
 	tc.now += 10 * micro.Minute
 	tc.cluster.Machines["m1"].QuarantinedUntil = tc.now + 10*micro.Minute
-	agent.Epoch++ // it lost what it ran
+	agent.Epoch++ // the machine lost its tasks
 	clear(agent.Tasks)
 	tc.heartbeat(agent)
 	tc.expectAllocations(job, 0)
