--- a/internal/autoscaler/decisions_test.go
+++ b/internal/autoscaler/decisions_test.go
@@ -15,8 +15,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedDecisions is the digest of all decisions on the random clusters. It changes only
-// with a change that is meant to decide otherwise; such a commit says so.
+// recordedDecisions is the digest of all decisions on the random clusters. Only a commit that changes
+// decisions on purpose, and says so, may change it.
 const recordedDecisions = "51171b67a02702e3"
 
 const (
@@ -25,7 +25,7 @@
 	decisionStep     = 3 * micro.Second
 )
 
-// decisionEffects lets finished jobs end.
+// decisionEffects finalizes jobs when they have finished and discards all other effects.
 type decisionEffects struct {
 	discardEffects
 	scenario *decisionScenario
@@ -38,38 +38,37 @@
 	e.scenario.state.FinalizeJob(job, false, e.scenario.now)
 }
 
-// decisionScenario is a random cluster whose planner's decisions are added to a digest. All
-// its numbers are sums of few powers of two: in whatever order they are added up, the
-// sums are the same.
+// decisionScenario is a random cluster whose planner's decisions are added to a digest. All its quantities
+// are sums of few powers of two, so that adding them up in any order gives exactly the same result.
 type decisionScenario struct {
-	rng      *rand.Rand
-	state    *cluster.State
-	planner  *Planner
-	now      micro.Time
-	out      hash.Hash
-	jobs     []*cluster.Job // in the order of their submission
-	upAt     map[*cluster.Machine]micro.Time
-	sequence wire.Count
-	created  int
-	requests int
-	busy     int // plans during which jobs are submitted
-	seen     *decisionCoverage
+	rng               *rand.Rand
+	state             *cluster.State
+	planner           *Planner
+	now               micro.Time
+	digest            hash.Hash
+	jobs              []*cluster.Job // in submission order
+	upAt              map[*cluster.Machine]micro.Time
+	heartbeatSequence wire.Count
+	created           int
+	requests          int
+	submitRounds      int // plans during which jobs are submitted
+	coverage          *decisionCoverage
 }
 
-// decisionCoverage counts what the clusters have shown, so that the digest cannot become one
-// of clusters in which nothing happens.
+// decisionCoverage counts how often each kind of decision was taken, so that the digest cannot come from
+// clusters in which nothing happens.
 type decisionCoverage struct {
-	spot, onDemand, onGPU, urgent, largest, beyondCut, inShards    int
-	idle, cordoned, uncordoned, headroom                           int
-	refusals, excluded, persistent, tooExpensive, quiet, permanent int
+	spot, onDemand, onGPU, urgent, maxSizedRequest, inUnreachableZone, inShard int
+	idle, cordoned, uncordoned, headroom                                       int
+	refusals, excluded, persistent, tooExpensive, noBacklog, permanent         int
 }
 
-func newDecisionScenario(seed uint64, out hash.Hash, seen *decisionCoverage) *decisionScenario {
+func newDecisionScenario(seed uint64, digest hash.Hash, coverage *decisionCoverage) *decisionScenario {
 	scenario := &decisionScenario{
-		rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * micro.Second, out: out, seen: seen,
+		rng: rand.New(rand.NewPCG(seed, 17)), now: 1000 * micro.Second, digest: digest, coverage: coverage,
 		upAt: map[*cluster.Machine]micro.Time{},
 	}
-	scenario.busy = decisionPlans/3 + scenario.rng.IntN(decisionPlans)
+	scenario.submitRounds = decisionPlans/3 + scenario.rng.IntN(decisionPlans)
 	scenario.state = cluster.New(decisionEffects{scenario: scenario})
 	scenario.state.LeaseDuration = 30 * micro.Second
 	scenario.addCatalog()
@@ -130,8 +129,7 @@
 	d.planner = New(cfg)
 }
 
-// addMachines makes the machines that there are at first; in some clusters operators have
-// machines of their own.
+// addMachines adds the initial machines; in some clusters, some of them are operator-owned.
 func (d *decisionScenario) addMachines() {
 	permanent := d.rng.IntN(6) == 0
 	for range d.rng.IntN(24) {
@@ -151,7 +149,7 @@
 	return machine
 }
 
-// submit adds a random job that has waited for up to two minutes, or for much longer.
+// submit adds a random job that has waited for up to a minute, or for three minutes more.
 func (d *decisionScenario) submit() {
 	spec := wire.Job{
 		ID: fmt.Sprint("j-", 1000+len(d.jobs)), Team: pick(d.rng, "", "", "guaranteed", "limited"),
@@ -161,7 +159,7 @@
 		Image: "image", ImageGB: float64(d.rng.IntN(12)),
 		Spot: d.rng.IntN(2) == 0, EstimateS: float64(5 + d.rng.IntN(100)),
 	}
-	d.shape(&spec)
+	d.randomizeTasks(&spec)
 	waited := micro.Time(d.rng.IntN(60)) * micro.Second
 	if d.rng.IntN(5) == 0 {
 		waited += 3 * micro.Minute
@@ -173,8 +171,8 @@
 	}
 }
 
-// shape gives a job of some kind its class, its tasks and what they ask for.
-func (d *decisionScenario) shape(spec *wire.Job) {
+// randomizeTasks sets the class, the tasks, the requests and the constraints of a job of a given kind.
+func (d *decisionScenario) randomizeTasks(spec *wire.Job) {
 	switch spec.Kind {
 	case wire.Gang:
 		spec.Class, spec.Tasks = "training", 1+d.rng.IntN(6)
@@ -203,7 +201,7 @@
 	}
 }
 
-// shardDemands is what the jobs that were assigned to the shard, zone b, wait for.
+// shardDemands returns the demands of the jobs that were assigned to the shard, which is zone b.
 func (d *decisionScenario) shardDemands() []ShardDemand {
 	var demands []ShardDemand
 	for _, job := range d.jobs {
@@ -216,10 +214,10 @@
 	return demands
 }
 
-// plan lets the cluster change, plans once and records what was decided.
+// plan changes the cluster at random, makes one plan and records its decisions.
 func (d *decisionScenario) plan(round int) {
 	d.now += decisionStep
-	if round < d.busy || round >= decisionPlans-4 {
+	if round < d.submitRounds || round >= decisionPlans-4 {
 		for range d.rng.IntN(3) {
 			d.submit()
 		}
@@ -228,7 +226,7 @@
 	}
 	d.answerRequests()
 	d.bootMachines()
-	d.disturb()
+	d.injectFaults()
 	d.placeTasks()
 	d.heartbeats()
 	cordonedBefore := map[*cluster.Machine]bool{}
@@ -245,14 +243,14 @@
 	d.recordPrices()
 	for _, machine := range idle {
 		d.record("idle", machine.Name)
-		d.seen.idle++
+		d.coverage.idle++
 		if d.rng.IntN(3) > 0 {
 			d.state.RemoveMachine(machine, d.now)
 		}
 	}
 }
 
-// abortPending has little left that waits, and some services end.
+// abortPending aborts the jobs that have pending tasks, and some services.
 func (d *decisionScenario) abortPending() {
 	for _, job := range d.jobs {
 		service := job.Spec.Kind == wire.Service && d.rng.IntN(8) == 0
@@ -262,7 +260,7 @@
 	}
 }
 
-// answerRequests answers some of the requests in full, in part or not at all.
+// answerRequests grants some of the pending requests in full or in part, or refuses them.
 func (d *decisionScenario) answerRequests() {
 	for id := range d.requests {
 		scaleOut, pending := d.planner.PendingRequests[fmt.Sprint("r-", 1+id)]
@@ -277,8 +275,8 @@
 		if d.rng.IntN(3) == 0 {
 			granted = 0
 		}
-		d.planner.RecordAnswer(scaleOut.InstanceOffer, scaleOut.Count, granted, d.now)
-		d.seen.refusals += count(granted < scaleOut.Count)
+		d.planner.RecordRequestResult(scaleOut.InstanceOffer, scaleOut.Count, granted, d.now)
+		d.coverage.refusals += boolToInt(granted < scaleOut.Count)
 		for range granted {
 			machine := d.addMachine(scaleOut.InstanceOffer)
 			if d.rng.IntN(5) > 0 { // the others never boot
@@ -289,7 +287,7 @@
 	}
 }
 
-// bootMachines has machines come up, and gives up those that do not.
+// bootMachines lets machines boot, and removes those that fail to boot.
 func (d *decisionScenario) bootMachines() {
 	for _, machine := range d.state.SortedMachines() {
 		if machine.State != cluster.Registering {
@@ -303,8 +301,8 @@
 	}
 }
 
-// disturb changes the state of the cluster now and then.
-func (d *decisionScenario) disturb() {
+// injectFaults makes random zones unreachable and random machines unusable, and lets some recover.
+func (d *decisionScenario) injectFaults() {
 	zone := pick(d.rng, "a", "b", "c")
 	switch d.rng.IntN(16) {
 	case 0:
@@ -333,7 +331,7 @@
 	}
 }
 
-// placeTasks puts tasks on the first machines with capacity, but for one in four.
+// placeTasks allocates three in four pending tasks on the first machines with capacity.
 func (d *decisionScenario) placeTasks() {
 	for _, job := range d.jobs {
 		if !d.state.PendingJobs[job] {
@@ -347,6 +345,7 @@
 	}
 }
 
+// placeTask allocates a task on the first machine that has capacity for it, if there is one.
 func (d *decisionScenario) placeTask(job *cluster.Job, index int) {
 	spec := &job.Spec
 	for _, machine := range d.state.SortedMachines() {
@@ -363,11 +362,11 @@
 	}
 }
 
-// heartbeats lets two in three machines report: what is to stop is over, the rest runs, and
-// some of it ends.
+// heartbeats applies heartbeats from two in three machines: tasks that were told to stop have exited, the
+// others run, and some of those complete or fail.
 func (d *decisionScenario) heartbeats() {
-	d.sequence++
-	for _, job := range d.jobs { // what is placed may start
+	d.heartbeatSequence++
+	for _, job := range d.jobs { // tasks start only once their allocations are persisted
 		for _, chunk := range job.Chunks {
 			d.state.ChunkPersisted(chunk, chunk.MemoryVersion)
 		}
@@ -379,7 +378,7 @@
 		}
 		heartbeat := &wire.Heartbeat{
 			Machine: machine.Name, Addr: "address", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
-			AgentEpoch: 1, Sequence: d.sequence, FencingToken: 1,
+			AgentEpoch: 1, Sequence: d.heartbeatSequence, FencingToken: 1,
 		}
 		for _, allocation := range machine.SortedAllocations() {
 			heartbeat.Tasks = append(heartbeat.Tasks, d.taskStatus(allocation))
@@ -405,35 +404,35 @@
 	return status
 }
 
-// record adds a line to what the digest is made of.
-func (d *decisionScenario) record(values ...any) { d.out.Write(fmt.Appendln(nil, values...)) }
+// record adds a line to the digest.
+func (d *decisionScenario) record(values ...any) { d.digest.Write(fmt.Appendln(nil, values...)) }
 
 func (d *decisionScenario) recordScaleOut(scaleOut ScaleOut) {
 	d.requests++
 	d.planner.PendingRequests[fmt.Sprint("r-", d.requests)] = scaleOut
 	d.record("scale-out", scaleOut.InstanceOffer, scaleOut.Count, scaleOut.Class, scaleOut.PriorityLevel)
-	d.seen.spot += count(scaleOut.Spot)
-	d.seen.onDemand += count(!scaleOut.Spot)
-	d.seen.onGPU += count(scaleOut.Type == "gpu")
-	d.seen.urgent += count(scaleOut.PriorityLevel == 0)
-	d.seen.largest += count(scaleOut.Count == maxMachinesPerRequest)
-	d.seen.beyondCut += count(d.planner.unreachableZones[scaleOut.Zone])
-	d.seen.inShards += count(d.planner.OwnsOffer != nil && !d.planner.OwnsOffer(scaleOut.InstanceOffer))
+	d.coverage.spot += boolToInt(scaleOut.Spot)
+	d.coverage.onDemand += boolToInt(!scaleOut.Spot)
+	d.coverage.onGPU += boolToInt(scaleOut.Type == "gpu")
+	d.coverage.urgent += boolToInt(scaleOut.PriorityLevel == 0)
+	d.coverage.maxSizedRequest += boolToInt(scaleOut.Count == maxMachinesPerRequest)
+	d.coverage.inUnreachableZone += boolToInt(d.planner.unreachableZones[scaleOut.Zone])
+	d.coverage.inShard += boolToInt(d.planner.OwnsOffer != nil && !d.planner.OwnsOffer(scaleOut.InstanceOffer))
 }
 
 func (d *decisionScenario) recordMachines(cordonedBefore map[*cluster.Machine]bool) {
 	for _, machine := range d.state.SortedMachines() {
 		d.record("machine", machine.Name, machine.Cordoned, machine.LastNeededForHeadroom)
-		d.seen.cordoned += count(machine.Cordoned && !cordonedBefore[machine])
-		d.seen.uncordoned += count(!machine.Cordoned && cordonedBefore[machine])
-		d.seen.headroom += count(machine.LastNeededForHeadroom == d.now)
+		d.coverage.cordoned += boolToInt(machine.Cordoned && !cordonedBefore[machine])
+		d.coverage.uncordoned += boolToInt(!machine.Cordoned && cordonedBefore[machine])
+		d.coverage.headroom += boolToInt(machine.LastNeededForHeadroom == d.now)
 	}
 }
 
-// recordPlanner records what the planner remembers for its next plans.
+// recordPlanner records the state that the planner keeps between plans.
 func (d *decisionScenario) recordPlanner() {
 	p := d.planner
-	d.record("planner", p.permanentFleet, p.noBacklogSince, p.unreachableZones) // maps print in order
+	d.record("planner", p.permanentFleet, p.noBacklogSince, p.unreachableZones) // maps are printed in key order
 	d.record("refused", p.RefusedUntil, p.ConsecutiveRefusals)
 	var excluded []string
 	for offer, until := range p.excludedUntil {
@@ -445,66 +444,66 @@
 		class := d.state.Classes[name]
 		if backlog := p.backlogs[class]; class != nil && backlog != nil {
 			d.record("backlog", name, *backlog)
-			d.seen.persistent += count(backlog.lastExpensiveAt == d.now)
+			d.coverage.persistent += boolToInt(backlog.lastExpensiveAt == d.now)
 		}
 	}
-	d.seen.excluded += count(len(excluded) > 0)
-	d.seen.quiet += count(p.noBacklogSince != 0)
-	d.seen.permanent += count(p.permanentFleet)
+	d.coverage.excluded += boolToInt(len(excluded) > 0)
+	d.coverage.noBacklog += boolToInt(p.noBacklogSince != 0)
+	d.coverage.permanent += boolToInt(p.permanentFleet)
 }
 
-// recordPrices records which machines the price of is too high for the latest jobs.
+// recordPrices records for the latest jobs whether each machine type is within their price limit.
 func (d *decisionScenario) recordPrices() {
 	for _, job := range d.jobs[max(0, len(d.jobs)-4):] {
 		for _, typ := range d.state.CatalogOrder {
 			for _, spot := range []bool{false, true} {
 				within := d.planner.WithinPrice(job, typ, spot, d.now)
 				d.record("price", job.Spec.ID, typ.Name, spot, within)
-				d.seen.tooExpensive += count(!within)
+				d.coverage.tooExpensive += boolToInt(!within)
 			}
 		}
 	}
 }
 
-// pick chooses one of several values.
+// pick returns one of the values at random.
 func pick[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-func count(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
 	return 0
 }
 
-// The planner's code is changed in shape now and then, and must decide as before: each
-// scale-out, idle and cordoned machine, machine counted on for headroom and price limit on
-// some hundred random clusters, and what the planner remembers, is in the digest.
-func TestDecisionsOnRandomClustersStay(t *testing.T) {
+// A refactoring of the planner must not change its decisions: the digest covers each scale-out, idle and
+// cordoned machine, machine counted as headroom and price limit on some hundred random clusters, and the
+// state that the planner keeps between plans.
+func TestDecisionsOnRandomClustersMatchRecordedDigest(t *testing.T) {
 	digest := fnv.New64a()
-	seen := &decisionCoverage{}
+	coverage := &decisionCoverage{}
 	for seed := range uint64(decisionClusters) {
-		scenario := newDecisionScenario(seed, digest, seen)
+		scenario := newDecisionScenario(seed, digest, coverage)
 		for round := range decisionPlans {
 			scenario.plan(round)
 		}
 		scenario.record("cluster", seed)
 	}
-	t.Logf("%+v", *seen)
-	seen.check(t)
+	t.Logf("decisions by kind: %+v", *coverage)
+	coverage.check(t)
 	if got := fmt.Sprintf("%016x", digest.Sum64()); got != recordedDecisions {
-		t.Fatalf("the decisions' digest is %s, not %s", got, recordedDecisions)
+		t.Fatalf("digest of the decisions is %s, want %s", got, recordedDecisions)
 	}
 }
 
-// check fails if some kind of decision was seldom taken.
+// check fails the test if any kind of decision was taken too seldom.
 func (c *decisionCoverage) check(t *testing.T) {
 	t.Helper()
-	const enough = 20
-	least := slices.Min([]int{
-		c.spot, c.onDemand, c.onGPU, c.urgent, c.largest, c.beyondCut, c.inShards, c.idle, c.cordoned, c.uncordoned,
-		c.headroom, c.refusals, c.excluded, c.persistent, c.tooExpensive, c.quiet, c.permanent,
+	const minOccurrences = 20
+	fewest := slices.Min([]int{
+		c.spot, c.onDemand, c.onGPU, c.urgent, c.maxSizedRequest, c.inUnreachableZone, c.inShard, c.idle, c.cordoned,
+		c.uncordoned, c.headroom, c.refusals, c.excluded, c.persistent, c.tooExpensive, c.noBacklog, c.permanent,
 	})
-	if least < enough {
-		t.Errorf("a kind of decision was taken only %d times, want %d: %+v", least, enough, *c)
+	if fewest < minOccurrences {
+		t.Errorf("a kind of decision was taken only %d times, want at least %d: %+v", fewest, minOccurrences, *c)
 	}
 }
