--- a/internal/cluster/taskqueue/queue.go
+++ b/internal/cluster/taskqueue/queue.go
@@ -42,7 +42,7 @@
 type Queue struct {
 	WaitingSince       micro.Time // since when it has been waiting without any allocation being made
 	WaitReasonLoggedAt micro.Time // when the reason why it waits was last logged
-	Throttled          bool       // its tasks were withheld from resources that were free
+	Throttled          bool       // its tasks were held back although resources were free
 
 	firstNeverDequeued int // tasks from this index on never had an allocation and were never requeued
 	requeued           []int32
