--- a/internal/shard/coordinator/admin.go
+++ b/internal/shard/coordinator/admin.go
@@ -19,7 +19,7 @@
 	)
 	// The lease may have expired while the command ran: the result is then not authoritative.
 	if !ok || !c.Host.HoldsLease() {
-		refusal := shard.CommandReply{RefusalReason: "the leader did not answer in time or lost its lease: try again"}
+		refusal := shard.CommandReply{RefusalReason: "the leader does not act now: try again"}
 		return shard.DetailedReply{CommandReply: refusal}
 	}
 	return reply
@@ -68,7 +68,7 @@
 	}
 	err := c.changeShardThen(entry, "operator command", change, func(err error) {
 		if err != nil {
-			respond(fmt.Sprintf("write share record failed (%v): try again", err))
+			respond(fmt.Sprintf("not stored (%v): try again", err))
 			return
 		}
 		respond("")
@@ -118,11 +118,11 @@
 	case entry.Record.State == shard.Forming:
 		return fmt.Sprintf("waits for %d tasks on its machines to end", c.allocationsIn(entry))
 	case status.OwnerSessionLost:
-		return "its owner has lost its session: it will be reassigned"
+		return "its owner has lost its session: another gets it"
 	case entry.Record.State == shard.Moving:
-		return "waits for its owner to complete outstanding writes and to transfer it"
+		return "waits for its owner to settle what it wrote, and to hand over"
 	case entry.Record.State == shard.Released:
-		return "the leader is reclaiming its jobs and machines"
+		return "the leader takes its work back"
 	}
 	return ""
 }
--- a/internal/shard/coordinator/eligible_owners.go
+++ b/internal/shard/coordinator/eligible_owners.go
@@ -179,16 +179,14 @@
 func (c *DividedCatalog) refusalReason(job *cluster.Job, entry shard.Entry, offers *usableOffers) string {
 	switch {
 	case !acceptsTeam(entry, job.Spec.Team):
-		return fmt.Sprintf("shard %s accepts jobs of team %s only", entry.Name, strings.Join(entry.Record.Teams, ", "))
+		return fmt.Sprintf("shard %s takes jobs of team %s only", entry.Name, strings.Join(entry.Record.Teams, ", "))
 	case !offers.suffice(job):
 		return fmt.Sprintf("shard %s holds zone %s only", entry.Name, strings.Join(offers.zones, ", "))
 	case job.AllocationCount > 0:
-		return fmt.Sprintf(
-			"it has allocations at the leader, and can be assigned to shard %s only without any", entry.Name,
-		)
+		return fmt.Sprintf("it has allocations at the leader, and goes to shard %s as a whole", entry.Name)
 	case !c.mayBeAssigned(job):
 		return fmt.Sprintf(
-			"it had allocations before, and not all controllers support its handover to shard %s", entry.Name,
+			"a task of it had an allocation, and not all controllers could go on with it in shard %s", entry.Name,
 		)
 	}
 	return ""
@@ -207,7 +205,7 @@
 	case maxZones < zonesNeeded(job) && usable.leader.offerCount == 0:
 		return fmt.Sprintf("zones in several shards: %s; a spread service is not split", zonesByShard)
 	case maxZones < zonesNeeded(job):
-		return fmt.Sprintf("zones at the leader and in shards: %s; a spread service is not split", zonesByShard)
+		return fmt.Sprintf("zones on both sides: %s; a spread service is not split", zonesByShard)
 	case usable.leader.offerCount == 0:
 		return fmt.Sprintf("only shard %s has offers for it: %s", names, strings.Join(refusals, ", "))
 	}
