--- a/internal/cluster/machine_history.go
+++ b/internal/cluster/machine_history.go
@@ -2,8 +2,8 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// MachineHistory is what is known of machines from before this controller's term.
-type MachineHistory struct {
+// MachineInactivity is what is known of machines from before this controller's term.
+type MachineInactivity struct {
 	// RenewedAt is when the lease of a machine's agent may last have been renewed before the
 	// term, by machine; those that are not named may have been until the term began.
 	RenewedAt map[string]micro.Time
@@ -20,22 +20,22 @@
 	return s.TermStartedAt
 }
 
-// ExportMachineHistory lists what a controller that takes over all machines of this one can count on: since
+// ExportMachineInactivity lists what a controller that takes over all machines of this one can count on: since
 // when no lease was renewed of those whose agents are silent, and since when others are idle.
-func (s *State) ExportMachineHistory() MachineHistory {
-	bequest := MachineHistory{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
+func (s *State) ExportMachineInactivity() MachineInactivity {
+	inactivity := MachineInactivity{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
 	for name, idleSince := range s.PreviousTerm.IdleSince {
 		if s.Machines[name] == nil {
-			bequest.IdleSince[name] = idleSince // its agent has not come here yet
+			inactivity.IdleSince[name] = idleSince // its agent has not come here yet
 		}
 	}
 	for _, machine := range s.SortedMachines() {
 		switch {
 		case machine.State != Up && len(machine.Allocations) > 0:
-			bequest.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
+			inactivity.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
 		case machine.State == Up && len(machine.Allocations) == 0:
-			bequest.IdleSince[machine.Name] = machine.IdleSince
+			inactivity.IdleSince[machine.Name] = machine.IdleSince
 		}
 	}
-	return bequest
+	return inactivity
 }
--- a/internal/cluster/machine_history_test.go
+++ b/internal/cluster/machine_history_test.go
@@ -43,7 +43,7 @@
 	state.TransitionMachine(here, cluster.Up, "reports")
 	here.IdleSince = 7 * micro.Second
 	want := map[string]micro.Time{"i-1": 5 * micro.Second, "i-2": 7 * micro.Second}
-	if got := state.ExportMachineHistory().IdleSince; !maps.Equal(got, want) {
+	if got := state.ExportMachineInactivity().IdleSince; !maps.Equal(got, want) {
 		t.Errorf("idle since %v, want %v", got, want)
 	}
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -57,7 +57,7 @@
 	JobSets
 	MachineSets
 	FailureAttribution
-	PreviousTerm MachineHistory
+	PreviousTerm MachineInactivity
 
 	// Verbose logs each allocation and exit.
 	Verbose bool
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -5,8 +5,8 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// newCancellations makes the part of a term that brings cancellations to their end.
-func newCancellations(l *Leader) *cancellation.Manager {
+// newCancellationManager makes the part of a term that brings cancellations to their end.
+func newCancellationManager(l *Leader) *cancellation.Manager {
 	return cancellation.New(cancellation.Dependencies{
 		Config:       l.node.Cfg,
 		Loop:         l.loop,
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -23,39 +23,39 @@
 // common. Both run their machines and jobs in the same way; what they do differently is in
 // their duties.
 type controlLoop struct {
-	node   *Node
-	term   *election.Term
-	log    *slog.Logger
-	loop   *eventloop.Loop
-	duties duties
+	node *Node
+	term *election.Term
+	log  *slog.Logger
+	loop *eventloop.Loop
+	role role
 
 	pendingTasks atomic.Int64
 	serving      atomic.Bool // all that the store holds was read: the intake knows all jobs
 
 	// Owned by the loop's goroutine.
-	cluster          *cluster.State
-	scheduler        *scheduler.Scheduler
-	speeds           *scheduler.SpeedEstimator
-	objectives       *scheduler.Objectives
-	records          *persist.Records
-	dispatcher       *dispatch.Dispatcher
-	detector         *detector.Detector
-	intake           *recovery.Intake
-	reader           *recovery.Reader
-	schedulePending  bool
-	lastSchedule     micro.Time
-	scheduleInterval micro.Time // least time between passes, by what the last one took
-	lastStatusLog    micro.Time
-	referralsAsked   bool // the peers are being asked for agents that look for this node
-
-	// describeServingSide says which sides of a divided fleet may serve a job; "": the fleet is
+	cluster               *cluster.State
+	scheduler             *scheduler.Scheduler
+	speeds                *scheduler.SpeedEstimator
+	objectives            *scheduler.Objectives
+	records               *persist.Records
+	dispatcher            *dispatch.Dispatcher
+	detector              *detector.Detector
+	intake                *recovery.Intake
+	reader                *recovery.Reader
+	schedulePending       bool
+	lastSchedule          micro.Time
+	scheduleInterval      micro.Time // least time between passes, by what the last one took
+	lastStatusLog         micro.Time
+	referralQueryInFlight bool // the peers are being asked for agents that look for this node
+
+	// describeEligibleOwners says which sides of a divided fleet may serve a job; "": the fleet is
 	// not divided. Nil: the loop is an owner's.
-	describeServingSide func(*cluster.Job) string
+	describeEligibleOwners func(*cluster.Job) string
 }
 
-// duties are what a leader's loop and that of a shard's owner do each in its own way. Only
+// role are what a leader's loop and that of a shard's owner do each in its own way. Only
 // the loop's goroutine calls them, but for mayRespond.
-type duties interface {
+type role interface {
 	cluster.Effects
 	detector.Host
 	persist.Role
@@ -69,9 +69,9 @@
 }
 
 // newControlLoop makes a loop that gives out fencing tokens from the first one on.
-func newControlLoop(node *Node, term *election.Term, firstToken uint64, log *slog.Logger, duties duties) *controlLoop {
-	l := &controlLoop{node: node, term: term, log: log, loop: eventloop.New(), duties: duties}
-	l.cluster = cluster.New(duties)
+func newControlLoop(node *Node, term *election.Term, firstToken uint64, log *slog.Logger, role role) *controlLoop {
+	l := &controlLoop{node: node, term: term, log: log, loop: eventloop.New(), role: role}
+	l.cluster = cluster.New(role)
 	l.cluster.MinFencingToken = firstToken
 	l.cluster.TermStartedAt = node.Now()
 	l.cluster.LeaseDuration = node.Cfg.LeaseExpiredAfter()
@@ -89,10 +89,10 @@
 	})
 	l.detector = detector.New(detector.Dependencies{
 		Cluster: l.cluster, Config: node.Cfg, MaxInventoryAge: provision.MaxInventoryAge,
-		FencingTokens: l.dispatcher, Handovers: &node.handovers, Host: duties,
+		FencingTokens: l.dispatcher, Handovers: &node.handovers, Host: role,
 	})
 	l.records = persist.New(persist.Dependencies{
-		Host: recordsHost{l}, Role: duties, Limits: node.Cfg, Cluster: l.cluster, Speeds: l.speeds,
+		Host: recordsHost{l}, Role: role, Limits: node.Cfg, Cluster: l.cluster, Speeds: l.speeds,
 		Store: node.Store, Log: l.log,
 	})
 	l.reader = recovery.NewReader(node.Store, l.loop, log)
@@ -105,7 +105,7 @@
 
 // holdsLease reports whether this loop may answer and send commands; any goroutine may ask.
 func (l *controlLoop) holdsLease() bool {
-	return l.duties.mayRespond() && l.term.HoldsLease(l.node.Now())
+	return l.role.mayRespond() && l.term.HoldsLease(l.node.Now())
 }
 
 // schedule places tasks if something has changed since the last pass, and it is time.
@@ -165,7 +165,7 @@
 func (h recordsHost) ObserveCommit(took micro.Time) { h.node.Metrics.Observe("commit", took) }
 
 // JobEnded settles a job whose end is in the store.
-func (h recordsHost) JobEnded(job *cluster.Job, state wire.JobState) { h.duties.jobEnded(job, state) }
+func (h recordsHost) JobEnded(job *cluster.Job, state wire.JobState) { h.role.jobEnded(job, state) }
 
 // FormatRaised opens this node's format gate.
 func (h recordsHost) FormatRaised() { h.node.formatGate.MarkOpen() }
--- a/internal/controller/dispatch_host.go
+++ b/internal/controller/dispatch_host.go
@@ -15,7 +15,7 @@
 
 // RefusesHeartbeat reports whether a heartbeat is another controller's to answer.
 func (h dispatchHost) RefusesHeartbeat(heartbeat *wire.Heartbeat) bool {
-	return h.loop.duties.refusesHeartbeat(heartbeat)
+	return h.loop.role.refusesHeartbeat(heartbeat)
 }
 
 // HeartbeatReceived notes that an agent reached this node.
--- a/internal/controller/format_gate.go
+++ b/internal/controller/format_gate.go
@@ -12,14 +12,14 @@
 // newFormatGate makes the node's gate to the later stored forms, from the node's parts.
 func newFormatGate(n *Node) *formatgate.Gate {
 	cfg := formatgate.Config{Name: n.Cfg.Node, Peers: n.peerNames, NextWriteRPS: n.Cfg.NextWriteRPS()}
-	return formatgate.New(cfg, n.Store, gateNode{n}, n.Log)
+	return formatgate.New(cfg, n.Store, formatGateHost{n}, n.Log)
 }
 
-// gateNode is the node as its format gate sees it.
-type gateNode struct{ node *Node }
+// formatGateHost is the node as its format gate sees it.
+type formatGateHost struct{ node *Node }
 
 // AnnounceThroughPeers has another node record this node's version.
-func (g gateNode) AnnounceThroughPeers(ctx context.Context) bool {
+func (g formatGateHost) AnnounceThroughPeers(ctx context.Context) bool {
 	// Not bounded by what the store left of the time: it may have taken all of it.
 	ctx = context.WithoutCancel(ctx)
 	body := wire.MustMarshal(g.node.Cfg.Node)
@@ -33,10 +33,10 @@
 }
 
 // Leads reports whether the node leads now.
-func (g gateNode) Leads() bool { return g.node.activeLeader() != nil }
+func (g formatGateHost) Leads() bool { return g.node.activeLeader() != nil }
 
 // RaiseFormat has the node's leader raise the format.
-func (g gateNode) RaiseFormat() {
+func (g formatGateHost) RaiseFormat() {
 	if leader := g.node.activeLeader(); leader != nil {
 		leader.loop.Post(allNodesAnnounced{leader})
 	}
--- a/internal/controller/guards_owner_copies_test.go
+++ b/internal/controller/guards_owner_copies_test.go
@@ -101,7 +101,7 @@
 		version := o.assignments["j-1"].Version()
 		o.expectCopied(version, false)
 		for _, progress := range o.copies {
-			progress.since -= handBackTimeout + micro.Second
+			progress.transferStartedAt -= handBackTimeout + micro.Second
 		}
 		o.expectCopied(version, true)
 	})
--- a/internal/controller/guards_owner_handover_test.go
+++ b/internal/controller/guards_owner_handover_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	records, ok := o.readContinuedJobs(o.t.Context(), events.Events, o.read)
+	records, ok := o.readHandedOverJobs(o.t.Context(), events.Events, o.read)
 	if !ok {
 		o.t.Fatal("the leader's records are not read")
 	}
--- a/internal/controller/guards_shards_test.go
+++ b/internal/controller/guards_shards_test.go
@@ -171,17 +171,17 @@
 	o.node.Cfg.Facts.Zones = []string{"a"}
 	o.answered(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
 	machine, now := o.cluster.Machines["i-1"], o.node.Now()+60*micro.Minute
-	o.updateBoundFromLeader(now)
+	o.updateProxyRenewals(now)
 	if o.cluster.LeaseExpired(machine, now) {
 		t.Error("a lease has expired without an answer of the leader")
 	}
-	o.renewedUntil = map[string]micro.Time{"a": now - o.cluster.LeaseDuration}
-	o.updateBoundFromLeader(now)
+	o.proxyRenewedUntil = map[string]micro.Time{"a": now - o.cluster.LeaseDuration}
+	o.updateProxyRenewals(now)
 	if o.cluster.LeaseExpired(machine, now) {
 		t.Error("a lease has expired that a proxy may have renewed")
 	}
-	o.renewedUntil = map[string]micro.Time{}
-	o.updateBoundFromLeader(now)
+	o.proxyRenewedUntil = map[string]micro.Time{}
+	o.updateProxyRenewals(now)
 	if !o.cluster.LeaseExpired(machine, now) {
 		t.Error("no lease ever expires")
 	}
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -230,7 +230,7 @@
 					}
 				}
 				askedAt := reachedAt - 1
-				referralsAnswered{
+				referralQueryCompleted{
 					loop.controlLoop, referral.Answer{Reached: true}, askedAt, func(referral.Answer) { wentOn++ },
 				}.Apply()
 			})
--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -16,7 +16,7 @@
 		Store:      n.Store,
 		Jobs:       jobReader{n},
 		Leadership: leadership{n},
-		Peers:      otherNodes{n},
+		Peers:      peerClient{n},
 		Catalog:    &n.catalog,
 		Health:     n.health,
 		FormatGate: n.formatGate,
@@ -49,30 +49,30 @@
 // LeaderName is the node that leads, as far as it is known.
 func (l leadership) LeaderName() string { return l.node.election.Leader() }
 
-// otherNodes are the other nodes as the job API reaches them.
-type otherNodes struct{ node *Node }
+// peerClient are the other nodes as the job API reaches them.
+type peerClient struct{ node *Node }
 
 // Call calls a node, unless it lately gave no answer.
-func (o otherNodes) Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
+func (o peerClient) Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	return o.node.callPeer(ctx, node, call, body, timeout)
 }
 
 // CallRegardless calls a node also if it lately gave no answer.
-func (o otherNodes) CallRegardless(
+func (o peerClient) CallRegardless(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return o.node.peerBackoff.CallRegardless(ctx, node, call, body, timeout)
 }
 
 // Retry calls a node also if it lately gave no answer, one call at a time.
-func (o otherNodes) Retry(
+func (o peerClient) Retry(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return o.node.peerBackoff.Retry(ctx, node, call, body, timeout)
 }
 
 // LeaderFirst lists the other nodes.
-func (o otherNodes) LeaderFirst() []string { return o.node.peersLeaderFirst() }
+func (o peerClient) LeaderFirst() []string { return o.node.peersLeaderFirst() }
 
 // jobReader reads jobs from the store for the job API.
 type jobReader struct{ node *Node }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -20,16 +20,16 @@
 	*controlLoop
 
 	// Owned by the loop's goroutine.
-	provisioner    *provision.Provisioner
-	lastSweep      micro.Time
-	lastSpeedWrite micro.Time
-	renewalBound   *leasekeeper.RenewalBound
-	cancellations  *cancellation.Manager
-	failover       *recovery.Failover
-	staysUnreached bool                     // it was said that no agent reaches this node and it stays
-	recovered      bool                     // the failover has read everything
-	coordinator    *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
-	servingReview  *coordinator.UnservedJobScan
+	provisioner     *provision.Provisioner
+	lastSweep       micro.Time
+	lastSpeedWrite  micro.Time
+	renewalBound    *leasekeeper.RenewalBound
+	cancellations   *cancellation.Manager
+	failover        *recovery.Failover
+	declineLogged   bool                     // it was said that no agent reaches this node and it stays
+	recovered       bool                     // the failover has read everything
+	coordinator     *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
+	unservedJobScan *coordinator.UnservedJobScan
 }
 
 // newLeader makes the loop of a term of leadership.
@@ -51,9 +51,9 @@
 		}
 	}
 	l.coordinator = newCoordinator(l)
-	l.servingReview = coordinator.NewUnservedJobScan(l.coordinator)
-	l.describeServingSide = l.coordinator.DescribeEligibleOwners
-	l.cancellations = newCancellations(l)
+	l.unservedJobScan = coordinator.NewUnservedJobScan(l.coordinator)
+	l.describeEligibleOwners = l.coordinator.DescribeEligibleOwners
+	l.cancellations = newCancellationManager(l)
 	l.provisioner = newProvisioner(l)
 	l.failover = newFailover(l)
 	return l
@@ -72,7 +72,7 @@
 		"failover complete", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
 		int64((l.node.Now()-from)/micro.Millisecond),
 	)
-	defer l.node.Metrics.RemoveGauge(unservedJobs)
+	defer l.node.Metrics.RemoveGauge(unservedJobsGauge)
 	go l.intake.WatchSubmissions(ctx, rev)
 	go l.intake.RunLookups(ctx)
 	go l.provisioner.PollInventory(ctx)
@@ -102,7 +102,7 @@
 	if l.provisioner.PlanIfDue(now) {
 		l.schedulePending = true // backoffs and reservations run out
 		l.reviewPendingJobs(now)
-		l.reviewServingSides(now)
+		l.updateUnservedJobs(now)
 	}
 	l.records.Images.WriteIfDue(now)
 	l.prune(l.records.PruneIfDue(now))
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -197,7 +197,7 @@
 	fleet.leader.renewalBound = leasekeeper.NewRenewalBound(
 		7, fleet.now, cfg.LeaseProxyDuration(), map[string]string{"n-1": "a", "n-2": "a"}, "c",
 	)
-	fleet.leader.cancellations = newCancellations(fleet.leader)
+	fleet.leader.cancellations = newCancellationManager(fleet.leader)
 	fleet.now += 40 * micro.Second // nobody asked meanwhile
 	fleet.leader.updateRenewalBound(fleet.now)
 	if fleet.leader.cancellations.ZoneFenced("a") {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -166,7 +166,7 @@
 			if err == nil && len(catalog.Types) > 0 {
 				n.catalog.Store(catalog)
 				if l := n.activeLeader(); l != nil {
-					l.loop.Post(catalogRead{l, catalog})
+					l.loop.Post(catalogFetched{l, catalog})
 				}
 				wait = 20 * time.Second
 			} else {
@@ -182,14 +182,14 @@
 	return nil
 }
 
-// catalogRead is the cloud's catalog of machine types and prices.
-type catalogRead struct {
+// catalogFetched is the cloud's catalog of machine types and prices.
+type catalogFetched struct {
 	leader  *Leader
 	catalog *wire.Catalog
 }
 
 // Apply takes the catalog in.
-func (e catalogRead) Apply() { e.leader.cluster.SetCatalog(e.catalog) }
+func (e catalogFetched) Apply() { e.leader.cluster.SetCatalog(e.catalog) }
 
 // activeLeader is the node's own leader while its lease holds, else nil.
 func (n *Node) activeLeader() *Leader {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -36,7 +36,7 @@
 		slow := 700 * micro.Millisecond // more than a node waits for an answer, less than backoffCallTimeout
 		sim.delayPeerAnswers(leader, slow)
 		node := others[0].runningNode()
-		batcher := jobapi.NewStatusBatcher(otherNodes{node}, node.Now)
+		batcher := jobapi.NewStatusBatcher(peerClient{node}, node.Now)
 		batcher.BackOff()
 		answered, polls := 0, 0
 		for range 20 {
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -37,7 +37,7 @@
 		"job", j.Spec.ID, "since_s", int64((now - j.WaitingSince) / micro.Second), "reason",
 		l.scheduler.ExplainPending(j, now).String(),
 	}
-	if side := l.servingSide(j); side != "" {
+	if side := l.eligibleOwners(j); side != "" {
 		attributes = append(attributes, "side", side)
 	}
 	l.log.Info("job waits", attributes...)
--- a/internal/controller/handover.go
+++ b/internal/controller/reachability.go
@@ -22,7 +22,7 @@
 		l.handOver(evidence, now) // so many live agents at once do not die
 		return
 	}
-	l.askForReferrals(now, func(answer referral.Answer) { l.considerHandover(evidence, answer) })
+	l.queryReferrals(now, func(answer referral.Answer) { l.considerHandover(evidence, answer) })
 }
 
 // considerHandover hands over if agents look for this node elsewhere.
@@ -50,10 +50,10 @@
 
 // logHandover says that this node hands over; that it does not is said once a term.
 func (l *Leader) logHandover(handsOver bool, reason string, evidence detector.Reachability) {
-	if !handsOver && l.staysUnreached {
+	if !handsOver && l.declineLogged {
 		return
 	}
-	l.staysUnreached = !handsOver
+	l.declineLogged = !handsOver
 	l.log.Info(
 		"handover", "hands_over", handsOver, "reason", reason, "up", evidence.Up, "suspect", evidence.Suspect,
 		"suspect_before_contact", evidence.SuspectBeforeContact, "since_contact_s", evidence.SinceContact.Seconds(),
@@ -68,7 +68,7 @@
 		o.unreachable = true
 		return
 	}
-	o.askForReferrals(now, func(answer referral.Answer) {
+	o.queryReferrals(now, func(answer referral.Answer) {
 		// Never taken back here: a heartbeat gap may have been found meanwhile.
 		if answer.AgentsMayBeThere(evidence.SinceContact) {
 			o.unreachable = true
@@ -76,19 +76,19 @@
 	})
 }
 
-// askForReferrals asks the peers whether they referred agents to this node, or reach some that it
+// queryReferrals asks the peers whether they referred agents to this node, or reach some that it
 // does not hear, and has the loop go on with their answer, unless an agent has reached the node
 // meanwhile. Only one question is under way at a time.
-func (l *controlLoop) askForReferrals(now micro.Time, then func(referral.Answer)) {
-	if l.referralsAsked {
+func (l *controlLoop) queryReferrals(now micro.Time, then func(referral.Answer)) {
+	if l.referralQueryInFlight {
 		return
 	}
-	l.referralsAsked = true
+	l.referralQueryInFlight = true
 	query := referral.Query{Node: l.node.Cfg.Node, Agents: l.agentsToProbe(now)}
 	asker := referral.Asker{Caller: l.node.Peers, Prober: l.node.Prober, Peers: l.node.peerNames()}
 	go func() {
 		answer := asker.Ask(context.Background(), query)
-		l.loop.Post(referralsAnswered{l, answer, now, then})
+		l.loop.Post(referralQueryCompleted{l, answer, now, then})
 	}()
 }
 
@@ -104,18 +104,18 @@
 	return agents
 }
 
-// referralsAnswered brings what the peers know of agents that were referred to this node.
-type referralsAnswered struct {
-	loop    *controlLoop
-	answer  referral.Answer
-	askedAt micro.Time
-	then    func(referral.Answer)
+// referralQueryCompleted brings what the peers know of agents that were referred to this node.
+type referralQueryCompleted struct {
+	loop      *controlLoop
+	answer    referral.Answer
+	queriedAt micro.Time
+	callback  func(referral.Answer)
 }
 
 // Apply goes on with the answer.
-func (e referralsAnswered) Apply() {
-	e.loop.referralsAsked = false
-	if e.loop.holdsLease() && !e.loop.detector.ReachedSince(e.askedAt) {
-		e.then(e.answer)
+func (e referralQueryCompleted) Apply() {
+	e.loop.referralQueryInFlight = false
+	if e.loop.holdsLease() && !e.loop.detector.ReachedSince(e.queriedAt) {
+		e.callback(e.answer)
 	}
 }
--- a/internal/controller/serving_sides_test.go
+++ b/internal/controller/serving_sides_test.go
@@ -19,7 +19,7 @@
 	}
 	var page bytes.Buffer
 	w.leader().runningNode().Metrics.Write(&page)
-	_, value, _ := strings.Cut(page.String(), unservedJobs+" ")
+	_, value, _ := strings.Cut(page.String(), unservedJobsGauge+" ")
 	return strings.TrimSpace(value)
 }
 
@@ -51,7 +51,7 @@
 	var out bytes.Buffer
 	leader.log = slog.New(slog.NewTextHandler(&out, nil))
 	leader.logWaitReason(leader.cluster.Jobs["j-000000"], 0)
-	leader.describeServingSide = func(*cluster.Job) string { return "none: zones" }
+	leader.describeEligibleOwners = func(*cluster.Job) string { return "none: zones" }
 	leader.logWaitReason(leader.cluster.Jobs["j-000000"], 0)
 	undivided, divided, _ := strings.Cut(out.String(), "\n")
 	if strings.Contains(undivided, "side=") || !strings.Contains(divided, `side="none: zones"`) {
--- a/internal/controller/shard_machine_ages_test.go
+++ b/internal/controller/shard_machine_ages_test.go
@@ -31,7 +31,7 @@
 	begin := func(version uint64) *ShardOwner {
 		entry := shard.Entry{Name: "gpus", Version: version, Record: shard.Record{State: shard.Owned, Owner: self}}
 		owner := newShardOwner(node, entry, term, self)
-		owner.inheritMachineAges(context.Background())
+		owner.restoreMachineInactivity(context.Background())
 		return owner
 	}
 	for _, c := range []struct {
--- a/internal/controller/shard_machine_ages.go
+++ b/internal/controller/shard_machine_inactivity.go
@@ -13,13 +13,13 @@
 
 // What the owners of a shard leave to one another of silent and idle machines.
 
-// bequeathMachineAges is the change that leaves machine ages to the next owner; none if that is
+// machineInactivityChanges is the change that leaves machine ages to the next owner; none if that is
 // the leader, or a value of the store does not hold them. This owner must say nothing more from
 // here on.
-func (o *ShardOwner) bequeathMachineAges() []wire.Change {
-	now, bequest := o.node.Now(), o.cluster.ExportMachineHistory()
+func (o *ShardOwner) machineInactivityChanges() []wire.Change {
+	now, bequest := o.node.Now(), o.cluster.ExportMachineInactivity()
 	ages := shard.MachineInactivity{
-		SinceRenewal: agesOf(bequest.RenewedAt, now), IdleFor: agesOf(bequest.IdleSince, now),
+		SinceRenewal: elapsedSince(bequest.RenewedAt, now), IdleFor: elapsedSince(bequest.IdleSince, now),
 	}
 	_, maxBytes := o.node.Cfg.MaxValueBytes()
 	if o.ownership.Entry().Record.Target.Node == "" || wire.JSONSize(ages) > maxBytes {
@@ -28,8 +28,8 @@
 	return []wire.Change{{Put: shard.MachineInactivityKey(o.name), Value: ages}}
 }
 
-// agesOf turns times into ages, of as many machines as a record may name.
-func agesOf(times map[string]micro.Time, now micro.Time) map[string]int64 {
+// elapsedSince turns times into ages, of as many machines as a record may name.
+func elapsedSince(times map[string]micro.Time, now micro.Time) map[string]int64 {
 	ages := map[string]int64{}
 	for name, at := range times {
 		if len(ages) < shard.MaxInactiveMachines {
@@ -39,9 +39,9 @@
 	return ages
 }
 
-// inheritMachineAges takes over what the owner before left. An earlier loop of this same
+// restoreMachineInactivity takes over what the owner before left. An earlier loop of this same
 // ownership may have answered machines since: then nothing holds.
-func (o *ShardOwner) inheritMachineAges(ctx context.Context) {
+func (o *ShardOwner) restoreMachineInactivity(ctx context.Context) {
 	if !o.firstLoop {
 		return
 	}
@@ -61,13 +61,13 @@
 		return
 	}
 	started := o.cluster.TermStartedAt // after the transfer: the ages were reached by then
-	o.cluster.PreviousTerm = cluster.MachineHistory{
-		RenewedAt: timesOf(ages.SinceRenewal, started), IdleSince: timesOf(ages.IdleFor, started),
+	o.cluster.PreviousTerm = cluster.MachineInactivity{
+		RenewedAt: timestampsBefore(ages.SinceRenewal, started), IdleSince: timestampsBefore(ages.IdleFor, started),
 	}
 }
 
-// timesOf turns ages at a time into times.
-func timesOf(ages map[string]int64, at micro.Time) map[string]micro.Time {
+// timestampsBefore turns ages at a time into times.
+func timestampsBefore(ages map[string]int64, at micro.Time) map[string]micro.Time {
 	times := make(map[string]micro.Time, len(ages))
 	for name, age := range ages {
 		times[name] = at - micro.Time(age)
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -26,25 +26,25 @@
 	firstLoop        bool        // no other loop of this process ran under the record's version
 	responsesBlocked atomic.Bool // nothing may be said: a transfer is under way or in doubt
 
-	planner             *autoscaler.Planner           // for which machines are idle; it requests none
-	lastReview          micro.Time                    // of idle machines, pending jobs and finished assignments
-	assignments         map[string]*statestore.Record // of the jobs that were assigned, by job
-	assignedAt          map[string]micro.Time         // by the wall clock: a new owner does not wait anew
-	assignmentRevision  uint64                        // revision up to which assignments were read
-	finished            map[*cluster.Job]bool         // jobs all of whose tasks are done
-	cancelling          map[*cluster.Job]bool         // jobs that are being cancelled
-	recalled            map[*cluster.Job]bool         // jobs that go back to the leader
-	held                map[*cluster.Job]bool         // jobs that are not placed: records of theirs are missing
-	copies              map[*cluster.Job]*recordsCopy // jobs that came with records of the leader's
-	pendingTerminations map[*cluster.Machine]bool     // machines to be terminated
-	transferInFlight    bool                          // a transfer, or a look at what came of it, is under way
-	unreachable         bool                          // no agent reaches this node
-	reports             ownerReports
-	renewedUntil        map[string]micro.Time // until when proxies may have renewed leases, as of the answer being read
+	planner             *autoscaler.Planner            // for which machines are idle; it requests none
+	lastReview          micro.Time                     // of idle machines, pending jobs and finished assignments
+	assignments         map[string]*statestore.Record  // of the jobs that were assigned, by job
+	assignedAt          map[string]micro.Time          // by the wall clock: a new owner does not wait anew
+	assignmentRevision  uint64                         // revision up to which assignments were read
+	finished            map[*cluster.Job]bool          // jobs all of whose tasks are done
+	cancelling          map[*cluster.Job]bool          // jobs that are being cancelled
+	recalled            map[*cluster.Job]bool          // jobs that go back to the leader
+	suspended           map[*cluster.Job]bool          // jobs that are not placed: records of theirs are missing
+	copies              map[*cluster.Job]*copyProgress // jobs that came with records of the leader's
+	pendingTerminations map[*cluster.Machine]bool      // machines to be terminated
+	transferInFlight    bool                           // a transfer, or a look at what came of it, is under way
+	unreachable         bool                           // no agent reaches this node
+	statusUpdates       statusUpdateState
+	proxyRenewedUntil   map[string]micro.Time // until when proxies may have renewed leases, as of the answer being read
 }
 
-// ownerReports is how far the leader was told how the shard fares.
-type ownerReports struct {
+// statusUpdateState is how far the leader was told how the shard fares.
+type statusUpdateState struct {
 	leaderTerm       uint64          // of the leader whose answer came last
 	reportedMachines map[string]bool // machines that it was told are up
 	inFlight         bool            // a status update is under way
@@ -63,10 +63,10 @@
 		assignments: map[string]*statestore.Record{}, assignedAt: map[string]micro.Time{},
 		finished: map[*cluster.Job]bool{}, cancelling: map[*cluster.Job]bool{},
 		recalled:            map[*cluster.Job]bool{},
-		held:                map[*cluster.Job]bool{},
-		copies:              map[*cluster.Job]*recordsCopy{},
+		suspended:           map[*cluster.Job]bool{},
+		copies:              map[*cluster.Job]*copyProgress{},
 		pendingTerminations: map[*cluster.Machine]bool{},
-		reports:             ownerReports{reportedMachines: map[string]bool{}},
+		statusUpdates:       statusUpdateState{reportedMachines: map[string]bool{}},
 	}
 	o.controlLoop = newControlLoop(n, term, o.ownership.FirstFencingToken(), log, o)
 	o.planner = newPlanner(o.controlLoop, autoscaler.Config{})
@@ -124,7 +124,7 @@
 		o.reviewPendingJobs(now)
 		o.deleteFinishedAssignments(now)
 	}
-	if o.reports.urgent || now-o.reports.sentAt >= statusUpdateInterval {
+	if o.statusUpdates.urgent || now-o.statusUpdates.sentAt >= statusUpdateInterval {
 		o.sendStatusUpdate(now)
 	}
 	o.logStatusIfDue(now, 0)
@@ -208,7 +208,7 @@
 		return
 	}
 	o.applyOwnerState()
-	transaction.Then = append(transaction.Then, o.bequeathMachineAges()...)
+	transaction.Then = append(transaction.Then, o.machineInactivityChanges()...)
 	o.commitTransfer(transaction, func(_ uint64, err error) { o.ownership.HandleTransferResult(err) })
 }
 
@@ -220,12 +220,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), shard.CommitTimeout)
 		defer cancel()
 		revision, err := o.node.Store.Commit(ctx, store.Leadership, transaction)
-		o.loop.Post(transferAnswered{o, done, revision, err})
+		o.loop.Post(transferCompleted{o, done, revision, err})
 	}()
 }
 
-// transferAnswered says what came of a transaction on the shard's record.
-type transferAnswered struct {
+// transferCompleted says what came of a transaction on the shard's record.
+type transferCompleted struct {
 	owner    *ShardOwner
 	done     func(revision uint64, err error)
 	revision uint64
@@ -233,7 +233,7 @@
 }
 
 // Apply has the owner's state follow.
-func (e transferAnswered) Apply() {
+func (e transferCompleted) Apply() {
 	e.owner.transferInFlight = false
 	e.done(e.revision, e.err)
 	e.owner.applyOwnerState()
--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -12,17 +12,17 @@
 // Jobs that come to a shard with records of the leader's: the owner copies those before it places
 // any of the job's tasks. The leader's part is in package coordinator, hand_over.go.
 
-// recordsCopy is how far an owner is with the records of a job that came with records of the leader's.
-type recordsCopy struct {
-	since   micro.Time                    // when the job came
-	read    bool                          // all of the leader's records were read
-	pending map[*cluster.TaskChunk]uint64 // which versions of the owner's records hold them, until they are stored
-	waits   bool                          // the job changes hands: none of its tasks is placed
+// copyProgress is how far an owner is with the records of a job that came with records of the leader's.
+type copyProgress struct {
+	transferStartedAt micro.Time                    // when the job came
+	read              bool                          // all of the leader's records were read
+	pending           map[*cluster.TaskChunk]uint64 // which versions of the owner's records hold them, until they are stored
+	inTransfer        bool                          // the job changes hands: none of its tasks is placed
 }
 
-// beginTransferred notes that a job came that changes hands, and keeps it from being placed.
-func (o *ShardOwner) beginTransferred(job *cluster.Job, now micro.Time) {
-	o.copies[job] = &recordsCopy{since: now, waits: true}
+// beginJobTransfer notes that a job came that changes hands, and keeps it from being placed.
+func (o *ShardOwner) beginJobTransfer(job *cluster.Job, now micro.Time) {
+	o.copies[job] = &copyProgress{transferStartedAt: now, inTransfer: true}
 	o.cluster.PrepareTransfer(job, now)
 }
 
@@ -30,7 +30,7 @@
 func (o *ShardOwner) copyLeaderRecords(job *cluster.Job) {
 	now, priority := o.node.Now(), statestore.PriorityHigh
 	if o.copies[job] == nil { // it goes on meanwhile
-		o.copies[job], priority = &recordsCopy{since: now}, statestore.PriorityLow
+		o.copies[job], priority = &copyProgress{transferStartedAt: now}, statestore.PriorityLow
 	}
 	progress := o.copies[job]
 	progress.read, progress.pending = true, map[*cluster.TaskChunk]uint64{}
@@ -42,15 +42,15 @@
 	}
 }
 
-// endTransferred goes on with a job that has changed hands: its assignment names no records of the
+// completeJobTransfer goes on with a job that has changed hands: its assignment names no records of the
 // leader's any more.
-func (o *ShardOwner) endTransferred(job *cluster.Job, now micro.Time) {
+func (o *ShardOwner) completeJobTransfer(job *cluster.Job, now micro.Time) {
 	progress := o.copies[job]
 	if progress == nil {
 		return
 	}
 	delete(o.copies, job)
-	if progress.waits && !o.recalled[job] {
+	if progress.inTransfer && !o.recalled[job] {
 		o.log.Info("job handed over", "job", job.Spec.ID, "done", job.DoneTasks)
 		o.cluster.ResumeScheduling(job, now)
 	}
@@ -69,15 +69,15 @@
 				report.CopiedJobs, shard.CopiedJob{Job: id, Version: o.assignments[id].Version()},
 			)
 		}
-		inVain := !progress.read || now-progress.since > handBackTimeout
-		if progress.waits && inVain && len(report.WaitingJobs) < shard.MaxStatusItems {
+		inVain := !progress.read || now-progress.transferStartedAt > handBackTimeout
+		if progress.inTransfer && inVain && len(report.WaitingJobs) < shard.MaxStatusItems {
 			report.WaitingJobs = append(report.WaitingJobs, id)
 		}
 	}
 }
 
 // stored reports whether the store holds all of the leader's records in the owner's.
-func (c *recordsCopy) stored() bool {
+func (c *copyProgress) stored() bool {
 	maps.DeleteFunc(c.pending, func(chunk *cluster.TaskChunk, version uint64) bool {
 		return chunk.StoredVersion >= version
 	})
--- a/internal/controller/shard_owner_continue.go
+++ b/internal/controller/shard_owner_handover.go
@@ -25,9 +25,9 @@
 	return ok
 }
 
-// readContinuedJobs reads the leader's records of the jobs that events assign, but of those that
+// readHandedOverJobs reads the leader's records of the jobs that events assign, but of those that
 // are in read already; false if the loop was stopped before. Any goroutine may call it.
-func (o *ShardOwner) readContinuedJobs(
+func (o *ShardOwner) readHandedOverJobs(
 	ctx context.Context, events []wire.Event, read map[string]bool,
 ) (leaderRecords, bool) {
 	found := leaderRecords{}
@@ -52,16 +52,16 @@
 	return found, true
 }
 
-// continuedJob is a job that goes on from the leader's records up to a revision.
-type continuedJob struct {
+// handedOverJob is a job that goes on from the leader's records up to a revision.
+type handedOverJob struct {
 	job      *cluster.Job
 	revision uint64
 }
 
-// restoreContinued restores what the leader recorded of a job's tasks, and reports whether all of
+// restoreHandedOver restores what the leader recorded of a job's tasks, and reports whether all of
 // it was there: the record of the revision that the assignment names. Later records are what a
 // leader has taken back.
-func (o *ShardOwner) restoreContinued(continued continuedJob, items []wire.Item, now micro.Time) (complete bool) {
+func (o *ShardOwner) restoreHandedOver(continued handedOverJob, items []wire.Item, now micro.Time) (complete bool) {
 	chunks := map[int]*cluster.CompactRecord{}
 	for _, item := range items {
 		_, index, compact, ok := keys.ParseChunk(item.Key)
@@ -86,31 +86,31 @@
 	return true
 }
 
-// holdJob keeps a job from being placed whose records are not all there: what is done could be
+// suspendJob keeps a job from being placed whose records are not all there: what is done could be
 // done again. It is reported as one that waits, so that the leader recalls it, whose records are.
-func (o *ShardOwner) holdJob(job *cluster.Job, now micro.Time) {
+func (o *ShardOwner) suspendJob(job *cluster.Job, now micro.Time) {
 	if o.copies[job] != nil { // it waits already, and what is missing may be deleted
 		o.log.Info("job not taken over: the leader's records of its tasks are not all there", "job", job.Spec.ID)
 		return
 	}
 	o.log.Error("job not continued: records of its tasks are missing", "job", job.Spec.ID)
-	o.held[job] = true
+	o.suspended[job] = true
 	o.cluster.PrepareTransfer(job, now)
 }
 
-// recallAssigned has a job go back to the leader: none of its tasks is placed any more.
-func (o *ShardOwner) recallAssigned(job *cluster.Job, now micro.Time) {
+// recallJob has a job go back to the leader: none of its tasks is placed any more.
+func (o *ShardOwner) recallJob(job *cluster.Job, now micro.Time) {
 	if o.recalled[job] {
 		return
 	}
 	o.recalled[job] = true
-	o.reports.urgent = true
+	o.statusUpdates.urgent = true
 	o.log.Info("job recalled", "job", job.Spec.ID, "allocations", job.AllocationCount)
 	o.cluster.PrepareTransfer(job, now)
 }
 
-// forgetRecalled forgets a recalled job whose assignment the leader has deleted.
-func (o *ShardOwner) forgetRecalled(key string) {
+// removeRecalledJob forgets a recalled job whose assignment the leader has deleted.
+func (o *ShardOwner) removeRecalledJob(key string) {
 	_, id, ok := shard.ParseAssignmentKey(key)
 	job := o.cluster.Jobs[id]
 	if !ok || job == nil || !o.recalled[job] {
@@ -124,11 +124,11 @@
 // may take back.
 func (o *ShardOwner) reportRecalls(report *shard.ShardUpdate, now micro.Time) {
 	for job := range o.cluster.PendingJobs {
-		if len(report.WaitingJobs) < shard.MaxStatusItems && o.waitsInVain(job, now) {
+		if len(report.WaitingJobs) < shard.MaxStatusItems && o.unallocatedTooLong(job, now) {
 			report.WaitingJobs = append(report.WaitingJobs, job.Spec.ID)
 		}
 	}
-	for job := range o.held {
+	for job := range o.suspended {
 		if len(report.WaitingJobs) < shard.MaxStatusItems && !o.recalled[job] {
 			report.WaitingJobs = append(report.WaitingJobs, job.Spec.ID)
 		}
@@ -144,9 +144,9 @@
 	}
 }
 
-// waitsInVain reports whether a job with records of its tasks has waited for long without any
+// unallocatedTooLong reports whether a job with records of its tasks has waited for long without any
 // allocation. Others are handed back at once, see deleteFinishedAssignments.
-func (o *ShardOwner) waitsInVain(job *cluster.Job, now micro.Time) bool {
+func (o *ShardOwner) unallocatedTooLong(job *cluster.Job, now micro.Time) bool {
 	return job.State == cluster.Active && job.AllocationCount == 0 && !job.NeverAllocated() &&
 		job.UnallocatedFor(now) > handBackTimeout && o.node.Wall()-o.assignedAt[job.Spec.ID] > handBackTimeout
 }
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -26,7 +26,7 @@
 		o.log.Error("shard not taken over: the forms of this version are not in use yet")
 		return false
 	}
-	o.inheritMachineAges(ctx)
+	o.restoreMachineInactivity(ctx)
 	now := o.node.Now()
 	var assignments []wire.Item
 	revision, ok := o.reader.ReadAll(
@@ -36,11 +36,11 @@
 		return false
 	}
 	o.assignmentRevision = revision
-	var continued []continuedJob
+	var continued []handedOverJob
 	for _, item := range assignments {
 		if job, assignment := o.applyAssignment(item.Key, item.Value, uint64(item.Version)); job != nil &&
 			assignment.ReadsLeaderRecords() {
-			continued = append(continued, continuedJob{job, assignment.Revision()})
+			continued = append(continued, handedOverJob{job, assignment.Revision()})
 		}
 	}
 	leaderRecords := leaderRecords{}
@@ -56,7 +56,7 @@
 		return false
 	}
 	for _, each := range continued {
-		o.recoverContinued(each, leaderRecords[each.job.Spec.ID], now)
+		o.recoverHandedOver(each, leaderRecords[each.job.Spec.ID], now)
 	}
 	o.speeds.Apply(o.cluster)
 	o.cluster.FinishRestore(now)
@@ -64,17 +64,17 @@
 	return true
 }
 
-// recoverContinued restores what the leader recorded of a job's tasks, after the shard's own
+// recoverHandedOver restores what the leader recorded of a job's tasks, after the shard's own
 // records. Those may be all that is left once the job is over, or is going back.
-func (o *ShardOwner) recoverContinued(continued continuedJob, items []wire.Item, now micro.Time) {
+func (o *ShardOwner) recoverHandedOver(continued handedOverJob, items []wire.Item, now micro.Time) {
 	job := continued.job
 	if o.recalled[job] {
 		return // nothing more of it is recorded here
 	}
-	complete := o.restoreContinued(continued, items, now)
+	complete := o.restoreHandedOver(continued, items, now)
 	waits := job.State == cluster.Active || o.copies[job] != nil
 	if !complete && waits && job.UnfinishedTasks() > 0 {
-		o.holdJob(job, now)
+		o.suspendJob(job, now)
 		return
 	}
 	o.copyLeaderRecords(job)
@@ -138,17 +138,17 @@
 		inserted = job
 	}
 	if !assignment.ReadsLeaderRecords() && !assignment.InTransfer() {
-		o.endTransferred(job, o.node.Now())
+		o.completeJobTransfer(job, o.node.Now())
 	}
 	if assignment.MaxAllocations > job.MaxAllocations {
 		job.MaxAllocations = assignment.MaxAllocations
 		o.cluster.ScheduleSoon()
 	}
 	if assignment.StopRequested {
-		o.cancelAssigned(job)
+		o.cancelJob(job)
 	}
 	if assignment.RecallRequested {
-		o.recallAssigned(job, o.node.Now())
+		o.recallJob(job, o.node.Now())
 	}
 	return inserted, assignment
 }
@@ -170,7 +170,7 @@
 	spec.Dependencies, spec.DependencyChunks = nil, 0 // all of them are done
 	job := o.intake.InsertJob(spec, o.node.Now(), o.node.Wall())
 	if assignment.InTransfer() {
-		o.beginTransferred(job, o.node.Now())
+		o.beginJobTransfer(job, o.node.Now())
 	}
 	o.assignedAt[spec.ID] = micro.Time(assignment.AssignedAt)
 	o.log.Info(
@@ -180,14 +180,14 @@
 	return job
 }
 
-// cancelAssigned stops the tasks of a job that is being cancelled. The leader is told at
+// cancelJob stops the tasks of a job that is being cancelled. The leader is told at
 // once: its user waits.
-func (o *ShardOwner) cancelAssigned(j *cluster.Job) {
+func (o *ShardOwner) cancelJob(j *cluster.Job) {
 	if o.cancelling[j] || j.IsTerminal() {
 		return
 	}
 	o.cancelling[j] = true
-	o.reports.urgent = true
+	o.statusUpdates.urgent = true
 	o.cluster.BeginAbort(j)
 	o.stopAllocations(j, "cancelled", 0, o.node.Now())
 }
@@ -214,7 +214,7 @@
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
-			records, ok := o.readContinuedJobs(ctx, events.Events, continuedRead)
+			records, ok := o.readHandedOverJobs(ctx, events.Events, continuedRead)
 			if !ok {
 				return
 			}
@@ -239,7 +239,7 @@
 		if event.Put != "" {
 			e.owner.applyAssignmentChange(event, e.records)
 		} else {
-			e.owner.forgetRecalled(event.Delete)
+			e.owner.removeRecalledJob(event.Delete)
 		}
 	}
 	e.owner.assignmentRevision = max(e.owner.assignmentRevision, uint64(e.events.Revision))
@@ -252,8 +252,8 @@
 		return
 	}
 	now := o.node.Now()
-	if !o.restoreContinued(continuedJob{job, assignment.Revision()}, records[job.Spec.ID], now) {
-		o.holdJob(job, now)
+	if !o.restoreHandedOver(handedOverJob{job, assignment.Revision()}, records[job.Spec.ID], now) {
+		o.suspendJob(job, now)
 		return
 	}
 	o.copyLeaderRecords(job)
@@ -302,7 +302,7 @@
 	delete(o.finished, job)
 	delete(o.cancelling, job)
 	delete(o.recalled, job)
-	delete(o.held, job)
+	delete(o.suspended, job)
 	delete(o.copies, job)
 	o.intake.Forget(id)
 	if job.IsTerminal() {
--- a/internal/controller/shard_owner_duties.go
+++ b/internal/controller/shard_owner_role.go
@@ -42,7 +42,7 @@
 		return
 	}
 	o.pendingTerminations[machine] = true
-	o.reports.urgent = true
+	o.statusUpdates.urgent = true
 }
 
 // How the records of an owner are written.
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -23,7 +23,7 @@
 // once its records say so.
 func (o *ShardOwner) jobFinishedInShard(j *cluster.Job) {
 	o.finished[j] = true
-	o.reports.urgent = true
+	o.statusUpdates.urgent = true
 	now := o.node.Now()
 	for _, ch := range j.Chunks {
 		if ch.MemoryVersion > ch.StoredVersion {
@@ -34,12 +34,12 @@
 
 // sendStatusUpdate tells the leader how the shard fares, and asks what concerns it.
 func (o *ShardOwner) sendStatusUpdate(now micro.Time) {
-	if o.reports.inFlight || now-o.reports.sentAt < urgentStatusPause {
+	if o.statusUpdates.inFlight || now-o.statusUpdates.sentAt < urgentStatusPause {
 		return
 	}
-	o.reports.inFlight, o.reports.urgent, o.reports.sentAt = true, false, now
+	o.statusUpdates.inFlight, o.statusUpdates.urgent, o.statusUpdates.sentAt = true, false, now
 	update := shard.StatusUpdate{
-		Node: o.node.Cfg.Node, SessionVersion: o.term.FencingRevision, Term: o.reports.leaderTerm,
+		Node: o.node.Cfg.Node, SessionVersion: o.term.FencingRevision, Term: o.statusUpdates.leaderTerm,
 		Shards: []shard.ShardUpdate{o.buildShardUpdate(now)},
 	}
 	body := update.Encode()
@@ -60,7 +60,7 @@
 
 // Apply takes the answer in, unless nothing may be said any more.
 func (e statusUpdateAnswered) Apply() {
-	e.owner.reports.inFlight = false
+	e.owner.statusUpdates.inFlight = false
 	if e.answered && e.owner.holdsLease() {
 		e.owner.applyUpdateReply(e.update, e.reply, e.sentAt)
 	}
@@ -118,7 +118,7 @@
 		if len(m.Allocations) == 0 {
 			report.IdleMachines++
 		}
-		if !o.reports.reportedMachines[m.Name] && len(report.ReadyMachines) < shard.MaxStatusItems {
+		if !o.statusUpdates.reportedMachines[m.Name] && len(report.ReadyMachines) < shard.MaxStatusItems {
 			report.ReadyMachines = append(report.ReadyMachines, m.Name)
 		}
 	}
@@ -148,12 +148,12 @@
 
 // applyUpdateReply takes in the leader's answer to a status update that was sent at a time.
 func (o *ShardOwner) applyUpdateReply(update *shard.ShardUpdate, reply *shard.UpdateReply, sentAt micro.Time) {
-	if reply.Term != o.reports.leaderTerm {
-		o.reports.leaderTerm = reply.Term
-		clear(o.reports.reportedMachines) // a new leader knows of no machine here
+	if reply.Term != o.statusUpdates.leaderTerm {
+		o.statusUpdates.leaderTerm = reply.Term
+		clear(o.statusUpdates.reportedMachines) // a new leader knows of no machine here
 	} else {
 		for _, name := range update.ReadyMachines {
-			o.reports.reportedMachines[name] = true
+			o.statusUpdates.reportedMachines[name] = true
 		}
 	}
 	now := o.node.Now()
@@ -165,14 +165,14 @@
 	for _, name := range reply.TerminatedMachines {
 		if machine := o.cluster.Machines[name]; machine != nil {
 			delete(o.pendingTerminations, machine)
-			delete(o.reports.reportedMachines, name)
+			delete(o.statusUpdates.reportedMachines, name)
 			o.cluster.RemoveMachine(machine, now)
 		}
 	}
-	o.applyLeaderBound(reply, sentAt, now)
-	o.updateBoundFromLeader(now)
+	o.applyRenewalBound(reply, sentAt, now)
+	o.updateProxyRenewals(now)
 	o.detector.Sweep(now)
-	o.renewedUntil = nil
+	o.proxyRenewedUntil = nil
 }
 
 // endJobInShard settles a job whose end is in the store.
@@ -186,12 +186,12 @@
 	}
 }
 
-// applyLeaderBound notes until when proxies may have renewed leases, by this node's clock, as of
+// applyRenewalBound notes until when proxies may have renewed leases, by this node's clock, as of
 // the leader's answer: that was given after the status update was sent.
-func (o *ShardOwner) applyLeaderBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
-	o.renewedUntil = map[string]micro.Time{}
+func (o *ShardOwner) applyRenewalBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
+	o.proxyRenewedUntil = map[string]micro.Time{}
 	for zone, age := range reply.ProxyRenewalAge {
-		o.renewedUntil[zone] = now - max(micro.Time(age)-(now-sentAt), 0)
+		o.proxyRenewedUntil[zone] = now - max(micro.Time(age)-(now-sentAt), 0)
 	}
 	disconnected := map[string]bool{}
 	for _, zone := range reply.DisconnectedZones {
@@ -208,12 +208,12 @@
 	}
 }
 
-// updateBoundFromLeader brings the cluster state up to date on what proxies may have renewed. Only the
+// updateProxyRenewals brings the cluster state up to date on what proxies may have renewed. Only the
 // leader is in touch with them: without its answer nothing is proven by a lease.
-func (o *ShardOwner) updateBoundFromLeader(now micro.Time) {
+func (o *ShardOwner) updateProxyRenewals(now micro.Time) {
 	for _, zone := range append([]string{""}, o.node.Cfg.Facts.Zones...) {
-		o.cluster.ProxyRenewedUntil[zone] = o.renewedUntil[zone]
-		if o.renewedUntil == nil {
+		o.cluster.ProxyRenewedUntil[zone] = o.proxyRenewedUntil[zone]
+		if o.proxyRenewedUntil == nil {
 			o.cluster.ProxyRenewedUntil[zone] = now
 		}
 	}
--- a/internal/recovery/dependencies.go
+++ b/internal/recovery/dependencies.go
@@ -9,22 +9,22 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// lookupBatch is how many jobs are looked up together.
-const lookupBatch = 4
+// lookupBatchSize is how many jobs are looked up together.
+const lookupBatchSize = 4
 
 // dependencyLookups are jobs to be looked up in the store: those that others depend on and of
 // which nothing is known yet, and those whose description is not known as a whole.
 type dependencyLookups struct {
-	wanted   map[string]bool
-	inFlight bool          // the reader has a batch
-	batches  chan []string // to the reader; one at a time
+	unresolved map[string]bool
+	inFlight   bool          // the reader has a batch
+	batches    chan []string // to the reader; one at a time
 }
 
 func newDependencyLookups() dependencyLookups {
-	return dependencyLookups{wanted: map[string]bool{}, batches: make(chan []string, 1)}
+	return dependencyLookups{unresolved: map[string]bool{}, batches: make(chan []string, 1)}
 }
 
-func (l *dependencyLookups) request(job string) { l.wanted[job] = true }
+func (l *dependencyLookups) request(job string) { l.unresolved[job] = true }
 
 // DependencyUnknown has a job looked up that another depends on.
 func (i *Intake) DependencyUnknown(job string) { i.lookups.request(job) }
@@ -43,12 +43,12 @@
 // nextLookups chooses the jobs to be looked up next.
 func (i *Intake) nextLookups() []string {
 	var batch []string
-	for id := range i.lookups.wanted {
+	for id := range i.lookups.unresolved {
 		if _, ended := i.Cluster.FinalStatuses[id]; ended || i.Cluster.Jobs[id] != nil {
-			delete(i.lookups.wanted, id) // it has come meanwhile
+			delete(i.lookups.unresolved, id) // it has come meanwhile
 			continue
 		}
-		if batch = append(batch, id); len(batch) == lookupBatch {
+		if batch = append(batch, id); len(batch) == lookupBatchSize {
 			break
 		}
 	}
@@ -93,12 +93,12 @@
 	now, wall := e.intake.Now(), e.intake.Wall()
 	for _, id := range e.jobs {
 		if end, ended := e.snapshot.Ends[id]; ended {
-			delete(e.intake.lookups.wanted, id)
+			delete(e.intake.lookups.unresolved, id)
 			e.intake.Cluster.ApplyFinalStatus(id, finalStatus(end, now, wall), now)
 			continue
 		}
 		if job, ok := e.snapshot.Specs[id]; ok && e.snapshot.CompleteDependencies(&job) {
-			delete(e.intake.lookups.wanted, id)
+			delete(e.intake.lookups.unresolved, id)
 			e.intake.AddJob(job)
 		}
 	}
--- a/internal/recovery/failover.go
+++ b/internal/recovery/failover.go
@@ -13,8 +13,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// catalogRetry is how often a failover looks whether the machine types were read.
-const catalogRetry = 50 * micro.Millisecond
+// catalogPollInterval is how often a failover looks whether the machine types were read.
+const catalogPollInterval = 50 * micro.Millisecond
 
 // Assignments are the jobs that were assigned to shards. They are read before the jobs: those
 // are not the leader's to place.
@@ -92,7 +92,7 @@
 // awaitCatalog waits for the machine types; false if the term ended.
 func (f *Failover) awaitCatalog() bool {
 	for f.Host.Catalog() == nil {
-		if !f.Loop.Sleep(catalogRetry) {
+		if !f.Loop.Sleep(catalogPollInterval) {
 			return false
 		}
 	}
--- a/internal/recovery/failover_test.go
+++ b/internal/recovery/failover_test.go
@@ -141,7 +141,7 @@
 			t.Errorf("%s: %+v", id, job)
 		}
 	}
-	if state.Jobs["incomplete"] != nil || !leader.lookups.wanted["incomplete"] {
+	if state.Jobs["incomplete"] != nil || !leader.lookups.unresolved["incomplete"] {
 		t.Error("a job without its dependencies is in the state, or not looked up")
 	}
 	if !reflect.DeepEqual(leader.requests, []string{keys.InstanceRequest("r-1")}) {
--- a/internal/recovery/fleet_records.go
+++ b/internal/recovery/fleet_records.go
@@ -11,14 +11,14 @@
 // FleetRecords restores the records of the fleet as a whole. They come before all others: the
 // format says how to read the rest.
 type FleetRecords struct {
-	records *persist.Records
-	others  map[string]func(wire.Item)
-	log     *slog.Logger
+	records  *persist.Records
+	handlers map[string]func(wire.Item)
+	log      *slog.Logger
 }
 
 // NewFleetRecords makes one that hands those that other parts keep to them, by key.
-func NewFleetRecords(records *persist.Records, others map[string]func(wire.Item), log *slog.Logger) *FleetRecords {
-	return &FleetRecords{records: records, others: others, log: log}
+func NewFleetRecords(records *persist.Records, handlers map[string]func(wire.Item), log *slog.Logger) *FleetRecords {
+	return &FleetRecords{records: records, handlers: handlers, log: log}
 }
 
 // Restore takes in one record. One that cannot be read is passed over and logged.
@@ -30,7 +30,7 @@
 	case keys.Format:
 		err = f.records.Format.Restore(item)
 	default:
-		if restore := f.others[item.Key]; restore != nil {
+		if restore := f.handlers[item.Key]; restore != nil {
 			restore(item)
 		}
 	}
--- a/internal/recovery/read.go
+++ b/internal/recovery/read.go
@@ -13,8 +13,8 @@
 const (
 	// pageSize is how many keys a failover reads with one request.
 	pageSize = 1000
-	// readRetry is the pause after a read that failed.
-	readRetry = 100 * micro.Millisecond
+	// readRetryInterval is the pause after a read that failed.
+	readRetryInterval = 100 * micro.Millisecond
 )
 
 // Reader reads what a failover needs from the store, for as long as it takes.
@@ -38,7 +38,7 @@
 		page, err := r.store.Range(ctx, store.Leadership, prefix, after, pageSize)
 		if err != nil {
 			r.log.Info("failover read failed", "prefix", prefix, "err", err)
-			if !r.loop.Sleep(readRetry) {
+			if !r.loop.Sleep(readRetryInterval) {
 				return 0, false
 			}
 			continue
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -108,8 +108,8 @@
 	if len(intake.Cluster.Jobs) > 0 || intake.Knows("j-1") || intake.Knows("j-2") {
 		t.Errorf("%d jobs were taken in", len(intake.Cluster.Jobs))
 	}
-	if !intake.lookups.wanted["j-2"] || intake.lookups.wanted["j-1"] {
-		t.Errorf("looked up: %v", intake.lookups.wanted)
+	if !intake.lookups.unresolved["j-2"] || intake.lookups.unresolved["j-1"] {
+		t.Errorf("looked up: %v", intake.lookups.unresolved)
 	}
 	intake.AddJob(wire.Job{ID: "j-3", Tasks: 1, SubmittedAt: int64(intake.now - 7*micro.Second)})
 	job := intake.Cluster.Jobs["j-3"]
@@ -162,7 +162,7 @@
 	}
 	intake.LookUpDependencies()
 	batch := <-intake.lookups.batches
-	if len(batch) != lookupBatch {
+	if len(batch) != lookupBatchSize {
 		t.Fatalf("looked up together: %v", batch)
 	}
 	intake.LookUpDependencies()
@@ -174,16 +174,16 @@
 		t.Error("what was read was not taken in")
 	}
 	want := map[string]bool{"incomplete": true, "unanswered": true}
-	if !reflect.DeepEqual(intake.lookups.wanted, want) {
-		t.Errorf("still wanted: %v", intake.lookups.wanted)
+	if !reflect.DeepEqual(intake.lookups.unresolved, want) {
+		t.Errorf("still wanted: %v", intake.lookups.unresolved)
 	}
 	from.prefix = ""
 	intake.Cluster.FinalStatuses["unanswered"] = cluster.FinalStatus{}
-	for i := range lookupBatch {
+	for i := range lookupBatchSize {
 		intake.DependencyUnknown(fmt.Sprint("more-", i))
 	}
 	intake.LookUpDependencies()
-	if batch := <-intake.lookups.batches; len(batch) != lookupBatch {
+	if batch := <-intake.lookups.batches; len(batch) != lookupBatchSize {
 		t.Errorf("the next are %v", batch)
 	}
 }
