--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -60,7 +60,7 @@
 	JobSets
 	MachineSets
 	FailureAttribution
-	PreviousTerm MachineHistory
+	PreviousTerm MachineInactivity
 
 	// Verbose enables log lines for each stopped allocation and each exit.
 	Verbose bool
