--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -14,9 +14,9 @@
 // know: agents that do not reach this node come to them, and are referred back to it; and they
 // can probe agents that this node does not hear.
 
-// HandOver resigns in favour of another node, if that may be reached by the agents and was not
+// HandleUnreachableAgents resigns in favour of another node, if that may be reached by the agents and was not
 // tried in vain.
-func (l *Leader) HandOver(now micro.Time) {
+func (l *Leader) HandleUnreachableAgents(now micro.Time) {
 	evidence := l.detector.Reachability(now)
 	if evidence.HeartbeatGap {
 		l.handOver(evidence, now) // so many live agents at once do not die
@@ -36,7 +36,7 @@
 
 // handOver resigns in favour of another node, unless that was tried in vain.
 func (l *Leader) handOver(evidence detector.Reachability, now micro.Time) {
-	window := detector.HandoverWindow(l.node.Cfg)
+	window := detector.LeadershipHandoverWindow(l.node.Cfg)
 	if !l.node.handovers.Begin(now, l.cluster.TermStartedAt, window) {
 		l.logHandover(false, "the others were tried in vain", evidence)
 		return
@@ -60,9 +60,9 @@
 	)
 }
 
-// HandOver has the leader told that no agent reaches this node, if another may be reached: it
+// HandleUnreachableAgents has the leader told that no agent reaches this node, if another may be reached: it
 // moves the shard.
-func (o *ShardOwner) HandOver(now micro.Time) {
+func (o *ShardOwner) HandleUnreachableAgents(now micro.Time) {
 	evidence := o.detector.Reachability(now)
 	if evidence.HeartbeatGap {
 		o.unreachable = true
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -28,7 +28,7 @@
 func (n *Node) contactLeader(ctx context.Context) {
 	if l := n.activeLeader(); l != nil {
 		if !l.cancellations.ZoneFenced(n.Cfg.Zone) {
-			n.leaseProxy.NoteLeading(n.Now())
+			n.leaseProxy.RecordLeading(n.Now())
 		}
 		return
 	}
@@ -125,7 +125,7 @@
 	if wire.Unmarshal(body, &request) != nil {
 		return http.StatusBadRequest, nil
 	}
-	l.renewalBound.NoteRequest(request.Node, n.Now())
+	l.renewalBound.RecordRequest(request.Node, n.Now())
 	if !l.cancellations.FencedZonesKnown() {
 		return http.StatusServiceUnavailable, nil // it goes by the answer that it had of the last leader
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -62,7 +62,7 @@
 	health      *health.Monitor
 	leaseProxy  leasekeeper.Proxy
 	formatGate  *formatgate.Gate
-	handovers   detector.Handovers
+	handovers   detector.LeadershipHandovers
 	referrals   referral.Responder
 
 	jobs      *jobapi.Service
--- a/internal/controller/zone_cut_test.go
+++ b/internal/controller/zone_cut_test.go
@@ -113,7 +113,7 @@
 	} else {
 		// No leader outside hears an agent: each hands over in vain before one stays,
 		// and counts what lease proxies may have renewed from its failover.
-		most += micro.Time(len(sim.controllersOutside(zone))*detector.MaxHandovers) * sim.handoverBound()
+		most += micro.Time(len(sim.controllersOutside(zone))*detector.MaxLeadershipHandovers) * sim.handoverBound()
 	}
 	sim.sleep(5 * micro.Second)
 	from := sim.now()
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -27,8 +27,8 @@
 	UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time
 	// Terminate marks a machine to be terminated.
 	Terminate(machine *cluster.Machine, reason string)
-	// HandOver has another node take over, since no agent reaches this one.
-	HandOver(now micro.Time)
+	// HandleUnreachableAgents has another node take over, since no agent reaches this one.
+	HandleUnreachableAgents(now micro.Time)
 }
 
 // Dependencies are what a Detector works with.
@@ -38,7 +38,7 @@
 	// MaxInventoryAge is how old a list of instances may be by which machines are terminated.
 	MaxInventoryAge micro.Time
 	FencingTokens   FencingTokens
-	Handovers       *Handovers
+	Handovers       *LeadershipHandovers
 	Host            Host
 }
 
@@ -48,7 +48,7 @@
 	config          *config.Config
 	maxInventoryAge micro.Time
 	tokens          FencingTokens
-	handovers       *Handovers
+	handovers       *LeadershipHandovers
 	host            Host
 
 	listening      listening
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -35,7 +35,7 @@
 
 func (h *fakeHost) InventoryReadAt() micro.Time                           { return h.inventoryReadAt }
 func (h *fakeHost) UnreportedFor(*cluster.Machine, micro.Time) micro.Time { return h.unreported }
-func (h *fakeHost) HandOver(micro.Time)                                   { h.handovers++ }
+func (h *fakeHost) HandleUnreachableAgents(micro.Time)                                   { h.handovers++ }
 func (h *fakeHost) Terminate(machine *cluster.Machine, reason string) {
 	h.terminated[machine.Name] = reason
 }
@@ -66,7 +66,7 @@
 	test := &testDetector{host: &fakeHost{terminated: map[string]string{}}}
 	test.Detector = New(Dependencies{
 		Cluster: state, Config: cfg, MaxInventoryAge: 20 * micro.Second, FencingTokens: token,
-		Handovers: &Handovers{}, Host: test.host,
+		Handovers: &LeadershipHandovers{}, Host: test.host,
 	})
 	test.ObserveLease(true, termStart)
 	return test
@@ -170,9 +170,9 @@
 // Where all machines had died, the nodes once handed the leadership round for ever.
 func TestHandoversInVainEnd(t *testing.T) {
 	const window = 60 * micro.Second
-	handovers := &Handovers{}
+	handovers := &LeadershipHandovers{}
 	at := termStart
-	for n := range MaxHandovers {
+	for n := range MaxLeadershipHandovers {
 		if !handovers.Begin(at, at-micro.Second, window) {
 			t.Fatalf("handover %d refused", n)
 		}
@@ -185,7 +185,7 @@
 	if !handovers.Begin(at, at-micro.Second, window) {
 		t.Error("refused long after the others")
 	}
-	for range MaxHandovers {
+	for range MaxLeadershipHandovers {
 		handovers.Begin(at, at, window)
 	}
 	handovers.Reset()
@@ -307,7 +307,7 @@
 		t.Run(name, func(t *testing.T) {
 			test := newTestDetector()
 			const window = 10 * micro.Minute
-			for range MaxHandovers {
+			for range MaxLeadershipHandovers {
 				test.handovers.Begin(termStart, termStart, window)
 			}
 			test.addMachines(0, 1, test.heardAt(termStart))
--- a/internal/detector/reachability.go
+++ b/internal/detector/reachability.go
@@ -114,7 +114,7 @@
 		return
 	}
 	d.reachability.unreachableSince = 0
-	d.host.HandOver(now)
+	d.host.HandleUnreachableAgents(now)
 }
 
 // heartbeatGap watches for a time in which no agent at all sends heartbeats. Single machines
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -105,7 +105,7 @@
 	Node             string
 	Nonce            string
 	Features         []string      // announced with the key; none for the leader's
-	WithKey          []wire.Change // further changes of the transaction that creates the key
+	AcquisitionChanges          []wire.Change // further changes of the transaction that creates the key
 	Store            store.Store
 	TTL              micro.Time
 	RenewInterval    micro.Time
@@ -268,7 +268,7 @@
 	}
 	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Transaction{
 		If:   []wire.Precondition{{Key: e.key()}},
-		Then: append([]wire.Change{{Put: e.key(), Value: e.record(lease), Lease: wire.Count(lease)}}, e.WithKey...),
+		Then: append([]wire.Change{{Put: e.key(), Value: e.record(lease), Lease: wire.Count(lease)}}, e.AcquisitionChanges...),
 	})
 	if err != nil {
 		if !errors.Is(err, store.ErrConflict) {
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -134,8 +134,8 @@
 	return true
 }
 
-// NoteLeading notes that this node itself holds the leadership lease now.
-func (p *Proxy) NoteLeading(now micro.Time) {
+// RecordLeading notes that this node itself holds the leadership lease now.
+func (p *Proxy) RecordLeading(now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastAnswered, p.lastTimestamp, p.zonePartitioned, p.fenced = now, LeaderTimestamp{}, false, false
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -59,15 +59,15 @@
 	return bound
 }
 
-// NoteRequest notes that a node asks this leader now, whatever the answer.
-func (b *RenewalBound) NoteRequest(node string, now micro.Time) {
+// RecordRequest notes that a node asks this leader now, whatever the answer.
+func (b *RenewalBound) RecordRequest(node string, now micro.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lastRequests[node] = now
 }
 
-// HeardLately reports whether a node asked this leader just now. Each does every RequestInterval.
-func (b *RenewalBound) HeardLately(node string, now micro.Time) bool {
+// RequestedRecently reports whether a node asked this leader just now. Each does every RequestInterval.
+func (b *RenewalBound) RequestedRecently(node string, now micro.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, heard := b.lastRequests[node]
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -94,7 +94,7 @@
 func (c *Coordinator) recordUnreachableZones(now micro.Time) {
 	reachable := map[string]bool{c.Config.Zone: true}
 	for _, peer := range c.Config.Peers {
-		reachable[peer.Zone] = reachable[peer.Zone] || c.RenewalBound.HeardLately(peer.Node, now)
+		reachable[peer.Zone] = reachable[peer.Zone] || c.RenewalBound.RequestedRecently(peer.Node, now)
 	}
 	for zone, isReachable := range reachable {
 		if !isReachable {
