--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -27,15 +27,15 @@
 
 // fakeHost notes what a detector asks for.
 type fakeHost struct {
-	inventoryReadAt micro.Time
-	unreported      micro.Time
-	terminated      map[string]string // reasons, by machine
-	handovers       int
+	inventoryReadAt  micro.Time
+	unreported       micro.Time
+	terminated       map[string]string // reasons, by machine
+	unreachableCalls int
 }
 
 func (h *fakeHost) InventoryReadAt() micro.Time                           { return h.inventoryReadAt }
 func (h *fakeHost) UnreportedFor(*cluster.Machine, micro.Time) micro.Time { return h.unreported }
-func (h *fakeHost) HandleUnreachableAgents(micro.Time)                                   { h.handovers++ }
+func (h *fakeHost) HandleUnreachableAgents(micro.Time)                    { h.unreachableCalls++ }
 func (h *fakeHost) Terminate(machine *cluster.Machine, reason string) {
 	h.terminated[machine.Name] = reason
 }
@@ -81,8 +81,8 @@
 	}
 }
 
-// heardAt makes a machine one that is up, and was last heard at a time.
-func (test *testDetector) heardAt(at micro.Time) func(*cluster.Machine) {
+// upWithHeartbeatAt makes a machine one that is up, and was last heard at a time.
+func (test *testDetector) upWithHeartbeatAt(at micro.Time) func(*cluster.Machine) {
 	return func(machine *cluster.Machine) {
 		test.cluster.TransitionMachine(machine, cluster.Up, "for a test")
 		machine.LastHeartbeat = at
@@ -99,8 +99,8 @@
 			at := termStart + micro.Minute
 			test.ObserveLease(true, at-micro.Second)
 			test.listening.resumedAt = termStart
-			test.addMachines(0, row.missing, test.heardAt(at-20*micro.Second))
-			test.addMachines(row.missing, 10, test.heardAt(at))
+			test.addMachines(0, row.missing, test.upWithHeartbeatAt(at-20*micro.Second))
+			test.addMachines(row.missing, 10, test.upWithHeartbeatAt(at))
 			test.Sweep(at)
 			if got := len(test.host.terminated); got != row.terminated {
 				t.Errorf("terminated: %v", test.host.terminated)
@@ -118,16 +118,16 @@
 // A leader that no agent reaches has another take over, once it has found so for a while.
 func TestLeaderThatNoAgentReachesHandsOver(t *testing.T) {
 	test := newTestDetector()
-	test.addMachines(0, 4, test.heardAt(termStart))
+	test.addMachines(0, 4, test.upWithHeartbeatAt(termStart))
 	at := termStart + micro.Minute
 	test.listening.resumedAt = termStart
 	test.Sweep(at)
-	if test.host.handovers != 0 {
+	if test.host.unreachableCalls != 0 {
 		t.Fatal("handed over at once")
 	}
 	test.Sweep(at + minUnreachableTime + 1)
-	if test.host.handovers != 1 {
-		t.Errorf("%d handovers", test.host.handovers)
+	if test.host.unreachableCalls != 1 {
+		t.Errorf("%d handovers", test.host.unreachableCalls)
 	}
 }
 
@@ -158,7 +158,7 @@
 			test.addMachines(0, 1, func(machine *cluster.Machine) {
 				machine.LastListed, machine.CloudState, machine.RequestedAt = row.listed, row.state, at-row.age
 			})
-			test.addMachines(1, 10, test.heardAt(at))
+			test.addMachines(1, 10, test.upWithHeartbeatAt(at))
 			test.Sweep(at)
 			if got := test.host.terminated["i-000000"]; got != row.want {
 				t.Errorf("reason %q, want %q", got, row.want)
@@ -197,9 +197,9 @@
 // sweepInterval is how often these tests look for reports, as the leader's scan does.
 const sweepInterval = 500 * micro.Millisecond
 
-// sweepsUntilGapTooLong counts the looks, without a heartbeat between them, after which the
+// sweepsUntilGapExceeded counts the looks, without a heartbeat between them, after which the
 // silence of so many live agents is too long; at most so many looks are made.
-func sweepsUntilGapTooLong(s *heartbeatGap, up, most int, from micro.Time) int {
+func sweepsUntilGapExceeded(s *heartbeatGap, up, most int, from micro.Time) int {
 	const interval = 7500 * micro.Millisecond
 	s.exceeded(1, up, from, interval)
 	for n := 1; n <= most; n++ {
@@ -218,7 +218,7 @@
 		{0, 0},
 	} {
 		s := heartbeatGap{}
-		if got := sweepsUntilGapTooLong(&s, row.up, 20, micro.Second); got != row.looks {
+		if got := sweepsUntilGapExceeded(&s, row.up, 20, micro.Second); got != row.looks {
 			t.Errorf("%d workers: too long after %d looks, want %d", row.up, got, row.looks)
 		}
 	}
@@ -272,8 +272,8 @@
 		t.Run(name, func(t *testing.T) {
 			test := newTestDetector()
 			last := termStart + row.lastHeartbeat
-			test.addMachines(0, 4, test.heardAt(termStart))
-			test.addMachines(4, 5, test.heardAt(last))
+			test.addMachines(0, 4, test.upWithHeartbeatAt(termStart))
+			test.addMachines(4, 5, test.upWithHeartbeatAt(last))
 			reached := test.cluster.Machines["i-000004"]
 			at := termStart
 			sweepUntil := func(end micro.Time) {
@@ -287,8 +287,8 @@
 				test.cluster.TransitionMachine(reached, cluster.Terminating, "idle")
 			}
 			sweepUntil(last + test.config.SuspectAfter + minUnreachableTime + 2*sweepInterval)
-			if test.host.handovers != row.handovers {
-				t.Errorf("%d handovers, want %d", test.host.handovers, row.handovers)
+			if test.host.unreachableCalls != row.handovers {
+				t.Errorf("%d handovers, want %d", test.host.unreachableCalls, row.handovers)
 			}
 		})
 	}
@@ -310,7 +310,7 @@
 			for range MaxLeadershipHandovers {
 				test.handovers.Begin(termStart, termStart, window)
 			}
-			test.addMachines(0, 1, test.heardAt(termStart))
+			test.addMachines(0, 1, test.upWithHeartbeatAt(termStart))
 			for at := termStart; at < termStart+row.reachedFor; at += sweepInterval {
 				test.cluster.Machines["i-000000"].LastHeartbeat = at
 				test.ObserveLease(true, at)
@@ -335,8 +335,8 @@
 		t.Run(name, func(t *testing.T) {
 			leader, owner := newTestDetector(), newTestDetector()
 			owner.handovers = leader.handovers
-			leader.addMachines(0, 4, leader.heardAt(termStart))
-			owner.addMachines(0, 1, owner.heardAt(termStart))
+			leader.addMachines(0, 4, leader.upWithHeartbeatAt(termStart))
+			owner.addMachines(0, 1, owner.upWithHeartbeatAt(termStart))
 			end := termStart + leader.config.SuspectAfter + minUnreachableTime + 10*sweepInterval
 			for at := termStart; at < end; at += sweepInterval {
 				if row.reached {
@@ -347,7 +347,7 @@
 					test.Sweep(at)
 				}
 			}
-			if handedOver := leader.host.handovers > 0; handedOver != row.handsOver {
+			if handedOver := leader.host.unreachableCalls > 0; handedOver != row.handsOver {
 				t.Errorf("handed over: %v, want %v", handedOver, row.handsOver)
 			}
 		})
--- a/internal/detector/guards_test.go
+++ b/internal/detector/guards_test.go
@@ -26,7 +26,7 @@
 		var machine *cluster.Machine
 		test.addMachines(0, 1, func(added *cluster.Machine) {
 			machine = added
-			test.heardAt(termStart)(added)
+			test.upWithHeartbeatAt(termStart)(added)
 		})
 		at := termStart
 		term := election.NewTerm(5, at+leaseSpan)
@@ -65,7 +65,7 @@
 	test.handovers.ObserveContact(reachedAt)
 	suspect := func(heard micro.Time, prepare func(*cluster.Machine)) func(*cluster.Machine) {
 		return func(machine *cluster.Machine) {
-			test.heardAt(heard)(machine)
+			test.upWithHeartbeatAt(heard)(machine)
 			test.cluster.TransitionMachine(machine, cluster.Suspect, "for a test")
 			machine.Addr = "10.0.0.1:9000"
 			prepare(machine)
@@ -81,7 +81,7 @@
 		}),
 		suspect(reachedAt-test.config.SuspectAfter-1, unchanged), // silent when the last agent reached this node
 		func(machine *cluster.Machine) {
-			test.heardAt(at - test.config.SuspectAfter)(machine) // still up
+			test.upWithHeartbeatAt(at - test.config.SuspectAfter)(machine) // still up
 			machine.Addr = "10.0.0.1:9000"
 		},
 	} {
--- a/internal/detector/handovers.go
+++ b/internal/detector/handovers.go
@@ -14,11 +14,11 @@
 // enough to find them dead, and to request others. A node that has tried the others in vain
 // stays. The zero value is ready; any goroutine may call it.
 type LeadershipHandovers struct {
-	last        atomic.Pointer[handover]
+	last        atomic.Pointer[leadershipHandover]
 	lastContact atomic.Int64 // in microseconds of the node's steady clock
 }
 
-type handover struct {
+type leadershipHandover struct {
 	at    micro.Time
 	count int
 }
@@ -56,11 +56,11 @@
 func (h *LeadershipHandovers) Begin(now, termStartedAt, window micro.Time) bool {
 	previous := h.last.Load()
 	if previous == nil || termStartedAt-previous.at > window {
-		previous = &handover{}
+		previous = &leadershipHandover{}
 	}
 	if previous.count == MaxLeadershipHandovers {
 		return false
 	}
-	h.last.Store(&handover{now, previous.count + 1})
+	h.last.Store(&leadershipHandover{now, previous.count + 1})
 	return true
 }
--- a/internal/detector/reachability.go
+++ b/internal/detector/reachability.go
@@ -83,10 +83,10 @@
 	return d.handovers.LastContact() > at
 }
 
-// reachedForAWhile reports whether agents reached this node for longer than it takes until
+// reachedLongEnough reports whether agents reached this node for longer than it takes until
 // machines that send no heartbeats are suspect. A single one that came up for a moment
 // does not show that the next handover would be for another reason than the last.
-func (d *Detector) reachedForAWhile() bool {
+func (d *Detector) reachedLongEnough() bool {
 	listeningSince := max(d.cluster.TermStartedAt, d.listening.resumedAt)
 	return d.reachability.lastContact-listeningSince > d.config.SuspectAfter
 }
@@ -98,7 +98,7 @@
 	gapExceeded := d.gap.exceeded(d.heartbeats, up, now, d.config.MaxHeartbeatInterval())
 	summary.gapExceeded = gapExceeded
 	d.reachability.lastSweep = *summary
-	if up > 0 && !gapExceeded && d.reachedForAWhile() {
+	if up > 0 && !gapExceeded && d.reachedLongEnough() {
 		d.handovers.Reset()
 	}
 	// Another loop of this node may be reached: what is up there counts as it does here.
--- a/internal/detector/registration.go
+++ b/internal/detector/registration.go
@@ -70,7 +70,7 @@
 		return "never listed, no heartbeat"
 	case d.missingFromInventory(machine) && waiting.waited > d.config.SuspectAfter:
 		return "no longer listed, no heartbeat"
-	case d.runningUnheard(waiting) && d.machinesLookDead(machine.Zone, summary, now):
+	case d.runningUnregistered(waiting) && d.machinesLookDead(machine.Zone, summary, now):
 		return "listed as running, no heartbeat"
 	case d.silentSinceFailover(waiting, summary):
 		return "no heartbeat since the failover"
@@ -86,9 +86,9 @@
 		machine.waited > d.config.SuspectAfter && machine.age > machine.bootTimeout+2*d.inventoryLag()
 }
 
-// runningUnheard reports whether a machine runs, as the inventory tells, and has had time to
+// runningUnregistered reports whether a machine runs, as the inventory tells, and has had time to
 // find this node.
-func (d *Detector) runningUnheard(machine registration) bool {
+func (d *Detector) runningUnregistered(machine registration) bool {
 	return machine.CloudState == wire.MachineRunning &&
 		machine.waited > max(minRunningWait, d.config.RegistrationWindow()) &&
 		machine.age > 3*machine.bootTime && machine.now-machine.LastListed < maxRunningListAge
--- a/internal/detector/shard_machines_test.go
+++ b/internal/detector/shard_machines_test.go
@@ -19,7 +19,7 @@
 		test.host.inventoryReadAt = at - micro.Second
 		test.host.unreported = 3 * micro.Minute
 		test.addMachines(0, 20, func(machine *cluster.Machine) {
-			test.heardAt(at - 5*micro.Minute)(machine) // up, as the owner before said
+			test.upWithHeartbeatAt(at - 5*micro.Minute)(machine) // up, as the owner before said
 			machine.OwnedElsewhere = true
 			machine.LastListed, machine.CloudState = at-micro.Second, state
 		})
@@ -40,7 +40,7 @@
 	test.host.inventoryReadAt = at - micro.Second
 	test.host.unreported = micro.Second
 	test.addMachines(0, 1, func(machine *cluster.Machine) {
-		test.heardAt(at - micro.Minute)(machine)
+		test.upWithHeartbeatAt(at - micro.Minute)(machine)
 		machine.OwnedElsewhere = true
 		machine.LastListed, machine.CloudState = at-micro.Second, wire.MachineBooting
 	})
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -180,7 +180,7 @@
 }
 
 // Apply notes that nothing is in flight to the machine.
-func (e commandsNotSent) Apply() { e.dispatcher.settle(e.machine) }
+func (e commandsNotSent) Apply() { e.dispatcher.clearInFlight(e.machine) }
 
 // commandsAnswered is the event that an agent answered commands sent at once, or failed to.
 type commandsAnswered struct {
@@ -194,7 +194,7 @@
 // Apply reconciles the machine with the heartbeat in the response.
 func (e commandsAnswered) Apply() {
 	d, machine := e.dispatcher, e.machine
-	d.settle(machine)
+	d.clearInFlight(machine)
 	now := d.now()
 	if e.err != nil {
 		d.log.Debug("dispatch unanswered", "machine", machine.Name, "err", e.err)
@@ -212,8 +212,8 @@
 	}
 }
 
-// settle notes that nothing is in flight to a machine any more.
-func (d *Dispatcher) settle(machine *cluster.Machine) {
+// clearInFlight notes that nothing is in flight to a machine any more.
+func (d *Dispatcher) clearInFlight(machine *cluster.Machine) {
 	machine.DispatchInFlight = false
 	d.inFlight--
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -29,17 +29,17 @@
 func (noEffects) ScheduleSoon()                                           {}
 func (noEffects) Log(string, ...any)                                      {}
 
-// leadingHost is a host that leads for as long as it is not told otherwise.
-type leadingHost struct {
+// fakeHost is a host that leads for as long as it is not told otherwise.
+type fakeHost struct {
 	leaseLapsed bool
 	heartbeats  int
 	resigned    string
 }
 
-func (h *leadingHost) HoldsLease() bool                      { return !h.leaseLapsed }
-func (h *leadingHost) RefusesHeartbeat(*wire.Heartbeat) bool { return false }
-func (h *leadingHost) HeartbeatReceived()                    { h.heartbeats++ }
-func (h *leadingHost) Resign(reason string)                  { h.resigned = reason }
+func (h *fakeHost) HoldsLease() bool                      { return !h.leaseLapsed }
+func (h *fakeHost) RefusesHeartbeat(*wire.Heartbeat) bool { return false }
+func (h *fakeHost) HeartbeatReceived()                    { h.heartbeats++ }
+func (h *fakeHost) Resign(reason string)                  { h.resigned = reason }
 
 // fakeSender answers as it is told to, and notes to whom something was sent.
 type fakeSender struct {
@@ -57,7 +57,7 @@
 // ordinary job that its agent has been told to start.
 type testDispatcher struct {
 	*Dispatcher
-	host     *leadingHost
+	host     *fakeHost
 	sender   *fakeSender
 	at       micro.Time
 	machines []*cluster.Machine
@@ -66,7 +66,7 @@
 func newTestDispatcher(t *testing.T, machines int) *testDispatcher {
 	t.Helper()
 	test := &testDispatcher{
-		host:   &leadingHost{},
+		host:   &fakeHost{},
 		sender: &fakeSender{sent: make(chan string, 1000), executed: true},
 		at:     1000 * micro.Second,
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// serveUntil serves events until a condition holds.
-func (test *testDispatcher) serveUntil(condition func() bool) {
+// runLoopUntil serves events until a condition holds.
+func (test *testDispatcher) runLoopUntil(condition func() bool) {
 	test.loop.Run(eventloop.Handlers{
 		Now:  func() micro.Time { return test.at },
 		Tick: func(micro.Time) {},
@@ -173,7 +173,7 @@
 	if test.InFlight() != maxInFlight || test.Pending() != 4 {
 		t.Fatalf("%d in flight, %d pending", test.InFlight(), test.Pending())
 	}
-	test.serveUntil(func() bool { return test.InFlight() == 0 })
+	test.runLoopUntil(func() bool { return test.InFlight() == 0 })
 	test.SendPending(test.at)
 	if test.InFlight() != 4 || test.Pending() != 0 {
 		t.Fatalf("%d in flight, %d pending once the first were answered", test.InFlight(), test.Pending())
@@ -207,7 +207,7 @@
 			if !machine.DispatchInFlight {
 				t.Fatal("nothing in flight")
 			}
-			test.serveUntil(func() bool { return test.InFlight() == 0 })
+			test.runLoopUntil(func() bool { return test.InFlight() == 0 })
 			got := dispatchOutcome{
 				sent: len(test.sender.sent), backoff: max(0, machine.NextDispatchAt-test.at),
 				pending: test.Pending() > 0, unanswered: machine.DispatchUnanswered,
--- a/internal/dispatch/fencing_token.go
+++ b/internal/dispatch/fencing_token.go
@@ -9,8 +9,8 @@
 	// fencingTokenBits are the low bits of a fencing token, which a term may count up; the
 	// bits above are the revision that fences the term.
 	fencingTokenBits = 24
-	// lastOfTerm is what the low bits are when the tokens of a term are used up.
-	lastOfTerm = 1<<fencingTokenBits - 1
+	// maxTokenCounter is what the low bits are when the tokens of a term are used up.
+	maxTokenCounter = 1<<fencingTokenBits - 1
 	// tokenRaiseInterval is how often the token is raised even if nothing waits for it: a
 	// machine that does not receive responses shows by not having seen it.
 	tokenRaiseInterval = 10 * micro.Second
@@ -61,7 +61,7 @@
 		d.token.current++
 		d.token.raisedAt = now
 	}
-	if d.token.current&lastOfTerm == lastOfTerm {
+	if d.token.current&maxTokenCounter == maxTokenCounter {
 		d.host.Resign("fencing tokens used up")
 	}
 }
--- a/internal/dispatch/guards_test.go
+++ b/internal/dispatch/guards_test.go
@@ -12,18 +12,18 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// hold is an event that keeps the loop busy until it is released.
-type hold struct{ held, release chan struct{} }
+// blockLoop is an event that keeps the loop busy until it is released.
+type blockLoop struct{ blocked, release chan struct{} }
 
 // Apply waits.
-func (e hold) Apply() {
-	close(e.held)
+func (e blockLoop) Apply() {
+	close(e.blocked)
 	<-e.release
 }
 
-// serve has the loop take in events, and do nothing else. The clock that it returns may be
+// runLoop has the loop take in events, and do nothing else. The clock that it returns may be
 // set meanwhile.
-func (test *testDispatcher) serve(t *testing.T) *atomic.Int64 {
+func (test *testDispatcher) runLoop(t *testing.T) *atomic.Int64 {
 	t.Helper()
 	var clock atomic.Int64
 	clock.Store(int64(test.at))
@@ -35,12 +35,12 @@
 	return &clock
 }
 
-// answerTo has a heartbeat answered by the loop; something may happen after it was received
+// handleHeartbeat has a heartbeat answered by the loop; something may happen after it was received
 // and before the loop takes it in.
-func (test *testDispatcher) answerTo(heartbeat *wire.Heartbeat, between func()) (accepted bool) {
-	e := hold{make(chan struct{}), make(chan struct{})}
+func (test *testDispatcher) handleHeartbeat(heartbeat *wire.Heartbeat, between func()) (accepted bool) {
+	e := blockLoop{make(chan struct{}), make(chan struct{})}
 	test.loop.Post(e)
-	<-e.held
+	<-e.blocked
 	answered := make(chan bool, 1)
 	go func() {
 		_, accepted := test.HandleHeartbeat(heartbeat)
@@ -66,10 +66,10 @@
 		{"late", promptResponseLimit, 0},
 	} {
 		test := newTestDispatcher(t, 0)
-		clock := test.serve(t)
+		clock := test.runLoop(t)
 		sender := fake.NewAgent("i-1", "small", "a", 30*micro.Second)
-		test.answerTo(sender.Heartbeat(), func() { clock.Add(int64(c.took)) })
-		test.answerTo(sender.Heartbeat(), func() {}) // has not seen the token of the response
+		test.handleHeartbeat(sender.Heartbeat(), func() { clock.Add(int64(c.took)) })
+		test.handleHeartbeat(sender.Heartbeat(), func() {}) // has not seen the token of the response
 		if got := test.cluster.Machines["i-1"].MissedResponses; got != c.missed {
 			t.Errorf("%s: %d heartbeats count as missed responses, want %d", c.name, got, c.missed)
 		}
@@ -80,7 +80,7 @@
 // it may, for that is noted; of an earlier one's it may not.
 func TestLateHeartbeatOfAnEarlierEpochIsNotAnswered(t *testing.T) {
 	test := newTestDispatcher(t, 0)
-	clock := test.serve(t)
+	clock := test.runLoop(t)
 	for _, c := range []struct {
 		name            string
 		epoch, sequence wire.Count
@@ -93,7 +93,7 @@
 		now := micro.Time(clock.Add(int64(micro.Second)))
 		heartbeat := fake.NewAgent("i-1", "small", "a", 30*micro.Second).Heartbeat()
 		heartbeat.AgentEpoch, heartbeat.Sequence = c.epoch, c.sequence
-		if got := test.answerTo(heartbeat, func() {}); got != c.want {
+		if got := test.handleHeartbeat(heartbeat, func() {}); got != c.want {
 			t.Errorf("%s: answered %v, want %v", c.name, got, c.want)
 		}
 		if m := test.cluster.Machines["i-1"]; (m.LeaseRenewedAt == now) != c.want {
@@ -117,7 +117,7 @@
 		if test.InFlight() != 1 || !machine.DispatchInFlight {
 			t.Fatalf("%s: %d messages in flight, machine busy %v", c.name, test.InFlight(), machine.DispatchInFlight)
 		}
-		test.serveUntil(func() bool { return test.InFlight() == 0 })
+		test.runLoopUntil(func() bool { return test.InFlight() == 0 })
 		if sent := len(test.sender.sent); sent != c.want || machine.DispatchInFlight {
 			t.Errorf("%s: %d messages were sent, want %d; machine busy %v", c.name, sent, c.want, machine.DispatchInFlight)
 		}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -11,8 +11,8 @@
 	queueDelayWeight = 0.02
 	// overloadDelay is the mean wait from which the leader counts as overloaded, and
 	// easedDelay that below which it no longer does.
-	overloadDelay = 150 * micro.Millisecond
-	easedDelay    = 50 * micro.Millisecond
+	overloadDelay  = 150 * micro.Millisecond
+	recoveredDelay = 50 * micro.Millisecond
 	// minOverloadDuration is for how long it then counts as overloaded at the least: what was
 	// left out comes back at once.
 	minOverloadDuration = 5 * micro.Second
@@ -32,7 +32,7 @@
 	switch {
 	case o.meanDelay > float64(overloadDelay):
 		o.active, o.holdUntil = true, now+minOverloadDuration
-	case o.meanDelay < float64(easedDelay) && now > o.holdUntil:
+	case o.meanDelay < float64(recoveredDelay) && now > o.holdUntil:
 		o.active = false
 	}
 	return o.active != was
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -101,18 +101,18 @@
 
 // Election is one node's part in an election.
 type Election struct {
-	Key              string // the key to be held; "": LeaderKey
-	Node             string
-	Nonce            string
-	Features         []string      // announced with the key; none for the leader's
-	AcquisitionChanges          []wire.Change // further changes of the transaction that creates the key
-	Store            store.Store
-	TTL              micro.Time
-	RenewInterval    micro.Time
-	Log              *slog.Logger
-	Now              func() micro.Time
-	OnStartedLeading func(*Term) // called by Run when this node has become leader
-	OnStoppedLeading func(*Term) // called by Run when its term is over
+	Key                string // the key to be held; "": LeaderKey
+	Node               string
+	Nonce              string
+	Features           []string      // announced with the key; none for the leader's
+	AcquisitionChanges []wire.Change // further changes of the transaction that creates the key
+	Store              store.Store
+	TTL                micro.Time
+	RenewInterval      micro.Time
+	Log                *slog.Logger
+	Now                func() micro.Time
+	OnStartedLeading   func(*Term) // called by Run when this node has become leader
+	OnStoppedLeading   func(*Term) // called by Run when its term is over
 
 	mu                sync.Mutex
 	campaignNotBefore micro.Time
@@ -144,9 +144,9 @@
 	e.mu.Unlock()
 }
 
-// headStart is how long a node that defers waits before it campaigns: enough for a candidate
+// deferralDelay is how long a node that defers waits before it campaigns: enough for a candidate
 // that does not defer to create the key, also in a slow store.
-const headStart = micro.Second
+const deferralDelay = micro.Second
 
 // DeferCampaign lets any other candidate go first for a time. Unlike SuspendCampaign it
 // forbids nothing: if no other node campaigns, this one leads after the head start.
@@ -257,7 +257,7 @@
 	e.transition(Candidate, "", nil)
 	delay := micro.Time(rand.Int64N(int64(maxCampaignDelay)))
 	if deferring {
-		delay += headStart
+		delay += deferralDelay
 	}
 	e.sleep(ctx, delay)
 	sent := e.Now()
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	ttl   = 10 * micro.Second
-	renew = 2 * micro.Second
+	ttl           = 10 * micro.Second
+	renewInterval = 2 * micro.Second
 )
 
 // testCluster is a store with nodes that elect a leader, in fake time.
@@ -58,7 +58,7 @@
 func (c *testCluster) startNode(name string, drift int64, options ...func(*testNode)) *testNode {
 	member := &testNode{link: fake.NewLink(c.store, rand.New(rand.NewPCG(1, 2)))}
 	member.Election = &Election{
-		Node: name, Nonce: "now", Store: member.link, TTL: ttl, RenewInterval: renew,
+		Node: name, Nonce: "now", Store: member.link, TTL: ttl, RenewInterval: renewInterval,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: c.clock(drift),
 		OnStartedLeading: func(t *Term) { member.startedTerms = append(member.startedTerms, t) },
 		OnStoppedLeading: func(t *Term) { member.endedTerms = append(member.endedTerms, t) },
@@ -188,7 +188,7 @@
 		if err := cluster.store.Revoke(context.Background(), term.Lease); err != nil {
 			t.Fatal(err)
 		}
-		cluster.advance(renew)
+		cluster.advance(renewInterval)
 		if term.HoldsLease(member.Now()) || member.Term() != nil || member.Leader() != "" {
 			t.Error("leads without a lease")
 		}
--- a/internal/leasekeeper/fence_test.go
+++ b/internal/leasekeeper/fence_test.go
@@ -11,8 +11,8 @@
 // testZones has two nodes in the leader's zone, the leader included, and two in another.
 func testZones() map[string]string { return map[string]string{"n-1": "b", "n-2": "b", "n-3": "a"} }
 
-// fence is one request that is answered with a fence, and the confirmation, without delay.
-func fence(proxy *Proxy, bound *RenewalBound, now micro.Time) {
+// exchangeFence is one request that is answered with a exchangeFence, and the confirmation, without delay.
+func exchangeFence(proxy *Proxy, bound *RenewalBound, now micro.Time) {
 	proxy.Request(now)
 	answer := bound.Fence(now)
 	if proxy.HandleFence(now) {
@@ -28,8 +28,8 @@
 	const termStart = 3 * micro.Second
 	bound := NewRenewalBound(7, termStart, testWindow, testZones(), "a")
 	const fencedAt = 4 * micro.Second
-	fence(proxy, bound, fencedAt)
-	fence(&Proxy{Node: "n-2", Log: proxy.Log}, bound, fencedAt)
+	exchangeFence(proxy, bound, fencedAt)
+	exchangeFence(&Proxy{Node: "n-2", Log: proxy.Log}, bound, fencedAt)
 	for now := fencedAt; now < fencedAt+testWindow; now += RequestInterval {
 		proxy.RecordProbe(true, false, now)
 		if proxy.TryRenew(now) {
@@ -55,7 +55,7 @@
 	proxies := []*Proxy{newProxy("n-1"), newProxy("n-2")}
 	const fencedAt = 4 * micro.Second
 	for _, proxy := range proxies {
-		fence(proxy, bound, fencedAt)
+		exchangeFence(proxy, bound, fencedAt)
 	}
 	const fromTermStart = termStart + testWindow
 	if limit := bound.RenewalLimit("b", fencedAt+1); limit < fromTermStart {
@@ -64,7 +64,7 @@
 	const answeredAt = 6 * micro.Second
 	for _, proxy := range proxies {
 		bound.HandleRequest(proxy.Request(answeredAt), answeredAt)
-		fence(proxy, bound, answeredAt+RequestInterval)
+		exchangeFence(proxy, bound, answeredAt+RequestInterval)
 	}
 	const fromAnswer = answeredAt + testWindow
 	if limit := bound.RenewalLimit("b", answeredAt+2*RequestInterval); limit < fromAnswer {
@@ -76,7 +76,7 @@
 func TestNextAnswerEndsAFence(t *testing.T) {
 	proxy := newProxy("n-1")
 	bound := NewRenewalBound(7, 0, testWindow, testZones(), "a")
-	fence(proxy, bound, micro.Second)
+	exchangeFence(proxy, bound, micro.Second)
 	exchange(proxy, bound, 2*micro.Second)
 	now := 2*micro.Second + renewAfter
 	proxy.RecordProbe(true, false, now)
@@ -116,9 +116,9 @@
 // Whatever is lost, late or overtaken, and whenever a zone is fenced: no lease that a proxy
 // renewed may outlive the time from which the leader releases allocations.
 func TestNoLeaseOutlivesTheBoundOfAFencedZone(t *testing.T) {
-	totals := fencedDay{}
+	totals := fenceSimulation{}
 	for seed := range uint64(300) {
-		day := newFencedDay(seed)
+		day := newFenceSimulation(seed)
 		for day.now < 3*micro.Minute {
 			day.step()
 			if day.violated() {
@@ -134,8 +134,8 @@
 	}
 }
 
-// fencedDay plays a leader, two lease proxies of one zone, and the network between them.
-type fencedDay struct {
+// fenceSimulation plays a leader, two lease proxies of one zone, and the network between them.
+type fenceSimulation struct {
 	random      *rand.Rand
 	now         micro.Time
 	term        uint64
@@ -155,38 +155,38 @@
 	apply func()
 }
 
-func newFencedDay(seed uint64) *fencedDay {
-	return &fencedDay{
+func newFenceSimulation(seed uint64) *fenceSimulation {
+	return &fenceSimulation{
 		random: rand.New(rand.NewPCG(seed, 23)), now: micro.Second, term: 1,
 		bound: NewRenewalBound(1, 0, testWindow, testZones(), "a"), proxies: []*Proxy{newProxy("n-1"), newProxy("n-2")},
 	}
 }
 
-// chance is true once in so many steps.
-func (d *fencedDay) chance(oneIn int) bool { return d.random.IntN(oneIn) == 0 }
+// oneIn is true once in so many steps.
+func (d *fenceSimulation) oneIn(oneIn int) bool { return d.random.IntN(oneIn) == 0 }
 
 // send delivers later, or never: what is sent in a partition may be held up until long after.
-func (d *fencedDay) send(apply func()) {
-	if d.chance(10) {
+func (d *fenceSimulation) send(apply func()) {
+	if d.oneIn(10) {
 		return
 	}
 	latency := micro.Time(d.random.Int64N(int64(600 * micro.Millisecond)))
-	if d.partitioned || d.chance(30) {
+	if d.partitioned || d.oneIn(30) {
 		latency += micro.Time(d.random.Int64N(int64(20 * micro.Second)))
 	}
 	d.network = append(d.network, delivery{d.now + latency, apply})
 }
 
 // step is a tenth of a second.
-func (d *fencedDay) step() {
+func (d *fenceSimulation) step() {
 	d.now += 100 * micro.Millisecond
-	if d.chance(150) {
+	if d.oneIn(150) {
 		d.fenced = !d.fenced
 	}
-	if d.chance(200) {
+	if d.oneIn(200) {
 		d.partitioned = !d.partitioned
 	}
-	if d.chance(900) { // another leads
+	if d.oneIn(900) { // another leads
 		d.term++
 		d.bound = NewRenewalBound(d.term, d.now, testWindow, testZones(), "a")
 	}
@@ -204,26 +204,26 @@
 	}
 }
 
-func (d *fencedDay) stepProxy(i int) {
-	if d.chance(1200) { // a process ends and is back at once
+func (d *fenceSimulation) stepProxy(i int) {
+	if d.oneIn(1200) { // a process ends and is back at once
 		d.proxies[i] = newProxy(d.proxies[i].Node)
 	}
 	proxy := d.proxies[i]
-	if d.chance(10) {
+	if d.oneIn(10) {
 		sent, request := d.now, proxy.Request(d.now)
 		d.send(func() { d.answer(proxy, request, sent) })
 	}
-	if d.partitioned || d.chance(100) {
+	if d.partitioned || d.oneIn(100) {
 		proxy.RecordProbe(true, false, d.now)
 	}
-	if d.chance(3) && proxy.TryRenew(d.now) {
+	if d.oneIn(3) && proxy.TryRenew(d.now) {
 		d.renewals++
 		d.latestLease = max(d.latestLease, d.now+testLease)
 	}
 }
 
 // answer has the leader answer a request: the proxy takes in what arrives, and confirms fences.
-func (d *fencedDay) answer(proxy *Proxy, request Request, sent micro.Time) {
+func (d *fenceSimulation) answer(proxy *Proxy, request Request, sent micro.Time) {
 	if !d.fenced {
 		timestamp := d.bound.HandleRequest(request, d.now)
 		d.send(func() { proxy.HandleResponse(sent, d.now, timestamp) })
@@ -241,7 +241,7 @@
 }
 
 // violated reports whether the leader takes leases for expired while one may run.
-func (d *fencedDay) violated() bool {
+func (d *fenceSimulation) violated() bool {
 	if d.now <= d.bound.RenewedUntil("b", d.now)+testLease+testLease/500+micro.Second {
 		return false
 	}
--- a/internal/leasekeeper/guards_test.go
+++ b/internal/leasekeeper/guards_test.go
@@ -6,18 +6,18 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// clockOf is a steady clock that is fast by so many parts of 1e4; slow if negative.
-func clockOf(fast int64) func(now micro.Time) micro.Time {
+// driftingClock is a steady clock that is fast by so many parts of 1e4; slow if negative.
+func driftingClock(fast int64) func(now micro.Time) micro.Time {
 	return func(now micro.Time) micro.Time { return now + now*micro.Time(fast)/10000 }
 }
 
-// worstDrift is the most that two steady clocks may part, in parts of 1e4.
-const worstDrift = 20
+// maxDrift is the most that two steady clocks may part, in parts of 1e4.
+const maxDrift = 20
 
-// lastRenewal lets a lease proxy, whose zone has been cut off, try to renew a lease each
+// renewForWindow lets a lease proxy, whose zone has been cut off, try to renew a lease each
 // millisecond until its span is surely over. It gives the true times of the first and
 // the last renewal.
-func lastRenewal(
+func renewForWindow(
 	t *testing.T, proxy *Proxy, clock func(micro.Time) micro.Time, from micro.Time,
 ) (first, last micro.Time) {
 	t.Helper()
@@ -61,13 +61,13 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			clock := clockOf(-worstDrift)
+			clock := driftingClock(-maxDrift)
 			proxy := newProxy("n-1")
 			bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "b", "n-3": "a"}, "a")
 			for _, now := range []micro.Time{answered - RequestInterval, answered} {
 				proxy.HandleResponse(clock(now), clock(now), bound.HandleRequest(proxy.Request(clock(now)), now))
 			}
-			_, last := lastRenewal(t, proxy, clock, answered+micro.Millisecond)
+			_, last := renewForWindow(t, proxy, clock, answered+micro.Millisecond)
 			if last <= answered+testWindow {
 				t.Fatalf("the clock is not slow enough for the test: renewed until %v after the answer", last-answered)
 			}
@@ -82,7 +82,7 @@
 // late as it may be, and its next one's answer was lost: it begins to renew leases sooner
 // than by the leader's clock. The leader no longer takes it to be in touch then.
 func TestProxyWithAFastClockIsDisconnectedOnceItRenews(t *testing.T) {
-	clock := clockOf(worstDrift)
+	clock := driftingClock(maxDrift)
 	proxy := newProxy("n-1")
 	bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "b", "n-3": "a"}, "a")
 	const sent = 10 * micro.Second
@@ -96,7 +96,7 @@
 	other := newProxy("n-2")
 	exchange(other, bound, sent+2*RequestInterval)
 	exchange(other, bound, sent+3*RequestInterval)
-	first, _ := lastRenewal(t, proxy, clock, sent+RequestInterval+micro.Millisecond)
+	first, _ := renewForWindow(t, proxy, clock, sent+RequestInterval+micro.Millisecond)
 	if first >= sent+renewAfter {
 		t.Fatalf("the clock is not fast enough for the test: renewed %v after the request", first-sent)
 	}
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -71,11 +71,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, heard := b.lastRequests[node]
-	return heard && now-at < missedRequests*RequestInterval
+	return heard && now-at < missedRequestLimit*RequestInterval
 }
 
-// missedRequests is how many requests of a node that fail to come show that it is out of reach.
-const missedRequests = 3
+// missedRequestLimit is how many requests of a node that fail to come show that it is out of reach.
+const missedRequestLimit = 3
 
 // HandleRequest takes in a node's request and gives the answer to it; the caller must still
 // hold the leadership lease when it sends that.
@@ -136,7 +136,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var until micro.Time
-	b.eachContact(zone, func(contact *nodeContact) {
+	b.forEachContact(zone, func(contact *nodeContact) {
 		renewedUntil := contact.renewedUntil
 		if !contact.connected(now) && !contact.fenced() {
 			renewedUntil = max(renewedUntil, min(now, contact.lastAnswer+b.window+clockDrift(b.window)))
@@ -177,7 +177,7 @@
 	if b.leaderZone != "" && (zone == "" || zone == b.leaderZone) {
 		limit = now + b.window + clockDrift(b.window) // the leader may become a lease proxy itself
 	}
-	b.eachContact(zone, func(contact *nodeContact) {
+	b.forEachContact(zone, func(contact *nodeContact) {
 		renewableUntil := contact.lastAnswer + b.window + clockDrift(b.window)
 		if contact.connected(now) {
 			renewableUntil = now + b.window + clockDrift(b.window)
@@ -187,7 +187,7 @@
 	return limit
 }
 
-func (b *RenewalBound) eachContact(zone string, f func(*nodeContact)) {
+func (b *RenewalBound) forEachContact(zone string, f func(*nodeContact)) {
 	for candidate, nodes := range b.zones {
 		if zone == "" || zone == candidate {
 			for _, node := range nodes {
--- a/internal/shard/ownership/ownership.go
+++ b/internal/shard/ownership/ownership.go
@@ -87,7 +87,7 @@
 		Key: shard.SessionKey(config.Node), Node: config.Node, Nonce: rand.Text(), Store: deps.Store,
 		TTL: config.SessionTTL, RenewInterval: config.RenewInterval, Features: features,
 		AcquisitionChanges: []wire.Change{announcement},
-		Log:     deps.Log.With("session", config.Node), Now: deps.Now,
+		Log:                deps.Log.With("session", config.Node), Now: deps.Now,
 		OnStartedLeading: owners.sessionStarted, OnStoppedLeading: owners.sessionEnded,
 	}
 	return owners
