--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -267,8 +267,10 @@
 		return false
 	}
 	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Transaction{
-		If:   []wire.Precondition{{Key: e.key()}},
-		Then: append([]wire.Change{{Put: e.key(), Value: e.record(lease), Lease: wire.Count(lease)}}, e.AcquisitionChanges...),
+		If: []wire.Precondition{{Key: e.key()}},
+		Then: append(
+			[]wire.Change{{Put: e.key(), Value: e.record(lease), Lease: wire.Count(lease)}}, e.AcquisitionChanges...,
+		),
 	})
 	if err != nil {
 		if !errors.Is(err, store.ErrConflict) {
