--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -1,11 +1,11 @@
-// Package detector is the failure detector of a controller: from the heartbeats of agents,
-// and from their absence, it tells dead machines from partitions, and a partition of some
-// agents from one of this node from all of them.
+// Package detector is the failure detector of a controller. From received and missing heartbeats
+// it distinguishes dead machines from network partitions, and a partition of some agents from a
+// partition that separates this node from all of them.
 //
-// A Detector owns what is known of heartbeats as a whole (what a single machine showed is the
-// cluster's): when this node last began to listen, which zones are suspected to be
-// partitioned, and for how long no agent at all has reached this node. All of it belongs to
-// the goroutine of the event loop that the Detector was made for, which alone may call it.
+// A Detector holds the state that concerns heartbeats of all machines: when this node last started
+// to receive heartbeats, which zones are suspected to be partitioned, and for how long no agent has
+// reached this node. The state of a single machine is kept by package cluster. A Detector may be
+// used only by the goroutine of the event loop that it was created for.
 package detector
 
 import (
@@ -14,35 +14,37 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// FencingTokens tells which fencing token commands carry now.
+// FencingTokens provides the fencing token that commands carry now.
 type FencingTokens interface{ FencingToken() uint64 }
 
-// Host is what a Detector needs of the loop that it watches over the machines for.
+// Host is implemented by the event loop that owns a Detector: the leader's or a shard owner's.
 type Host interface {
-	// InventoryReadAt is when the list of instances that was read last was asked for; 0 if
-	// none was read.
+	// InventoryReadAt returns when the most recently read list of instances was requested, or 0
+	// if none was read yet.
 	InventoryReadAt() micro.Time
-	// UnreportedFor is for how long the owner of a machine's shard has not said that it is up,
-	// though it would have by now; 0: it has, or is not known to have had the time.
+	// UnreportedFor returns for how long the owner of a machine's shard should have reported the
+	// machine up but has not. It returns 0 if the owner has reported it, or may not have had the
+	// time to.
 	UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time
-	// Terminate marks a machine to be terminated.
+	// Terminate marks a machine for termination.
 	Terminate(machine *cluster.Machine, reason string)
-	// HandleUnreachableAgents has another node take over, since no agent reaches this one.
+	// HandleUnreachableAgents is called when no agent seems to reach this node, so that another
+	// node may take over.
 	HandleUnreachableAgents(now micro.Time)
 }
 
-// Dependencies are what a Detector works with.
+// Dependencies holds the collaborators and settings of a Detector.
 type Dependencies struct {
 	Cluster *cluster.State
 	Config  *config.Config
-	// MaxInventoryAge is how old a list of instances may be by which machines are terminated.
+	// MaxInventoryAge is the greatest age of a list of instances on which a termination may be based.
 	MaxInventoryAge micro.Time
 	FencingTokens   FencingTokens
 	Handovers       *LeadershipHandovers
 	Host            Host
 }
 
-// Detector watches over the machines of one term, or of one ownership of a shard.
+// Detector detects failed machines during one leadership term or one ownership of a shard.
 type Detector struct {
 	cluster         *cluster.State
 	config          *config.Config
@@ -52,14 +54,14 @@
 	host            Host
 
 	listening      listening
-	suspectedZones map[string]micro.Time // when a zone last missed too many for dead machines
+	suspectedZones map[string]micro.Time // when a zone last missed too many heartbeats to be explained by dead machines
 	reachability   reachability
 	heartbeats     uint64       // heartbeats received
-	gap            heartbeatGap // for how long there was none
-	overrunCursor  int          // next machine to check for tasks that overrun
+	gap            heartbeatGap // detects a time without heartbeats of any agent
+	overrunCursor  int          // index of the machine last checked for tasks that overrun
 }
 
-// New makes a Detector.
+// New returns a Detector that has received no heartbeats.
 func New(deps Dependencies) *Detector {
 	return &Detector{
 		cluster:         deps.Cluster,
@@ -72,42 +74,42 @@
 	}
 }
 
-// CountHeartbeat notes that an agent's heartbeat reached this node.
+// CountHeartbeat records that an agent's heartbeat reached this node.
 func (d *Detector) CountHeartbeat() { d.heartbeats++ }
 
-// Heartbeats is how many heartbeats were received.
+// Heartbeats returns the number of heartbeats received.
 func (d *Detector) Heartbeats() uint64 { return d.heartbeats }
 
-// maxTickGap is the longest time between two ticks in which this node counts as having
-// listened.
+// maxTickGap is the longest time between two ticks for which this node is assumed to have been
+// running and receiving heartbeats.
 const maxTickGap = 2 * micro.Second
 
-// listening is since when this node takes heartbeats in.
+// listening tracks since when this node has been receiving heartbeats without interruption.
 type listening struct {
 	leaseLapsed bool
-	resumedAt   micro.Time // when this node last came to listen again
+	resumedAt   micro.Time // when this node last started or resumed receiving heartbeats
 	lastTick    micro.Time
 }
 
-// ObserveLease takes in, with each tick, whether the lease is held, and notes when this node
-// came to listen again. It returns holdsLease.
+// ObserveLease records, on each tick, whether this node holds its lease, and when it resumed
+// receiving heartbeats after a lapse of the lease or a process pause. It returns holdsLease.
 func (d *Detector) ObserveLease(holdsLease bool, now micro.Time) bool {
 	if !holdsLease {
 		d.listening.leaseLapsed = true
 		return false
 	}
 	if d.listening.leaseLapsed || now-d.listening.lastTick > maxTickGap {
-		// The lease had lapsed, or this process got no time: no heartbeats were taken in.
+		// No heartbeats were processed while the lease had lapsed or the process was paused.
 		d.listening.leaseLapsed, d.listening.resumedAt, d.gap = false, now, heartbeatGap{}
 	}
 	d.listening.lastTick = now
 	return true
 }
 
-// SinceHeartbeat is how long no heartbeat of a machine came while this node was listening:
-// while its lease had lapsed, it turned every agent away. Counted from the last
-// heartbeat alone, an outage of the store once had eleven live machines terminated in
-// the moment it ended.
+// SinceHeartbeat returns for how long no heartbeat of a machine has arrived while this node was
+// receiving heartbeats. A node without a lease refuses all heartbeats, so that time must not count:
+// when the time was counted from the last heartbeat alone, eleven live machines were terminated at
+// the moment an outage of the store ended.
 func (d *Detector) SinceHeartbeat(machine *cluster.Machine, now micro.Time) micro.Time {
 	return now - max(machine.LastHeartbeat, d.cluster.TermStartedAt, d.listening.resumedAt)
 }
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// noEffects is a cluster's effects where none matters.
+// noEffects implements the effects of a cluster.State and does nothing.
 type noEffects struct{}
 
 func (noEffects) ChunkDirty(*cluster.TaskChunk)                           {}
@@ -25,11 +25,11 @@
 func (noEffects) ScheduleSoon()                                           {}
 func (noEffects) Log(string, ...any)                                      {}
 
-// fakeHost notes what a detector asks for.
+// fakeHost is a Host that records the calls of a Detector.
 type fakeHost struct {
 	inventoryReadAt  micro.Time
 	unreported       micro.Time
-	terminated       map[string]string // reasons, by machine
+	terminated       map[string]string // reason by machine name
 	unreachableCalls int
 }
 
@@ -49,7 +49,7 @@
 	token     = fixedToken(100)
 )
 
-// testDetector is a detector of a term that has just started, without machines.
+// testDetector is a Detector of a term that has just started, without machines.
 type testDetector struct {
 	*Detector
 	host *fakeHost
@@ -72,7 +72,7 @@
 	return test
 }
 
-// addMachines adds machines of one zone; prepare sets what is known of each.
+// addMachines adds the machines numbered from from to to-1 to one zone; prepare sets the state of each.
 func (test *testDetector) addMachines(from, to int, prepare func(*cluster.Machine)) {
 	for i := from; i < to; i++ {
 		machine := test.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), termStart)
@@ -81,7 +81,8 @@
 	}
 }
 
-// upWithHeartbeatAt makes a machine one that is up, and was last heard at a time.
+// upWithHeartbeatAt returns a function that marks a machine as up with its last heartbeat at the given
+// time.
 func (test *testDetector) upWithHeartbeatAt(at micro.Time) func(*cluster.Machine) {
 	return func(machine *cluster.Machine) {
 		test.cluster.TransitionMachine(machine, cluster.Up, "for a test")
@@ -89,10 +90,10 @@
 	}
 }
 
-func TestMachinesThatDieAreTerminatedAndPartitionedOnesAreNot(t *testing.T) {
+func TestDeadMachinesAreTerminatedAndPartitionedOnesAreNot(t *testing.T) {
 	for name, row := range map[string]struct{ missing, terminated int }{
-		"a few of a zone died": {missing: 3, terminated: 3},
-		"half of a zone":       {missing: 5, terminated: 0},
+		"three of ten missing are terminated": {missing: 3, terminated: 3},
+		"half of the zone missing is kept":    {missing: 5, terminated: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			test := newTestDetector()
@@ -103,52 +104,56 @@
 			test.addMachines(row.missing, 10, test.upWithHeartbeatAt(at))
 			test.Sweep(at)
 			if got := len(test.host.terminated); got != row.terminated {
-				t.Errorf("terminated: %v", test.host.terminated)
+				t.Errorf("%d machines terminated, want %d: %v", got, row.terminated, test.host.terminated)
 			}
 			for i := range row.missing {
 				machine := test.cluster.Machines[fmt.Sprintf("i-%06d", i)]
 				if machine.State != cluster.Suspect || machine.RequiredFencingToken != uint64(token)+1 {
-					t.Errorf("%s: %v, required token %d", machine.Name, machine.State, machine.RequiredFencingToken)
+					t.Errorf("%s: state %v, required token %d; want suspect and the next token", machine.Name, machine.State,
+						machine.RequiredFencingToken)
 				}
 			}
 		})
 	}
 }
 
-// A leader that no agent reaches has another take over, once it has found so for a while.
-func TestLeaderThatNoAgentReachesHandsOver(t *testing.T) {
+// A leader that no agent reaches hands over, but only after it has been unreachable for
+// minUnreachableTime.
+func TestUnreachableLeaderHandsOverAfterMinUnreachableTime(t *testing.T) {
 	test := newTestDetector()
 	test.addMachines(0, 4, test.upWithHeartbeatAt(termStart))
 	at := termStart + micro.Minute
 	test.listening.resumedAt = termStart
 	test.Sweep(at)
 	if test.host.unreachableCalls != 0 {
-		t.Fatal("handed over at once")
+		t.Fatal("handed over on the first sweep")
 	}
 	test.Sweep(at + minUnreachableTime + 1)
 	if test.host.unreachableCalls != 1 {
-		t.Errorf("%d handovers", test.host.unreachableCalls)
+		t.Errorf("%d handovers, want 1", test.host.unreachableCalls)
 	}
 }
 
-func TestMachinesThatNeverRegisteredAreGivenUpForAReason(t *testing.T) {
+func TestUnregisteredMachineIsTerminatedWithReason(t *testing.T) {
 	at := termStart + 10*micro.Minute
 	boot := defaultBootTime
 	for name, row := range map[string]struct {
-		listed micro.Time // when it was last listed; 0: never
+		listed micro.Time // time of the last list that showed it; 0: never
 		state  wire.MachineState
 		age    micro.Time
 		want   string
 	}{
-		"requested just now": {age: micro.Second},
+		"recently requested": {age: micro.Second},
 		"never listed":       {age: 9 * boot, want: "never listed, no heartbeat"},
 		"no longer listed": {
 			listed: at - micro.Minute, state: wire.MachineRunning, age: 2 * boot, want: "no longer listed, no heartbeat",
 		},
-		"boots":              {listed: at, state: wire.MachineBooting, age: boot},
-		"boots for too long": {listed: at, state: wire.MachineBooting, age: 9 * boot, want: "did not come up"},
-		"runs, not for long": {listed: at, state: wire.MachineRunning, age: 2 * boot},
-		"runs for long": {
+		"booting within its boot time": {listed: at, state: wire.MachineBooting, age: boot},
+		"booting for longer than timeout": {
+			listed: at, state: wire.MachineBooting, age: 9 * boot, want: "did not boot in time",
+		},
+		"running for less than three boots": {listed: at, state: wire.MachineRunning, age: 2 * boot},
+		"running for more than three boots": {
 			listed: at, state: wire.MachineRunning, age: 9 * boot, want: "listed as running, no heartbeat",
 		},
 	} {
@@ -161,44 +166,45 @@
 			test.addMachines(1, 10, test.upWithHeartbeatAt(at))
 			test.Sweep(at)
 			if got := test.host.terminated["i-000000"]; got != row.want {
-				t.Errorf("reason %q, want %q", got, row.want)
+				t.Errorf("termination reason %q, want %q", got, row.want)
 			}
 		})
 	}
 }
 
-// Where all machines had died, the nodes once handed the leadership round for ever.
-func TestHandoversInVainEnd(t *testing.T) {
+// When all machines had died, the nodes handed the leadership around without end: no term lasted long
+// enough to detect the dead machines.
+func TestConsecutiveHandoversAreLimited(t *testing.T) {
 	const window = 60 * micro.Second
 	handovers := &LeadershipHandovers{}
 	at := termStart
 	for n := range MaxLeadershipHandovers {
 		if !handovers.Begin(at, at-micro.Second, window) {
-			t.Fatalf("handover %d refused", n)
+			t.Fatalf("handover %d of %d refused", n+1, MaxLeadershipHandovers)
 		}
 		at += 30 * micro.Second
 	}
 	if handovers.Begin(at, at-micro.Second, window) {
-		t.Error("one more after as many in vain")
+		t.Error("a further handover was allowed after the maximum of consecutive ones")
 	}
 	at += 3 * window
 	if !handovers.Begin(at, at-micro.Second, window) {
-		t.Error("refused long after the others")
+		t.Error("handover refused though the previous ones were outside the window")
 	}
 	for range MaxLeadershipHandovers {
 		handovers.Begin(at, at, window)
 	}
 	handovers.Reset()
 	if !handovers.Begin(at, at, window) {
-		t.Error("refused though agents reached this node meanwhile")
+		t.Error("handover refused after a reset")
 	}
 }
 
-// sweepInterval is how often these tests look for reports, as the leader's scan does.
+// sweepInterval is the time between two sweeps, the same as in the leader.
 const sweepInterval = 500 * micro.Millisecond
 
-// sweepsUntilGapExceeded counts the looks, without a heartbeat between them, after which the
-// silence of so many live agents is too long; at most so many looks are made.
+// sweepsUntilGapExceeded returns the number of checks without heartbeats after which the gap is exceeded
+// for the given number of machines that are up, or 0 if it is not exceeded after most checks.
 func sweepsUntilGapExceeded(s *heartbeatGap, up, most int, from micro.Time) int {
 	const interval = 7500 * micro.Millisecond
 	s.exceeded(1, up, from, interval)
@@ -210,37 +216,38 @@
 	return 0
 }
 
-func TestHeartbeatGapOfAllAgentsIsTooLongByTheHeartbeatsDue(t *testing.T) {
-	for _, row := range []struct{ up, looks int }{
-		{1500, 5}, // 2.5 s, the shortest spell
-		{60, 10},  // 40 reports of 60 agents that heartbeat each 7.5 s take 5 s
-		{10, 0},   // single machines are found silent sooner
+func TestHeartbeatGapIsExceededByNumberOfHeartbeatsDue(t *testing.T) {
+	for _, row := range []struct{ up, checks int }{
+		{1500, 5}, // 2.5 s, the shortest gap that counts
+		{60, 10},  // 60 agents with a heartbeat each 7.5 s send 40 heartbeats in 5 s
+		{10, 0},   // the machines become suspect one by one before that
 		{0, 0},
 	} {
 		s := heartbeatGap{}
-		if got := sweepsUntilGapExceeded(&s, row.up, 20, micro.Second); got != row.looks {
-			t.Errorf("%d workers: too long after %d looks, want %d", row.up, got, row.looks)
+		if got := sweepsUntilGapExceeded(&s, row.up, 20, micro.Second); got != row.checks {
+			t.Errorf("%d machines up: gap exceeded after %d checks, want %d", row.up, got, row.checks)
 		}
 	}
 }
 
-func TestOneHeartbeatEndsAGap(t *testing.T) {
+func TestOneHeartbeatEndsHeartbeatGap(t *testing.T) {
 	s := heartbeatGap{}
 	const interval = 7500 * micro.Millisecond
-	for n := range micro.Time(40) { // one heartbeat in each second look
+	for n := range micro.Time(40) { // one heartbeat in every two checks
 		if s.exceeded(uint64(n/2), 1500, micro.Second+n*sweepInterval, interval) {
-			t.Fatalf("look %d: too long while workers report", n)
+			t.Fatalf("check %d: gap exceeded though heartbeats arrive", n)
 		}
 	}
 }
 
-// A process that stood still has not listened in that time, however long it was.
-func TestTimeWithoutTheProcessorIsNoHeartbeatGap(t *testing.T) {
+// A paused process does not receive heartbeats, so the time of the pause must not count as a gap,
+// however long it was.
+func TestProcessPauseIsNoHeartbeatGap(t *testing.T) {
 	s := heartbeatGap{}
 	const interval = 7500 * micro.Millisecond
 	s.exceeded(1, 1500, micro.Second, interval)
 	if s.exceeded(1, 1500, 31*micro.Second, interval) {
-		t.Fatal("one look after 30 s counts as 30 s of listening")
+		t.Fatal("gap exceeded: one check after a pause of 30 s counts as 30 s without heartbeats")
 	}
 }
 
@@ -250,24 +257,24 @@
 		died         bool
 	}{{1, 10, true}, {3, 10, true}, {5, 10, false}, {10, 10, false}, {1, 1, false}, {1, 2, true}} {
 		if got := indicatesFailure(c.missing, c.all); got != c.died {
-			t.Errorf("%d of %d silent: taken for dead: %v", c.missing, c.all, got)
+			t.Errorf("%d of %d missing: indicates failure %v, want %v", c.missing, c.all, got, c.died)
 		}
 	}
 }
 
-// A leader whose dead machines have not expired yet returned the one machine that was up, and
-// took it for a sign that no agent reaches it: it handed over, and the next leaders did the
-// same, for ever. Machines that were suspect while another reached this node say nothing of
-// that; see TestLeaderIsReachedByOneAgentWhileDeadMachinesHoldTheQuota.
-func TestMachinesThatWereSuspectWhileAnotherReachedTheLeaderAreNoReasonToHandOver(t *testing.T) {
+// A leader whose dead machines had not expired yet terminated the only machine that was up. It concluded
+// that no agent reached it and handed over, and so did the next leaders, without end. Machines that were
+// suspect already when another agent reached this node must not cause a handover; see
+// TestLeaderIsReachedByOneAgentWhileDeadMachinesHoldTheQuota.
+func TestMachinesSuspectBeforeLastContactDoNotCauseHandover(t *testing.T) {
 	for name, row := range map[string]struct {
-		lastHeartbeat micro.Time // of the one machine that is up for a while, after the others' last
-		returned      bool       // it is returned; else it falls silent as well
+		lastHeartbeat micro.Time // of the fifth machine, after the last heartbeats of the others
+		terminated    bool       // it is terminated; otherwise it only stops sending heartbeats
 		handovers     int
 	}{
-		"returned, after the others were suspect": {lastHeartbeat: 20 * micro.Second, returned: true},
-		"silent, after the others were suspect":   {lastHeartbeat: 20 * micro.Second},
-		"silent at about the time of the others":  {lastHeartbeat: 5 * micro.Second, handovers: 1},
+		"terminated after the others became suspect": {lastHeartbeat: 20 * micro.Second, terminated: true},
+		"silent after the others became suspect":     {lastHeartbeat: 20 * micro.Second},
+		"silent shortly after the others":            {lastHeartbeat: 5 * micro.Second, handovers: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			test := newTestDetector()
@@ -283,7 +290,7 @@
 				}
 			}
 			sweepUntil(last)
-			if row.returned {
+			if row.terminated {
 				test.cluster.TransitionMachine(reached, cluster.Terminating, "idle")
 			}
 			sweepUntil(last + test.config.SuspectAfter + minUnreachableTime + 2*sweepInterval)
@@ -294,15 +301,16 @@
 	}
 }
 
-// One machine that comes up for a moment does not make a leader forget that it handed over in
-// vain: in fleets that boot at once, each term saw one, and none of the nodes ever stayed.
-func TestHandoversAreForgottenOnlyOnceAgentsReachThisNodeForAWhile(t *testing.T) {
+// A machine that is up for a short time must not reset the number of consecutive handovers: when all
+// machines of a cluster booted at the same time, each term had such a machine, and no node ever kept
+// the leadership.
+func TestHandoverCountIsResetOnlyAfterAgentsReachNodeLongEnough(t *testing.T) {
 	for name, row := range map[string]struct {
 		reachedFor micro.Time
-		forgotten  bool
+		reset      bool
 	}{
-		"a moment":                         {reachedFor: 3 * micro.Second},
-		"longer than until one is suspect": {reachedFor: 20 * micro.Second, forgotten: true},
+		"shorter than SuspectAfter": {reachedFor: 3 * micro.Second},
+		"longer than SuspectAfter":  {reachedFor: 20 * micro.Second, reset: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			test := newTestDetector()
@@ -316,21 +324,21 @@
 				test.ObserveLease(true, at)
 				test.Sweep(at)
 			}
-			if got := test.handovers.Begin(termStart, termStart, window); got != row.forgotten {
-				t.Errorf("may hand over: %v, want %v", got, row.forgotten)
+			if got := test.handovers.Begin(termStart, termStart, window); got != row.reset {
+				t.Errorf("handover allowed: %v, want %v", got, row.reset)
 			}
 		})
 	}
 }
 
-// A leader and the owner of a shard on one node are reached by the same network: an agent that
-// reaches the owner shows that those that the leader misses are dead, or partitioned by
-// themselves. The leader handed over nevertheless, and since the owner's machines were up, the
-// node forgot each time that it had.
-func TestAgentThatReachesAShardOwnerOnThisNodeIsNoReasonToHandOverTheLead(t *testing.T) {
+// A leader and a shard owner on one node are reached through the same network: if an agent reaches the
+// owner, the leader's missing machines are dead or partitioned themselves. The leader handed over
+// nevertheless, and because the owner's machines were up, the number of consecutive handovers was reset
+// each time.
+func TestLeaderDoesNotHandOverWhileShardOwnerOnSameNodeIsReached(t *testing.T) {
 	for name, row := range map[string]struct{ reached, handsOver bool }{
-		"the owner is reached":     {reached: true},
-		"the owner is not reached": {handsOver: true},
+		"owner reached, no handover":    {reached: true},
+		"owner not reached, hands over": {handsOver: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader, owner := newTestDetector(), newTestDetector()
--- a/internal/detector/guards_test.go
+++ b/internal/detector/guards_test.go
@@ -8,19 +8,19 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// While the lease had lapsed, or the process stood still, agents were turned away: that no
-// heartbeat of theirs came says nothing of their machines.
-func TestTimeSinceHeartbeatCountsFromWhenTheLeaderListensAgain(t *testing.T) {
+// While the lease had lapsed or the process was paused, no heartbeats were accepted. That time must not
+// count as time without a heartbeat of a machine.
+func TestTimeSinceHeartbeatExcludesLeaseLapseAndProcessPause(t *testing.T) {
 	const leaseSpan = 10 * micro.Minute
 	for _, c := range []struct {
 		name   string
 		lapsed bool
 		gap    micro.Time
-		counts bool // from when it listens again
+		resets bool // the time counts only from the end of the gap
 	}{
-		{"listened all the time", false, micro.Second, false},
+		{"no interruption", false, micro.Second, false},
 		{"lease lapsed", true, micro.Second, true},
-		{"process stood still", false, 3 * micro.Second, true},
+		{"process paused", false, 3 * micro.Second, true},
 	} {
 		test := newTestDetector()
 		var machine *cluster.Machine
@@ -32,13 +32,13 @@
 		term := election.NewTerm(5, at+leaseSpan)
 		observe := func() bool { return test.ObserveLease(term.HoldsLease(at), at) }
 		if !observe() {
-			t.Fatal("the lease is held")
+			t.Fatal("lease not held at the start")
 		}
 		at += c.gap
 		if c.lapsed {
 			term.Extend(at)
 			if observe() {
-				t.Fatal("the lease has lapsed")
+				t.Fatal("lease still held after its end")
 			}
 			term.Extend(at + leaseSpan)
 		}
@@ -46,26 +46,27 @@
 		at += micro.Second
 		observe()
 		want := c.gap + micro.Second
-		if c.counts {
+		if c.resets {
 			want = micro.Second
 		}
 		if got := test.SinceHeartbeat(machine, at); got != want {
-			t.Errorf("%s: no heartbeat for %v, want %v", c.name, got, want)
+			t.Errorf("%s: time since heartbeat %v, want %v", c.name, got, want)
 		}
 	}
 }
 
-// An agent whose silence says nothing of this node must not be probed for a sign that it is cut off: another's
-// machine, one that was silent before, one that is surely lost, or one that is up.
-func TestOnlyMachinesWhoseSilenceSpeaksAgainstThisNodeAreProbed(t *testing.T) {
+// The leader probes the machines that SilentMachines returns, to find out whether it is partitioned. A
+// machine must be omitted if it is owned by another controller, was suspect before the last contact, is
+// being terminated, is up, or has no known address.
+func TestSilentMachinesOmitsMachinesThatDoNotIndicatePartition(t *testing.T) {
 	test := newTestDetector()
 	at := termStart + 30*micro.Second
 	test.listening.resumedAt = termStart
 	reachedAt := termStart + 15*micro.Second
 	test.handovers.ObserveContact(reachedAt)
-	suspect := func(heard micro.Time, prepare func(*cluster.Machine)) func(*cluster.Machine) {
+	suspect := func(lastHeartbeat micro.Time, prepare func(*cluster.Machine)) func(*cluster.Machine) {
 		return func(machine *cluster.Machine) {
-			test.upWithHeartbeatAt(heard)(machine)
+			test.upWithHeartbeatAt(lastHeartbeat)(machine)
 			test.cluster.TransitionMachine(machine, cluster.Suspect, "for a test")
 			machine.Addr = "10.0.0.1:9000"
 			prepare(machine)
@@ -73,13 +74,13 @@
 	}
 	unchanged := func(*cluster.Machine) {}
 	for i, prepare := range []func(*cluster.Machine){
-		suspect(reachedAt, unchanged), // the one to be probed
+		suspect(reachedAt, unchanged), // the only one to be returned
 		suspect(reachedAt, func(machine *cluster.Machine) { machine.Addr = "" }),
 		suspect(reachedAt, func(machine *cluster.Machine) { machine.OwnedElsewhere = true }),
 		suspect(reachedAt, func(machine *cluster.Machine) {
 			test.cluster.TransitionMachine(machine, cluster.Terminating, "for a test")
 		}),
-		suspect(reachedAt-test.config.SuspectAfter-1, unchanged), // silent when the last agent reached this node
+		suspect(reachedAt-test.config.SuspectAfter-1, unchanged), // suspect already at the last contact
 		func(machine *cluster.Machine) {
 			test.upWithHeartbeatAt(at - test.config.SuspectAfter)(machine) // still up
 			machine.Addr = "10.0.0.1:9000"
@@ -90,8 +91,8 @@
 	silent := test.SilentMachines(at)
 	if len(silent) != 1 || silent[0].Name != "i-000000" {
 		for _, machine := range silent {
-			t.Errorf("%s is to be probed", machine.Name)
+			t.Errorf("%s was returned", machine.Name)
 		}
-		t.Error("want i-000000 alone")
+		t.Error("want only i-000000")
 	}
 }
--- a/internal/detector/handovers.go
+++ b/internal/detector/handovers.go
@@ -7,35 +7,41 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// LeadershipHandovers remembers, across a node's terms and for all of its loops, when an agent last reached
-// the node, when it last handed the leadership over because none did, and how often in a row.
-// A leader and the owner of a shard on one node are reached by the same network. Where all
-// machines had died, the nodes once handed the leadership round for ever: no term lasted long
-// enough to find them dead, and to request others. A node that has tried the others in vain
-// stays. The zero value is ready; any goroutine may call it.
+// LeadershipHandovers records when an agent last reached a node, when the node last handed the
+// leadership over because no agent did, and how many times in a row. It is kept across the node's
+// terms and shared by all of its event loops, because a leader and a shard owner on one node are
+// reached through the same network.
+//
+// The number of consecutive handovers is limited: when all machines had died, the nodes handed the
+// leadership around without end, since no term lasted long enough to detect the dead machines and
+// to request new ones. A node whose handovers had no success keeps the leadership.
+//
+// The zero value is ready to use. Methods may be called from any goroutine.
 type LeadershipHandovers struct {
 	last        atomic.Pointer[leadershipHandover]
-	lastContact atomic.Int64 // in microseconds of the node's steady clock
+	lastContact atomic.Int64 // in microseconds of the node's monotonic clock
 }
 
 type leadershipHandover struct {
 	at    micro.Time
-	count int
+	count int // consecutive handovers up to this one
 }
 
-// MaxLeadershipHandovers leaves each of the others its chance, whoever is elected first.
+// MaxLeadershipHandovers is the greatest number of consecutive handovers by one node. It gives each
+// of the other nodes the opportunity to lead, whichever is elected first.
 const MaxLeadershipHandovers = 2
 
-// maxUnreachableTerm is how long a term lasts beside the time until machines count as suspect
-// where no agent reaches the leader: election, failover and handover.
+// maxUnreachableTerm bounds the time for election, failover and handover in a term of a leader that
+// no agent reaches. The time until machines become suspect is added to it.
 const maxUnreachableTerm = 10 * micro.Second
 
-// LeadershipHandoverWindow is how soon a node leads again if no agent reaches any of the others either.
+// LeadershipHandoverWindow returns the time within which a node leads again if no agent reaches any
+// of the other nodes either.
 func LeadershipHandoverWindow(cfg *config.Config) micro.Time {
 	return micro.Time(len(cfg.Peers)+1) * (cfg.SuspectAfter + maxUnreachableTerm)
 }
 
-// ObserveContact notes that an agent reached this node at a time.
+// ObserveContact records that an agent reached this node at the given time.
 func (h *LeadershipHandovers) ObserveContact(at micro.Time) {
 	for {
 		latest := h.lastContact.Load()
@@ -45,14 +51,15 @@
 	}
 }
 
-// LastContact is when an agent last reached this node; 0: none did.
+// LastContact returns when an agent last reached this node, or 0 if none did.
 func (h *LeadershipHandovers) LastContact() micro.Time { return micro.Time(h.lastContact.Load()) }
 
-// Reset notes that agents reach this node.
+// Reset sets the number of consecutive handovers to zero, since agents reach this node.
 func (h *LeadershipHandovers) Reset() { h.last.Store(nil) }
 
-// Begin notes a handover, in a term that started at the given time, unless as many in a row,
-// each within the window of the one before, were in vain: then it returns false.
+// Begin records a handover during the term that started at termStartedAt and returns true. It
+// returns false if MaxLeadershipHandovers consecutive handovers, each followed by the start of this
+// node's next term within the window, had no success.
 func (h *LeadershipHandovers) Begin(now, termStartedAt, window micro.Time) bool {
 	previous := h.last.Load()
 	if previous == nil || termStartedAt-previous.at > window {
--- a/internal/detector/reachability.go
+++ b/internal/detector/reachability.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// minSuspectMachines is how many machines must be suspect before a leader none of whose
-	// machines is up doubts itself.
+	// minSuspectMachines is the number of newly suspect machines from which a node with no
+	// machine up considers itself unreachable.
 	minSuspectMachines = 3
-	// minUnreachableTime is for how long it must find none up.
+	// minUnreachableTime is how long this must hold before the host is notified.
 	minUnreachableTime = micro.Second
 )
 
-// reachability is what this node's machines showed of whether agents reach it.
+// reachability tracks whether agents reach this node.
 type reachability struct {
-	lastContact      micro.Time // last heartbeat of a machine that was up here, in this term; 0: none was
-	unreachableSince micro.Time // since when no agent sends heartbeats; 0: some do
+	lastContact      micro.Time // last heartbeat in this term of a machine that was up; 0: none was
+	unreachableSince micro.Time // since when no agent has reached this node; 0: agents reach it
 	lastSweep        heartbeatSummary
 }
 
-// Reachability is by what a Detector judges whether agents reach this node.
+// Reachability holds the observations from which a Detector decides whether agents reach this node.
 type Reachability struct {
-	Up                   int        // machines whose agents reach it
+	Up                   int        // machines whose agents reach this node
 	Suspect              int        // machines whose heartbeats are missing
-	SuspectBeforeContact int        // those of them that were suspect when the last agent reached it
-	SinceContact         micro.Time // since an agent last reached this node, or since the term began
-	HeartbeatGap         bool       // heartbeats of all machines at once stopped coming
+	SuspectBeforeContact int        // suspect machines that were suspect already at the last contact with an agent
+	SinceContact         micro.Time // time since an agent last reached this node, or since the term started
+	HeartbeatGap         bool       // heartbeats of all machines stopped at the same time
 }
 
-// Reachability is what the last sweep found.
+// Reachability returns the observations of the last sweep.
 func (d *Detector) Reachability(now micro.Time) Reachability {
 	last := &d.reachability.lastSweep
 	return Reachability{
@@ -38,20 +38,21 @@
 	}
 }
 
-// silentBeforeContact reports whether a machine was suspect already when the last agent
-// reached this node: its silence since then says nothing of this node. A leader once returned
-// the only machine that was up, took the dead ones for a sign that no agent reaches it, and
-// handed over. So did the next ones: no term was long enough to prove the dead machines
-// expired, and what waited for the quota that they held was never served. Once leases have run
-// out since that contact, all machines count again: what is not expired by then is alive
-// beyond a partition.
+// silentBeforeContact reports whether a machine was suspect already when the last agent reached
+// this node, so that its missing heartbeats do not indicate that this node is unreachable.
+//
+// A leader once terminated the only machine that was up, concluded from the dead ones that no agent
+// reached it, and handed over. The next leaders did the same: no term was long enough for the leases
+// of the dead machines to expire, and jobs that waited for the quota held by these machines were
+// never served. Once a lease duration has passed since the last contact, all machines count again:
+// a machine that has not expired by then is alive behind a partition.
 func (d *Detector) silentBeforeContact(sinceHeartbeat, now micro.Time) bool {
 	sinceContact := now - d.handovers.LastContact()
 	return sinceHeartbeat-sinceContact > d.config.SuspectAfter && sinceContact <= d.cluster.LeaseDuration
 }
 
-// SilentMachines are the machines whose silence speaks against this node, and whose agents'
-// addresses are known.
+// SilentMachines returns the machines with a known agent address whose missing heartbeats indicate
+// that agents cannot reach this node.
 func (d *Detector) SilentMachines(now micro.Time) []*cluster.Machine {
 	var silent []*cluster.Machine
 	for _, machine := range d.cluster.SortedMachines() {
@@ -66,14 +67,14 @@
 	return silent
 }
 
-// observeContact takes in the last heartbeat of a machine that is up.
+// observeContact records the last heartbeat of a machine that is up as a contact with this node.
 func (d *Detector) observeContact(machine *cluster.Machine) {
 	d.reachability.lastContact = max(d.reachability.lastContact, machine.LastHeartbeat)
 	d.handovers.ObserveContact(machine.LastHeartbeat)
 }
 
-// ReachedSince reports whether an agent has reached this node since a time. The last sweep may not know of it
-// yet.
+// ReachedSince reports whether an agent has reached this node after the given time. It includes
+// heartbeats that arrived after the last sweep.
 func (d *Detector) ReachedSince(at micro.Time) bool {
 	for _, machine := range d.cluster.SortedMachines() {
 		if machine.State == cluster.Up && !machine.OwnedElsewhere {
@@ -83,16 +84,16 @@
 	return d.handovers.LastContact() > at
 }
 
-// reachedLongEnough reports whether agents reached this node for longer than it takes until
-// machines that send no heartbeats are suspect. A single one that came up for a moment
-// does not show that the next handover would be for another reason than the last.
+// reachedLongEnough reports whether agents have reached this node for longer than SuspectAfter. A
+// single machine that was up for a shorter time does not show that the cause of the previous
+// handover is gone.
 func (d *Detector) reachedLongEnough() bool {
 	listeningSince := max(d.cluster.TermStartedAt, d.listening.resumedAt)
 	return d.reachability.lastContact-listeningSince > d.config.SuspectAfter
 }
 
-// checkReachability hands over to another node if no agent reaches this one: it may
-// be partitioned from them, and their leases run.
+// checkReachability notifies the host if no agent reaches this node, so that another node may take
+// over before the agents' leases expire: this node may be partitioned from them.
 func (d *Detector) checkReachability(summary *heartbeatSummary, now micro.Time) {
 	up, newlySuspect := summary.up, summary.suspect-summary.suspectBeforeContact
 	gapExceeded := d.gap.exceeded(d.heartbeats, up, now, d.config.MaxHeartbeatInterval())
@@ -101,7 +102,7 @@
 	if up > 0 && !gapExceeded && d.reachedLongEnough() {
 		d.handovers.Reset()
 	}
-	// Another loop of this node may be reached: what is up there counts as it does here.
+	// A contact with another event loop of this node counts as well: it uses the same network.
 	reached := up > 0 || now-d.handovers.LastContact() <= d.config.SuspectAfter
 	if len(d.config.Peers) == 0 || !gapExceeded && (reached || newlySuspect < minSuspectMachines) {
 		d.reachability.unreachableSince = 0
@@ -117,30 +118,29 @@
 	d.host.HandleUnreachableAgents(now)
 }
 
-// heartbeatGap watches for a time in which no agent at all sends heartbeats. Single machines
-// count as suspect only after a late heartbeat and a lost response; but when hundreds of
-// live agents send theirs every few seconds, two seconds without any cannot
-// be chance: the leader is partitioned from its agents. Found by single machines
-// alone, that took twice a heartbeat interval, in which nothing started and no
-// completion was heard.
+// heartbeatGap detects a time in which no agent at all sends heartbeats. A single machine becomes
+// suspect only after the time for a late heartbeat and a lost response. But when hundreds of live
+// agents send heartbeats every few seconds, two seconds without any are no coincidence: the leader
+// is partitioned from its agents. Detection by suspect machines alone took twice the heartbeat
+// interval, during which no task started and no completion was received.
 type heartbeatGap struct {
-	heartbeats uint64     // how many there had been at the last look
-	checkedAt  micro.Time // when that was
-	duration   micro.Time // how long none has come, as far as this node listened
+	heartbeats uint64     // heartbeats received up to the last check
+	checkedAt  micro.Time // time of the last check; 0: none yet
+	duration   micro.Time // time without heartbeats while this node was receiving
 }
 
 const (
 	// minHeartbeatGap is the shortest gap that counts: links stall for a second.
 	minHeartbeatGap = 2500 * micro.Millisecond
-	// minMissedHeartbeats is how many heartbeats the live agents must have owed in it.
+	// minMissedHeartbeats is the least number of heartbeats that were due during a gap that counts.
 	minMissedHeartbeats = 40
-	// maxGapStep bounds what one look adds: a node that got no processor time
-	// has not listened.
+	// maxGapStep bounds the time that one check adds to the gap: a node that got no processor
+	// time has not received heartbeats either.
 	maxGapStep = 600 * micro.Millisecond
 )
 
-// exceeded takes in a look, by the number of heartbeats so far and of machines that
-// are up, and tells whether the gap is this node's own fault.
+// exceeded updates the gap from the number of heartbeats received so far. It reports whether the gap
+// is too long for the number of machines that are up, so that this node must be partitioned.
 func (s *heartbeatGap) exceeded(heartbeats uint64, up int, now, longestInterval micro.Time) bool {
 	listened := min(now-s.checkedAt, maxGapStep)
 	if heartbeats != s.heartbeats || s.checkedAt == 0 {
--- a/internal/detector/registration.go
+++ b/internal/detector/registration.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// defaultBootTime is the boot time of a machine whose type is not known.
+	// defaultBootTime is the boot time assumed for a machine of unknown type.
 	defaultBootTime = micro.Minute
-	// maxRequestAge bounds how long before the term a machine counts as requested.
+	// maxRequestAge bounds the time between the request of a machine and the start of the term
+	// when its age is computed.
 	maxRequestAge = 3600 * micro.Second
-	// minRunningWait is how long a machine that is listed as running is waited for at the
-	// least.
+	// minRunningWait is the least time to wait for the heartbeat of a machine that is listed as
+	// running.
 	minRunningWait = 15 * micro.Second
-	// maxRunningListAge is how old the list that shows it as running may be.
+	// maxRunningListAge is the greatest age of the list that shows it as running.
 	maxRunningListAge = micro.Minute
-	// allocatedGrace is how much longer than until it would be suspect a machine with
-	// allocations is waited for after a failover.
+	// allocatedGrace is added to SuspectAfter for the time to wait, after a failover, for the
+	// heartbeat of a machine with allocations.
 	allocatedGrace = 4 * micro.Second
-	// fewMissingDivisor is the part of a zone that may be missing soon after a failover
-	// before an agent's whole round of the nodes is waited for: where nodes are out
-	// of reach, each costs it a while, and dozens of live machines were terminated.
+	// fewMissingDivisor limits the machines of a zone that may be given up before every agent has
+	// had time to try all nodes after a failover: at most one in so many may be missing. Each
+	// unreachable node delays an agent; without this limit, dozens of live machines were
+	// terminated.
 	fewMissingDivisor = 12
 )
 
-// registration is how far a machine got that was not heard of in this term.
+// registration describes a machine that has not sent a heartbeat in this term.
 type registration struct {
 	*cluster.Machine
 	now         micro.Time
-	age         micro.Time // since it was requested
-	bootTime    micro.Time // how long a machine of its type takes to boot
-	bootTimeout micro.Time // after how long one that is booting is given up
-	waited      micro.Time // how long this node has listened for it
-	idle        bool       // nothing is allocated on it
+	age         micro.Time // time since it was requested
+	bootTime    micro.Time // boot time of its type
+	bootTimeout micro.Time // time after which a booting machine is terminated
+	waited      micro.Time // time for which this node has been receiving heartbeats
+	idle        bool       // it has no allocations
 }
 
+// registration returns what is known of a machine's boot and of the time that it had to send a heartbeat.
 func (d *Detector) registration(machine *cluster.Machine, now micro.Time) registration {
 	return registration{
 		Machine:     machine,
@@ -48,7 +51,7 @@
 	}
 }
 
-// bootTime is how long a machine takes to boot.
+// bootTime returns the boot time of a machine's type, or the default for an unknown type.
 func bootTime(machine *cluster.Machine) micro.Time {
 	if machine.Type == nil {
 		return defaultBootTime
@@ -56,13 +59,13 @@
 	return micro.FromSeconds(machine.Type.BootS)
 }
 
-// bootTimeout is after how long a machine that is booting is given up.
+// bootTimeout returns the time after which a machine that is still booting is terminated.
 func (d *Detector) bootTimeout(machine *cluster.Machine) micro.Time {
 	return micro.Time(float64(bootTime(machine)) * d.config.BootTimeoutFactor)
 }
 
-// registrationFailure says why a machine that was never heard of in this term is given up,
-// "" if it is not.
+// registrationFailure returns the reason to terminate a machine that has not sent a heartbeat in this
+// term, or "" if there is none.
 func (d *Detector) registrationFailure(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) string {
 	waiting := d.registration(machine, now)
 	switch {
@@ -75,41 +78,41 @@
 	case d.silentSinceFailover(waiting, summary):
 		return "no heartbeat since the failover"
 	case d.bootTimedOut(waiting):
-		return "did not come up"
+		return "did not boot in time"
 	}
 	return ""
 }
 
-// neverListed reports whether a machine ought to be in the inventory by now, and never was.
+// neverListed reports whether a machine should be in the inventory by now but never was.
 func (d *Detector) neverListed(machine registration) bool {
 	return machine.LastListed == 0 && machine.now-d.host.InventoryReadAt() < d.maxInventoryAge && machine.idle &&
 		machine.waited > d.config.SuspectAfter && machine.age > machine.bootTimeout+2*d.inventoryLag()
 }
 
-// runningUnregistered reports whether a machine runs, as the inventory tells, and has had time to
-// find this node.
+// runningUnregistered reports whether a machine is listed as running and has had time to send a
+// heartbeat to this node.
 func (d *Detector) runningUnregistered(machine registration) bool {
 	return machine.CloudState == wire.MachineRunning &&
 		machine.waited > max(minRunningWait, d.config.RegistrationWindow()) &&
 		machine.age > 3*machine.bootTime && machine.now-machine.LastListed < maxRunningListAge
 }
 
-// silentSinceFailover reports whether a machine that had work before the failover looks dead.
+// silentSinceFailover reports whether a machine that had allocations before the failover is assumed
+// dead.
 func (d *Detector) silentSinceFailover(machine registration, summary *heartbeatSummary) bool {
 	return !machine.idle && machine.waited > d.config.SuspectAfter+allocatedGrace &&
 		d.machinesLookDead(machine.Zone, summary, machine.now) &&
 		d.registrationRoundOver(machine, summary)
 }
 
-// registrationRoundOver reports whether a machine has had time to find this leader: few of its
-// zone are missing, or each agent has surely tried all nodes.
+// registrationRoundOver reports whether a machine has had time to find this leader: only few machines
+// of its zone are missing, or the time in which each agent tries all nodes has passed.
 func (d *Detector) registrationRoundOver(machine registration, summary *heartbeatSummary) bool {
 	zone := summary.zones[machine.Zone]
 	return zone.missing*fewMissingDivisor <= zone.expected || machine.waited > d.config.RegistrationWindow()
 }
 
-// bootTimedOut reports whether a machine is still booting, as the inventory tells, after too
-// long a time.
+// bootTimedOut reports whether a machine is listed as still booting after its boot timeout.
 func (d *Detector) bootTimedOut(machine registration) bool {
 	return machine.CloudState == wire.MachineBooting && machine.now-machine.LastListed < d.maxInventoryAge &&
 		machine.idle && machine.waited > d.config.SuspectAfter && machine.age > machine.bootTimeout
--- a/internal/detector/shard_machines_test.go
+++ b/internal/detector/shard_machines_test.go
@@ -8,9 +8,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A zone that is cut off has all machines of its shard missing at once, for the shard's next owner:
-// that is no sign of death, as it is none for the leader's own machines.
-func TestShardMachinesBeyondAPartitionAreNotTerminated(t *testing.T) {
+// If a zone is unreachable, the shard's next owner cannot report any of the shard's machines there up.
+// As with the leader's own machines, this does not indicate that they are dead.
+func TestShardMachinesInUnreachableZoneAreNotTerminated(t *testing.T) {
 	for _, state := range []wire.MachineState{wire.MachineRunning, wire.MachineBooting} {
 		test := newTestDetector()
 		at := termStart + 10*micro.Minute
@@ -19,21 +19,22 @@
 		test.host.inventoryReadAt = at - micro.Second
 		test.host.unreported = 3 * micro.Minute
 		test.addMachines(0, 20, func(machine *cluster.Machine) {
-			test.upWithHeartbeatAt(at - 5*micro.Minute)(machine) // up, as the owner before said
+			test.upWithHeartbeatAt(at - 5*micro.Minute)(machine) // up, as reported by the previous owner
 			machine.OwnedElsewhere = true
 			machine.LastListed, machine.CloudState = at-micro.Second, state
 		})
-		test.cluster.ZoneUnreachableSince["a"] = at - 4*micro.Minute // no controller of the zone answers
+		test.cluster.ZoneUnreachableSince["a"] = at - 4*micro.Minute // no controller of the zone responds
 		test.Sweep(at)
 		if len(test.host.terminated) > 0 {
-			t.Errorf("listed as %s: %d of 20 terminated", state, len(test.host.terminated))
+			t.Errorf("listed as %s: %d of 20 machines terminated, want none", state, len(test.host.terminated))
 		}
 	}
 }
 
-// The cloud's list lags, or calls a machine booting for longer than it boots: one that was up under the
-// owner before is not to be judged by that, without the two leases that others are waited for.
-func TestShardMachineThatWasUpIsNotGivenUpAsBooting(t *testing.T) {
+// The cloud's list lags, or lists a machine as booting after it has booted. A machine that was up under
+// the previous owner must not be terminated for that before it has been unreported for two lease
+// durations, as for other machines.
+func TestShardMachineThatWasUpIsNotTerminatedAsBooting(t *testing.T) {
 	test := newTestDetector()
 	at := termStart + 10*micro.Minute
 	test.ObserveLease(true, at-micro.Second)
@@ -46,6 +47,6 @@
 	})
 	test.Sweep(at)
 	if len(test.host.terminated) > 0 {
-		t.Errorf("terminated after one second: %v", test.host.terminated)
+		t.Errorf("terminated after being unreported for one second: %v", test.host.terminated)
 	}
 }
--- a/internal/detector/sweep.go
+++ b/internal/detector/sweep.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// overrunSlices is in how many sweeps all machines are checked for tasks that overrun.
+	// overrunSlices is the number of sweeps that it takes to check all machines for tasks that
+	// overrun.
 	overrunSlices = 4
-	// preemptionGrace is how long after the time of its preemption a suspect machine is
-	// given up.
+	// preemptionGrace is how long after its preemption time a suspect machine is terminated.
 	preemptionGrace = 2 * micro.Second
 )
 
-// zoneHeartbeats counts the machines of a zone whose agents ought to send heartbeats.
+// zoneHeartbeats counts the machines of a zone that are expected to send heartbeats, and those of
+// them whose heartbeat is overdue.
 type zoneHeartbeats struct{ expected, missing int }
 
-// heartbeatSummary is what one sweep finds, over all machines.
+// heartbeatSummary holds the counts of one sweep over all machines.
 type heartbeatSummary struct {
 	zones         map[string]*zoneHeartbeats
 	up            int
 	suspect       int
 	responsesLost int // up, but their agents seem not to receive responses
 
-	suspectBeforeContact int // those of the suspect that were so when the last agent reached this node
+	suspectBeforeContact int // suspect already when the last agent reached this node
 
-	gapExceeded bool // no heartbeat at all came for too long
+	gapExceeded bool // no heartbeat of any machine arrived for too long
 }
 
-// zone returns the counts of a zone.
+// zone returns the counts of a zone, and adds the zone if it is missing.
 func (s *heartbeatSummary) zone(name string) *zoneHeartbeats {
 	zone := s.zones[name]
 	if zone == nil {
@@ -40,8 +41,8 @@
 	return zone
 }
 
-// Sweep watches over all machines: it marks those whose heartbeats stopped as suspect,
-// expires those whose lease surely ran out, and has those terminated that look dead.
+// Sweep checks all machines: it marks machines whose heartbeats stopped as suspect, expires machines
+// whose lease has certainly run out, and terminates machines that are assumed dead.
 func (d *Detector) Sweep(now micro.Time) {
 	summary := d.summarizeHeartbeats(now)
 	for name, zone := range summary.zones {
@@ -56,8 +57,8 @@
 	}
 }
 
-// summarizeHeartbeats counts the machines by what was heard of them, and marks as suspect
-// those that were up and have sent no heartbeat for long.
+// summarizeHeartbeats counts the machines by the state of their heartbeats. It marks machines that
+// were up as suspect if they have sent no heartbeat for longer than SuspectAfter.
 func (d *Detector) summarizeHeartbeats(now micro.Time) *heartbeatSummary {
 	summary := &heartbeatSummary{zones: map[string]*zoneHeartbeats{}}
 	for _, machine := range d.cluster.SortedMachines() {
@@ -67,7 +68,7 @@
 		zone := summary.zone(machine.Zone)
 		sinceHeartbeat := d.SinceHeartbeat(machine, now)
 		if machine.State == cluster.Up && sinceHeartbeat > d.config.SuspectAfter {
-			// Only what proves to have been sent from now on is a sign of life.
+			// Only a heartbeat with a newer token is a liveness proof: it was sent after this point.
 			machine.RequiredFencingToken = d.tokens.FencingToken() + 1
 			d.cluster.TransitionMachine(machine, cluster.Suspect, "no heartbeats")
 		}
@@ -78,9 +79,9 @@
 	return summary
 }
 
-// heartbeatExpected reports whether the absence of a machine's heartbeats says anything: not
-// if it never came up, is being terminated, or has been away for so long that it is
-// surely lost.
+// heartbeatExpected reports whether missing heartbeats of a machine indicate a failure or a
+// partition. They do not if the machine has not booted yet, is being terminated, or has been silent
+// for so long that its lease has certainly expired.
 func (d *Detector) heartbeatExpected(machine *cluster.Machine, sinceHeartbeat, now micro.Time) bool {
 	if machine.State == cluster.Registering && len(machine.Allocations) == 0 || machine.State == cluster.Terminating {
 		return false
@@ -88,12 +89,13 @@
 	return sinceHeartbeat <= 2*d.cluster.LeaseDuration || !d.cluster.LeaseExpired(machine, now)
 }
 
+// countMachine adds a machine to the counts of its zone and of the sweep.
 func (d *Detector) countMachine(
 	machine *cluster.Machine, zone *zoneHeartbeats, summary *heartbeatSummary, sinceHeartbeat, now micro.Time,
 ) {
 	zone.expected++
-	// A machine is missing once a heartbeat is overdue, well before it counts as
-	// suspect: in a partition, the first to be called suspect must not look alone.
+	// A machine is missing once a heartbeat is overdue, well before it becomes suspect. Otherwise
+	// the first suspect machines of a partitioned zone would look like single dead machines.
 	if sinceHeartbeat > d.config.HeartbeatOverdueAfter() {
 		zone.missing++
 	}
@@ -109,8 +111,8 @@
 	}
 }
 
-// isSuspect reports whether heartbeats of a machine that may be running tasks are missing: it was up,
-// or has sent not one since the failover.
+// isSuspect reports whether heartbeats of a machine that may be running tasks are missing: it was up
+// before, or has allocations and has sent no heartbeat since the failover.
 func (d *Detector) isSuspect(machine *cluster.Machine, sinceHeartbeat micro.Time) bool {
 	switch machine.State {
 	case cluster.Suspect:
@@ -121,8 +123,8 @@
 	return false
 }
 
-// countSuspect counts a machine whose heartbeats are missing, and whether they were already
-// when another agent reached this node.
+// countSuspect counts a suspect machine, and whether it was suspect already when the last agent
+// reached this node.
 func (d *Detector) countSuspect(summary *heartbeatSummary, sinceHeartbeat, now micro.Time) {
 	summary.suspect++
 	if d.silentBeforeContact(sinceHeartbeat, now) {
@@ -131,17 +133,17 @@
 }
 
 // machinesLookDead reports whether a zone's suspect machines look dead rather than partitioned.
-// A zone that was partitioned comes back one heartbeat at a time: what is still
-// missing when most of it is heard again is late, not dead. In the moment a partition
-// ended, a leader that had taken over in it once terminated 800 live machines.
+// After a partition the machines of the zone reconnect one heartbeat at a time: those that are
+// still missing when most have reconnected are late, not dead. A leader that had been elected
+// during a partition once terminated 800 live machines at the moment the partition ended.
 func (d *Detector) machinesLookDead(zoneName string, summary *heartbeatSummary, now micro.Time) bool {
 	zone := summary.zones[zoneName]
 	suspectedAt, suspected := d.suspectedZones[zoneName]
 	return indicatesFailure(zone.missing, zone.expected) && (!suspected || now-suspectedAt > d.config.SuspectAfter)
 }
 
-// evaluateMachine releases what a machine surely lost and has it terminated if it is of no
-// more use.
+// evaluateMachine releases the allocations of a machine whose lease has certainly expired, and
+// terminates a machine that has failed.
 func (d *Detector) evaluateMachine(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) {
 	if machine.OwnedElsewhere {
 		d.evaluateOwnedElsewhere(machine, now)
@@ -168,7 +170,7 @@
 	}
 }
 
-// suspectIsDead reports whether a suspect machine is to be given up.
+// suspectIsDead reports whether a suspect machine is to be terminated.
 func (d *Detector) suspectIsDead(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) bool {
 	if d.missingFromInventory(machine) {
 		return true
@@ -176,16 +178,17 @@
 	if machine.PreemptionAt != 0 && now > machine.PreemptionAt+preemptionGrace {
 		return true
 	}
-	// Just after a lapse of the lease nothing has been heard for long: that
-	// says nothing of a zone that was missing before. A thousand machines
-	// beyond a partition were once terminated in the moment an outage ended.
+	// Just after a lapse of this node's lease no heartbeat has arrived for long, which does not
+	// show whether a zone that was missing before is dead. A thousand machines behind a partition
+	// were once terminated at the moment an outage ended.
 	return d.SinceHeartbeat(machine, now) > d.config.SuspectAfter && d.machinesLookDead(machine.Zone, summary, now)
 }
 
-// evaluateOwnedElsewhere gives a machine of another controller's shard up that its owner does not
-// know to be up: one that did not come up, as far as the inventory tells, or that was not heard of
-// for two leases, as the leader's own are whose leases have run out. A zone that is cut off tells
-// nothing. All else is for the shard's owner to find.
+// evaluateOwnedElsewhere terminates a machine of another controller's shard that its owner has not
+// reported up: a machine that did not boot in time according to the inventory, or that has been
+// unreported for two lease durations, the limit for the leader's own expired machines. In an
+// unreachable zone no machine is terminated, since reports are missing for all of them. All other
+// failures are detected by the shard's owner.
 func (d *Detector) evaluateOwnedElsewhere(machine *cluster.Machine, now micro.Time) {
 	unreported := d.host.UnreportedFor(machine, now)
 	_, unreachable := d.cluster.ZoneUnreachableSince[machine.Zone]
@@ -197,24 +200,25 @@
 		now-machine.LastListed < d.maxInventoryAge
 	switch {
 	case d.missingFromInventory(machine), stillBooting && timedOut:
-		d.host.Terminate(machine, "did not come up in its shard")
+		d.host.Terminate(machine, "did not boot in time in its shard")
 	case timedOut && unreported > 2*d.cluster.LeaseDuration:
-		d.host.Terminate(machine, "not known to its shard's owner")
+		d.host.Terminate(machine, "not reported up by its shard's owner")
 	}
 }
 
-// missingFromInventory reports whether a machine that was listed is no longer, for longer than
-// the inventory lags.
+// missingFromInventory reports whether a machine that was listed before has been absent from the
+// inventory for longer than the inventory may lag.
 func (d *Detector) missingFromInventory(machine *cluster.Machine) bool {
 	return machine.LastListed > 0 && d.host.InventoryReadAt()-machine.LastListed > 2*d.inventoryLag()
 }
 
-// inventoryLag is how far the cloud's list of instances lags.
+// inventoryLag returns how far the cloud's list of instances may lag.
 func (d *Detector) inventoryLag() micro.Time { return micro.FromSeconds(d.config.Facts.Cloud.ListLagS) }
 
-// checkResponsesLost watches a machine that sends heartbeats but may receive no responses.
+// checkResponsesLost marks a machine that sends heartbeats but seems to receive no responses, and
+// terminates it if this lasts.
 func (d *Detector) checkResponsesLost(machine *cluster.Machine, summary *heartbeatSummary, now micro.Time) {
-	// If many seem to receive none, the fault is this node's.
+	// If more than a third of the machines seem to receive none, the cause is this node.
 	if machine.ResponsesLikelyLost() && !machine.ResponsesLost && summary.responsesLost*3 <= summary.up {
 		d.cluster.SetResponsesLost(machine, true, now)
 	}
@@ -223,7 +227,8 @@
 	}
 }
 
-// checkOverruns checks some of the machines for tasks that take far too long.
+// checkOverruns checks one of overrunSlices parts of the machines for tasks that run far longer than
+// estimated.
 func (d *Detector) checkOverruns(now micro.Time) {
 	machines := d.cluster.SortedMachines()
 	for range (len(machines) + overrunSlices - 1) / overrunSlices {
@@ -240,8 +245,8 @@
 	}
 }
 
-// indicatesFailure reports whether a zone's missing heartbeats look like machines that died
-// rather than like a partition: few are missing against those that arrive.
+// indicatesFailure reports whether missing heartbeats of a zone indicate dead machines rather than a
+// partition: at most a third of all are missing, or one of several.
 func indicatesFailure(missing, all int) bool {
 	return missing <= 1 && all > 1 || missing*3 <= all
 }
