--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,10 +1,10 @@
-// Package dispatch sends commands to agents: with the response to each heartbeat, and at
-// once where that is worth a connection of its own.
+// Package dispatch sends commands to agents: in the response to each heartbeat, and directly, over
+// a connection of its own, where commands should not wait for the next heartbeat.
 //
-// A Dispatcher owns the fencing token that the commands of one term carry, the machines
-// whose commands wait to be sent, and the overload detector. All of it belongs to the
-// goroutine of the event loop that the Dispatcher was made for; only HandleHeartbeat may be
-// called from others.
+// A Dispatcher holds the fencing token that the commands of one term carry, the machines with
+// commands to be sent directly, and the overload detector. It may be used only by the goroutine of
+// the event loop that it was created for, except for HandleHeartbeat, which may be called from any
+// other goroutine.
 package dispatch
 
 import (
@@ -18,44 +18,43 @@
 )
 
 const (
-	// maxInFlight bounds the commands that were sent at once and have no response yet: each
+	// maxInFlight bounds the messages that were sent directly and have no response yet: each
 	// takes a socket.
 	maxInFlight = 96
 	// maxCommands bounds the commands in one message.
 	maxCommands = 400
-	// unansweredBackoff is how long nothing more is sent at once to a machine whose agent
-	// left commands unanswered.
+	// unansweredBackoff is the time before the next direct message to a machine whose agent did
+	// not respond.
 	unansweredBackoff = 2 * micro.Second
-	// rejectedBackoff is the same where the agent answered, but did not execute them.
+	// rejectedBackoff is the same time after the agent responded but did not execute the commands.
 	rejectedBackoff = 500 * micro.Millisecond
 )
 
-// Host is what a Dispatcher needs of the loop that it sends commands for.
+// Host is implemented by the event loop that owns a Dispatcher: the leader's or a shard owner's.
+// All methods but HoldsLease are called only by the loop's goroutine.
 type Host interface {
-	// HoldsLease reports whether commands may be sent and heartbeats answered now. Any
-	// goroutine may ask.
+	// HoldsLease reports whether commands may be sent and heartbeats answered now. It may be
+	// called from any goroutine.
 	HoldsLease() bool
-	// RefusesHeartbeat reports whether a heartbeat is another controller's to answer. Only
-	// the loop's goroutine asks.
+	// RefusesHeartbeat reports whether a heartbeat must be answered by another controller.
 	RefusesHeartbeat(heartbeat *wire.Heartbeat) bool
-	// HeartbeatReceived notes that an agent reached this controller. Only the loop's
-	// goroutine calls it.
+	// HeartbeatReceived records that an agent reached this controller.
 	HeartbeatReceived()
-	// Resign ends the term. Only the loop's goroutine calls it.
+	// Resign ends the term.
 	Resign(reason string)
 }
 
-// Dependencies are what a Dispatcher works with.
+// Dependencies holds the collaborators of a Dispatcher.
 type Dependencies struct {
 	Cluster *cluster.State
 	Loop    *eventloop.Loop
 	Sender  agent.Sender
 	Log     *slog.Logger
-	Now     func() micro.Time // the steady clock
+	Now     func() micro.Time // the monotonic clock
 	Host    Host
 }
 
-// Dispatcher sends commands to the agents of one term, or of one ownership of a shard.
+// Dispatcher sends commands to agents during one leadership term or one ownership of a shard.
 type Dispatcher struct {
 	cluster *cluster.State
 	loop    *eventloop.Loop
@@ -65,12 +64,12 @@
 	host    Host
 
 	token    fencingToken
-	pending  map[*cluster.Machine]bool // machines with commands worth sending at once
-	inFlight int                       // messages sent at once that have no response yet
+	pending  map[*cluster.Machine]bool // machines with commands to be sent directly
+	inFlight int                       // messages sent directly that have no response yet
 	overload overloadDetector
 }
 
-// New makes a Dispatcher whose commands carry fencing tokens from firstToken on.
+// New returns a Dispatcher whose commands carry fencing tokens from firstToken on.
 func New(firstToken uint64, deps Dependencies) *Dispatcher {
 	return &Dispatcher{
 		cluster: deps.Cluster,
@@ -84,20 +83,20 @@
 	}
 }
 
-// MarkPending notes that a machine has commands worth sending at once.
+// MarkPending records that a machine has commands to be sent directly.
 func (d *Dispatcher) MarkPending(machine *cluster.Machine) { d.pending[machine] = true }
 
-// Pending is how many machines have commands that wait to be sent at once.
+// Pending returns the number of machines with commands waiting to be sent directly.
 func (d *Dispatcher) Pending() int { return len(d.pending) }
 
-// InFlight is how many messages were sent at once and have no response yet.
+// InFlight returns the number of messages that were sent directly and have no response yet.
 func (d *Dispatcher) InFlight() int { return d.inFlight }
 
-// SendPending sends the commands that wait, as many as may be in flight.
+// SendPending sends pending commands until maxInFlight messages are in flight.
 func (d *Dispatcher) SendPending(now micro.Time) {
 	for machine := range d.pending {
 		if d.inFlight >= maxInFlight {
-			break // the rest wait, or the next heartbeats bring them
+			break // the rest stay pending or are sent in heartbeat responses
 		}
 		delete(d.pending, machine)
 		if d.shouldDispatch(machine) {
@@ -106,9 +105,9 @@
 	}
 }
 
-// shouldDispatch reports whether a machine's commands go out at once: always while there is
-// processor time, else those that start work of the first priority or prove that the
-// machine is alive.
+// shouldDispatch reports whether a machine's commands are sent directly: always while this node is
+// not overloaded, otherwise only if they start a task of the highest priority or the response would
+// be a liveness proof of the machine.
 func (d *Dispatcher) shouldDispatch(machine *cluster.Machine) bool {
 	if !d.overload.active || machine.WouldProveLiveness(d.token.current) {
 		return true
@@ -122,7 +121,8 @@
 	return false
 }
 
-// dispatch sends a machine its commands without waiting for its next heartbeat.
+// dispatch sends a machine its commands without waiting for its next heartbeat, unless a message to
+// it is in flight or it is in backoff.
 func (d *Dispatcher) dispatch(machine *cluster.Machine, now micro.Time) {
 	unproven := machine.WouldProveLiveness(d.token.current)
 	if machine.State != cluster.Up && !unproven || machine.Addr == "" {
@@ -133,13 +133,13 @@
 		return
 	}
 	if machine.NextDispatchAt > now {
-		return // the next heartbeat brings them
+		return // the response to the next heartbeat carries the commands
 	}
 	var commands []wire.Command
 	if unproven {
-		// Its next heartbeat, which would show the token, may be long in coming: an
-		// agent sends one at once for a newer token only now and then. The response
-		// to an empty message shows it as well.
+		// The machine's next heartbeat, which would carry the token, may take long: agents limit
+		// how often they send an early heartbeat for a newer token. The response to a message
+		// without commands carries the token as well.
 		commands = []wire.Command{}
 	} else if commands = d.commands(machine, true, now); len(commands) == 0 {
 		return
@@ -152,7 +152,7 @@
 	go d.send(machine, machine.Addr, message)
 }
 
-// commands lists what a machine's agent is to do, as much as one message may hold.
+// commands returns the commands for a machine's agent, at most maxCommands.
 func (d *Dispatcher) commands(machine *cluster.Machine, direct bool, now micro.Time) []wire.Command {
 	commands := d.cluster.Commands(machine, d.token.current, direct, now)
 	if len(commands) > maxCommands {
@@ -161,7 +161,7 @@
 	return commands
 }
 
-// send sends a message to a machine's agent, and has the loop take in what came of it.
+// send sends a message to a machine's agent and posts the outcome to the event loop.
 func (d *Dispatcher) send(machine *cluster.Machine, addr string, message wire.Commands) {
 	if !d.host.HoldsLease() {
 		d.loop.Post(commandsNotSent{dispatcher: d, machine: machine})
@@ -173,31 +173,32 @@
 	})
 }
 
-// commandsNotSent is the event that a message was kept back, since the lease had lapsed.
+// commandsNotSent is the event that a message was not sent because the lease had lapsed.
 type commandsNotSent struct {
 	dispatcher *Dispatcher
 	machine    *cluster.Machine
 }
 
-// Apply notes that nothing is in flight to the machine.
+// Apply records that no message is in flight to the machine.
 func (e commandsNotSent) Apply() { e.dispatcher.clearInFlight(e.machine) }
 
-// commandsAnswered is the event that an agent answered commands sent at once, or failed to.
+// commandsAnswered is the event that an agent responded to a direct message or that sending it failed.
 type commandsAnswered struct {
 	dispatcher *Dispatcher
 	machine    *cluster.Machine
 	heartbeat  *wire.Heartbeat
-	executed   bool // the agent accepted the commands; else they had an older token or another epoch
+	executed   bool // the agent executed the commands; otherwise they had an older token or another epoch
 	err        error
 }
 
-// Apply reconciles the machine with the heartbeat in the response.
+// Apply reconciles the machine with the heartbeat in the response, and sets a backoff if the commands
+// were not executed.
 func (e commandsAnswered) Apply() {
 	d, machine := e.dispatcher, e.machine
 	d.clearInFlight(machine)
 	now := d.now()
 	if e.err != nil {
-		d.log.Debug("dispatch unanswered", "machine", machine.Name, "err", e.err)
+		d.log.Debug("commands sent directly got no response", "machine", machine.Name, "err", e.err)
 		machine.NextDispatchAt, machine.DispatchUnanswered = now+unansweredBackoff, true
 		return
 	}
@@ -212,7 +213,7 @@
 	}
 }
 
-// clearInFlight notes that nothing is in flight to a machine any more.
+// clearInFlight records that the message in flight to a machine is done.
 func (d *Dispatcher) clearInFlight(machine *cluster.Machine) {
 	machine.DispatchInFlight = false
 	d.inFlight--
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -14,7 +14,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// noEffects is a cluster's effects where none matters.
+// noEffects implements the effects of a cluster.State and does nothing.
 type noEffects struct{}
 
 func (noEffects) ChunkDirty(*cluster.TaskChunk)                           {}
@@ -29,7 +29,7 @@
 func (noEffects) ScheduleSoon()                                           {}
 func (noEffects) Log(string, ...any)                                      {}
 
-// fakeHost is a host that leads for as long as it is not told otherwise.
+// fakeHost is a Host that holds its lease unless leaseLapsed is set.
 type fakeHost struct {
 	leaseLapsed bool
 	heartbeats  int
@@ -41,7 +41,7 @@
 func (h *fakeHost) HeartbeatReceived()                    { h.heartbeats++ }
 func (h *fakeHost) Resign(reason string)                  { h.resigned = reason }
 
-// fakeSender answers as it is told to, and notes to whom something was sent.
+// fakeSender returns the configured outcome and records the addresses of sent messages.
 type fakeSender struct {
 	sent     chan string
 	executed bool
@@ -53,8 +53,8 @@
 	return &wire.Heartbeat{}, s.executed, s.err
 }
 
-// testDispatcher is a Dispatcher of some machines that are up, each with one task of an
-// ordinary job that its agent has been told to start.
+// testDispatcher is a Dispatcher with machines that are up. Each has one task of a job with normal
+// priority, whose start has not been confirmed by its agent.
 type testDispatcher struct {
 	*Dispatcher
 	host     *fakeHost
@@ -98,7 +98,7 @@
 	return test
 }
 
-// start has a machine's agent be told to start the only task of a job.
+// start allocates the only task of a job on a machine, so that the machine has a start command.
 func (test *testDispatcher) start(machine *cluster.Machine, spec wire.Job) {
 	spec.Class, spec.Team, spec.Tasks, spec.CPUs, spec.MemoryGB, spec.Image = "c", "team", 1, 1, 1, "i"
 	job := test.addJob(spec)
@@ -110,7 +110,8 @@
 	return test.cluster.AddJob(spec, test.at, test.at)
 }
 
-// An overloaded leader sends directly what cannot wait for the machine's next heartbeat.
+// An overloaded leader sends directly only commands that cannot wait for the machine's next heartbeat.
+// The overload lasts for at least minOverloadDuration, since the omitted commands return as load.
 func TestOverloadedLeaderDispatchesOnlyUrgentCommands(t *testing.T) {
 	test := newTestDispatcher(t, 8)
 	machines := test.cluster.SortedMachines()
@@ -121,36 +122,36 @@
 			MemoryGB: 1, Image: "i",
 		},
 	)
-	starts := func(machine *cluster.Machine, job *cluster.Job) {
+	allocate := func(machine *cluster.Machine, job *cluster.Job) {
 		allocation := test.cluster.Allocate(job, job.NextTasks(test.at, 1)[0], machine, 1, 1, test.at)
 		test.cluster.ChunkPersisted(job.Chunk(allocation.Index), 1<<40)
 	}
-	starts(service, test.cluster.Jobs["j-7777"])
+	allocate(service, test.cluster.Jobs["j-7777"])
 	if !test.shouldDispatch(normal) || !test.shouldDispatch(service) {
-		t.Fatal("orders are left out without overload")
+		t.Fatal("commands are not sent directly though there is no overload")
 	}
 	for range 1000 {
 		test.observeQueueDelay(300*micro.Millisecond, test.at)
 	}
 	if test.shouldDispatch(normal) || !test.shouldDispatch(service) {
 		t.Errorf(
-			"direct in overload: other work %v, first priority %v", test.shouldDispatch(normal),
-			test.shouldDispatch(service),
+			"sent directly in overload: normal priority %v, want false; highest priority %v, want true",
+			test.shouldDispatch(normal), test.shouldDispatch(service),
 		)
 	}
 	for range 1000 {
 		test.observeQueueDelay(0, test.at+micro.Second)
 	}
 	if test.shouldDispatch(normal) {
-		t.Error("eased at once: what was left out comes back in a second")
+		t.Error("overload ended before minOverloadDuration")
 	}
 	test.observeQueueDelay(0, test.at+micro.Second+minOverloadDuration+1)
 	if !test.shouldDispatch(normal) {
-		t.Error("still overloaded though no report waits")
+		t.Error("still overloaded though no heartbeat waits")
 	}
 }
 
-// runLoopUntil serves events until a condition holds.
+// runLoopUntil runs the event loop until a condition holds.
 func (test *testDispatcher) runLoopUntil(condition func() bool) {
 	test.loop.Run(eventloop.Handlers{
 		Now:  func() micro.Time { return test.at },
@@ -163,7 +164,7 @@
 	})
 }
 
-// Each message sent at once takes a socket.
+// Each message that is sent directly takes a socket, so their number must be bounded.
 func TestMessagesInFlightAreBounded(t *testing.T) {
 	test := newTestDispatcher(t, maxInFlight+4)
 	for _, machine := range test.machines {
@@ -171,23 +172,23 @@
 	}
 	test.SendPending(test.at)
 	if test.InFlight() != maxInFlight || test.Pending() != 4 {
-		t.Fatalf("%d in flight, %d pending", test.InFlight(), test.Pending())
+		t.Fatalf("%d in flight, %d pending; want %d and 4", test.InFlight(), test.Pending(), maxInFlight)
 	}
 	test.runLoopUntil(func() bool { return test.InFlight() == 0 })
 	test.SendPending(test.at)
 	if test.InFlight() != 4 || test.Pending() != 0 {
-		t.Fatalf("%d in flight, %d pending once the first were answered", test.InFlight(), test.Pending())
+		t.Fatalf("%d in flight, %d pending after the first were answered; want 4 and 0", test.InFlight(), test.Pending())
 	}
 }
 
-// dispatchOutcome is what is known of a machine once a dispatch to it is over.
+// dispatchOutcome is the state of a dispatcher with one machine after a dispatch to it.
 type dispatchOutcome struct {
 	sent                int
-	backoff             micro.Time // nothing more is sent for so long; 0: no backoff
+	backoff             micro.Time // time until the next dispatch is allowed; 0: no backoff
 	pending, unanswered bool
 }
 
-func TestOutcomesOfADispatch(t *testing.T) {
+func TestDispatchOutcomes(t *testing.T) {
 	for name, row := range map[string]struct {
 		leaseLapsed, executed bool
 		err                   error
@@ -205,7 +206,7 @@
 			test.MarkPending(machine)
 			test.SendPending(test.at)
 			if !machine.DispatchInFlight {
-				t.Fatal("nothing in flight")
+				t.Fatal("no message in flight")
 			}
 			test.runLoopUntil(func() bool { return test.InFlight() == 0 })
 			got := dispatchOutcome{
@@ -213,27 +214,27 @@
 				pending: test.Pending() > 0, unanswered: machine.DispatchUnanswered,
 			}
 			if got != row.want || machine.DispatchInFlight {
-				t.Errorf("%+v, want %+v; still in flight: %v", got, row.want, machine.DispatchInFlight)
+				t.Errorf("outcome %+v, want %+v; still in flight: %v", got, row.want, machine.DispatchInFlight)
 			}
 		})
 	}
 }
 
-// The bits above the counter are the revision that fences the term: the next term's tokens
-// would not be above those of one that counted into them.
-func TestTermEndsWhenItsFencingTokensAreUsedUp(t *testing.T) {
+// The bits above the token's counter hold the revision that fences the term. If a term counted into these
+// bits, the next term's tokens would not be higher.
+func TestTermEndsBeforeItsFencingTokensAreExhausted(t *testing.T) {
 	test := newTestDispatcher(t, 1)
 	test.RaiseFencingToken(FirstFencingToken(8) - 2)
 	test.at += tokenRaiseInterval
 	for checks := 0; test.host.resigned == ""; checks++ {
 		if checks > 2 {
-			t.Fatalf("still leads with token %x", test.FencingToken())
+			t.Fatalf("term not ended with token %x", test.FencingToken())
 		}
 		test.CheckToken(test.at)
 		test.at += tokenRaiseInterval + 1
 	}
 	if test.FencingToken() >= FirstFencingToken(8) {
-		t.Errorf("token %x is of the next term", test.FencingToken())
+		t.Errorf("token %x belongs to the next term", test.FencingToken())
 	}
 }
 
@@ -249,9 +250,9 @@
 	}
 	commands, accepted := test.HandleHeartbeat(heartbeat)
 	if !accepted || uint64(commands.FencingToken) != FirstFencingToken(7) || len(commands.Items) != 1 {
-		t.Errorf("accepted: %v, %+v", accepted, commands)
+		t.Errorf("accepted: %v, response %+v", accepted, commands)
 	}
 	if test.host.heartbeats != 1 {
-		t.Errorf("%d heartbeats counted", test.host.heartbeats)
+		t.Errorf("%d heartbeats counted, want 1", test.host.heartbeats)
 	}
 }
--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// heartbeatTimeout is how long a heartbeat waits for the loop.
+	// heartbeatTimeout is the longest time that a heartbeat waits for the event loop.
 	heartbeatTimeout = 2 * micro.Second
-	// promptResponseLimit is how soon a response must be ready to count as one that the
-	// agent takes.
+	// promptResponseLimit is the time within which a response must be ready so that the agent can
+	// be expected to receive it.
 	promptResponseLimit = micro.Second
 )
 
-// HandleHeartbeat answers an agent's heartbeat with the commands for its machine; false if
-// it may not be answered now, or there was no time to, and the agent has to try again. Any
-// goroutine but the loop's may call it.
+// HandleHeartbeat processes an agent's heartbeat and returns the commands for its machine. It returns
+// false if the heartbeat must not be answered now or was not processed within heartbeatTimeout; the
+// agent then has to try again. It may be called from any goroutine but the loop's.
 func (d *Dispatcher) HandleHeartbeat(heartbeat *wire.Heartbeat) (commands wire.Commands, accepted bool) {
 	received := heartbeatReceived{dispatcher: d, heartbeat: heartbeat, receivedAt: d.now()}
 	event := func(reply eventloop.Reply[heartbeatResponse]) eventloop.Event {
@@ -25,11 +25,11 @@
 		return received
 	}
 	response, ok := eventloop.Call(d.loop, eventloop.Events, heartbeatTimeout, event)
-	// The lease may have lapsed meanwhile: then nothing may be said.
+	// The lease may have lapsed meanwhile; then no response may be sent.
 	return response.commands, ok && response.accepted && d.host.HoldsLease()
 }
 
-// heartbeatResponse is what an agent is told; it has to try again if its heartbeat was not
+// heartbeatResponse is the response to an agent, which has to try again if its heartbeat was not
 // accepted.
 type heartbeatResponse struct {
 	commands wire.Commands
@@ -44,11 +44,13 @@
 	reply      eventloop.Reply[heartbeatResponse]
 }
 
-// Apply reconciles the machine with its heartbeat and answers with its commands.
+// Apply reconciles the machine with its heartbeat and replies with its commands.
 func (e heartbeatReceived) Apply() {
 	e.reply.Send(e.dispatcher.answerHeartbeat(e.heartbeat, e.receivedAt))
 }
 
+// answerHeartbeat reconciles the machine with its heartbeat and returns the response. It refuses the
+// heartbeat if this controller may not answer it or if it is of an earlier agent epoch.
 func (d *Dispatcher) answerHeartbeat(heartbeat *wire.Heartbeat, receivedAt micro.Time) heartbeatResponse {
 	now := d.now()
 	if !d.host.HoldsLease() || d.host.RefusesHeartbeat(heartbeat) {
@@ -68,7 +70,7 @@
 	if now-receivedAt < promptResponseLimit {
 		d.cluster.ResponseSent(machine, d.token.current)
 	} else {
-		d.cluster.ResponseSent(machine, 0) // the agent may have given up waiting
+		d.cluster.ResponseSent(machine, 0) // the agent's request may have timed out
 	}
 	message := wire.Commands{FencingToken: wire.Count(d.token.current), Items: commands}
 	return heartbeatResponse{commands: message, accepted: true}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -2,30 +2,30 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// Where the leader's processor is used up, heartbeats wait for the loop, and status requests,
-// peers and renewals for the processor. What can be left out then are commands sent at once:
-// each message takes a connection of its own, and the response to the machine's next
-// heartbeat brings the same.
+// When the leader's processors are saturated, heartbeats wait for the event loop, and status requests,
+// peer requests and lease renewals wait for processor time. Direct commands are then omitted: each
+// takes a connection of its own, and the response to the machine's next heartbeat carries the same
+// commands.
 const (
-	// queueDelayWeight is the weight of one heartbeat in the mean of how long they wait.
+	// queueDelayWeight is the weight of one heartbeat in the moving average of queue delays.
 	queueDelayWeight = 0.02
-	// overloadDelay is the mean wait from which the leader counts as overloaded, and
-	// easedDelay that below which it no longer does.
+	// overloadDelay is the mean queue delay above which the leader counts as overloaded, and
+	// recoveredDelay the one below which it no longer does.
 	overloadDelay  = 150 * micro.Millisecond
 	recoveredDelay = 50 * micro.Millisecond
-	// minOverloadDuration is for how long it then counts as overloaded at the least: what was
-	// left out comes back at once.
+	// minOverloadDuration is the least time for which the leader counts as overloaded: as soon as
+	// it no longer does, the load of the omitted direct commands returns.
 	minOverloadDuration = 5 * micro.Second
 )
 
-// overloadDetector watches how long heartbeats wait for the loop.
+// overloadDetector detects overload from how long heartbeats wait for the event loop.
 type overloadDetector struct {
 	meanDelay float64 // in microseconds
 	active    bool
-	holdUntil micro.Time // it does not count as eased before
+	holdUntil micro.Time // earliest end of the overload
 }
 
-// observe takes in how long a heartbeat has waited, and tells whether the state changed.
+// observe adds the queue delay of one heartbeat and reports whether the overload began or ended.
 func (o *overloadDetector) observe(waited, now micro.Time) bool {
 	o.meanDelay += queueDelayWeight * (float64(waited) - o.meanDelay)
 	was := o.active
@@ -38,10 +38,10 @@
 	return o.active != was
 }
 
-// observeQueueDelay takes in how long a heartbeat has waited for the loop.
+// observeQueueDelay adds the queue delay of one heartbeat and logs the start and end of an overload.
 func (d *Dispatcher) observeQueueDelay(waited, now micro.Time) {
 	if d.overload.observe(waited, now) {
 		meanDelayMS := int64(d.overload.meanDelay) / int64(micro.Millisecond)
-		d.log.Info("overload", "on", d.overload.active, "lag_ms", meanDelayMS)
+		d.log.Info("overload state changed", "on", d.overload.active, "lag_ms", meanDelayMS)
 	}
 }
