--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,12 +1,12 @@
-// Package election keeps one leader among the nodes, by a key on a lease of the store. A
-// node's session as an owner of shards is held by the same rules, as a key for which no
-// other node campaigns.
+// Package election elects one leader among the nodes. The leader holds a key that is attached to a
+// lease of the store. A node's session as an owner of shards works in the same way, with a key for
+// which no other node campaigns.
 //
-// The leadership lease ends, by this node's own steady clock, a TTL (less the drift of
-// clocks) after the last successful renewal was sent. The store ends its lease no earlier
-// than that, so two nodes never hold the leadership lease at once.
+// By this node's own monotonic clock, the leadership lease ends one TTL, less the allowed clock
+// drift, after the last successful renewal was sent. The store ends its lease no earlier than that,
+// so two nodes never hold the leadership lease at the same time.
 //
-// Election.Run owns the state; all other methods may be called from any goroutine.
+// Only Election.Run changes the state. All other methods may be called from any goroutine.
 package election
 
 import (
@@ -23,16 +23,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// LeaderKey is the key that names the leader. It is a fixed format.
+// LeaderKey is the key whose value names the leader. It must not change.
 const LeaderKey = "leader"
 
-// maxClockDrift is the most that a steady clock may gain on another, in parts of 1e4,
-// with capacity for both clocks and for a timer's step.
+// Timing of the election. maxClockDrift, in parts of clockDriftDivisor, is the greatest drift
+// between two monotonic clocks, with a margin for both clocks; timerStep is the margin for the
+// resolution of a timer.
 const (
 	maxClockDrift      = 20
 	clockDriftDivisor  = 10000
 	timerStep          = 5 * micro.Millisecond
-	maxCampaignDelay   = 30 * micro.Millisecond // so that candidates do not collide
+	maxCampaignDelay   = 30 * micro.Millisecond // upper bound of a random delay that keeps candidates from colliding
 	retryDelay         = 300 * micro.Millisecond
 	renewRetryDelay    = 150 * micro.Millisecond
 	watchTimeout       = 10 * micro.Second
@@ -41,16 +42,17 @@
 	suspendedPollDelay = 500 * micro.Millisecond
 )
 
-// Record is the value of the key.
+// Record is the value of the key that a leader or the holder of a session writes.
 type Record struct {
 	Node  string     `msgpack:"node"`
-	Nonce string     `msgpack:"nonce"` // of the process: a restarted node has another
+	Nonce string     `msgpack:"nonce"` // identifies the process; it differs after a restart of the node
 	Lease wire.Count `msgpack:"lease"`
-	// Features names what the holder of a session can do beyond the first version of shards.
+	// Features names the features that the holder of a session supports beyond the first release of
+	// shards.
 	Features []string `msgpack:"features,omitempty" json:",omitempty"`
 }
 
-// State is what this node takes itself to be.
+// State is the role of this node in the election.
 type State int32
 
 // The states of a node.
@@ -62,67 +64,68 @@
 
 func (s State) String() string { return [...]string{"follower", "candidate", "leader"}[s] }
 
-// Term is one node's time as leader, or as holder of its session.
+// Term is one continuous time of a node as leader or as holder of its session.
 type Term struct {
 	FencingRevision uint64 // version of the key: the precondition of every write of the term
 	Lease           uint64
-	key             string // the key that is held
+	key             string
 	validUntil      atomic.Int64
 	ended           atomic.Bool
 }
 
-// HoldsLease reports whether this node may still act as leader.
+// HoldsLease reports whether the term has not ended and its lease is valid, so that this node may
+// act as leader. It returns false for a nil Term.
 func (t *Term) HoldsLease(now micro.Time) bool {
 	return t != nil && !t.ended.Load() && int64(now) < t.validUntil.Load()
 }
 
-// Precondition is the condition that every write of the term carries.
+// Precondition returns the condition that every write of the term carries.
 func (t *Term) Precondition() wire.Precondition {
 	return wire.Precondition{Key: t.key, Version: wire.Count(t.FencingRevision)}
 }
 
-// End gives the term up for good.
+// End ends the term permanently.
 func (t *Term) End() { t.ended.Store(true) }
 
-// NewTerm makes a term that holds the lease until the given time; for tests.
+// NewTerm returns a term that holds the leader's key until the given time. It is used in tests.
 func NewTerm(revision uint64, until micro.Time) *Term {
 	return NewTermForKey(LeaderKey, revision, until)
 }
 
-// NewTermForKey makes a term that holds the given key; for tests.
+// NewTermForKey returns a term that holds the given key until the given time. It is used in tests.
 func NewTermForKey(key string, revision uint64, until micro.Time) *Term {
 	term := &Term{FencingRevision: revision, key: key}
 	term.validUntil.Store(int64(until))
 	return term
 }
 
-// Extend sets when the lease ends; for tests.
+// Extend sets when the lease ends. It is used in tests.
 func (t *Term) Extend(until micro.Time) { t.validUntil.Store(int64(until)) }
 
-// Election is one node's part in an election.
+// Election runs the participation of one node in an election.
 type Election struct {
-	Key                string // the key to be held; "": LeaderKey
+	Key                string // the key to create; "": LeaderKey
 	Node               string
 	Nonce              string
-	Features           []string      // announced with the key; none for the leader's
-	AcquisitionChanges []wire.Change // further changes of the transaction that creates the key
+	Features           []string      // stored in the record; empty for the leader's key
+	AcquisitionChanges []wire.Change // further changes in the transaction that creates the key
 	Store              store.Store
 	TTL                micro.Time
 	RenewInterval      micro.Time
 	Log                *slog.Logger
 	Now                func() micro.Time
-	OnStartedLeading   func(*Term) // called by Run when this node has become leader
-	OnStoppedLeading   func(*Term) // called by Run when its term is over
+	OnStartedLeading   func(*Term) // called by Run when a term has started
+	OnStoppedLeading   func(*Term) // called by Run when a term has ended
 
 	mu                sync.Mutex
 	campaignNotBefore micro.Time
-	deferUntil        micro.Time // until then other candidates go first
+	deferUntil        micro.Time // until then campaigns are delayed by deferralDelay
 	state             State
 	leader            string
 	term              *Term
 }
 
-// key is the key to be held.
+// key returns the key for which this node campaigns.
 func (e *Election) key() string {
 	if e.Key == "" {
 		return LeaderKey
@@ -130,40 +133,42 @@
 	return e.Key
 }
 
-// Leader is the node that this one believes leads, "" if none is known.
+// Leader returns the node that is the leader as far as this node knows, or "" if none is known.
 func (e *Election) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader
 }
 
-// SuspendCampaign keeps this node from campaigning for a time, so that another may lead.
+// SuspendCampaign prevents this node from campaigning for d, so that another node may become leader.
 func (e *Election) SuspendCampaign(d micro.Time) {
 	e.mu.Lock()
 	e.campaignNotBefore = e.Now() + d
 	e.mu.Unlock()
 }
 
-// deferralDelay is how long a node that defers waits before it campaigns: enough for a candidate
-// that does not defer to create the key, also in a slow store.
+// deferralDelay is the additional delay of a deferred campaign. It is long enough for another candidate
+// to create the key, even if the store is slow.
 const deferralDelay = micro.Second
 
-// DeferCampaign lets any other candidate go first for a time. Unlike SuspendCampaign it
-// forbids nothing: if no other node campaigns, this one leads after the head start.
+// DeferCampaign delays campaigns of this node by deferralDelay for the next d, so that other candidates
+// have precedence. Unlike SuspendCampaign it does not prevent campaigns: if no other node campaigns,
+// this one becomes leader after the delay.
 func (e *Election) DeferCampaign(d micro.Time) {
 	e.mu.Lock()
 	e.deferUntil = e.Now() + d
 	e.mu.Unlock()
 }
 
-// Term is this node's term, nil if it does not lead.
+// Term returns this node's term, or nil if it does not hold the key.
 func (e *Election) Term() *Term {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.term
 }
 
-// transition is the one place where the state changes. It tells whoever leads or led.
+// transition changes the state, which happens nowhere else, and calls the callbacks when a term ends or
+// starts.
 func (e *Election) transition(state State, leader string, term *Term) {
 	e.mu.Lock()
 	previousState, previousTerm := e.state, e.term
@@ -171,7 +176,7 @@
 	e.state, e.leader, e.term = state, leader, term
 	e.mu.Unlock()
 	if changed {
-		e.Log.Info("election", "from", previousState.String(), "to", state.String(), "leader", leader)
+		e.Log.Info("election state changed", "from", previousState.String(), "to", state.String(), "leader", leader)
 	}
 	if previousTerm != nil && previousTerm != term {
 		previousTerm.End()
@@ -182,7 +187,7 @@
 	}
 }
 
-// Run takes part in the election until the context ends.
+// Run participates in the election until the context ends. It always returns nil.
 func (e *Election) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		e.runOnce(ctx)
@@ -199,7 +204,7 @@
 	}
 }
 
-// runOnce reads the key once and does what it calls for.
+// runOnce reads the key and campaigns, follows its holder, or revokes an old lease of this node.
 func (e *Election) runOnce(ctx context.Context) {
 	item, err := e.Store.Get(ctx, store.Leadership, e.key())
 	switch {
@@ -209,28 +214,28 @@
 		}
 		return
 	case err != nil:
-		// Who leads is not known to this node now, and what it knew may be stale.
+		// The leader is unknown while the store cannot be read; the last known leader may be stale.
 		e.sleep(ctx, retryDelay)
 		return
 	}
 	var record Record
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		e.Log.Error("election record not understood", "key", e.key(), "err", err)
+		e.Log.Error("decode election record failed", "key", e.key(), "err", err)
 		e.sleep(ctx, micro.Second)
 		return
 	}
 	if record.Node == e.Node {
-		// Written by an earlier incarnation of this node, which is dead, since one address
-		// runs one process; or by a campaign of this one whose response was lost, and which
-		// won after all: when its lease was last renewed is not known. Either lease may end
-		// at once, and the election starts afresh.
+		// The record was written by a previous process of this node, which has ended, since only
+		// one process uses an address; or by a successful campaign of this process whose response
+		// was lost, so that the start of its lease is not known. Either lease can be revoked at
+		// once, and a new campaign follows.
 		_ = e.Store.Revoke(ctx, uint64(record.Lease))
 		return
 	}
 	e.follow(ctx, record.Node, uint64(item.Version))
 }
 
-// follow waits until the key of another leader changes.
+// follow waits until the key held by another node changes or the watch times out.
 func (e *Election) follow(ctx context.Context, leader string, version uint64) {
 	e.transition(Follower, leader, nil)
 	events, err := e.Store.Watch(ctx, e.key(), version, watchTimeout)
@@ -243,7 +248,7 @@
 	}
 }
 
-// campaign tries to create the key; true: this node leads.
+// campaign tries to create the key. It returns true if this node now holds it.
 func (e *Election) campaign(ctx context.Context) bool {
 	e.mu.Lock()
 	now := e.Now()
@@ -267,8 +272,10 @@
 		return false
 	}
 	revision, err := e.Store.Commit(ctx, store.Leadership, wire.Transaction{
-		If:   []wire.Precondition{{Key: e.key()}},
-		Then: append([]wire.Change{{Put: e.key(), Value: e.record(lease), Lease: wire.Count(lease)}}, e.AcquisitionChanges...),
+		If: []wire.Precondition{{Key: e.key()}},
+		Then: append(
+			[]wire.Change{{Put: e.key(), Value: e.record(lease), Lease: wire.Count(lease)}}, e.AcquisitionChanges...,
+		),
 	})
 	if err != nil {
 		if !errors.Is(err, store.ErrConflict) {
@@ -282,19 +289,20 @@
 	return true
 }
 
-// record is the value of the key under a lease.
+// record returns the value of the key for a lease.
 func (e *Election) record(lease uint64) Record {
 	return Record{Node: e.Node, Nonce: e.Nonce, Lease: wire.Count(lease), Features: e.Features}
 }
 
-// leaseDeadline is when the leadership lease ends that a renewal sent at a time gives.
+// leaseDeadline returns when the leadership lease ends after a successful renewal sent at the given
+// time.
 func (e *Election) leaseDeadline(sent micro.Time) micro.Time {
 	return sent + e.TTL - e.TTL*maxClockDrift/clockDriftDivisor - timerStep
 }
 
-// renewUntilLost renews the lease until it is lost. An outage of the store does not shorten
-// the lease that it holds: leadership lapses here, and resumes with the next successful
-// renewal, since no other node can have led in between.
+// renewUntilLost renews the lease until it is lost. If renewals fail, for example during an outage of
+// the store, leadership lapses on this node but the term continues: leadership resumes with the next successful
+// renewal, since while the store keeps the lease no other node can have become leader.
 func (e *Election) renewUntilLost(ctx context.Context) {
 	term := e.Term()
 	wait := e.RenewInterval
@@ -312,7 +320,7 @@
 			e.transition(Follower, "", nil)
 			return
 		default:
-			e.Log.Info("leader lease not renewed", "key", e.key(), "err", err)
+			e.Log.Info("election lease renewal failed, retrying", "key", e.key(), "err", err)
 			wait = renewRetryDelay
 		}
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -21,14 +21,14 @@
 	renewInterval = 2 * micro.Second
 )
 
-// testCluster is a store with nodes that elect a leader, in fake time.
+// testCluster is a store and the nodes that elect a leader with it, in fake time.
 type testCluster struct {
 	t     *testing.T
 	start time.Time
 	store *fake.Store
 }
 
-// testNode is one process of a site.
+// testNode is one controller process with its link to the store.
 type testNode struct {
 	*Election
 	link         *fake.Link
@@ -36,7 +36,7 @@
 	endedTerms   []*Term
 }
 
-// inFakeTime tells a story whose clocks move only when all wait.
+// inFakeTime runs a scenario in fake time, which advances only while all goroutines are blocked.
 func inFakeTime(t *testing.T, scenario func(*testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// clock makes a steady clock that is slow by so many parts of 1e4.
+// clock returns a monotonic clock that is slow by drift parts in 10,000.
 func (c *testCluster) clock(drift int64) func() micro.Time {
 	return func() micro.Time {
 		passed := time.Since(c.start).Microseconds()
@@ -54,31 +54,31 @@
 	}
 }
 
-// startNode runs a node until the story ends. What is set goes before its first step.
+// startNode runs a node until the scenario ends. The options are applied before it starts.
 func (c *testCluster) startNode(name string, drift int64, options ...func(*testNode)) *testNode {
-	member := &testNode{link: fake.NewLink(c.store, rand.New(rand.NewPCG(1, 2)))}
-	member.Election = &Election{
-		Node: name, Nonce: "now", Store: member.link, TTL: ttl, RenewInterval: renewInterval,
+	node := &testNode{link: fake.NewLink(c.store, rand.New(rand.NewPCG(1, 2)))}
+	node.Election = &Election{
+		Node: name, Nonce: "now", Store: node.link, TTL: ttl, RenewInterval: renewInterval,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: c.clock(drift),
-		OnStartedLeading: func(t *Term) { member.startedTerms = append(member.startedTerms, t) },
-		OnStoppedLeading: func(t *Term) { member.endedTerms = append(member.endedTerms, t) },
+		OnStartedLeading: func(t *Term) { node.startedTerms = append(node.startedTerms, t) },
+		OnStoppedLeading: func(t *Term) { node.endedTerms = append(node.endedTerms, t) },
 	}
 	for _, option := range options {
-		option(member)
+		option(node)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.t.Cleanup(cancel)
-	go func() { _ = member.Run(ctx) }()
-	return member
+	go func() { _ = node.Run(ctx) }()
+	return node
 }
 
-// advance lets fake time pass.
+// advance lets the given fake time pass.
 func (c *testCluster) advance(span micro.Time) {
 	time.Sleep(span.Duration())
 	synctest.Wait()
 }
 
-// leaderKeyExists says whether the store holds the leader's key.
+// leaderKeyExists reports whether the store holds the leader's key.
 func (c *testCluster) leaderKeyExists() bool {
 	_, err := c.store.Get(context.Background(), store.Leadership, LeaderKey)
 	return err == nil
@@ -86,26 +86,26 @@
 
 func (n *testNode) isLeading() bool { return n.Term().HoldsLease(n.Now()) }
 
-func TestOneNodeLeadsAndOthersKnowTheLeader(t *testing.T) {
+func TestOneNodeLeadsAndAllNodesKnowTheLeader(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
 		first := cluster.startNode("n-0", 0)
 		cluster.advance(micro.Second)
 		second := cluster.startNode("n-1", 0)
 		cluster.advance(3 * ttl)
 		if !first.isLeading() || second.isLeading() {
-			t.Fatalf("first leads: %v, second: %v", first.isLeading(), second.isLeading())
+			t.Fatalf("first leads: %v, want true; second leads: %v, want false", first.isLeading(), second.isLeading())
 		}
 		if first.Leader() != "n-0" || second.Leader() != "n-0" {
-			t.Errorf("leader: %q and %q", first.Leader(), second.Leader())
+			t.Errorf("leader known to the nodes: %q and %q, want n-0", first.Leader(), second.Leader())
 		}
 		if len(first.startedTerms) != 1 || len(first.endedTerms)+len(second.startedTerms) != 0 {
-			t.Errorf("the leadership changed while all went well")
+			t.Errorf("leadership changed without a failure")
 		}
 	})
 }
 
-// The leadership lease ends before the lease does, by a clock that is slow and with
-// renewals that are answered late: the time counts from when the last was sent.
+// The leadership lease must end before the store's lease, also with a slow clock and with late answers to
+// renewals: it counts from when the last renewal was sent.
 func TestLeadershipEndsBeforeTheStoreLease(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -118,8 +118,8 @@
 	}
 }
 
-// checkPartitionedLeader cuts a leader off whose clock is slow and whose answers are late,
-// and checks that it has stopped leading by the time its lease ends or another leads.
+// checkPartitionedLeader partitions a leader with the given clock drift and answer delay from the store.
+// It checks that the leader stops leading before its lease ends and before another node leads.
 func checkPartitionedLeader(t *testing.T, cluster *testCluster, slow int64, delay micro.Time) {
 	t.Helper()
 	old := cluster.startNode("n-0", slow)
@@ -128,115 +128,115 @@
 	old.link.SetDelay(delay)
 	cluster.advance(2 * ttl)
 	if !old.isLeading() {
-		t.Fatal("does not lead")
+		t.Fatal("the first node does not lead")
 	}
 	old.link.SetReachability(fake.Partitioned)
 	for end := cluster.store.Now() + 2*ttl; cluster.store.Now() < end; cluster.advance(micro.Millisecond) {
 		if old.isLeading() && (next.isLeading() || !cluster.leaderKeyExists()) {
-			t.Fatalf("acts after its lease ended; the other leads: %v", next.isLeading())
+			t.Fatalf("still leads after its lease ended; the other node leads: %v", next.isLeading())
 		}
 	}
 	if !next.isLeading() {
-		t.Fatal("nobody took over")
+		t.Fatal("no other node became leader")
 	}
 	if revision := next.Term().FencingRevision; revision <= old.startedTerms[0].FencingRevision {
-		t.Errorf("the new term's token is no higher: %d", revision)
+		t.Errorf("fencing revision of the new term is %d, not higher than the old one", revision)
 	}
 }
 
-func TestLeadershipLapsesInAnOutageAndResumesWithTheLease(t *testing.T) {
+func TestLeadershipLapsesInStoreOutageAndResumesInSameTerm(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
-		member := cluster.startNode("n-0", 0)
+		node := cluster.startNode("n-0", 0)
 		cluster.advance(micro.Second)
-		term := member.Term()
+		term := node.Term()
 		cluster.store.SetOutage(true)
 		cluster.advance(2 * ttl)
-		if member.isLeading() || term.HoldsLease(member.Now()) {
-			t.Fatal("acts though no renewal was answered")
+		if node.isLeading() || term.HoldsLease(node.Now()) {
+			t.Fatal("still leads though no renewal succeeded for two TTLs")
 		}
 		cluster.store.SetOutage(false)
 		cluster.advance(micro.Second)
-		if !member.isLeading() || member.Term() != term || len(member.endedTerms) != 0 {
-			t.Errorf("did not go on with its term: lost %d times", len(member.endedTerms))
+		if !node.isLeading() || node.Term() != term || len(node.endedTerms) != 0 {
+			t.Errorf("leadership did not resume in the same term; %d terms ended", len(node.endedTerms))
 		}
 	})
 }
 
-// A renewal that nobody answers is given up and sent again while the lease lives.
-func TestUnansweredRenewalIsRetriedInTime(t *testing.T) {
+// A renewal without an answer must time out and be retried before the lease expires.
+func TestUnansweredRenewalIsRetriedBeforeLeaseExpires(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
-		member := cluster.startNode("n-0", 0)
+		node := cluster.startNode("n-0", 0)
 		cluster.advance(micro.Second)
-		term := member.Term()
-		member.link.AnswerTimeout = micro.Minute
-		member.link.SetReachability(fake.Partitioned)
+		term := node.Term()
+		node.link.AnswerTimeout = micro.Minute
+		node.link.SetReachability(fake.Partitioned)
 		cluster.advance(ttl / 2)
-		member.link.SetReachability(fake.Reachable)
+		node.link.SetReachability(fake.Reachable)
 		cluster.advance(ttl)
-		if !member.isLeading() || member.Term() != term || len(member.endedTerms) != 0 {
-			t.Errorf("lost %d terms", len(member.endedTerms))
+		if !node.isLeading() || node.Term() != term || len(node.endedTerms) != 0 {
+			t.Errorf("the term did not continue; %d terms ended", len(node.endedTerms))
 		}
 	})
 }
 
-func TestTermEndsWithItsLease(t *testing.T) {
+func TestTermEndsWhenItsLeaseIsRevoked(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
-		member := cluster.startNode("n-0", 0)
+		node := cluster.startNode("n-0", 0)
 		cluster.advance(micro.Second)
-		term := member.Term()
-		member.SuspendCampaign(ttl / 2)
+		term := node.Term()
+		node.SuspendCampaign(ttl / 2)
 		if err := cluster.store.Revoke(context.Background(), term.Lease); err != nil {
 			t.Fatal(err)
 		}
 		cluster.advance(renewInterval)
-		if term.HoldsLease(member.Now()) || member.Term() != nil || member.Leader() != "" {
-			t.Error("leads without a lease")
+		if term.HoldsLease(node.Now()) || node.Term() != nil || node.Leader() != "" {
+			t.Error("still leads after its lease was revoked")
 		}
-		if len(member.endedTerms) != 1 || member.endedTerms[0] != term {
-			t.Errorf("lost %d terms", len(member.endedTerms))
+		if len(node.endedTerms) != 1 || node.endedTerms[0] != term {
+			t.Errorf("%d terms ended, want only the first", len(node.endedTerms))
 		}
 		cluster.advance(ttl)
-		if !member.isLeading() || member.Term().FencingRevision <= term.FencingRevision {
-			t.Error("does not lead again")
+		if !node.isLeading() || node.Term().FencingRevision <= term.FencingRevision {
+			t.Error("no new term after the suspension")
 		}
 	})
 }
 
-// A campaign whose answer is lost may have won. Its node does not know when the
-// lease began: it gives that up at once, and starts afresh before it would end.
-func TestCampaignWithLostResponseStartsAfresh(t *testing.T) {
+// A campaign whose response was lost may have succeeded, but the node cannot know when the lease started.
+// It revokes that lease at once and campaigns again before the lease would have expired.
+func TestCampaignWithLostResponseIsRepeatedWithNewLease(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
 		cluster.store.LoseAnswers(1)
-		member := cluster.startNode("n-0", 0)
+		node := cluster.startNode("n-0", 0)
 		cluster.advance(ttl / 2)
-		if !member.isLeading() || len(member.startedTerms) != 1 {
-			t.Fatalf("gained %d terms", len(member.startedTerms))
+		if !node.isLeading() || len(node.startedTerms) != 1 {
+			t.Fatalf("leads: %v; %d terms started, want 1", node.isLeading(), len(node.startedTerms))
 		}
-		if member.Term().Lease != 2 {
-			t.Errorf("leads by lease %d", member.Term().Lease)
+		if node.Term().Lease != 2 {
+			t.Errorf("leads with lease %d, want 2", node.Term().Lease)
 		}
 	})
 }
 
-func TestCampaignCommittedLateGivesNoTerm(t *testing.T) {
+func TestCampaignExecutedLateStartsNoTerm(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
 		cluster.store.HoldCommits(1)
-		member := cluster.startNode("n-0", 0)
+		node := cluster.startNode("n-0", 0)
 		cluster.advance(micro.Second)
-		if !member.isLeading() || member.Term().Lease != 2 {
-			t.Fatal("did not campaign again")
+		if !node.isLeading() || node.Term().Lease != 2 {
+			t.Fatal("did not become leader by a second campaign")
 		}
 		if done := cluster.store.DeliverHeld(); done != 0 {
-			t.Error("the late campaign took effect against its guard")
+			t.Error("the late transaction was executed despite its precondition")
 		}
 		cluster.advance(2 * ttl)
-		if !member.isLeading() || len(member.startedTerms) != 1 {
-			t.Errorf("gained %d terms", len(member.startedTerms))
+		if !node.isLeading() || len(node.startedTerms) != 1 {
+			t.Errorf("leads: %v; %d terms started, want 1", node.isLeading(), len(node.startedTerms))
 		}
 	})
 }
 
-func TestNodeRevokesTheLeaseOfItsEarlierProcess(t *testing.T) {
+func TestRestartedNodeRevokesLeaseOfPreviousProcess(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
 		ctx := context.Background()
 		lease, err := cluster.store.Grant(ctx, micro.Minute)
@@ -252,30 +252,30 @@
 		other := cluster.startNode("n-1", 0)
 		cluster.advance(micro.Second)
 		if other.isLeading() || other.Leader() != "n-0" {
-			t.Fatal("another node does not respect the lease")
+			t.Fatal("another node did not follow the holder of the key")
 		}
 		other.SuspendCampaign(micro.Minute)
-		member := cluster.startNode("n-0", 0)
+		node := cluster.startNode("n-0", 0)
 		cluster.advance(micro.Second)
-		if !member.isLeading() {
-			t.Error("waits for its own old lease")
+		if !node.isLeading() {
+			t.Error("does not lead: its previous lease was not revoked")
 		}
 	})
 }
 
-func TestUnavailableStoreElectsNoLeader(t *testing.T) {
-	for _, reach := range []fake.Reachability{fake.Refusing, fake.Partitioned} {
-		t.Run(strconv.Itoa(int(reach)), func(t *testing.T) {
+func TestNoLeaderIsElectedWhileStoreIsUnavailable(t *testing.T) {
+	for _, reachability := range []fake.Reachability{fake.Refusing, fake.Partitioned} {
+		t.Run(strconv.Itoa(int(reachability)), func(t *testing.T) {
 			inFakeTime(t, func(cluster *testCluster) {
-				member := cluster.startNode("n-0", 0, func(member *testNode) { member.link.SetReachability(reach) })
+				node := cluster.startNode("n-0", 0, func(node *testNode) { node.link.SetReachability(reachability) })
 				cluster.advance(ttl)
-				if len(member.startedTerms) != 0 || cluster.leaderKeyExists() {
-					t.Fatal("leads without the store")
+				if len(node.startedTerms) != 0 || cluster.leaderKeyExists() {
+					t.Fatal("became leader while the store was unavailable")
 				}
-				member.link.SetReachability(fake.Reachable)
+				node.link.SetReachability(fake.Reachable)
 				cluster.advance(2 * micro.Second)
-				if !member.isLeading() {
-					t.Error("does not lead once the store answers")
+				if !node.isLeading() {
+					t.Error("does not lead after the store became available")
 				}
 			})
 		})
@@ -284,14 +284,14 @@
 
 func TestSuspendedNodeDoesNotCampaign(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
-		member := cluster.startNode("n-0", 0, func(member *testNode) { member.SuspendCampaign(ttl) })
+		node := cluster.startNode("n-0", 0, func(node *testNode) { node.SuspendCampaign(ttl) })
 		cluster.advance(ttl - micro.Millisecond)
-		if len(member.startedTerms) != 0 || cluster.leaderKeyExists() {
-			t.Fatal("campaigned")
+		if len(node.startedTerms) != 0 || cluster.leaderKeyExists() {
+			t.Fatal("campaigned while suspended")
 		}
 		cluster.advance(micro.Second)
-		if !member.isLeading() {
-			t.Error("does not campaign after its pause")
+		if !node.isLeading() {
+			t.Error("did not become leader after the suspension")
 		}
 	})
 }
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -20,6 +20,6 @@
 		t.Error(err)
 	}
 	if LeaderKey != "leader" {
-		t.Errorf("the key is %q", LeaderKey)
+		t.Errorf("leader key is %q, want %q", LeaderKey, "leader")
 	}
 }
--- a/internal/election/guards_test.go
+++ b/internal/election/guards_test.go
@@ -7,20 +7,20 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// The store counts the lease of a campaign from when it granted it, and its answers may
-// take seconds: the leadership lease counts from when the lease was asked for.
-func TestLeaseOfACampaignCountsFromWhenItWasRequested(t *testing.T) {
+// The store's lease starts when the store grants it, and the answer may take seconds. The leadership lease
+// must therefore count from when the campaign requested the lease.
+func TestCampaignLeaseCountsFromItsRequest(t *testing.T) {
 	inFakeTime(t, func(cluster *testCluster) {
-		member := cluster.startNode("n-0", 0, func(member *testNode) { member.link.SetDelay(3 * micro.Second) })
-		for end := cluster.store.Now() + 4*ttl; !member.isLeading(); cluster.advance(10 * micro.Millisecond) {
+		node := cluster.startNode("n-0", 0, func(node *testNode) { node.link.SetDelay(3 * micro.Second) })
+		for end := cluster.store.Now() + 4*ttl; !node.isLeading(); cluster.advance(10 * micro.Millisecond) {
 			if cluster.store.Now() > end {
-				t.Fatal("does not lead")
+				t.Fatal("did not become leader within four TTLs")
 			}
 		}
-		member.link.SetReachability(fake.Partitioned) // before any renewal
+		node.link.SetReachability(fake.Partitioned) // before any renewal
 		for end := cluster.store.Now() + 2*ttl; cluster.store.Now() < end; cluster.advance(10 * micro.Millisecond) {
-			if member.isLeading() && !cluster.leaderKeyExists() {
-				t.Fatal("acts after its lease ended")
+			if node.isLeading() && !cluster.leaderKeyExists() {
+				t.Fatal("still leads after its lease ended")
 			}
 		}
 	})
