--- a/internal/leasekeeper/fence_test.go
+++ b/internal/leasekeeper/fence_test.go
@@ -8,10 +8,10 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// testZones has two nodes in the leader's zone, the leader included, and two in another.
+// testZones returns the zones of the other nodes: two nodes in zone b, and one in zone a, the leader's.
 func testZones() map[string]string { return map[string]string{"n-1": "b", "n-2": "b", "n-3": "a"} }
 
-// exchangeFence is one request that is answered with a exchangeFence, and the confirmation, without delay.
+// exchangeFence delivers one request, the fence that answers it, and its confirmation without delay.
 func exchangeFence(proxy *Proxy, bound *RenewalBound, now micro.Time) {
 	proxy.Request(now)
 	answer := bound.Fence(now)
@@ -20,9 +20,9 @@
 	}
 }
 
-// A leader that fenced a zone from the start of its term knew nothing of the lease proxies there,
-// and took 45 s more than a lease for what they might renew.
-func TestFencedProxyRenewsNothingAndTheLeaderKnows(t *testing.T) {
+// A leader that fenced a zone from the start of its term had no information about the lease proxies there.
+// It waited 45 s, the renewal window, longer than a lease duration, because they might renew leases.
+func TestFencedProxyDoesNotRenewAndBoundStaysAtFence(t *testing.T) {
 	proxy := newProxy("n-1")
 	exchange(proxy, NewRenewalBound(6, 0, testWindow, testZones(), "a"), micro.Second)
 	const termStart = 3 * micro.Second
@@ -33,23 +33,24 @@
 	for now := fencedAt; now < fencedAt+testWindow; now += RequestInterval {
 		proxy.RecordProbe(true, false, now)
 		if proxy.TryRenew(now) {
-			t.Fatalf("%v after the fence a lease is renewed", now-fencedAt)
+			t.Fatalf("lease renewed %v after the fence", now-fencedAt)
 		}
 		if until := bound.RenewedUntil("b", now); until != fencedAt {
-			t.Fatalf("leases count from %v", until)
+			t.Fatalf("renewal bound is %v, want the time of the fence %v", until, fencedAt)
 		}
 	}
 	if bound.ZoneDisconnected("b", fencedAt+renewAfter-1) {
-		t.Error("a zone whose nodes confirm a fence is disconnected")
+		t.Error("zone is disconnected within renewAfter of the confirmed fences")
 	}
 	if !bound.ZoneDisconnected("b", fencedAt+testWindow) {
-		t.Error("nothing was heard for long")
+		t.Error("zone is not disconnected though its nodes sent nothing for a renewal window")
 	}
 }
 
-// The user of a cancelled job was told while its tasks ran, and its zone fenced for that, since
-// proxies had confirmed a fence of before: it does not bring a user's answer forward.
-func TestRenewalLimitDoesNotCountOnAFence(t *testing.T) {
+// The user of a cancelled job was told that it had ended while its tasks were still running, because the
+// lease proxies of its zone had confirmed an earlier fence. A fence must not shorten the time until the
+// user is told.
+func TestFenceDoesNotShortenRenewalLimit(t *testing.T) {
 	const termStart = 3 * micro.Second
 	bound := NewRenewalBound(7, termStart, testWindow, testZones(), "a")
 	proxies := []*Proxy{newProxy("n-1"), newProxy("n-2")}
@@ -59,7 +60,7 @@
 	}
 	const fromTermStart = termStart + testWindow
 	if limit := bound.RenewalLimit("b", fencedAt+1); limit < fromTermStart {
-		t.Errorf("fenced by the new term, before it fences a zone for a job: %v, at least %v", limit, fromTermStart)
+		t.Errorf("renewal limit after a fence at the start of the term is %v, want at least %v", limit, fromTermStart)
 	}
 	const answeredAt = 6 * micro.Second
 	for _, proxy := range proxies {
@@ -68,12 +69,12 @@
 	}
 	const fromAnswer = answeredAt + testWindow
 	if limit := bound.RenewalLimit("b", answeredAt+2*RequestInterval); limit < fromAnswer {
-		t.Errorf("fenced after an answer: %v, at least %v", limit, fromAnswer)
+		t.Errorf("renewal limit after an ordinary answer and a fence is %v, want at least %v", limit, fromAnswer)
 	}
 }
 
-// The next ordinary answer ends a fence, at the proxy and at the leader.
-func TestNextAnswerEndsAFence(t *testing.T) {
+// The next ordinary answer ends a fence, both in the proxy and in the leader's bound.
+func TestNextOrdinaryAnswerEndsFence(t *testing.T) {
 	proxy := newProxy("n-1")
 	bound := NewRenewalBound(7, 0, testWindow, testZones(), "a")
 	exchangeFence(proxy, bound, micro.Second)
@@ -81,60 +82,66 @@
 	now := 2*micro.Second + renewAfter
 	proxy.RecordProbe(true, false, now)
 	if !proxy.TryRenew(now) {
-		t.Error("the fence did not end")
+		t.Error("lease not renewed after an ordinary answer ended the fence")
 	}
 	if until := bound.RenewedUntil("b", now); until < now {
-		t.Errorf("leases count from %v, though one is renewed at %v", until, now)
+		t.Errorf("renewal bound is %v, but a lease was renewed at %v", until, now)
 	}
 	bound.HandleConfirmation(FenceConfirmation{Node: "n-1", Fence: Fence{Term: 7, At: int64(micro.Second)}}, now)
 	if until := bound.RenewedUntil("b", now); until < now {
-		t.Error("a late copy of the confirmation was believed")
+		t.Error("a late copy of the confirmation lowered the renewal bound")
 	}
 }
 
-// Answers overtake one another: an answer to an earlier request does not end a fence, nor does a
-// fence that answers an earlier request begin one.
-func TestOvertakenAnswersNeitherEndNorBeginAFence(t *testing.T) {
+// Answers may arrive out of order. An answer to a request older than the fenced one must not end the fence,
+// and a fence that answers a request older than the last one answered must not take effect.
+func TestReorderedAnswersNeitherEndNorBeginFence(t *testing.T) {
 	const earlier, later = 10 * micro.Second, 10*micro.Second + 100*micro.Millisecond
 	proxy := newProxy("n-1")
 	if !proxy.HandleFence(later) {
-		t.Fatal("the fence was not taken in")
+		t.Fatal("the fence did not take effect")
 	}
 	proxy.HandleResponse(earlier, later+micro.Millisecond, LeaderTimestamp{Term: 7, At: 1})
 	now := earlier + renewAfter
 	proxy.RecordProbe(true, false, now)
 	if proxy.TryRenew(now) {
-		t.Error("an overtaken answer ended the fence")
+		t.Error("an answer to an earlier request ended the fence")
 	}
 	proxy = newProxy("n-1")
 	proxy.HandleResponse(later, later+micro.Millisecond, LeaderTimestamp{Term: 7, At: 1})
 	if proxy.HandleFence(earlier) {
-		t.Error("an overtaken fence is to be confirmed")
+		t.Error("a fence that answers an earlier request took effect")
 	}
 }
 
-// Whatever is lost, late or overtaken, and whenever a zone is fenced: no lease that a proxy
+// Messages may be lost, delayed and reordered, and a zone may be fenced at any time. No lease that a proxy
 // renewed may outlive the time from which the leader releases allocations.
-func TestNoLeaseOutlivesTheBoundOfAFencedZone(t *testing.T) {
+func TestNoLeaseOutlivesRenewalBoundOfFencedZone(t *testing.T) {
 	totals := fenceSimulation{}
 	for seed := range uint64(300) {
-		day := newFenceSimulation(seed)
-		for day.now < 3*micro.Minute {
-			day.step()
-			if day.violated() {
-				t.Fatalf("seed %d: at %v leases count as expired, one runs until %v", seed, day.now, day.latestLease)
+		simulation := newFenceSimulation(seed)
+		for simulation.now < 3*micro.Minute {
+			simulation.step()
+			if simulation.violated() {
+				t.Fatalf(
+					"seed %d: at %v all leases count as expired, but one is valid until %v",
+					seed, simulation.now, simulation.latestLease,
+				)
 			}
 		}
-		totals.renewals += day.renewals
-		totals.confirmed += day.confirmed
-		totals.expired += day.expired
+		totals.renewals += simulation.renewals
+		totals.confirmed += simulation.confirmed
+		totals.expired += simulation.expired
 	}
 	if totals.renewals < 1000 || totals.confirmed < 1000 || totals.expired < 1000 {
-		t.Fatalf("too quiet: %d renewals, %d confirmations, expired in %d looks", totals.renewals, totals.confirmed, totals.expired)
+		t.Fatalf(
+			"too few events: %d renewals, %d confirmations, leases expired in %d checks; want at least 1000 each",
+			totals.renewals, totals.confirmed, totals.expired,
+		)
 	}
 }
 
-// fenceSimulation plays a leader, two lease proxies of one zone, and the network between them.
+// fenceSimulation simulates a leader, two lease proxies of one zone, and the network between them.
 type fenceSimulation struct {
 	random      *rand.Rand
 	now         micro.Time
@@ -144,12 +151,12 @@
 	fenced      bool // the leader answers with fences
 	partitioned bool
 	network     []delivery
-	latestLease micro.Time // until when some agent's lease may run
+	latestLease micro.Time // latest expiry of a renewed lease
 
 	renewals, confirmed, expired int
 }
 
-// delivery is something that arrives at a time.
+// delivery is a message that arrives at a given time.
 type delivery struct {
 	at    micro.Time
 	apply func()
@@ -162,10 +169,10 @@
 	}
 }
 
-// oneIn is true once in so many steps.
-func (d *fenceSimulation) oneIn(oneIn int) bool { return d.random.IntN(oneIn) == 0 }
+// oneIn returns true with probability 1/n.
+func (d *fenceSimulation) oneIn(n int) bool { return d.random.IntN(n) == 0 }
 
-// send delivers later, or never: what is sent in a partition may be held up until long after.
+// send delivers a message later or loses it. In a partition, a message may be delayed by up to 20 s more.
 func (d *fenceSimulation) send(apply func()) {
 	if d.oneIn(10) {
 		return
@@ -177,7 +184,7 @@
 	d.network = append(d.network, delivery{d.now + latency, apply})
 }
 
-// step is a tenth of a second.
+// step simulates a tenth of a second.
 func (d *fenceSimulation) step() {
 	d.now += 100 * micro.Millisecond
 	if d.oneIn(150) {
@@ -186,7 +193,7 @@
 	if d.oneIn(200) {
 		d.partitioned = !d.partitioned
 	}
-	if d.oneIn(900) { // another leads
+	if d.oneIn(900) { // another node becomes leader
 		d.term++
 		d.bound = NewRenewalBound(d.term, d.now, testWindow, testZones(), "a")
 	}
@@ -195,17 +202,18 @@
 	}
 	arrived := d.network
 	d.network = nil
-	for _, each := range arrived {
-		if each.at > d.now {
-			d.network = append(d.network, each)
+	for _, message := range arrived {
+		if message.at > d.now {
+			d.network = append(d.network, message)
 		} else {
-			each.apply()
+			message.apply()
 		}
 	}
 }
 
+// stepProxy simulates a tenth of a second of one proxy.
 func (d *fenceSimulation) stepProxy(i int) {
-	if d.oneIn(1200) { // a process ends and is back at once
+	if d.oneIn(1200) { // the process restarts
 		d.proxies[i] = newProxy(d.proxies[i].Node)
 	}
 	proxy := d.proxies[i]
@@ -222,7 +230,7 @@
 	}
 }
 
-// answer has the leader answer a request: the proxy takes in what arrives, and confirms fences.
+// answer simulates the leader's answer to a request, and the proxy's confirmation of a fence.
 func (d *fenceSimulation) answer(proxy *Proxy, request Request, sent micro.Time) {
 	if !d.fenced {
 		timestamp := d.bound.HandleRequest(request, d.now)
@@ -240,7 +248,7 @@
 	})
 }
 
-// violated reports whether the leader takes leases for expired while one may run.
+// violated reports whether the leader treats all leases as expired while one is still valid.
 func (d *fenceSimulation) violated() bool {
 	if d.now <= d.bound.RenewedUntil("b", d.now)+testLease+testLease/500+micro.Second {
 		return false
--- a/internal/leasekeeper/golden_test.go
+++ b/internal/leasekeeper/golden_test.go
@@ -17,7 +17,7 @@
 			Request{Node: "n-1", Echo: LeaderTimestamp{Term: 7, At: 12345}, RenewedLeases: true},
 			"83a16ea36e2d31a16582a17407a161cd3039a16bc3",
 		},
-		{"answer", LeaderTimestamp{Term: 8, At: 70000}, "82a17408a161ce00011170"},
+		{"ordinary answer", LeaderTimestamp{Term: 8, At: 70000}, "82a17408a161ce00011170"},
 	} {
 		if err := golden.Binary(c.value, c.bytes); err != nil {
 			t.Errorf("%s: %v", c.name, err)
--- a/internal/leasekeeper/guards_test.go
+++ b/internal/leasekeeper/guards_test.go
@@ -6,17 +6,17 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// driftingClock is a steady clock that is fast by so many parts of 1e4; slow if negative.
-func driftingClock(fast int64) func(now micro.Time) micro.Time {
-	return func(now micro.Time) micro.Time { return now + now*micro.Time(fast)/10000 }
+// driftingClock returns a monotonic clock that is fast by drift parts in 10,000, or slow if drift is
+// negative.
+func driftingClock(drift int64) func(now micro.Time) micro.Time {
+	return func(now micro.Time) micro.Time { return now + now*micro.Time(drift)/10000 }
 }
 
-// maxDrift is the most that two steady clocks may part, in parts of 1e4.
+// maxDrift is the greatest drift between two monotonic clocks, in parts of 10,000.
 const maxDrift = 20
 
-// renewForWindow lets a lease proxy, whose zone has been cut off, try to renew a lease each
-// millisecond until its span is surely over. It gives the true times of the first and
-// the last renewal.
+// renewForWindow lets the lease proxy of a partitioned zone try to renew a lease every millisecond until
+// its renewal window has certainly ended. It returns the true times of the first and the last renewal.
 func renewForWindow(
 	t *testing.T, proxy *Proxy, clock func(micro.Time) micro.Time, from micro.Time,
 ) (first, last micro.Time) {
@@ -31,13 +31,13 @@
 		}
 	}
 	if first == 0 {
-		t.Fatal("nothing was renewed")
+		t.Fatal("no lease was renewed")
 	}
 	return first, last
 }
 
-// A lease proxy's clock is slow by the most that is allowed for, so that it renews leases for
-// longer than a span by the leader's clock. The leader's bounds include the drift.
+// The clock of a lease proxy is slow by the maximum drift, so that it renews leases for longer than the
+// renewal window by the leader's clock. The leader's bounds must include the drift.
 func TestRenewalBoundsIncludeClockDrift(t *testing.T) {
 	const answered = 10 * micro.Second
 	for _, c := range []struct {
@@ -45,18 +45,18 @@
 		bound func(bound *RenewalBound) micro.Time
 	}{
 		{
-			"from when a lease counts that a keeper may have renewed",
+			"renewed until, proxy disconnected",
 			func(bound *RenewalBound) micro.Time { return bound.RenewedUntil("b", answered+2*testWindow) },
 		},
 		{
-			"until when a keeper may yet renew, out of touch",
+			"renewal limit, proxy disconnected",
 			func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("b", answered+renewAfter) },
 		},
-		{"until when a keeper may yet renew, in touch", func(bound *RenewalBound) micro.Time {
+		{"renewal limit, proxy connected", func(bound *RenewalBound) micro.Time {
 			return bound.RenewalLimit("b", answered)
 		}},
 		{
-			"until when the leader itself may renew as a keeper",
+			"renewal limit, leader becomes a proxy",
 			func(bound *RenewalBound) micro.Time { return bound.RenewalLimit("a", answered) },
 		},
 	} {
@@ -69,87 +69,88 @@
 			}
 			_, last := renewForWindow(t, proxy, clock, answered+micro.Millisecond)
 			if last <= answered+testWindow {
-				t.Fatalf("the clock is not slow enough for the test: renewed until %v after the answer", last-answered)
+				t.Fatalf("clock too fast for this test: last renewal %v after the answer, want more than the window", last-answered)
 			}
 			if bound := c.bound(bound); bound < last {
-				t.Errorf("the bound is %v, a lease was renewed %v later", bound, last-bound)
+				t.Errorf("bound is %v, but a lease was renewed %v later", bound, last-bound)
 			}
 		})
 	}
 }
 
-// A lease proxy's clock is fast by the most that is allowed for, its request was answered as
-// late as it may be, and its next one's answer was lost: it begins to renew leases sooner
-// than by the leader's clock. The leader no longer takes it to be in touch then.
-func TestProxyWithAFastClockIsDisconnectedOnceItRenews(t *testing.T) {
+// The clock of a lease proxy is fast by the maximum drift, its request was answered just within
+// ResponseTimeout, and the answer to its next request was lost. It then starts to renew leases earlier than
+// renewAfter by the leader's clock. The leader must not consider it connected by that time.
+func TestProxyWithFastClockIsDisconnectedWhenItRenews(t *testing.T) {
 	clock := driftingClock(maxDrift)
 	proxy := newProxy("n-1")
 	bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "b", "n-3": "a"}, "a")
 	const sent = 10 * micro.Second
 	request := proxy.Request(clock(sent))
-	arrives := sent
-	for clock(arrives+micro.Millisecond)-clock(sent) <= ResponseTimeout {
-		arrives += micro.Millisecond
+	answered := sent
+	for clock(answered+micro.Millisecond)-clock(sent) <= ResponseTimeout {
+		answered += micro.Millisecond
 	}
-	proxy.HandleResponse(clock(sent), clock(arrives), bound.HandleRequest(request, arrives))
-	bound.HandleRequest(proxy.Request(clock(sent+RequestInterval)), sent+RequestInterval) // no answer arrives
+	proxy.HandleResponse(clock(sent), clock(answered), bound.HandleRequest(request, answered))
+	bound.HandleRequest(proxy.Request(clock(sent+RequestInterval)), sent+RequestInterval) // the answer is lost
 	other := newProxy("n-2")
 	exchange(other, bound, sent+2*RequestInterval)
 	exchange(other, bound, sent+3*RequestInterval)
 	first, _ := renewForWindow(t, proxy, clock, sent+RequestInterval+micro.Millisecond)
 	if first >= sent+renewAfter {
-		t.Fatalf("the clock is not fast enough for the test: renewed %v after the request", first-sent)
+		t.Fatalf("clock too slow for this test: first renewal %v after the request, want less than renewAfter", first-sent)
 	}
 	if until := bound.RenewedUntil("b", first); until < first {
-		t.Errorf("a lease was renewed at %v, the leader counts from %v", first, until)
+		t.Errorf("renewal bound is %v, but a lease was renewed at %v", until, first)
 	}
 }
 
-// The nodes of a zone outside may have come back since the last look.
-func TestProxyRenewsNothingOnAnOldProbe(t *testing.T) {
+// Nodes outside the zone may have become reachable again since the last probe, so a lease must not be
+// renewed on the result of an old probe.
+func TestProxyDoesNotRenewWithOutdatedProbe(t *testing.T) {
 	proxy := newProxy("n-1")
 	bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "b"}, "a")
 	exchange(proxy, bound, micro.Second)
-	const looked = 6 * micro.Second
-	proxy.RecordProbe(true, false, looked)
-	if !proxy.TryRenew(looked + probeMaxAge - 1) {
-		t.Error("the look is fresh")
+	const probedAt = 6 * micro.Second
+	proxy.RecordProbe(true, false, probedAt)
+	if !proxy.TryRenew(probedAt + probeMaxAge - 1) {
+		t.Error("lease not renewed though the probe is recent")
 	}
-	if proxy.TryRenew(looked + probeMaxAge) {
-		t.Error("a lease is renewed on a look that is old")
+	if proxy.TryRenew(probedAt + probeMaxAge) {
+		t.Error("lease renewed with an outdated probe")
 	}
 }
 
-// Answers overtake one another: the echo that the next request carries, and the time
-// from which a span counts, never go back.
-func TestOvertakenResponseChangesNothing(t *testing.T) {
+// Answers may arrive out of order. The timestamp that the next request carries, and the start of the renewal
+// window, must not go back to those of an earlier request.
+func TestReorderedResponseIsIgnored(t *testing.T) {
 	proxy := newProxy("n-1")
 	const first, second = 10 * micro.Second, 10*micro.Second + 100*micro.Millisecond
 	proxy.HandleResponse(second, second+50*micro.Millisecond, LeaderTimestamp{Term: 7, At: 2})
 	proxy.HandleResponse(first, first+300*micro.Millisecond, LeaderTimestamp{Term: 7, At: 1})
 	if got := proxy.Request(11 * micro.Second).Echo; got != (LeaderTimestamp{Term: 7, At: 2}) {
-		t.Errorf("the next request carries %+v", got)
+		t.Errorf("the next request carries %+v, want the later timestamp", got)
 	}
 	now := second + renewAfter - micro.Millisecond
 	proxy.RecordProbe(true, false, now)
 	if proxy.TryRenew(now) {
-		t.Error("the time out of touch counts from the earlier request")
+		t.Error("lease renewed: the time disconnected counts from the earlier request")
 	}
 }
 
-// Another leader's answer was given by another clock: it says nothing of whether this
-// leader's answers arrive.
-func TestTimestampOfAnotherTermIsNoContactWithThisLeader(t *testing.T) {
+// A timestamp of another term was given by another leader with another clock. It does not show that this
+// leader's answers arrive in time.
+func TestTimestampOfAnotherTermDoesNotCountAsContact(t *testing.T) {
 	bound := NewRenewalBound(7, 0, testWindow, map[string]string{"n-1": "b", "n-2": "b"}, "a")
 	bound.HandleRequest(Request{Node: "n-1", Echo: LeaderTimestamp{Term: 6, At: int64(60 * micro.Minute)}}, micro.Second)
 	const now = 20 * micro.Second
 	if !bound.ZoneDisconnected("b", now) {
-		t.Error("the zone is out of touch")
+		t.Error("zone counts as connected by a timestamp of another term")
 	}
 	other := newProxy("n-2")
 	exchange(other, bound, now-RequestInterval)
 	exchange(other, bound, now)
 	if until := bound.RenewedUntil("b", now); until < now {
-		t.Errorf("leases count from %v, though a keeper of the zone may renew them at %v", until, now)
+		t.Errorf("renewal bound is %v, but a proxy of the zone may renew leases at %v", until, now)
 	}
 }
--- a/internal/leasekeeper/probe.go
+++ b/internal/leasekeeper/probe.go
@@ -8,8 +8,8 @@
 	"notchmux.dev/notchmux/internal/config"
 )
 
-// ProbeZones looks which of the other nodes answer a ping: any of this zone, any of another.
-// It pings all at once, and returns when each has answered or failed to.
+// ProbeZones pings all peers concurrently and reports whether any in the given zone and any in another
+// zone answered. It returns once every ping has succeeded or failed.
 func ProbeZones(
 	ctx context.Context, peers []config.Peer, zone string, ping func(ctx context.Context, node string) bool,
 ) (sameZone, otherZone bool) {
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -1,14 +1,17 @@
-// Package leasekeeper lets the controllers inside a partitioned zone renew the leases of
-// that zone's agents for a limited time, so that their tasks go on. A lease proxy gives no
-// commands and tells no user anything: it only answers heartbeats.
+// Package leasekeeper lets the controllers inside a partitioned zone renew the leases of that zone's
+// agents for a limited time, so that their tasks continue. A controller that does so is a lease proxy.
+// It only answers heartbeats: it sends no commands and serves no user requests.
 //
-// The leader must not release an allocation while a lease proxy may have renewed its agent's
-// lease. So a proxy asks the leader every second; it may renew leases only after it has been
-// disconnected for a few seconds, and only within a window that begins when it *sent* the
-// last request that was answered in time; and its requests say whether it did. RenewalBound
-// is the leader's side, which bounds until when leases may have been renewed. Where leases of a
-// zone must not be renewed, the leader answers with a Fence instead: the proxy renews nothing
-// until its next ordinary answer, and confirms that.
+// The leader must not release an allocation while a lease proxy may have renewed its agent's lease.
+// The protocol ensures this:
+//   - A proxy sends a request to the leader every second.
+//   - It may renew leases only after it has been disconnected for renewAfter, and only within a window
+//     that begins when it sent (not when it received the answer to) the last request that was answered
+//     within ResponseTimeout.
+//   - Its requests tell whether it renewed any lease.
+//   - RenewalBound, the leader's side, bounds the time until which leases may have been renewed.
+//   - If leases of a zone must not be renewed, the leader answers with a Fence: the proxy renews no lease
+//     until its next ordinary answer, and confirms the fence.
 package leasekeeper
 
 import (
@@ -19,88 +22,90 @@
 
 // Timing that lease proxies and leaders share.
 const (
-	RequestInterval = micro.Second            // between a lease proxy's requests
-	ResponseTimeout = 500 * micro.Millisecond // how long it waits for an answer: a later one does not count
-	renewAfter      = 4 * micro.Second        // disconnected for so long before it may renew leases
-	probeMaxAge     = 2500 * micro.Millisecond
+	RequestInterval = micro.Second             // time between a lease proxy's requests
+	ResponseTimeout = 500 * micro.Millisecond  // an answer that arrives later is ignored
+	renewAfter      = 4 * micro.Second         // time disconnected before leases may be renewed
+	probeMaxAge     = 2500 * micro.Millisecond // age from which the result of a probe is not used
 )
 
-// clockDriftDivisor and timerMargin bound how far two steady clocks part.
+// clockDriftDivisor and timerMargin bound the drift between two monotonic clocks: 1/clockDriftDivisor of
+// the elapsed time, and a margin for timers.
 const (
 	clockDriftDivisor = 500
 	timerMargin       = 10 * micro.Millisecond
 )
 
-// clockDrift is the most that two steady clocks part over a time, with room to spare.
+// clockDrift returns an upper bound, with a margin, of the drift between two monotonic clocks during a
+// window.
 func clockDrift(window micro.Time) micro.Time { return window/clockDriftDivisor + timerMargin }
 
-// State is what a node is to its zone's agents.
+// State is the state of a node as a lease proxy.
 type State uint8
 
-// The states.
+// The states of a lease proxy.
 const (
-	Connected State = iota // the leader answers, or this node leads
+	Connected State = iota // the leader answers, or this node is the leader
 	Isolated               // the leader does not answer
-	Renewing               // nor does any node outside the zone: leases are renewed here
-	Fenced                 // the leader has forbidden to renew leases
+	Renewing               // neither the leader nor any node outside the zone answers: leases are renewed
+	Fenced                 // the leader has forbidden lease renewals
 )
 
 func (s State) String() string { return [...]string{"connected", "isolated", "renewing", "fenced"}[s] }
 
-// LeaderTimestamp is the leader's answer to a lease proxy, which the next request carries.
+// LeaderTimestamp is the leader's ordinary answer to a lease proxy. The proxy's next request returns it.
 type LeaderTimestamp struct {
 	Term uint64 `msgpack:"t"`
-	At   int64  `msgpack:"a"` // by the leader's steady clock
+	At   int64  `msgpack:"a"` // microseconds of the leader's monotonic clock
 }
 
-// Request is what a lease proxy asks the leader.
+// Request is the periodic request of a lease proxy to the leader.
 type Request struct {
 	Node          string          `msgpack:"n"`
-	Echo          LeaderTimestamp `msgpack:"e"` // the last answer
-	RenewedLeases bool            `msgpack:"k"` // a lease was renewed since the request that it answered
+	Echo          LeaderTimestamp `msgpack:"e"` // the last ordinary answer
+	RenewedLeases bool            `msgpack:"k"` // a lease was renewed since the request that Echo answered
 }
 
-// Fence is the leader's answer to a lease proxy that is to renew no lease until its next ordinary
+// Fence is the leader's answer to a lease proxy that must not renew leases until its next ordinary
 // answer.
 type Fence struct {
 	Term uint64 `msgpack:"t"`
-	At   int64  `msgpack:"a"` // by the leader's steady clock
+	At   int64  `msgpack:"a"` // microseconds of the leader's monotonic clock
 }
 
-// FenceConfirmation tells the leader that a lease proxy keeps to a Fence.
+// FenceConfirmation is sent by a lease proxy to the leader to confirm that a Fence is in effect.
 type FenceConfirmation struct {
 	Node  string `msgpack:"n"`
 	Fence Fence  `msgpack:"f"`
 }
 
-// Proxy is a node's own side. Its methods may be called by any goroutine.
+// Proxy is the lease proxy of a node. Its methods may be called from any goroutine.
 type Proxy struct {
 	Node          string
-	RenewalWindow micro.Time // how long leases may be renewed without the leader; 0: never
+	RenewalWindow micro.Time // time after the last answered request in which leases may be renewed; 0: never renew
 	Log           func(msg string, args ...any)
 
 	mu              sync.Mutex
 	state           State
-	lastAnswered    micro.Time // when the last request was sent that was answered; 0: none was
+	lastAnswered    micro.Time // when the last request with an ordinary answer was sent; 0: none
 	lastTimestamp   LeaderTimestamp
 	lastRenewal     micro.Time // when a lease was last renewed; 0: never
-	lastRequest     micro.Time // when the latest request was made
-	fenced          bool       // no lease is renewed until the next answer
-	lastFenced      micro.Time // when the last request was sent that was answered with a fence; 0: none was
-	zonePartitioned bool       // while disconnected, only this zone's nodes answered
+	lastRequest     micro.Time // when the last request was created
+	fenced          bool       // no lease may be renewed until the next ordinary answer
+	lastFenced      micro.Time // when the last request answered with a fence was sent; 0: none
+	zonePartitioned bool       // while disconnected, only nodes of this zone answered probes
 	lastProbe       micro.Time
 }
 
-// transition is the one place where the state changes.
+// transition changes the state, which happens nowhere else.
 func (p *Proxy) transition(to State) {
 	if p.state == to {
 		return
 	}
-	p.Log("lease proxy", "from", p.state.String(), "to", to.String())
+	p.Log("lease proxy state changed", "from", p.state.String(), "to", to.String())
 	p.state = to
 }
 
-// Request is what to ask the leader now.
+// Request returns the request to send to the leader now.
 func (p *Proxy) Request(now micro.Time) Request {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,19 +115,20 @@
 	}
 }
 
-// HandleResponse takes in the leader's answer to a request that was sent at a time.
+// HandleResponse processes the leader's ordinary answer to a request that was sent at the given time. It
+// ignores late answers and answers to requests older than the last one answered.
 func (p *Proxy) HandleResponse(sent, now micro.Time, timestamp LeaderTimestamp) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now-sent > ResponseTimeout || sent <= p.lastAnswered || sent <= p.lastFenced {
-		return // the leader counts on answers that came in time
+		return // the leader relies on late answers being ignored
 	}
 	p.lastAnswered, p.lastTimestamp, p.zonePartitioned, p.fenced = sent, timestamp, false, false
 	p.transition(Connected)
 }
 
-// HandleFence takes in a fence that answered a request that was sent at a time. It reports
-// whether the fence holds, and so is to be confirmed.
+// HandleFence processes a fence that answered a request sent at the given time. It reports whether the
+// fence is in effect and must be confirmed.
 func (p *Proxy) HandleFence(sent micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +140,7 @@
 	return true
 }
 
-// RecordLeading notes that this node itself holds the leadership lease now.
+// RecordLeading records that this node itself holds the leadership lease now.
 func (p *Proxy) RecordLeading(now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,18 +148,18 @@
 	p.transition(Connected)
 }
 
-// Disconnected reports whether the other nodes should be probed: the leader did not answer
-// the latest requests.
+// Disconnected reports whether the leader did not answer the latest request, so that the other nodes
+// should be probed.
 func (p *Proxy) Disconnected(now micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now-p.lastAnswered > RequestInterval+ResponseTimeout
 }
 
-// RecordProbe takes in which nodes answered a probe: any of this zone, and any outside. Leases
-// are renewed only where the whole zone is partitioned: the agents of a node that is isolated
-// by itself do better with another node. That the zone's other nodes end meanwhile changes
-// nothing.
+// RecordProbe records whether any node of this zone and any node outside it answered a probe. Leases are
+// renewed only if the whole zone is partitioned: if only this node is isolated, the agents can use
+// another node. Once a node of the zone has answered, the zone still counts as partitioned if the zone's
+// other nodes stop later.
 func (p *Proxy) RecordProbe(reachedInside, reachedOutside bool, now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,6 +169,7 @@
 	}
 }
 
+// stateAt returns the state at the given time of a proxy that is not connected.
 func (p *Proxy) stateAt(now micro.Time) State {
 	if p.fenced {
 		return Fenced
@@ -175,28 +182,28 @@
 	return Isolated
 }
 
-// ZonePartitioned reports whether this zone's nodes reach nobody outside it.
+// ZonePartitioned reports whether the nodes of this zone reach no node outside it.
 func (p *Proxy) ZonePartitioned(now micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.zonePartitioned && now-p.lastProbe < probeMaxAge && now-p.lastAnswered > RequestInterval+ResponseTimeout
 }
 
-// TryRenew reports whether an agent's lease may be renewed now. It notes that it was: the
-// next request tells the leader.
+// TryRenew reports whether an agent's lease may be renewed now. If so, it records the renewal, which the
+// next request reports to the leader.
 func (p *Proxy) TryRenew(now micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now < p.lastRequest || p.stateAt(now) != Renewing {
-		// A process that stalled between reading the clock and here may have told the
-		// leader meanwhile that nothing was renewed.
+		// If the goroutine was paused after it read the clock, a later request may have told the
+		// leader already that no lease was renewed.
 		return false
 	}
 	p.lastRenewal = now
 	return true
 }
 
-// LastRenewal is when a lease was last renewed; 0: never.
+// LastRenewal returns when a lease was last renewed, or 0 if none was.
 func (p *Proxy) LastRenewal() micro.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -6,32 +6,32 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// RenewalBound is what a leader knows of the other nodes as lease proxies, in one term. Its
-// methods may be called by any goroutine.
+// RenewalBound tracks, for one leadership term, until when the other nodes may have renewed leases as
+// lease proxies. Its methods may be called from any goroutine.
 type RenewalBound struct {
 	term       uint64
 	termStart  micro.Time
 	window     micro.Time
-	leaderZone string // the leader's own zone, "" if it can have no lease proxies
+	leaderZone string // the leader's own zone; "" if it cannot have lease proxies
 
 	mu       sync.Mutex
-	zones    map[string][]string // the zones that can have lease proxies, with their nodes
+	zones    map[string][]string // nodes of the zones that can have lease proxies, by zone
 	contacts map[string]*nodeContact
 
-	lastRequests map[string]micro.Time // when each node last asked this leader, whether it may proxy leases or not
+	lastRequests map[string]micro.Time // time of the last request of each node, also of nodes that are no lease proxies
 }
 
 // nodeContact is the leader's contact with one node.
 type nodeContact struct {
-	lastAnswer    micro.Time // the latest answer: the node's window may begin with it
-	lastConfirmed micro.Time // the latest answer that surely arrived in time
-	renewedUntil  micro.Time // until when it may have renewed leases, as far as it was connected or fenced since
-	fencedAt      micro.Time // when it last confirmed a fence; 0: not since it was last answered
+	lastAnswer    micro.Time // last ordinary answer sent: the node's renewal window may begin with it
+	lastConfirmed micro.Time // last answer that certainly arrived in time
+	renewedUntil  micro.Time // until when it may have renewed leases before it was last connected or fenced
+	fencedAt      micro.Time // when it last confirmed a fence; 0: not since the last ordinary answer
 }
 
-// NewRenewalBound starts a term: answers of earlier terms went out before. Nodes gives the
-// zone of every other node. A zone of one node has no lease proxy: that node cannot tell its
-// own isolation from a partition of its zone.
+// NewRenewalBound returns the bound for a term that starts now. Answers of earlier terms were sent before
+// termStart. The map nodes holds the zone of every other node. A zone with one node has no lease proxy,
+// since that node cannot distinguish its own isolation from a partition of its zone.
 func NewRenewalBound(
 	term uint64, termStart, window micro.Time, nodes map[string]string, leaderZone string,
 ) *RenewalBound {
@@ -59,26 +59,28 @@
 	return bound
 }
 
-// RecordRequest notes that a node asks this leader now, whatever the answer.
+// RecordRequest records that a node sent a request to this leader now, whatever the answer.
 func (b *RenewalBound) RecordRequest(node string, now micro.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lastRequests[node] = now
 }
 
-// RequestedRecently reports whether a node asked this leader just now. Each does every RequestInterval.
+// RequestedRecently reports whether one of the last missedRequestLimit requests of a node, due every
+// RequestInterval, reached this leader.
 func (b *RenewalBound) RequestedRecently(node string, now micro.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at, heard := b.lastRequests[node]
-	return heard && now-at < missedRequestLimit*RequestInterval
+	at, found := b.lastRequests[node]
+	return found && now-at < missedRequestLimit*RequestInterval
 }
 
-// missedRequestLimit is how many requests of a node that fail to come show that it is out of reach.
+// missedRequestLimit is the number of consecutive missing requests after which a node counts as
+// unreachable.
 const missedRequestLimit = 3
 
-// HandleRequest takes in a node's request and gives the answer to it; the caller must still
-// hold the leadership lease when it sends that.
+// HandleRequest processes a node's request and returns the ordinary answer. The caller must still hold
+// the leadership lease when it sends the answer.
 func (b *RenewalBound) HandleRequest(request Request, now micro.Time) LeaderTimestamp {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,18 +92,19 @@
 		contact.lastConfirmed = max(contact.lastConfirmed, micro.Time(request.Echo.At))
 	}
 	if request.RenewedLeases || request.Echo.Term != b.term {
-		// What a process did that was not connected in this term is not known.
+		// A process that was not connected in this term may have renewed leases until now.
 		contact.renewedUntil = now
 	}
 	contact.lastAnswer, contact.fencedAt = now, 0
 	return LeaderTimestamp{Term: b.term, At: int64(now)}
 }
 
-// Fence is the answer to a request of a node that is to renew no lease.
+// Fence returns the answer to a request of a node that must not renew leases.
 func (b *RenewalBound) Fence(now micro.Time) Fence { return Fence{Term: b.term, At: int64(now)} }
 
-// HandleConfirmation takes in that a node keeps to a fence: it renews no lease until its next
-// ordinary answer. A confirmation of a fence from before the last such answer is a late copy.
+// HandleConfirmation records that a fence is in effect on a node: it renews no lease until its next
+// ordinary answer. A confirmation of a fence from before the last ordinary answer is a late copy and is
+// ignored.
 func (b *RenewalBound) HandleConfirmation(confirmation FenceConfirmation, now micro.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,28 +113,28 @@
 		return
 	}
 	if contact.fencedAt == 0 {
-		contact.renewedUntil = now // what it did until then is not known
+		contact.renewedUntil = now // it may have renewed leases until the fence
 	}
 	contact.fencedAt = now
 }
 
-// fenced reports whether a node surely renews no lease until it is answered.
+// fenced reports whether a node certainly renews no lease until its next ordinary answer.
 func (c *nodeContact) fenced() bool { return c.fencedAt > 0 }
 
-// reachable reports whether the leader was in contact with a node just now.
+// reachable reports whether the node is connected or has confirmed a fence within renewAfter.
 func (c *nodeContact) reachable(now micro.Time) bool {
 	return c.connected(now) || c.fenced() && now < c.fencedAt+renewAfter
 }
 
-// connected reports whether a node surely renews no lease now: it received the answer given
-// at lastConfirmed within ResponseTimeout of its request, renews nothing for renewAfter from
-// that request on, and its next request told whether it had renewed any until then.
+// connected reports whether a node certainly renews no lease now: it received the answer sent at
+// lastConfirmed within ResponseTimeout of its request, it renews no lease for renewAfter from that
+// request on, and its next request told whether it had renewed any before.
 func (c *nodeContact) connected(now micro.Time) bool {
 	return c.lastConfirmed > 0 && now < c.lastConfirmed+renewAfter-ResponseTimeout-clockDrift(renewAfter)
 }
 
-// RenewedUntil is until when a lease proxy may have renewed the lease of an agent of a zone;
-// "" stands for a zone that is not known.
+// RenewedUntil returns the time until which a lease proxy may have renewed the lease of an agent in a
+// zone; "" stands for an unknown zone.
 func (b *RenewalBound) RenewedUntil(zone string, now micro.Time) micro.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,13 +149,13 @@
 	return until
 }
 
-// contactGrace is how long after a term began each reachable node has asked its leader: it
-// asks every second, and is connected after two requests.
+// contactGrace is the time after the start of a term by which each reachable node is connected: a node
+// sends a request every second and is connected after two.
 const contactGrace = 8 * micro.Second
 
-// ZoneDisconnected reports whether a zone's nodes, two or more, are all disconnected. One that
-// has not been connected in this term counts once there was time for it: a leader that was
-// elected while the zone was partitioned once requested instances there.
+// ZoneDisconnected reports whether all nodes of a zone with two or more nodes are disconnected. A node
+// that has not been connected in this term counts as disconnected after contactGrace: a leader that was
+// elected while a zone was partitioned once requested instances in that zone.
 func (b *RenewalBound) ZoneDisconnected(zone string, now micro.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,15 +170,16 @@
 	return disconnected && len(b.zones[zone]) > 0 && zone != b.leaderZone
 }
 
-// RenewalLimit is until when a lease proxy of a zone may yet renew a lease, if none is
-// answered from now on; 0: it has none. A confirmed fence does not shorten it: a fence that ends
-// before the user of a cancelled job is told must not let them be told while its tasks run.
+// RenewalLimit returns the time until which a lease proxy of a zone may still renew a lease if no request
+// is answered from now on, or 0 if the zone has no lease proxy. A confirmed fence does not shorten it:
+// the fence may end before the user of a cancelled job is told that it has ended, and they must not be
+// told while its tasks may still run.
 func (b *RenewalBound) RenewalLimit(zone string, now micro.Time) micro.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var limit micro.Time
 	if b.leaderZone != "" && (zone == "" || zone == b.leaderZone) {
-		limit = now + b.window + clockDrift(b.window) // the leader may become a lease proxy itself
+		limit = now + b.window + clockDrift(b.window) // this node may become a lease proxy after its term
 	}
 	b.forEachContact(zone, func(contact *nodeContact) {
 		renewableUntil := contact.lastAnswer + b.window + clockDrift(b.window)
@@ -187,6 +191,8 @@
 	return limit
 }
 
+// forEachContact calls f for each node of a zone that can have lease proxies, or of all such zones if zone
+// is "".
 func (b *RenewalBound) forEachContact(zone string, f func(*nodeContact)) {
 	for candidate, nodes := range b.zones {
 		if zone == "" || zone == candidate {
