--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -300,9 +300,9 @@
 	return sent + e.TTL - e.TTL*maxClockDrift/clockDriftDivisor - timerStep
 }
 
-// renewUntilLost renews the lease until it is lost. If renewals fail, for example during an outage of
-// the store, leadership lapses on this node but the term continues: leadership resumes with the next successful
-// renewal, since while the store keeps the lease no other node can have become leader.
+// renewUntilLost renews the lease until it is lost. If renewals fail, for example during an outage of the
+// store, leadership lapses on this node but the term continues: leadership resumes with the next successful
+// renewal. An outage does not shorten the store's lease, so no other node can have become leader meanwhile.
 func (e *Election) renewUntilLost(ctx context.Context) {
 	term := e.Term()
 	wait := e.RenewInterval
