--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -72,7 +72,7 @@
 	return test
 }
 
-// addMachines adds the machines numbered from from to to-1 to one zone; prepare sets the state of each.
+// addMachines adds the machines with the numbers [from, to) to one zone; prepare sets the state of each.
 func (test *testDetector) addMachines(from, to int, prepare func(*cluster.Machine)) {
 	for i := from; i < to; i++ {
 		machine := test.cluster.EnsureMachine(fmt.Sprintf("i-%06d", i), termStart)
--- a/internal/dispatch/guards_test.go
+++ b/internal/dispatch/guards_test.go
@@ -69,7 +69,7 @@
 		clock := test.runLoop(t)
 		sender := fake.NewAgent("i-1", "small", "a", 30*micro.Second)
 		test.handleQueuedHeartbeat(sender.Heartbeat(), func() { clock.Add(int64(c.took)) })
-		test.handleQueuedHeartbeat(sender.Heartbeat(), func() {}) // does not carry the token of the response
+		test.handleQueuedHeartbeat(sender.Heartbeat(), func() {}) // carries the token from before the response
 		if got := test.cluster.Machines["i-1"].MissedResponses; got != c.missed {
 			t.Errorf("%s: %d heartbeats count as missed responses, want %d", c.name, got, c.missed)
 		}
--- a/internal/leasekeeper/fence_test.go
+++ b/internal/leasekeeper/fence_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// The user of a cancelled job was told that it had ended while its tasks were still running, because the
-// lease proxies of its zone had confirmed an earlier fence. A fence must not shorten the time until the
-// user is told.
+// The user of a cancelled job, whose zone was fenced for the cancellation, was told that the job had ended
+// while its tasks were still running: the lease proxies of the zone had confirmed an earlier fence, which
+// was taken into account. A fence must not shorten the time until the user is told.
 func TestFenceDoesNotShortenRenewalLimit(t *testing.T) {
 	const termStart = 3 * micro.Second
 	bound := NewRenewalBound(7, termStart, testWindow, testZones(), "a")
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -148,8 +148,8 @@
 	p.transition(Connected)
 }
 
-// Disconnected reports whether the leader did not answer the latest request, so that the other nodes
-// should be probed.
+// Disconnected reports whether the leader has not answered the latest requests in time, so that the other
+// nodes should be probed.
 func (p *Proxy) Disconnected(now micro.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,8 +157,8 @@
 }
 
 // RecordProbe records whether any node of this zone and any node outside it answered a probe. Leases are
-// renewed only if the whole zone is partitioned: if only this node is isolated, the agents can use
-// another node. Once a node of the zone has answered, the zone still counts as partitioned if the zone's
+// renewed only if the whole zone is partitioned: if only this node is isolated, its agents are better
+// served by another node. Once a node of the zone has answered, the zone still counts as partitioned if the zone's
 // other nodes stop later.
 func (p *Proxy) RecordProbe(reachedInside, reachedOutside bool, now micro.Time) {
 	p.mu.Lock()
