--- a/internal/recovery/dependencies.go
+++ b/internal/recovery/dependencies.go
@@ -9,27 +9,30 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// lookupBatchSize is how many jobs are looked up together.
+// lookupBatchSize is the maximum number of jobs that are looked up together.
 const lookupBatchSize = 4
 
-// dependencyLookups are jobs to be looked up in the store: those that others depend on and of
-// which nothing is known yet, and those whose description is not known as a whole.
+// dependencyLookups tracks the jobs to be looked up in the store: unknown jobs that other jobs depend
+// on, and jobs whose lists of dependencies are incomplete.
 type dependencyLookups struct {
-	unresolved map[string]bool
-	inFlight   bool          // the reader has a batch
-	batches    chan []string // to the reader; one at a time
+	unresolved map[string]bool // by job ID
+	inFlight   bool            // a batch has been sent to RunLookups and its result is not applied yet
+	batches    chan []string   // to RunLookups; holds at most one batch
 }
 
+// newDependencyLookups returns an empty set of lookups.
 func newDependencyLookups() dependencyLookups {
 	return dependencyLookups{unresolved: map[string]bool{}, batches: make(chan []string, 1)}
 }
 
+// request adds a job to be looked up.
 func (l *dependencyLookups) request(job string) { l.unresolved[job] = true }
 
-// DependencyUnknown has a job looked up that another depends on.
+// DependencyUnknown requests the lookup of a job that another job depends on.
 func (i *Intake) DependencyUnknown(job string) { i.lookups.request(job) }
 
-// LookUpDependencies has some of the jobs that are wanted read, unless some are being read.
+// LookUpDependencies sends the next batch of unresolved jobs to RunLookups, unless a batch is in
+// flight.
 func (i *Intake) LookUpDependencies() {
 	if i.lookups.inFlight {
 		return
@@ -40,12 +43,12 @@
 	}
 }
 
-// nextLookups chooses the jobs to be looked up next.
+// nextLookups returns the next batch of jobs to be looked up.
 func (i *Intake) nextLookups() []string {
 	var batch []string
 	for id := range i.lookups.unresolved {
 		if _, ended := i.Cluster.FinalStatuses[id]; ended || i.Cluster.Jobs[id] != nil {
-			delete(i.lookups.unresolved, id) // it has come meanwhile
+			delete(i.lookups.unresolved, id) // became known in the meantime
 			continue
 		}
 		if batch = append(batch, id); len(batch) == lookupBatchSize {
@@ -55,8 +58,8 @@
 	return batch
 }
 
-// RunLookups reads the jobs that are looked up, until the loop is stopped. It runs on a
-// goroutine of its own.
+// RunLookups reads the requested jobs from the store until the loop is stopped. It must run on its
+// own goroutine.
 func (i *Intake) RunLookups(ctx context.Context) {
 	for {
 		select {
@@ -68,26 +71,27 @@
 	}
 }
 
+// readDependencies reads the jobs of a batch from the store.
 func (i *Intake) readDependencies(ctx context.Context, batch []string) dependenciesRead {
-	answer := dependenciesRead{intake: i, snapshot: NewSnapshot(i.Log)}
+	result := dependenciesRead{intake: i, snapshot: NewSnapshot(i.Log)}
 	for _, id := range batch {
-		if err := answer.snapshot.ReadJob(ctx, i.Store, store.Routine, id); err != nil {
-			i.Log.Debug("dependency not read", "job", id, "err", err)
-			continue // it is still wanted
+		if err := result.snapshot.ReadJob(ctx, i.Store, store.Routine, id); err != nil {
+			i.Log.Debug("read dependency failed, will be retried", "job", id, "err", err)
+			continue // remains unresolved
 		}
-		answer.jobs = append(answer.jobs, id)
+		result.jobs = append(result.jobs, id)
 	}
-	return answer
+	return result
 }
 
-// dependenciesRead is what the store holds of jobs that were looked up.
+// dependenciesRead is the event that carries the result of a batch of lookups.
 type dependenciesRead struct {
 	intake   *Intake
-	jobs     []string // those that were read
+	jobs     []string // the jobs that were read
 	snapshot *Snapshot
 }
 
-// Apply takes the jobs in, or their ends.
+// Apply adds the jobs that were read, or their final states, to the cluster state.
 func (e dependenciesRead) Apply() {
 	e.intake.lookups.inFlight = false
 	now, wall := e.intake.Now(), e.intake.Wall()
@@ -104,8 +108,8 @@
 	}
 }
 
-// finalStatus is a stored end with its time by the steady clock; an end without a time counts
-// from now.
+// finalStatus converts a stored final state, timestamped by the wall clock, to the monotonic clock. A
+// final state without a timestamp gets the current time.
 func finalStatus(end cluster.FinalStatusRecord, now, wall micro.Time) cluster.FinalStatus {
 	status := cluster.FinalStatus{Aborted: end.State == wire.JobAborted, EndedAt: now}
 	if end.EndedAt > 0 {
--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -1,9 +1,9 @@
-// Package recovery brings what the state store holds into the cluster's state: all of it when
-// a controller takes over the lead (Failover), then the jobs that other nodes accept and the
-// jobs that others depend on (Intake). What was read of jobs is a Snapshot first.
+// Package recovery restores the cluster state from the state store. A Failover restores all of it
+// when a controller becomes the leader. After that, an Intake adds the jobs that other nodes accept,
+// and the jobs that other jobs depend on. Stored job keys are collected in a Snapshot first.
 //
-// A Failover and an Intake belong to one event loop. Failover runs on that loop's goroutine
-// before it serves events; the methods of Intake run on it, except those that say that any
-// goroutine may call them. The goroutines that read from the store hand what they read to the
-// loop as events.
+// A Failover and an Intake belong to one event loop. Failover runs on that loop's goroutine before
+// the loop handles events. The methods of Intake must be called on that goroutine, except those
+// documented as safe for concurrent use. The goroutines that read from the store post their results
+// to the loop as events.
 package recovery
--- a/internal/recovery/failover.go
+++ b/internal/recovery/failover.go
@@ -13,31 +13,31 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// catalogPollInterval is how often a failover looks whether the machine types were read.
+// catalogPollInterval is how often a failover checks whether the catalog of machine types was read.
 const catalogPollInterval = 50 * micro.Millisecond
 
-// Assignments are the jobs that were assigned to shards. They are read before the jobs: those
-// are not the leader's to place.
+// Assignments restores the assignments of jobs to shards. They are read before the jobs, because the
+// leader must not schedule assigned jobs.
 type Assignments interface {
-	// Read reads them; false if the term ended before.
+	// Read reads the assignments. It returns false if the term ended first.
 	Read(ctx context.Context, reader *Reader) bool
-	// Has reports whether a job was assigned.
+	// Has reports whether a job is assigned to a shard.
 	Has(job string) bool
-	// Restore notes that a job was assigned, if it was.
+	// Restore restores a job's assignment to a shard, if it has one.
 	Restore(job *cluster.Job)
 }
 
-// Host is the leader that takes over.
+// Host is the leader that a Failover restores the state for.
 type Host interface {
-	// Catalog is the machine types; nil until they were read.
+	// Catalog returns the catalog of machine types, or nil if it has not been read yet.
 	Catalog() *wire.Catalog
-	// JobEnded is told the final status of a job that needs no place in the cluster's state.
+	// JobEnded reports the final status of a job that is not kept in the cluster state.
 	JobEnded(status wire.JobStatus)
-	// RestoreInstanceRequest takes in the record of an instance request.
+	// RestoreInstanceRequest restores an instance request from its record.
 	RestoreInstanceRequest(item wire.Item, now, wall micro.Time)
 }
 
-// FailoverDependencies are what a Failover is built from.
+// FailoverDependencies are the components that a Failover uses.
 type FailoverDependencies struct {
 	Host        Host
 	Reader      *Reader
@@ -48,19 +48,19 @@
 	Cluster     *cluster.State
 	Speeds      *scheduler.SpeedEstimator
 	Loop        *eventloop.Loop
-	// Now is the steady clock, Wall the wall clock.
+	// Now is the monotonic clock, Wall the wall clock.
 	Now, Wall func() micro.Time
 	Log       *slog.Logger
 }
 
-// Failover restores what earlier leaders stored into the cluster's state.
+// Failover restores the cluster state from the records of previous leaders.
 type Failover struct{ FailoverDependencies }
 
-// NewFailover makes one for a cluster's state that is still empty.
+// NewFailover returns a Failover into a cluster state, which must be empty.
 func NewFailover(deps FailoverDependencies) *Failover { return &Failover{deps} }
 
-// Run reads everything from the store into the cluster's state. It returns the revision from
-// which submissions are to be watched; ok is false if the term ended before.
+// Run restores the cluster state from the store. It returns the revision from which submissions must
+// be watched; ok is false if the term ended first.
 func (f *Failover) Run(ctx context.Context) (revision uint64, ok bool) {
 	if !f.awaitCatalog() {
 		return 0, false
@@ -84,12 +84,12 @@
 	if !ok {
 		return 0, false
 	}
-	f.restoreImages(images, now) // after the machines
+	f.restoreImages(images, now) // the machines must be restored first
 	f.finish(now)
 	return revision, true
 }
 
-// awaitCatalog waits for the machine types; false if the term ended.
+// awaitCatalog waits for the catalog of machine types. It returns false if the term ended first.
 func (f *Failover) awaitCatalog() bool {
 	for f.Host.Catalog() == nil {
 		if !f.Loop.Sleep(catalogPollInterval) {
@@ -100,8 +100,8 @@
 	return true
 }
 
-// readFleet restores the records of the fleet as a whole, but for the machines' images, which
-// it returns.
+// readFleet restores the fleet-wide records, except the records of the machines' images, which it
+// returns.
 func (f *Failover) readFleet(ctx context.Context) (images []wire.Item, ok bool) {
 	_, ok = f.Reader.ReadAll(ctx, keys.FleetPrefix, func(item wire.Item) {
 		if keys.IsImagePage(item.Key) {
@@ -113,7 +113,7 @@
 	return images, ok
 }
 
-// restoreImages takes in which machines had which images.
+// restoreImages restores which images the machines have cached.
 func (f *Failover) restoreImages(items []wire.Item, now micro.Time) {
 	for _, item := range items {
 		var record cluster.ImageRecord
@@ -124,7 +124,7 @@
 	}
 }
 
-// finish completes the cluster's state once everything was read.
+// finish completes the cluster state after all records were read.
 func (f *Failover) finish(now micro.Time) {
 	f.Speeds.Apply(f.Cluster)
 	for _, machine := range f.Cluster.Machines {
@@ -135,7 +135,7 @@
 	f.Cluster.FinishRestore(now)
 }
 
-// RestoreJobs puts what was read of jobs into the cluster's state.
+// RestoreJobs adds the jobs of a snapshot to the cluster state.
 func (f *Failover) RestoreJobs(snapshot *Snapshot, now, wall micro.Time) {
 	for id, end := range snapshot.Ends {
 		f.Cluster.FinalStatuses[id] = finalStatus(end, now, wall)
@@ -145,11 +145,13 @@
 	}
 }
 
+// restoreJob adds one job of a snapshot to the cluster state. An ended job without allocations and
+// assignment is only reported to the host. A job whose dependencies are incomplete is looked up later.
 func (f *Failover) restoreJob(snapshot *Snapshot, spec wire.Job, id string, now, wall micro.Time) {
 	end, ended := snapshot.Ends[id]
 	switch {
 	case ended && !snapshot.hasChunks(id) && !f.Assignments.Has(id):
-		// None of its tasks has an allocation. Status queries need not read the store.
+		// None of its tasks has an allocation. The host's cache saves status queries a read of the store.
 		f.Host.JobEnded(finalJobStatus(id, end, spec.Tasks))
 		return
 	case ended:
@@ -166,8 +168,8 @@
 	f.Assignments.Restore(job)
 }
 
-// restoreChunks takes in the records of a job's tasks: first those in the compact form, which
-// stand for what is in the first form as well.
+// restoreChunks restores a job's tasks from their chunk records. Those in the compact format come
+// first, because they supersede records of the same tasks in the legacy format.
 func (f *Failover) restoreChunks(snapshot *Snapshot, job *cluster.Job, now micro.Time) {
 	for _, stored := range snapshot.compactChunks[job.Spec.ID] {
 		var record cluster.CompactRecord
@@ -178,7 +180,7 @@
 	f.restoreLegacyChunks(snapshot, job, now)
 }
 
-// finalJobStatus is what status queries are told of a job whose end is in the store.
+// finalJobStatus returns the status of a job whose final state is stored, as status queries report it.
 func finalJobStatus(id string, end cluster.FinalStatusRecord, tasks int) wire.JobStatus {
 	status := wire.JobStatus{ID: id, State: end.State}
 	if status.State == wire.JobDone {
--- a/internal/recovery/failover_test.go
+++ b/internal/recovery/failover_test.go
@@ -16,14 +16,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// testLeader takes over what a store holds.
+// testLeader is a leader whose cluster state is restored from a store.
 type testLeader struct {
 	*testIntake
 	*Failover
 	ended    []wire.JobStatus
 	requests []string
 	assigned map[string]bool
-	restored []string // jobs that were restored and may be assigned
+	restored []string // jobs whose assignments were to be restored
 }
 
 func (l *testLeader) Catalog() *wire.Catalog             { return &wire.Catalog{} }
@@ -36,7 +36,7 @@
 	l.requests = append(l.requests, item.Key)
 }
 
-// recordsHost owns the records of a leader that writes nothing.
+// recordsHost is the host of the records of a leader that writes nothing.
 type recordsHost struct {
 	*testLeader
 	formatRaised bool
@@ -55,7 +55,7 @@
 func (h *recordsHost) MaxValueBytes() (current, next int)        { return 16 << 10, 16 << 10 }
 func (h *recordsHost) MaxTxnOps() int                            { return 24 }
 
-// failOver takes over what a store holds.
+// failOver returns a leader after a failover from a store.
 func failOver(t *testing.T, from store.Store) (*testLeader, *recordsHost) {
 	t.Helper()
 	intake := newTestIntake(t, from)
@@ -86,12 +86,12 @@
 		Log:         intake.IntakeDependencies.Log,
 	})
 	if _, ok := leader.Run(context.Background()); !ok {
-		t.Fatal("the failover was given up")
+		t.Fatal("failover ended before it was complete")
 	}
 	return leader, host
 }
 
-// storedJobs is a store with jobs that go on, jobs that ended, and what belongs to the fleet.
+// storedJobs returns a store with unfinished jobs, ended jobs and fleet-wide records.
 func storedJobs(t *testing.T) store.Store {
 	t.Helper()
 	backing := fake.NewStore()
@@ -128,39 +128,39 @@
 	return backing
 }
 
-// Jobs that go on are restored with their allocations; one whose dependencies are not there as
-// a whole is looked up.
-func TestFailoverRestoresJobsThatGoOn(t *testing.T) {
+// Unfinished jobs are restored with their allocations. A job whose dependency list is incomplete is
+// looked up instead.
+func TestFailoverRestoresUnfinishedJobs(t *testing.T) {
 	leader, host := failOver(t, storedJobs(t))
 	state := leader.testIntake.Cluster
 	if !host.formatRaised || !state.CompactRecords {
-		t.Error("the format that is stored is not in use")
+		t.Error("the stored format is not in use")
 	}
 	for _, id := range []string{"legacy", "compact"} {
 		if job := state.Jobs[id]; job == nil || job.IsTerminal() || job.AllocationCount != 1 || !leader.Knows(id) {
-			t.Errorf("%s: %+v", id, job)
+			t.Errorf("%s: not restored with one allocation: %+v", id, job)
 		}
 	}
 	if state.Jobs["incomplete"] != nil || !leader.lookups.unresolved["incomplete"] {
-		t.Error("a job without its dependencies is in the state, or not looked up")
+		t.Error("a job with an incomplete dependency list was added, or is not looked up")
 	}
 	if !reflect.DeepEqual(leader.requests, []string{keys.InstanceRequest("r-1")}) {
-		t.Errorf("instance requests: %v", leader.requests)
+		t.Errorf("restored instance requests: %v", leader.requests)
 	}
 }
 
-// Jobs that ended are restored as long as something of them is left; status queries know the
-// others.
-func TestFailoverRestoresEndedJobsAsFarAsNeeded(t *testing.T) {
+// Ended jobs are restored only while they have chunk records or an assignment. The others are only
+// reported to the host, which answers status queries.
+func TestFailoverRestoresEndedJobsWithRemainingRecords(t *testing.T) {
 	leader, _ := failOver(t, storedJobs(t))
 	state := leader.testIntake.Cluster
 	want := []wire.JobStatus{{ID: "ended", State: wire.JobDone, Done: 2}}
 	if !reflect.DeepEqual(leader.ended, want) || state.Jobs["ended"] != nil {
-		t.Errorf("ended without a trace: %+v", leader.ended)
+		t.Errorf("ended jobs without records: %+v", leader.ended)
 	}
 	for _, id := range []string{"ended-assigned", "ended-with-chunks"} {
 		if job := state.Jobs[id]; job == nil || job.State != cluster.Done {
-			t.Errorf("%s: %+v", id, job)
+			t.Errorf("%s: not restored as done: %+v", id, job)
 		}
 	}
 	for _, id := range []string{"ended", "ended-assigned", "ended-with-chunks"} {
@@ -169,11 +169,11 @@
 		}
 	}
 	if len(leader.restored) != len(state.Jobs) {
-		t.Errorf("assignments were looked for of %v", leader.restored)
+		t.Errorf("assignments were to be restored of %v", leader.restored)
 	}
 }
 
-// failingStore is a store whose first reads of each prefix fail.
+// failingStore is a store in which the first read of each prefix fails.
 type failingStore struct {
 	store.Store
 	failed map[string]bool
@@ -189,16 +189,16 @@
 	return s.Store.Range(ctx, class, prefix, after, limit)
 }
 
-// A read that fails is repeated until the term ends.
-func TestFailoverRepeatsReadsUntilItsTermEnds(t *testing.T) {
+// A failed read is retried until it succeeds or the term ends.
+func TestFailoverRetriesReadsUntilTermEnds(t *testing.T) {
 	from := &failingStore{fake.NewStore(), map[string]bool{}}
 	leader, _ := failOver(t, from)
 	if len(from.failed) != 4 {
-		t.Errorf("reads failed: %v", from.failed)
+		t.Errorf("reads of %v failed first, want 4 prefixes", from.failed)
 	}
 	leader.testIntake.Loop.Stop()
 	clear(from.failed)
 	if _, ok := leader.Run(context.Background()); ok {
-		t.Error("it goes on after the end of its term")
+		t.Error("failover continued after its term had ended")
 	}
 }
--- a/internal/recovery/fleet_records.go
+++ b/internal/recovery/fleet_records.go
@@ -8,20 +8,22 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// FleetRecords restores the records of the fleet as a whole. They come before all others: the
-// format says how to read the rest.
+// FleetRecords restores the fleet-wide records. They must be restored before all other records,
+// because the format record determines how to read the others.
 type FleetRecords struct {
 	records  *persist.Records
 	handlers map[string]func(wire.Item)
 	log      *slog.Logger
 }
 
-// NewFleetRecords makes one that hands those that other parts keep to them, by key.
+// NewFleetRecords returns a FleetRecords that restores the speeds and format records, and passes other
+// records to the handler for their key.
 func NewFleetRecords(records *persist.Records, handlers map[string]func(wire.Item), log *slog.Logger) *FleetRecords {
 	return &FleetRecords{records: records, handlers: handlers, log: log}
 }
 
-// Restore takes in one record. One that cannot be read is passed over and logged.
+// Restore restores one record. A record that cannot be decoded is logged and skipped, and so is, without
+// a log line, a record that has no handler.
 func (f *FleetRecords) Restore(item wire.Item) {
 	var err error
 	switch item.Key {
@@ -35,6 +37,6 @@
 		}
 	}
 	if err != nil {
-		f.log.Debug("stored record not understood", "key", item.Key, "err", err)
+		f.log.Debug("decode stored record failed", "key", item.Key, "err", err)
 	}
 }
--- a/internal/recovery/guards_test.go
+++ b/internal/recovery/guards_test.go
@@ -8,14 +8,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A late copy of a submission does not bring back a job whose end is stored.
-func TestJobWhoseEndIsStoredIsNotAddedAgain(t *testing.T) {
+// A late duplicate of a submission must not add a job again whose final state is stored.
+func TestIntakeIgnoresSubmissionOfEndedJob(t *testing.T) {
 	intake := newTestIntake(t, fake.NewStore())
 	intake.Cluster.FinalStatuses["j-1"] = cluster.FinalStatus{Aborted: true}
 	intake.AddJob(wire.Job{
 		ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1,
 	})
 	if intake.Cluster.Jobs["j-1"] != nil || intake.Knows("j-1") {
-		t.Error("added again")
+		t.Error("an ended job was added again")
 	}
 }
--- a/internal/recovery/intake.go
+++ b/internal/recovery/intake.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// watchTimeout is how long one watch of submissions lasts.
+	// watchTimeout is the maximum duration of one watch request for submissions.
 	watchTimeout = 10 * micro.Second
-	// watchPause is the pause between two of them: jobs come a few together.
+	// watchPause is the pause between watch requests, so that one request returns several jobs.
 	watchPause = 700 * micro.Millisecond
 )
 
-// IntakeDependencies are what an Intake is built from.
+// IntakeDependencies are the components that an Intake uses.
 type IntakeDependencies struct {
 	Cluster    *cluster.State
 	Objectives *scheduler.Objectives
 	Store      store.Store
 	Loop       *eventloop.Loop
-	// Resign gives up the lead, with the reason; any goroutine may call it.
+	// Resign ends the leadership term for the given reason. It is safe for concurrent use.
 	Resign func(reason string)
-	// Now is the steady clock, Wall the wall clock.
+	// Now is the monotonic clock, Wall the wall clock.
 	Now, Wall func() micro.Time
 	Log       *slog.Logger
 }
 
-// Intake takes jobs into the cluster's state, and looks up those that others depend on.
+// Intake adds accepted jobs to the cluster state, and looks up the jobs that other jobs depend on.
 type Intake struct {
 	IntakeDependencies
-	known   sync.Map // ids of the jobs in the cluster's state
+	known   sync.Map // IDs of the jobs in the cluster state
 	lookups dependencyLookups
 }
 
-// NewIntake makes one that knows no job.
+// NewIntake returns an Intake that knows no jobs.
 func NewIntake(deps IntakeDependencies) *Intake {
 	return &Intake{IntakeDependencies: deps, lookups: newDependencyLookups()}
 }
 
-// Knows reports whether a job is in the cluster's state; any goroutine may ask.
+// Knows reports whether a job is in the cluster state. It is safe for concurrent use.
 func (i *Intake) Knows(job string) bool {
 	_, ok := i.known.Load(job)
 	return ok
 }
 
-// Forget notes that a job is in the cluster's state no more.
+// Forget removes a job from the known jobs, after it was removed from the cluster state.
 func (i *Intake) Forget(job string) { i.known.Delete(job) }
 
-// InsertJob adds a job that was submitted at the wall clock's time in its description.
+// InsertJob adds a job to the cluster state. The submission time in its specification is by the wall
+// clock.
 func (i *Intake) InsertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
 	i.known.Store(spec.ID, true)
 	age := max(wall-micro.Time(spec.SubmittedAt), 0)
@@ -65,8 +66,9 @@
 	return job
 }
 
-// AddJob adds a job that was accepted, unless it is known already, or has ended: a late word
-// of its acceptance must not bring it back.
+// AddJob adds an accepted job, unless it is already known or has ended: a late notification of its
+// acceptance must not add it again. A job whose dependencies are stored in separate keys is looked up
+// first.
 func (i *Intake) AddJob(spec wire.Job) {
 	if i.Cluster.Jobs[spec.ID] != nil {
 		return
@@ -75,12 +77,12 @@
 		return
 	}
 	if spec.DependencyChunks > 0 {
-		i.lookups.request(spec.ID) // the rest of its dependencies is in keys of its own
+		i.lookups.request(spec.ID) // its other dependencies are in separate keys
 		return
 	}
 	job := i.InsertJob(spec, i.Now(), i.Wall())
 	i.Log.Info(
-		"job",
+		"job added",
 		"job", spec.ID,
 		"class", spec.Class,
 		"kind", string(spec.Kind),
@@ -91,14 +93,14 @@
 	)
 }
 
-// WatchSubmissions finds the jobs that other nodes accept after a revision, until the loop is
-// stopped. It runs on a goroutine of its own.
+// WatchSubmissions watches the store for jobs that other nodes accept after a revision, and posts them
+// to the loop until the loop is stopped. It must run on its own goroutine.
 func (i *Intake) WatchSubmissions(ctx context.Context, revision uint64) {
 	for {
 		events, err := i.Store.Watch(ctx, keys.JobPrefix, revision, watchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
-			i.Resign("the store's history is too short to follow")
+			i.Resign("the store has compacted changes that were not read")
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
@@ -110,6 +112,7 @@
 	}
 }
 
+// postSubmissions posts the jobs whose specifications were written by events.
 func (i *Intake) postSubmissions(events []wire.Event) {
 	for _, event := range events {
 		if !keys.IsJobSpec(event.Put) {
@@ -122,15 +125,15 @@
 	}
 }
 
-// PostJob hands the loop a job that was accepted, by this node or by another; any goroutine
-// may call it.
+// PostJob posts a job that was accepted by this or another node to the loop. It is safe for concurrent
+// use.
 func (i *Intake) PostJob(job wire.Job) { i.Loop.Post(jobAccepted{i, job}) }
 
-// jobAccepted says that a job's description is in the store.
+// jobAccepted is the event that a job's specification is stored.
 type jobAccepted struct {
 	intake *Intake
 	job    wire.Job
 }
 
-// Apply adds the job.
+// Apply adds the job to the cluster state.
 func (e jobAccepted) Apply() { e.intake.AddJob(e.job) }
--- a/internal/recovery/legacy.go
+++ b/internal/recovery/legacy.go
@@ -5,9 +5,9 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// restoreLegacyChunks takes in the records of a job's tasks in the first form, that of version
-// 1. It can go, with Snapshot.legacyChunks, when package persist does without that form: its
-// file legacy.go says when.
+// restoreLegacyChunks restores a job's tasks from chunk records in the legacy format of version 1. It
+// and Snapshot.legacyChunks can be removed once package persist no longer supports that format; the
+// condition is stated in its file legacy.go.
 func (f *Failover) restoreLegacyChunks(snapshot *Snapshot, job *cluster.Job, now micro.Time) {
 	for _, stored := range snapshot.legacyChunks[job.Spec.ID] {
 		var record cluster.ChunkRecord
--- a/internal/recovery/read.go
+++ b/internal/recovery/read.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// pageSize is how many keys a failover reads with one request.
+	// pageSize is the maximum number of keys that one request reads.
 	pageSize = 1000
-	// readRetryInterval is the pause after a read that failed.
+	// readRetryInterval is the pause before a failed read is retried.
 	readRetryInterval = 100 * micro.Millisecond
 )
 
-// Reader reads what a failover needs from the store, for as long as it takes.
+// Reader reads records from the store for a failover. It retries failed reads until the loop is
+// stopped.
 type Reader struct {
 	store store.Store
 	loop  *eventloop.Loop
 	log   *slog.Logger
 }
 
-// NewReader makes one that gives up once the loop is stopped.
+// NewReader returns a Reader that stops retrying once the loop is stopped.
 func NewReader(from store.Store, loop *eventloop.Loop, log *slog.Logger) *Reader {
 	return &Reader{store: from, loop: loop, log: log}
 }
 
-// ReadAll reads all keys with a prefix, page by page, until it has them all; ok is false if
-// the term ended before. The revision is the lowest of the pages': changes that are watched
-// from there on miss nothing.
+// ReadAll calls each for every key with a prefix, reading page by page. ok is false if the loop was
+// stopped first. The returned revision is the lowest of all pages, so that a watch from there misses
+// no change.
 func (r *Reader) ReadAll(ctx context.Context, prefix string, each func(wire.Item)) (revision uint64, ok bool) {
 	after := ""
 	for {
 		page, err := r.store.Range(ctx, store.Leadership, prefix, after, pageSize)
 		if err != nil {
-			r.log.Info("failover read failed", "prefix", prefix, "err", err)
+			r.log.Info("failover read failed, will be retried", "prefix", prefix, "err", err)
 			if !r.loop.Sleep(readRetryInterval) {
 				return 0, false
 			}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -17,7 +17,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// testIntake takes jobs into a cluster's state on a clock of its own.
+// testIntake is an Intake into a cluster state, with a clock that the test sets.
 type testIntake struct {
 	*Intake
 	cluster.Effects
@@ -35,6 +35,7 @@
 func (i *testIntake) ChunkUrgent(*cluster.TaskChunk)                          {}
 func (i *testIntake) DispatchSoon(*cluster.Machine)                           {}
 
+// newTestIntake returns an intake that reads from a store, with an empty cluster state.
 func newTestIntake(t *testing.T, from store.Store) *testIntake {
 	t.Helper()
 	intake := &testIntake{now: 1000 * micro.Second}
@@ -53,9 +54,9 @@
 	return intake
 }
 
-// A job whose list of dependencies is not there as a whole must not be taken for one that
-// awaits less.
-func TestDependenciesAreCompleteOrTheJobIsNot(t *testing.T) {
+// A job whose stored dependency list lacks a part must not be treated as complete: it could start
+// before its other dependencies are done.
+func TestJobWithMissingDependencyPartIsIncomplete(t *testing.T) {
 	snapshot := NewSnapshot(slog.New(slog.DiscardHandler))
 	add := func(key string, value any) {
 		snapshot.AddJobKey(wire.Item{Key: key, Value: wire.MustMarshal(value)})
@@ -64,21 +65,20 @@
 	add(keys.JobDependencies("j-1", 1), cluster.DependencyRecord{Dependencies: []string{"c"}})
 	spec := snapshot.Specs["j-1"]
 	if snapshot.CompleteDependencies(&spec) {
-		t.Fatalf("complete without its first part: %v", spec.Dependencies)
+		t.Fatalf("complete without the first part: %v", spec.Dependencies)
 	}
 	add(keys.JobDependencies("j-1", 0), cluster.DependencyRecord{Dependencies: []string{"a", "b"}})
 	spec = snapshot.Specs["j-1"]
 	if !snapshot.CompleteDependencies(&spec) || !reflect.DeepEqual(spec.Dependencies, []string{"a", "b", "c"}) {
-		t.Errorf("its dependencies are %v", spec.Dependencies)
+		t.Errorf("dependencies: %v", spec.Dependencies)
 	}
 	if spec.DependencyChunks != 0 {
-		t.Errorf("%d parts are still to come", spec.DependencyChunks)
+		t.Errorf("%d parts are still missing", spec.DependencyChunks)
 	}
 }
 
-// What another version stored, or nobody should have, is passed over: it must not stop a
-// failover.
-func TestSnapshotPassesOverWhatItCannotRead(t *testing.T) {
+// Keys and values of other versions, and malformed ones, are skipped: they must not stop a failover.
+func TestSnapshotSkipsUnreadableRecords(t *testing.T) {
 	snapshot := NewSnapshot(slog.New(slog.DiscardHandler))
 	malformed := []byte{0xc1}
 	for _, key := range []string{
@@ -86,47 +86,47 @@
 	} {
 		snapshot.AddJobKey(wire.Item{Key: key, Value: malformed})
 	}
-	snapshot.AddJobKey(wire.Item{Key: keys.JobSpec("j-2"), Value: wire.MustMarshal(wire.Job{ID: "j-2"})}) // no task
+	snapshot.AddJobKey(wire.Item{Key: keys.JobSpec("j-2"), Value: wire.MustMarshal(wire.Job{ID: "j-2"})}) // no tasks
 	snapshot.AddChunk(wire.Item{Key: "run/j-1/later"})
 	if len(snapshot.Specs)+len(snapshot.Ends)+len(snapshot.dependencies) > 0 || snapshot.hasChunks("j-1") {
-		t.Errorf("%+v", snapshot)
+		t.Errorf("unreadable records were added: %+v", snapshot)
 	}
 	snapshot.AddChunk(wire.Item{Key: keys.CompactChunk("j-1", 3)})
 	snapshot.AddChunk(wire.Item{Key: keys.LegacyChunk("j-1", 2)})
 	if len(snapshot.compactChunks["j-1"]) != 1 || len(snapshot.legacyChunks["j-1"]) != 1 {
-		t.Errorf("%+v", snapshot)
+		t.Errorf("chunk records were not added: %+v", snapshot)
 	}
 }
 
-// A late word of a job's acceptance must not bring back one that has ended, and a job whose
-// dependencies are stored apart waits until they are read.
-func TestIntakeOfJobs(t *testing.T) {
+// A late notification of a job's acceptance must not add an ended job again, and a job whose
+// dependencies are stored in separate keys is not added until they are read.
+func TestIntakeAddsEachJobOnceAndComplete(t *testing.T) {
 	intake := newTestIntake(t, fake.NewStore())
 	intake.Cluster.FinalStatuses["j-1"] = cluster.FinalStatus{EndedAt: intake.now}
 	intake.AddJob(wire.Job{ID: "j-1", Tasks: 1})
 	intake.AddJob(wire.Job{ID: "j-2", Tasks: 1, DependencyChunks: 1})
 	if len(intake.Cluster.Jobs) > 0 || intake.Knows("j-1") || intake.Knows("j-2") {
-		t.Errorf("%d jobs were taken in", len(intake.Cluster.Jobs))
+		t.Errorf("%d jobs were added", len(intake.Cluster.Jobs))
 	}
 	if !intake.lookups.unresolved["j-2"] || intake.lookups.unresolved["j-1"] {
-		t.Errorf("looked up: %v", intake.lookups.unresolved)
+		t.Errorf("jobs to look up: %v", intake.lookups.unresolved)
 	}
 	intake.AddJob(wire.Job{ID: "j-3", Tasks: 1, SubmittedAt: int64(intake.now - 7*micro.Second)})
 	job := intake.Cluster.Jobs["j-3"]
 	if !intake.Knows("j-3") || job == nil || job.SubmittedAt != intake.now-7*micro.Second {
-		t.Fatalf("%+v", job)
+		t.Fatalf("not added with its submission time: %+v", job)
 	}
 	intake.AddJob(wire.Job{ID: "j-3", Tasks: 5})
 	if intake.Cluster.Jobs["j-3"] != job {
-		t.Error("the repeat of a job took its place")
+		t.Error("a repeated submission replaced the job")
 	}
 	intake.Forget("j-3")
 	if intake.Knows("j-3") {
-		t.Error("a job that was forgotten is known")
+		t.Error("a job that was removed is still known")
 	}
 }
 
-// unansweredJobStore is a store that does not answer for one job.
+// unansweredJobStore is a store that does not answer reads of one job.
 type unansweredJobStore struct {
 	store.Store
 	prefix string
@@ -141,9 +141,9 @@
 	return s.Store.Range(ctx, class, prefix, after, limit)
 }
 
-// Jobs that others depend on are looked up a few at a time; one that could not be read, or is
-// not there, stays wanted.
-func TestDependenciesAreLookedUp(t *testing.T) {
+// Unknown dependencies are looked up in batches. A job that could not be read, or whose dependency list
+// is incomplete, remains unresolved.
+func TestUnknownDependenciesAreLookedUpInBatches(t *testing.T) {
 	backing := fake.NewStore()
 	from := &unansweredJobStore{backing, keys.JobPrefixFor("unanswered")}
 	intake := newTestIntake(t, from)
@@ -163,19 +163,19 @@
 	intake.LookUpDependencies()
 	batch := <-intake.lookups.batches
 	if len(batch) != lookupBatchSize {
-		t.Fatalf("looked up together: %v", batch)
+		t.Fatalf("batch: %v", batch)
 	}
 	intake.LookUpDependencies()
 	if len(intake.lookups.batches) > 0 {
-		t.Error("a second look-up began before the first was answered")
+		t.Error("a second batch was sent before the first was applied")
 	}
 	intake.readDependencies(ctx, batch).Apply()
 	if !intake.Knows("accepted") || !intake.Cluster.FinalStatuses["ended"].Aborted {
-		t.Error("what was read was not taken in")
+		t.Error("the result of the lookups was not applied")
 	}
 	want := map[string]bool{"incomplete": true, "unanswered": true}
 	if !reflect.DeepEqual(intake.lookups.unresolved, want) {
-		t.Errorf("still wanted: %v", intake.lookups.unresolved)
+		t.Errorf("unresolved: %v", intake.lookups.unresolved)
 	}
 	from.prefix = ""
 	intake.Cluster.FinalStatuses["unanswered"] = cluster.FinalStatus{}
@@ -184,6 +184,6 @@
 	}
 	intake.LookUpDependencies()
 	if batch := <-intake.lookups.batches; len(batch) != lookupBatchSize {
-		t.Errorf("the next are %v", batch)
+		t.Errorf("next batch: %v", batch)
 	}
 }
--- a/internal/recovery/snapshot.go
+++ b/internal/recovery/snapshot.go
@@ -12,20 +12,20 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// jobReadTimeout is how long the store may take over one job's own keys.
+// jobReadTimeout is the timeout for reading one job's keys from the store.
 const jobReadTimeout = 900 * time.Millisecond
 
-// Snapshot is what the store holds of jobs, as it was read. One goroutine at a time may use
-// it.
+// Snapshot holds the stored records of jobs as they were read from the store. It is not safe for
+// concurrent use.
 type Snapshot struct {
-	// Specs are the descriptions, by job.
+	// Specs are the job specifications, by job ID.
 	Specs map[string]wire.Job
-	// Ends are the ends, by job.
+	// Ends are the final states, by job ID.
 	Ends map[string]cluster.FinalStatusRecord
 
-	dependencies  map[string]map[int][]string // the parts of long lists, by job and number
-	legacyChunks  map[string][]storedChunk    // in the first form
-	compactChunks map[string][]storedChunk
+	dependencies  map[string]map[int][]string // parts of long dependency lists, by job ID and part number
+	legacyChunks  map[string][]storedChunk    // chunk records in the legacy format, by job ID
+	compactChunks map[string][]storedChunk    // chunk records in the compact format, by job ID
 	log           *slog.Logger
 }
 
@@ -35,7 +35,7 @@
 	item  wire.Item
 }
 
-// NewSnapshot makes an empty one.
+// NewSnapshot returns an empty Snapshot.
 func NewSnapshot(log *slog.Logger) *Snapshot {
 	return &Snapshot{
 		Specs:         map[string]wire.Job{},
@@ -47,7 +47,9 @@
 	}
 }
 
-// AddJobKey takes in one of a job's own keys.
+// AddJobKey adds one of a job's keys: its specification, its final state or a part of its dependency
+// list. A key or value that cannot be decoded is logged and skipped; a specification without tasks is
+// skipped.
 func (s *Snapshot) AddJobKey(item wire.Item) {
 	id, kind, part := keys.ParseJobKey(item.Key)
 	switch kind {
@@ -67,10 +69,11 @@
 			s.addDependencies(id, part, stored.Dependencies)
 		}
 	default:
-		s.log.Debug("stored key not understood", "key", item.Key)
+		s.log.Debug("unknown job key skipped", "key", item.Key)
 	}
 }
 
+// addDependencies adds one part of a job's dependency list.
 func (s *Snapshot) addDependencies(job string, part int, dependencies []string) {
 	if s.dependencies[job] == nil {
 		s.dependencies[job] = map[int][]string{}
@@ -78,12 +81,12 @@
 	s.dependencies[job][part] = dependencies
 }
 
-// AddChunk takes in a record of a job's tasks.
+// AddChunk adds a chunk record of a job's tasks.
 func (s *Snapshot) AddChunk(item wire.Item) {
 	id, index, compact, ok := keys.ParseChunk(item.Key)
 	switch {
 	case !ok:
-		s.log.Debug("stored key not understood", "key", item.Key)
+		s.log.Debug("unknown chunk key skipped", "key", item.Key)
 	case compact:
 		s.compactChunks[id] = append(s.compactChunks[id], storedChunk{index, item})
 	default:
@@ -91,13 +94,14 @@
 	}
 }
 
-// hasChunks reports whether there are records of a job's tasks.
+// hasChunks reports whether there are chunk records of a job's tasks.
 func (s *Snapshot) hasChunks(job string) bool {
 	return len(s.legacyChunks[job]) > 0 || len(s.compactChunks[job]) > 0
 }
 
-// CompleteDependencies completes a description whose list of dependencies is kept apart;
-// false if some of it is missing: the job must not be taken for one that awaits less.
+// CompleteDependencies appends to a job's specification the dependencies that are stored in separate
+// keys. It returns false if a part is missing: with a partial list the job could start before its other
+// dependencies are done.
 func (s *Snapshot) CompleteDependencies(job *wire.Job) bool {
 	for part := range job.DependencyChunks {
 		dependencies, ok := s.dependencies[job.ID][part]
@@ -110,7 +114,8 @@
 	return true
 }
 
-// ReadJob reads a job's own keys from the store, within 0.9 s. Any goroutine may call it.
+// ReadJob reads a job's keys from the store into the snapshot, with a timeout of 0.9 s. It may be
+// called on any goroutine that has exclusive use of the snapshot.
 func (s *Snapshot) ReadJob(ctx context.Context, from store.Store, class store.Class, job string) error {
 	ctx, cancel := context.WithTimeout(ctx, jobReadTimeout)
 	defer cancel()
@@ -120,15 +125,16 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("reading job %s: %w", job, err)
+		return fmt.Errorf("read job %s: %w", job, err)
 	}
 	return nil
 }
 
-// decode reads a stored value; one that cannot be read is passed over and logged.
+// decode decodes a stored value and reports whether that succeeded. A value that cannot be decoded is
+// logged.
 func decode(log *slog.Logger, item wire.Item, into any) bool {
 	if err := wire.Unmarshal(item.Value, into); err != nil {
-		log.Debug("stored record not understood", "key", item.Key, "err", err)
+		log.Debug("decode stored record failed", "key", item.Key, "err", err)
 		return false
 	}
 	return true
