--- a/internal/cancellation/cancellation.go
+++ b/internal/cancellation/cancellation.go
@@ -1,11 +1,12 @@
-// Package cancellation brings the cancellations of jobs to their end: a job's tasks are
-// stopped first, and its user is told that it is aborted only once they are gone, or surely
-// end in time whatever the lease proxies of partitioned zones do.
+// Package cancellation cancels jobs. The tasks of a cancelled job are stopped first. The job is
+// reported as aborted to its user only once all allocations are released, or are guaranteed to
+// end within the cancel timeout even if lease proxies of partitioned zones renewed their leases.
 //
-// A Manager belongs to one term of leadership. It owns the cancelled jobs whose users are not
-// told yet, those whose users were told while tasks may still run, the users that wait, and the
-// zones that are fenced: their lease proxies must not renew leases. Only the goroutine of the
-// term's loop may call its methods, but for Cancel, FencedZonesKnown and ZoneFenced, which any may.
+// A Manager belongs to one leadership term. It tracks the cancelled jobs that have not been
+// reported as aborted, the jobs reported as aborted whose tasks may still run, the pending cancel
+// requests, and the fenced zones, whose lease proxies must not renew leases. Its methods must be
+// called on the goroutine of the term's event loop, except Cancel, FencedZonesKnown and
+// ZoneFenced, which are safe for concurrent use.
 package cancellation
 
 import (
@@ -21,20 +22,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Shards is the leader's part in shards.
+// Shards cancels jobs that are assigned to shards; it is implemented by the leader's shard
+// coordinator.
 type Shards interface {
-	// BeginCancellation begins the cancellation of a job that was assigned to a shard.
+	// BeginCancellation starts cancelling a job that is assigned to a shard.
 	BeginCancellation(job *cluster.Job)
-	// AddFencedZones adds the zones where tasks of cancelled jobs may still run in shards.
+	// AddFencedZones adds to fenced the zones where tasks of cancelled jobs may still run in shards.
 	AddFencedZones(fenced map[string]bool)
 }
 
-// Records stores ends of jobs.
+// Records writes the final states of jobs to the state store.
 type Records interface {
 	WriteJobEnd(job *cluster.Job, state wire.JobState)
 }
 
-// Dependencies are the other parts that a manager needs.
+// Dependencies are the components that a Manager uses.
 type Dependencies struct {
 	Config       *config.Config
 	Loop         *eventloop.Loop
@@ -42,20 +44,21 @@
 	RenewalBound *leasekeeper.RenewalBound
 	Shards       Shards
 	Records      Records
-	HoldsLease   func() bool // any goroutine may call it
+	HoldsLease   func() bool // safe for concurrent use
 	Now          func() micro.Time
 }
 
-// Manager brings the cancellations of one term to their end.
+// Manager carries out the job cancellations of one leadership term.
 type Manager struct {
 	deps        Dependencies
-	pending     map[*cluster.Job]bool // cancelled jobs whose users are not told yet
-	unconfirmed map[*cluster.Job]bool // those whose users were told, with allocations not proven released
-	waiters     map[string][]eventloop.Reply[httpapi.Reply]
-	fenced      atomic.Pointer[map[string]bool] // nil: all zones
+	pending     map[*cluster.Job]bool                       // cancelled jobs not yet reported as aborted
+	unconfirmed map[*cluster.Job]bool                       // reported as aborted; allocations not proven released
+	waiters     map[string][]eventloop.Reply[httpapi.Reply] // pending cancel requests, by job ID
+	fenced      atomic.Pointer[map[string]bool]             // fenced zones; nil: all zones
 }
 
-// New makes a manager. All zones are fenced until UpdateFencedZones is called first.
+// New returns a Manager. All zones are fenced until the first call of UpdateFencedZones or
+// FenceZones.
 func New(deps Dependencies) *Manager {
 	return &Manager{
 		deps:        deps,
@@ -65,29 +68,29 @@
 	}
 }
 
-// Cancel cancels a job: its end is created before anyone is told. 503 if that was not done
-// within the given time, or the leadership lease lapsed meanwhile.
+// Cancel cancels a job and replies once the job's final state is stored. It replies 503 if that
+// did not happen within the given time, or if the leadership lease expired meanwhile.
 func (m *Manager) Cancel(id string, within micro.Time) httpapi.Reply {
 	event := func(reply eventloop.Reply[httpapi.Reply]) eventloop.Event {
 		return cancellationRequested{m, id, reply}
 	}
 	answer, ok := eventloop.Call(m.deps.Loop, eventloop.Events, within, event)
-	// The lease may have lapsed meanwhile: then nothing may be said.
+	// The answer is not authoritative if the lease expired while it was being produced.
 	if !ok || !m.deps.HoldsLease() {
 		return httpapi.RetryReply(http.StatusServiceUnavailable, 1)
 	}
 	return answer
 }
 
-// cancellationRequested says that a user cancels a job.
+// cancellationRequested is the event of a user's request to cancel a job.
 type cancellationRequested struct {
 	manager *Manager
 	job     string
 	reply   eventloop.Reply[httpapi.Reply]
 }
 
-// Apply begins the cancellation; the user is answered at once if there is nothing to cancel,
-// else with the job's end.
+// Apply starts the cancellation. It replies immediately if there is nothing to cancel; otherwise
+// the reply follows once the job's final state is stored.
 func (e cancellationRequested) Apply() {
 	m := e.manager
 	job := m.deps.Cluster.Jobs[e.job]
@@ -108,8 +111,8 @@
 	}
 }
 
-// Begin begins a cancellation: the tasks are stopped first, and the user is told once they
-// are gone, or will be in time whatever lease proxies do.
+// Begin starts cancelling a job. Its tasks are stopped first; the job is reported as aborted once
+// they have ended, or are guaranteed to end in time even if lease proxies renewed their leases.
 func (m *Manager) Begin(job *cluster.Job) {
 	now := m.deps.Now()
 	m.deps.Cluster.BeginAbort(job)
@@ -120,36 +123,35 @@
 	m.Complete(job, now)
 }
 
-// MarkPending notes a cancellation that was begun elsewhere: by an earlier leader, or in a
-// shard.
+// MarkPending adds a cancellation that was started by a previous leader or in a shard.
 func (m *Manager) MarkPending(job *cluster.Job) { m.pending[job] = true }
 
-// MarkUnconfirmed notes a job whose user was told of its end while it has allocations that are
-// not proven released.
+// MarkUnconfirmed adds a job that was reported as aborted while it still has allocations that
+// are not proven released.
 func (m *Manager) MarkUnconfirmed(job *cluster.Job) { m.unconfirmed[job] = true }
 
-// Pending reports whether the user of a cancelled job is still to be told.
+// Pending reports whether a job is cancelled and not yet reported as aborted.
 func (m *Manager) Pending(job *cluster.Job) bool { return m.pending[job] }
 
-// CompletePending completes the cancellations whose users may be told now.
+// CompletePending completes the pending cancellations whose jobs may be reported as aborted now.
 func (m *Manager) CompletePending(now micro.Time) {
 	for job := range m.pending {
 		m.Complete(job, now)
 	}
 }
 
-// Complete writes the end of a cancelled job as soon as its user may be told.
+// Complete writes the final state of a cancelled job if the job may be reported as aborted now.
 func (m *Manager) Complete(job *cluster.Job, now micro.Time) {
 	if job.AllocationCount > 0 {
 		if m.deps.Config.MustProveTermination() {
-			return // without any command, its tasks could outlive the time for that
+			return // tasks that receive no stop command could run past the cancel timeout
 		}
 		if !m.endsInTime(job, now) {
 			return
 		}
 		m.unconfirmed[job] = true
-		// At once, not with the next sweep: a loop that is held up meanwhile would let lease
-		// proxies be answered after the limits were read.
+		// Fence the zones immediately instead of with the next sweep: if the loop were delayed,
+		// lease proxies could be granted renewals after the renewal limits were read.
 		m.UpdateFencedZones()
 	}
 	delete(m.pending, job)
@@ -158,8 +160,8 @@
 	}
 }
 
-// endsInTime reports whether a job's tasks end in time by themselves, if no lease proxy of
-// their zones is answered from now on.
+// endsInTime reports whether the leases of all of a job's tasks expire within the cancel timeout,
+// provided that no lease proxy of their zones is granted renewals from now on.
 func (m *Manager) endsInTime(job *cluster.Job, now micro.Time) bool {
 	limits := map[string]micro.Time{}
 	for _, allocation := range job.Allocations() {
@@ -175,7 +177,7 @@
 	return true
 }
 
-// JobEnded answers the users that wait for a job's end, which is in the store.
+// JobEnded replies to the cancel requests of a job whose final state has been stored.
 func (m *Manager) JobEnded(job *cluster.Job) {
 	for _, reply := range m.waiters[job.Spec.ID] {
 		reply.Send(httpapi.Reply{Status: http.StatusOK, Body: job.Status()})
@@ -183,9 +185,9 @@
 	delete(m.waiters, job.Spec.ID)
 }
 
-// UpdateFencedZones notes which zones' lease proxies must not renew leases: where a user was told
-// of a job's end, an agent that may still run its tasks must not be kept alive past the time
-// for that.
+// UpdateFencedZones recomputes the zones whose lease proxies must not renew leases: where a job
+// was reported as aborted, the lease of an agent that may still run its tasks must not be extended
+// past the cancel timeout.
 func (m *Manager) UpdateFencedZones() {
 	fenced := map[string]bool{}
 	for job := range m.unconfirmed {
@@ -201,14 +203,15 @@
 	m.FenceZones(fenced)
 }
 
-// FenceZones replaces the set of fenced zones; "" stands for a zone that is not known.
+// FenceZones replaces the set of fenced zones. The empty name stands for an unknown zone and
+// fences all zones.
 func (m *Manager) FenceZones(zones map[string]bool) { m.fenced.Store(&zones) }
 
-// FencedZonesKnown reports whether the fenced zones were determined in this term. Until then no
-// lease proxy is answered, nor forbidden to renew leases.
+// FencedZonesKnown reports whether the fenced zones have been determined in this term. Until then
+// requests of lease proxies are neither granted nor answered with a fence.
 func (m *Manager) FencedZonesKnown() bool { return m.fenced.Load() != nil }
 
-// ZoneFenced reports whether the lease proxies of a zone are not to renew leases.
+// ZoneFenced reports whether the lease proxies of a zone must not renew leases.
 func (m *Manager) ZoneFenced(zone string) bool {
 	fenced := m.fenced.Load()
 	return fenced == nil || (*fenced)[zone] || (*fenced)[""]
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -5,7 +5,7 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// newCancellationManager makes the part of a term that brings cancellations to their end.
+// newCancellationManager returns the manager of the job cancellations of a leader's term.
 func newCancellationManager(l *Leader) *cancellation.Manager {
 	return cancellation.New(cancellation.Dependencies{
 		Config:       l.node.Cfg,
@@ -19,12 +19,14 @@
 	})
 }
 
-// updateRenewalBound brings the model up to date on what lease proxies may have renewed, and bars
-// those that must not renew more: where a user was told of a job's end, an agent
-// that may still run its tasks must not be kept alive past the time for that.
+// updateRenewalBound updates the cluster state with the times until which lease proxies may have
+// renewed leases, and with the unreachable zones. It also updates the fenced zones: where a job
+// was reported as aborted, the lease of an agent that may still run its tasks must not be extended
+// past the cancel timeout.
 func (l *Leader) updateRenewalBound(now micro.Time) {
 	l.cancellations.UpdateFencedZones()
-	ownRenewal := l.node.leaseProxy.LastRenewal() // of a time when this very term had lapsed
+	// Renewals by this node's own lease proxy while the lease of this term had expired.
+	ownRenewal := l.node.leaseProxy.LastRenewal()
 	for _, zone := range append([]string{""}, l.node.Cfg.Facts.Zones...) {
 		until := l.renewalBound.RenewedUntil(zone, now)
 		if ownRenewal > 0 && (zone == "" || zone == l.node.Cfg.Zone) {
--- a/internal/controller/cluster_effects.go
+++ b/internal/controller/cluster_effects.go
@@ -7,56 +7,58 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The model's effects.
+// This file implements cluster.Effects.
 
-// ChunkDirty notes that a chunk must be written.
+// ChunkDirty schedules a write of a chunk's record.
 func (l *controlLoop) ChunkDirty(chunk *cluster.TaskChunk) { l.records.ChunkDirty(chunk) }
 
-// ChunkUrgent notes that a start waits for a chunk.
+// ChunkUrgent schedules an urgent write of a chunk's record: a task start waits for it.
 func (l *controlLoop) ChunkUrgent(chunk *cluster.TaskChunk) { l.records.ChunkUrgent(chunk) }
 
-// DispatchSoon notes that a machine has commands worth sending at once.
-func (l *controlLoop) DispatchSoon(m *cluster.Machine) { l.dispatcher.MarkPending(m) }
+// DispatchSoon marks a machine whose commands are to be sent without waiting for its next heartbeat.
+func (l *controlLoop) DispatchSoon(machine *cluster.Machine) { l.dispatcher.MarkPending(machine) }
 
-// JobFinished writes the end of a job whose tasks are all done.
-func (l *Leader) JobFinished(j *cluster.Job) { l.records.WriteJobEnd(j, wire.JobDone) }
+// JobFinished writes the final state of a job whose tasks are all done.
+func (l *Leader) JobFinished(job *cluster.Job) { l.records.WriteJobEnd(job, wire.JobDone) }
 
-// AttemptCompleted learns from a completed run.
-func (l *controlLoop) AttemptCompleted(p *cluster.Allocation, took micro.Time) {
-	j := p.Job
-	p.Machine.RecordRunTime(took, scheduler.EstimatedRuntime(j))
-	if j.Spec.EstimateS > 1 && j.Spec.CheckpointIntervalS == 0 || j.Spec.Kind == wire.JobArray && p.Attempt == 1 {
-		if j.Spec.EstimateS > 1 {
-			j.Class.UpdateEstimateBias(took.Seconds() / j.Spec.EstimateS)
+// AttemptCompleted updates the run time and machine speed estimates from a completed attempt of a task.
+func (l *controlLoop) AttemptCompleted(allocation *cluster.Allocation, took micro.Time) {
+	job := allocation.Job
+	allocation.Machine.RecordRunTime(took, scheduler.EstimatedRuntime(job))
+	if job.Spec.EstimateS > 1 && job.Spec.CheckpointIntervalS == 0 ||
+		job.Spec.Kind == wire.JobArray && allocation.Attempt == 1 {
+		if job.Spec.EstimateS > 1 {
+			job.Class.UpdateEstimateBias(took.Seconds() / job.Spec.EstimateS)
 		}
 	}
-	if j.Spec.Kind == wire.JobArray && p.Machine.Type != nil && len(l.cluster.CatalogOrder) > 0 && p.Attempt == 1 {
-		l.speeds.AddSample(j.Spec.ID, p.Machine.Type.Name, took.Seconds(), j.Spec.CPUs)
+	if job.Spec.Kind == wire.JobArray && allocation.Machine.Type != nil && len(l.cluster.CatalogOrder) > 0 &&
+		allocation.Attempt == 1 {
+		l.speeds.AddSample(job.Spec.ID, allocation.Machine.Type.Name, took.Seconds(), job.Spec.CPUs)
 	}
 }
 
-// ScheduleSoon notes that placement may find more than before.
+// ScheduleSoon requests a scheduling pass: more tasks may be schedulable than before.
 func (l *controlLoop) ScheduleSoon() { l.schedulePending = true }
 
-// Log writes one line for operators.
+// Log writes an informational log line.
 func (l *controlLoop) Log(event string, args ...any) { l.log.Info(event, args...) }
 
-// ChunkMigrated notes that a chunk's record in the first form stands for chunks of the
-// later one until they are stored.
-func (l *controlLoop) ChunkMigrated(ch *cluster.TaskChunk, o *cluster.LegacyRecord) {
-	l.records.ChunkMigrated(ch, o)
+// ChunkMigrated registers that a record in the legacy format holds the content of a chunk until
+// the chunk is stored in the compact format.
+func (l *controlLoop) ChunkMigrated(chunk *cluster.TaskChunk, record *cluster.LegacyRecord) {
+	l.records.ChunkMigrated(chunk, record)
 }
 
-// LegacyRecordSuperseded deletes a record in the first form once nothing depends on it.
-func (l *controlLoop) LegacyRecordSuperseded(o *cluster.LegacyRecord) {
-	l.records.LegacyRecordSuperseded(o)
+// LegacyRecordSuperseded deletes a record in the legacy format once no chunk depends on it.
+func (l *controlLoop) LegacyRecordSuperseded(record *cluster.LegacyRecord) {
+	l.records.LegacyRecordSuperseded(record)
 }
 
-// DependencyAborted writes the end of a job that needs an aborted one.
-func (l *Leader) DependencyAborted(j *cluster.Job) {
-	l.log.Info("dependency aborted", "job", j.Spec.ID)
-	l.records.WriteJobEnd(j, wire.JobAborted)
+// DependencyAborted writes the final state of a job that depends on an aborted job.
+func (l *Leader) DependencyAborted(job *cluster.Job) {
+	l.log.Info("job aborted: a dependency was aborted", "job", job.Spec.ID)
+	l.records.WriteJobEnd(job, wire.JobAborted)
 }
 
-// DependencyUnknown looks up a job that another awaits.
+// DependencyUnknown looks up in the store a job that another job depends on.
 func (l *Leader) DependencyUnknown(id string) { l.intake.DependencyUnknown(id) }
--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -19,9 +19,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// controlLoop are the parts that the loop of a leader and that of a shard's owner have in
-// common. Both run their machines and jobs in the same way; what they do differently is in
-// their duties.
+// controlLoop is the event loop, and the components that run on it, shared by the leader and by
+// shard owners. Both manage their machines and jobs in the same way; their differences are in role.
 type controlLoop struct {
 	node *Node
 	term *election.Term
@@ -30,7 +29,7 @@
 	role role
 
 	pendingTasks atomic.Int64
-	serving      atomic.Bool // all that the store holds was read: the intake knows all jobs
+	serving      atomic.Bool // recovery from the store is complete: the intake knows all jobs
 
 	// Owned by the loop's goroutine.
 	cluster               *cluster.State
@@ -44,31 +43,31 @@
 	reader                *recovery.Reader
 	schedulePending       bool
 	lastSchedule          micro.Time
-	scheduleInterval      micro.Time // least time between passes, by what the last one took
+	scheduleInterval      micro.Time // minimum time between passes, from the duration of the last one
 	lastStatusLog         micro.Time
-	referralQueryInFlight bool // the peers are being asked for agents that look for this node
+	referralQueryInFlight bool // a query to the peers about this node's agents is in flight
 
-	// describeEligibleOwners says which sides of a divided fleet may serve a job; "": the fleet is
-	// not divided. Nil: the loop is an owner's.
+	// describeEligibleOwners describes the owners of a sharded fleet that can run all of a job; it
+	// returns "" if the fleet is not sharded. It is nil in the loop of a shard owner.
 	describeEligibleOwners func(*cluster.Job) string
 }
 
-// role are what a leader's loop and that of a shard's owner do each in its own way. Only
-// the loop's goroutine calls them, but for mayRespond.
+// role defines the behaviour that differs between the leader's loop and a shard owner's loop. Its
+// methods are called only on the loop's goroutine, except mayRespond.
 type role interface {
 	cluster.Effects
 	detector.Host
 	persist.Role
-	// mayRespond reports whether answers and commands may be sent as far as the lease goes;
-	// any goroutine may ask.
+	// mayRespond reports whether the loop may send responses and commands while it holds its
+	// lease. It is safe for concurrent use.
 	mayRespond() bool
-	// refusesHeartbeat reports whether a heartbeat is another controller's to answer.
+	// refusesHeartbeat reports whether a heartbeat must be answered by another controller.
 	refusesHeartbeat(heartbeat *wire.Heartbeat) bool
-	// jobEnded settles a job whose end is in the store.
+	// jobEnded updates the in-memory state of a job whose final state has been stored.
 	jobEnded(job *cluster.Job, state wire.JobState)
 }
 
-// newControlLoop makes a loop that gives out fencing tokens from the first one on.
+// newControlLoop returns a loop that issues fencing tokens starting at firstToken.
 func newControlLoop(node *Node, term *election.Term, firstToken uint64, log *slog.Logger, role role) *controlLoop {
 	l := &controlLoop{node: node, term: term, log: log, loop: eventloop.New(), role: role}
 	l.cluster = cluster.New(role)
@@ -103,12 +102,14 @@
 	return l
 }
 
-// holdsLease reports whether this loop may answer and send commands; any goroutine may ask.
+// holdsLease reports whether this loop may send responses and commands. It is safe for concurrent
+// use.
 func (l *controlLoop) holdsLease() bool {
 	return l.role.mayRespond() && l.term.HoldsLease(l.node.Now())
 }
 
-// schedule places tasks if something has changed since the last pass, and it is time.
+// schedule runs a scheduling pass if one is pending and the schedule interval has passed since the
+// last one.
 func (l *controlLoop) schedule(now micro.Time) {
 	if !l.schedulePending || now-l.lastSchedule <= l.scheduleInterval {
 		return
@@ -122,20 +123,20 @@
 	l.node.Metrics.Observe("pass", took)
 }
 
-// Passes take at most one part in scheduleTimeDivisor of the time.
+// Scheduling passes use at most 1/scheduleTimeDivisor of the loop's time.
 const (
 	scheduleTimeDivisor = 8
 	minScheduleInterval = 40 * micro.Millisecond
 	maxScheduleInterval = micro.Second
 )
 
-// flush writes what was decided, and sends the commands that wait.
+// flush writes changed records to the store and sends pending commands to agents.
 func (l *controlLoop) flush(now micro.Time) {
 	l.records.Flush(now)
 	l.dispatcher.SendPending(now)
 }
 
-// resign ends the term; any goroutine may call it.
+// resign ends the term and revokes its lease. It is safe for concurrent use.
 func (l *controlLoop) resign(reason string) {
 	l.log.Info("resigning", "reason", reason)
 	l.term.End()
@@ -143,29 +144,29 @@
 	go func() { _ = l.node.Store.Revoke(context.Background(), l.term.Lease) }()
 }
 
-// resignCooldown is how long a node that resigned stands for no election.
+// resignCooldown is how long a node does not campaign after it resigned.
 const resignCooldown = 4 * micro.Second
 
-// Now is this node's steady clock.
+// Now returns the time by this node's monotonic clock.
 func (l *controlLoop) Now() micro.Time { return l.node.Now() }
 
-// Wall is this node's wall clock.
+// Wall returns the time by this node's wall clock.
 func (l *controlLoop) Wall() micro.Time { return l.node.Wall() }
 
-// HoldsLease reports whether the loop may answer and send commands.
+// HoldsLease reports whether the loop may send responses and commands.
 func (l *controlLoop) HoldsLease() bool { return l.holdsLease() }
 
-// Post hands the loop an event.
+// Post queues an event on the loop.
 func (l *controlLoop) Post(event eventloop.Event) { l.loop.Post(event) }
 
-// recordsHost is a loop as its records see it.
+// recordsHost implements persist.Host for a control loop.
 type recordsHost struct{ *controlLoop }
 
-// ObserveCommit notes how long a transaction took.
+// ObserveCommit records the duration of a transaction in the metrics.
 func (h recordsHost) ObserveCommit(took micro.Time) { h.node.Metrics.Observe("commit", took) }
 
-// JobEnded settles a job whose end is in the store.
+// JobEnded updates the in-memory state of a job whose final state has been stored.
 func (h recordsHost) JobEnded(job *cluster.Job, state wire.JobState) { h.role.jobEnded(job, state) }
 
-// FormatRaised opens this node's format gate.
+// FormatRaised opens this node's format gate: the stored format was raised.
 func (h recordsHost) FormatRaised() { h.node.formatGate.MarkOpen() }
--- a/internal/controller/detector_host.go
+++ b/internal/controller/detector_host.go
@@ -5,25 +5,25 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// sweep watches over the machines, and has those that are given up terminated.
+// sweep updates the states of the machines and sends the requested terminations to the cloud.
 func (l *Leader) sweep(now micro.Time) {
 	l.updateRenewalBound(now)
 	l.detector.Sweep(now)
 	l.provisioner.SendTerminations()
 }
 
-// What the failure detector needs of a leader.
+// The following methods implement detector.Host, together with HandOver.
 
-// InventoryReadAt is when the list of instances that was read last was asked for.
+// InventoryReadAt returns when the last inventory of instances that was read had been requested.
 func (l *Leader) InventoryReadAt() micro.Time { return l.provisioner.InventoryRequestedAt() }
 
-// Terminate marks a machine to be terminated.
+// Terminate marks a machine for termination.
 func (l *Leader) Terminate(machine *cluster.Machine, reason string) {
 	l.provisioner.Terminate(machine, reason)
 }
 
-// UnreportedFor is for how long the owner of a machine's shard has not said that it is up, though
-// it would have by now.
+// UnreportedFor returns for how long the owner of a machine's shard has been due to report the
+// machine as up and has not done so.
 func (l *Leader) UnreportedFor(machine *cluster.Machine, now micro.Time) micro.Time {
 	return l.coordinator.UnreportedFor(machine, now)
 }
--- a/internal/controller/dispatch_host.go
+++ b/internal/controller/dispatch_host.go
@@ -7,24 +7,25 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// dispatchHost is what the dispatcher needs of the loop that it sends commands for.
+// dispatchHost implements dispatch.Host for a control loop.
 type dispatchHost struct{ loop *controlLoop }
 
-// HoldsLease reports whether commands may be sent; any goroutine may ask.
+// HoldsLease reports whether commands may be sent. It is safe for concurrent use.
 func (h dispatchHost) HoldsLease() bool { return h.loop.holdsLease() }
 
-// RefusesHeartbeat reports whether a heartbeat is another controller's to answer.
+// RefusesHeartbeat reports whether a heartbeat must be answered by another controller.
 func (h dispatchHost) RefusesHeartbeat(heartbeat *wire.Heartbeat) bool {
 	return h.loop.role.refusesHeartbeat(heartbeat)
 }
 
-// HeartbeatReceived notes that an agent reached this node.
+// HeartbeatReceived reports to the failure detector that an agent reached this node.
 func (h dispatchHost) HeartbeatReceived() { h.loop.detector.CountHeartbeat() }
 
 // Resign ends the term.
 func (h dispatchHost) Resign(reason string) { h.loop.resign(reason) }
 
-// handleHeartbeat answers an agent's heartbeat; any goroutine but the loop's may call it.
+// handleHeartbeat answers an agent's heartbeat. It waits for the loop, so it must not be called on
+// the loop's goroutine.
 func (l *controlLoop) handleHeartbeat(heartbeat *wire.Heartbeat) httpapi.Reply {
 	commands, accepted := l.dispatcher.HandleHeartbeat(heartbeat)
 	if !accepted {
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -7,8 +7,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Heartbeat answers an agent's heartbeat. Only the leader may, and with shards their owners; the
-// others say whom to ask.
+// Heartbeat answers an agent's heartbeat. The leader answers it, or the shard owner for a machine of a
+// shard; other nodes reply with the node to contact.
 func (n *Node) Heartbeat(body []byte) httpapi.Reply {
 	if n.shards != nil {
 		return n.heartbeatWithShards(body)
@@ -27,7 +27,9 @@
 	return l.handleHeartbeat(heartbeat)
 }
 
-// heartbeatAsFollower answers a heartbeat that is the leader's to answer, at another node.
+// heartbeatAsFollower answers, on a node that does not lead, a heartbeat for the leader: on behalf of
+// the leader if this node may renew the agent's lease, else with 421 and the leader's name, or with
+// 503 if the leader is unknown or unreachable.
 func (n *Node) heartbeatAsFollower(body []byte) httpapi.Reply {
 	leader := n.election.Leader()
 	n.referrals.Record(leader, n.Now())
--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/internal/store"
 )
 
-// newJobAPI makes what the node does for users, from the node's parts.
+// newJobAPI returns the service that handles the job requests of users and peers.
 func newJobAPI(n *Node) *jobapi.Service {
 	return jobapi.New(n.Cfg, jobapi.Dependencies{
 		Store:      n.Store,
@@ -26,19 +26,19 @@
 	})
 }
 
-// Submit accepts a job: 201 only after its description is in the store.
+// Submit accepts a job. It replies 201 only after the job's specification is stored.
 func (n *Node) Submit(body []byte) httpapi.Reply { return n.jobs.Submit(body) }
 
-// Status answers a status query.
+// Status returns the status of a job.
 func (n *Node) Status(id string) httpapi.Reply { return n.jobs.Status(id) }
 
-// Cancel cancels a job; only the leader can.
+// Cancel cancels a job. Only the leader can do so.
 func (n *Node) Cancel(id string) httpapi.Reply { return n.jobs.Cancel(id) }
 
-// leadership tells the job API who leads.
+// leadership implements jobapi.Leadership.
 type leadership struct{ node *Node }
 
-// ActiveLeader is the node's own leader while its lease holds, else nil.
+// ActiveLeader returns the leader on this node while its lease is valid, else nil.
 func (l leadership) ActiveLeader() jobapi.Leader {
 	if leader := l.node.activeLeader(); leader != nil {
 		return leader
@@ -46,38 +46,38 @@
 	return nil // not a nil *Leader in an interface
 }
 
-// LeaderName is the node that leads, as far as it is known.
+// LeaderName returns the name of the leading node, or "" if it is unknown.
 func (l leadership) LeaderName() string { return l.node.election.Leader() }
 
-// peerClient are the other nodes as the job API reaches them.
+// peerClient implements jobapi.Peers with the node's peer connections.
 type peerClient struct{ node *Node }
 
-// Call calls a node, unless it lately gave no answer.
+// Call calls a peer, unless the peer recently did not answer.
 func (o peerClient) Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	return o.node.callPeer(ctx, node, call, body, timeout)
 }
 
-// CallRegardless calls a node also if it lately gave no answer.
+// CallRegardless calls a peer even if it recently did not answer.
 func (o peerClient) CallRegardless(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return o.node.peerBackoff.CallRegardless(ctx, node, call, body, timeout)
 }
 
-// Retry calls a node also if it lately gave no answer, one call at a time.
+// Retry calls a peer even if it recently did not answer, with at most one such call at a time.
 func (o peerClient) Retry(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return o.node.peerBackoff.Retry(ctx, node, call, body, timeout)
 }
 
-// LeaderFirst lists the other nodes.
+// LeaderFirst returns the names of the other nodes, the leader first.
 func (o peerClient) LeaderFirst() []string { return o.node.peersLeaderFirst() }
 
-// jobReader reads jobs from the store for the job API.
+// jobReader reads jobs from the store for the job API. It implements jobapi.JobReader.
 type jobReader struct{ node *Node }
 
-// ReadJob reads a job's own keys.
+// ReadJob reads a job's specification, dependencies and final state.
 func (r jobReader) ReadJob(class store.Class, id string) (jobapi.StoredJob, error) {
 	snapshot := recovery.NewSnapshot(r.node.Log)
 	if err := snapshot.ReadJob(context.Background(), r.node.Store, class, id); err != nil {
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -5,9 +5,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// endUncertain reports whether the end of a job, or of one that it needs, may be in the
-// store without this leader knowing: its write went out, and has no answer yet.
-// Another node may have read it there, and told the user.
+// endUncertain reports whether the final state of a job, or of a job that it depends on, may be
+// stored without this leader knowing: the write was sent and has no response yet. Another node may
+// already have read the final state from the store and reported it to the user.
 func (l *Leader) endUncertain(job *cluster.Job) bool {
 	if l.records.EndUncertain(job.Spec.ID) {
 		return true
@@ -34,7 +34,7 @@
 	return false
 }
 
-// jobEnded settles a job whose end is in the store.
+// jobEnded updates the in-memory state of a job whose final state has been stored.
 func (l *Leader) jobEnded(job *cluster.Job, state wire.JobState) {
 	now := l.node.Now()
 	l.cluster.FinalizeJob(job, state == wire.JobAborted, now)
@@ -47,7 +47,7 @@
 		l.cancellations.MarkUnconfirmed(job)
 	}
 	l.log.Info(
-		"job over", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s",
+		"job ended", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s",
 		(now - job.EligibleSince).Seconds(),
 	)
 	for _, ch := range job.Chunks {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -15,7 +15,7 @@
 	"notchmux.dev/notchmux/internal/shard/coordinator"
 )
 
-// Leader is one term of leadership. The goroutine of its loop owns the cluster state.
+// Leader runs one leadership term. The cluster state is owned by its loop's goroutine.
 type Leader struct {
 	*controlLoop
 
@@ -26,13 +26,13 @@
 	renewalBound    *leasekeeper.RenewalBound
 	cancellations   *cancellation.Manager
 	failover        *recovery.Failover
-	declineLogged   bool                     // it was said that no agent reaches this node and it stays
-	recovered       bool                     // the failover has read everything
-	coordinator     *coordinator.Coordinator // the leader's part in shards; nil: the feature is off
+	declineLogged   bool                     // a decision against a handover was logged in this term
+	recovered       bool                     // the failover has read all records
+	coordinator     *coordinator.Coordinator // coordinates the shards; nil: the feature is off
 	unservedJobScan *coordinator.UnservedJobScan
 }
 
-// newLeader makes the loop of a term of leadership.
+// newLeader returns the leader of a leadership term; its loop is not started.
 func newLeader(n *Node, t *election.Term) *Leader {
 	l := &Leader{}
 	l.controlLoop = newControlLoop(
@@ -59,10 +59,11 @@
 	return l
 }
 
-// run is the leader's loop: it takes over what the store holds, then serves events.
+// run restores the cluster state from the store and then runs the event loop until ctx ends or the
+// loop is stopped.
 func (l *Leader) run(ctx context.Context) {
 	l.loop.StopWith(ctx)
-	from := l.node.Now()
+	startedAt := l.node.Now()
 	rev, ok := l.takeOver(ctx)
 	if !ok {
 		return
@@ -70,7 +71,7 @@
 	l.serving.Store(true)
 	l.log.Info(
 		"failover complete", "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines), "took_ms",
-		int64((l.node.Now()-from)/micro.Millisecond),
+		int64((l.node.Now()-startedAt)/micro.Millisecond),
 	)
 	defer l.node.Metrics.RemoveGauge(unservedJobsGauge)
 	go l.intake.WatchSubmissions(ctx, rev)
@@ -79,7 +80,8 @@
 	l.loop.Run(eventloop.Handlers{Now: l.node.Now, Tick: l.tick, AfterEvents: l.runPending})
 }
 
-// runPending does what the events called for: place, write, send.
+// runPending does the work that the handled events made pending: it schedules tasks, completes
+// cancellations, writes records and sends commands.
 func (l *Leader) runPending(now micro.Time) {
 	if !l.holdsLease() {
 		return
@@ -89,6 +91,7 @@
 	l.flush(now)
 }
 
+// tick runs the leader's periodic work.
 func (l *Leader) tick(now micro.Time) {
 	if !l.detector.ObserveLease(l.holdsLease(), now) {
 		return
@@ -100,7 +103,7 @@
 	l.intake.LookUpDependencies()
 	l.coordinator.Reconcile(now)
 	if l.provisioner.PlanIfDue(now) {
-		l.schedulePending = true // backoffs and reservations run out
+		l.schedulePending = true // backoffs and reservations may have expired
 		l.reviewPendingJobs(now)
 		l.updateUnservedJobs(now)
 	}
--- a/internal/controller/leader_jobs.go
+++ b/internal/controller/leader_jobs.go
@@ -7,15 +7,15 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What the leader does for the job API of its node; any goroutine may call it.
+// The following methods implement jobapi.Leader. They are safe for concurrent use.
 
-// statusQueryTimeout is how long queries wait for their turn of the loop before the asker
-// reads the store.
+// statusQueryTimeout is how long a status query waits for the loop before the caller reads the
+// store instead.
 const statusQueryTimeout = 400 * micro.Millisecond
 
-// Statuses answers status queries from memory, in one turn of the loop. Of IDs that are not in
-// the state the loop, which has agents to answer, is not asked; that alone is no
-// reason to deny a job.
+// Statuses answers status queries from memory, in one event of the loop. IDs that are not in the
+// cluster state are not passed to the loop, which must also answer agents; their absence does not
+// prove that such a job does not exist.
 func (l *Leader) Statuses(ids []string) []wire.JobStatus {
 	var known []string
 	for _, id := range ids {
@@ -30,21 +30,21 @@
 		return statusesQueried{leader: l, ids: known, reply: reply}
 	}
 	statuses, ok := eventloop.Call(l.loop, eventloop.Queries, statusQueryTimeout, event)
-	// The lease may have lapsed meanwhile: then nothing may be said.
+	// The answer is not authoritative if the lease expired while it was being produced.
 	if !ok || !l.holdsLease() {
 		return nil
 	}
 	return statuses
 }
 
-// statusesQueried asks for the statuses of jobs.
+// statusesQueried is the event of a query for the statuses of jobs.
 type statusesQueried struct {
 	leader *Leader
 	ids    []string
 	reply  eventloop.Reply[[]wire.JobStatus]
 }
 
-// Apply answers for the jobs whose status is certain.
+// Apply replies with the statuses of those jobs whose status is certain.
 func (e statusesQueried) Apply() {
 	found := make([]wire.JobStatus, 0, len(e.ids))
 	for _, id := range e.ids {
@@ -57,17 +57,17 @@
 	e.reply.Send(found)
 }
 
-// KnowsJob reports whether a job is in the state.
+// KnowsJob reports whether a job is in the cluster state.
 func (l *Leader) KnowsJob(id string) bool { return l.intake.Knows(id) }
 
-// PendingTasks is how many tasks waited when they were last counted.
+// PendingTasks returns the number of pending tasks at the last count.
 func (l *Leader) PendingTasks() int { return int(l.pendingTasks.Load()) }
 
-// AddJob takes in a job that was accepted.
+// AddJob queues an accepted job for addition to the cluster state.
 func (l *Leader) AddJob(job wire.Job) { l.intake.PostJob(job) }
 
-// CancelJob cancels a job, and waits for so long until that is certain; 404 if it is not in
-// memory.
+// CancelJob cancels a job and waits up to the given time until its final state is stored. It replies
+// 404 if the job is not in the cluster state.
 func (l *Leader) CancelJob(id string, within micro.Time) httpapi.Reply {
 	return l.cancellations.Cancel(id, within)
 }
--- a/internal/controller/leader_role.go
+++ b/internal/controller/leader_role.go
@@ -2,10 +2,10 @@
 
 import "notchmux.dev/notchmux/wire"
 
-// mayRespond is true: a leader may for as long as it holds the lease.
+// mayRespond returns true: a leader may send responses for as long as it holds its lease.
 func (l *Leader) mayRespond() bool { return true }
 
-// refusesHeartbeat reports whether a heartbeat is for the owner of a shard to answer.
+// refusesHeartbeat reports whether a heartbeat must be answered by a shard owner.
 func (l *Leader) refusesHeartbeat(heartbeat *wire.Heartbeat) bool {
 	return l.coordinator.RefusesHeartbeat(heartbeat)
 }
--- a/internal/controller/lease_proxy.go
+++ b/internal/controller/lease_proxy.go
@@ -12,8 +12,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// runLeaseProxy asks the leader, as a lease proxy of this zone's leases, until the
-// context ends, and looks for the other nodes when it does not answer.
+// runLeaseProxy runs this node's lease proxy until the context ends. It sends a request to the leader
+// at every interval and probes the other nodes while the leader does not answer.
 func (n *Node) runLeaseProxy(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n.contactLeader(ctx)
@@ -25,6 +25,8 @@
 	return nil
 }
 
+// contactLeader sends one lease proxy request to the leader, or records that this node leads. While
+// the leader is disconnected, it probes the other nodes.
 func (n *Node) contactLeader(ctx context.Context) {
 	if l := n.activeLeader(); l != nil {
 		if !l.cancellations.ZoneFenced(n.Cfg.Zone) {
@@ -37,22 +39,22 @@
 		sentAt := n.Now()
 		body := wire.MustMarshal(n.leaseProxy.Request(sentAt))
 		status, reply, err := n.Peers.Call(ctx, leader, peer.LeaseProxy, body, leasekeeper.ResponseTimeout)
-		answered = err == nil && status != http.StatusMisdirectedRequest // it leads, even if it grants nothing now
+		answered = err == nil && status != http.StatusMisdirectedRequest // the node leads, even if it grants nothing
 		if err == nil {
 			n.handleLeaseProxyReply(ctx, leader, status, reply, sentAt)
 		}
 	}
 	if n.leaseProxy.RenewalWindow > 0 && n.leaseProxy.Disconnected(n.Now()) {
 		sameZone, otherZone := leasekeeper.ProbeZones(ctx, n.Cfg.Peers, n.Cfg.Zone, n.pingPeer)
-		// With the store in reach, only a leader beyond the cut is missed: one of
-		// this zone that died is replaced by this zone's nodes. Keeping the
-		// agents meanwhile once hid half of the fleet from the next leader.
+		// While the store is reachable, leases are renewed only if the missing leader is in another
+		// zone: a failed leader of this zone is replaced by a node of this zone. Renewing leases
+		// during that election hid half of the fleet from the next leader.
 		canElect := !n.Isolated() && !n.Cfg.InOtherZone(leader)
 		n.leaseProxy.RecordProbe(sameZone, otherZone || answered || canElect, n.Now())
 	}
 }
 
-// handleLeaseProxyReply takes in the leader's answer to a request that was sent at a time.
+// handleLeaseProxyReply applies the leader's answer to a lease proxy request that was sent at sentAt.
 func (n *Node) handleLeaseProxyReply(ctx context.Context, leader string, status int, reply []byte, sentAt micro.Time) {
 	var timestamp leasekeeper.LeaderTimestamp
 	var fence leasekeeper.Fence
@@ -66,13 +68,13 @@
 	}
 }
 
-// confirmFence tells the leader that this node renews no lease. If that does not arrive, the
-// leader fences it again with its next request.
+// confirmFence confirms to the leader that this node renews no leases. If the confirmation is lost,
+// the leader fences this node again at its next request.
 func (n *Node) confirmFence(ctx context.Context, leader string, fence leasekeeper.Fence) {
 	body := wire.MustMarshal(leasekeeper.FenceConfirmation{Node: n.Cfg.Node, Fence: fence})
 	_, _, err := n.Peers.Call(ctx, leader, peer.LeaseProxyFenced, body, leasekeeper.ResponseTimeout)
 	if err != nil {
-		n.Log.Debug("fence not confirmed", "leader", leader, "err", err)
+		n.Log.Debug("confirm lease proxy fence failed", "leader", leader, "err", err)
 	}
 }
 
@@ -82,19 +84,19 @@
 	return err == nil
 }
 
-// leaderUnreachable reports whether whom this node takes for the leader is out of its reach,
-// and of its agents', or may lead no more. An agent is then better sent on to
-// the next node: two nodes that had lost the store, one of them the old leader,
-// once sent hundreds of agents to one another until their leases ran out.
+// leaderUnreachable reports whether the node last known to lead is unreachable from this node and
+// its agents, or may no longer lead. Agents are then not referred to it but left to try the next
+// node: two nodes without access to the store, one of them the former leader, referred hundreds of
+// agents to each other until the agents' leases expired.
 func (n *Node) leaderUnreachable(leader string) bool {
 	now := n.Now()
 	return n.leaseProxy.Disconnected(now) &&
 		(n.Isolated() || n.Cfg.InOtherZone(leader) && n.leaseProxy.ZonePartitioned(now))
 }
 
-// proxyHeartbeat answers a heartbeat of this zone's agent in place of the leader, if
-// the zone is cut off: its lease goes on, and it is told to do nothing. The
-// agent's own token is as good as any to it; no other node gives one out here.
+// proxyHeartbeat answers the heartbeat of an agent of this zone in place of the leader while the
+// zone is partitioned. The answer renews the agent's lease and contains no commands. It returns the
+// agent's own fencing token, which the agent accepts; no other node issues tokens in this zone.
 func (n *Node) proxyHeartbeat(body []byte) (httpapi.Reply, bool) {
 	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil || !n.proxiesLease(heartbeat) {
@@ -103,11 +105,12 @@
 	return leaseProxyReply(heartbeat), true
 }
 
-// proxiesLease reports whether this node keeps the agent's lease alive now.
+// proxiesLease reports whether this node may renew the agent's lease now.
 func (n *Node) proxiesLease(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.FencingToken != 0 && heartbeat.Zone == n.Cfg.Zone && n.leaseProxy.TryRenew(n.Now())
 }
 
+// leaseProxyReply returns the answer to a heartbeat that renews the agent's lease without commands.
 func leaseProxyReply(heartbeat *wire.Heartbeat) httpapi.Reply {
 	return httpapi.Reply{
 		Status: http.StatusOK,
@@ -115,7 +118,7 @@
 	}
 }
 
-// handleLeaseProxy answers another node's lease proxy, while this node leads.
+// handleLeaseProxy answers a request of another node's lease proxy; 421 if this node does not lead.
 func (n *Node) handleLeaseProxy(body []byte) (int, []byte) {
 	l := n.activeLeader()
 	if l == nil {
@@ -127,7 +130,7 @@
 	}
 	l.renewalBound.NoteRequest(request.Node, n.Now())
 	if !l.cancellations.FencedZonesKnown() {
-		return http.StatusServiceUnavailable, nil // it goes by the answer that it had of the last leader
+		return http.StatusServiceUnavailable, nil // the previous leader's last answer stays in effect
 	}
 	for _, other := range n.Cfg.Peers {
 		if other.Node == request.Node && l.cancellations.ZoneFenced(other.Zone) {
@@ -141,8 +144,8 @@
 	return http.StatusOK, wire.MustMarshal(timestamp)
 }
 
-// handleFenceConfirmation takes in, while this node leads, that another node's lease proxy keeps
-// to a fence; it gives the HTTP status of the answer.
+// handleFenceConfirmation records that another node's lease proxy obeys a fence. It returns the HTTP
+// status of the answer, 421 if this node does not lead.
 func (n *Node) handleFenceConfirmation(body []byte) int {
 	l := n.activeLeader()
 	if l == nil {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,5 +1,6 @@
-// Package controller wires a node together: the users' and agents' interface,
-// the peers, the election and, while this node leads, the leader's loop.
+// Package controller assembles a controller node: the HTTP API for users and agents, the peer
+// protocol, the leader election, the event loop of the leader while this node leads, and those of
+// the shards that it owns.
 package controller
 
 import (
@@ -33,25 +34,25 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// BudgetFractionSetter is a store client whose share of the limits, for requests and for
-// writes, can be set.
+// BudgetFractionSetter is implemented by store clients that can be limited to a fraction of the
+// store's request and write rate limits.
 type BudgetFractionSetter interface{ SetBudgetFraction(reads, writes float64) }
 
-// Dependencies are the settings and the outside services that a node is built on.
+// Dependencies are the configuration and the external services of a node.
 type Dependencies struct {
 	Cfg     *config.Config
 	Store   store.Store
 	Cloud   cloud.Provider
 	Agent   agent.Sender
-	Prober  agent.Prober // nil: no agent is probed for a peer
+	Prober  agent.Prober // nil: agents are not probed on behalf of peers
 	Peers   peer.Caller
 	Log     *slog.Logger
 	Metrics *metrics.Set
-	Now     func() micro.Time // the steady clock
-	Wall    func() micro.Time // the wall clock
+	Now     func() micro.Time // monotonic clock
+	Wall    func() micro.Time // wall clock
 }
 
-// Node is one controller.
+// Node is one controller of the cluster.
 type Node struct {
 	Dependencies
 
@@ -66,13 +67,13 @@
 	referrals   referral.Responder
 
 	jobs      *jobapi.Service
-	peerCalls map[string]peerCallHandler     // by the names of the calls
+	peerCalls map[string]peerCallHandler     // by call name
 	shards    *ownership.Owners[*ShardOwner] // nil: the feature is off
 
-	ownedVersions sync.Map // the record's version under which a loop was last started, by shard
+	ownedVersions sync.Map // version of the shard record under which an owner loop was last started, by shard
 }
 
-// New makes a node that speaks to the real services.
+// New returns a node that uses the network services named in the configuration.
 func New(cfg *config.Config, log *slog.Logger) *Node {
 	addrs := map[string]string{}
 	for _, other := range cfg.Peers {
@@ -93,7 +94,7 @@
 	})
 }
 
-// NewWith makes a node that speaks to the given services.
+// NewWith returns a node that uses the given services.
 func NewWith(deps Dependencies) *Node {
 	n := &Node{Dependencies: deps}
 	n.referrals.Prober = n.Prober
@@ -103,7 +104,7 @@
 	})
 	n.formatGate = newFormatGate(n)
 	n.initJobAPI()
-	n.setBudgetFractions(n.Cfg.EqualShare()) // until it is known who leads
+	n.setBudgetFractions(n.Cfg.EqualShare()) // until the leader is known
 	n.initShards()
 	n.leaseProxy.Node, n.leaseProxy.RenewalWindow, n.leaseProxy.Log = n.Cfg.Node, n.Cfg.LeaseProxyDuration(), n.Log.Info
 	n.election = &election.Election{
@@ -113,19 +114,19 @@
 	return n
 }
 
-// Ready reports whether the node can take requests.
+// Ready reports whether the node can serve requests.
 func (n *Node) Ready() bool { return n.health.Ready() }
 
-// Isolated reports whether the store was out of reach at the last probe.
+// Isolated reports whether the store was unreachable at the last probe.
 func (n *Node) Isolated() bool { return n.health.Isolated() }
 
-// initJobAPI makes what the node does for users, and the calls that it answers.
+// initJobAPI creates the job service and the handlers of peer calls.
 func (n *Node) initJobAPI() {
 	n.jobs = newJobAPI(n)
 	n.peerCalls = newPeerCalls(n)
 }
 
-// Run serves until the context ends or a part fails.
+// Run runs the node until the context ends or a component fails. It returns the first error.
 func (n *Node) Run(ctx context.Context) error {
 	listener := net.ListenConfig{}
 	public, err := listener.Listen(ctx, "tcp4", n.Cfg.PublicAddr)
@@ -157,7 +158,8 @@
 	return group.Wait()
 }
 
-// fetchCatalog reads the machine types; the leader reads prices again.
+// fetchCatalog reads the catalog of machine types until it succeeds, with increasing delays between
+// attempts. The leader reads it again every 20 s for current prices.
 func (n *Node) fetchCatalog(ctx context.Context) error {
 	wait := 300 * time.Millisecond
 	for ctx.Err() == nil {
@@ -170,7 +172,7 @@
 				}
 				wait = 20 * time.Second
 			} else {
-				n.Log.Info("catalog not read", "err", err)
+				n.Log.Info("read machine catalog failed, will be retried", "err", err)
 				wait = min(wait*2, 5*time.Second)
 			}
 		}
@@ -182,16 +184,16 @@
 	return nil
 }
 
-// catalogFetched is the cloud's catalog of machine types and prices.
+// catalogFetched is the event that carries the cloud's catalog of machine types and prices.
 type catalogFetched struct {
 	leader  *Leader
 	catalog *wire.Catalog
 }
 
-// Apply takes the catalog in.
+// Apply stores the catalog in the cluster state.
 func (e catalogFetched) Apply() { e.leader.cluster.SetCatalog(e.catalog) }
 
-// activeLeader is the node's own leader while its lease holds, else nil.
+// activeLeader returns the leader on this node while its lease is valid, else nil.
 func (n *Node) activeLeader() *Leader {
 	l := n.leader.Load()
 	if l == nil || !l.term.HoldsLease(n.Now()) {
@@ -200,7 +202,8 @@
 	return l
 }
 
-// setBudgetFractions sets which part of the store's limits this node may use.
+// setBudgetFractions sets the fractions of the store's request and write rate limits that this node
+// may use.
 func (n *Node) setBudgetFractions(reads, writes float64) {
 	if s, ok := n.Store.(BudgetFractionSetter); ok {
 		s.SetBudgetFraction(reads, writes)
@@ -208,6 +211,7 @@
 	n.jobs.SetBudgetFraction(reads)
 }
 
+// startLeader starts the leader's loop for a new term.
 func (n *Node) startLeader(ctx context.Context, t *election.Term) {
 	n.setBudgetFractions(n.Cfg.LeaderShare())
 	l := newLeader(n, t)
@@ -215,6 +219,7 @@
 	go l.run(ctx)
 }
 
+// stopLeader stops the leader's loop of a term that has ended.
 func (n *Node) stopLeader(t *election.Term) {
 	n.setBudgetFractions(n.Cfg.FollowerShare())
 	if l := n.leader.Load(); l != nil && l.term == t {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -9,22 +9,22 @@
 	"notchmux.dev/notchmux/internal/peer"
 )
 
-// peerCallTimeout is how long a node waits for a peer before it helps itself.
+// peerCallTimeout is how long a node waits for a peer's answer before it proceeds without it.
 const peerCallTimeout = jobapi.PeerCallTimeout
 
-// callPeerOnce calls a peer, whatever became of earlier calls.
+// callPeerOnce calls a peer regardless of the results of earlier calls.
 func (n *Node) callPeerOnce(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return n.Peers.Call(ctx, node, call, body, timeout)
 }
 
-// callPeer calls a peer, and leaves one alone for a while that did not answer.
+// callPeer calls a peer. After a call without an answer, calls to that peer fail for a backoff period.
 func (n *Node) callPeer(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	return n.peerBackoff.Call(ctx, node, call, body, timeout)
 }
 
-// peerNames lists the other nodes.
+// peerNames returns the names of the other nodes.
 func (n *Node) peerNames() []string {
 	names := make([]string, len(n.Cfg.Peers))
 	for i, other := range n.Cfg.Peers {
@@ -33,7 +33,7 @@
 	return names
 }
 
-// peersLeaderFirst lists the other nodes.
+// peersLeaderFirst returns the names of the other nodes, the leader first.
 func (n *Node) peersLeaderFirst() []string {
 	leader := n.election.Leader()
 	nodes := []string{}
@@ -48,10 +48,10 @@
 	return nodes
 }
 
-// peerCallHandler answers a call of another node with an HTTP status and a body.
+// peerCallHandler handles a call of another node and returns the HTTP status and the response body.
 type peerCallHandler func(ctx context.Context, body []byte) (status int, out []byte)
 
-// newPeerCalls is the registry of the calls that the node answers, by their names.
+// newPeerCalls returns the handlers of the peer calls that the node answers, by call name.
 func newPeerCalls(n *Node) map[string]peerCallHandler {
 	calls := map[string]peerCallHandler{
 		peer.Ping: func(context.Context, []byte) (int, []byte) { return http.StatusOK, nil },
@@ -72,7 +72,7 @@
 	return calls
 }
 
-// handlePeerCall answers another node.
+// handlePeerCall dispatches a call of another node to its handler; 404 if the call is unknown.
 func (n *Node) handlePeerCall(ctx context.Context, call string, body []byte) (int, []byte) {
 	handle, ok := n.peerCalls[call]
 	if !ok {
@@ -81,7 +81,8 @@
 	return handle(ctx, body)
 }
 
-// handleShardOwner answers another node's owner of a shard while this node leads, else 421.
+// handleShardOwner answers a status update of a shard owner on another node; 421 if this node does
+// not lead.
 func (n *Node) handleShardOwner(body []byte) (int, []byte) {
 	if l := n.activeLeader(); l != nil {
 		return handleStatusUpdate(l, body)
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -5,8 +5,8 @@
 	"notchmux.dev/notchmux/internal/provision"
 )
 
-// newPlanner makes the planner of scale-out and scale-in of a leader, or of a shard's owner,
-// by whose prices tasks are placed.
+// newPlanner returns the scaling planner of a leader or shard owner. The scheduler also uses its price
+// limits when it places tasks.
 func newPlanner(l *controlLoop, cfg autoscaler.Config) *autoscaler.Planner {
 	cfg.Cluster, cfg.Objectives, cfg.Properties = l.cluster, l.objectives, &l.node.Cfg.Properties
 	planner := autoscaler.New(cfg)
@@ -14,7 +14,7 @@
 	return planner
 }
 
-// newProvisioner makes the part of a leader that has machines created and terminated.
+// newProvisioner returns the leader's provisioner, which requests and terminates instances.
 func newProvisioner(l *Leader) *provision.Provisioner {
 	var shards autoscaler.Config
 	if l.coordinator != nil {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -9,46 +9,49 @@
 	"notchmux.dev/notchmux/internal/referral"
 )
 
-// What a leader, or the owner of a shard, does that no agent seems to reach. Silence alone does
-// not tell a network that keeps its agents from it from machines that are dead. The peers
-// know: agents that do not reach this node come to them, and are referred back to it; and they
-// can probe agents that this node does not hear.
+// A leader or shard owner that receives no heartbeats cannot tell a network partition from failed
+// machines by itself. Its peers can: agents that do not reach this node contact the peers, which
+// refer them back to this node, and the peers can probe agents that are silent here.
 
-// HandOver resigns in favour of another node, if that may be reached by the agents and was not
-// tried in vain.
+// HandOver resigns so that another node becomes the leader, if agents may reach another node and
+// recent handovers have not already failed to restore contact.
 func (l *Leader) HandOver(now micro.Time) {
 	evidence := l.detector.Reachability(now)
 	if evidence.HeartbeatGap {
-		l.handOver(evidence, now) // so many live agents at once do not die
+		l.handOver(evidence, now) // so many agents do not fail at the same time
 		return
 	}
 	l.queryReferrals(now, func(answer referral.Answer) { l.considerHandover(evidence, answer) })
 }
 
-// considerHandover hands over if agents look for this node elsewhere.
+// considerHandover hands over the leadership if the peers' answers show that agents may reach another
+// node.
 func (l *Leader) considerHandover(evidence detector.Reachability, answer referral.Answer) {
 	if !answer.AgentsMayBeThere(evidence.SinceContact) {
-		l.logHandover(false, "no peer was asked for this node or reaches its agents", evidence)
+		l.logHandover(false, "no peer referred an agent to this node or reaches its agents", evidence)
 		return
 	}
 	l.handOver(evidence, l.node.Now())
 }
 
-// handOver resigns in favour of another node, unless that was tried in vain.
+// handOver resigns so that another node becomes the leader, unless recent handovers have already
+// failed to restore contact with agents.
 func (l *Leader) handOver(evidence detector.Reachability, now micro.Time) {
 	window := detector.HandoverWindow(l.node.Cfg)
 	if !l.node.handovers.Begin(now, l.cluster.TermStartedAt, window) {
-		l.logHandover(false, "the others were tried in vain", evidence)
+		l.logHandover(false, "recent handovers did not restore contact with agents", evidence)
 		return
 	}
-	l.logHandover(true, "others are to be tried", evidence)
-	// Two nodes that no agent reached once won elections in turn, until both had
-	// handed over as often as they do, and one stayed: the third never led.
+	l.logHandover(true, "agents may reach another node", evidence)
+	// Not campaigning for the window gives every node a turn. Without it, two unreachable nodes won
+	// the elections alternately until both had used up their handovers and one of them stayed the
+	// leader; the third node never led.
 	l.node.election.DeferCampaign(window)
 	l.resign("no agent reaches this node")
 }
 
-// logHandover says that this node hands over; that it does not is said once a term.
+// logHandover logs the decision on a handover and the evidence for it. A decision against a handover
+// is logged only once per term.
 func (l *Leader) logHandover(handsOver bool, reason string, evidence detector.Reachability) {
 	if !handsOver && l.declineLogged {
 		return
@@ -60,8 +63,8 @@
 	)
 }
 
-// HandOver has the leader told that no agent reaches this node, if another may be reached: it
-// moves the shard.
+// HandOver reports to the leader, with the next status update, that no agent reaches this node, if
+// agents may reach another one. The leader then moves the shard.
 func (o *ShardOwner) HandOver(now micro.Time) {
 	evidence := o.detector.Reachability(now)
 	if evidence.HeartbeatGap {
@@ -69,17 +72,17 @@
 		return
 	}
 	o.queryReferrals(now, func(answer referral.Answer) {
-		// Never taken back here: a heartbeat gap may have been found meanwhile.
+		// Never reset here: a heartbeat gap may have been detected in the meantime.
 		if answer.AgentsMayBeThere(evidence.SinceContact) {
 			o.unreachable = true
 		}
 	})
 }
 
-// queryReferrals asks the peers whether they referred agents to this node, or reach some that it
-// does not hear, and has the loop go on with their answer, unless an agent has reached the node
-// meanwhile. Only one question is under way at a time.
-func (l *controlLoop) queryReferrals(now micro.Time, then func(referral.Answer)) {
+// queryReferrals asks the peers whether they referred agents to this node, or reach agents that are
+// silent here. The loop then passes the answer to callback, unless an agent reached this node in the
+// meantime. Only one query is in flight at a time.
+func (l *controlLoop) queryReferrals(now micro.Time, callback func(referral.Answer)) {
 	if l.referralQueryInFlight {
 		return
 	}
@@ -88,12 +91,12 @@
 	asker := referral.Asker{Caller: l.node.Peers, Prober: l.node.Prober, Peers: l.node.peerNames()}
 	go func() {
 		answer := asker.Ask(context.Background(), query)
-		l.loop.Post(referralQueryCompleted{l, answer, now, then})
+		l.loop.Post(referralQueryCompleted{l, answer, now, callback})
 	}()
 }
 
-// agentsToProbe draws some of the agents whose silence made this node ask: if one rack is dead and the
-// others are cut off, one of the next questions names agents of another.
+// agentsToProbe returns a random sample of the silent agents. If the agents of one rack have failed
+// and those of the others are only unreachable, a later query names agents of another rack.
 func (l *controlLoop) agentsToProbe(now micro.Time) []referral.Agent {
 	silent := l.detector.SilentMachines(now)
 	rand.Shuffle(len(silent), func(i, j int) { silent[i], silent[j] = silent[j], silent[i] })
@@ -104,7 +107,7 @@
 	return agents
 }
 
-// referralQueryCompleted brings what the peers know of agents that were referred to this node.
+// referralQueryCompleted is the event that carries the peers' answers to a referral query.
 type referralQueryCompleted struct {
 	loop      *controlLoop
 	answer    referral.Answer
@@ -112,7 +115,8 @@
 	callback  func(referral.Answer)
 }
 
-// Apply goes on with the answer.
+// Apply calls the callback with the answer, unless the lease has expired or an agent has reached this
+// node since the query.
 func (e referralQueryCompleted) Apply() {
 	e.loop.referralQueryInFlight = false
 	if e.loop.holdsLease() && !e.loop.detector.ReachedSince(e.queriedAt) {
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -6,12 +6,12 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Preconditions are that the term goes on.
+// Preconditions returns the precondition of the leader's transactions: the term has not ended.
 func (l *Leader) Preconditions() []wire.Precondition {
 	return []wire.Precondition{l.term.Precondition()}
 }
 
-// ChunkKey is the key of a chunk's record in the form that is in use.
+// ChunkKey returns the key of a chunk's record in the compact or the legacy format.
 func (l *Leader) ChunkKey(job string, index int, compact bool) string {
 	if compact {
 		return keys.CompactChunk(job, index)
@@ -19,11 +19,12 @@
 	return keys.LegacyChunk(job, index)
 }
 
-// KeepsChunksOfEndedJobs is false: the end says all there is to know.
+// KeepsChunksOfEndedJobs returns false: the record of the final state makes the chunk records
+// unnecessary.
 func (l *Leader) KeepsChunksOfEndedJobs() bool { return false }
 
-// prune forgets jobs and machines that ended long ago. Status queries for such a job are
-// answered from the node's final states, and then from the store.
+// prune removes jobs that were pruned from the cluster state from the leader's other indexes. Status
+// queries for such a job are answered from the node's cache of final statuses, or from the store.
 func (l *Leader) prune(pruned []*cluster.Job) {
 	for _, job := range pruned {
 		l.node.jobs.FinalStatuses().Put(job.Status())
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -12,16 +12,16 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// newFailover makes the part of a leader that takes over what the store holds.
+// newFailover returns the failover that restores the leader's cluster state from the store.
 func newFailover(l *Leader) *recovery.Failover {
-	others := map[string]func(wire.Item){
+	handlers := map[string]func(wire.Item){
 		keys.FirstProvisioned: l.provisioner.RestoreFirstProvisioned,
 		shard.MarkerKey:       l.observeShardMarker,
 	}
 	return recovery.NewFailover(recovery.FailoverDependencies{
 		Host:        failoverHost{l},
 		Reader:      l.reader,
-		Fleet:       recovery.NewFleetRecords(l.records, others, l.log),
+		Fleet:       recovery.NewFleetRecords(l.records, handlers, l.log),
 		Intake:      l.intake,
 		Assignments: &storedAssignments{coordinator: l.coordinator},
 		Records:     l.records,
@@ -34,8 +34,8 @@
 	})
 }
 
-// takeOver restores what the store holds. It returns the revision from which submissions are
-// to be watched.
+// takeOver restores the cluster state from the store. It returns the revision from which submissions
+// must be watched; ok is false if the term ended first.
 func (l *Leader) takeOver(ctx context.Context) (revision uint64, ok bool) {
 	if revision, ok = l.failover.Run(ctx); !ok {
 		return 0, false
@@ -50,37 +50,37 @@
 	return revision, true
 }
 
-// failoverHost is a leader as its failover sees it.
+// failoverHost implements recovery.Host for a leader.
 type failoverHost struct{ leader *Leader }
 
-// Catalog is the machine types; nil until they were read.
+// Catalog returns the catalog of machine types, or nil if it has not been read yet.
 func (h failoverHost) Catalog() *wire.Catalog { return h.leader.node.catalog.Load() }
 
-// JobEnded keeps the final status of a job for status queries.
+// JobEnded caches the final status of a job for status queries.
 func (h failoverHost) JobEnded(status wire.JobStatus) { h.leader.node.jobs.FinalStatuses().Put(status) }
 
-// RestoreInstanceRequest takes in the record of an instance request.
+// RestoreInstanceRequest restores an instance request from its record.
 func (h failoverHost) RestoreInstanceRequest(item wire.Item, now, wall micro.Time) {
 	h.leader.provisioner.Restore(item, now, wall)
 }
 
-// storedAssignments are the assignments to shards that a failover reads. Without shards there
-// are none.
+// storedAssignments implements recovery.Assignments: it holds the assignments of jobs to shards that
+// a failover reads. It is empty if the shards feature is off.
 type storedAssignments struct {
 	coordinator *coordinator.Coordinator // nil: the feature is off
 	byJob       map[string]*coordinator.StoredAssignment
 }
 
-// Read reads them, and the shards' table; false if the term ended before.
+// Read reads the shard table and the assignments. It returns false if the term ended first.
 func (a *storedAssignments) Read(ctx context.Context, reader *recovery.Reader) (ok bool) {
 	a.byJob, ok = a.coordinator.RecoverAssignments(ctx, reader.ReadAll)
 	return ok
 }
 
-// Has reports whether a job was assigned.
+// Has reports whether a job is assigned to a shard.
 func (a *storedAssignments) Has(job string) bool { return a.byJob[job] != nil }
 
-// Restore notes that a job was assigned, if it was.
+// Restore restores a job's assignment to a shard, if it has one.
 func (a *storedAssignments) Restore(job *cluster.Job) {
 	a.coordinator.RestoreAssignment(job, a.byJob[job.Spec.ID])
 }
--- a/internal/controller/shard_admin.go
+++ b/internal/controller/shard_admin.go
@@ -9,10 +9,11 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// adminTimeout is how long an operator's command may take.
+// adminTimeout is the timeout of an operator's command.
 const adminTimeout = 2 * micro.Second
 
-// handleAdmin answers an operator's command at any node: the leader carries it out.
+// handleAdmin handles an operator's command for the shards. Any node accepts it; a node that does not
+// lead forwards it to the leader, which executes it.
 func (n *Node) handleAdmin(body []byte) (int, []byte) {
 	var command shard.Command
 	if wire.Unmarshal(body, &command) != nil {
--- a/internal/controller/shard_coordinator.go
+++ b/internal/controller/shard_coordinator.go
@@ -8,7 +8,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// newCoordinator makes the leader's part in shards; nil if the feature is off.
+// newCoordinator returns the leader's shard coordinator, or nil if the feature is off.
 func newCoordinator(l *Leader) *coordinator.Coordinator {
 	if l.node.shards == nil {
 		return nil
@@ -31,24 +31,24 @@
 	return c
 }
 
-// coordinatorHost is what the leader's part in shards needs of the leader's other parts.
+// coordinatorHost implements coordinator.Host for a leader.
 type coordinatorHost struct{ leader *Leader }
 
-// HoldsLease reports whether the leader may answer and send commands.
+// HoldsLease reports whether the leader may send responses and commands.
 func (h coordinatorHost) HoldsLease() bool { return h.leader.holdsLease() }
 
 // Resign ends the term.
 func (h coordinatorHost) Resign(reason string) { h.leader.resign(reason) }
 
-// MaxValueBytes is what a value in the store may take.
+// MaxValueBytes returns the maximum size of a stored value.
 func (h coordinatorHost) MaxValueBytes() int { return h.leader.records.MaxValueBytes() }
 
-// RaiseFencingToken raises the fencing token to at least this one.
+// RaiseFencingToken raises the fencing token to at least the given one.
 func (h coordinatorHost) RaiseFencingToken(atLeast uint64) {
 	h.leader.dispatcher.RaiseFencingToken(atLeast)
 }
 
-// Terminate marks a machine to be terminated.
+// Terminate marks a machine for termination.
 func (h coordinatorHost) Terminate(machine *cluster.Machine, reason string) {
 	h.leader.provisioner.Terminate(machine, reason)
 }
@@ -58,62 +58,64 @@
 	h.leader.records.WriteJobEnd(job, state)
 }
 
-// MarkChunkDirty has the record of a chunk of tasks written.
+// MarkChunkDirty schedules a write of a chunk's record with the given priority.
 func (h coordinatorHost) MarkChunkDirty(chunk *cluster.TaskChunk, now micro.Time, priority statestore.Priority) {
 	h.leader.records.ChunkRecord(chunk).MarkDirty(now, priority)
 }
 
-// ChunkRevision is the version of the key of a chunk's record, and whether all of it is stored.
+// ChunkRevision returns the version of the key of a chunk's record, and whether the chunk is fully
+// persisted.
 func (h coordinatorHost) ChunkRevision(chunk *cluster.TaskChunk) (revision uint64, persisted bool) {
 	return h.leader.records.ChunkRevision(chunk)
 }
 
-// JobRevision is the latest version of the keys of a job's chunks, and whether all of it is stored.
+// JobRevision returns the latest version of the keys of a job's chunk records, and whether the job is
+// fully persisted.
 func (h coordinatorHost) JobRevision(job *cluster.Job) (revision uint64, persisted bool) {
 	return h.leader.records.JobRevision(job)
 }
 
-// PersistJob has what is still to be written of a job's chunks written soon.
+// PersistJob schedules prompt writes of those chunks of a job that are not fully persisted.
 func (h coordinatorHost) PersistJob(job *cluster.Job) { h.leader.records.PersistJob(job) }
 
-// DeleteHandedOver has the records of a job's chunks deleted, and reports whether none is left.
+// DeleteHandedOver schedules the deletion of a job's chunk records, and reports whether none is left.
 func (h coordinatorHost) DeleteHandedOver(job *cluster.Job) (gone bool) {
 	return h.leader.records.DeleteHandedOver(job)
 }
 
-// CancellationPending notes that the end of a cancelled job is to be written once its user
-// may be told.
+// CancellationPending marks a cancelled job whose final state is to be written once it may be
+// reported as aborted.
 func (h coordinatorHost) CancellationPending(job *cluster.Job) {
 	h.leader.cancellations.MarkPending(job)
 }
 
-// CancellationUnconfirmed notes that the user of a cancelled job was told, and that
-// allocations of it are not proven released.
+// CancellationUnconfirmed marks a cancelled job that was reported as aborted while it still has
+// allocations that are not proven released.
 func (h coordinatorHost) CancellationUnconfirmed(job *cluster.Job) {
 	h.leader.cancellations.MarkUnconfirmed(job)
 }
 
-// UpdateFencedZones notes anew in which zones leases must not be renewed by proxy.
+// UpdateFencedZones recomputes the zones whose lease proxies must not renew leases.
 func (h coordinatorHost) UpdateFencedZones() { h.leader.cancellations.UpdateFencedZones() }
 
-// shardTableChanged says that the table of shards has changed.
+// shardTableChanged is the event that the shard table has changed.
 type shardTableChanged struct{ leader *Leader }
 
-// Apply has the leader's part in shards take that in.
+// Apply notifies the leader's shard coordinator.
 func (e shardTableChanged) Apply() { e.leader.coordinator.TableChanged() }
 
-// observeShardMarker takes in that there are shards. A leader without the feature would take
-// all machines for its own: it leaves the lead to another.
+// observeShardMarker handles the stored marker that shards exist. A leader without the shards feature
+// would treat all machines as its own, so it resigns.
 func (l *Leader) observeShardMarker(item wire.Item) {
 	if l.coordinator != nil {
 		l.coordinator.ObserveMarker(uint64(item.Version))
 		return
 	}
-	l.log.Error("shards of the machines exist, and this controller runs without the feature: it does not lead")
-	l.resign("it runs without shards")
+	l.log.Error("shards exist, but the feature is off on this controller: resigning")
+	l.resign("the shards feature is off on this controller")
 }
 
-// handleStatusUpdate answers another node's owner of a shard.
+// handleStatusUpdate answers a status update of a shard owner on another node.
 func handleStatusUpdate(l *Leader, body []byte) (int, []byte) {
 	reply, ok := l.coordinator.ReceiveStatusUpdate(body)
 	if !ok {
--- a/internal/controller/shard_node.go
+++ b/internal/controller/shard_node.go
@@ -11,7 +11,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// initShards makes this node's part in shards as an owner, if the feature is on.
+// initShards creates the component that acquires and runs this node's shards, if the feature is on.
 func (n *Node) initShards() {
 	if n.Cfg.Shards == nil {
 		return
@@ -22,7 +22,7 @@
 	)
 }
 
-// runShards takes part in shards until the context ends.
+// runShards runs this node's shards until the context ends.
 func (n *Node) runShards(ctx context.Context) error {
 	if n.shards == nil {
 		return nil
@@ -30,13 +30,13 @@
 	return n.shards.Run(ctx)
 }
 
-// ownershipHost is what the part in shards as an owner needs of the node.
+// ownershipHost implements ownership.Host for a node.
 type ownershipHost struct{ node *Node }
 
-// Ready reports whether the machine types are known.
+// Ready reports whether the catalog of machine types has been read.
 func (h ownershipHost) Ready() bool { return h.node.catalog.Load() != nil }
 
-// StartOwner starts the loop of a shard that this incarnation owns.
+// StartOwner starts the loop of a shard that this incarnation of the node owns.
 func (h ownershipHost) StartOwner(
 	ctx context.Context, entry shard.Entry, session *election.Term, self shard.Controller,
 ) *ShardOwner {
@@ -45,14 +45,15 @@
 	return owner
 }
 
-// TableChanged has the leader, if that is here, go by the table.
+// TableChanged notifies the leader on this node, if there is one, that the shard table has changed.
 func (h ownershipHost) TableChanged() {
 	if l := h.node.activeLeader(); l != nil {
 		l.loop.Post(shardTableChanged{l})
 	}
 }
 
-// heartbeatWithShards answers a heartbeat, whoever's machine it comes from.
+// heartbeatWithShards answers a heartbeat while the shards feature is on. The machine may belong to a
+// shard or to the leader.
 func (n *Node) heartbeatWithShards(body []byte) httpapi.Reply {
 	if len(body) > wire.MaxBody {
 		return httpapi.ErrorReply(http.StatusBadRequest, "too large")
@@ -70,11 +71,11 @@
 	return n.heartbeatAsFollower(body)
 }
 
-// routeShardHeartbeat answers a heartbeat of a machine that is in a shard; false if it is in
-// none, and so the leader's to answer.
+// routeShardHeartbeat answers a heartbeat of a machine in a shard that has an owner. It returns false if
+// there is no such shard, in which case the leader answers.
 func (n *Node) routeShardHeartbeat(heartbeat *wire.Heartbeat) (httpapi.Reply, bool) {
 	if !n.shards.Table().HasRead() {
-		return httpapi.RetryReply(http.StatusServiceUnavailable, 1), true // whose it is is not known yet
+		return httpapi.RetryReply(http.StatusServiceUnavailable, 1), true // the machine's owner is not known yet
 	}
 	attributes := shard.Attributes{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 	entry, ok := n.shards.Table().Snapshot().ShardOf(attributes)
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -15,44 +15,46 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ShardOwner is one ownership of a shard. It places the jobs that were assigned to the shard
-// on the shard's machines, under preconditions and fencing tokens of its own; it accepts and
-// ends no jobs, and requests no instances. The goroutine of its loop owns its state.
+// ShardOwner runs one ownership of a shard. It schedules the jobs that are assigned to the shard on
+// the shard's machines, under its own transaction preconditions and fencing tokens. It does not
+// accept jobs, write their final states or request instances; the leader does. Its state is owned by
+// its loop's goroutine.
 type ShardOwner struct {
 	*controlLoop
 	ownership        *shard.Owner
 	name             string
-	startedAt        micro.Time  // when the loop began, by the wall clock
-	firstLoop        bool        // no other loop of this process ran under the record's version
-	responsesBlocked atomic.Bool // nothing may be said: a transfer is under way or in doubt
+	startedAt        micro.Time  // when the loop was created, by the wall clock
+	firstLoop        bool        // no earlier loop of this process ran under this record version
+	responsesBlocked atomic.Bool // no responses may be sent: a transfer is in flight or uncertain
 
-	planner             *autoscaler.Planner            // for which machines are idle; it requests none
-	lastReview          micro.Time                     // of idle machines, pending jobs and finished assignments
-	assignments         map[string]*statestore.Record  // of the jobs that were assigned, by job
-	assignedAt          map[string]micro.Time          // by the wall clock: a new owner does not wait anew
-	assignmentRevision  uint64                         // revision up to which assignments were read
-	finished            map[*cluster.Job]bool          // jobs all of whose tasks are done
+	planner             *autoscaler.Planner            // determines which machines are idle; requests no instances
+	lastReview          micro.Time                     // last review, see reviewInterval
+	assignments         map[string]*statestore.Record  // assignment records, by job ID
+	assignedAt          map[string]micro.Time          // by the wall clock: hand-back timeouts continue under a new owner
+	assignmentRevision  uint64                         // store revision up to which assignments were read
+	finished            map[*cluster.Job]bool          // jobs whose tasks are all done
 	cancelling          map[*cluster.Job]bool          // jobs that are being cancelled
-	recalled            map[*cluster.Job]bool          // jobs that go back to the leader
-	suspended           map[*cluster.Job]bool          // jobs that are not placed: records of theirs are missing
-	copies              map[*cluster.Job]*copyProgress // jobs that came with records of the leader's
-	pendingTerminations map[*cluster.Machine]bool      // machines to be terminated
-	transferInFlight    bool                           // a transfer, or a look at what came of it, is under way
+	recalled            map[*cluster.Job]bool          // jobs that the leader has recalled
+	suspended           map[*cluster.Job]bool          // jobs that are not scheduled because task records are missing
+	copies              map[*cluster.Job]*copyProgress // handed-over jobs whose task records are being copied
+	pendingTerminations map[*cluster.Machine]bool      // machines that the leader is asked to terminate
+	transferInFlight    bool                           // a transfer transaction, or a read of its outcome, is in flight
 	unreachable         bool                           // no agent reaches this node
 	statusUpdates       statusUpdateState
-	proxyRenewedUntil   map[string]micro.Time // until when proxies may have renewed leases, as of the answer being read
+	proxyRenewedUntil   map[string]micro.Time // lease proxies may have renewed until then; set while a reply is applied
 }
 
-// statusUpdateState is how far the leader was told how the shard fares.
+// statusUpdateState is the state of the status updates that the owner sends to the leader.
 type statusUpdateState struct {
-	leaderTerm       uint64          // of the leader whose answer came last
-	reportedMachines map[string]bool // machines that it was told are up
-	inFlight         bool            // a status update is under way
-	sentAt           micro.Time      // when the last one went out
-	urgent           bool            // the next one goes out at once
+	leaderTerm       uint64          // term of the leader that last replied
+	reportedMachines map[string]bool // machines that were reported as up to that leader
+	inFlight         bool            // a status update is in flight
+	sentAt           micro.Time      // when the last status update was sent
+	urgent           bool            // the next status update is sent without waiting for the interval
 }
 
-// newShardOwner makes the loop of a shard that this incarnation owns.
+// newShardOwner returns the owner of a shard that this incarnation of the node owns; its loop is not
+// started.
 func newShardOwner(n *Node, entry shard.Entry, term *election.Term, self shard.Controller) *ShardOwner {
 	log := n.Log.With("shard", entry.Name, "version", entry.Version)
 	previousVersion, _ := n.ownedVersions.Swap(entry.Name, entry.Version)
@@ -71,33 +73,35 @@
 	o.controlLoop = newControlLoop(n, term, o.ownership.FirstFencingToken(), log, o)
 	o.planner = newPlanner(o.controlLoop, autoscaler.Config{})
 	for _, team := range n.Cfg.Facts.Teams {
-		// The leader has counted all that is assigned against the quotas.
+		// No quotas here: the leader has already counted all assigned tasks against them.
 		o.cluster.Teams[team.Name] = &cluster.Team{Name: team.Name}
 	}
 	o.cluster.SetCatalog(n.catalog.Load())
 	return o
 }
 
-// run is the loop of an owner.
+// run restores the shard's state from the store and then runs the event loop until ctx ends or the
+// loop is stopped.
 func (o *ShardOwner) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o.loop.StopWith(ctx)
-	from := o.node.Now()
+	startedAt := o.node.Now()
 	if !o.recoverShard(ctx) {
-		o.loop.Stop() // begun anew with the next look at the table
+		o.loop.Stop() // a new loop starts at the next reconciliation with the shard table
 		return
 	}
 	o.serving.Store(true)
 	o.log.Info(
 		"shard failover complete", "jobs", len(o.cluster.Jobs), "machines", len(o.cluster.Machines), "took_ms",
-		int64((o.node.Now()-from)/micro.Millisecond),
+		int64((o.node.Now()-startedAt)/micro.Millisecond),
 	)
 	go o.watchAssignments(ctx, o.assignmentRevision)
 	o.loop.Run(eventloop.Handlers{Now: o.node.Now, Tick: o.tick, AfterEvents: o.runPending})
 }
 
-// runPending does what the events called for: place, write, send.
+// runPending does the work that the handled events made pending: it schedules tasks, writes records
+// and sends commands.
 func (o *ShardOwner) runPending(now micro.Time) {
 	if !o.holdsLease() {
 		return
@@ -108,10 +112,10 @@
 	o.flush(now)
 }
 
-// reviewInterval is how often idle machines, pending jobs and finished assignments are looked at.
+// reviewInterval is how often idle machines, pending jobs and finished assignments are reviewed.
 const reviewInterval = micro.Second
 
-// tick is what an owner does from time to time.
+// tick runs the owner's periodic work.
 func (o *ShardOwner) tick(now micro.Time) {
 	o.reconcileTransfer(now)
 	if !o.detector.ObserveLease(o.holdsLease(), now) {
@@ -119,7 +123,7 @@
 	}
 	if now-o.lastReview >= reviewInterval {
 		o.lastReview = now
-		o.schedulePending = true // backoffs run out
+		o.schedulePending = true // backoffs may have expired
 		o.terminateIdle(now)
 		o.reviewPendingJobs(now)
 		o.deleteFinishedAssignments(now)
@@ -131,26 +135,26 @@
 	o.dispatcher.CheckToken(now)
 }
 
-// Observe hands the loop what the shard's record says now; it does not exist if the record is
-// gone. Any goroutine may call it.
+// Observe passes the current shard record to the loop; exists is false if the record was deleted. It
+// is safe for concurrent use.
 func (o *ShardOwner) Observe(entry shard.Entry, exists bool) {
 	o.loop.Post(shardRecordObserved{o, entry, exists})
 }
 
-// Stop ends the loop for good; any goroutine may call it.
+// Stop stops the loop permanently. It is safe for concurrent use.
 func (o *ShardOwner) Stop() { o.loop.Stop() }
 
-// Stopped reports whether the loop was stopped; any goroutine may ask.
+// Stopped reports whether the loop was stopped. It is safe for concurrent use.
 func (o *ShardOwner) Stopped() bool { return o.loop.Stopped() }
 
-// shardRecordObserved is what the shard's record says now.
+// shardRecordObserved is the event that carries the current shard record.
 type shardRecordObserved struct {
 	owner  *ShardOwner
 	entry  shard.Entry
-	exists bool // false: the record is gone
+	exists bool // false: the record was deleted
 }
 
-// Apply has the owner follow the record.
+// Apply updates the ownership from the record.
 func (e shardRecordObserved) Apply() {
 	if e.exists {
 		e.owner.ownership.Observe(e.entry)
@@ -160,8 +164,8 @@
 	e.owner.applyOwnerState()
 }
 
-// applyOwnerState follows a change of the owner's state: whether the loop may say anything,
-// and whether it is over.
+// applyOwnerState applies a change of the ownership's state: it blocks or allows responses, and stops
+// the loop once the shard is relinquished.
 func (o *ShardOwner) applyOwnerState() {
 	o.responsesBlocked.Store(!o.ownership.MayRespond())
 	if o.ownership.State() == shard.Relinquished {
@@ -169,7 +173,7 @@
 	}
 }
 
-// reconcileTransfer brings a move on.
+// reconcileTransfer advances a requested or uncertain transfer of the shard.
 func (o *ShardOwner) reconcileTransfer(now micro.Time) {
 	switch o.ownership.State() {
 	case shard.Draining:
@@ -183,13 +187,13 @@
 	}
 }
 
-// drainForTransfer drops what was planned and not started, and reports whether nothing is
-// still to be written or in doubt: the next owner reads the rest.
+// drainForTransfer releases planned allocations that were not started, and reports whether all records
+// are stored and no write is uncertain: the next owner restores its state from the records.
 func (o *ShardOwner) drainForTransfer(now micro.Time) bool {
-	for _, m := range o.cluster.SortedMachines() {
-		for _, p := range m.SortedAllocations() {
-			if p.State == cluster.Planned {
-				o.cluster.StopAllocation(p, "the shard moves", 0, now)
+	for _, machine := range o.cluster.SortedMachines() {
+		for _, allocation := range machine.SortedAllocations() {
+			if allocation.State == cluster.Planned {
+				o.cluster.StopAllocation(allocation, "the shard moves", 0, now)
 			}
 		}
 	}
@@ -200,8 +204,8 @@
 	return false
 }
 
-// transferShard sends the transaction that names the next owner. From here on this one
-// says nothing.
+// transferShard sends the transaction that names the next owner. From here on this owner sends no
+// responses.
 func (o *ShardOwner) transferShard() {
 	transaction, ok := o.ownership.BeginTransfer(int64(o.node.Wall()))
 	if !ok {
@@ -212,8 +216,8 @@
 	o.commitTransfer(transaction, func(_ uint64, err error) { o.ownership.HandleTransferResult(err) })
 }
 
-// commitTransfer sends a transaction on the shard's record, and has the loop take in what
-// came of it.
+// commitTransfer sends a transaction on the shard record and passes its result to the loop, which calls
+// done.
 func (o *ShardOwner) commitTransfer(transaction wire.Transaction, done func(revision uint64, err error)) {
 	o.transferInFlight = true
 	go func() {
@@ -224,7 +228,7 @@
 	}()
 }
 
-// transferCompleted says what came of a transaction on the shard's record.
+// transferCompleted is the event that carries the result of a transaction on the shard record.
 type transferCompleted struct {
 	owner    *ShardOwner
 	done     func(revision uint64, err error)
@@ -232,15 +236,15 @@
 	err      error
 }
 
-// Apply has the owner's state follow.
+// Apply updates the ownership's state with the result.
 func (e transferCompleted) Apply() {
 	e.owner.transferInFlight = false
 	e.done(e.revision, e.err)
 	e.owner.applyOwnerState()
 }
 
-// resolveTransfer finds out what came of a transfer: by the record, and if that reads as
-// before, by writing it anew.
+// resolveTransfer determines the outcome of an uncertain transfer by reading the shard record. If the
+// record is unchanged, it is rewritten, so that the uncertain transaction can no longer succeed.
 func (o *ShardOwner) resolveTransfer() {
 	o.transferInFlight = true
 	key := o.ownership.Entry().Key()
@@ -252,7 +256,7 @@
 	}()
 }
 
-// uncertainRecordRead brings the shard's record after a transfer without an answer.
+// uncertainRecordRead is the event that carries the shard record read after an uncertain transfer.
 type uncertainRecordRead struct {
 	owner *ShardOwner
 	key   string
@@ -260,26 +264,26 @@
 	err   error
 }
 
-// Apply resolves the transfer; after an error the record is read anew with the next tick.
+// Apply resolves the transfer. After a read error the record is read again at the next tick.
 func (e uncertainRecordRead) Apply() {
 	o := e.owner
 	o.transferInFlight = false
 	if e.err != nil {
-		o.log.Debug("shard record not read", "key", e.key, "err", e.err)
+		o.log.Debug("read shard record failed", "key", e.key, "err", e.err)
 		return
 	}
 	if entry, err := shard.ParseRecord(e.item.Key, e.item.Value, uint64(e.item.Version)); err == nil {
 		o.ownership.Observe(entry)
 		o.applyOwnerState()
 	} else {
-		o.log.Debug("shard record not understood", "err", err)
+		o.log.Debug("decode shard record failed", "err", err)
 	}
 	if transaction, ok := o.ownership.ResolveUncertain(int64(o.node.Wall())); ok {
 		o.commitTransfer(transaction, o.ownership.HandleResolveResult)
 	}
 }
 
-// terminateIdle marks machines that nobody has needed for long to be terminated.
+// terminateIdle marks machines that have been idle for long enough for termination.
 func (o *ShardOwner) terminateIdle(now micro.Time) {
 	for _, machine := range o.planner.IdleMachines(now) {
 		o.Terminate(machine, "idle")
--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -9,27 +9,29 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// Jobs that come to a shard with records of the leader's: the owner copies those before it places
-// any of the job's tasks. The leader's part is in package coordinator, hand_over.go.
+// A job that is handed over to a shard after it had allocations has task records of the leader's. The
+// owner copies them to records of its own before it schedules any of the job's tasks. The leader's side
+// is in package coordinator, hand_over.go.
 
-// copyProgress is how far an owner is with the records of a job that came with records of the leader's.
+// copyProgress is the progress of copying the leader's task records of one handed-over job.
 type copyProgress struct {
-	transferStartedAt micro.Time                    // when the job came
+	transferStartedAt micro.Time                    // when the copying of this job began
 	read              bool                          // all of the leader's records were read
-	pending           map[*cluster.TaskChunk]uint64 // which versions of the owner's records hold them, until they are stored
-	inTransfer        bool                          // the job changes hands: none of its tasks is placed
+	pending           map[*cluster.TaskChunk]uint64 // versions of the owner's records that are not stored yet
+	inTransfer        bool                          // the job is in transfer: its tasks are not scheduled
 }
 
-// beginJobTransfer notes that a job came that changes hands, and keeps it from being placed.
+// beginJobTransfer adds a job that is in transfer and blocks its scheduling.
 func (o *ShardOwner) beginJobTransfer(job *cluster.Job, now micro.Time) {
 	o.copies[job] = &copyProgress{transferStartedAt: now, inTransfer: true}
 	o.cluster.PrepareTransfer(job, now)
 }
 
-// copyLeaderRecords has the owner's own records take the place of the leader's, all of which were read.
+// copyLeaderRecords schedules the writes of the owner's records that replace the leader's records of a
+// job, all of which were read.
 func (o *ShardOwner) copyLeaderRecords(job *cluster.Job) {
 	now, priority := o.node.Now(), statestore.PriorityHigh
-	if o.copies[job] == nil { // it goes on meanwhile
+	if o.copies[job] == nil { // not in transfer: its tasks are scheduled meanwhile
 		o.copies[job], priority = &copyProgress{transferStartedAt: now}, statestore.PriorityLow
 	}
 	progress := o.copies[job]
@@ -42,8 +44,8 @@
 	}
 }
 
-// completeJobTransfer goes on with a job that has changed hands: its assignment names no records of the
-// leader's any more.
+// completeJobTransfer resumes scheduling a job whose handover is complete: its assignment no longer
+// refers to records of the leader's.
 func (o *ShardOwner) completeJobTransfer(job *cluster.Job, now micro.Time) {
 	progress := o.copies[job]
 	if progress == nil {
@@ -56,8 +58,9 @@
 	}
 }
 
-// reportCopies tells of which jobs the owner's records hold all that the leader's do, and which it
-// cannot take over, or waits for in vain: they go back.
+// reportCopies adds to the status update the jobs whose records are fully copied, and as waiting jobs
+// those in transfer whose records could not be read or whose handover did not complete within
+// handBackTimeout: the leader recalls these.
 func (o *ShardOwner) reportCopies(report *shard.ShardUpdate, now micro.Time) {
 	for job, progress := range o.copies {
 		id := job.Spec.ID
@@ -69,14 +72,14 @@
 				report.CopiedJobs, shard.CopiedJob{Job: id, Version: o.assignments[id].Version()},
 			)
 		}
-		inVain := !progress.read || now-progress.transferStartedAt > handBackTimeout
-		if progress.inTransfer && inVain && len(report.WaitingJobs) < shard.MaxStatusItems {
+		failed := !progress.read || now-progress.transferStartedAt > handBackTimeout
+		if progress.inTransfer && failed && len(report.WaitingJobs) < shard.MaxStatusItems {
 			report.WaitingJobs = append(report.WaitingJobs, id)
 		}
 	}
 }
 
-// stored reports whether the store holds all of the leader's records in the owner's.
+// stored reports whether the owner's copies of all of the leader's records are stored.
 func (c *copyProgress) stored() bool {
 	maps.DeleteFunc(c.pending, func(chunk *cluster.TaskChunk, version uint64) bool {
 		return chunk.StoredVersion >= version
--- a/internal/controller/shard_owner_handover.go
+++ b/internal/controller/shard_owner_handover.go
@@ -10,14 +10,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Jobs that had allocations before they were assigned, and jobs that are recalled. What the
-// leader has to do for them is in package coordinator.
+// This file handles jobs that had allocations before the leader handed them over to the shard, and jobs
+// that the leader recalls. The leader's side is in package coordinator.
 
-// leaderRecords are the leader's records of jobs' tasks, by job.
+// leaderRecords holds the leader's task records, by job ID.
 type leaderRecords map[string][]wire.Item
 
-// readLeaderRecords reads the leader's records of the tasks of a job that goes on in the shard;
-// false if the loop was stopped before. Any goroutine may call it.
+// readLeaderRecords reads the leader's task records of a handed-over job. It returns false if the loop
+// was stopped first. It is safe for concurrent use.
 func (o *ShardOwner) readLeaderRecords(ctx context.Context, job string, into leaderRecords) bool {
 	var items []wire.Item
 	_, ok := o.reader.ReadAll(ctx, keys.ChunkPrefixFor(job), func(item wire.Item) { items = append(items, item) })
@@ -25,8 +25,9 @@
 	return ok
 }
 
-// readHandedOverJobs reads the leader's records of the jobs that events assign, but of those that
-// are in read already; false if the loop was stopped before. Any goroutine may call it.
+// readHandedOverJobs reads the leader's task records of the jobs that are assigned by events, except
+// those in read, to which it adds the assignments it has handled. It returns false if the loop was
+// stopped first. It must be called on the goroutine that uses read.
 func (o *ShardOwner) readHandedOverJobs(
 	ctx context.Context, events []wire.Event, read map[string]bool,
 ) (leaderRecords, bool) {
@@ -38,7 +39,7 @@
 		}
 		var assignment shard.Assignment
 		if err := wire.Unmarshal(event.Value, &assignment); err != nil {
-			o.log.Debug("assignment not understood", "key", event.Put, "err", err)
+			o.log.Debug("decode assignment failed", "key", event.Put, "err", err)
 			continue
 		}
 		if !assignment.ReadsLeaderRecords() || read[event.Put] {
@@ -52,53 +53,55 @@
 	return found, true
 }
 
-// handedOverJob is a job that goes on from the leader's records up to a revision.
+// handedOverJob is a job that is restored from the leader's task records up to a revision.
 type handedOverJob struct {
 	job      *cluster.Job
 	revision uint64
 }
 
-// restoreHandedOver restores what the leader recorded of a job's tasks, and reports whether all of
-// it was there: the record of the revision that the assignment names. Later records are what a
-// leader has taken back.
-func (o *ShardOwner) restoreHandedOver(continued handedOverJob, items []wire.Item, now micro.Time) (complete bool) {
+// restoreHandedOver restores a job's tasks from the leader's records, and reports whether the records
+// are complete, that is, whether they include one of the revision that the assignment names. Records
+// of later revisions are ignored: the leader wrote them after it had reclaimed the job.
+func (o *ShardOwner) restoreHandedOver(handedOver handedOverJob, items []wire.Item, now micro.Time) (complete bool) {
 	chunks := map[int]*cluster.CompactRecord{}
 	for _, item := range items {
 		_, index, compact, ok := keys.ParseChunk(item.Key)
 		version := uint64(item.Version)
-		if !ok || !compact || version > continued.revision {
+		if !ok || !compact || version > handedOver.revision {
 			continue
 		}
 		record := &cluster.CompactRecord{}
 		if err := wire.Unmarshal(item.Value, record); err != nil {
-			o.log.Error("leader's record not understood", "key", item.Key, "err", err)
+			o.log.Error("decode leader's task record failed", "key", item.Key, "err", err)
 			return false
 		}
 		chunks[index] = record
-		complete = complete || version == continued.revision
+		complete = complete || version == handedOver.revision
 	}
 	if !complete {
 		return false
 	}
 	for index, record := range chunks {
-		o.cluster.RestoreContinuedChunk(continued.job, index, record, now)
+		o.cluster.RestoreContinuedChunk(handedOver.job, index, record, now)
 	}
 	return true
 }
 
-// suspendJob keeps a job from being placed whose records are not all there: what is done could be
-// done again. It is reported as one that waits, so that the leader recalls it, whose records are.
+// suspendJob stops scheduling a job whose task records are incomplete: tasks that are already done
+// could run again. The job is reported as waiting, so that the leader, which has all records, recalls
+// it.
 func (o *ShardOwner) suspendJob(job *cluster.Job, now micro.Time) {
-	if o.copies[job] != nil { // it waits already, and what is missing may be deleted
-		o.log.Info("job not taken over: the leader's records of its tasks are not all there", "job", job.Spec.ID)
+	if o.copies[job] != nil { // in transfer, so not scheduled; the missing records may have been deleted
+		o.log.Info("handed-over job not continued: the leader's task records are incomplete", "job", job.Spec.ID)
 		return
 	}
-	o.log.Error("job not continued: records of its tasks are missing", "job", job.Spec.ID)
+	o.log.Error("job suspended: task records are missing", "job", job.Spec.ID)
 	o.suspended[job] = true
 	o.cluster.PrepareTransfer(job, now)
 }
 
-// recallJob has a job go back to the leader: none of its tasks is placed any more.
+// recallJob starts the release of a job that the leader recalls: its tasks are stopped and no longer
+// scheduled.
 func (o *ShardOwner) recallJob(job *cluster.Job, now micro.Time) {
 	if o.recalled[job] {
 		return
@@ -109,7 +112,7 @@
 	o.cluster.PrepareTransfer(job, now)
 }
 
-// removeRecalledJob forgets a recalled job whose assignment the leader has deleted.
+// removeRecalledJob removes a recalled job whose assignment the leader has deleted.
 func (o *ShardOwner) removeRecalledJob(key string) {
 	_, id, ok := shard.ParseAssignmentKey(key)
 	job := o.cluster.Jobs[id]
@@ -117,11 +120,11 @@
 		return
 	}
 	o.removeAssignedJob(id)
-	o.log.Info("recalled job taken back by the leader", "job", id)
+	o.log.Info("recalled job reclaimed by the leader", "job", id)
 }
 
-// reportRecalls tells which jobs wait without any allocation, and which recalled ones the leader
-// may take back.
+// reportRecalls adds to the status update the jobs that wait without any allocation and the recalled
+// jobs that the leader may reclaim.
 func (o *ShardOwner) reportRecalls(report *shard.ShardUpdate, now micro.Time) {
 	for job := range o.cluster.PendingJobs {
 		if len(report.WaitingJobs) < shard.MaxStatusItems && o.unallocatedTooLong(job, now) {
@@ -144,14 +147,16 @@
 	}
 }
 
-// unallocatedTooLong reports whether a job with records of its tasks has waited for long without any
-// allocation. Others are handed back at once, see deleteFinishedAssignments.
+// unallocatedTooLong reports whether a started job has waited for longer than handBackTimeout
+// without any allocation. Jobs that were never allocated are handed back without a recall, see
+// deleteFinishedAssignments.
 func (o *ShardOwner) unallocatedTooLong(job *cluster.Job, now micro.Time) bool {
 	return job.State == cluster.Active && job.AllocationCount == 0 && !job.NeverAllocated() &&
 		job.UnallocatedFor(now) > handBackTimeout && o.node.Wall()-o.assignedAt[job.Spec.ID] > handBackTimeout
 }
 
-// mayRelease reports whether nothing of a recalled job is left but stored records.
+// mayRelease reports whether a recalled job can be released to the leader: it has no allocations, and
+// its task records are stored.
 func (o *ShardOwner) mayRelease(job *cluster.Job) bool {
 	if job.State != cluster.Assigned || job.AllocationCount > 0 || o.assignments[job.Spec.ID] == nil {
 		return false
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -14,16 +14,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recoverShard reads what the shard's earlier owners left: the jobs that were assigned to
-// it, and where their tasks have allocations. What an earlier owner sent and is still on its
-// way fails: it carries an older version of the shard's record.
+// recoverShard restores the state that the shard's previous owners stored: the jobs assigned to the
+// shard and the allocations of their tasks. Transactions of previous owners that are still in flight
+// fail, because their preconditions name an older version of the shard record. It returns false if
+// the loop was stopped first, or if the compact format is not in use yet.
 func (o *ShardOwner) recoverShard(ctx context.Context) bool {
 	fleet := recovery.NewFleetRecords(o.records, nil, o.log)
 	if _, ok := o.reader.ReadAll(ctx, keys.FleetPrefix, fleet.Restore); !ok {
 		return false
 	}
 	if !o.cluster.CompactRecords {
-		o.log.Error("shard not taken over: the forms of this version are not in use yet")
+		o.log.Error("shard failover failed: the compact record format is not in use yet")
 		return false
 	}
 	o.restoreMachineInactivity(ctx)
@@ -36,15 +37,15 @@
 		return false
 	}
 	o.assignmentRevision = revision
-	var continued []handedOverJob
+	var handedOver []handedOverJob
 	for _, item := range assignments {
 		if job, assignment := o.applyAssignment(item.Key, item.Value, uint64(item.Version)); job != nil &&
 			assignment.ReadsLeaderRecords() {
-			continued = append(continued, handedOverJob{job, assignment.Revision()})
+			handedOver = append(handedOver, handedOverJob{job, assignment.Revision()})
 		}
 	}
 	leaderRecords := leaderRecords{}
-	for _, each := range continued {
+	for _, each := range handedOver {
 		if !o.readLeaderRecords(ctx, each.job.Spec.ID, leaderRecords) {
 			return false
 		}
@@ -55,7 +56,7 @@
 	if !ok {
 		return false
 	}
-	for _, each := range continued {
+	for _, each := range handedOver {
 		o.recoverHandedOver(each, leaderRecords[each.job.Spec.ID], now)
 	}
 	o.speeds.Apply(o.cluster)
@@ -64,24 +65,25 @@
 	return true
 }
 
-// recoverHandedOver restores what the leader recorded of a job's tasks, after the shard's own
-// records. Those may be all that is left once the job is over, or is going back.
-func (o *ShardOwner) recoverHandedOver(continued handedOverJob, items []wire.Item, now micro.Time) {
-	job := continued.job
+// recoverHandedOver restores a handed-over job from the leader's task records, after the shard's own
+// records were restored. The shard's own records may be the only ones left if the job has ended or is
+// being returned to the leader.
+func (o *ShardOwner) recoverHandedOver(handedOver handedOverJob, items []wire.Item, now micro.Time) {
+	job := handedOver.job
 	if o.recalled[job] {
-		return // nothing more of it is recorded here
+		return // no further records of it are written in the shard
 	}
-	complete := o.restoreHandedOver(continued, items, now)
-	waits := job.State == cluster.Active || o.copies[job] != nil
-	if !complete && waits && job.UnfinishedTasks() > 0 {
+	complete := o.restoreHandedOver(handedOver, items, now)
+	unfinished := job.State == cluster.Active || o.copies[job] != nil
+	if !complete && unfinished && job.UnfinishedTasks() > 0 {
 		o.suspendJob(job, now)
 		return
 	}
 	o.copyLeaderRecords(job)
 }
 
-// resumeStops stops the tasks of cancelled and recalled jobs: their allocations were read after it
-// was known that they are to be stopped.
+// resumeStops stops the tasks of cancelled and recalled jobs: their allocations were restored after
+// the assignments that request the stop had been applied.
 func (o *ShardOwner) resumeStops(now micro.Time) {
 	for job := range o.cancelling {
 		o.stopAllocations(job, "cancelled", 0, now)
@@ -101,34 +103,34 @@
 	}
 	var record cluster.CompactRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		o.log.Debug("allocation record not understood", "key", item.Key, "job", id, "err", err)
+		o.log.Debug("decode allocation record failed, deleting it", "key", item.Key, "job", id, "err", err)
 		o.deleteOrphanedAllocation(item)
 		return
 	}
 	o.cluster.RestoreCompactChunk(job, chunk, &record, uint64(item.Version), now)
 }
 
-// deleteOrphanedAllocation deletes a record that an earlier owner had no time to delete after its
-// assignment, or that a late write of it created again.
+// deleteOrphanedAllocation deletes an allocation record without an assignment: the previous owner did
+// not get to delete it after the assignment, or a late write of that owner created it again.
 func (o *ShardOwner) deleteOrphanedAllocation(item wire.Item) {
-	o.log.Info("allocation without an assignment", "key", item.Key)
+	o.log.Info("deleting orphaned allocation record", "key", item.Key)
 	record := o.records.Record(item.Key)
 	record.SetVersion(uint64(item.Version))
 	record.Build = func() (any, uint64) { return nil, 0 }
 	record.MarkDirty(o.node.Now(), statestore.PriorityBackground)
 }
 
-// applyAssignment takes in a job that the leader assigned, or what became of it. It returns the
-// job if it is new.
+// applyAssignment applies a new or changed assignment of a job. It returns the job if it is new, and the
+// decoded assignment.
 func (o *ShardOwner) applyAssignment(
 	key string, value []byte, version uint64,
 ) (inserted *cluster.Job, assignment shard.Assignment) {
 	_, id, ok := shard.ParseAssignmentKey(key)
 	err := wire.Unmarshal(value, &assignment)
 	job := o.cluster.Jobs[id]
-	// A leader of the version before leaves the job out of an assignment that it writes anew.
+	// A leader of the previous release omits the job's specification when it rewrites an assignment.
 	if !ok || err != nil || job == nil && assignment.Spec().Tasks < 1 {
-		o.log.Error("assignment not understood", "key", key, "err", err)
+		o.log.Error("decode assignment failed", "key", key, "err", err)
 		return nil, assignment
 	}
 	record := o.assignmentRecord(key, id)
@@ -153,21 +155,22 @@
 	return inserted, assignment
 }
 
-// assignmentRecord finds or makes the record of an assignment.
+// assignmentRecord returns the record of an assignment and creates it if necessary.
 func (o *ShardOwner) assignmentRecord(key, job string) *statestore.Record {
 	record := o.assignments[job]
 	if record == nil {
 		record = o.records.Record(key)
-		record.Build = func() (any, uint64) { return nil, 0 } // an owner only ever deletes it
+		record.Build = func() (any, uint64) { return nil, 0 } // an owner never rewrites it, only deletes it
 		record.OnCommitted = func(uint64) { o.removeAssignedJob(job) }
 		o.assignments[job] = record
 	}
 	return record
 }
 
+// insertAssignedJob adds the job of a new assignment to the cluster state.
 func (o *ShardOwner) insertAssignedJob(assignment *shard.Assignment) *cluster.Job {
 	spec := assignment.Spec()
-	spec.Dependencies, spec.DependencyChunks = nil, 0 // all of them are done
+	spec.Dependencies, spec.DependencyChunks = nil, 0 // all dependencies are done
 	job := o.intake.InsertJob(spec, o.node.Now(), o.node.Wall())
 	if assignment.InTransfer() {
 		o.beginJobTransfer(job, o.node.Now())
@@ -180,41 +183,42 @@
 	return job
 }
 
-// cancelJob stops the tasks of a job that is being cancelled. The leader is told at
-// once: its user waits.
-func (o *ShardOwner) cancelJob(j *cluster.Job) {
-	if o.cancelling[j] || j.IsTerminal() {
+// cancelJob stops the tasks of a job that is being cancelled. It requests an urgent status update,
+// because the user waits for the leader to report the job as aborted.
+func (o *ShardOwner) cancelJob(job *cluster.Job) {
+	if o.cancelling[job] || job.IsTerminal() {
 		return
 	}
-	o.cancelling[j] = true
+	o.cancelling[job] = true
 	o.statusUpdates.urgent = true
-	o.cluster.BeginAbort(j)
-	o.stopAllocations(j, "cancelled", 0, o.node.Now())
+	o.cluster.BeginAbort(job)
+	o.stopAllocations(job, "cancelled", 0, o.node.Now())
 }
 
-// stopAllocations tells all tasks of a job to stop, with so many seconds to do so.
+// stopAllocations stops all allocations of a job with a grace period of graceS seconds.
 func (o *ShardOwner) stopAllocations(job *cluster.Job, reason string, graceS float64, now micro.Time) {
 	for _, allocation := range job.Allocations() {
 		o.cluster.StopAllocation(allocation, reason, graceS, now)
 	}
 }
 
-// watchAssignments follows the shard's assignments.
+// watchAssignments watches the shard's assignments in the store from a revision on, and posts their
+// changes to the loop, until the loop is stopped.
 func (o *ShardOwner) watchAssignments(ctx context.Context, revision uint64) {
 	prefix := shard.AssignmentPrefixFor(o.name)
-	continuedRead := map[string]bool{} // assignments whose jobs' records were read
+	recordsRead := map[string]bool{} // keys of the assignments whose jobs' records were read
 	for {
 		events, err := o.node.Store.Watch(ctx, prefix, revision, shard.WatchTimeout)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
-			// What was missed cannot be read as changes: the shard is loaded anew.
-			o.log.Info("shard given up", "reason", "the store's history is too short to follow")
+			// The missed changes cannot be read: a new loop restores the shard from the store.
+			o.log.Info("restarting shard", "reason", "the store has compacted changes that were not read")
 			o.loop.Stop()
 			o.node.shards.Reconcile()
 			return
 		case err == nil:
 			revision = max(revision, uint64(events.Revision))
-			records, ok := o.readHandedOverJobs(ctx, events.Events, continuedRead)
+			records, ok := o.readHandedOverJobs(ctx, events.Events, recordsRead)
 			if !ok {
 				return
 			}
@@ -226,14 +230,14 @@
 	}
 }
 
-// shardAssignmentsChanged brings changes of the shard's assignments in the store.
+// shardAssignmentsChanged is the event that carries changes of the shard's assignments in the store.
 type shardAssignmentsChanged struct {
 	owner   *ShardOwner
 	events  wire.Events
-	records leaderRecords // of the jobs among them that go on
+	records leaderRecords // of the handed-over jobs among them
 }
 
-// Apply takes in what the leader assigned, and what it has taken back.
+// Apply adds or updates the assigned jobs, and removes recalled jobs that the leader has reclaimed.
 func (e shardAssignmentsChanged) Apply() {
 	for _, event := range e.events.Events {
 		if event.Put != "" {
@@ -245,7 +249,8 @@
 	e.owner.assignmentRevision = max(e.owner.assignmentRevision, uint64(e.events.Revision))
 }
 
-// applyAssignmentChange takes in one assignment; a new job goes on from the leader's records of it.
+// applyAssignmentChange applies a written assignment. A new job that was handed over is restored from
+// the leader's task records.
 func (o *ShardOwner) applyAssignmentChange(event wire.Event, records leaderRecords) {
 	job, assignment := o.applyAssignment(event.Put, event.Value, uint64(event.Version))
 	if job == nil || !assignment.ReadsLeaderRecords() || o.recalled[job] {
@@ -259,37 +264,37 @@
 	o.copyLeaderRecords(job)
 }
 
-// How long a job may wait in a shard without ever having had an allocation before it is handed
-// back: there may be capacity elsewhere by now.
+// handBackTimeout is how long a job without any allocation may wait in a shard before it is handed
+// back to the leader: other owners may have capacity by then.
 const handBackTimeout = 30 * micro.Second
 
-// deleteFinishedAssignments deletes the assignments of jobs that are over and of which nothing is
-// left in the shard, and of those that found no capacity in it.
+// deleteFinishedAssignments deletes the assignments of jobs that have ended and have no allocations
+// left in the shard, and hands back jobs that were never allocated within handBackTimeout.
 func (o *ShardOwner) deleteFinishedAssignments(now micro.Time) {
 	for id, record := range o.assignments {
 		job := o.cluster.Jobs[id]
 		if job == nil || record.Dirty() {
 			continue
 		}
-		over := job.IsTerminal() && job.AllocationCount == 0
+		ended := job.IsTerminal() && job.AllocationCount == 0
 		unplaced := job.State == cluster.Active && job.NeverAllocated() &&
 			o.node.Wall()-o.assignedAt[id] > handBackTimeout
 		if unplaced {
 			o.log.Info("job handed back", "job", id)
 			o.cluster.PrepareTransfer(job, now)
 		}
-		if over || unplaced {
+		if ended || unplaced {
 			record.MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 }
 
-// removeAssignedJob forgets a job whose assignment is deleted. Only then do the records of its
-// tasks go: they say that they are done. Deleted first, they once left a job that was
-// over to the shard's next owner as one that had never begun, and it ran again.
+// removeAssignedJob removes a job whose assignment is deleted. The task records are deleted only after
+// the assignment, because they show which tasks are done: when they were deleted first, the shard's
+// next owner took an ended job for one that had never started, and ran it again.
 func (o *ShardOwner) removeAssignedJob(id string) {
 	if record := o.assignments[id]; record != nil {
-		record.ClearDirty() // else the job's next assignment to the shard would be deleted
+		record.ClearDirty() // otherwise the job's next assignment to the shard would be deleted
 		o.records.Drop(record)
 	}
 	delete(o.assignments, id)
--- a/internal/controller/shard_owner_role.go
+++ b/internal/controller/shard_owner_role.go
@@ -7,18 +7,18 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What the owner of a shard does in its own way.
+// This file implements role for a shard owner, except the methods of controlLoop and HandOver.
 
-// mayRespond reports whether no transfer is under way or in doubt; any goroutine may ask.
+// mayRespond reports whether no transfer is in flight or uncertain. It is safe for concurrent use.
 func (o *ShardOwner) mayRespond() bool { return !o.responsesBlocked.Load() }
 
-// refusesHeartbeat is false: only heartbeats of the shard's machines come here.
+// refusesHeartbeat returns false: only heartbeats of the shard's machines are routed here.
 func (o *ShardOwner) refusesHeartbeat(*wire.Heartbeat) bool { return false }
 
-// JobFinished has the leader told, which writes the job's end.
+// JobFinished reports the job to the leader, which writes its final state.
 func (o *ShardOwner) JobFinished(job *cluster.Job) { o.jobFinishedInShard(job) }
 
-// jobEnded does nothing: the leader writes the ends of jobs, and tells of them.
+// jobEnded does nothing: the leader writes the final states of jobs and reports them to the owner.
 func (o *ShardOwner) jobEnded(*cluster.Job, wire.JobState) {}
 
 // DependencyAborted does nothing: a job is assigned once all of its dependencies are done.
@@ -27,16 +27,14 @@
 // DependencyUnknown does nothing: a job is assigned once all of its dependencies are done.
 func (o *ShardOwner) DependencyUnknown(string) {}
 
-// What the failure detector needs of an owner.
-
-// InventoryReadAt is 0: the leader reads the inventory.
+// InventoryReadAt returns 0: only the leader reads the inventory.
 func (o *ShardOwner) InventoryReadAt() micro.Time { return 0 }
 
-// UnreportedFor is 0: all machines of an owner are its own.
+// UnreportedFor returns 0: no machine of an owner has another owner that must report it.
 func (o *ShardOwner) UnreportedFor(*cluster.Machine, micro.Time) micro.Time { return 0 }
 
-// Terminate marks a machine of the shard to be terminated: the leader, which has its instance
-// request, is told.
+// Terminate marks a machine of the shard for termination. The leader, which holds the machine's
+// instance request, terminates it after the next status update.
 func (o *ShardOwner) Terminate(machine *cluster.Machine, reason string) {
 	if !o.cluster.TransitionMachine(machine, cluster.Terminating, reason) {
 		return
@@ -45,15 +43,13 @@
 	o.statusUpdates.urgent = true
 }
 
-// How the records of an owner are written.
-
-// Preconditions are that the shard is still owned.
+// Preconditions returns the preconditions of the owner's transactions: the shard is still owned.
 func (o *ShardOwner) Preconditions() []wire.Precondition { return o.ownership.Preconditions() }
 
-// ChunkKey is the key of a chunk's record in the shard, which is in the compact form.
+// ChunkKey returns the key of a chunk's record in the shard, which is always in the compact format.
 func (o *ShardOwner) ChunkKey(job string, index int, _ bool) string {
 	return shard.AllocationKey(o.name, job, index)
 }
 
-// KeepsChunksOfEndedJobs is true: the records go once the job's assignment has gone.
+// KeepsChunksOfEndedJobs returns true: the records are deleted once the job's assignment is deleted.
 func (o *ShardOwner) KeepsChunksOfEndedJobs() bool { return true }
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -13,26 +13,28 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// When an owner tells the leader how it fares, and how exactly.
+// An owner sends a status update to the leader every statusUpdateInterval. An urgent one is sent
+// earlier, but not sooner than urgentStatusPause after the last.
 const (
 	statusUpdateInterval = micro.Second
 	urgentStatusPause    = 50 * micro.Millisecond
 )
 
-// jobFinishedInShard notes a job all of whose tasks are done. The leader writes its end,
-// once its records say so.
-func (o *ShardOwner) jobFinishedInShard(j *cluster.Job) {
-	o.finished[j] = true
+// jobFinishedInShard marks a job whose tasks are all done. The leader writes its final state once the
+// job's records are stored.
+func (o *ShardOwner) jobFinishedInShard(job *cluster.Job) {
+	o.finished[job] = true
 	o.statusUpdates.urgent = true
 	now := o.node.Now()
-	for _, ch := range j.Chunks {
-		if ch.MemoryVersion > ch.StoredVersion {
-			o.records.ChunkRecord(ch).MarkDirty(now, statestore.PriorityHigh)
+	for _, chunk := range job.Chunks {
+		if chunk.MemoryVersion > chunk.StoredVersion {
+			o.records.ChunkRecord(chunk).MarkDirty(now, statestore.PriorityHigh)
 		}
 	}
 }
 
-// sendStatusUpdate tells the leader how the shard fares, and asks what concerns it.
+// sendStatusUpdate sends a status update to the leader, unless one is in flight or was sent less than
+// urgentStatusPause ago.
 func (o *ShardOwner) sendStatusUpdate(now micro.Time) {
 	if o.statusUpdates.inFlight || now-o.statusUpdates.sentAt < urgentStatusPause {
 		return
@@ -49,16 +51,16 @@
 	}()
 }
 
-// statusUpdateAnswered is the leader's answer to a status update.
+// statusUpdateAnswered is the event that carries the leader's reply to a status update.
 type statusUpdateAnswered struct {
 	owner    *ShardOwner
 	update   *shard.ShardUpdate
 	reply    *shard.UpdateReply
 	sentAt   micro.Time
-	answered bool // false: there was no answer
+	answered bool // false: the leader did not reply
 }
 
-// Apply takes the answer in, unless nothing may be said any more.
+// Apply applies the reply, if the owner still holds its lease.
 func (e statusUpdateAnswered) Apply() {
 	e.owner.statusUpdates.inFlight = false
 	if e.answered && e.owner.holdsLease() {
@@ -66,7 +68,8 @@
 	}
 }
 
-// deliverStatusUpdate brings a status update to the leader.
+// deliverStatusUpdate sends a status update to the leader and returns its reply; ok is false if there is
+// none.
 func (n *Node) deliverStatusUpdate(body []byte) (reply shard.UpdateReply, ok bool) {
 	if l := n.activeLeader(); l != nil {
 		return l.coordinator.ReceiveStatusUpdate(body)
@@ -79,13 +82,13 @@
 	return reply, err == nil && status == http.StatusOK && wire.Unmarshal(response, &reply) == nil
 }
 
-// buildShardUpdate puts together what the leader is told. The caller has the leadership lease.
+// buildShardUpdate builds the shard's part of a status update. The caller must hold the lease.
 func (o *ShardOwner) buildShardUpdate(now micro.Time) shard.ShardUpdate {
 	report := shard.ShardUpdate{
 		Name: o.name, AssignmentRevision: o.assignmentRevision, FreeCapacity: update.FreeCapacity(o.cluster, now),
 		Unreachable: o.unreachable, LoopStartedAt: int64(o.startedAt),
 	}
-	o.unreachable = false // unless the next look finds it so again
+	o.unreachable = false // set again if the next sweep finds that no agent reaches this node
 	for job := range o.finished {
 		if len(report.FinishedJobs) < shard.MaxStatusItems && update.FullyRecorded(job) {
 			report.FinishedJobs = append(report.FinishedJobs, job.Spec.ID)
@@ -107,23 +110,24 @@
 	return report
 }
 
-// reportMachines counts the machines that are up, and names those that the leader has not
-// been told of.
+// reportMachines adds to the status update the number of machines that are up and idle, and the names of
+// machines that have not been reported to the leader as up.
 func (o *ShardOwner) reportMachines(report *shard.ShardUpdate) {
-	for _, m := range o.cluster.SortedMachines() {
-		if m.State != cluster.Up {
+	for _, machine := range o.cluster.SortedMachines() {
+		if machine.State != cluster.Up {
 			continue
 		}
 		report.MachineCount++
-		if len(m.Allocations) == 0 {
+		if len(machine.Allocations) == 0 {
 			report.IdleMachines++
 		}
-		if !o.statusUpdates.reportedMachines[m.Name] && len(report.ReadyMachines) < shard.MaxStatusItems {
-			report.ReadyMachines = append(report.ReadyMachines, m.Name)
+		if !o.statusUpdates.reportedMachines[machine.Name] && len(report.ReadyMachines) < shard.MaxStatusItems {
+			report.ReadyMachines = append(report.ReadyMachines, machine.Name)
 		}
 	}
 }
 
+// reportProgress adds to the status update the active jobs' pending tasks, demand and progress.
 func (o *ShardOwner) reportProgress(report *shard.ShardUpdate) {
 	now := o.node.Now()
 	for job := range o.cluster.ActiveJobs {
@@ -146,11 +150,11 @@
 	}
 }
 
-// applyUpdateReply takes in the leader's answer to a status update that was sent at a time.
+// applyUpdateReply applies the leader's reply to a status update that was sent at sentAt.
 func (o *ShardOwner) applyUpdateReply(update *shard.ShardUpdate, reply *shard.UpdateReply, sentAt micro.Time) {
 	if reply.Term != o.statusUpdates.leaderTerm {
 		o.statusUpdates.leaderTerm = reply.Term
-		clear(o.statusUpdates.reportedMachines) // a new leader knows of no machine here
+		clear(o.statusUpdates.reportedMachines) // a new leader has no reports of this shard's machines
 	} else {
 		for _, name := range update.ReadyMachines {
 			o.statusUpdates.reportedMachines[name] = true
@@ -175,19 +179,20 @@
 	o.proxyRenewedUntil = nil
 }
 
-// endJobInShard settles a job whose end is in the store.
-func (o *ShardOwner) endJobInShard(j *cluster.Job, state wire.JobState, now micro.Time) {
-	o.cluster.FinalizeJob(j, state == wire.JobAborted, now)
-	delete(o.finished, j)
-	delete(o.cancelling, j)
-	o.log.Info("job over in shard", "job", j.Spec.ID, "state", string(state))
-	for _, ch := range j.Chunks {
-		o.ChunkDirty(ch)
+// endJobInShard updates the in-memory state of a job whose final state has been stored.
+func (o *ShardOwner) endJobInShard(job *cluster.Job, state wire.JobState, now micro.Time) {
+	o.cluster.FinalizeJob(job, state == wire.JobAborted, now)
+	delete(o.finished, job)
+	delete(o.cancelling, job)
+	o.log.Info("job ended in shard", "job", job.Spec.ID, "state", string(state))
+	for _, chunk := range job.Chunks {
+		o.ChunkDirty(chunk)
 	}
 }
 
-// applyRenewalBound notes until when proxies may have renewed leases, by this node's clock, as of
-// the leader's answer: that was given after the status update was sent.
+// applyRenewalBound sets, from the leader's reply, until when lease proxies may have renewed leases,
+// by this node's clock, and which zones are unreachable. The ages in the reply are counted from a time
+// after the status update was sent, since the leader replied after that.
 func (o *ShardOwner) applyRenewalBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
 	o.proxyRenewedUntil = map[string]micro.Time{}
 	for zone, age := range reply.ProxyRenewalAge {
@@ -208,8 +213,9 @@
 	}
 }
 
-// updateProxyRenewals brings the cluster state up to date on what proxies may have renewed. Only the
-// leader is in touch with them: without its answer nothing is proven by a lease.
+// updateProxyRenewals updates the cluster state with the times until which lease proxies may have
+// renewed leases. Only the leader communicates with the lease proxies: without its reply, an expired
+// lease proves nothing, so leases are assumed to have been renewed until now.
 func (o *ShardOwner) updateProxyRenewals(now micro.Time) {
 	for _, zone := range append([]string{""}, o.node.Cfg.Facts.Zones...) {
 		o.cluster.ProxyRenewedUntil[zone] = o.proxyRenewedUntil[zone]
--- a/internal/controller/status_log.go
+++ b/internal/controller/status_log.go
@@ -10,10 +10,10 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// statusLogInterval is how often the leader says how it fares.
+// statusLogInterval is how often a leader or shard owner logs its status.
 const statusLogInterval = 20 * micro.Second
 
-// logStatusIfDue logs how the loop fares if it is time to.
+// logStatusIfDue logs the status of the loop if statusLogInterval has passed since the last time.
 func (l *controlLoop) logStatusIfDue(now micro.Time, queuedRequests int) {
 	if now-l.lastStatusLog >= statusLogInterval {
 		l.lastStatusLog = now
@@ -21,7 +21,7 @@
 	}
 }
 
-// describeFleet counts the machines that take tasks, and describes them by pool.
+// describeFleet returns the number of schedulable machines and a description of them by pool.
 func (l *controlLoop) describeFleet() (usable int, description string) {
 	var fleet strings.Builder
 	for _, pool := range l.cluster.Pools {
@@ -40,9 +40,10 @@
 	return usable, fleet.String()
 }
 
-// isEmpty reports whether a machine has no allocation.
+// isEmpty reports whether a machine has no allocations.
 func isEmpty(machine *cluster.Machine) bool { return len(machine.Allocations) == 0 }
 
+// logStatus logs the numbers of jobs, tasks, machines, queued writes and pending work of the loop.
 func (l *controlLoop) logStatus(queuedRequests int) {
 	usable, fleet := l.describeFleet()
 	l.log.Info(
