--- a/internal/controller/control_loop.go
+++ b/internal/controller/control_loop.go
@@ -20,7 +20,7 @@
 )
 
 // controlLoop is the event loop, and the components that run on it, shared by the leader and by
-// shard owners. Both manage their machines and jobs in the same way; their differences are in role.
+// shard owners. Both manage their machines and jobs in the same way; the differences are in role.
 type controlLoop struct {
 	node *Node
 	term *election.Term
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -18,7 +18,7 @@
 func (l *Leader) HandOver(now micro.Time) {
 	evidence := l.detector.Reachability(now)
 	if evidence.HeartbeatGap {
-		l.handOver(evidence, now) // so many agents do not fail at the same time
+		l.handOver(evidence, now) // so many live agents do not fail at the same time
 		return
 	}
 	l.queryReferrals(now, func(answer referral.Answer) { l.considerHandover(evidence, answer) })
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -27,7 +27,7 @@
 	firstLoop        bool        // no earlier loop of this process ran under this record version
 	responsesBlocked atomic.Bool // no responses may be sent: a transfer is in flight or uncertain
 
-	planner             *autoscaler.Planner            // determines which machines are idle; requests no instances
+	planner             *autoscaler.Planner            // finds idle machines; requests no instances
 	lastReview          micro.Time                     // last review, see reviewInterval
 	assignments         map[string]*statestore.Record  // assignment records, by job ID
 	assignedAt          map[string]micro.Time          // by the wall clock: hand-back timeouts continue under a new owner
--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -15,9 +15,9 @@
 
 // copyProgress is the progress of copying the leader's task records of one handed-over job.
 type copyProgress struct {
-	transferStartedAt micro.Time                    // when the copying of this job began
+	transferStartedAt micro.Time                    // when the transfer, or the copying, began
 	read              bool                          // all of the leader's records were read
-	pending           map[*cluster.TaskChunk]uint64 // versions of the owner's records that are not stored yet
+	pending           map[*cluster.TaskChunk]uint64 // chunk versions that contain the leader's records and are not stored yet
 	inTransfer        bool                          // the job is in transfer: its tasks are not scheduled
 }
 
@@ -27,8 +27,8 @@
 	o.cluster.PrepareTransfer(job, now)
 }
 
-// copyLeaderRecords schedules the writes of the owner's records that replace the leader's records of a
-// job, all of which were read.
+// copyLeaderRecords schedules the writes of the owner's records that replace the leader's task records
+// of a job. All of the leader's records must have been read.
 func (o *ShardOwner) copyLeaderRecords(job *cluster.Job) {
 	now, priority := o.node.Now(), statestore.PriorityHigh
 	if o.copies[job] == nil { // not in transfer: its tasks are scheduled meanwhile
--- a/internal/controller/shard_owner_status.go
+++ b/internal/controller/shard_owner_status.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// sendStatusUpdate sends a status update to the leader, unless one is in flight or was sent less than
-// urgentStatusPause ago.
+// sendStatusUpdate sends a status update to the leader and posts its reply to the loop, unless an update
+// is in flight or was sent less than urgentStatusPause ago.
 func (o *ShardOwner) sendStatusUpdate(now micro.Time) {
 	if o.statusUpdates.inFlight || now-o.statusUpdates.sentAt < urgentStatusPause {
 		return
@@ -191,8 +191,8 @@
 }
 
 // applyRenewalBound sets, from the leader's reply, until when lease proxies may have renewed leases,
-// by this node's clock, and which zones are unreachable. The ages in the reply are counted from a time
-// after the status update was sent, since the leader replied after that.
+// by this node's clock, and which zones are unreachable. The leader replied at some time after the
+// status update was sent, so the ages in the reply are reduced by the time that has passed since then.
 func (o *ShardOwner) applyRenewalBound(reply *shard.UpdateReply, sentAt, now micro.Time) {
 	o.proxyRenewedUntil = map[string]micro.Time{}
 	for zone, age := range reply.ProxyRenewalAge {
