--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -50,8 +50,8 @@
 		"job ended", "job", job.Spec.ID, "state", string(state), "after_s", (now - job.SubmittedAt).Seconds(), "since_s",
 		(now - job.EligibleSince).Seconds(),
 	)
-	for _, ch := range job.Chunks {
-		l.ChunkDirty(ch)
+	for _, chunk := range job.Chunks {
+		l.ChunkDirty(chunk)
 	}
 	l.cancellations.JobEnded(job)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -33,21 +33,22 @@
 }
 
 // newLeader returns the leader of a leadership term; its loop is not started.
-func newLeader(n *Node, t *election.Term) *Leader {
+func newLeader(n *Node, term *election.Term) *Leader {
 	l := &Leader{}
 	l.controlLoop = newControlLoop(
-		n, t, dispatch.FirstFencingToken(t.FencingRevision), n.Log.With("term", t.FencingRevision), l,
+		n, term, dispatch.FirstFencingToken(term.FencingRevision), n.Log.With("term", term.FencingRevision), l,
 	)
 	zones := map[string]string{}
 	for _, p := range n.Cfg.Peers {
 		zones[p.Node] = p.Zone
 	}
 	l.renewalBound = leasekeeper.NewRenewalBound(
-		t.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone,
+		term.FencingRevision, l.cluster.TermStartedAt, n.Cfg.LeaseProxyDuration(), zones, n.Cfg.Zone,
 	)
-	for _, t := range n.Cfg.Facts.Teams {
-		l.cluster.Teams[t.Name] = &cluster.Team{
-			Name: t.Name, GuaranteedCPUs: t.CPUs, CPULimit: t.CPUsMax, GuaranteedGPUs: t.GPUs, GPULimit: t.GPUsMax,
+	for _, team := range n.Cfg.Facts.Teams {
+		l.cluster.Teams[team.Name] = &cluster.Team{
+			Name: team.Name, GuaranteedCPUs: team.CPUs, CPULimit: team.CPUsMax,
+			GuaranteedGPUs: team.GPUs, GPULimit: team.GPUsMax,
 		}
 	}
 	l.coordinator = newCoordinator(l)
@@ -64,7 +65,7 @@
 func (l *Leader) run(ctx context.Context) {
 	l.loop.StopWith(ctx)
 	startedAt := l.node.Now()
-	rev, ok := l.takeOver(ctx)
+	revision, ok := l.takeOver(ctx)
 	if !ok {
 		return
 	}
@@ -74,7 +75,7 @@
 		int64((l.node.Now()-startedAt)/micro.Millisecond),
 	)
 	defer l.node.Metrics.RemoveGauge(unservedJobsGauge)
-	go l.intake.WatchSubmissions(ctx, rev)
+	go l.intake.WatchSubmissions(ctx, revision)
 	go l.intake.RunLookups(ctx)
 	go l.provisioner.PollInventory(ctx)
 	l.loop.Run(eventloop.Handlers{Now: l.node.Now, Tick: l.tick, AfterEvents: l.runPending})
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	n.election.OnStartedLeading = func(t *election.Term) { n.startLeader(ctx, t) }
+	n.election.OnStartedLeading = func(term *election.Term) { n.startLeader(ctx, term) }
 	n.election.OnStoppedLeading = n.stopLeader
 	server := &httpapi.Server{
 		Service: n, Metrics: n.Metrics, MaxSockets: n.Cfg.Facts.Quota.MaxSockets,
@@ -212,17 +212,17 @@
 }
 
 // startLeader starts the leader's loop for a new term.
-func (n *Node) startLeader(ctx context.Context, t *election.Term) {
+func (n *Node) startLeader(ctx context.Context, term *election.Term) {
 	n.setBudgetFractions(n.Cfg.LeaderShare())
-	l := newLeader(n, t)
+	l := newLeader(n, term)
 	n.leader.Store(l)
 	go l.run(ctx)
 }
 
 // stopLeader stops the leader's loop of a term that has ended.
-func (n *Node) stopLeader(t *election.Term) {
+func (n *Node) stopLeader(term *election.Term) {
 	n.setBudgetFractions(n.Cfg.FollowerShare())
-	if l := n.leader.Load(); l != nil && l.term == t {
+	if l := n.leader.Load(); l != nil && l.term == term {
 		n.leader.Store(nil)
 		l.loop.Stop()
 	}
--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -17,7 +17,7 @@
 type copyProgress struct {
 	transferStartedAt micro.Time                    // when the transfer, or the copying, began
 	read              bool                          // all of the leader's records were read
-	pending           map[*cluster.TaskChunk]uint64 // chunk versions that contain the leader's records and are not stored yet
+	pending           map[*cluster.TaskChunk]uint64 // chunk versions with the leader's records, until stored
 	inTransfer        bool                          // the job is in transfer: its tasks are not scheduled
 }
 
--- a/internal/recovery/failover_test.go
+++ b/internal/recovery/failover_test.go
@@ -165,7 +165,7 @@
 	}
 	for _, id := range []string{"ended", "ended-assigned", "ended-with-chunks"} {
 		if endedAt := state.FinalStatuses[id].EndedAt; endedAt != 990*micro.Second {
-			t.Errorf("%s ended at %v", id, endedAt)
+			t.Errorf("%s ended at %v, want 990 s", id, endedAt)
 		}
 	}
 	if len(leader.restored) != len(state.Jobs) {
