--- a/internal/controller/boot_test.go
+++ b/internal/controller/boot_test.go
@@ -197,7 +197,7 @@
 
 // All machines of the cheapest type fail to boot, in both zones and kinds: work
 // that another type fits goes there.
-func TestWavesOfFailedBootsStarveNoJobClass(t *testing.T) {
+func TestJobsCompleteWhenTheCheapestMachineTypeFailsToBoot(t *testing.T) {
 	runScenario(t, 6, 3, func(sim *simCluster) {
 		sim.cloud.failsBoot = func(r wire.InstanceRequest) bool { return r.Type == "small" }
 	}, func(sim *simCluster) {
--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -58,10 +58,10 @@
 	return next
 }
 
-// outlastCancelSpan takes the store from all nodes for longer than the tasks of cancelled
+// outageBeyondCancelSpan takes the store from all nodes for longer than the tasks of cancelled
 // jobs have, so soon after their users were told, and goes on until that time is
 // over for each of them.
-func (w *simCluster) outlastCancelSpan(maxDelay micro.Time, jobs ...*userJob) {
+func (w *simCluster) outageBeyondCancelSpan(maxDelay micro.Time, jobs ...*userJob) {
 	w.t.Helper()
 	from := w.now()
 	outageSpan := cancelSpan + w.randomTime(8*micro.Second, 20*micro.Second)
@@ -109,7 +109,7 @@
 	w.waitUntil("served again", 90*micro.Second, func() bool { return job.knowledge().done })
 }
 
-func runSeedsOfRow(t *testing.T, seeds uint64, name string, scenario func(t *testing.T, seed uint64)) {
+func runCaseWithSeeds(t *testing.T, seeds uint64, name string, scenario func(t *testing.T, seed uint64)) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprintf("%s/seed %d", name, seed), func(t *testing.T) {
 			t.Parallel()
@@ -123,7 +123,7 @@
 // reported to the old leader all the time: had that gone on answering after its
 // right lapsed, the tasks would have run on through the whole outage. Where a zone
 // has no lease proxies the end is written while the tasks run; else they are gone before.
-func TestCancelledByTheNextLeaderBeforeAnOutage(t *testing.T) {
+func TestTasksStopInTimeWhenTheNextLeaderCancelsBeforeAnOutage(t *testing.T) {
 	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{
 		kind: wire.JobArray, tasks: 3, runTime: endlessRun,
 	}
@@ -173,7 +173,7 @@
 			machine.hang(sim.randomTime(8*micro.Second, 16*micro.Second))
 		}, none},
 	} {
-		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
 				if !test.keepers {
 					sim.config.LeaseProxyFactor = 0
@@ -210,7 +210,7 @@
 					)
 				}
 				sim.sleep(sim.randomTime(0, micro.Second))
-				sim.outlastCancelSpan(1500*micro.Millisecond, job)
+				sim.outageBeyondCancelSpan(1500*micro.Millisecond, job)
 				sim.checkRecovery()
 			})
 		})
@@ -269,10 +269,10 @@
 // leader's lease, the same term goes on after the outage; else another leads.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
-func TestCancelledAsTheStoreRefusesTheLeader(t *testing.T) {
+func TestTasksStopInTimeWhenCancelledAsTheStoreRefusesTheLeader(t *testing.T) {
 	for _, test := range storeRefusalCases {
 		outcomes := newOutcomeCounts(t)
-		runSeedsOfRow(t, 6, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
 				if !test.keepers {
 					sim.config.LeaseProxyFactor = 0
@@ -408,7 +408,7 @@
 // all, while the old leader, which the store had refused alone, was reported to.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
-func TestCancellationThatAnotherNodeReadBeforeAnOutage(t *testing.T) {
+func TestTasksStopInTimeWhenAnotherNodeReportsAnUncertainCancellation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		o       jobRequest
@@ -422,7 +422,7 @@
 		{"pipeline, by a poll", jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, true},
 		{"pipeline, by a repeat", jobRequest{kind: wire.Service, tasks: 2}, false, true, true},
 	} {
-		runSeedsOfRow(t, 5, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
 				request := test.o
 				if test.awaited {
@@ -480,7 +480,7 @@
 				if by != third.name || remaining == 0 {
 					t.Fatalf("told by %s with %d tasks", by, remaining)
 				}
-				sim.outlastCancelSpan(1500*micro.Millisecond, jobs...)
+				sim.outageBeyondCancelSpan(1500*micro.Millisecond, jobs...)
 				sim.checkRecovery()
 				for _, x := range jobs {
 					for _, controller := range sim.controllers {
@@ -499,7 +499,7 @@
 // the cut was over for the lease proxies, not for the agents, whom no leader heard; had
 // a lease proxy been answered then, it would have kept the tasks alive through a second
 // cut and the outage.
-func TestCancelledInAZoneWhoseLeasesProxiesRenewed(t *testing.T) {
+func TestTasksStopInTimeInAPartitionedZoneWithLeaseProxies(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		o       jobRequest
@@ -513,7 +513,7 @@
 		{"cut ends for a while, the leader changes", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, true, true, false},
 		{"the leader changes, cut ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, true},
 	} {
-		runSeedsOfRow(t, 5, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 5, nil, func(sim *simCluster) {
 				sim.waitUntil("a leader in zone a", 2*micro.Minute, func() bool {
 					l := sim.leader()
@@ -555,7 +555,7 @@
 				if test.then {
 					sim.sleep(micro.Second) // what lease proxies ask in vain with the other two
 				}
-				sim.outlastCancelSpan(soon, job)
+				sim.outageBeyondCancelSpan(soon, job)
 				sim.checkRecovery()
 			})
 		})
@@ -567,7 +567,7 @@
 // must not go on answering agents, or say that the jobs run.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
-func TestCancelledThroughTheNextLeaderWhileTheOldOneIsReachable(t *testing.T) {
+func TestReachableFormerLeaderDoesNotExtendCancelledTasks(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		keepers bool
@@ -584,7 +584,7 @@
 			machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
 		}},
 	} {
-		runSeedsOfRow(t, 5, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 5, func(sim *simCluster) {
 				if !test.keepers {
 					sim.config.LeaseProxyFactor = 0
@@ -669,7 +669,7 @@
 // Every team was at its limit while jobs were cancelled whose machines were cut
 // off or hung, and the leader changed, twice. What was not proven released counts for
 // the team, whoever leads; capacity that is proven released is used within seconds.
-func TestTeamsAtTheirQuotasWhileJobsOnLostMachinesAreCancelled(t *testing.T) {
+func TestQuotaOfCancelledJobsOnLostMachinesIsReusedOnceReleased(t *testing.T) {
 	far := func(sim *simCluster, machine *fakeMachine) {
 		duration := sim.randomTime(10*micro.Second, 50*micro.Second)
 		machine.loseResponses(duration)
@@ -703,7 +703,7 @@
 			sim.partitionNode(leader, sim.randomTime(6*micro.Second, 12*micro.Second), "state", "peers")
 		}},
 	} {
-		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, []int{3, 5}[seed%2], func(sim *simCluster) {
 				sim.fastBoot = true
 				if !test.keepers {
@@ -809,7 +809,7 @@
 // not.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
-func TestTeamAtItsQuotaWhenSomeOfItsMachinesAreUnreachable(t *testing.T) {
+func TestNextLeaderCountsAllocationsOnUnreachableMachinesAgainstTheQuota(t *testing.T) {
 	const before, within, after = "before", "within", "after"
 	for _, test := range []struct {
 		name    string
@@ -827,7 +827,7 @@
 		{"another job, within", false, within, false, 45 * micro.Second},
 		{"another job, after", false, after, false, 20 * micro.Second},
 	} {
-		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, []int{3, 4}[seed%2], func(sim *simCluster) {
 				sim.fastBoot = true
 				if !test.keepers {
@@ -902,7 +902,7 @@
 // at ten moments from a second before to six after.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
-func TestCancelledWhileTheLeaderChanges(t *testing.T) {
+func TestTasksStopInTimeWhenCancelledDuringAChangeOfLeader(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		nodes   int
@@ -939,7 +939,7 @@
 		}, func(sim *simCluster) { sim.replayHeartbeats(0.5, 45*micro.Second, 15*micro.Second) }},
 	} {
 		outcomes := newOutcomeCounts(t)
-		runSeedsOfRow(t, 6, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
 				if !test.keepers {
 					sim.config.LeaseProxyFactor = 0
@@ -1019,7 +1019,7 @@
 // A user had been told that a job is cancelled, and its machines heard nothing of
 // it; then the leader changed. The next one answers their heartbeats, and so renews
 // their leases: it must order the tasks to stop, though no user asks it to.
-func TestNextLeaderStopsWhatWasCancelledBeforeIt(t *testing.T) {
+func TestNextLeaderStopsTasksOfJobsCancelledBeforeItsTerm(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(sim *simCluster, l *controllerProcess)
@@ -1032,7 +1032,7 @@
 		}},
 		{"resigns", func(_ *simCluster, l *controllerProcess) { resignLeader(l) }},
 	} {
-		runSeedsOfRow(t, 4, test.name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
 				jobs := []*userJob{
 					sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2}),
@@ -1071,14 +1071,14 @@
 // carried out after the next leader had begun, the job's end must not get into the
 // store behind that one's back: any node would tell it to the user, and the tasks
 // would run on.
-func TestCancellationCarriedOutAfterTheNextLeaderBegan(t *testing.T) {
+func TestLateCancellationWriteIsRefusedAfterTheNextLeaderBegan(t *testing.T) {
 	outcomes := newOutcomeCounts(t)
 	for name, change := range map[string]func(sim *simCluster, l *controllerProcess){
 		"killed":  func(sim *simCluster, l *controllerProcess) { sim.restartController(l, 20*micro.Second) },
 		"resigns": func(_ *simCluster, l *controllerProcess) { resignLeader(l) },
 		"cut":     func(sim *simCluster, l *controllerProcess) { sim.partitionNode(l, 20*micro.Second, "state", "peers") },
 	} {
-		runSeedsOfRow(t, 5, name, func(t *testing.T, seed uint64) {
+		runCaseWithSeeds(t, 5, name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
 				outcomes.record(simulationRan)
 				job := sim.submitAndWaitRunning(jobRequest{kind: wire.Service, tasks: 2})
--- a/internal/controller/guards_leader_test.go
+++ b/internal/controller/guards_leader_test.go
@@ -32,24 +32,24 @@
 
 func (c leaderCancellation) check(t *testing.T) {
 	l := newGuardedLeader(t, func(n *Node) { n.Cfg.Facts.Workers.CancelS = c.cancelS })
-	job, machine := l.allocated(c.zone)
+	job, machine := l.addAllocatedJob(c.zone)
 	l.cancellations.UpdateFencedZones()
-	if l.cancellations.ZoneFenced(c.zone) || l.proxyStatus() != 200 {
+	if l.cancellations.ZoneFenced(c.zone) || l.leaseProxyStatus() != 200 {
 		t.Fatal("proxies are not answered before the cancellation")
 	}
 	l.cancellations.Begin(job)
-	if got := l.writesEnd(); got != (c.wait == 0) {
+	if got := l.finalStatusPending(); got != (c.wait == 0) {
 		t.Fatalf("the end is written at once: %v", got)
 	}
 	c.waitForEnd(t, l, job, machine)
-	if !l.writesEnd() {
+	if !l.finalStatusPending() {
 		t.Fatal("the end is not written")
 	}
 	if got := l.cancellations.ZoneFenced(c.zone); got != (c.wait >= 0) {
 		t.Errorf("the zone is fenced: %v", got)
 	}
-	if c.zone == "b" && l.proxyStatus() != 503 {
-		t.Errorf("the zone's proxies get %d", l.proxyStatus())
+	if c.zone == "b" && l.leaseProxyStatus() != 503 {
+		t.Errorf("the zone's proxies get %d", l.leaseProxyStatus())
 	}
 }
 
@@ -57,11 +57,11 @@
 func (c leaderCancellation) waitForEnd(t *testing.T, l *guardedLeader, job *cluster.Job, machine *cluster.Machine) {
 	t.Helper()
 	if c.wait != 0 {
-		l.clock.pass(max(c.wait, micro.Second))
+		l.clock.advance(max(c.wait, micro.Second))
 		l.cancellations.Complete(job, l.node.Now())
 	}
 	if c.wait < 0 {
-		if l.writesEnd() {
+		if l.finalStatusPending() {
 			t.Fatal("the end is written while the task may run")
 		}
 		l.cluster.ExpireMachine(machine, l.node.Now())
@@ -73,16 +73,16 @@
 // proxies get no answer until it is.
 func TestZoneIsFencedWhileATaskOfACancelledJobIsNotProvenGone(t *testing.T) {
 	l := newGuardedLeader(t, func(*Node) {})
-	job, machine := l.allocated("b")
+	job, machine := l.addAllocatedJob("b")
 	l.cancellations.UpdateFencedZones()
 	l.jobEnded(job, wire.JobAborted)
 	l.cancellations.UpdateFencedZones()
-	if !l.cancellations.ZoneFenced("b") || l.cancellations.ZoneFenced("a") || l.proxyStatus() != 503 {
+	if !l.cancellations.ZoneFenced("b") || l.cancellations.ZoneFenced("a") || l.leaseProxyStatus() != 503 {
 		t.Errorf("zone b is fenced %v, zone a %v", l.cancellations.ZoneFenced("b"), l.cancellations.ZoneFenced("a"))
 	}
 	l.cluster.ExpireMachine(machine, l.node.Now())
 	l.cancellations.UpdateFencedZones()
-	if l.cancellations.ZoneFenced("b") || l.proxyStatus() != 200 {
+	if l.cancellations.ZoneFenced("b") || l.leaseProxyStatus() != 200 {
 		t.Error("zone b is fenced though the task is gone")
 	}
 }
@@ -94,7 +94,7 @@
 		l := newGuardedLeader(t, func(*Node) {})
 		l.cancellations.UpdateFencedZones()
 		l.clock.jumpAfter(looks, leaseSpan)
-		status := l.proxyStatus()
+		status := l.leaseProxyStatus()
 		holds := l.holdsLease()
 		if status == 200 && !holds && looks < 3 {
 			t.Errorf("answered, though the lease lapsed after %d looks at the clock", looks)
@@ -111,7 +111,7 @@
 	l := newGuardedLeader(t, func(n *Node) { n.leaseProxy.RenewalWindow = 45 * micro.Second })
 	proxy := &l.node.leaseProxy
 	proxy.HandleResponse(l.clock.now, l.clock.now, leasekeeper.LeaderTimestamp{Term: 7, At: 1})
-	l.clock.pass(10 * micro.Second)
+	l.clock.advance(10 * micro.Second)
 	proxy.RecordProbe(true, false, l.clock.now)
 	for _, c := range []struct {
 		name  string
@@ -139,13 +139,13 @@
 	})
 	proxy := &l.node.leaseProxy
 	proxy.HandleResponse(l.clock.now, l.clock.now, leasekeeper.LeaderTimestamp{Term: 7, At: 1})
-	l.clock.pass(10 * micro.Second)
+	l.clock.advance(10 * micro.Second)
 	proxy.RecordProbe(true, false, l.clock.now)
 	if !proxy.TryRenew(l.clock.now) {
 		t.Fatal("renews nothing")
 	}
 	renewed := l.clock.now
-	l.clock.pass(micro.Minute)
+	l.clock.advance(micro.Minute)
 	l.updateRenewalBound(l.clock.now)
 	if l.cluster.ProxyRenewedUntil["a"] < renewed || l.cluster.ProxyRenewedUntil[""] < renewed {
 		t.Errorf("leases of its zone count from %v, renewed at %v", l.cluster.ProxyRenewedUntil["a"], renewed)
@@ -161,7 +161,7 @@
 		l := newGuardedLeader(t, func(n *Node) { n.leaseProxy.RenewalWindow = 45 * micro.Second })
 		l.cancellations.FenceZones(map[string]bool{"a": fenced})
 		l.node.contactLeader(t.Context())
-		l.clock.pass(10 * micro.Second)
+		l.clock.advance(10 * micro.Second)
 		l.node.leaseProxy.RecordProbe(true, false, l.clock.now)
 		if got := l.node.leaseProxy.TryRenew(l.clock.now); got == fenced {
 			t.Errorf("fenced %v: renews %v", fenced, got)
@@ -172,7 +172,7 @@
 // A term ends before its tokens do.
 func TestLeaderLosesItsLeaseOnceItsFencingTokensAreUsedUp(t *testing.T) {
 	l := newGuardedLeader(t, func(*Node) {})
-	l.allocated("a")
+	l.addAllocatedJob("a")
 	next := dispatch.FirstFencingToken(l.term.FencingRevision + 1)
 	l.dispatcher.RaiseFencingToken(next - 2)
 	l.dispatcher.CheckToken(l.clock.now)
--- a/internal/controller/guards_owner_handover_test.go
+++ b/internal/controller/guards_owner_handover_test.go
@@ -33,7 +33,7 @@
 
 func newHandoverOwner(t *testing.T) *handoverOwner {
 	t.Helper()
-	o := &handoverOwner{ShardOwner: guardedOwner(t, func() error { return nil }), t: t, read: map[string]bool{}}
+	o := &handoverOwner{ShardOwner: newGuardedOwner(t, func() error { return nil }), t: t, read: map[string]bool{}}
 	o.store = o.node.Store.(interceptedStore).Store
 	o.put(keys.Format, persist.FormatRecord{Version: persist.FormatVersion, TasksPerChunk: 2})
 	o.agent = fake.NewAgent("i-1", "small", "a", 30*micro.Second)
@@ -129,7 +129,7 @@
 // heartbeat has the agent report, and do what it is told. It says what that was.
 func (o *handoverOwner) heartbeat() []string {
 	o.t.Helper()
-	reply := o.answerTo(o.agent.Heartbeat(), func() {})
+	reply := o.respondToHeartbeat(o.agent.Heartbeat(), func() {})
 	commands, ok := reply.Body.(wire.Commands)
 	if !ok {
 		o.t.Fatalf("status %d", reply.Status)
--- a/internal/controller/guards_shards_test.go
+++ b/internal/controller/guards_shards_test.go
@@ -35,13 +35,13 @@
 func checkOwnerDuringATransfer(t *testing.T, result error, want int) {
 	t.Helper()
 	sent, outcome := make(chan bool), make(chan error)
-	o := guardedOwner(t, func() error { sent <- true; return <-outcome })
+	o := newGuardedOwner(t, func() error { sent <- true; return <-outcome })
 	agent := fake.NewAgent("i-1", "small", "a", 30*micro.Second)
-	if got := o.answered(agent); got != 200 {
+	if got := o.heartbeatStatus(agent); got != 200 {
 		t.Fatalf("while it is active: %d", got)
 	}
 	o.observeMove(t)
-	if got := o.answered(agent); got != 200 || o.ownership.MayAllocate() {
+	if got := o.heartbeatStatus(agent); got != 200 || o.ownership.MayAllocate() {
 		t.Fatalf("while it drains: %d, allocates %v", got, o.ownership.MayAllocate())
 	}
 	o.reconcileTransfer(o.node.Now())
@@ -49,11 +49,11 @@
 	if o.holdsLease() {
 		t.Error("the loop may answer and send commands while the transfer is in flight")
 	}
-	if got := o.answered(agent); got != 503 {
+	if got := o.heartbeatStatus(agent); got != 503 {
 		t.Errorf("while the transfer is in flight: %d", got)
 	}
 	outcome <- result
-	o.awaitTransferAnswer(t)
+	o.awaitTransferResult(t)
 	if o.loop.Stopped() != (result == nil) {
 		t.Errorf("stopped: %v", o.loop.Stopped())
 	}
@@ -63,7 +63,7 @@
 		}
 		return
 	}
-	if got := o.answered(agent); got != want {
+	if got := o.heartbeatStatus(agent); got != want {
 		t.Errorf("once the outcome is known: %d, want %d", got, want)
 	}
 }
@@ -93,33 +93,33 @@
 
 func (c shardCancellation) check(t *testing.T) {
 	l := newGuardedShardLeader(t, func(n *Node) { n.Cfg.Facts.Workers.CancelS = c.cancelS })
-	job := l.assigned(t)
+	job := l.restoreAssignedJob(t)
 	l.cancellations.UpdateFencedZones()
 	stopping := shard.StoppingJob{Job: "j-1", UnreleasedAllocations: c.held, Zones: []string{c.zone}}
 	l.shardCancellationProgress(t, stopping)
-	if l.writesEnd() {
+	if l.finalStatusPending() {
 		t.Fatal("the end of a job that nobody cancelled is written")
 	}
 	l.coordinator.BeginCancellation(job)
-	if !l.assignmentToStop() || l.writesEnd() {
-		t.Fatalf("to be stopped and stored %v, the end is written %v", l.assignmentToStop(), l.writesEnd())
+	if !l.stopRequestPending() || l.finalStatusPending() {
+		t.Fatalf("to be stopped and stored %v, the end is written %v", l.stopRequestPending(), l.finalStatusPending())
 	}
 	l.shardCancellationProgress(t, stopping)
-	if got := l.writesEnd(); got != (c.wait == 0) {
+	if got := l.finalStatusPending(); got != (c.wait == 0) {
 		t.Fatalf("the end is written at once: %v", got)
 	}
-	l.clock.pass(max(c.wait, micro.Second))
+	l.clock.advance(max(c.wait, micro.Second))
 	l.shardCancellationProgress(t, stopping)
-	if got := l.writesEnd(); got != (c.wait >= 0) || l.cancellations.ZoneFenced(c.zone) != c.fenced {
+	if got := l.finalStatusPending(); got != (c.wait >= 0) || l.cancellations.ZoneFenced(c.zone) != c.fenced {
 		t.Errorf("the end is written %v, the zone is fenced %v", got, l.cancellations.ZoneFenced(c.zone))
 	}
 	stopping.UnreleasedAllocations = 0
 	l.shardCancellationProgress(t, stopping)
 	l.cancellations.UpdateFencedZones()
-	if !l.writesEnd() || l.cancellations.ZoneFenced(c.zone) {
+	if !l.finalStatusPending() || l.cancellations.ZoneFenced(c.zone) {
 		t.Errorf(
 			"with none held the end is written %v, the zone is fenced %v",
-			l.writesEnd(),
+			l.finalStatusPending(),
 			l.cancellations.ZoneFenced(c.zone),
 		)
 	}
@@ -147,10 +147,10 @@
 		if c.reclaimed {
 			waitUntil(t, "taken back", func() bool {
 				// Reconciled once more after it was taken back, the shard would be deleted.
-				l.clock.pass(300 * micro.Millisecond)
+				l.clock.advance(300 * micro.Millisecond)
 				l.runInLoop(func() { l.coordinator.Reconcile(l.node.Now()) })
 				for range 50 {
-					if l.answered(agent) == 200 {
+					if l.heartbeatStatus(agent) == 200 {
 						return true
 					}
 					time.Sleep(2 * time.Millisecond)
@@ -158,7 +158,7 @@
 				return false
 			})
 		}
-		if got := l.answered(agent); got != c.want {
+		if got := l.heartbeatStatus(agent); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -167,9 +167,9 @@
 // Only the leader knows what lease proxies may have renewed: without its answer an owner
 // takes no lease for expired.
 func TestNoLeaseInAShardExpiresWithoutTheLeadersAnswer(t *testing.T) {
-	o := guardedOwner(t, func() error { return nil })
+	o := newGuardedOwner(t, func() error { return nil })
 	o.node.Cfg.Facts.Zones = []string{"a"}
-	o.answered(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
+	o.heartbeatStatus(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
 	machine, now := o.cluster.Machines["i-1"], o.node.Now()+60*micro.Minute
 	o.updateBoundFromLeader(now)
 	if o.cluster.LeaseExpired(machine, now) {
@@ -191,11 +191,11 @@
 // the next owner reads the rest. What was planned and not started is dropped.
 func TestTransferWaitsUntilTheOwnersWritesAreSettled(t *testing.T) {
 	sent := make(chan bool)
-	o := guardedOwner(t, func() error { sent <- true; return store.ErrUncertain })
+	o := newGuardedOwner(t, func() error { sent <- true; return store.ErrUncertain })
 	o.intake.InsertJob(wire.Job{
 		ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1,
 	}, o.node.Now(), o.node.Wall())
-	o.answered(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
+	o.heartbeatStatus(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
 	job := o.cluster.Jobs["j-1"]
 	o.cluster.Allocate(job, 0, o.cluster.Machines["i-1"], 1, 1, o.node.Now())
 	o.observeMove(t)
@@ -217,7 +217,7 @@
 // An owner's records of a job's allocations go after its assignment: left without them, an
 // assignment would make a job that is over one that never began.
 func TestAssignmentIsDeletedBeforeTheAllocationRecords(t *testing.T) {
-	o := guardedOwner(t, func() error { return nil })
+	o := newGuardedOwner(t, func() error { return nil })
 	spec := wire.Job{
 		ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1,
 	}
@@ -225,7 +225,7 @@
 		shard.AssignmentKey("gpus", "j-1"), wire.MustMarshal(shard.Assignment{Job: spec, MaxAllocations: 1}), 11,
 	)
 	job := o.cluster.Jobs["j-1"]
-	o.answered(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
+	o.heartbeatStatus(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
 	machine := o.cluster.Machines["i-1"]
 	o.cluster.Allocate(job, 0, machine, 1, 1, o.node.Now())
 	o.cluster.ChunkPersisted(job.Chunk(0), job.Chunk(0).MemoryVersion)
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -35,7 +35,7 @@
 type testClock struct {
 	mu    sync.Mutex
 	now   micro.Time
-	looks int        // looks that are left before it jumps; 0: it does not
+	readsLeft int        // looks that are left before it jumps; 0: it does not
 	jump  micro.Time // by so much
 }
 
@@ -44,16 +44,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now
-	if c.looks > 0 {
-		if c.looks--; c.looks == 0 {
+	if c.readsLeft > 0 {
+		if c.readsLeft--; c.readsLeft == 0 {
 			c.now += c.jump
 		}
 	}
 	return now
 }
 
-// pass lets time pass.
-func (c *testClock) pass(span micro.Time) {
+// advance lets time advance.
+func (c *testClock) advance(span micro.Time) {
 	c.mu.Lock()
 	c.now += span
 	c.mu.Unlock()
@@ -62,24 +62,24 @@
 // jumpAfter has the clock jump after so many looks at it.
 func (c *testClock) jumpAfter(looks int, by micro.Time) {
 	c.mu.Lock()
-	c.looks, c.jump = looks, by
+	c.readsLeft, c.jump = looks, by
 	c.mu.Unlock()
 }
 
-// step is an event of a test.
-type step struct {
+// awaitedEvent is an event of a test.
+type awaitedEvent struct {
 	run  func()
 	done chan struct{}
 }
 
 // Apply runs it.
-func (s step) Apply() {
+func (s awaitedEvent) Apply() {
 	s.run()
 	close(s.done)
 }
 
-// serveEvents has a loop take in events and do nothing else.
-func serveEvents(t *testing.T, loop *eventloop.Loop) {
+// runEventLoop has a loop take in events and do nothing else.
+func runEventLoop(t *testing.T, loop *eventloop.Loop) {
 	t.Helper()
 	t.Cleanup(loop.Stop)
 	go loop.Run(eventloop.Handlers{
@@ -89,7 +89,7 @@
 
 // runInLoop runs f as an event, and waits for it; false if the loop was stopped.
 func (l *controlLoop) runInLoop(f func()) bool {
-	s := step{f, make(chan struct{})}
+	s := awaitedEvent{f, make(chan struct{})}
 	l.loop.Post(s)
 	select {
 	case <-s.done:
@@ -99,10 +99,10 @@
 	}
 }
 
-// answerTo has an agent's heartbeat answered by the loop; something may happen between.
-func (l *controlLoop) answerTo(heartbeat *wire.Heartbeat, between func()) httpapi.Reply {
+// respondToHeartbeat has an agent's heartbeat answered by the loop; something may happen between.
+func (l *controlLoop) respondToHeartbeat(heartbeat *wire.Heartbeat, between func()) httpapi.Reply {
 	held, release := make(chan struct{}), make(chan struct{})
-	l.loop.Post(step{func() { close(held); <-release }, make(chan struct{})})
+	l.loop.Post(awaitedEvent{func() { close(held); <-release }, make(chan struct{})})
 	<-held
 	reply := make(chan httpapi.Reply, 1)
 	go func() { reply <- l.handleHeartbeat(heartbeat) }()
@@ -114,13 +114,13 @@
 	return <-reply
 }
 
-// answered is the status of the loop's answer to an agent's heartbeat.
-func (l *controlLoop) answered(agent *fake.Agent) int {
-	return l.answerTo(agent.Heartbeat(), func() {}).Status
+// heartbeatStatus is the status of the loop's answer to an agent's heartbeat.
+func (l *controlLoop) heartbeatStatus(agent *fake.Agent) int {
+	return l.respondToHeartbeat(agent.Heartbeat(), func() {}).Status
 }
 
-// guardedOwner makes the loop of a shard's owner whose lease holds. The test makes it tick.
-func guardedOwner(t *testing.T, commit func() error) *ShardOwner {
+// newGuardedOwner makes the loop of a shard's owner whose lease holds. The test makes it tick.
+func newGuardedOwner(t *testing.T, commit func() error) *ShardOwner {
 	t.Helper()
 	node, kill := newTestCluster(t).startNodeWith("n-1", func(n *Node) {
 		n.Store = interceptedStore{n.Store, func(wire.Transaction) error { return commit() }}
@@ -133,7 +133,7 @@
 		State: shard.Owned, Owner: self, Selector: shard.Selector{Zone: "a"}, OwnerChanges: 1,
 	}}
 	owner := newShardOwner(node, entry, term, self)
-	serveEvents(t, owner.loop)
+	runEventLoop(t, owner.loop)
 	return owner
 }
 
@@ -147,8 +147,8 @@
 	shardRecordObserved{o, shard.Entry{Name: "gpus", Version: 10, Record: moving}, true}.Apply()
 }
 
-// awaitTransferAnswer waits until the loop has taken in what came of a transfer.
-func (o *ShardOwner) awaitTransferAnswer(t *testing.T) {
+// awaitTransferResult waits until the loop has taken in what came of a transfer.
+func (o *ShardOwner) awaitTransferResult(t *testing.T) {
 	t.Helper()
 	waitUntil(t, "the answer to the transfer", func() bool {
 		inFlight := false
@@ -183,7 +183,7 @@
 	l := newLeader(node, election.NewTerm(5, clock.now+leaseSpan))
 	l.cluster.SetCatalog(node.catalog.Load())
 	node.leader.Store(l)
-	serveEvents(t, l.loop)
+	runEventLoop(t, l.loop)
 	return &guardedLeader{l, clock, env.store}
 }
 
@@ -195,26 +195,26 @@
 	return l.cluster.Jobs["j-1"]
 }
 
-// allocated adds a job of one task with an allocation on a machine of a zone, whose start
+// addAllocatedJob adds a job of one task with an allocation on a machine of a zone, whose start
 // may have gone out.
-func (l *guardedLeader) allocated(zone string) (*cluster.Job, *cluster.Machine) {
+func (l *guardedLeader) addAllocatedJob(zone string) (*cluster.Job, *cluster.Machine) {
 	heartbeat := fake.NewAgent("i-1", "small", zone, 30*micro.Second).Heartbeat()
 	heartbeat.FencingToken = wire.Count(l.dispatcher.FencingToken())
-	l.answerTo(heartbeat, func() {})
+	l.respondToHeartbeat(heartbeat, func() {})
 	job, machine := l.addGuardedJob(), l.cluster.Machines["i-1"]
 	l.cluster.Allocate(job, 0, machine, 1, 1, l.node.Now())
 	l.cluster.ChunkPersisted(job.Chunk(0), job.Chunk(0).MemoryVersion)
 	return job, machine
 }
 
-// writesEnd reports whether the end of job j-1 is to be written.
-func (l *guardedLeader) writesEnd() bool {
+// finalStatusPending reports whether the end of job j-1 is to be written.
+func (l *guardedLeader) finalStatusPending() bool {
 	record := l.records.Lookup(keys.JobEnd("j-1"))
 	return record != nil && record.Dirty()
 }
 
-// proxyStatus is the answer to a lease proxy of zone b.
-func (l *guardedLeader) proxyStatus() int {
+// leaseProxyStatus is the answer to a lease proxy of zone b.
+func (l *guardedLeader) leaseProxyStatus() int {
 	status, _ := l.node.handleLeaseProxy(wire.MustMarshal(leasekeeper.Request{Node: "n-2"}))
 	return status
 }
@@ -249,8 +249,8 @@
 	}
 }
 
-// assigned adds job j-1, as a failover reads it that finds it assigned to the shard.
-func (l *guardedLeader) assigned(t *testing.T) *cluster.Job {
+// restoreAssignedJob adds job j-1, as a failover reads it that finds it restoreAssignedJob to the shard.
+func (l *guardedLeader) restoreAssignedJob(t *testing.T) *cluster.Job {
 	t.Helper()
 	job := l.addGuardedJob()
 	assignments, ok := l.coordinator.RecoverAssignments(
@@ -270,9 +270,9 @@
 	return job
 }
 
-// assignmentToStop reports whether the assignment of job j-1 is to be stored as one whose
+// stopRequestPending reports whether the assignment of job j-1 is to be stored as one whose
 // tasks are to be stopped.
-func (l *guardedLeader) assignmentToStop() bool {
+func (l *guardedLeader) stopRequestPending() bool {
 	record := l.records.Lookup(shard.AssignmentKey("gpus", "j-1"))
 	value, _ := record.Build()
 	assignment, ok := value.(shard.Assignment)
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -73,7 +73,7 @@
 // that keeps the agents from it. So the lead went round, twice to each node, before one
 // stayed: 50 to 97 s with three to five nodes, in which no term was long enough to prove the
 // leases of the dead machines expired.
-func TestLeadDoesNotGoRoundWhereAllMachinesDied(t *testing.T) {
+func TestLeaderStaysWhenAllMachinesDie(t *testing.T) {
 	for _, nodes := range []int{3, 4, 5} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			t.Parallel()
@@ -102,7 +102,7 @@
 //
 // What happened: the owner told the leader that no agent reached it, and the leader moved the shard
 // twice, for the same reason: neither asked whether agents looked for the owner elsewhere.
-func TestShardDoesNotGoRoundWhereAllItsMachinesDied(t *testing.T) {
+func TestShardIsNotMovedWhenAllItsMachinesDie(t *testing.T) {
 	runShardScenario(t, 3, 3, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
 		const tasks = teamMaxCPUs / 4
@@ -135,11 +135,11 @@
 // timeouts went by before that, beyond the time in which one that no agent reaches hands over; the
 // next leader, cut off as well, took as long. Seen in CI: TestNodeThatAgentsReachComesToLead, seed 5,
 // in 34 of 800 runs, "never: the node that workers reach leads".
-func TestLeaderHandsOverThoughAgentsTryAnotherCutNodeFirst(t *testing.T) {
+func TestLeaderHandsOverWhenAgentsTryAnotherPartitionedNodeFirst(t *testing.T) {
 	runSeeds(t, 8, 3, func(sim *simCluster) {
-		sim.fillZone("a", 4)
+		sim.runServiceInZone("a", 4)
 		leader, _ := sim.waitForRestoredLeader()
-		reached := sim.lastTriedAfter(leader)
+		reached := sim.lastNodeTriedAfter(leader)
 		cutAt := sim.now()
 		for _, controller := range sim.otherControllers(reached) {
 			sim.partitionNode(controller, 3*micro.Minute, "workers")
@@ -153,8 +153,8 @@
 	})
 }
 
-// lastTriedAfter is the node to which agents come last that get no answer from a node.
-func (w *simCluster) lastTriedAfter(controller *controllerProcess) *controllerProcess {
+// lastNodeTriedAfter is the node to which agents come last that get no answer from a node.
+func (w *simCluster) lastNodeTriedAfter(controller *controllerProcess) *controllerProcess {
 	for i, other := range w.controllers {
 		if other == controller {
 			return w.controllers[(i+len(w.controllers)-1)%len(w.controllers)]
@@ -167,11 +167,11 @@
 // Agents that can open no connection to any controller answer what is sent to them, also by the leader:
 // no other node would hear them either. A first version of the probes took a peer's for a sign that
 // the leader is cut off, and handed over.
-func TestLeaderStaysWhereAgentsReachNoController(t *testing.T) {
+func TestLeaderStaysWhenAgentsReachNoController(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			runSeeds(t, 4, nodes, func(sim *simCluster) {
-				sim.fillZone("a", 4)
+				sim.runServiceInZone("a", 4)
 				sim.waitForRestoredLeader()
 				term := sim.currentTerm()
 				for _, machine := range sim.liveMachines() {
@@ -191,10 +191,10 @@
 // What happened: a machine that goes on answered a peer's probe at once, and reached the leader only a second
 // later, once it had given up the heartbeat that it was waiting for. A probe in between showed a live agent, and
 // the leader handed over though every agent reaches it.
-func TestLeadStaysWhereAllMachinesHangForAWhile(t *testing.T) {
+func TestLeaderStaysWhenAllMachinesHangTemporarily(t *testing.T) {
 	const hang = 12 * micro.Second
 	runSeeds(t, 16, 3, func(sim *simCluster) {
-		sim.fillZone("a", 4)
+		sim.runServiceInZone("a", 4)
 		sim.waitForRestoredLeader()
 		sim.sleep(10 * micro.Second)
 		term := sim.currentTerm()
@@ -212,9 +212,9 @@
 //
 // What happened: only a sweep, every half second, took note of the contact, and a peer whose probes are not all
 // answered takes 300 ms. So the leader handed over though an agent has reached it meanwhile.
-func TestLeaderThatAnAgentReachedSinceItAskedStays(t *testing.T) {
+func TestReferralAnswerIsIgnoredOnceAnAgentReachedTheLeader(t *testing.T) {
 	runSeeds(t, 1, 3, func(sim *simCluster) {
-		sim.fillZone("a", 4)
+		sim.runServiceInZone("a", 4)
 		leader, _ := sim.waitForRestoredLeader()
 		loop := leader.runningNode().activeLeader()
 		wentOn := 0
@@ -247,7 +247,7 @@
 //
 // What would happen without probes: the owner does not say that no agent reaches it until agents have waited out
 // their timeouts at both nodes, and come to the third.
-func TestShardMovesThoughAgentsTryAnotherCutNodeFirst(t *testing.T) {
+func TestShardIsMovedWhenAgentsTryAnotherPartitionedNodeFirst(t *testing.T) {
 	runShardScenario(t, 4, 3, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
 		owner := sim.controllers[2]
@@ -255,7 +255,7 @@
 		sim.waitRunning(service, 4)
 		sim.sleep(10 * micro.Second) // what was requested beside is up
 		before, _ := sim.shardRecord()
-		for _, controller := range sim.otherControllers(sim.lastTriedAfter(owner)) {
+		for _, controller := range sim.otherControllers(sim.lastNodeTriedAfter(owner)) {
 			sim.partitionNode(controller, 3*micro.Minute, "workers")
 		}
 		movedWithin := sim.handoverBound() + statusUpdateInterval
--- a/internal/controller/isolation_test.go
+++ b/internal/controller/isolation_test.go
@@ -85,9 +85,9 @@
 // Fault: two of three nodes, one of them the leader, are cut off from all agents,
 // and reach the store and each other. The third one, which the agents reach, comes
 // to lead once each of the two has tried at most once.
-func TestNodeThatAgentsReachComesToLead(t *testing.T) {
+func TestNodeReachedByAgentsBecomesLeader(t *testing.T) {
 	runSeeds(t, 16, 3, func(sim *simCluster) {
-		job := sim.fillZone("a", 4)
+		job := sim.runServiceInZone("a", 4)
 		leader, followers := sim.waitForRestoredLeader()
 		reached := followers[sim.randomInt(2)]
 		cut := sim.otherControllers(reached)
@@ -129,7 +129,7 @@
 				runSeeds(t, 3, test.nodes, func(sim *simCluster) {
 					// Fewer machines than it takes for the old leader to hand over for
 					// hearing none: only its right is to keep it from answering.
-					job := sim.fillZone("a", 1)
+					job := sim.runServiceInZone("a", 1)
 					leader, followers := sim.waitForRestoredLeader()
 					silent := append([]*controllerProcess{leader}, followers[:test.silent-1]...)
 					rest := sim.otherControllers(silent...)
@@ -180,12 +180,12 @@
 // Fault: the store refuses the leader alone, for longer than an agent's lease, while
 // peers, agents and users reach it. Another node leads, tasks run on, and users are
 // served through every node, the refused one included.
-func TestStoreRefusesTheLeaderAloneBeyondALease(t *testing.T) {
+func TestAnotherNodeLeadsWhenTheStoreRefusesTheLeaderBeyondALease(t *testing.T) {
 	const refusedFor = 70 * micro.Second
 	for _, nodes := range []int{3, 5} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			runSeeds(t, 4, nodes, func(sim *simCluster) {
-				job := sim.fillZone("a", 3)
+				job := sim.runServiceInZone("a", 3)
 				refused, followers := sim.waitForRestoredLeader()
 				from := sim.now()
 				sim.refuseNode(refused, refusedFor)
--- a/internal/controller/leader_faults_test.go
+++ b/internal/controller/leader_faults_test.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// fillZone submits a service, a machine a task in one zone, and waits until it runs.
+// runServiceInZone submits a service, a machine a task in one zone, and waits until it runs.
 // Of three nodes, zone a has two, which keep its leases in a cut, and b has one,
 // which does not.
-func (w *simCluster) fillZone(zone string, tasks int) *userJob {
+func (w *simCluster) runServiceInZone(zone string, tasks int) *userJob {
 	w.t.Helper()
 	job := w.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4, zone: zone}).submit()
 	w.waitRunning(job, tasks)
@@ -41,8 +41,8 @@
 	w.waitUntil(job.id+" runs", 90*micro.Second, func() bool { return job.runningTasks() == tasks })
 }
 
-// idleMachines makes a machine in each of these zones that is up and empty.
-func (w *simCluster) idleMachines(zones ...string) []*fakeMachine {
+// startIdleMachines makes a machine in each of these zones that is up and empty.
+func (w *simCluster) startIdleMachines(zones ...string) []*fakeMachine {
 	w.t.Helper()
 	var out []*fakeMachine
 	var jobs []*userJob
@@ -70,8 +70,8 @@
 // team's capacity went to another job, and the start arrived.
 func TestStartDelayedBeyondACancellationKeepsItsTeamsQuota(t *testing.T) {
 	runSeeds(t, 4, 3, func(sim *simCluster) {
-		sim.fillZone("a", 3)
-		machine := sim.idleMachines("a", "b")[0]
+		sim.runServiceInZone("a", 3)
+		machine := sim.startIdleMachines("a", "b")[0]
 		machine.holdDispatch()
 		machine.loseResponses(10 * micro.Second)
 		delayed := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "a"}).submit()
@@ -98,7 +98,7 @@
 		t.Run(duration.Duration().String(), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 1, 3, nil, func(sim *simCluster) {
-				full := sim.fillZone("a", 4)
+				full := sim.runServiceInZone("a", 4)
 				machine := full.machines()[0]
 				machine.hang(duration)
 				go full.cancel()
@@ -121,7 +121,7 @@
 	for _, changes := range []bool{false, true} {
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
 			runSeeds(t, 3, 3, func(sim *simCluster) {
-				long, short := sim.fillZone("b", 3), sim.fillZone("b", 1)
+				long, short := sim.runServiceInZone("b", 3), sim.runServiceInZone("b", 1)
 				partitioned := append(long.machines()[:2], short.machines()...)
 				for _, machine := range partitioned {
 					machine.loseHeartbeats(20 * micro.Second)
@@ -151,7 +151,7 @@
 	for _, changes := range []bool{false, true} {
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
 			runSeeds(t, 3, 3, func(sim *simCluster) {
-				job := sim.fillZone("b", 4)
+				job := sim.runServiceInZone("b", 4)
 				partitioned := job.machines()[:2]
 				for _, machine := range partitioned {
 					machine.loseHeartbeats(2 * micro.Minute)
@@ -176,13 +176,13 @@
 
 // All controllers ended, and one was back within a second: whoever had led, its
 // tasks are known, and those of the leader before are taken over at once.
-func TestOneControllerRestartsWithinASecondOfTheEndOfAll(t *testing.T) {
+func TestTasksContinueWhenOneControllerRestartsWithinASecondOfAllStopping(t *testing.T) {
 	for _, after := range []micro.Time{100, 300, 500, 700, 900} {
 		for _, led := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d ms, led %v", after, led), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 1, 3, nil, func(sim *simCluster) {
-					job := sim.fillZone("b", 4)
+					job := sim.runServiceInZone("b", 4)
 					leader, was := sim.leader(), sim.currentTerm()
 					back := leader
 					for _, controller := range sim.controllers {
@@ -216,12 +216,12 @@
 
 // All ended, one came back and ended again in mid-election: it had won, and never
 // knew. Back once more, it does not wait for the lease that it then took.
-func TestNodeThatEndedInMidElectionLeadsAtOnceAfterItsRestart(t *testing.T) {
+func TestNodeKilledDuringAnElectionLeadsAtOnceAfterItsRestart(t *testing.T) {
 	for _, after := range []micro.Time{100, 500, 900} {
 		t.Run(fmt.Sprintf("%d ms", after), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 1, 3, nil, func(sim *simCluster) {
-				job := sim.fillZone("b", 4)
+				job := sim.runServiceInZone("b", 4)
 				controller, was := sim.leader(), sim.currentTerm()
 				for _, controller := range sim.controllers {
 					sim.killController(controller)
@@ -286,7 +286,7 @@
 // them inside an outage: a start goes out only once the next leader can read of it.
 func TestTenLeadersInTwoMinutesStartNothingTwice(t *testing.T) {
 	runSeeds(t, 3, 3, func(sim *simCluster) {
-		long := sim.fillZone("b", 2)
+		long := sim.runServiceInZone("b", 2)
 		sim.sleep(90 * micro.Second) // the first leader has counted its token up
 		from := sim.now()
 		var jobs []*userJob
@@ -386,8 +386,8 @@
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
 			runSeeds(t, 2, 3, func(sim *simCluster) {
 				sim.startRecording()
-				sim.idleMachines("a") // it reports a while before it has a task
-				job := sim.fillZone("a", 1)
+				sim.startIdleMachines("a") // it reports a while before it has a task
+				job := sim.runServiceInZone("a", 1)
 				machine := job.machines()[0]
 				if changes {
 					sim.replaceLeader(5 * micro.Second)
@@ -408,11 +408,11 @@
 func TestStaleHeartbeatToANewLeaderReleasesNoCancelledTask(t *testing.T) {
 	runSeeds(t, 4, 3, func(sim *simCluster) {
 		sim.startRecording()
-		sim.idleMachines("b") // it reports a while before it has a task
-		job := sim.fillZone("b", 1)
+		sim.startIdleMachines("b") // it reports a while before it has a task
+		job := sim.runServiceInZone("b", 1)
 		machine := job.machines()[0]
-		sim.fillZone("a", 3)
-		sim.idleMachines("a") // ready for what is next
+		sim.runServiceInZone("a", 3)
+		sim.startIdleMachines("a") // ready for what is next
 		machine.isolate(20 * micro.Second)
 		job.cancel()
 		next := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "a"}).submit()
@@ -428,10 +428,10 @@
 
 // A machine died with a heartbeat on its way, which arrives once a new leader has
 // begun: it is no sign of life, and work that waits is not sent there.
-func TestHeartbeatDelayedUntilAnotherLeaderActsIsNoSignOfLife(t *testing.T) {
+func TestHeartbeatDelayedUntilAnotherLeaderActsIsNoLivenessProof(t *testing.T) {
 	runSeeds(t, 3, 3, func(sim *simCluster) {
 		sim.startRecording()
-		machine := sim.idleMachines("b")[0]
+		machine := sim.startIdleMachines("b")[0]
 		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b"})
 		machine.terminate()
 		sim.replaceLeader(5 * micro.Second)
@@ -455,7 +455,7 @@
 		t.Run(fmt.Sprint("another leader ", changes), func(t *testing.T) {
 			runSeeds(t, 3, 3, func(sim *simCluster) {
 				sim.startRecording()
-				job := sim.fillZone("b", 1)
+				job := sim.runServiceInZone("b", 1)
 				machine := job.machines()[0]
 				sim.sleep(5 * micro.Second)
 				machine.isolate(60 * micro.Second)
@@ -468,7 +468,7 @@
 				}
 				machine.replayHeartbeatWith(job)
 				from := sim.now()
-				sim.fillZone("a", 3)
+				sim.runServiceInZone("a", 3)
 				if took := sim.now() - from; !changes && took > 12*micro.Second {
 					sim.t.Errorf("the team's room was held for %v s by a task that is gone", took.Seconds())
 				}
@@ -486,8 +486,8 @@
 func TestHeartbeatOfAnEarlierEpochChangesNothing(t *testing.T) {
 	runSeeds(t, 2, 3, func(sim *simCluster) {
 		sim.startRecording()
-		sim.idleMachines("b", "b")
-		job := sim.fillZone("b", 2)
+		sim.startIdleMachines("b", "b")
+		job := sim.runServiceInZone("b", 2)
 		old := job.machines()
 		for _, machine := range old {
 			machine.isolate(36 * micro.Second)
@@ -546,12 +546,12 @@
 
 // All controllers were away for longer than the agents' leases, which killed
 // their tasks: each begins again, once.
-func TestAllControllersDownForLongerThanALease(t *testing.T) {
+func TestTasksRestartOnceAfterAllControllersWereDownBeyondALease(t *testing.T) {
 	for _, away := range []micro.Time{32, 45, 70} {
 		t.Run(fmt.Sprintf("%d s", away), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 1, 3, nil, func(sim *simCluster) {
-				job := sim.fillZone("a", 4)
+				job := sim.runServiceInZone("a", 4)
 				for _, controller := range sim.controllers {
 					sim.restartController(controller, away*micro.Second+micro.Time(sim.randomInt(900))*micro.Millisecond)
 				}
@@ -570,12 +570,12 @@
 // The leader ended while machines with long tasks could not be reached, or heard
 // no answer. The next one has heard nothing of them, and counts their leases from
 // its failover, since the last leader may have renewed them until then.
-func TestLeaderEndsWhileMachinesWithLongTasksAreUnreachable(t *testing.T) {
+func TestTasksOnUnreachableMachinesRunOnceAcrossAChangeOfLeader(t *testing.T) {
 	for what, cut := range map[string]func(*fakeMachine, micro.Time){"unreachable": (*fakeMachine).isolate, "deaf": (*fakeMachine).loseResponses} {
 		for _, zone := range []string{"a", "b"} {
 			t.Run(what+" in "+zone, func(t *testing.T) {
 				runSeeds(t, 3, 3, func(sim *simCluster) {
-					job := sim.fillZone(zone, 4)
+					job := sim.runServiceInZone(zone, 4)
 					for _, machine := range job.machines()[:2] {
 						cut(machine, 20*micro.Second)
 					}
--- a/internal/controller/lease_proxy_test.go
+++ b/internal/controller/lease_proxy_test.go
@@ -190,7 +190,7 @@
 
 // The end was written by what lease proxies might do if none was answered from then on;
 // yet they were answered until the leader's next look around, however late.
-func TestLeaseProxiesAreFencedFromWhenTheEndIsWritten(t *testing.T) {
+func TestLeaseProxiesAreFencedOnceTheFinalStatusMayBeWritten(t *testing.T) {
 	fleet := newFleet(t, 2)
 	cfg := fleet.leader.node.Cfg
 	cfg.Facts.Workers.CancelS, cfg.Facts.Zones = 50, []string{"a", "b"}
@@ -307,7 +307,7 @@
 
 // The leader ended while the other zone was cut off. Its zone's nodes took
 // themselves for cut off too, and hid half of the fleet from the next leader.
-func TestNodesWhoseOwnZonesLeaderEndedDoNotRenewLeases(t *testing.T) {
+func TestNodesDoNotRenewLeasesWhenTheLeaderOfTheirOwnZoneStopped(t *testing.T) {
 	env := newTestCluster(t)
 	leader, kill := env.startNodeWith("n-0", withLongLease)
 	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
--- a/internal/controller/lost_responses_test.go
+++ b/internal/controller/lost_responses_test.go
@@ -10,7 +10,7 @@
 // Fault: machines are deaf for longer than a lease, and the leader changes
 // meanwhile: their heartbeats arrive, answers and dispatched commands don't. Their tasks,
 // killed with their leases, run again elsewhere, none twice.
-func TestMachinesLosingResponsesBeyondALeaseAcrossAChangeOfLeader(t *testing.T) {
+func TestTasksOfMachinesLosingResponsesBeyondALeaseRestartOnce(t *testing.T) {
 	const (
 		deafFor = 140 * micro.Second
 		// A lease, and what detection and instance requests take.
@@ -24,7 +24,7 @@
 		for _, after := range []micro.Time{5 * micro.Second, 25 * micro.Second, 33 * micro.Second} {
 			t.Run(fmt.Sprintf("%d of 4 deaf, leader ends after %v s", deaf, after.Seconds()), func(t *testing.T) {
 				runSeeds(t, 2, 3, func(sim *simCluster) {
-					job := sim.fillZone("a", 4)
+					job := sim.runServiceInZone("a", 4)
 					machines := job.machines()[:deaf]
 					within := againWithin
 					if deaf == 4 {
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -40,7 +40,7 @@
 
 // A node was restarted in mid-election: its own campaign, sent by the process
 // that ended, took effect after the new one had begun.
-func TestNodeRestartedInMidElectionRecoversFromItsOwnLateCampaign(t *testing.T) {
+func TestNodeRestartedDuringAnElectionRecoversFromItsOwnLateCampaign(t *testing.T) {
 	env := newTestCluster(t)
 	env.store.HoldCommits(1)
 	_, kill := env.startNodeWith("n-0", withLongLease)
@@ -120,7 +120,7 @@
 
 // While the store was slow, a job was called done, and then pending by a node
 // that had looked for its end before it looked at its tasks.
-func TestEndThatComesDuringAReadIsSeen(t *testing.T) {
+func TestFinalStatusStoredDuringAReadIsReturned(t *testing.T) {
 	env := newTestCluster(t)
 	n, _ := env.startNodeWith("n-0", func(n *Node) { n.election.SuspendCampaign(10 * micro.Minute) })
 	if r := n.Submit(submission("j-1", wire.JobArray)); r.Status != 201 {
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -88,7 +88,7 @@
 
 // A job is cancelled at the leader, which has not heard yet that another node has
 // accepted it: that is no reason to call it unknown.
-func TestCancellationOfAJobUnknownToTheLeader(t *testing.T) {
+func TestCancellationSucceedsForAJobUnknownToTheLeader(t *testing.T) {
 	runScenario(t, 1, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
 		sim.partitionNode(others[0], 20*micro.Second, "peers") // it can't tell the leader
@@ -121,7 +121,7 @@
 
 // A leader that was cut from the store and the other nodes is asked, after its
 // jobs were cancelled through the next one.
-func TestFormerLeaderIsQueriedAboutWhatTheNextOneCancelled(t *testing.T) {
+func TestFormerLeaderReportsNoStaleStateOfJobsCancelledByTheNext(t *testing.T) {
 	runScenario(t, 1, 3, nil, func(sim *simCluster) {
 		old, others := sim.waitForRestoredLeader()
 		var jobs []*userJob
@@ -165,7 +165,7 @@
 
 // The end of a job is stored, and the leader gets no answer; a node that is cut
 // from the leader reads it there, and tells the user.
-func TestEndIsReadByOthersWhileItsWriteIsUnanswered(t *testing.T) {
+func TestFinalStatusIsConsistentWhileItsWriteIsUncertain(t *testing.T) {
 	for _, withdrawn := range []bool{false, true} {
 		t.Run(fmt.Sprint("withdrawn ", withdrawn), func(t *testing.T) {
 			runScenario(t, 2, 3, nil, func(sim *simCluster) {
@@ -199,7 +199,7 @@
 
 // The write of an end gets no answer, and is not there when it is looked for; the
 // next try is refused. Then the first is carried out, and read by another node.
-func TestEndIsCommittedLateAfterItsWriterLookedForIt(t *testing.T) {
+func TestFinalStatusIsConsistentWhenItsWriteIsExecutedLate(t *testing.T) {
 	runScenario(t, 3, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
 		reader := others[0]
@@ -355,7 +355,7 @@
 // Jobs are cancelled, asked for and submitted again at the end of their last task,
 // with no other trouble; the store and the agents take their usual time. Each has one end, and all
 // nodes name it for ever. The leader hears of the end by as much later as agents take.
-func TestCancellationMeetsTheEndOfTheLastTask(t *testing.T) {
+func TestJobHasOneFinalStatusWhenCancelledAsItsLastTaskEnds(t *testing.T) {
 	const agentLatency = 100 * micro.Millisecond
 	runScenario(t, 6, 3, nil, func(sim *simCluster) {
 		sim.waitForRestoredLeader()
@@ -413,7 +413,7 @@
 
 // Users look closely at whatever was just accepted, has ended or was cancelled,
 // while answers to writes are lost and the leader changes.
-func TestUsersQueryRapidlyWhileAnswersAreLostAndLeadersChange(t *testing.T) {
+func TestStatusStaysConsistentWhileResponsesAreLostAndLeadersChange(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/controller/zone_cut_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -36,9 +36,9 @@
 	return out
 }
 
-// fillOneZone submits a service that may run anywhere, a machine a task, and waits
+// runServiceInAnyZone submits a service that may run anywhere, a machine a task, and waits
 // until it runs in one zone, which it names.
-func (w *simCluster) fillOneZone(tasks int) (*userJob, string) {
+func (w *simCluster) runServiceInAnyZone(tasks int) (*userJob, string) {
 	w.t.Helper()
 	job := w.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4}).submit()
 	w.waitRunning(job, tasks)
@@ -51,9 +51,9 @@
 	return job, zone
 }
 
-// fillBothZones holds a machine in either zone, so that in a cut the leader outside
+// runServiceInBothZones holds a machine in either zone, so that in a cut the leader outside
 // still hears one.
-func (w *simCluster) fillBothZones() {
+func (w *simCluster) runServiceInBothZones() {
 	w.t.Helper()
 	for _, z := range []string{"a", "b"} {
 		w.waitRunning(w.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: z, team: "other"}).submit(), 1)
@@ -97,19 +97,19 @@
 // Fault: a zone with controllers is cut off for longer than its lease proxies may renew
 // leases. Its tasks, killed there with their leases, run again elsewhere, none
 // twice, and once the cut is over the zone serves again.
-func TestZonePartitionedBeyondTheRenewalSpan(t *testing.T) {
+func TestTasksOfAZonePartitionedBeyondTheRenewalSpanRestartElsewhere(t *testing.T) {
 	for _, outside := range []bool{true, false} {
 		t.Run(fmt.Sprint("machines outside ", outside), func(t *testing.T) {
-			runSeeds(t, 4, 5, func(sim *simCluster) { runZoneCutBeyondRenewalSpan(sim, outside) })
+			runSeeds(t, 4, 5, func(sim *simCluster) { runZonePartitionBeyondRenewalSpan(sim, outside) })
 		})
 	}
 }
 
-func runZoneCutBeyondRenewalSpan(sim *simCluster, outside bool) {
-	job, zone := sim.fillOneZone(4)
+func runZonePartitionBeyondRenewalSpan(sim *simCluster, outside bool) {
+	job, zone := sim.runServiceInAnyZone(4)
 	most := sim.renewalBound() + sim.rescheduleBound()
 	if outside {
-		sim.fillBothZones()
+		sim.runServiceInBothZones()
 	} else {
 		// No leader outside hears an agent: each hands over in vain before one stays,
 		// and counts what lease proxies may have renewed from its failover.
@@ -145,7 +145,7 @@
 // one, outside too, does not know when the lease proxies inside were last answered, and
 // counts what they may have renewed from its failover: for short cuts the tasks run
 // on, for long ones they run again elsewhere, none twice.
-func TestLeaderEndsWhileProxiesRenewInAPartitionedZone(t *testing.T) {
+func TestTasksRunOnceWhenTheLeaderStopsWhileProxiesRenewLeases(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		lasts micro.Time
@@ -154,8 +154,8 @@
 		for _, after := range []micro.Time{6 * micro.Second, 20 * micro.Second} {
 			t.Run(fmt.Sprintf("%s, leader ends after %v s", test.name, after.Seconds()), func(t *testing.T) {
 				runSeeds(t, 3, 5, func(sim *simCluster) {
-					job, zone := sim.fillOneZone(4) // all that the team may have
-					sim.fillBothZones()
+					job, zone := sim.runServiceInAnyZone(4) // all that the team may have
+					sim.runServiceInBothZones()
 					was := sim.ensureLeaderOutside(zone)
 					sim.sleep(10 * micro.Second) // lease proxies are in touch with it
 					from := sim.now()
@@ -208,7 +208,7 @@
 	runSeeds(t, 4, 5, func(sim *simCluster) {
 		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 4, cpus: 2, zone: "b"}).submit()
 		sim.waitRunning(job, 4)
-		sim.fillBothZones()
+		sim.runServiceInBothZones()
 		sim.failOverOutside("b", func() bool { return sim.now()%leasekeeper.RequestInterval > leasekeeper.RequestInterval-firstMoments })
 		sim.sleep(2 * firstMoments) // lease proxies have asked the new leader once
 		sim.partitionZone("b", cut)
