--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -14,40 +14,41 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Meetings of a cancellation with other troubles. The checker fails a scenario by
-// itself when a task of a job is there cancel_s after its user was told.
+// Tests of cancellations combined with other faults. The checker fails a scenario when a task of a cancelled job
+// still exists cancel_s after the cancellation was reported to its user.
 
-// cancelSpan is the time that tasks have after their user was told.
+// cancelSpan is the time within which all tasks of a cancelled job must be gone, counted from when the
+// cancellation was reported to its user.
 const cancelSpan = cancelS * micro.Second
 
-// endlessRun is a run that no scenario sees the end of.
+// endlessRun is a task run time that exceeds the length of every scenario.
 const endlessRun = 10 * micro.Minute
 
 // submitAndWaitRunning submits a job and waits until all its tasks run.
 func (w *simCluster) submitAndWaitRunning(request jobRequest) *userJob {
 	w.t.Helper()
 	job := w.newJob(request).submit()
-	w.waitUntil(job.id+" runs", 2*micro.Minute, func() bool { return job.runningTasks() == max(request.tasks, 1) })
+	w.waitUntil(job.id+" running", 2*micro.Minute, func() bool { return job.runningTasks() == max(request.tasks, 1) })
 	return job
 }
 
-// randomTime draws a span of time.
+// randomTime returns a random duration from least to most.
 func (w *simCluster) randomTime(least, most micro.Time) micro.Time {
 	return micro.FromSeconds(w.randomDuration(least, most).Seconds())
 }
 
-// holdsLease reports whether the node has the leadership lease.
+// holdsLease reports whether the node runs and holds the leadership lease.
 func (p *controllerProcess) holdsLease() bool {
 	n := p.runningNode()
 	return n != nil && n.activeLeader() != nil
 }
 
-// waitForNextLeader waits until another node than the old leader leads, whatever that one
-// takes itself for.
+// waitForNextLeader waits until a node other than the old leader holds the lease, and returns it. The old leader
+// may still consider itself the leader.
 func (w *simCluster) waitForNextLeader(old *controllerProcess) *controllerProcess {
 	w.t.Helper()
 	var next *controllerProcess
-	w.waitUntil("another leads", 15*micro.Second, func() bool {
+	w.waitUntil("another node leads", 15*micro.Second, func() bool {
 		for _, controller := range w.controllers {
 			if controller != old && controller.holdsLease() {
 				next = controller
@@ -58,9 +59,9 @@
 	return next
 }
 
-// outageBeyondCancelSpan takes the store from all nodes for longer than the tasks of cancelled
-// jobs have, so soon after their users were told, and goes on until that time is
-// over for each of them.
+// outageBeyondCancelSpan makes the store unavailable to all nodes for longer than cancelSpan and returns once
+// cancelSpan is over for each of the cancelled jobs. It fails the test if the outage starts more than maxDelay
+// after a cancellation was reported, or if tasks outlive their bound.
 func (w *simCluster) outageBeyondCancelSpan(maxDelay micro.Time, jobs ...*userJob) {
 	w.t.Helper()
 	from := w.now()
@@ -70,11 +71,12 @@
 		at, _, _, ok := job.abortReport()
 		if !ok || from-at > maxDelay || from+outageSpan < at+cancelSpan+micro.Second {
 			w.t.Fatalf(
-				"%s: told at %v (%v), the outage lasts from %v to %v: they don't meet", job.id, at, ok, from, from+outageSpan,
+				"%s: cancellation reported at %v (%v), outage from %v to %v: too late or too short", job.id, at, ok, from,
+				from+outageSpan,
 			)
 		}
-		// Without lease proxies the bound is a narrower one: see the design, "The bound
-		// for cancellations".
+		// Without lease proxies the bound is tighter: see the design, "The bound for
+		// cancellations".
 		bound, last := cancelSpan, at
 		if w.config.LeaseProxyFactor == 0 {
 			bound = w.config.MaxCancelledTaskLife()
@@ -86,29 +88,30 @@
 			w.sleep(100 * micro.Millisecond)
 		}
 		w.t.Logf(
-			"%s: its tasks went %.1f s after its user was told, at most %.1f s are allowed", job.id, (last - at).Seconds(),
+			"%s: last task gone %.1f s after the cancellation was reported, limit %.1f s", job.id, (last - at).Seconds(),
 			bound.Seconds(),
 		)
 		if last > at+bound {
 			w.t.Errorf(
-				"%s: tasks were there %.1f s after its user was told, at most %.1f s are allowed", job.id, (last - at).Seconds(),
+				"%s: tasks still existed %.1f s after the cancellation was reported, limit %.1f s", job.id, (last - at).Seconds(),
 				bound.Seconds(),
 			)
 		}
 	}
 }
 
-// checkRecovery sees that a job is served once all troubles are over.
+// checkRecovery checks that a new job runs to completion once all faults are over.
 func (w *simCluster) checkRecovery() {
 	w.t.Helper()
-	w.waitUntil("calm", 5*micro.Minute, w.noActiveFaults)
+	w.waitUntil("no active faults", 5*micro.Minute, w.noActiveFaults)
 	job := w.newJob(
 		jobRequest{kind: wire.JobArray, tasks: 1, runTime: 2 * micro.Second, priority: wire.Production},
 	).submit()
 	go job.watchUntilFinal()
-	w.waitUntil("served again", 90*micro.Second, func() bool { return job.knowledge().done })
+	w.waitUntil("a new job done", 90*micro.Second, func() bool { return job.knowledge().done })
 }
 
+// runCaseWithSeeds runs a scenario as parallel subtests of a table's case, one for each seed from 1 to seeds.
 func runCaseWithSeeds(t *testing.T, seeds uint64, name string, scenario func(t *testing.T, seed uint64)) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprintf("%s/seed %d", name, seed), func(t *testing.T) {
@@ -118,95 +121,95 @@
 	}
 }
 
-// The store refused the leader alone, another node led and told users that
-// their jobs are cancelled, and then the service was down for all. The agents had
-// reported to the old leader all the time: had that gone on answering after its
-// right lapsed, the tasks would have run on through the whole outage. Where a zone
-// has no lease proxies the end is written while the tasks run; else they are gone before.
+// The store refuses only the leader, another node takes over and reports cancellations to users, and then the
+// store is unavailable to all nodes. The agents send heartbeats to the old leader all the time: if it answered
+// them after its lease had expired, the tasks would run on through the whole outage. In a zone without lease
+// proxies the final status is written while the tasks still run; otherwise they are gone before.
 func TestTasksStopInTimeWhenTheNextLeaderCancelsBeforeAnOutage(t *testing.T) {
 	service, array := jobRequest{kind: wire.Service, tasks: 3}, jobRequest{
 		kind: wire.JobArray, tasks: 3, runTime: endlessRun,
 	}
 	gang := jobRequest{kind: wire.Gang, tasks: 3, runTime: endlessRun}
 	inB := func(request jobRequest) jobRequest { request.zone = "b"; return request }
-	const within, after = "within", "after"
+	const refusal, takeover = "within", "after"
 	const some, none, either = "some", "none", "either"
 	for _, test := range []struct {
-		name    string
-		nodes   int
-		keepers bool
-		o       jobRequest
-		when    string // the cancellation is first sent within the refusal, or once another leads
-		far     bool   // no agent hears the next leader
-		trouble func(sim *simCluster, machine *fakeMachine)
-		left    string // which tasks run when the user is told
+		name              string
+		nodes             int
+		leaseProxies      bool
+		spec              jobRequest
+		cancelAt          string // first sent during the refusal, or once another node leads
+		agentsPartitioned bool   // agents cannot reach the next leader
+		machineFault      func(sim *simCluster, machine *fakeMachine)
+		wantRemaining     string // whether tasks still exist when the cancellation is reported
 	}{
-		{"service", 3, false, service, after, true, nil, some},
-		{"array", 3, false, array, after, true, nil, some},
-		{"gang", 3, false, gang, after, true, nil, some},
-		{"sent within the refusal", 3, false, service, within, true, nil, either},
-		{"five nodes", 5, false, array, after, true, nil, some},
-		{"zone of one node, others with keepers", 3, true, inB(service), after, true, nil, some},
-		{"gang in a zone of one node", 3, true, inB(gang), within, true, nil, either},
-		{"deaf", 3, false, service, after, false, func(sim *simCluster, machine *fakeMachine) {
+		{"service", 3, false, service, takeover, true, nil, some},
+		{"array", 3, false, array, takeover, true, nil, some},
+		{"gang", 3, false, gang, takeover, true, nil, some},
+		{"cancelled during the refusal", 3, false, service, refusal, true, nil, either},
+		{"five nodes", 5, false, array, takeover, true, nil, some},
+		{"no proxy in the zone, lease proxies elsewhere", 3, true, inB(service), takeover, true, nil, some},
+		{"no proxy in the zone, gang", 3, true, inB(gang), refusal, true, nil, either},
+		{"responses lost", 3, false, service, takeover, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.loseResponses(sim.randomTime(10*micro.Second, 25*micro.Second))
 		}, some},
-		{"mute", 3, false, array, after, false, func(sim *simCluster, machine *fakeMachine) {
+		{"heartbeats lost", 3, false, array, takeover, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.loseHeartbeats(sim.randomTime(10*micro.Second, 60*micro.Second))
 		}, some},
-		{"deaf and mute", 3, false, gang, after, false, func(sim *simCluster, machine *fakeMachine) {
+		{"heartbeats and responses lost", 3, false, gang, takeover, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.loseResponses(micro.Minute)
 			machine.loseHeartbeats(micro.Minute)
 		}, some},
-		{"hung, goes on within its lease", 3, false, service, after, false, func(sim *simCluster, machine *fakeMachine) {
+		{"machines hang within their lease", 3, false, service, takeover, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.hang(sim.randomTime(8*micro.Second, 16*micro.Second))
 		}, some},
-		{"hung, in a zone of one node", 3, true, inB(array), after, false, func(sim *simCluster, machine *fakeMachine) {
+		{"no proxy, machines hang", 3, true, inB(array), takeover, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.hang(sim.randomTime(8*micro.Second, 16*micro.Second))
 		}, some},
-		{"keepers", 4, true, service, after, false, nil, none},
-		{"keepers, five nodes", 5, true, gang, within, false, nil, none},
-		{"keepers and deaf", 4, true, array, after, false, func(sim *simCluster, machine *fakeMachine) {
+		{"lease proxies", 4, true, service, takeover, false, nil, none},
+		{"lease proxies, five nodes", 5, true, gang, refusal, false, nil, none},
+		{"lease proxies, responses lost", 4, true, array, takeover, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.loseResponses(sim.randomTime(10*micro.Second, 25*micro.Second))
 		}, none},
-		{"keepers and hung", 4, true, service, within, false, func(sim *simCluster, machine *fakeMachine) {
+		{"lease proxies, machines hang", 4, true, service, refusal, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.hang(sim.randomTime(8*micro.Second, 16*micro.Second))
 		}, none},
 	} {
 		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
-				if !test.keepers {
+				if !test.leaseProxies {
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
-				job := sim.submitAndWaitRunning(test.o)
+				job := sim.submitAndWaitRunning(test.spec)
 				sim.sleep(sim.randomTime(0, 5*micro.Second))
 				old := sim.leader()
 				sim.refuseNode(old, 2*micro.Minute)
-				if test.when == within {
+				if test.cancelAt == refusal {
 					sim.sleep(sim.randomTime(0, 2*micro.Second))
 					go job.cancel()
 				}
 				next := sim.waitForNextLeader(old)
-				led := sim.now()
-				if test.far {
+				takeoverAt := sim.now()
+				if test.agentsPartitioned {
 					sim.partitionNode(next, 80*micro.Second, "workers")
 				}
-				if test.trouble != nil {
+				if test.machineFault != nil {
 					for _, machine := range job.machines() {
-						test.trouble(sim, machine)
+						test.machineFault(sim, machine)
 					}
 				}
-				if test.when == after {
+				if test.cancelAt == takeover {
 					sim.sleep(sim.randomTime(0, micro.Second))
 					go job.cancel()
 				}
-				sim.waitUntil("told", 70*micro.Second, func() bool { return job.knowledge().aborted })
-				at, by, remaining, _ := job.abortReport()
-				if at < led-50*micro.Millisecond || !next.holdsLease() || test.left == none && remaining > 0 ||
-					test.left == some && remaining == 0 {
+				sim.waitUntil("cancellation reported", 70*micro.Second, func() bool { return job.knowledge().aborted })
+				reportedAt, reporter, remaining, _ := job.abortReport()
+				if reportedAt < takeoverAt-50*micro.Millisecond || !next.holdsLease() ||
+					test.wantRemaining == none && remaining > 0 || test.wantRemaining == some && remaining == 0 {
 					t.Fatalf(
-						"another led at %v; told at %v by %s with %d tasks, which was to be with %s", led, at, by, remaining, test.left,
+						"next leader at %v; cancellation reported at %v by %s with %d tasks remaining, want %s", takeoverAt, reportedAt,
+						reporter, remaining, test.wantRemaining,
 					)
 				}
 				sim.sleep(sim.randomTime(0, micro.Second))
@@ -217,36 +220,36 @@
 	}
 }
 
-// storeRefusalCases are the ways in which a refusal of the leader by the store ends.
+// storeRefusalCases lists the ways in which a refusal of the leader by the store ends.
 var storeRefusalCases = []struct {
-	name    string
-	nodes   int
-	keepers bool
-	refused micro.Time
-	same    bool // the same term goes on
-	slow    micro.Time
-	lost    float64
-	trouble func(sim *simCluster, machine *fakeMachine)
-	met     []string // what came about in one of the simulations at least
+	name              string
+	nodes             int
+	leaseProxies      bool
+	refusalSpan       micro.Time
+	sameTerm          bool // the same term continues after the outage
+	storeDelay        micro.Time
+	lostResponseRatio float64
+	machineFault      func(sim *simCluster, machine *fakeMachine)
+	wantOutcomes      []string // each must occur in at least one simulation of the case
 }{
 	{"short refusal", 3, false, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
-	{"short refusal, keepers", 4, true, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
+	{"short refusal, lease proxies", 4, true, 2 * micro.Second, true, 0, 0, nil, []string{"told"}},
 	{"long refusal", 3, false, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
-	{"long refusal, keepers", 5, true, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
-	{"machines deaf", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+	{"long refusal, lease proxies", 5, true, 100 * micro.Second, false, 0, 0, nil, []string{"told"}},
+	{"machines lose responses", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
 		machine.loseResponses(sim.randomTime(5*micro.Second, 75*micro.Second))
 	}, []string{"told", "running"}},
-	{"machines mute", 3, false, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+	{"machines lose heartbeats", 3, false, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
 		machine.loseHeartbeats(sim.randomTime(5*micro.Second, 75*micro.Second))
 	}, []string{"told"}},
-	{"machines hung", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+	{"machines hang", 3, false, 2 * micro.Second, true, 0, 0, func(sim *simCluster, machine *fakeMachine) {
 		machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
 	}, []string{"told", "running"}},
-	{"machines hung, keepers", 4, true, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
+	{"machines hang, proxies", 4, true, 100 * micro.Second, false, 0, 0, func(sim *simCluster, machine *fakeMachine) {
 		machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
 	}, []string{"not told"}},
 	{
-		"a renewal is answered after the refusal",
+		"lease renewal answered after the refusal starts",
 		3,
 		false,
 		100 * micro.Second,
@@ -258,15 +261,15 @@
 		},
 		[]string{"told", "running", "renewed"},
 	},
-	{"answers lost", 3, false, 2 * micro.Second, true, 0, 0.7, func(sim *simCluster, machine *fakeMachine) {
+	{"store responses lost", 3, false, 2 * micro.Second, true, 0, 0.7, func(sim *simCluster, machine *fakeMachine) {
 		machine.loseResponses(sim.randomTime(5*micro.Second, 20*micro.Second))
 	}, []string{"told", "running", "told by another"}},
 }
 
-// Jobs were cancelled at the very moment at which the store refused the
-// leader alone, and a second later it was out for all. Some users were told in
-// between, before another could lead. Where the refusal is shorter than the
-// leader's lease, the same term goes on after the outage; else another leads.
+// Jobs are cancelled at the moment at which the store starts to refuse only the leader; a second later the store
+// is unavailable to all nodes. Some cancellations are reported in between, before another node can lead. If the
+// refusal is shorter than the leader's lease, the same term continues after the outage; otherwise another node
+// leads.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestTasksStopInTimeWhenCancelledAsTheStoreRefusesTheLeader(t *testing.T) {
@@ -274,7 +277,7 @@
 		outcomes := newOutcomeCounts(t)
 		runCaseWithSeeds(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
-				if !test.keepers {
+				if !test.leaseProxies {
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
@@ -284,23 +287,27 @@
 					jobs = append(
 						jobs,
 						sim.submitAndWaitRunning(
-							[]jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}}[i%3],
+							[]jobRequest{
+								{kind: wire.Service, tasks: 2},
+								{kind: wire.JobArray, tasks: 2, runTime: endlessRun},
+								{kind: wire.Gang, tasks: 2, runTime: endlessRun},
+							}[i%3],
 						),
 					)
 				}
 				old := sim.leader()
 				term := old.runningNode().activeLeader().term
-				if test.slow > 0 {
-					sim.slowStore(test.slow, 5*micro.Second)
+				if test.storeDelay > 0 {
+					sim.slowStore(test.storeDelay, 5*micro.Second)
 					sim.sleep(2 * micro.Second)
 				}
-				if test.lost > 0 {
-					sim.disturbCommits(0, test.lost, 5*micro.Second)
+				if test.lostResponseRatio > 0 {
+					sim.disturbCommits(0, test.lostResponseRatio, 5*micro.Second)
 				}
-				if test.trouble != nil {
+				if test.machineFault != nil {
 					for _, job := range jobs {
 						for _, machine := range job.machines() {
-							test.trouble(sim, machine)
+							test.machineFault(sim, machine)
 						}
 					}
 				}
@@ -313,18 +320,18 @@
 					}()
 				}
 				sim.sleep(300 * micro.Millisecond)
-				sim.refuseNode(old, test.refused)
-				right := leaseEnd(term, old)
+				sim.refuseNode(old, test.refusalSpan)
+				leaseEndBefore := leaseEnd(term, old)
 				sim.sleep(sim.randomTime(900*micro.Millisecond, 1100*micro.Millisecond))
-				if later := leaseEnd(term, old); later > right+100*micro.Millisecond {
+				if leaseEndAfter := leaseEnd(term, old); leaseEndAfter > leaseEndBefore+100*micro.Millisecond {
 					outcomes.record("renewed")
 				}
 				sim.storeOutage(70 * micro.Second)
-				from := sim.now()
+				outageStart := sim.now()
 				sim.sleep(68 * micro.Second)
 				for _, job := range jobs {
-					at, by, remaining, ok := job.abortReport()
-					if !ok || at > from {
+					reportedAt, reporter, remaining, ok := job.abortReport()
+					if !ok || reportedAt > outageStart {
 						outcomes.record("not told")
 						continue
 					}
@@ -332,21 +339,22 @@
 					if remaining > 0 {
 						outcomes.record("running")
 					}
-					if by != old.name {
+					if reporter != old.name {
 						outcomes.record("told by another")
 					}
 				}
 				if !old.holdsLease() && sim.leader() != nil {
-					t.Error("somebody leads in an outage")
+					t.Error("a node leads during a store outage")
 				}
-				sim.waitUntil("calm", 3*micro.Minute, sim.noActiveFaults)
-				sim.waitUntil("somebody leads", 20*micro.Second, func() bool { return sim.leader() != nil })
+				sim.waitUntil("no active faults", 3*micro.Minute, sim.noActiveFaults)
+				sim.waitUntil("a node leads", 20*micro.Second, func() bool { return sim.leader() != nil })
 				sim.sleep(3 * micro.Second)
 				leader := sim.leader()
-				if same := leader == old && leader.runningNode().activeLeader().term == term; same != test.same {
-					t.Errorf("the same term goes on: %v", same)
+				if sameTerm := leader == old &&
+					leader.runningNode().activeLeader().term == term; sameTerm != test.sameTerm {
+					t.Errorf("the same term continues after the outage: %v", sameTerm)
 				}
-				sim.waitUntil("all are told", 90*micro.Second, func() bool {
+				sim.waitUntil("all cancellations reported", 90*micro.Second, func() bool {
 					for _, job := range jobs {
 						if !job.knowledge().aborted {
 							return false
@@ -358,22 +366,22 @@
 				sim.checkRecovery()
 			})
 		})
-		outcomes.require(test.name, test.met...)
+		outcomes.require(test.name, test.wantOutcomes...)
 	}
 }
 
-// leaseEnd is when a node's leadership lease ends, as far as it knows now.
+// leaseEnd returns when a node's leadership lease ends by its own current knowledge, at most 10 s from now.
 func leaseEnd(term *election.Term, controller *controllerProcess) micro.Time {
 	now := controller.runningNode().Now()
-	var d micro.Time
-	for d < 10*micro.Second && term.HoldsLease(now+d) {
-		d += 10 * micro.Millisecond
+	var remaining micro.Time
+	for remaining < 10*micro.Second && term.HoldsLease(now+remaining) {
+		remaining += 10 * micro.Millisecond
 	}
-	return now + d
+	return now + remaining
 }
 
-// outcomeCounts counts what came about in the simulations of a row: what only some of them can
-// bring about must have been there in one at least.
+// outcomeCounts counts the outcomes seen in the simulations of a test case. It serves to check that an outcome
+// that only some simulations produce occurred in at least one.
 type outcomeCounts struct {
 	t      *testing.T
 	mu     sync.Mutex
@@ -384,54 +392,64 @@
 	return &outcomeCounts{t: t, counts: map[string]int{}}
 }
 
-func (y *outcomeCounts) record(what string) { y.mu.Lock(); y.counts[what]++; y.mu.Unlock() }
+func (c *outcomeCounts) record(outcome string) { c.mu.Lock(); c.counts[outcome]++; c.mu.Unlock() }
 
-// simulationRan is noted by every simulation: -run may name those of other rows only.
+// simulationRan is recorded by every simulation: with -run, a case may have run no simulation, and then require
+// checks nothing.
 const simulationRan = "played"
 
-// require fails the test at its end if something never came about.
-func (y *outcomeCounts) require(row string, all ...string) {
-	y.t.Cleanup(func() {
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		for _, what := range all {
-			if y.counts[simulationRan] > 0 && y.counts[what] == 0 {
-				y.t.Errorf("%s: in no simulation: %s (%v)", row, what, y.counts)
+// require fails the test at its end for each of the outcomes that no simulation of the case recorded.
+func (c *outcomeCounts) require(caseName string, outcomes ...string) {
+	c.t.Cleanup(func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for _, outcome := range outcomes {
+			if c.counts[simulationRan] > 0 && c.counts[outcome] == 0 {
+				c.t.Errorf("%s: outcome %q occurred in no simulation (%v)", caseName, outcome, c.counts)
 			}
 		}
 	})
 }
 
-// The write of a cancellation was carried out and its answer lost: the leader that
-// sent it didn't know yet when another node read the end from the store and told
-// the user, by a status query or by a repeat of the submission. Then the store was down for
-// all, while the old leader, which the store had refused alone, was reported to.
+// The store executes the write of a cancellation but its response is lost. Before the leader learns of it,
+// another node reads the final status from the store and reports it to the user, in reply to a status query or to
+// a repeated submission. Then the store is unavailable to all nodes, while agents send heartbeats to the old
+// leader, which the store had refused alone.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestTasksStopInTimeWhenAnotherNodeReportsAnUncertainCancellation(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		o       jobRequest
-		far     bool // no agent hears the next leader
-		repeats bool
-		awaited bool // it awaits a job that is done, and another awaits it
+		name              string
+		spec              jobRequest
+		agentsPartitioned bool // agents cannot reach the next leader
+		resubmitted       bool // the user repeats the submission instead of querying the status
+		pipeline          bool // the job depends on a job that is done, and another job depends on it
 	}{
-		{"service, by a poll", jobRequest{kind: wire.Service, tasks: 2}, false, false, false},
-		{"gang, by a repeat", jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun}, false, true, false},
-		{"array, by a poll, no worker hears the next leader", jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, false},
-		{"pipeline, by a poll", jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, true},
-		{"pipeline, by a repeat", jobRequest{kind: wire.Service, tasks: 2}, false, true, true},
+		{"service, reported by status query", jobRequest{kind: wire.Service, tasks: 2}, false, false, false},
+		{
+			"gang, reported by repeated submission", jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun}, false, true,
+			false,
+		},
+		{
+			"array, reported by status query, agents cannot reach the next leader",
+			jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, false,
+		},
+		{
+			"pipeline, reported by status query, agents cannot reach the next leader",
+			jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, true,
+		},
+		{"pipeline, reported by repeated submission", jobRequest{kind: wire.Service, tasks: 2}, false, true, true},
 	} {
 		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
-				request := test.o
-				if test.awaited {
-					one := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second}).submit()
-					request.dependencies = []string{one.id}
+				request := test.spec
+				if test.pipeline {
+					dependency := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: micro.Second}).submit()
+					request.dependencies = []string{dependency.id}
 				}
 				job := sim.submitAndWaitRunning(request)
 				jobs := []*userJob{job}
-				if test.awaited {
+				if test.pipeline {
 					jobs = append(
 						jobs,
 						sim.newJob(
@@ -446,7 +464,7 @@
 				for _, machine := range job.machines() {
 					machine.loseResponses(sim.randomTime(5*micro.Second, 20*micro.Second))
 				}
-				if test.far {
+				if test.agentsPartitioned {
 					sim.partitionNode(next, 80*micro.Second, "workers")
 				}
 				sim.sleep(sim.randomTime(500*micro.Millisecond, micro.Second))
@@ -458,9 +476,9 @@
 					}
 				}
 				go job.cancelOnce(next)
-				sim.waitUntil("told", 1100*micro.Millisecond, func() bool {
+				sim.waitUntil("cancellation reported", 1100*micro.Millisecond, func() bool {
 					for _, x := range jobs {
-						if test.repeats {
+						if test.resubmitted {
 							go x.submitOnce(third)
 						} else {
 							go x.queryStatus(third)
@@ -474,18 +492,18 @@
 					return true
 				})
 				if leader := next.runningNode().activeLeader(); leader == nil || !leader.records.EndUncertain(job.id) {
-					t.Fatal("the leader knows that its write was carried out")
+					t.Fatal("the leader knows the outcome of its write, want an uncertain one")
 				}
-				_, by, remaining, _ := job.abortReport()
-				if by != third.name || remaining == 0 {
-					t.Fatalf("told by %s with %d tasks", by, remaining)
+				_, reporter, remaining, _ := job.abortReport()
+				if reporter != third.name || remaining == 0 {
+					t.Fatalf("cancellation reported by %s with %d tasks remaining", reporter, remaining)
 				}
 				sim.outageBeyondCancelSpan(1500*micro.Millisecond, jobs...)
 				sim.checkRecovery()
 				for _, x := range jobs {
 					for _, controller := range sim.controllers {
 						if state := replyState(x.queryStatus(controller)); state != wire.JobAborted && state != "" {
-							t.Errorf("%s is %s by %s", x.id, state, controller.name)
+							t.Errorf("%s is %s according to %s", x.id, state, controller.name)
 						}
 					}
 				}
@@ -494,24 +512,35 @@
 	}
 }
 
-// A zone was cut off with its lease proxies when a job there was cancelled. The user may
-// be told only once they can't keep the tasks alive for longer than cancel_s. Then
-// the cut was over for the lease proxies, not for the agents, whom no leader heard; had
-// a lease proxy been answered then, it would have kept the tasks alive through a second
-// cut and the outage.
+// A zone is partitioned with its lease proxies when a job there is cancelled. The cancellation may be reported
+// only once the proxies cannot keep the tasks alive for longer than cancel_s. Then the partition ends for the
+// lease proxies but not for the agents, which no leader hears. If a lease proxy were answered then, it would keep
+// the tasks alive through a second partition and the outage.
 func TestTasksStopInTimeInAPartitionedZoneWithLeaseProxies(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		o       jobRequest
-		ends    bool // the cut ends for a while just after the user was told
-		changes bool // the leader changes before that
-		then    bool // the leader changes after that, before the cut ends
+		name          string
+		spec          jobRequest
+		healed        bool // the partition ends for a while just after the cancellation was reported
+		changedBefore bool // the leader changes before the cancellation is reported
+		changedAfter  bool // the leader changes after that, before the partition ends
 	}{
-		{"cut throughout", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, false, false, false},
-		{"cut ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, false},
-		{"cut throughout, the leader changes", jobRequest{kind: wire.Gang, tasks: 3, zone: "b", runTime: endlessRun}, false, true, false},
-		{"cut ends for a while, the leader changes", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, true, true, false},
-		{"the leader changes, cut ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, true},
+		{"partition without interruption", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, false, false, false},
+		{
+			"partition ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false,
+			false,
+		},
+		{
+			"leader changes before the report, partition without interruption",
+			jobRequest{kind: wire.Gang, tasks: 3, zone: "b", runTime: endlessRun}, false, true, false,
+		},
+		{
+			"leader changes before the report, partition ends for a while", jobRequest{kind: wire.Service, tasks: 3, zone: "b"},
+			true, true, false,
+		},
+		{
+			"leader changes after the report, partition ends for a while",
+			jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, true,
+		},
 	} {
 		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 5, nil, func(sim *simCluster) {
@@ -523,99 +552,107 @@
 					}
 					return l != nil && l.zone == "a"
 				})
-				job := sim.submitAndWaitRunning(test.o)
+				job := sim.submitAndWaitRunning(test.spec)
 				sim.sleep(sim.randomTime(10*micro.Second, 15*micro.Second))
 				leader := sim.leader()
 				heal := sim.partitionZone("b", micro.Minute)
 				sim.sleep(sim.randomTime(0, 2*micro.Second))
 				go job.cancel()
-				if test.changes {
+				if test.changedBefore {
 					sim.sleep(3 * micro.Second)
 					sim.refuseNode(leader, 3*micro.Minute)
 					leader = sim.waitForNextLeader(leader)
 				}
-				sim.waitUntil("told", 50*micro.Second, func() bool { return job.knowledge().aborted })
-				_, by, remaining, _ := job.abortReport()
+				sim.waitUntil("cancellation reported", 50*micro.Second, func() bool { return job.knowledge().aborted })
+				_, reporter, remaining, _ := job.abortReport()
 				if remaining != 3 || leader.zone != "a" || !leader.holdsLease() {
-					t.Fatalf("told by %s with %d tasks, %s leads: %v", by, remaining, leader.name, leader.holdsLease())
+					t.Fatalf(
+						"cancellation reported by %s with %d tasks remaining, want 3; %s holds the lease: %v", reporter, remaining,
+						leader.name, leader.holdsLease(),
+					)
 				}
-				soon := 1500 * micro.Millisecond
-				if test.then {
-					soon = 9 * micro.Second
+				maxDelay := 1500 * micro.Millisecond
+				if test.changedAfter {
+					maxDelay = 9 * micro.Second
 					sim.refuseNode(leader, 3*micro.Minute)
 					leader = sim.waitForNextLeader(leader)
 					sim.sleep(300 * micro.Millisecond)
 				}
-				if test.ends {
+				if test.healed {
 					sim.partitionNode(leader, micro.Minute, "workers")
 					heal()
 					time.AfterFunc(3*time.Second, func() { sim.partitionZone("b", 80*micro.Second) })
 					sim.sleep(sim.randomTime(500*micro.Millisecond, micro.Second))
 				}
-				if test.then {
-					sim.sleep(micro.Second) // what lease proxies ask in vain with the other two
+				if test.changedAfter {
+					sim.sleep(micro.Second) // lease proxies get no answer from the other two nodes meanwhile
 				}
-				sim.outageBeyondCancelSpan(soon, job)
+				sim.outageBeyondCancelSpan(maxDelay, job)
 				sim.checkRecovery()
 			})
 		})
 	}
 }
 
-// A leader lost the store and the other controllers, while agents and
-// users still reached it. Jobs were cancelled through the next one: the old leader
-// must not go on answering agents, or say that the jobs run.
+// A leader is partitioned from the store and the other controllers, while agents and users still reach it. Jobs
+// are cancelled through the next leader: the old one must neither keep answering agents nor report the jobs as
+// running.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestReachableFormerLeaderDoesNotExtendCancelledTasks(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		keepers bool
-		far     bool // no agent hears the next leader
-		trouble func(sim *simCluster, machine *fakeMachine)
+		name              string
+		leaseProxies      bool
+		agentsPartitioned bool // agents cannot reach the next leader
+		machineFault      func(sim *simCluster, machine *fakeMachine)
 	}{
-		{"keepers", true, false, nil},
-		{"no keepers", false, false, nil},
-		{"no keepers, no worker hears the next leader", false, true, nil},
-		{"deaf", false, false, func(sim *simCluster, machine *fakeMachine) {
+		{"lease proxies", true, false, nil},
+		{"no lease proxies", false, false, nil},
+		{"no lease proxies, agents cannot reach the next leader", false, true, nil},
+		{"machines lose responses", false, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.loseResponses(sim.randomTime(5*micro.Second, 25*micro.Second))
 		}},
-		{"hung", true, false, func(sim *simCluster, machine *fakeMachine) {
+		{"lease proxies, machines hang", true, false, func(sim *simCluster, machine *fakeMachine) {
 			machine.hang(sim.randomTime(5*micro.Second, 25*micro.Second))
 		}},
 	} {
 		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 5, func(sim *simCluster) {
-				if !test.keepers {
+				if !test.leaseProxies {
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				var jobs []*userJob
-				for _, request := range []jobRequest{{kind: wire.Service, tasks: 3}, {kind: wire.JobArray, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 3, runTime: endlessRun}, {kind: wire.Service, tasks: 2, zone: "b"}} {
+				for _, request := range []jobRequest{
+					{kind: wire.Service, tasks: 3},
+					{kind: wire.JobArray, tasks: 3, runTime: endlessRun},
+					{kind: wire.Gang, tasks: 3, runTime: endlessRun},
+					{kind: wire.Service, tasks: 2, zone: "b"},
+				} {
 					jobs = append(jobs, sim.submitAndWaitRunning(request))
 				}
 				old := sim.leader()
 				sim.partitionNode(old, 40*micro.Second, "state", "peers")
-				early := jobs[0] // asked for at the old leader just as it is cut off
+				early := jobs[0] // its cancellation is sent to the old leader as that is partitioned
 				go early.cancelOnce(old)
 				next := sim.waitForNextLeader(old)
 				if old.holdsLease() {
-					t.Error("two lead")
+					t.Error("two nodes hold the leadership lease")
 				}
-				if test.far {
+				if test.agentsPartitioned {
 					sim.partitionNode(next, 35*micro.Second, "workers")
 				}
 				for _, job := range jobs {
-					if test.trouble != nil {
+					if test.machineFault != nil {
 						for _, machine := range job.machines() {
-							test.trouble(sim, machine)
+							test.machineFault(sim, machine)
 						}
 					}
 					go func() {
 						for job.sim.ctx.Err() == nil && !replyState(job.cancelOnce(next)).Final() {
 							sim.sleep(500 * micro.Millisecond)
 						}
-						job.queryStatus(old) // at once, and again
+						job.queryStatus(old) // at once, and repeatedly below
 						job.queryRapidly()
 						for range 30 {
 							job.queryStatus(old)
@@ -627,18 +664,18 @@
 				sim.sleep(10 * micro.Second)
 				reported := 0
 				for _, job := range jobs {
-					if _, by, _, ok := job.abortReport(); ok && by != old.name {
+					if _, reporter, _, ok := job.abortReport(); ok && reporter != old.name {
 						reported++
 					}
 				}
-				// A leader whom no agent reports to hands over: so it may where all
-				// machines hang.
-				if test.trouble == nil && reported == 0 || test.trouble == nil && !test.far && !next.holdsLease() ||
-					old.holdsLease() {
-					t.Errorf("%d told, the next one leads: %v", reported, next.holdsLease())
+				// A leader that receives no heartbeats hands over, so the next leader may have done so where
+				// all machines hang.
+				if test.machineFault == nil && reported == 0 ||
+					test.machineFault == nil && !test.agentsPartitioned && !next.holdsLease() || old.holdsLease() {
+					t.Errorf("%d cancellations reported, the next leader holds its lease: %v", reported, next.holdsLease())
 				}
 				for _, job := range jobs {
-					sim.waitUntil(job.id+" told", 80*micro.Second, func() bool { return job.knowledge().aborted })
+					sim.waitUntil(job.id+" reported aborted", 80*micro.Second, func() bool { return job.knowledge().aborted })
 				}
 				sim.sleep(cancelSpan + micro.Second)
 				sim.checkRecovery()
@@ -647,15 +684,15 @@
 	}
 }
 
-// fillTeamLimit submits services that take up a team's limit, and waits until they run.
+// fillTeamLimit submits services that use up a team's CPU limit, and waits until all their tasks run.
 func (w *simCluster) fillTeamLimit(team string, cpus int, request jobRequest) []*userJob {
 	w.t.Helper()
 	var jobs []*userJob
-	for n := 0; n < cpus; n += request.tasks {
+	for used := 0; used < cpus; used += request.tasks {
 		request.kind, request.team = wire.Service, team
 		jobs = append(jobs, w.newJob(request).submit())
 	}
-	w.waitUntil(team+" is at its limit", 2*micro.Minute, func() bool {
+	w.waitUntil(team+" at its limit", 2*micro.Minute, func() bool {
 		for _, job := range jobs {
 			if job.runningTasks() != request.tasks {
 				return false
@@ -666,38 +703,38 @@
 	return jobs
 }
 
-// Every team was at its limit while jobs were cancelled whose machines were cut
-// off or hung, and the leader changed, twice. What was not proven released counts for
-// the team, whoever leads; capacity that is proven released is used within seconds.
+// Every team is at its limit while jobs on partitioned or hanging machines are cancelled and the leader changes
+// twice. Allocations that are not proven released count against the team's limit under every leader; released
+// capacity is used within seconds.
 func TestQuotaOfCancelledJobsOnLostMachinesIsReusedOnceReleased(t *testing.T) {
-	far := func(sim *simCluster, machine *fakeMachine) {
+	partition := func(sim *simCluster, machine *fakeMachine) {
 		duration := sim.randomTime(10*micro.Second, 50*micro.Second)
 		machine.loseResponses(duration)
 		machine.loseHeartbeats(duration)
 	}
 	for _, test := range []struct {
-		name    string
-		keepers bool
-		lost    func(sim *simCluster, machine *fakeMachine)
-		change  func(sim *simCluster, leader *controllerProcess)
+		name         string
+		leaseProxies bool
+		machineFault func(sim *simCluster, machine *fakeMachine)
+		change       func(sim *simCluster, leader *controllerProcess)
 	}{
-		{"cut off, killed", true, far, func(sim *simCluster, leader *controllerProcess) {
+		{"partitioned, leader killed, lease proxies", true, partition, func(sim *simCluster, leader *controllerProcess) {
 			sim.restartController(leader, sim.randomTime(micro.Second, 8*micro.Second))
 		}},
-		{"cut off, frozen", true, far, func(sim *simCluster, leader *controllerProcess) {
+		{"partitioned, leader paused, lease proxies", true, partition, func(sim *simCluster, leader *controllerProcess) {
 			leader.freeze(sim.randomTime(4500*micro.Millisecond, 12*micro.Second))
 		}},
-		{"hung, killed", false, func(sim *simCluster, machine *fakeMachine) {
+		{"machines hang, leader killed", false, func(sim *simCluster, machine *fakeMachine) {
 			machine.hang(sim.randomTime(10*micro.Second, 50*micro.Second))
 		}, func(sim *simCluster, leader *controllerProcess) {
 			sim.restartController(leader, sim.randomTime(micro.Second, 8*micro.Second))
 		}},
-		{"hung, refused", true, func(sim *simCluster, machine *fakeMachine) {
+		{"machines hang, store refuses the leader, lease proxies", true, func(sim *simCluster, machine *fakeMachine) {
 			machine.hang(sim.randomTime(5*micro.Second, 28*micro.Second))
 		}, func(sim *simCluster, leader *controllerProcess) {
 			sim.refuseNode(leader, sim.randomTime(6*micro.Second, 12*micro.Second))
 		}},
-		{"deaf, cut", false, func(sim *simCluster, machine *fakeMachine) {
+		{"machines lose responses, leader partitioned", false, func(sim *simCluster, machine *fakeMachine) {
 			machine.loseResponses(sim.randomTime(5*micro.Second, 40*micro.Second))
 		}, func(sim *simCluster, leader *controllerProcess) {
 			sim.partitionNode(leader, sim.randomTime(6*micro.Second, 12*micro.Second), "state", "peers")
@@ -706,7 +743,7 @@
 		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, []int{3, 5}[seed%2], func(sim *simCluster) {
 				sim.fastBoot = true
-				if !test.keepers {
+				if !test.leaseProxies {
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
@@ -726,57 +763,61 @@
 				for _, job := range cancelled {
 					if machines := job.machines(); len(machines) > 0 && !lost[machines[0]] {
 						lost[machines[0]] = true
-						test.lost(sim, machines[0])
+						test.machineFault(sim, machines[0])
 					}
 					go job.cancel()
 				}
 				for range 2 {
 					sim.sleep(sim.randomTime(0, 1500*micro.Millisecond))
 					leader := sim.waitForLeader()
-					was := leader.runningNode().activeLeader().term
+					oldTerm := leader.runningNode().activeLeader().term
 					test.change(sim, leader)
 					sim.waitUntil("a new term", 20*micro.Second, func() bool {
 						n := sim.waitForLeader().runningNode().activeLeader()
-						return n != nil && n.term.FencingRevision > was.FencingRevision
+						return n != nil && n.term.FencingRevision > oldTerm.FencingRevision
 					})
 				}
 				if len(lost) < 2 {
-					t.Fatalf("%d machines lost", len(lost))
+					t.Fatalf("%d machines affected by faults, want at least 2", len(lost))
 				}
-				sim.waitUntil("all proven free", 2*micro.Minute, func() bool { return sim.allAllocationsReleased(cancelled...) })
-				from := sim.now()
-				sim.waitUntil("those that waited are served", 10*micro.Second, func() bool {
-					n := 0
+				sim.waitUntil(
+					"all cancelled allocations released", 2*micro.Minute,
+					func() bool { return sim.allAllocationsReleased(cancelled...) },
+				)
+				releasedAt := sim.now()
+				sim.waitUntil("waiting jobs are served", 10*micro.Second, func() bool {
+					served := 0
 					for _, job := range waiting {
 						if job.queryStatus(sim.randomUserNode()); job.knowledge().done || job.runningTasks() == 2 {
-							n++
+							served++
 						}
 					}
-					return n >= 3+4 // capacity for three services, and for all arrays
+					return served >= 3+4 // capacity for three services, and for all arrays
 				})
-				t.Logf("served %.1f s after the last proof", (sim.now() - from).Seconds())
+				t.Logf("waiting jobs served %.1f s after the last allocation was released", (sim.now() - releasedAt).Seconds())
 				for _, job := range cancelled {
-					sim.waitUntil(job.id+" told", 2*micro.Minute, func() bool { return job.knowledge().aborted })
+					sim.waitUntil(job.id+" reported aborted", 2*micro.Minute, func() bool { return job.knowledge().aborted })
 				}
-				sim.waitUntil("calm", 3*micro.Minute, sim.noActiveFaults)
+				sim.waitUntil("no active faults", 3*micro.Minute, sim.noActiveFaults)
 				sim.sleep(cancelSpan)
 			})
 		})
 	}
 }
 
-// waitForLeader waits for a leader.
+// waitForLeader waits until a node holds the leadership lease, and returns it.
 func (w *simCluster) waitForLeader() *controllerProcess {
 	w.t.Helper()
 	var l *controllerProcess
-	w.waitUntil("somebody leads", 20*micro.Second, func() bool {
+	w.waitUntil("a node leads", 20*micro.Second, func() bool {
 		l = w.leader()
 		return l != nil && l.holdsLease()
 	})
 	return l
 }
 
-// allAllocationsReleased reports whether the leader takes all allocations of some jobs for free.
+// allAllocationsReleased reports whether a leader that has recovered knows that all allocations of the jobs, which
+// are no longer active, are released.
 func (w *simCluster) allAllocationsReleased(jobs ...*userJob) bool {
 	controller := w.leader()
 	if controller == nil {
@@ -786,51 +827,55 @@
 	if leader == nil {
 		return false
 	}
-	ch := make(chan bool, 1)
+	reply := make(chan bool, 1)
 	go leader.post(func() {
-		free := leader.recovered
+		released := leader.recovered
 		for _, job := range jobs {
-			x := leader.cluster.Jobs[job.id]
-			free = free && (x == nil || x.State != cluster.Active && x.AllocationCount == 0)
+			tracked := leader.cluster.Jobs[job.id]
+			released = released && (tracked == nil || tracked.State != cluster.Active && tracked.AllocationCount == 0)
 		}
-		ch <- free
+		reply <- released
 	})
 	select {
-	case free := <-ch:
-		return free
+	case released := <-reply:
+		return released
 	case <-time.After(time.Second):
 		return false
 	}
 }
 
-// A team was at its limit when the leader changed. Some of its machines could not
-// be asked, and a cancellation fell into that spell: what the new leader only knows
-// from the records counts until it is proven gone, whether its job is cancelled or
-// not.
+// A team is at its limit when the leader changes. Some of its machines are unreachable for a while, and a job is
+// cancelled meanwhile. Allocations that the new leader knows only from the stored records count against the limit
+// until they are proven released, whether or not their job is cancelled.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestNextLeaderCountsAllocationsOnUnreachableMachinesAgainstTheQuota(t *testing.T) {
-	const before, within, after = "before", "within", "after"
+	const beforeChange, duringChange, afterChange = "before", "within", "after"
 	for _, test := range []struct {
-		name    string
-		keepers bool
-		when    string     // the cancellation, as to the change of leader
-		there   bool       // of a job on those machines; else of another
-		spell   micro.Time // how long they can't be asked
+		name          string
+		leaseProxies  bool
+		cancelAt      string     // when the job is cancelled, relative to the change of leader
+		onUnreachable bool       // the cancelled job is on the unreachable machines; otherwise it is another
+		faultSpan     micro.Time // how long the machines are unreachable
 	}{
-		{"job there, before", true, before, true, 25 * micro.Second},
-		{"job there, within", false, within, true, 25 * micro.Second},
-		{"job there, after", true, after, true, 25 * micro.Second},
-		{"job there, after, beyond the lease", false, after, true, 50 * micro.Second},
-		{"job there, before, beyond the lease", false, before, true, 50 * micro.Second},
-		{"another job, before", true, before, false, 25 * micro.Second},
-		{"another job, within", false, within, false, 45 * micro.Second},
-		{"another job, after", false, after, false, 20 * micro.Second},
+		{"affected job cancelled before the change, lease proxies", true, beforeChange, true, 25 * micro.Second},
+		{"affected job cancelled during the change", false, duringChange, true, 25 * micro.Second},
+		{"affected job cancelled after the change, lease proxies", true, afterChange, true, 25 * micro.Second},
+		{
+			"affected job cancelled after the change, unreachable beyond the lease", false, afterChange, true, 50 * micro.Second,
+		},
+		{
+			"affected job cancelled before the change, unreachable beyond the lease", false, beforeChange, true,
+			50 * micro.Second,
+		},
+		{"other job cancelled before the change, lease proxies", true, beforeChange, false, 25 * micro.Second},
+		{"other job cancelled during the change", false, duringChange, false, 45 * micro.Second},
+		{"other job cancelled after the change", false, afterChange, false, 20 * micro.Second},
 	} {
 		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, []int{3, 4}[seed%2], func(sim *simCluster) {
 				sim.fastBoot = true
-				if !test.keepers {
+				if !test.leaseProxies {
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
@@ -838,126 +883,143 @@
 				waiting := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, priority: wire.Production}).submit()
 				sim.sleep(3 * micro.Second)
 				if waiting.runningTasks() > 0 {
-					t.Fatal("there was room")
+					t.Fatal("a task started above the team's limit")
 				}
 				unreachableJob := full[sim.randomInt(len(full))]
 				unreachable := map[*fakeMachine]bool{}
 				for _, machine := range unreachableJob.machines() {
 					unreachable[machine] = true
-					machine.loseResponses(test.spell)
-					machine.loseHeartbeats(test.spell)
+					machine.loseResponses(test.faultSpan)
+					machine.loseHeartbeats(test.faultSpan)
 				}
 				cancelled := unreachableJob
 				for _, job := range full {
-					apart := true
+					elsewhere := true
 					for _, machine := range job.machines() {
-						apart = apart && !unreachable[machine]
+						elsewhere = elsewhere && !unreachable[machine]
 					}
-					if !test.there && apart {
+					if !test.onUnreachable && elsewhere {
 						cancelled = job
 					}
 				}
-				if test.there != (cancelled == unreachableJob) {
-					t.Fatal("all of the team's jobs are on machines that can't be asked")
+				if test.onUnreachable != (cancelled == unreachableJob) {
+					t.Fatal("all of the team's jobs are on unreachable machines")
 				}
-				began := sim.now()
+				faultStart := sim.now()
 				sim.sleep(sim.randomTime(500*micro.Millisecond, 2*micro.Second))
-				if test.when == before {
+				if test.cancelAt == beforeChange {
 					go cancelled.cancel()
 					sim.sleep(sim.randomTime(0, micro.Second))
 				}
-				l := sim.waitForLeader()
-				was := l.runningNode().activeLeader().term
-				sim.restartController(l, sim.randomTime(micro.Second, 6*micro.Second))
-				if test.when == within {
+				leader := sim.waitForLeader()
+				oldTerm := leader.runningNode().activeLeader().term
+				sim.restartController(leader, sim.randomTime(micro.Second, 6*micro.Second))
+				if test.cancelAt == duringChange {
 					sim.sleep(sim.randomTime(0, 4*micro.Second))
 					go cancelled.cancel()
 				}
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
-					n := sim.waitForLeader().runningNode().activeLeader()
-					return n != nil && n.term.FencingRevision > was.FencingRevision
+					newLeader := sim.waitForLeader().runningNode().activeLeader()
+					return newLeader != nil && newLeader.term.FencingRevision > oldTerm.FencingRevision
 				})
-				if test.when == after {
+				if test.cancelAt == afterChange {
 					sim.sleep(sim.randomTime(0, 3*micro.Second))
 					go cancelled.cancel()
 				}
-				if sim.now() > began+test.spell {
-					t.Fatal("the spell was over")
+				if sim.now() > faultStart+test.faultSpan {
+					t.Fatal("the machines became reachable before the change of leader and the cancellation")
 				}
-				sim.waitUntil("proven free", 2*micro.Minute, func() bool { return sim.allAllocationsReleased(cancelled) })
-				from := sim.now()
-				sim.waitUntil("the room is used", 10*micro.Second, func() bool { return waiting.runningTasks() == 2 })
+				sim.waitUntil(
+					"allocations of the cancelled job released", 2*micro.Minute,
+					func() bool { return sim.allAllocationsReleased(cancelled) },
+				)
+				releasedAt := sim.now()
+				sim.waitUntil(
+					"the waiting job uses the released capacity", 10*micro.Second, func() bool { return waiting.runningTasks() == 2 },
+				)
 				t.Logf(
-					"used %.1f s after the proof, %.1f s after the spell began", (sim.now() - from).Seconds(),
-					(from - began).Seconds(),
+					"capacity used %.1f s after its release, released %.1f s after the fault", (sim.now() - releasedAt).Seconds(),
+					(releasedAt - faultStart).Seconds(),
 				)
-				sim.waitUntil("told", micro.Minute, func() bool { return cancelled.knowledge().aborted })
+				sim.waitUntil("cancellation reported", micro.Minute, func() bool { return cancelled.knowledge().aborted })
 				sim.sleep(cancelSpan + micro.Second)
 			})
 		})
 	}
 }
 
-// Jobs were cancelled in the seconds in which one controller's work changed hands:
-// at ten moments from a second before to six after.
+// Jobs are cancelled around a change of leader: ten jobs, at random times from one second before it to six
+// seconds after.
 //
 //revive:disable-next-line:cognitive-complexity a scenario in one piece, still to be split
 func TestTasksStopInTimeWhenCancelledDuringAChangeOfLeader(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		nodes   int
-		keepers bool
-		change  func(sim *simCluster, leader *controllerProcess)
-		trouble func(sim *simCluster)
+		name         string
+		nodes        int
+		leaseProxies bool
+		change       func(sim *simCluster, leader *controllerProcess)
+		clusterFault func(sim *simCluster)
 	}{
-		{"killed", 3, false, func(sim *simCluster, leader *controllerProcess) {
+		{"leader killed", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			sim.restartController(leader, sim.randomTime(100*micro.Millisecond, 8*micro.Second))
 		}, nil},
-		{"killed, back within a second", 4, true, func(sim *simCluster, leader *controllerProcess) {
+		{"leader restarted within a second, lease proxies", 4, true, func(sim *simCluster, leader *controllerProcess) {
 			sim.restartController(leader, sim.randomTime(50*micro.Millisecond, 900*micro.Millisecond))
 		}, nil},
-		{"frozen", 3, false, func(sim *simCluster, leader *controllerProcess) {
+		{"leader paused", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			leader.freeze(sim.randomTime(4500*micro.Millisecond, 9*micro.Second))
 		}, nil},
-		{"frozen, keepers", 5, true, func(sim *simCluster, leader *controllerProcess) {
+		{"leader paused, lease proxies", 5, true, func(sim *simCluster, leader *controllerProcess) {
 			leader.freeze(sim.randomTime(4500*micro.Millisecond, 9*micro.Second))
 		}, nil},
-		{"cut", 4, true, func(sim *simCluster, leader *controllerProcess) {
+		{"leader partitioned, lease proxies", 4, true, func(sim *simCluster, leader *controllerProcess) {
 			sim.partitionNode(leader, sim.randomTime(4*micro.Second, 12*micro.Second), "state", "peers")
 		}, nil},
-		{"refused", 3, false, func(sim *simCluster, leader *controllerProcess) {
+		{"store refuses the leader", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			sim.refuseNode(leader, sim.randomTime(4*micro.Second, 12*micro.Second))
 		}, nil},
-		{"resigns", 4, true, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }, nil},
-		{"resigns, no keepers", 3, false, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }, nil},
-		{"killed, writes late", 3, false, func(sim *simCluster, leader *controllerProcess) {
+		{
+			"leader resigns, lease proxies", 4, true, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) },
+			nil,
+		},
+		{"leader resigns", 3, false, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }, nil},
+		{"leader killed, writes executed late", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			sim.restartController(leader, sim.randomTime(100*micro.Millisecond, 8*micro.Second))
 		}, func(sim *simCluster) { sim.disturbCommits(0.3, 0, 8*micro.Second) }},
-		{"resigns, answers lost", 4, true, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }, func(sim *simCluster) { sim.disturbCommits(0, 0.3, 8*micro.Second) }},
-		{"frozen, reports late", 3, false, func(sim *simCluster, leader *controllerProcess) {
+		{
+			"leader resigns, store responses lost, lease proxies", 4, true,
+			func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) },
+			func(sim *simCluster) { sim.disturbCommits(0, 0.3, 8*micro.Second) },
+		},
+		{"leader paused, heartbeats delayed", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			leader.freeze(sim.randomTime(4500*micro.Millisecond, 9*micro.Second))
 		}, func(sim *simCluster) { sim.replayHeartbeats(0.5, 45*micro.Second, 15*micro.Second) }},
 	} {
 		outcomes := newOutcomeCounts(t)
 		runCaseWithSeeds(t, 6, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, test.nodes, func(sim *simCluster) {
-				if !test.keepers {
+				if !test.leaseProxies {
 					sim.config.LeaseProxyFactor = 0
 				}
 			}, func(sim *simCluster) {
 				outcomes.record(simulationRan)
-				const n = 10
+				const jobCount = 10
 				var jobs []*userJob
-				for i := range n {
-					request := []jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun, zone: "b"}}[i%4]
+				for i := range jobCount {
+					request := []jobRequest{
+						{kind: wire.Service, tasks: 2},
+						{kind: wire.JobArray, tasks: 3, runTime: endlessRun},
+						{kind: wire.Gang, tasks: 2, runTime: endlessRun},
+						{kind: wire.JobArray, tasks: 2, runTime: endlessRun, zone: "b"},
+					}[i%4]
 					request.team = []string{"team", "other"}[i%2]
 					jobs = append(jobs, sim.submitAndWaitRunning(request))
 				}
 				leader := sim.waitForLeader()
-				was := leader.runningNode().activeLeader().term
-				zero := sim.now() + micro.Second
-				if test.trouble != nil {
-					test.trouble(sim)
+				oldTerm := leader.runningNode().activeLeader().term
+				changeAt := sim.now() + micro.Second
+				if test.clusterFault != nil {
+					test.clusterFault(sim)
 				}
 				for _, job := range jobs {
 					queryRapidly := sim.randomChance(0.5)
@@ -975,22 +1037,22 @@
 				}
 				sim.sleep(micro.Second)
 				test.change(sim, leader)
-				var led micro.Time
+				var newTermAt micro.Time
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
 					for _, controller := range sim.controllers {
-						if x := controller.runningNode(); x != nil && x.activeLeader() != nil &&
-							x.activeLeader().term.FencingRevision > was.FencingRevision {
-							led = sim.now()
+						if node := controller.runningNode(); node != nil && node.activeLeader() != nil &&
+							node.activeLeader().term.FencingRevision > oldTerm.FencingRevision {
+							newTermAt = sim.now()
 						}
 					}
-					return led > 0
+					return newTermAt > 0
 				})
 				for _, job := range jobs {
-					sim.waitUntil(job.id+" told", 80*micro.Second, func() bool { return job.knowledge().aborted })
-					switch at, _, _, _ := job.abortReport(); {
-					case at < zero:
+					sim.waitUntil(job.id+" reported aborted", 80*micro.Second, func() bool { return job.knowledge().aborted })
+					switch reportedAt, _, _, _ := job.abortReport(); {
+					case reportedAt < changeAt:
 						outcomes.record("told before")
-					case at < led:
+					case reportedAt < newTermAt:
 						outcomes.record("told within")
 					default:
 						outcomes.record("told after")
@@ -999,7 +1061,7 @@
 				sim.sleep(cancelSpan + micro.Second)
 				for _, job := range jobs {
 					if job.runningTasks() > 0 {
-						t.Errorf("%s runs", job.id)
+						t.Errorf("%s still has running tasks", job.id)
 					}
 				}
 				sim.checkRecovery()
@@ -1009,28 +1071,28 @@
 	}
 }
 
-// resignLeader has a leader hand over.
+// resignLeader makes the node resign if it leads.
 func resignLeader(controller *controllerProcess) {
 	if l := controller.runningNode().activeLeader(); l != nil {
-		l.post(func() { l.resign("a scenario wants it") })
+		l.post(func() { l.resign("test") })
 	}
 }
 
-// A user had been told that a job is cancelled, and its machines heard nothing of
-// it; then the leader changed. The next one answers their heartbeats, and so renews
-// their leases: it must order the tasks to stop, though no user asks it to.
+// A cancellation was reported to the user, but the job's machines received no command to stop before the leader
+// changed. The next leader answers their heartbeats and so renews their leases: it must order the tasks to stop
+// without another request from a user.
 func TestNextLeaderStopsTasksOfJobsCancelledBeforeItsTerm(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		change func(sim *simCluster, l *controllerProcess)
+		change func(sim *simCluster, leader *controllerProcess)
 	}{
-		{"killed", func(sim *simCluster, l *controllerProcess) {
-			sim.restartController(l, sim.randomTime(micro.Second, 8*micro.Second))
+		{"leader killed", func(sim *simCluster, leader *controllerProcess) {
+			sim.restartController(leader, sim.randomTime(micro.Second, 8*micro.Second))
 		}},
-		{"refused", func(sim *simCluster, l *controllerProcess) {
-			sim.refuseNode(l, sim.randomTime(6*micro.Second, 12*micro.Second))
+		{"store refuses the leader", func(sim *simCluster, leader *controllerProcess) {
+			sim.refuseNode(leader, sim.randomTime(6*micro.Second, 12*micro.Second))
 		}},
-		{"resigns", func(_ *simCluster, l *controllerProcess) { resignLeader(l) }},
+		{"leader resigns", func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }},
 	} {
 		runCaseWithSeeds(t, 4, test.name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
@@ -1040,8 +1102,8 @@
 					sim.submitAndWaitRunning(jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun}),
 				}
 				sim.sleep(3 * micro.Second)
-				l := sim.waitForLeader()
-				was := l.runningNode().activeLeader().term
+				leader := sim.waitForLeader()
+				oldTerm := leader.runningNode().activeLeader().term
 				for _, job := range jobs {
 					for _, machine := range job.machines() {
 						machine.loseResponses(sim.randomTime(10*micro.Second, 15*micro.Second))
@@ -1050,14 +1112,17 @@
 				for _, job := range jobs {
 					job.cancel()
 				}
-				test.change(sim, l)
+				test.change(sim, leader)
 				sim.waitUntil("a new term", 20*micro.Second, func() bool {
-					n := sim.waitForLeader().runningNode().activeLeader()
-					return n != nil && n.term.FencingRevision > was.FencingRevision
+					newLeader := sim.waitForLeader().runningNode().activeLeader()
+					return newLeader != nil && newLeader.term.FencingRevision > oldTerm.FencingRevision
 				})
 				for _, job := range jobs {
 					if _, _, remaining, ok := job.abortReport(); !ok || remaining != 2 || job.runningTasks() != 2 {
-						t.Fatalf("%s: %d tasks when told, %d when the next leader began", job.id, remaining, job.runningTasks())
+						t.Fatalf(
+							"%s: %d tasks when the cancellation was reported, %d when the next leader's term began, want 2", job.id,
+							remaining, job.runningTasks(),
+						)
 					}
 				}
 				sim.sleep(cancelSpan)
@@ -1067,16 +1132,17 @@
 	}
 }
 
-// A cancellation's write got no answer, and the leader changed. Where the write was
-// carried out after the next leader had begun, the job's end must not get into the
-// store behind that one's back: any node would tell it to the user, and the tasks
-// would run on.
+// The write of a cancellation gets no response, and the leader changes. If the store executed the write after the
+// next leader's term began, it must refuse it: that leader would not know of the final status, any node would
+// report it to the user, and the tasks would run on.
 func TestLateCancellationWriteIsRefusedAfterTheNextLeaderBegan(t *testing.T) {
 	outcomes := newOutcomeCounts(t)
-	for name, change := range map[string]func(sim *simCluster, l *controllerProcess){
-		"killed":  func(sim *simCluster, l *controllerProcess) { sim.restartController(l, 20*micro.Second) },
-		"resigns": func(_ *simCluster, l *controllerProcess) { resignLeader(l) },
-		"cut":     func(sim *simCluster, l *controllerProcess) { sim.partitionNode(l, 20*micro.Second, "state", "peers") },
+	for name, change := range map[string]func(sim *simCluster, leader *controllerProcess){
+		"leader killed":  func(sim *simCluster, leader *controllerProcess) { sim.restartController(leader, 20*micro.Second) },
+		"leader resigns": func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) },
+		"leader partitioned": func(sim *simCluster, leader *controllerProcess) {
+			sim.partitionNode(leader, 20*micro.Second, "state", "peers")
+		},
 	} {
 		runCaseWithSeeds(t, 5, name, func(t *testing.T, seed uint64) {
 			runScenario(t, seed, 3, func(sim *simCluster) { sim.config.LeaseProxyFactor = 0 }, func(sim *simCluster) {
@@ -1087,19 +1153,19 @@
 				sim.disturbCommits(1, 0, 300*micro.Millisecond, old)
 				go job.cancelOnce(old)
 				sim.sleep(200 * micro.Millisecond)
-				if n := old.runningNode().activeLeader(); n == nil || !n.records.EndUncertain(job.id) {
-					t.Fatal("its write did not go out")
+				if oldLeader := old.runningNode().activeLeader(); oldLeader == nil || !oldLeader.records.EndUncertain(job.id) {
+					t.Fatal("the write of the cancellation was not sent")
 				}
 				change(sim, old)
 				next := sim.waitForNextLeader(old)
 				_, err := sim.store.Get(sim.ctx, store.Urgent, keys.JobEnd(job.id))
-				in := err == nil
-				sim.sleep(13 * micro.Second) // the write is carried out
-				if _, err := sim.store.Get(sim.ctx, store.Urgent, keys.JobEnd(job.id)); !in && err == nil &&
+				stored := err == nil
+				sim.sleep(13 * micro.Second) // the store executes the late write
+				if _, err := sim.store.Get(sim.ctx, store.Urgent, keys.JobEnd(job.id)); !stored && err == nil &&
 					!job.knowledge().aborted &&
 					job.runningTasks() > 0 {
-					t.Errorf("the job's end came into the store behind the back of %s", next.name)
-				} else if !in &&
+					t.Errorf("the job's final status was stored without the knowledge of %s, which leads", next.name)
+				} else if !stored &&
 					err != nil {
 					outcomes.record("refused by its guard")
 				}
@@ -1108,10 +1174,10 @@
 						job.queryStatus(controller)
 					}
 				}
-				if !in {
-					sim.waitUntil("runs", 90*micro.Second, func() bool { return job.runningTasks() == 2 })
+				if !stored {
+					sim.waitUntil("both tasks run", 90*micro.Second, func() bool { return job.runningTasks() == 2 })
 				}
-				sim.waitUntil("calm", micro.Minute, sim.noActiveFaults)
+				sim.waitUntil("no active faults", micro.Minute, sim.noActiveFaults)
 				job.cancel()
 				sim.sleep(cancelSpan + micro.Second)
 			})
--- a/internal/controller/guards_leader_test.go
+++ b/internal/controller/guards_leader_test.go
@@ -10,21 +10,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// leaderCancellation is a cancellation of a job with a task.
+// leaderCancellation is a test case: the cancellation of a job that has one task, in a zone.
 type leaderCancellation struct {
 	name    string
 	zone    string
 	cancelS float64
-	wait    micro.Time // until the end is written; 0: at once, negative: not before the task is gone
+	wait    micro.Time // until the final status is written; 0: at once, negative: not before the task is gone
 }
 
-// The user is told of a cancellation only once no lease can keep a task alive beyond the
-// time for it; from then on lease proxies of the zones with such tasks get no answer.
+// A cancellation is reported to the user only once no lease can keep a task alive for longer than cancel_s from
+// then on. From that time, lease proxies of the zones with such tasks get no answer.
 func TestCancellationCompletesOnceNoLeaseOutlivesTheBound(t *testing.T) {
 	for _, c := range []leaderCancellation{
-		{"no proxies in the zone", "c", 50, 0},
-		{"proxies that may renew leases for a span", "b", 50, 30 * micro.Second},
-		{"leases that do not add up", "c", 30, -1},
+		{"zone without proxies: written at once", "c", 50, 0},
+		{"zone with proxies: written after their renewal span", "b", 50, 30 * micro.Second},
+		{"leases longer than cancel_s: written once the task is gone", "c", 30, -1},
 	} {
 		t.Run(c.name, c.check)
 	}
@@ -35,26 +35,28 @@
 	job, machine := l.addAllocatedJob(c.zone)
 	l.cancellations.UpdateFencedZones()
 	if l.cancellations.ZoneFenced(c.zone) || l.leaseProxyStatus() != 200 {
-		t.Fatal("proxies are not answered before the cancellation")
+		t.Fatal("lease proxies get no answer before the cancellation")
 	}
 	l.cancellations.Begin(job)
 	if got := l.finalStatusPending(); got != (c.wait == 0) {
-		t.Fatalf("the end is written at once: %v", got)
+		t.Fatalf("final status written at once: %v", got)
 	}
-	c.waitForEnd(t, l, job, machine)
+	c.allowFinalStatus(t, l, job, machine)
 	if !l.finalStatusPending() {
-		t.Fatal("the end is not written")
+		t.Fatal("final status not written")
 	}
 	if got := l.cancellations.ZoneFenced(c.zone); got != (c.wait >= 0) {
-		t.Errorf("the zone is fenced: %v", got)
+		t.Errorf("zone fenced after the final status was written: %v", got)
 	}
 	if c.zone == "b" && l.leaseProxyStatus() != 503 {
-		t.Errorf("the zone's proxies get %d", l.leaseProxyStatus())
+		t.Errorf("lease proxy of the zone got status %d, want 503", l.leaseProxyStatus())
 	}
 }
 
-// waitForEnd lets pass what the end waits for.
-func (c leaderCancellation) waitForEnd(t *testing.T, l *guardedLeader, job *cluster.Job, machine *cluster.Machine) {
+// allowFinalStatus advances the clock, or expires the machine, so that the final status may be written.
+func (c leaderCancellation) allowFinalStatus(
+	t *testing.T, l *guardedLeader, job *cluster.Job, machine *cluster.Machine,
+) {
 	t.Helper()
 	if c.wait != 0 {
 		l.clock.advance(max(c.wait, micro.Second))
@@ -62,15 +64,15 @@
 	}
 	if c.wait < 0 {
 		if l.finalStatusPending() {
-			t.Fatal("the end is written while the task may run")
+			t.Fatal("final status written while the task may still run")
 		}
 		l.cluster.ExpireMachine(machine, l.node.Now())
 		l.cancellations.Complete(job, l.node.Now())
 	}
 }
 
-// A job whose end is stored may have a task that is not proven gone: its zone's lease
-// proxies get no answer until it is.
+// A job whose final status is stored may have a task that is not proven gone. Until it is, the lease proxies of
+// its zone get no answer.
 func TestZoneIsFencedWhileATaskOfACancelledJobIsNotProvenGone(t *testing.T) {
 	l := newGuardedLeader(t, func(*Node) {})
 	job, machine := l.addAllocatedJob("b")
@@ -78,35 +80,38 @@
 	l.jobEnded(job, wire.JobAborted)
 	l.cancellations.UpdateFencedZones()
 	if !l.cancellations.ZoneFenced("b") || l.cancellations.ZoneFenced("a") || l.leaseProxyStatus() != 503 {
-		t.Errorf("zone b is fenced %v, zone a %v", l.cancellations.ZoneFenced("b"), l.cancellations.ZoneFenced("a"))
+		t.Errorf(
+			"zone b fenced: %v, want true; zone a fenced: %v, want false", l.cancellations.ZoneFenced("b"),
+			l.cancellations.ZoneFenced("a"),
+		)
 	}
 	l.cluster.ExpireMachine(machine, l.node.Now())
 	l.cancellations.UpdateFencedZones()
 	if l.cancellations.ZoneFenced("b") || l.leaseProxyStatus() != 200 {
-		t.Error("zone b is fenced though the task is gone")
+		t.Error("zone b still fenced after the task was proven gone")
 	}
 }
 
-// The lease may lapse between any two looks at the clock. An answer that lets a proxy renew
-// leases counts from a time at which the leader's held.
+// The lease may expire between any two readings of the clock. An answer that lets a proxy renew leases must carry
+// a time at which the leader's lease was valid.
 func TestLeaseProxyGetsNoAnswerOnceTheLeaderLeaseHasLapsed(t *testing.T) {
-	for looks := range 4 {
+	for reads := range 4 {
 		l := newGuardedLeader(t, func(*Node) {})
 		l.cancellations.UpdateFencedZones()
-		l.clock.jumpAfter(looks, leaseSpan)
+		l.clock.jumpAfter(reads, leaseSpan)
 		status := l.leaseProxyStatus()
 		holds := l.holdsLease()
-		if status == 200 && !holds && looks < 3 {
-			t.Errorf("answered, though the lease lapsed after %d looks at the clock", looks)
+		if status == 200 && !holds && reads < 3 {
+			t.Errorf("lease proxy answered, though the leader lease expired after %d clock readings", reads)
 		}
-		if looks == 0 && status != 200 {
-			t.Errorf("status %d while the lease holds", status)
+		if reads == 0 && status != 200 {
+			t.Errorf("status %d while the leader lease is valid, want 200", status)
 		}
 	}
 }
 
-// A lease proxy knows no token of its own: it renews only leases of its zone's agents that
-// some leader has answered.
+// A lease proxy has no fencing token of its own: it renews only leases of agents of its zone that have been
+// answered by a leader.
 func TestProxyRenewsOnlyLeasesOfItsZonesAgentsThatALeaderAnswered(t *testing.T) {
 	l := newGuardedLeader(t, func(n *Node) { n.leaseProxy.RenewalWindow = 45 * micro.Second })
 	proxy := &l.node.leaseProxy
@@ -119,9 +124,9 @@
 		token wire.Count
 		want  bool
 	}{
-		{"of the zone, answered", "a", 9, true},
-		{"of another zone", "b", 9, false},
-		{"never answered", "a", 0, false},
+		{"agent of the zone, answered by a leader: renewed", "a", 9, true},
+		{"agent of another zone: not renewed", "b", 9, false},
+		{"agent never answered by a leader: not renewed", "a", 0, false},
 	} {
 		heartbeat := &wire.Heartbeat{Machine: "i-1", Zone: c.zone, FencingToken: c.token}
 		if got := l.node.proxiesLease(heartbeat); got != c.want {
@@ -130,8 +135,8 @@
 	}
 }
 
-// Before it led again, or while its lease had lapsed, the leader itself may have renewed
-// leases as a proxy of its zone.
+// Before its term began, or while its lease had expired, the leader itself may have renewed leases as a lease
+// proxy of its zone.
 func TestRenewalBoundIncludesLeasesThatTheLeaderRenewedAsAProxy(t *testing.T) {
 	l := newGuardedLeader(t, func(n *Node) {
 		n.leaseProxy.RenewalWindow = 45 * micro.Second
@@ -142,20 +147,22 @@
 	l.clock.advance(10 * micro.Second)
 	proxy.RecordProbe(true, false, l.clock.now)
 	if !proxy.TryRenew(l.clock.now) {
-		t.Fatal("renews nothing")
+		t.Fatal("lease proxy renewed no lease")
 	}
-	renewed := l.clock.now
+	renewedAt := l.clock.now
 	l.clock.advance(micro.Minute)
 	l.updateRenewalBound(l.clock.now)
-	if l.cluster.ProxyRenewedUntil["a"] < renewed || l.cluster.ProxyRenewedUntil[""] < renewed {
-		t.Errorf("leases of its zone count from %v, renewed at %v", l.cluster.ProxyRenewedUntil["a"], renewed)
+	if l.cluster.ProxyRenewedUntil["a"] < renewedAt || l.cluster.ProxyRenewedUntil[""] < renewedAt {
+		t.Errorf(
+			"renewal bound of the leader's zone is %v, before the renewal at %v", l.cluster.ProxyRenewedUntil["a"], renewedAt,
+		)
 	}
-	if own := l.cluster.ProxyRenewedUntil["c"]; own >= renewed {
-		t.Errorf("leases of another zone count from %v", own)
+	if bound := l.cluster.ProxyRenewedUntil["c"]; bound >= renewedAt {
+		t.Errorf("renewal bound of another zone is %v, want it before the renewal", bound)
 	}
 }
 
-// While the leader's own zone is fenced, the leader does not become its lease proxy either.
+// While the leader's own zone is fenced, the leader does not renew leases as a lease proxy of that zone either.
 func TestLeaderRenewsNoLeaseOfItsOwnZoneWhileThatIsFenced(t *testing.T) {
 	for _, fenced := range []bool{false, true} {
 		l := newGuardedLeader(t, func(n *Node) { n.leaseProxy.RenewalWindow = 45 * micro.Second })
@@ -164,12 +171,13 @@
 		l.clock.advance(10 * micro.Second)
 		l.node.leaseProxy.RecordProbe(true, false, l.clock.now)
 		if got := l.node.leaseProxy.TryRenew(l.clock.now); got == fenced {
-			t.Errorf("fenced %v: renews %v", fenced, got)
+			t.Errorf("zone fenced %v: renewed %v", fenced, got)
 		}
 	}
 }
 
-// A term ends before its tokens do.
+// A term has a bounded range of fencing tokens. The leader gives up its lease before it would use the tokens of
+// the next term.
 func TestLeaderLosesItsLeaseOnceItsFencingTokensAreUsedUp(t *testing.T) {
 	l := newGuardedLeader(t, func(*Node) {})
 	l.addAllocatedJob("a")
@@ -177,6 +185,6 @@
 	l.dispatcher.RaiseFencingToken(next - 2)
 	l.dispatcher.CheckToken(l.clock.now)
 	if token := l.dispatcher.FencingToken(); token >= next || l.holdsLease() {
-		t.Errorf("token %x, the lease holds: %v", token, l.holdsLease())
+		t.Errorf("fencing token %x, leader lease valid: %v, want a token of this term and no lease", token, l.holdsLease())
 	}
 }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -20,7 +20,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// interceptedStore has a test look at each transaction and say what comes of it.
+// interceptedStore passes each transaction to a function of the test instead of the store; the function returns the
+// error of the commit.
 type interceptedStore struct {
 	store.Store
 	commit func(transaction wire.Transaction) error
@@ -30,16 +31,16 @@
 	return 0, s.commit(transaction)
 }
 
-// testClock is a steady clock that the test sets. It may jump after a number of looks at
-// it, as for a process that stands still between two of them.
+// testClock is a clock that only the test advances. It can jump after a number of readings, which simulates a
+// process pause between two of them.
 type testClock struct {
-	mu    sync.Mutex
-	now   micro.Time
-	readsLeft int        // looks that are left before it jumps; 0: it does not
-	jump  micro.Time // by so much
+	mu        sync.Mutex
+	now       micro.Time
+	readsLeft int        // readings left before the clock jumps; 0: it does not jump
+	jump      micro.Time // how far the clock jumps
 }
 
-// Now is the time.
+// Now returns the time, and performs a jump that is due after this reading.
 func (c *testClock) Now() micro.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,33 +53,33 @@
 	return now
 }
 
-// advance lets time advance.
+// advance moves the clock forward by a span.
 func (c *testClock) advance(span micro.Time) {
 	c.mu.Lock()
 	c.now += span
 	c.mu.Unlock()
 }
 
-// jumpAfter has the clock jump after so many looks at it.
-func (c *testClock) jumpAfter(looks int, by micro.Time) {
+// jumpAfter makes the clock jump by a span after a number of readings.
+func (c *testClock) jumpAfter(reads int, by micro.Time) {
 	c.mu.Lock()
-	c.readsLeft, c.jump = looks, by
+	c.readsLeft, c.jump = reads, by
 	c.mu.Unlock()
 }
 
-// awaitedEvent is an event of a test.
+// awaitedEvent is an event that runs a function of the test and signals its end.
 type awaitedEvent struct {
 	run  func()
 	done chan struct{}
 }
 
-// Apply runs it.
+// Apply runs the function and closes done.
 func (s awaitedEvent) Apply() {
 	s.run()
 	close(s.done)
 }
 
-// runEventLoop has a loop take in events and do nothing else.
+// runEventLoop runs a loop that only processes events, without ticks, until the test ends.
 func runEventLoop(t *testing.T, loop *eventloop.Loop) {
 	t.Helper()
 	t.Cleanup(loop.Stop)
@@ -87,7 +88,7 @@
 	})
 }
 
-// runInLoop runs f as an event, and waits for it; false if the loop was stopped.
+// runInLoop runs f as an event of the loop and waits for it. It returns false if the loop was stopped.
 func (l *controlLoop) runInLoop(f func()) bool {
 	s := awaitedEvent{f, make(chan struct{})}
 	l.loop.Post(s)
@@ -99,7 +100,8 @@
 	}
 }
 
-// respondToHeartbeat has an agent's heartbeat answered by the loop; something may happen between.
+// respondToHeartbeat returns the loop's reply to an agent's heartbeat. It calls between after the heartbeat was
+// posted to the loop and before the loop processes it.
 func (l *controlLoop) respondToHeartbeat(heartbeat *wire.Heartbeat, between func()) httpapi.Reply {
 	held, release := make(chan struct{}), make(chan struct{})
 	l.loop.Post(awaitedEvent{func() { close(held); <-release }, make(chan struct{})})
@@ -114,12 +116,13 @@
 	return <-reply
 }
 
-// heartbeatStatus is the status of the loop's answer to an agent's heartbeat.
+// heartbeatStatus returns the HTTP status of the loop's reply to an agent's heartbeat.
 func (l *controlLoop) heartbeatStatus(agent *fake.Agent) int {
 	return l.respondToHeartbeat(agent.Heartbeat(), func() {}).Status
 }
 
-// newGuardedOwner makes the loop of a shard's owner whose lease holds. The test makes it tick.
+// newGuardedOwner returns the owner of shard gpus on node n-1, with a valid lease; commit replaces the store's commits.
+// Its loop processes events; only the test calls tick.
 func newGuardedOwner(t *testing.T, commit func() error) *ShardOwner {
 	t.Helper()
 	node, kill := newTestCluster(t).startNodeWith("n-1", func(n *Node) {
@@ -137,7 +140,7 @@
 	return owner
 }
 
-// observeMove has the owner read that its shard is to move to n-2.
+// observeMove delivers to the owner a shard record that requests a move to n-2.
 func (o *ShardOwner) observeMove(t *testing.T) {
 	t.Helper()
 	moving, err := o.ownership.Entry().Record.Move(shard.Controller{Node: "n-2", SessionVersion: 7}, 1)
@@ -147,27 +150,27 @@
 	shardRecordObserved{o, shard.Entry{Name: "gpus", Version: 10, Record: moving}, true}.Apply()
 }
 
-// awaitTransferResult waits until the loop has taken in what came of a transfer.
+// awaitTransferResult waits until the loop has processed the result of a transfer, or was stopped.
 func (o *ShardOwner) awaitTransferResult(t *testing.T) {
 	t.Helper()
-	waitUntil(t, "the answer to the transfer", func() bool {
+	waitUntil(t, "transfer result processed", func() bool {
 		inFlight := false
 		return !o.runInLoop(func() { inFlight = o.transferInFlight }) || !inFlight
 	})
 }
 
-// leaseSpan is for how long the lease of a guardedLeader holds.
+// leaseSpan is how long the lease of a guardedLeader is valid.
 const leaseSpan = 10 * micro.Minute
 
-// guardedLeader is a leader of zone a, with a peer there and two in zone b. The test makes
-// it tick.
+// guardedLeader is a leader in zone a, with one peer in zone a and two in zone b. Its loop processes events; only
+// the test calls tick.
 type guardedLeader struct {
 	*Leader
 	clock *testClock
 	store *fake.Store
 }
 
-// newGuardedLeader makes one. A change is made to the node before the term begins.
+// newGuardedLeader returns a guardedLeader. It calls set on the node before the term begins.
 func newGuardedLeader(t *testing.T, set func(n *Node)) *guardedLeader {
 	t.Helper()
 	clock := &testClock{now: 100 * micro.Second}
@@ -187,7 +190,7 @@
 	return &guardedLeader{l, clock, env.store}
 }
 
-// addGuardedJob adds job j-1, which has one task.
+// addGuardedJob adds job j-1, which has one task, and returns it.
 func (l *guardedLeader) addGuardedJob() *cluster.Job {
 	l.intake.AddJob(wire.Job{
 		ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1,
@@ -195,8 +198,8 @@
 	return l.cluster.Jobs["j-1"]
 }
 
-// addAllocatedJob adds a job of one task with an allocation on a machine of a zone, whose start
-// may have gone out.
+// addAllocatedJob adds job j-1 with its task allocated to machine i-1 of a zone. The allocation's record is stored,
+// so the start command may have been sent.
 func (l *guardedLeader) addAllocatedJob(zone string) (*cluster.Job, *cluster.Machine) {
 	heartbeat := fake.NewAgent("i-1", "small", zone, 30*micro.Second).Heartbeat()
 	heartbeat.FencingToken = wire.Count(l.dispatcher.FencingToken())
@@ -207,19 +210,19 @@
 	return job, machine
 }
 
-// finalStatusPending reports whether the end of job j-1 is to be written.
+// finalStatusPending reports whether the final status of job j-1 is to be written.
 func (l *guardedLeader) finalStatusPending() bool {
 	record := l.records.Lookup(keys.JobEnd("j-1"))
 	return record != nil && record.Dirty()
 }
 
-// leaseProxyStatus is the answer to a lease proxy of zone b.
+// leaseProxyStatus returns the HTTP status of the reply to a lease proxy of zone b.
 func (l *guardedLeader) leaseProxyStatus() int {
 	status, _ := l.node.handleLeaseProxy(wire.MustMarshal(leasekeeper.Request{Node: "n-2"}))
 	return status
 }
 
-// newGuardedShardLeader makes a leader of a site where n-1 owns the machines of zone c.
+// newGuardedShardLeader returns a guardedLeader in a cluster in which n-1 owns shard gpus, the machines of zone c.
 func newGuardedShardLeader(t *testing.T, set func(n *Node)) *guardedLeader {
 	t.Helper()
 	l := newGuardedLeader(t, func(n *Node) {
@@ -231,7 +234,7 @@
 	return l
 }
 
-// writeShard writes the record of the shard, and has the leader's table follow.
+// writeShard stores the shard's record with a state and updates the leader's copy of the shard table.
 func (l *guardedLeader) writeShard(t *testing.T, state shard.State) {
 	t.Helper()
 	record := shard.Record{State: state, Selector: shard.Selector{Zone: "c"}, OwnerChanges: 1}
@@ -249,7 +252,7 @@
 	}
 }
 
-// restoreAssignedJob adds job j-1, as a failover reads it that finds it restoreAssignedJob to the shard.
+// restoreAssignedJob adds job j-1 and restores its assignment to the shard, as recovery does after a failover.
 func (l *guardedLeader) restoreAssignedJob(t *testing.T) *cluster.Job {
 	t.Helper()
 	job := l.addGuardedJob()
@@ -261,17 +264,16 @@
 		},
 	)
 	if !ok {
-		t.Fatal("no assignment read")
+		t.Fatal("recovery read no assignment")
 	}
 	l.coordinator.RestoreAssignment(job, assignments["j-1"])
 	if job.State != cluster.Assigned {
-		t.Fatal("not assigned")
+		t.Fatal("job is not assigned after its assignment was restored")
 	}
 	return job
 }
 
-// stopRequestPending reports whether the assignment of job j-1 is to be stored as one whose
-// tasks are to be stopped.
+// stopRequestPending reports whether the assignment of job j-1 is to be written with a request to stop its tasks.
 func (l *guardedLeader) stopRequestPending() bool {
 	record := l.records.Lookup(shard.AssignmentKey("gpus", "j-1"))
 	value, _ := record.Build()
@@ -279,13 +281,13 @@
 	return ok && assignment.StopRequested && record.Dirty()
 }
 
-// shardCancellationProgress has the shard's owner tell the leader how far a cancellation is.
+// shardCancellationProgress delivers a status update of the shard's owner with the progress of a cancellation.
 func (l *guardedLeader) shardCancellationProgress(t *testing.T, stopping shard.StoppingJob) {
 	t.Helper()
 	update := shard.StatusUpdate{Node: "n-1", SessionVersion: 5, Shards: []shard.ShardUpdate{
 		{Name: "gpus", StoppingJobs: []shard.StoppingJob{stopping}},
 	}}
 	if _, ok := l.coordinator.ReceiveStatusUpdate(wire.MustMarshal(update)); !ok {
-		t.Fatal("the owner's update is not answered")
+		t.Fatal("the leader did not answer the owner's status update")
 	}
 }
--- a/internal/controller/store_faults_test.go
+++ b/internal/controller/store_faults_test.go
@@ -14,13 +14,13 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Where users' questions meet writes: none is answered with something older than
-// what a user was told, whatever the store does with the writes.
+// Tests of status queries that race with writes: no answer may be older than what a user was told before, whatever the
+// store does with the writes.
 
-// waitForRestoredLeader waits for a leader and gives it, and the others.
+// waitForRestoredLeader waits until a leader has recovered, and returns it and the other controllers.
 func (w *simCluster) waitForRestoredLeader() (*controllerProcess, []*controllerProcess) {
 	w.t.Helper()
-	w.waitUntil("a leader that has taken over", micro.Minute, func() bool {
+	w.waitUntil("a leader that has recovered", micro.Minute, func() bool {
 		l := w.leader()
 		return l != nil && l.jobStateInMemory("") != "away"
 	})
@@ -34,8 +34,8 @@
 	return l, others
 }
 
-// jobStateInMemory is the state of a job in the memory of a leader: "" if it has none,
-// "away" if it does not say.
+// jobStateInMemory returns the state of a job in the memory of a leader: "" if it does not know the job, "away" if the
+// node does not lead or does not answer within a second.
 func (p *controllerProcess) jobStateInMemory(id string) string {
 	node := p.runningNode()
 	if node == nil {
@@ -61,9 +61,9 @@
 	}
 }
 
-// queryAllFor asks all nodes and repeats the submission at all, for so long.
-func (j *userJob) queryAllFor(d micro.Time) {
-	for end := j.sim.now() + d; j.sim.now() < end; j.sim.sleep(20 * micro.Millisecond) {
+// queryAllFor queries the status at all nodes, and repeats the submission at all of them, for a time.
+func (j *userJob) queryAllFor(span micro.Time) {
+	for end := j.sim.now() + span; j.sim.now() < end; j.sim.sleep(20 * micro.Millisecond) {
 		for _, controller := range j.sim.controllers {
 			go j.queryStatus(controller)
 			go j.submitOnce(controller)
@@ -71,36 +71,36 @@
 	}
 }
 
-// checkFinalStatus asks every node once more: all say the same of a job that is over.
+// checkFinalStatus queries every node for a job that has ended: all must report its final status.
 func (j *userJob) checkFinalStatus() {
 	j.sim.t.Helper()
-	s := j.knowledge()
+	known := j.knowledge()
 	want := wire.JobDone
-	if s.aborted {
+	if known.aborted {
 		want = wire.JobAborted
 	}
 	for _, controller := range j.sim.controllers {
 		if got := replyState(j.queryStatus(controller)); got != want {
-			j.sim.t.Errorf("%s was over (%+v), %s says %q", j.id, s, controller.name, got)
+			j.sim.t.Errorf("%s has ended (%+v), %s reports %q", j.id, known, controller.name, got)
 		}
 	}
 }
 
-// A job is cancelled at the leader, which has not heard yet that another node has
-// accepted it: that is no reason to call it unknown.
+// A job is cancelled at the leader, which has not yet been notified that another node accepted it. The leader must not
+// report it as unknown.
 func TestCancellationSucceedsForAJobUnknownToTheLeader(t *testing.T) {
 	runScenario(t, 1, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
-		sim.partitionNode(others[0], 20*micro.Second, "peers") // it can't tell the leader
-		met := 0
+		sim.partitionNode(others[0], 20*micro.Second, "peers") // it cannot notify the leader
+		unknownCount := 0
 		for range 8 {
 			sim.sleep(900 * micro.Millisecond)
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 9 * micro.Second})
 			if reply := job.submitOnce(others[0]); reply.Status != 201 {
-				sim.t.Fatalf("%+v", reply)
+				sim.t.Fatalf("submission got %+v, want status 201", reply)
 			}
 			if leader.jobStateInMemory(job.id) == "" {
-				met++
+				unknownCount++
 			}
 			for _, controller := range []*controllerProcess{leader, others[1]} {
 				job.cancelOnce(controller)
@@ -109,18 +109,18 @@
 			}
 			job.queryRapidly()
 			if state := job.cancel(); state != wire.JobAborted {
-				sim.t.Errorf("%s: %s", job.id, state)
+				sim.t.Errorf("%s is %s after its cancellation, want aborted", job.id, state)
 			}
 			job.queryAllFor(100 * micro.Millisecond)
 		}
-		if met == 0 {
-			sim.t.Error("the leader always knew")
+		if unknownCount == 0 {
+			sim.t.Error("the leader knew every job before its cancellation")
 		}
 	})
 }
 
-// A leader that was cut from the store and the other nodes is asked, after its
-// jobs were cancelled through the next one.
+// A leader that was partitioned from the store and the other nodes is queried after its jobs were cancelled through the
+// next leader. It must not report their old state.
 func TestFormerLeaderReportsNoStaleStateOfJobsCancelledByTheNext(t *testing.T) {
 	runScenario(t, 1, 3, nil, func(sim *simCluster) {
 		old, others := sim.waitForRestoredLeader()
@@ -128,7 +128,7 @@
 		for range 4 {
 			jobs = append(jobs, sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 5 * micro.Minute}).submit())
 		}
-		sim.waitUntil("all run", micro.Minute, func() bool {
+		sim.waitUntil("all jobs running", micro.Minute, func() bool {
 			n := 0
 			for _, job := range jobs {
 				n += job.runningTasks()
@@ -137,7 +137,7 @@
 		})
 		sim.partitionNode(old, 40*micro.Second, "state", "peers")
 		var next *controllerProcess
-		sim.waitUntil("another leads", micro.Minute, func() bool {
+		sim.waitUntil("another node leads", micro.Minute, func() bool {
 			for _, controller := range others {
 				if n := controller.runningNode(); n.activeLeader() != nil {
 					next = controller
@@ -147,15 +147,15 @@
 		})
 		for _, job := range jobs {
 			sim.waitUntil(
-				"cancelled through the next", micro.Minute,
+				"job cancelled through the next leader", micro.Minute,
 				func() bool { return replyState(job.cancelOnce(next)) == wire.JobAborted },
 			)
 			if !old.partitionedFrom("state") {
-				sim.t.Error("the cut is over")
+				sim.t.Error("the partition ended too early")
 			}
 			job.queryAllFor(200 * micro.Millisecond)
 		}
-		sim.waitUntil("the cut over", micro.Minute, sim.noActiveFaults)
+		sim.waitUntil("partition ended", micro.Minute, sim.noActiveFaults)
 		sim.sleep(5 * micro.Second)
 		for _, job := range jobs {
 			job.checkFinalStatus()
@@ -163,42 +163,44 @@
 	})
 }
 
-// The end of a job is stored, and the leader gets no answer; a node that is cut
-// from the leader reads it there, and tells the user.
+// The final status of a job is stored, but the leader gets no response to its write. A node that is partitioned from
+// the leader reads the final status from the store and reports it to the user; no node may contradict it afterwards.
 func TestFinalStatusIsConsistentWhileItsWriteIsUncertain(t *testing.T) {
-	for _, withdrawn := range []bool{false, true} {
-		t.Run(fmt.Sprint("withdrawn ", withdrawn), func(t *testing.T) {
+	for _, cancelled := range []bool{false, true} {
+		t.Run(fmt.Sprint("cancelled ", cancelled), func(t *testing.T) {
 			runScenario(t, 2, 3, nil, func(sim *simCluster) {
 				leader, others := sim.waitForRestoredLeader()
 				reader := others[0]
 				sim.partitionNode(reader, 5*micro.Minute, "peers")
-				met := 0
+				unawareCount := 0
 				for range 4 {
 					job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second}).submit()
 					sim.onCommit(
 						leader, keys.JobEnd(job.id),
 						func(n int, _ wire.Change) fake.CommitFault { return fake.CommitFault{Unanswered: n == 1} },
 					)
-					if withdrawn {
+					if cancelled {
 						go job.cancel()
 					}
-					sim.waitUntil("the end told", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
-					if s := leader.jobStateInMemory(job.id); s != cluster.Done.String() && s != cluster.Aborted.String() {
-						met++
+					sim.waitUntil(
+						"final status reported", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() },
+					)
+					if state := leader.jobStateInMemory(job.id); state != cluster.Done.String() && state != cluster.Aborted.String() {
+						unawareCount++
 					}
 					job.queryAllFor(1500 * micro.Millisecond)
 					job.checkFinalStatus()
 				}
-				if met < 3 {
-					sim.t.Errorf("the leader knew but in %d of 4", met)
+				if unawareCount < 3 {
+					sim.t.Errorf("the leader did not know the final status in %d of 4 cases, want at least 3", unawareCount)
 				}
 			})
 		})
 	}
 }
 
-// The write of an end gets no answer, and is not there when it is looked for; the
-// next try is refused. Then the first is carried out, and read by another node.
+// The write of a final status gets no response and is not found when the leader reads the record back; the next attempt
+// is refused. Then the store executes the first write late, and another node reads it.
 func TestFinalStatusIsConsistentWhenItsWriteIsExecutedLate(t *testing.T) {
 	runScenario(t, 3, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
@@ -207,20 +209,24 @@
 		for range 4 {
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 3 * micro.Second}).submit()
 			var mu sync.Mutex
-			tries, until := 0, micro.Time(0)
+			attempts, refuseUntil := 0, micro.Time(0)
 			sim.onCommit(leader, keys.JobEnd(job.id), func(n int, _ wire.Change) fake.CommitFault {
 				mu.Lock()
 				defer mu.Unlock()
-				if tries = n; n == 1 {
-					until = sim.now() + 4*micro.Second
+				if attempts = n; n == 1 {
+					refuseUntil = sim.now() + 4*micro.Second
 					return fake.CommitFault{Unanswered: true, ExecuteAfter: 2 * micro.Second}
 				}
-				return fake.CommitFault{Refused: sim.now() < until}
+				return fake.CommitFault{Refused: sim.now() < refuseUntil}
 			})
-			sim.waitUntil("the end told", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
+			sim.waitUntil(
+				"final status reported", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() },
+			)
 			mu.Lock()
-			if s := leader.jobStateInMemory(job.id); tries < 2 || s != cluster.Finishing.String() {
-				sim.t.Errorf("%d tries, the leader has %s", tries, s)
+			if state := leader.jobStateInMemory(job.id); attempts < 2 || state != cluster.Finishing.String() {
+				sim.t.Errorf(
+					"%d write attempts, job is %s in the memory of the leader; want at least 2 and finishing", attempts, state,
+				)
 			}
 			mu.Unlock()
 			job.queryAllFor(2 * micro.Second)
@@ -230,7 +236,7 @@
 	})
 }
 
-// allocationsIn is how many places a record names.
+// allocationsIn returns the number of allocations in a chunk record, in either format; 0 for other records.
 func allocationsIn(c wire.Change) int {
 	switch r := c.Value.(type) {
 	case cluster.ChunkRecord:
@@ -241,17 +247,17 @@
 	return 0
 }
 
-// The first record of a job is carried out after newer ones of the same leader,
-// which ends then, while the job's machines reach no node: were the old record
-// taken, the next leader would start a task that runs.
+// The store executes the first write of a job's chunk record after newer writes of the same leader. That leader then
+// stops while the job's machines reach no node. If the old record were accepted, the next leader would start a task
+// that is already running.
 func TestRecordsAreNotOverwrittenByOlderOnesThatArriveLate(t *testing.T) {
-	met := 0
+	staleCount := 0
 	for seed := range uint64(4) {
 		runScenario(t, seed, 3, func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 			leader, _ := sim.waitForRestoredLeader()
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 3, cpus: 4, runTime: 2 * micro.Minute})
 			var mu sync.Mutex
-			first, newest, late := 0, 0, micro.Time(0)
+			first, newest, lateAt := 0, 0, micro.Time(0)
 			sim.onCommit(leader, "run/"+job.id+"/", func(n int, c wire.Change) fake.CommitFault {
 				mu.Lock()
 				defer mu.Unlock()
@@ -259,42 +265,43 @@
 				if n > 1 {
 					return fake.CommitFault{}
 				}
-				first, late = newest, sim.now()+25*micro.Second
+				first, lateAt = newest, sim.now()+25*micro.Second
 				return fake.CommitFault{Unanswered: true, ExecuteAfter: 25 * micro.Second}
 			})
 			job.submit()
-			sim.waitUntil("all run", 24*micro.Second, func() bool { return job.runningTasks() == 3 })
+			sim.waitUntil("all tasks running", 24*micro.Second, func() bool { return job.runningTasks() == 3 })
 			mu.Lock()
 			if first < newest {
-				met++
+				staleCount++
 			}
-			at := late
+			executedAt := lateAt
 			mu.Unlock()
-			sim.sleep(at - sim.now() - 100*micro.Millisecond)
+			sim.sleep(executedAt - sim.now() - 100*micro.Millisecond)
 			for _, machine := range sim.liveMachines() {
 				machine.loseHeartbeats(30 * micro.Second)
 			}
 			sim.sleep(500 * micro.Millisecond)
 			sim.restartController(leader, 5*micro.Second)
 			sim.waitUntil(
-				"done", 8*micro.Minute, func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
+				"job done", 8*micro.Minute,
+				func() bool { return replyState(job.queryStatus(sim.randomUserNode())) == wire.JobDone },
 			)
 		})
 	}
-	if met < 2 {
-		t.Errorf("the late record lacked places in %d of 4 simulations", met)
+	if staleCount < 2 {
+		t.Errorf("the late record lacked allocations in %d of 4 simulations, want at least 2", staleCount)
 	}
 }
 
-// The store is slow to answer a node that is cut from the others, and reads it for
-// every poll. An answer that a job is not over comes no later after another node said
-// that it is than a read may take whose answer is still worth telling.
+// The store is slow to answer a node that is partitioned from the others and therefore reads the store for every status
+// query. After another node has reported that a job ended, this node may report it as not ended only for as long as
+// the longest read whose result may still be returned.
 func TestSlowReadsAreNotReturnedOnceTheyAreStale(t *testing.T) {
 	runScenario(t, 5, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
 		reader := others[0]
 		sim.partitionNode(reader, 5*micro.Minute, "peers")
-		late, answers, across := micro.Time(0), 0, 0
+		maxStaleness, answers, readsInFlight := micro.Time(0), 0, 0
 		var jobs []*userJob
 		for i := range 12 {
 			job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 1, runTime: 4 * micro.Second}).submit()
@@ -307,13 +314,13 @@
 			if i%4 > 1 {
 				time.AfterFunc(sim.randomDuration(micro.Second, 6*micro.Second), func() { job.cancel() })
 			}
-			ask := func(controller *controllerProcess) {
+			query := func(controller *controllerProcess) {
 				began := sim.now()
 				state := replyState(job.queryStatus(controller))
 				mu.Lock()
 				defer mu.Unlock()
 				if controller == reader && reportedAt > began {
-					across++
+					readsInFlight++
 				}
 				switch {
 				case state.Final() && reportedAt == 0:
@@ -323,38 +330,39 @@
 						answers++
 					}
 					if reportedAt > 0 {
-						late = max(late, sim.now()-reportedAt)
+						maxStaleness = max(maxStaleness, sim.now()-reportedAt)
 					}
 				}
 			}
 			for end := sim.now() + 13*micro.Second; sim.now() < end; sim.sleep(20 * micro.Millisecond) {
-				go ask(leader)
-				go ask(reader)
+				go query(leader)
+				go query(reader)
 			}
 			sim.sleep(3 * micro.Second)
 		}
-		sim.waitUntil("calm", 6*micro.Minute, sim.noActiveFaults)
+		sim.waitUntil("no active faults", 6*micro.Minute, sim.noActiveFaults)
 		sim.sleep(10 * micro.Second)
 		for _, job := range jobs {
-			sim.waitUntil(job.id+" over", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
+			sim.waitUntil(job.id+" ended", 2*micro.Minute, func() bool { return replyState(job.queryStatus(reader)).Final() })
 			job.checkFinalStatus()
 		}
 		sim.t.Logf(
-			"%d answers read in time, %d reads under way when the end was told, the oldest told %.3f s after it", answers,
-			across, late.Seconds(),
+			"%d answers read in time, %d reads in flight when the final status was reported, the oldest answered %.3f s later",
+			answers,
+			readsInFlight, maxStaleness.Seconds(),
 		)
-		if answers == 0 || across == 0 {
-			sim.t.Error("no answer was read in time, or no read was under way at the end")
+		if answers == 0 || readsInFlight == 0 {
+			sim.t.Error("no answer was read in time, or no read was in flight when a final status was reported")
 		}
-		if late > jobapi.MaxReadAge {
-			sim.t.Errorf("a job was called unfinished %.3f s after it was called over", late.Seconds())
+		if maxStaleness > jobapi.MaxReadAge {
+			sim.t.Errorf("a job was reported as not ended %.3f s after its final status was reported", maxStaleness.Seconds())
 		}
 	})
 }
 
-// Jobs are cancelled, asked for and submitted again at the end of their last task,
-// with no other trouble; the store and the agents take their usual time. Each has one end, and all
-// nodes name it for ever. The leader hears of the end by as much later as agents take.
+// Jobs are cancelled, queried and resubmitted as their last task ends, without other faults; store and agents have
+// their usual latencies. Each job must have exactly one final status, which all nodes report from then on. The leader
+// learns of a task's end later by the latency of the agents.
 func TestJobHasOneFinalStatusWhenCancelledAsItsLastTaskEnds(t *testing.T) {
 	const agentLatency = 100 * micro.Millisecond
 	runScenario(t, 6, 3, nil, func(sim *simCluster) {
@@ -369,11 +377,11 @@
 			).submit()
 			jobs = append(jobs, job)
 			wg.Add(1)
-			before := sim.randomDuration(0, 600*micro.Millisecond)
+			delay := sim.randomDuration(0, 600*micro.Millisecond)
 			go func() {
 				defer wg.Done()
-				sim.waitUntil(job.id+" runs", 3*micro.Minute, func() bool { return job.runningTasks() > 0 })
-				time.Sleep(3*time.Second + agentLatency.Duration() - 300*time.Millisecond + before)
+				sim.waitUntil(job.id+" running", 3*micro.Minute, func() bool { return job.runningTasks() > 0 })
+				time.Sleep(3*time.Second + agentLatency.Duration() - 300*time.Millisecond + delay)
 				go job.queryRapidly()
 				job.cancel()
 				job.queryRapidly()
@@ -396,23 +404,23 @@
 			sim.t.Fatal(err)
 		}
 		ends := map[string]int{}
-		for _, e := range events.Events {
-			ends[e.Put]++
+		for _, event := range events.Events {
+			ends[event.Put]++
 		}
 		for _, job := range jobs {
-			if n := ends[keys.JobEnd(job.id)]; n != 1 {
-				sim.t.Errorf("%s has %d ends", job.id, n)
+			if count := ends[keys.JobEnd(job.id)]; count != 1 {
+				sim.t.Errorf("%s has %d final status records, want 1", job.id, count)
 			}
 		}
-		sim.t.Logf("%d of %d done, the others cancelled", done, len(jobs))
+		sim.t.Logf("%d of %d jobs done, the others cancelled", done, len(jobs))
 		if done < 10 || done > 50 {
-			sim.t.Errorf("%d of 60 are done: the cancellations missed the ends", done)
+			sim.t.Errorf("%d of 60 jobs done, want 10 to 50: the cancellations did not coincide with the task ends", done)
 		}
 	})
 }
 
-// Users look closely at whatever was just accepted, has ended or was cancelled,
-// while answers to writes are lost and the leader changes.
+// Users query rapidly whatever was just accepted, has ended or was cancelled, while responses to writes are lost and
+// the leader changes. No node may contradict a final status that was reported.
 func TestStatusStaysConsistentWhileResponsesAreLostAndLeadersChange(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -458,7 +466,7 @@
 					}
 				}
 				wg.Wait()
-				sim.waitUntil("calm", 3*micro.Minute, sim.noActiveFaults)
+				sim.waitUntil("no active faults", 3*micro.Minute, sim.noActiveFaults)
 				sim.sleep(10 * micro.Second)
 				for _, job := range jobs {
 					job.checkFinalStatus()
