--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -427,16 +427,19 @@
 	}{
 		{"service, reported by status query", jobRequest{kind: wire.Service, tasks: 2}, false, false, false},
 		{
-			"gang, reported by repeated submission", jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun}, false, true,
-			false,
+			"gang, reported by repeated submission",
+			jobRequest{kind: wire.Gang, tasks: 2, runTime: endlessRun},
+			false, true, false,
 		},
 		{
 			"array, reported by status query, agents cannot reach the next leader",
-			jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, false,
+			jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun},
+			true, false, false,
 		},
 		{
 			"pipeline, reported by status query, agents cannot reach the next leader",
-			jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun}, true, false, true,
+			jobRequest{kind: wire.JobArray, tasks: 2, runTime: endlessRun},
+			true, false, true,
 		},
 		{"pipeline, reported by repeated submission", jobRequest{kind: wire.Service, tasks: 2}, false, true, true},
 	} {
@@ -526,20 +529,24 @@
 	}{
 		{"partition without interruption", jobRequest{kind: wire.Service, tasks: 3, zone: "b"}, false, false, false},
 		{
-			"partition ends for a while", jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false,
-			false,
+			"partition ends for a while",
+			jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun},
+			true, false, false,
 		},
 		{
 			"leader changes before the report, partition without interruption",
-			jobRequest{kind: wire.Gang, tasks: 3, zone: "b", runTime: endlessRun}, false, true, false,
+			jobRequest{kind: wire.Gang, tasks: 3, zone: "b", runTime: endlessRun},
+			false, true, false,
 		},
 		{
-			"leader changes before the report, partition ends for a while", jobRequest{kind: wire.Service, tasks: 3, zone: "b"},
+			"leader changes before the report, partition ends for a while",
+			jobRequest{kind: wire.Service, tasks: 3, zone: "b"},
 			true, true, false,
 		},
 		{
 			"leader changes after the report, partition ends for a while",
-			jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun}, true, false, true,
+			jobRequest{kind: wire.JobArray, tasks: 3, zone: "b", runTime: endlessRun},
+			true, false, true,
 		},
 	} {
 		runCaseWithSeeds(t, 5, test.name, func(t *testing.T, seed uint64) {
@@ -978,19 +985,14 @@
 		{"store refuses the leader", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			sim.refuseNode(leader, sim.randomTime(4*micro.Second, 12*micro.Second))
 		}, nil},
-		{
-			"leader resigns, lease proxies", 4, true, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) },
-			nil,
-		},
+		{"leader resigns, proxies", 4, true, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }, nil},
 		{"leader resigns", 3, false, func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) }, nil},
 		{"leader killed, writes executed late", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			sim.restartController(leader, sim.randomTime(100*micro.Millisecond, 8*micro.Second))
 		}, func(sim *simCluster) { sim.disturbCommits(0.3, 0, 8*micro.Second) }},
-		{
-			"leader resigns, store responses lost, lease proxies", 4, true,
-			func(_ *simCluster, leader *controllerProcess) { resignLeader(leader) },
-			func(sim *simCluster) { sim.disturbCommits(0, 0.3, 8*micro.Second) },
-		},
+		{"leader resigns, responses lost, lease proxies", 4, true, func(_ *simCluster, leader *controllerProcess) {
+			resignLeader(leader)
+		}, func(sim *simCluster) { sim.disturbCommits(0, 0.3, 8*micro.Second) }},
 		{"leader paused, heartbeats delayed", 3, false, func(sim *simCluster, leader *controllerProcess) {
 			leader.freeze(sim.randomTime(4500*micro.Millisecond, 9*micro.Second))
 		}, func(sim *simCluster) { sim.replayHeartbeats(0.5, 45*micro.Second, 15*micro.Second) }},
@@ -1006,12 +1008,7 @@
 				const jobCount = 10
 				var jobs []*userJob
 				for i := range jobCount {
-					request := []jobRequest{
-						{kind: wire.Service, tasks: 2},
-						{kind: wire.JobArray, tasks: 3, runTime: endlessRun},
-						{kind: wire.Gang, tasks: 2, runTime: endlessRun},
-						{kind: wire.JobArray, tasks: 2, runTime: endlessRun, zone: "b"},
-					}[i%4]
+					request := []jobRequest{{kind: wire.Service, tasks: 2}, {kind: wire.JobArray, tasks: 3, runTime: endlessRun}, {kind: wire.Gang, tasks: 2, runTime: endlessRun}, {kind: wire.JobArray, tasks: 2, runTime: endlessRun, zone: "b"}}[i%4]
 					request.team = []string{"team", "other"}[i%2]
 					jobs = append(jobs, sim.submitAndWaitRunning(request))
 				}
