--- a/internal/controller/cancellation_faults_test.go
+++ b/internal/controller/cancellation_faults_test.go
@@ -480,15 +480,15 @@
 				}
 				go job.cancelOnce(next)
 				sim.waitUntil("cancellation reported", 1100*micro.Millisecond, func() bool {
-					for _, x := range jobs {
+					for _, pipelineJob := range jobs {
 						if test.resubmitted {
-							go x.submitOnce(third)
+							go pipelineJob.submitOnce(third)
 						} else {
-							go x.queryStatus(third)
+							go pipelineJob.queryStatus(third)
 						}
 					}
-					for _, x := range jobs {
-						if !x.knowledge().aborted {
+					for _, pipelineJob := range jobs {
+						if !pipelineJob.knowledge().aborted {
 							return false
 						}
 					}
@@ -503,10 +503,10 @@
 				}
 				sim.outageBeyondCancelSpan(1500*micro.Millisecond, jobs...)
 				sim.checkRecovery()
-				for _, x := range jobs {
+				for _, pipelineJob := range jobs {
 					for _, controller := range sim.controllers {
-						if state := replyState(x.queryStatus(controller)); state != wire.JobAborted && state != "" {
-							t.Errorf("%s is %s according to %s", x.id, state, controller.name)
+						if state := replyState(pipelineJob.queryStatus(controller)); state != wire.JobAborted && state != "" {
+							t.Errorf("%s is %s according to %s", pipelineJob.id, state, controller.name)
 						}
 					}
 				}
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -210,15 +210,15 @@
 // within that second had no leases renewed and lost its tasks.
 func TestZonePartitionedRightAfterAFailoverKeepsItsTasks(t *testing.T) {
 	const partitionSpan = 43 * micro.Second // longer than a lease, within the renewal span of lease proxies
-	const afterRequest = 100 * micro.Millisecond
+	const requestMargin = 100 * micro.Millisecond
 	runSeeds(t, 4, 5, func(sim *simCluster) {
 		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 4, cpus: 2, zone: "b"}).submit()
 		sim.waitRunning(job, 4)
 		sim.runServiceInBothZones()
 		sim.failOverOutside("b", func() bool {
-			return sim.now()%leasekeeper.RequestInterval > leasekeeper.RequestInterval-afterRequest
+			return sim.now()%leasekeeper.RequestInterval > leasekeeper.RequestInterval-requestMargin
 		})
-		sim.sleep(2 * afterRequest) // lease proxies have sent the new leader one request
+		sim.sleep(2 * requestMargin) // lease proxies have sent the new leader one request
 		sim.partitionZone("b", partitionSpan)
 		sim.sleep(partitionSpan - micro.Second)
 		if job.runningTasks() != 4 {
