--- a/internal/controller/unserved_test.go
+++ b/internal/controller/describe_unserved_test.go
@@ -139,7 +139,7 @@
 	if team := l.cluster.Teams[job.Spec.Team]; team != nil {
 		fmt.Fprintf(text, "; its team uses %g of %g CPUs", team.UsedCPU, team.CPULimit)
 	}
-	fmt.Fprintf(text, "; %s; %s; %s", describeRules(job), describeChunks(job), l.describeOffers(job))
+	fmt.Fprintf(text, "; %s; %s; %s", describeConstraints(job), describeChunks(job), l.describeOffers(job))
 	for _, allocation := range job.Allocations() {
 		machine := allocation.Machine
 		fmt.Fprintf(
@@ -151,8 +151,8 @@
 	return text.String()
 }
 
-// describeRules says what a job asks of the machines that it may use.
-func describeRules(job *cluster.Job) string {
+// describeConstraints says what a job asks of the machines that it may use.
+func describeConstraints(job *cluster.Job) string {
 	spec, zone := &job.Spec, "any"
 	if spec.Zone != nil {
 		zone = *spec.Zone
--- a/internal/controller/guards_owner_handover_test.go
+++ b/internal/controller/guards_owner_handover_test.go
@@ -25,15 +25,15 @@
 // What it writes itself reaches no store.
 type handoverOwner struct {
 	*ShardOwner
-	t     *testing.T
-	store store.Store
-	agent *fake.Agent
-	read  map[string]bool // assignments whose jobs' records were read
+	t           *testing.T
+	store       store.Store
+	agent       *fake.Agent
+	recordsRead map[string]bool // assignments whose jobs' records were read
 }
 
 func newHandoverOwner(t *testing.T) *handoverOwner {
 	t.Helper()
-	o := &handoverOwner{ShardOwner: guardedOwner(t, func() error { return nil }), t: t, read: map[string]bool{}}
+	o := &handoverOwner{ShardOwner: guardedOwner(t, func() error { return nil }), t: t, recordsRead: map[string]bool{}}
 	o.store = o.node.Store.(interceptedStore).Store
 	o.put(keys.Format, persist.FormatRecord{Version: persist.FormatVersion, TasksPerChunk: 2})
 	o.agent = fake.NewAgent("i-1", "small", "a", 30*micro.Second)
@@ -87,7 +87,7 @@
 	}
 }
 
-var assignmentKeyOfJob = shard.AssignmentKey("gpus", "j-1")
+var handoverAssignmentKey = shard.AssignmentKey("gpus", "j-1")
 
 // recover has the owner begin: it reads what is in the store.
 func (o *handoverOwner) recover() {
@@ -97,8 +97,8 @@
 	}
 }
 
-// follow has the owner take in what became of its assignments, as its watch does.
-func (o *handoverOwner) follow() {
+// applyAssignmentEvents has the owner take in what became of its assignments, as its watch does.
+func (o *handoverOwner) applyAssignmentEvents() {
 	o.t.Helper()
 	events, err := o.store.Watch(
 		o.t.Context(), shard.AssignmentPrefixFor("gpus"), o.assignmentRevision, 100*micro.Millisecond,
@@ -106,23 +106,23 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	records, ok := o.readContinuedJobs(o.t.Context(), events.Events, o.read)
+	records, ok := o.readContinuedJobs(o.t.Context(), events.Events, o.recordsRead)
 	if !ok {
 		o.t.Fatal("the leader's records are not read")
 	}
 	shardAssignmentsChanged{o.ShardOwner, events, records}.Apply()
 }
 
-// waysToLoad are how an owner comes to read an assignment.
-var waysToLoad = map[string]func(o *handoverOwner, assignment shard.Assignment){
+// assignmentLoaders are how an owner comes to read an assignment.
+var assignmentLoaders = map[string]func(o *handoverOwner, assignment shard.Assignment){
 	"as it begins": func(o *handoverOwner, assignment shard.Assignment) {
-		o.put(assignmentKeyOfJob, assignment)
+		o.put(handoverAssignmentKey, assignment)
 		o.recover()
 	},
 	"in its watch": func(o *handoverOwner, assignment shard.Assignment) {
 		o.recover()
-		o.put(assignmentKeyOfJob, assignment)
-		o.follow()
+		o.put(handoverAssignmentKey, assignment)
+		o.applyAssignmentEvents()
 	},
 }
 
@@ -142,18 +142,18 @@
 	return told
 }
 
-// place has a machine come up and tasks be placed on it, and says which attempts of them hold places.
-func (o *handoverOwner) place() map[int]uint64 {
+// schedulePendingTasks has a machine come up and tasks be placed on it, and says which attempts of them hold places.
+func (o *handoverOwner) schedulePendingTasks() map[int]uint64 {
 	o.t.Helper()
 	o.heartbeat()
 	o.heartbeat()
 	o.schedulePending, o.lastSchedule, o.scheduleInterval = true, 0, 0 // also a second time at once
 	o.schedule(o.node.Now())
-	return o.allocated()
+	return o.allocatedAttempts()
 }
 
-// allocated are the attempts that hold places, by task.
-func (o *handoverOwner) allocated() map[int]uint64 {
+// allocatedAttempts are the attempts that hold places, by task.
+func (o *handoverOwner) allocatedAttempts() map[int]uint64 {
 	attempts := map[int]uint64{}
 	if job := o.cluster.Jobs["j-1"]; job != nil {
 		for _, allocation := range job.Allocations() {
@@ -171,8 +171,8 @@
 	}
 }
 
-// persist has all that is to be written of the job be in the store.
-func (o *handoverOwner) persist() {
+// markAllPersisted has all that is to be written of the job be in the store.
+func (o *handoverOwner) markAllPersisted() {
 	for _, chunk := range o.cluster.Jobs["j-1"].Chunks {
 		record := o.records.ChunkRecord(chunk)
 		record.SetVersion(record.Version() + 1)
@@ -181,8 +181,8 @@
 	}
 }
 
-// unwritten lists the records of the job's tasks that are to be written.
-func (o *handoverOwner) unwritten() (dirty []string) {
+// dirtyTaskRecords lists the records of the job's tasks that are to be written.
+func (o *handoverOwner) dirtyTaskRecords() (dirty []string) {
 	o.records.Each(func(record *statestore.Record) {
 		if strings.HasPrefix(record.Key, shard.AllocationPrefix) && record.Dirty() {
 			dirty = append(dirty, record.Key)
@@ -204,51 +204,51 @@
 }
 
 // A job that goes to a shard runs anew what was done, or under attempt numbers that were used.
-func TestJobGoesOnInAShardFromTheLeadersRecords(t *testing.T) {
-	for name, load := range waysToLoad {
+func TestHandedOverJobResumesFromLeaderRecords(t *testing.T) {
+	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
 			o := newHandoverOwner(t)
 			o.putChunk(0, []int{0}, [2]int{1, 7})
 			revision := o.putChunk(1, []int{3}, [2]int{2, 3})
 			load(o, continuedAssignment(revision))
-			if got := len(o.unwritten()); got != 2 {
+			if got := len(o.dirtyTaskRecords()); got != 2 {
 				t.Errorf("%d of the owner's own records are to be written, want 2: the leader's go", got)
 			}
-			o.expectAllocated(o.place(), map[int]uint64{1: 8, 2: 4, 4: 1, 5: 1})
+			o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{1: 8, 2: 4, 4: 1, 5: 1})
 		})
 	}
 }
 
 // An owner takes records in that a next leader wrote as it took the job back, and writes over them.
-func TestOwnerReadsNoRecordsBeyondTheRevisionOfTheAssignment(t *testing.T) {
-	for name, load := range waysToLoad {
+func TestOwnerIgnoresLeaderRecordsNewerThanAssignmentRevision(t *testing.T) {
+	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
 			o := newHandoverOwner(t)
 			revision := o.putChunk(0, []int{0}, [2]int{1, 7})
 			o.putChunk(1, []int{2, 3})
 			load(o, continuedAssignment(revision))
-			o.expectAllocated(o.place(), map[int]uint64{1: 8, 2: 1, 3: 1, 4: 1, 5: 1})
+			o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{1: 8, 2: 1, 3: 1, 4: 1, 5: 1})
 		})
 	}
 }
 
 // A next owner goes back to what the leader recorded before the job came to the shard.
-func TestNextOwnerGoesOnFromBothSidesRecords(t *testing.T) {
+func TestNextOwnerMergesLeaderAndOwnerRecords(t *testing.T) {
 	o := newHandoverOwner(t)
 	o.putChunk(0, []int{0}, [2]int{1, 7})
 	revision := o.putChunk(1, nil, [2]int{2, 3}, [2]int{3, 6})
 	o.put(shard.AllocationKey("gpus", "j-1", 0), tasksRecord([]int{0, 1}, nil))
 	o.put(shard.AllocationKey("gpus", "j-1", 1), tasksRecord(nil, [][2]int{{2, 9}, {3, 5}}))
-	o.put(assignmentKeyOfJob, continuedAssignment(revision))
+	o.put(handoverAssignmentKey, continuedAssignment(revision))
 	o.recover()
 	if done := o.cluster.Jobs["j-1"].DoneTasks; done != 2 {
 		t.Errorf("%d tasks are done, want 2", done)
 	}
-	o.expectAllocated(o.place(), map[int]uint64{2: 10, 3: 7, 4: 1, 5: 1})
+	o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{2: 10, 3: 7, 4: 1, 5: 1})
 }
 
 // A job some of whose records are missing is begun anew, and what was done is done again.
-func TestJobIsHeldWhereRecordsOfItAreMissing(t *testing.T) {
+func TestJobWithMissingRecordsIsSuspended(t *testing.T) {
 	cases := map[string]func(o *handoverOwner) (revision uint64){
 		"all of them":       func(*handoverOwner) uint64 { return 50 },
 		"the latest":        func(o *handoverOwner) uint64 { return o.putChunk(0, []int{0, 1}) + 1 },
@@ -259,12 +259,12 @@
 		},
 	}
 	for missing, prepare := range cases {
-		for name, load := range waysToLoad {
+		for name, load := range assignmentLoaders {
 			t.Run(missing+", "+name, func(t *testing.T) {
 				o := newHandoverOwner(t)
 				load(o, continuedAssignment(prepare(o)))
-				o.expectAllocated(o.place(), nil)
-				if dirty := o.unwritten(); len(dirty) > 0 {
+				o.expectAllocated(o.schedulePendingTasks(), nil)
+				if dirty := o.dirtyTaskRecords(); len(dirty) > 0 {
 					t.Errorf("to be written: %v", dirty)
 				}
 				o.expectReleased(0)
@@ -274,12 +274,12 @@
 }
 
 // A job that is over in its shard is held for ever once the leader has deleted its own records.
-func TestJobThatIsOverNeedsNoRecordsOfTheLeader(t *testing.T) {
+func TestEndedJobNeedsNoLeaderRecords(t *testing.T) {
 	o := newHandoverOwner(t)
 	for chunk := range 3 {
 		o.put(shard.AllocationKey("gpus", "j-1", chunk), tasksRecord([]int{2 * chunk, 2*chunk + 1}, nil))
 	}
-	o.put(assignmentKeyOfJob, continuedAssignment(50))
+	o.put(handoverAssignmentKey, continuedAssignment(50))
 	o.recover()
 	if finished := o.buildShardUpdate(o.node.Now()).FinishedJobs; len(finished) != 1 {
 		t.Errorf("finished: %v", finished)
@@ -287,22 +287,22 @@
 }
 
 // A late heartbeat changes what an owner has said that it released, after the leader has read it.
-func TestLateHeartbeatChangesNothingOfAReleasedJob(t *testing.T) {
+func TestLateHeartbeatDoesNotChangeReleasedJob(t *testing.T) {
 	for _, state := range []wire.TaskState{wire.TaskRunning, wire.TaskExited} {
 		t.Run(string(state), func(t *testing.T) {
 			o := newHandoverOwner(t)
 			revision := o.putChunk(0, []int{0}, [2]int{1, 7})
-			o.put(assignmentKeyOfJob, continuedAssignment(revision))
+			o.put(handoverAssignmentKey, continuedAssignment(revision))
 			o.recover()
 			recalled := continuedAssignment(revision)
 			recalled.RecallRequested = true
-			version := o.put(assignmentKeyOfJob, recalled)
-			o.follow()
-			o.persist()
+			version := o.put(handoverAssignmentKey, recalled)
+			o.applyAssignmentEvents()
+			o.markAllPersisted()
 			o.heartbeat()
 			o.expectReleased(version)
 			job := o.cluster.Jobs["j-1"]
-			before := describeRecords(job)
+			before := describePersistedState(job)
 			key := fake.AttemptKey{Task: "j-1/1", Attempt: 9}
 			status := &wire.TaskStatus{Task: key.Task, Attempt: 9, State: state, Cause: wire.CauseDone}
 			if o.agent.Tasks[key] = status; state == wire.TaskRunning {
@@ -317,16 +317,16 @@
 			if o.agent.Tasks[key] != nil {
 				t.Error("the agent is not told to forget the attempt")
 			}
-			if after := describeRecords(job); after != before || len(o.unwritten()) > 0 {
-				t.Errorf("%s, before %s; to be written: %v", after, before, o.unwritten())
+			if after := describePersistedState(job); after != before || len(o.dirtyTaskRecords()) > 0 {
+				t.Errorf("%s, before %s; to be written: %v", after, before, o.dirtyTaskRecords())
 			}
 			o.expectReleased(version)
 		})
 	}
 }
 
-// describeRecords says what would be written of a job.
-func describeRecords(job *cluster.Job) string {
+// describePersistedState says what would be written of a job.
+func describePersistedState(job *cluster.Job) string {
 	text := fmt.Sprint(job.State, ", ", job.AllocationCount, " allocations, ", job.DoneTasks, " done")
 	for _, chunk := range job.Chunks {
 		record := chunk.Record()
@@ -336,7 +336,7 @@
 }
 
 // An owner that reads that a job is recalled, or cancelled, places it or lets its tasks run on.
-func TestOwnerStopsRecalledAndCancelledJobsThatItLoads(t *testing.T) {
+func TestOwnerStopsLoadedJobThatIsRecalledOrCancelled(t *testing.T) {
 	marks := map[string]func(assignment *shard.Assignment){
 		"recalled":  func(assignment *shard.Assignment) { assignment.RecallRequested = true },
 		"cancelled": func(assignment *shard.Assignment) { assignment.StopRequested = true },
@@ -351,7 +351,7 @@
 			set(&assignment)
 			allocation := records.Allocation{Index: 1, Attempt: 8, Machine: "i-1", Session: 1, Zone: "a"}
 			o.put(shard.AllocationKey("gpus", "j-1", 0), tasksRecord([]int{0}, nil, allocation))
-			version := o.put(assignmentKeyOfJob, assignment)
+			version := o.put(handoverAssignmentKey, assignment)
 			o.recover()
 			o.agent.Tasks[fake.AttemptKey{Task: "j-1/1", Attempt: 8}] = &wire.TaskStatus{
 				Task: "j-1/1", Attempt: 8, State: wire.TaskRunning,
@@ -360,10 +360,10 @@
 				t.Errorf("told %v", told)
 			}
 			o.expectReleased(0)
-			o.expectAllocated(o.place(), nil)
+			o.expectAllocated(o.schedulePendingTasks(), nil)
 			o.expectReleased(0) // its record is still to be written
-			o.persist()
-			o.expectAllocated(o.place(), nil)
+			o.markAllPersisted()
+			o.expectAllocated(o.schedulePendingTasks(), nil)
 			if assignment.StopRequested {
 				version = 0 // its end goes another way
 			}
@@ -373,15 +373,15 @@
 }
 
 // An owner goes on writing records of a job that was recalled before it read of it.
-func TestOwnerWritesNothingOfAJobThatItLoadsRecalled(t *testing.T) {
-	for name, load := range waysToLoad {
+func TestOwnerWritesNoRecordsOfJobLoadedAsRecalled(t *testing.T) {
+	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
 			o := newHandoverOwner(t)
 			assignment := continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 7}))
 			assignment.RecallRequested = true
 			load(o, assignment)
-			o.expectAllocated(o.place(), nil)
-			if dirty := o.unwritten(); len(dirty) > 0 {
+			o.expectAllocated(o.schedulePendingTasks(), nil)
+			if dirty := o.dirtyTaskRecords(); len(dirty) > 0 {
 				t.Errorf("to be written: %v", dirty)
 			}
 			o.expectReleased(o.assignments["j-1"].Version())
@@ -390,55 +390,55 @@
 }
 
 // A recalled job's tasks run on in the shard, or it is released before their ends are stored.
-func TestOwnerReleasesARecalledJobOnceNothingOfItIsLeft(t *testing.T) {
+func TestOwnerReleasesRecalledJobAfterTaskEndsAreStored(t *testing.T) {
 	o := newHandoverOwner(t)
 	assignment := continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 7}))
-	created := o.put(assignmentKeyOfJob, assignment)
+	created := o.put(handoverAssignmentKey, assignment)
 	o.recover()
-	o.expectAllocated(o.place(), map[int]uint64{1: 8, 2: 1, 3: 1, 4: 1, 5: 1})
-	o.persist()
+	o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{1: 8, 2: 1, 3: 1, 4: 1, 5: 1})
+	o.markAllPersisted()
 	o.heartbeat()
 	assignment.RecallRequested = true
-	recalled := o.put(assignmentKeyOfJob, assignment)
+	recalled := o.put(handoverAssignmentKey, assignment)
 	if recalled == created {
 		t.Fatal("one version")
 	}
-	o.follow()
-	o.place()
+	o.applyAssignmentEvents()
+	o.schedulePendingTasks()
 	o.expectReleased(0)
 	for range 3 {
 		o.heartbeat() // the tasks stop
 	}
-	o.expectAllocated(o.place(), nil)
+	o.expectAllocated(o.schedulePendingTasks(), nil)
 	o.expectReleased(0)
-	o.persist()
+	o.markAllPersisted()
 	o.expectReleased(recalled)
 }
 
 // A job that comes to a shard for the second time is not known there any more, or goes on from what
 // was recorded before it came for the first time.
-func TestRecalledJobIsForgottenAndTakenUpAnew(t *testing.T) {
+func TestRecalledJobIsRemovedAndLoadedFromNewAssignment(t *testing.T) {
 	for name, together := range map[string]bool{"one by one": false, "deleted and assigned at once": true} {
 		t.Run(name, func(t *testing.T) {
 			o := newHandoverOwner(t)
 			o.recover()
 			assignment := continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 7}))
-			o.put(assignmentKeyOfJob, assignment)
-			o.follow()
+			o.put(handoverAssignmentKey, assignment)
+			o.applyAssignmentEvents()
 			assignment.RecallRequested = true
-			o.put(assignmentKeyOfJob, assignment)
-			o.follow()
-			o.persist()
-			o.commit(wire.Change{Delete: assignmentKeyOfJob})
+			o.put(handoverAssignmentKey, assignment)
+			o.applyAssignmentEvents()
+			o.markAllPersisted()
+			o.commit(wire.Change{Delete: handoverAssignmentKey})
 			if !together {
-				o.follow()
+				o.applyAssignmentEvents()
 				if left := retainedAtOwner(o.ShardOwner); len(left) > 0 {
 					t.Errorf("retained: %v", left)
 				}
 			}
-			version := o.put(assignmentKeyOfJob, continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 11})))
-			o.follow()
-			o.expectAllocated(o.place(), map[int]uint64{1: 12, 2: 1, 3: 1, 4: 1, 5: 1})
+			version := o.put(handoverAssignmentKey, continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 11})))
+			o.applyAssignmentEvents()
+			o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{1: 12, 2: 1, 3: 1, 4: 1, 5: 1})
 			if got := o.assignments["j-1"].Version(); got != version {
 				t.Errorf("version %d of the assignment, want %d", got, version)
 			}
@@ -447,7 +447,7 @@
 }
 
 // A controller of a version that does not know of such assignments begins their jobs anew.
-func TestVersionsBeforeFindNoJobInAContinuedAssignment(t *testing.T) {
+func TestPreviousReleasesDecodeNoJobFromContinuedAssignment(t *testing.T) {
 	var before struct {
 		Job            wire.Job `msgpack:"job"`
 		AssignedAt     int64    `msgpack:"at"`
--- a/internal/controller/guards_shards_test.go
+++ b/internal/controller/guards_shards_test.go
@@ -80,7 +80,7 @@
 
 // The user of a cancelled job in a shard is told once its owner tells the tasks to stop, and
 // no lease outlives the bound; from that moment the zones' lease proxies get no answer.
-func TestCancellationInAShardCompletesOnceNoLeaseOutlivesTheBound(t *testing.T) {
+func TestCancellationInShardCompletesOnceAllLeasesEndWithinCancelBound(t *testing.T) {
 	for _, c := range []shardCancellation{
 		{"no proxies in the zone", "c", 50, 1, 0, true},
 		{"proxies that may renew leases for a span", "b", 50, 1, 30 * micro.Second, true},
@@ -126,7 +126,7 @@
 }
 
 // Machines of a shard are answered by the leader only while no owner may answer them.
-func TestLeaderAnswersMachinesOfAShardOnlyWhileItHasNoOwner(t *testing.T) {
+func TestLeaderAcceptsHeartbeatsOfShardMachinesOnlyWhileShardHasNoOwner(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		state     shard.State
@@ -166,7 +166,7 @@
 
 // Only the leader knows what lease proxies may have renewed: without its answer an owner
 // takes no lease for expired.
-func TestNoLeaseInAShardExpiresWithoutTheLeadersAnswer(t *testing.T) {
+func TestOwnerExpiresNoLeaseWithoutLeaderStatusReply(t *testing.T) {
 	o := guardedOwner(t, func() error { return nil })
 	o.node.Cfg.Facts.Zones = []string{"a"}
 	o.answered(fake.NewAgent("i-1", "small", "a", 30*micro.Second))
@@ -189,7 +189,7 @@
 
 // A shard is transferred only once nothing that its owner wrote is in flight or uncertain:
 // the next owner reads the rest. What was planned and not started is dropped.
-func TestTransferWaitsUntilTheOwnersWritesAreSettled(t *testing.T) {
+func TestTransferWaitsUntilOwnerWritesAreSettled(t *testing.T) {
 	sent := make(chan bool)
 	o := guardedOwner(t, func() error { sent <- true; return store.ErrUncertain })
 	o.intake.InsertJob(wire.Job{
--- a/internal/controller/job_handover_test.go
+++ b/internal/controller/job_handover_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// judgeStarts holds every start against what its task did before: one that is done does not run
+// checkTaskStarts holds every start against what its task did before: one that is done does not run
 // again, and attempt numbers rise.
-func judgeStarts(sim *simCluster) {
+func checkTaskStarts(sim *simCluster) {
 	var mu sync.Mutex
 	lastAttempts := map[string]uint64{}
 	sim.onTaskStart = func(machine *fakeMachine, key fake.AttemptKey) {
@@ -143,9 +143,9 @@
 	array    *userJob
 }
 
-// startWorkOfLeader runs jobs that may use on-demand machines alone, which no shard holds yet. Part
+// startWorkAtLeader runs jobs that may use on-demand machines alone, which no shard holds yet. Part
 // of the array is done.
-func (w *simCluster) startWorkOfLeader() handoverWork {
+func (w *simCluster) startWorkAtLeader() handoverWork {
 	w.t.Helper()
 	work := handoverWork{
 		service: w.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4}).submit(), replicas: 2,
@@ -156,9 +156,9 @@
 	return work
 }
 
-// startWorkOfSpotShard runs jobs that may use both kinds of machines in a shard of all spot
+// startWorkInSpotShard runs jobs that may use both kinds of machines in a shard of all spot
 // machines. Part of the array is done.
-func (w *simCluster) startWorkOfSpotShard() handoverWork {
+func (w *simCluster) startWorkInSpotShard() handoverWork {
 	w.t.Helper()
 	w.waitShardOwned("n-2", 2*micro.Minute)
 	work := handoverWork{
@@ -175,8 +175,8 @@
 	return work
 }
 
-// loseSpotMachines takes all spot machines away, for good. The others boot from now on.
-func (w *simCluster) loseSpotMachines() {
+// terminateSpotMachines takes all spot machines away, for good. The others boot from now on.
+func (w *simCluster) terminateSpotMachines() {
 	w.mu.Lock()
 	w.cloud.failsBoot = func(request wire.InstanceRequest) bool { return request.Spot }
 	var lost []*fakeMachine
@@ -216,16 +216,16 @@
 func directions() []direction {
 	return []direction{
 		{
-			"to a shard", judgeStarts, func(sim *simCluster) handoverWork {
-				work := sim.startWorkOfLeader()
+			"to a shard", checkTaskStarts, func(sim *simCluster) handoverWork {
+				work := sim.startWorkAtLeader()
 				sim.formShard(onDemand)
 				return work
 			}, false, 0, 600 * micro.Millisecond,
 		},
 		{
 			"to the leader", withSpotShard, func(sim *simCluster) handoverWork {
-				work := sim.startWorkOfSpotShard()
-				sim.loseSpotMachines()
+				work := sim.startWorkInSpotShard()
+				sim.terminateSpotMachines()
 				return work
 			}, true, leaseS * micro.Second, 5 * micro.Second,
 		},
@@ -269,7 +269,7 @@
 // out once two of its machines are overdue: with the boot time of the small type, 5 s, one that is
 // requested alone is returned just before the next is overdue, and no other offer is ever tried.
 func withLongerBoots(sim *simCluster) {
-	judgeStarts(sim)
+	checkTaskStarts(sim)
 	for i := range sim.cloud.Types {
 		sim.cloud.Types[i].BootS = 8
 	}
@@ -297,8 +297,8 @@
 }
 
 // A service that ran before a shard took in all machines that it may use is served by nobody.
-func TestServiceThatRanIsServedByAShardFormedOverIt(t *testing.T) {
-	runThreeSeeds(t, 60, judgeStarts, func(sim *simCluster) {
+func TestRunningServiceIsServedByShardFormedFromItsMachines(t *testing.T) {
+	runThreeSeeds(t, 60, checkTaskStarts, func(sim *simCluster) {
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4}).submit()
 		sim.waitRunning(service, 2)
 		sim.formShard(onDemand)
@@ -308,8 +308,8 @@
 
 // The rest of an array of which a part was done before a shard was formed over it never runs, or
 // what was done runs again.
-func TestArrayPartlyDoneIsFinishedByAShardFormedOverIt(t *testing.T) {
-	runThreeSeeds(t, 63, judgeStarts, func(sim *simCluster) {
+func TestPartlyDoneArrayIsFinishedByShardFormedFromItsMachines(t *testing.T) {
+	runThreeSeeds(t, 63, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newHandoverArray(false, "team").submit()
 		sim.waitSecondWave(array)
 		sim.formShard(onDemand)
@@ -332,7 +332,7 @@
 		if machine := service.machines()[0]; !machine.agent.Spot {
 			sim.t.Fatalf("%s is no spot machine", machine.agent.Name)
 		}
-		sim.loseSpotMachines()
+		sim.terminateSpotMachines()
 		sim.waitServed(service, 1)
 	})
 }
@@ -341,8 +341,8 @@
 // run it, or what was done runs again.
 func TestArrayThatItsShardCannotFinishIsFinishedByTheLeader(t *testing.T) {
 	runThreeSeeds(t, 69, withSpotShard, func(sim *simCluster) {
-		work := sim.startWorkOfSpotShard()
-		sim.loseSpotMachines()
+		work := sim.startWorkInSpotShard()
+		sim.terminateSpotMachines()
 		sim.waitDone(work.array, servedWithin)
 		if starts, most := work.array.startCount(), arrayTasks+arrayTasksAtOnce; starts > most {
 			sim.t.Errorf("%d starts of %d tasks, at most %d", starts, arrayTasks, most)
@@ -351,10 +351,10 @@
 }
 
 // A gang that runs when a shard is formed starts anew, or is served by nobody once it loses a machine.
-func TestGangIsServedThoughAShardIsFormedOverIt(t *testing.T) {
+func TestGangIsServedThoughShardIsFormedFromItsMachines(t *testing.T) {
 	for _, loses := range []bool{false, true} {
 		t.Run(fmt.Sprint("loses a machine ", loses), func(t *testing.T) {
-			runScenario(t, 72, 3, judgeStarts, func(sim *simCluster) {
+			runScenario(t, 72, 3, checkTaskStarts, func(sim *simCluster) {
 				const tasks = 3
 				gang := sim.newJob(
 					jobRequest{kind: wire.Gang, tasks: tasks, cpus: 4, runTime: 40 * micro.Second},
@@ -376,7 +376,7 @@
 
 // A service that is spread over two zones is served by nobody once one of them is a shard.
 func TestSpreadServiceIsServedThoughOneOfItsZonesBecomesAShard(t *testing.T) {
-	runScenario(t, 73, 3, judgeStarts, func(sim *simCluster) {
+	runScenario(t, 73, 3, checkTaskStarts, func(sim *simCluster) {
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4, spread: true}).submit()
 		sim.waitRunning(service, 2)
 		sim.formShard(shard.Selector{Zone: "b"})
@@ -386,7 +386,7 @@
 
 // An array that goes to a shard, back, and to the shard formed again loses tasks, or repeats them.
 func TestArrayIsFinishedThoughItsShardIsDissolvedAndFormedAgain(t *testing.T) {
-	runThreeSeeds(t, 74, judgeStarts, func(sim *simCluster) {
+	runThreeSeeds(t, 74, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newJob(
 			jobRequest{kind: wire.JobArray, tasks: 5 * arrayTasksAtOnce, cpus: 4, runTime: 20 * micro.Second},
 		).submit()
@@ -417,7 +417,7 @@
 }
 
 // A cancellation that meets a job changing hands is lost between the two, and its tasks run on.
-func TestCancellationsMeetJobsThatChangeHands(t *testing.T) {
+func TestCancellationDuringHandoverStopsAllTasks(t *testing.T) {
 	for _, delay := range handoverDelays() {
 		for _, kind := range []wire.JobKind{wire.Service, wire.JobArray} {
 			title := fmt.Sprint(delay.Duration(), " after ", kind)
@@ -440,7 +440,7 @@
 
 // A cancellation shortly before a job may change hands is lost, and its tasks run on. A job that is
 // not cancelled shows that jobs do change hands there.
-func TestCancellationsMeetJobsThatAreAboutToChangeHands(t *testing.T) {
+func TestCancellationShortlyBeforeHandoverStopsAllTasks(t *testing.T) {
 	for _, way := range directions() {
 		for step := range 10 {
 			delay := way.from + micro.Time(step)*way.step
@@ -458,9 +458,9 @@
 	}
 }
 
-// toldWithin is by when the user of a job is told that it is cancelled where the leader and the
+// cancellationReplyWithin is by when the user of a job is told that it is cancelled where the leader and the
 // store can be reached.
-const toldWithin = 45 * micro.Second
+const cancellationReplyWithin = 45 * micro.Second
 
 // cancelWork cancels all work, and waits until the users are told. Nothing of it runs once its
 // tasks had the time that they may take to stop, and its teams' quotas can be used again.
@@ -471,7 +471,7 @@
 		go job.cancel()
 	}
 	for _, job := range jobs {
-		w.waitUntil("the user of "+job.id+" is told", toldWithin, func() bool { return job.knowledge().aborted })
+		w.waitUntil("the user of "+job.id+" is told", cancellationReplyWithin, func() bool { return job.knowledge().aborted })
 	}
 	w.sleep(cancelS * micro.Second)
 	starts := work.service.startCount() + work.array.startCount()
@@ -488,10 +488,10 @@
 
 // The leader ends, the owner ends or the shard moves while a job changes hands, and the job is lost
 // between them, or runs at both.
-func TestControllersFailWhileJobsChangeHands(t *testing.T) {
+func TestJobsAreServedThoughControllersFailDuringHandover(t *testing.T) {
 	troubles := map[string]func(sim *simCluster){
-		"leader ends":          func(sim *simCluster) { sim.endLeader(5 * micro.Second) },
-		"leader ends, is back": func(sim *simCluster) { sim.endLeader(100 * micro.Millisecond) },
+		"leader ends":          func(sim *simCluster) { sim.restartLeader(5 * micro.Second) },
+		"leader ends, is back": func(sim *simCluster) { sim.restartLeader(100 * micro.Millisecond) },
 		"owner ends": func(sim *simCluster) {
 			sim.restartController(sim.controllerNamed("n-2"), 5*micro.Second)
 		},
@@ -520,8 +520,8 @@
 	}
 }
 
-// endLeader ends the process of whoever leads.
-func (w *simCluster) endLeader(back micro.Time) {
+// restartLeader ends the process of whoever leads.
+func (w *simCluster) restartLeader(back micro.Time) {
 	if leader := w.leader(); leader != nil {
 		w.restartController(leader, back)
 	}
@@ -529,7 +529,7 @@
 
 // A write of the hand-over gets no answer, is carried out late or never, or is refused: the job is
 // lost, runs at both, or a late write gives it away once more.
-func TestWritesOfJobsThatChangeHandsFail(t *testing.T) {
+func TestJobsAreServedThoughHandoverWritesFail(t *testing.T) {
 	fates := map[string]fake.CommitFault{
 		"carried out, no answer":    {Unanswered: true},
 		"carried out 6 s late":      {Unanswered: true, ExecuteAfter: 6 * micro.Second},
@@ -568,7 +568,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			now := w.now()
-			if !touches(transaction, prefix) || now > end || last[0] > 0 && now < last[0]+window {
+			if !changesKeyWithPrefix(transaction, prefix) || now > end || last[0] > 0 && now < last[0]+window {
 				return fake.CommitFault{}
 			}
 			last[0], last[1] = last[1], now
@@ -580,8 +580,8 @@
 	return met
 }
 
-// touches reports whether a transaction puts or deletes a key of a prefix.
-func touches(transaction wire.Transaction, prefix string) bool {
+// changesKeyWithPrefix reports whether a transaction puts or deletes a key of a prefix.
+func changesKeyWithPrefix(transaction wire.Transaction, prefix string) bool {
 	return slices.ContainsFunc(transaction.Then, func(change wire.Change) bool {
 		return strings.HasPrefix(change.Put, prefix) || strings.HasPrefix(change.Delete, prefix)
 	})
@@ -589,7 +589,7 @@
 
 // Machines of a shard that die empty just before it moves are unknown to its next owner: they are
 // paid for without an end, and count as up where the leader looks whether their offer boots.
-func TestDeadEmptyMachinesAreReturnedThoughTheirShardMoves(t *testing.T) {
+func TestDeadEmptyMachinesAreTerminatedThoughTheirShardMoves(t *testing.T) {
 	runThreeSeeds(t, 90, withShard, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 3, cpus: 4, zone: "b"}).submit()
@@ -611,7 +611,7 @@
 }
 
 // What a job that changes hands uses of its team's quota is counted twice, or never given back.
-func TestQuotaHoldsWhileJobsChangeHands(t *testing.T) {
+func TestTeamQuotaIsFullyUsableAfterHandover(t *testing.T) {
 	const tasks = teamMaxCPUs / 4
 	runHandoverScenario(t, 81, "the whole quota is wanted", func(sim *simCluster, work handoverWork) {
 		next := sim.newJob(
@@ -620,7 +620,7 @@
 		sim.waitWorkServed(work)
 		sim.waitDone(next, servedWithin)
 		go work.service.cancel()
-		sim.waitUntil("the user is told", toldWithin, func() bool { return work.service.knowledge().aborted })
+		sim.waitUntil("the user is told", cancellationReplyWithin, func() bool { return work.service.knowledge().aborted })
 		for _, team := range []string{"team", "other"} {
 			all := sim.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4, team: team}).submit()
 			sim.waitServed(all, tasks)
@@ -630,7 +630,7 @@
 
 // A service goes without replicas for long while a shard is formed over its machines, though others
 // can be had for it at once.
-func TestServiceIsServedWhileAShardIsFormedOverIt(t *testing.T) {
+func TestServiceIsServedWhileShardIsFormedFromItsMachines(t *testing.T) {
 	shards := map[string]func(zone string) shard.Selector{
 		"of its zone":               func(zone string) shard.Selector { return shard.Selector{Zone: zone} },
 		"of all on-demand machines": func(string) shard.Selector { return onDemand },
@@ -639,7 +639,7 @@
 		for _, replicas := range []int{1, 2, 4} {
 			t.Run(fmt.Sprint(replicas, " replicas, a shard ", name), func(t *testing.T) {
 				runThreeSeeds(t, 82, withLongerBoots, func(sim *simCluster) {
-					service := sim.startOnDemand(replicas)
+					service := sim.startServiceOnDemand(replicas)
 					sim.declareShard(selector(service.machines()[0].agent.Zone))
 					none, short := sim.measureOutage(service, replicas)
 					sim.t.Logf(
@@ -651,8 +651,8 @@
 	}
 }
 
-// startOnDemand runs a service that may use spot machines on others, since no spot machine boots.
-func (w *simCluster) startOnDemand(replicas int) *userJob {
+// startServiceOnDemand runs a service that may use spot machines on others, since no spot machine boots.
+func (w *simCluster) startServiceOnDemand(replicas int) *userJob {
 	w.t.Helper()
 	setSpotFails := func(on bool) {
 		w.mu.Lock()
--- a/internal/controller/job_transfers_test.go
+++ b/internal/controller/job_transfers_test.go
@@ -27,69 +27,69 @@
 
 // A task runs at both sides, is lost or done twice, a limit is passed, or something is kept of jobs
 // that went to and fro between the leader and a shard that moves and is formed again.
-func TestJobsGoToAndFroBesideMovesOfTheirShard(t *testing.T) {
+func TestJobsSurviveRepeatedHandoversAndShardMoves(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*transferSeeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			var trial *transferTrial
+			var trial *transferStress
 			runScenario(
-				t, seed, 3, func(sim *simCluster) { trial = newTransferTrial(sim, seed%2 == 0) },
+				t, seed, 3, func(sim *simCluster) { trial = newTransferStress(sim, seed%2 == 0) },
 				func(*simCluster) { trial.run() },
 			)
 		})
 	}
 }
 
-// tasksOfSeveralRecords is how many tasks a job has whose records are more than one.
-const tasksOfSeveralRecords = cluster.LegacyTasksPerChunk + 72
+// multiChunkTaskCount is how many tasks a job has whose records are more than one.
+const multiChunkTaskCount = cluster.LegacyTasksPerChunk + 72
 
-// transferTeams are the teams whose jobs change hands.
-const transferTeams = 4
+// transferTeamCount are the teams whose jobs change hands.
+const transferTeamCount = 4
 
-// A transferTrial has many jobs change hands, and judges what becomes of them.
-type transferTrial struct {
+// A transferStress has many jobs change hands, and judges what becomes of them.
+type transferStress struct {
 	*simCluster
-	end        micro.Time   // of the troubles
-	unreliable bool         // writes and heartbeats meet troubles as well
-	maxPauseS  int          // how long nothing else happens at the most, beyond ten seconds
-	slots      atomic.Int64 // users whose last job is not over
-
-	mu           sync.Mutex
-	jobs         []*userJob
-	lastAttempts map[string]uint64       // the latest attempt of each task that started
-	done         map[string]map[int]bool // tasks that were stored as done, by job
-	toShard      int                     // how many jobs were assigned
-	continued    int                     // how many of them had records of their tasks
-	toLeader     int                     // how many came back
-}
-
-// newTransferTrial sets a simulation up: a shard of all spot machines, which are dearer at times.
-func newTransferTrial(sim *simCluster, unreliable bool) *transferTrial {
-	trial := &transferTrial{
+	end         micro.Time   // of the troubles
+	unreliable  bool         // writes and heartbeats meet troubles as well
+	maxPauseS   int          // how long nothing else happens at the most, beyond ten seconds
+	activeUsers atomic.Int64 // users whose last job is not over
+
+	mu                       sync.Mutex
+	jobs                     []*userJob
+	lastAttempts             map[string]uint64       // the latest attempt of each task that started
+	done                     map[string]map[int]bool // tasks that were stored as done, by job
+	assignedCount            int                     // how many jobs were assigned
+	assignedWithRecordsCount int                     // how many of them had records of their tasks
+	handedBackCount          int                     // how many came back
+}
+
+// newTransferStress sets a simulation up: a shard of all spot machines, which are dearer at times.
+func newTransferStress(sim *simCluster, unreliable bool) *transferStress {
+	trial := &transferStress{
 		simCluster: sim, end: micro.Time(*transferMinutes) * micro.Minute, unreliable: unreliable, maxPauseS: 180,
 		lastAttempts: map[string]uint64{}, done: map[string]map[int]bool{},
 	}
 	if unreliable {
 		trial.maxPauseS = 30
 	}
-	sim.onTaskStart = trial.judgeStart
+	sim.onTaskStart = trial.checkTaskStart
 	sim.cloud.Capacity = 64
 	for i := range sim.cloud.Types {
 		sim.cloud.Types[i].BootS = 8 // so that two of an offer are overdue at once, and it is left out
 		sim.cloud.Types[i].SpotPrice = sim.cloud.Types[i].Price * []float64{0.7, 1.5}[sim.randomInt(2)]
 	}
 	sim.config.Facts.Teams = nil
-	for i := range transferTeams {
+	for i := range transferTeamCount {
 		name := fmt.Sprint("t-", i)
 		sim.config.Facts.Teams = append(sim.config.Facts.Teams, config.Team{Name: name, CPUsMax: teamMaxCPUs})
 		sim.checker.cpuLimits[name] = teamMaxCPUs
 	}
-	sim.config.Shards = trial.declared(false)
+	sim.config.Shards = trial.shardConfig(false)
 	return trial
 }
 
-// declared are the settings for the shard, or for one that is to be dissolved.
-func (r *transferTrial) declared(dissolve bool) *config.Shards {
+// shardConfig are the settings for the shard, or for one that is to be dissolved.
+func (r *transferStress) shardConfig(dissolve bool) *config.Shards {
 	return &config.Shards{
 		MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000, Dissolve: dissolve,
 		Declared: []config.DeclaredShard{{Name: "east", Selector: shard.Selector{Kind: shard.SpotOnly}, Owner: "n-2"}},
@@ -97,25 +97,25 @@
 }
 
 // run plays the trial.
-func (r *transferTrial) run() {
+func (r *transferStress) run() {
 	r.waitShardOwned("n-2", 2*micro.Minute)
 	go r.countTransfers()
-	go r.alternateBoots()
-	go r.judgeRepeatedly()
+	go r.alternateBootFailures()
+	go r.checkRepeatedly()
 	var services []*userJob
-	for i := range transferTeams {
+	for i := range transferTeamCount {
 		team := fmt.Sprint("t-", i)
 		services = append(services, r.newJob(
 			jobRequest{kind: wire.Service, tasks: 2, cpus: 1, team: team, spot: true},
 		).submit())
 		array := jobRequest{kind: wire.JobArray, tasks: 30, cpus: 2, runTime: 3 * micro.Second, team: team, spot: true}
-		r.keepSubmitting(array)
-		array.tasks, array.runTime, array.cpus = tasksOfSeveralRecords, micro.Second, 1
-		r.keepSubmitting(array)
+		r.submitRepeatedly(array)
+		array.tasks, array.runTime, array.cpus = multiChunkTaskCount, micro.Second, 1
+		r.submitRepeatedly(array)
 		gang := jobRequest{kind: wire.Gang, tasks: 2, cpus: 2, runTime: 20 * micro.Second, team: team, spot: true}
-		r.keepSubmitting(gang)
+		r.submitRepeatedly(gang)
 	}
-	r.meetTroubles()
+	r.injectFaultsUntilEnd()
 	r.waitAllServed(services)
 	for _, service := range services {
 		service.cancel()
@@ -124,40 +124,40 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.t.Logf(
-		"%d jobs, %d assigned, %d of them with records, %d came back, %d starts, %.0f s", len(r.jobs), r.toShard,
-		r.continued, r.toLeader, r.checker.startCount, r.now().Seconds(),
+		"%d jobs, %d assigned, %d of them with records, %d came back, %d starts, %.0f s", len(r.jobs), r.assignedCount,
+		r.assignedWithRecordsCount, r.handedBackCount, r.checker.startCount, r.now().Seconds(),
 	)
-	if r.continued == 0 || r.toLeader == 0 {
+	if r.assignedWithRecordsCount == 0 || r.handedBackCount == 0 {
 		r.t.Error("no job went to and fro")
 	}
 }
 
-// keepSubmitting has a user submit one job after the other until the troubles end.
-func (r *transferTrial) keepSubmitting(request jobRequest) {
-	r.slots.Add(1)
+// submitRepeatedly has a user submit one job after the other until the troubles end.
+func (r *transferStress) submitRepeatedly(request jobRequest) {
+	r.activeUsers.Add(1)
 	go func() {
-		defer r.slots.Add(-1)
+		defer r.activeUsers.Add(-1)
 		for r.now() < r.end && r.ctx.Err() == nil {
 			job := r.newJob(request).submit()
 			r.mu.Lock()
 			r.jobs = append(r.jobs, job)
 			r.mu.Unlock()
 			if r.randomChance(0.15) {
-				go r.cancelLater(job)
+				go r.cancelAfterDelay(job)
 			}
 			job.watchUntilFinal()
 		}
 	}()
 }
 
-// cancelLater has a user call a job off, which may be over by then.
-func (r *transferTrial) cancelLater(job *userJob) {
+// cancelAfterDelay has a user call a job off, which may be over by then.
+func (r *transferStress) cancelAfterDelay(job *userJob) {
 	r.sleep(micro.Time(r.randomInt(120)) * micro.Second)
 	job.cancel()
 }
 
-// alternateBoots has the machines of one side die, and its boots fail, and then those of the other.
-func (r *transferTrial) alternateBoots() {
+// alternateBootFailures has the machines of one side die, and its boots fail, and then those of the other.
+func (r *transferStress) alternateBootFailures() {
 	for fails := true; r.now() < r.end && r.ctx.Err() == nil; fails = !fails {
 		r.simCluster.mu.Lock()
 		r.cloud.failsBoot = func(request wire.InstanceRequest) bool { return request.Spot == fails }
@@ -174,9 +174,9 @@
 	r.cloud.failsBoot = nil
 }
 
-// meetTroubles has controllers end, the shard move and machines die until the troubles end. Halfway, the shard is
+// injectFaultsUntilEnd has controllers end, the shard move and machines die until the troubles end. Halfway, the shard is
 // released and formed again.
-func (r *transferTrial) meetTroubles() {
+func (r *transferStress) injectFaultsUntilEnd() {
 	reformed := false
 	for r.now() < r.end {
 		r.sleep(micro.Time(10+r.randomInt(r.maxPauseS)) * micro.Second)
@@ -184,7 +184,7 @@
 		switch entry, owned := r.shardRecord(); {
 		case !reformed && r.now() > r.end/2:
 			reformed = true
-			r.formAgain()
+			r.dissolveAndReformShard()
 		case r.randomChance(0.2):
 			for _, machine := range r.randomMachines(2) {
 				machine.terminate()
@@ -196,7 +196,7 @@
 		case owned && entry.HasOwner() && r.randomChance(0.4):
 			r.restartController(r.controllerNamed(entry.Record.Owner.Node), back)
 		case r.unreliable && r.randomChance(0.4):
-			r.disturb(micro.Time(10+r.randomInt(20)) * micro.Second)
+			r.disturbMessages(micro.Time(10+r.randomInt(20)) * micro.Second)
 		default:
 			if controller := r.randomUserNode(); controller != nil {
 				controller.runningNode().handleAdmin(wire.MustMarshal(shard.Command{
@@ -207,8 +207,8 @@
 	}
 }
 
-// disturb has writes be carried out late or not be answered, or heartbeats come late, for a while.
-func (r *transferTrial) disturb(span micro.Time) {
+// disturbMessages has writes be carried out late or not be answered, or heartbeats come late, for a while.
+func (r *transferStress) disturbMessages(span micro.Time) {
 	switch r.randomInt(4) {
 	case 0:
 		r.disturbCommits(0.2, 0, span)
@@ -221,19 +221,19 @@
 	}
 }
 
-// formAgain has the leader take the shard back, and then form it again.
-func (r *transferTrial) formAgain() {
-	r.restartAllWith(r.declared(true))
+// dissolveAndReformShard has the leader take the shard back, and then form it again.
+func (r *transferStress) dissolveAndReformShard() {
+	r.restartAllWith(r.shardConfig(true))
 	r.waitUntil("no record of the shard is left", servedWithin, func() bool { return len(r.shardKeys()) == 0 })
 	r.sleep(40 * micro.Second) // some of the jobs go on at the leader
-	r.restartAllWith(r.declared(false))
+	r.restartAllWith(r.shardConfig(false))
 	r.waitUntil("the shard is owned again", servedWithin, func() bool {
 		entry, ok := r.shardRecord()
 		return ok && entry.HasOwner()
 	})
 }
 
-func (r *transferTrial) restartAllWith(shards *config.Shards) {
+func (r *transferStress) restartAllWith(shards *config.Shards) {
 	r.setShards(shards)
 	for _, controller := range r.controllers {
 		r.restartController(controller, micro.Second)
@@ -241,14 +241,14 @@
 }
 
 // waitAllServed waits until all jobs are done and all services run in full.
-func (r *transferTrial) waitAllServed(services []*userJob) {
+func (r *transferStress) waitAllServed(services []*userJob) {
 	served := func() bool {
 		for _, service := range services {
 			if !service.satisfied() {
 				return false
 			}
 		}
-		return r.slots.Load() == 0
+		return r.activeUsers.Load() == 0
 	}
 	const queued = 2 * micro.Minute // what the large arrays take
 	for end := r.now() + servedWithin + queued; !served(); r.sleep(micro.Second) {
@@ -261,7 +261,7 @@
 }
 
 // unserved names the jobs that are not served.
-func (r *transferTrial) unserved(services []*userJob) []string {
+func (r *transferStress) unserved(services []*userJob) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var left []string
@@ -274,7 +274,7 @@
 }
 
 // countTransfers counts the jobs that go to the shard, and those that come back.
-func (r *transferTrial) countTransfers() {
+func (r *transferStress) countTransfers() {
 	assigned := map[string]bool{}
 	for revision := uint64(0); r.ctx.Err() == nil; {
 		events, err := r.store.Watch(r.ctx, shard.AssignmentPrefix, revision, micro.Minute)
@@ -290,11 +290,11 @@
 	}
 }
 
-func (r *transferTrial) countTransfer(event wire.Event, assigned map[string]bool) {
+func (r *transferStress) countTransfer(event wire.Event, assigned map[string]bool) {
 	if event.Delete != "" {
 		_, id, _ := shard.ParseAssignmentKey(event.Delete)
 		if assigned[id] && !r.endStored(id) {
-			r.toLeader++
+			r.handedBackCount++
 		}
 		delete(assigned, id)
 		return
@@ -305,22 +305,22 @@
 		r.t.Error(err)
 	}
 	if !assigned[id] {
-		r.toShard++
+		r.assignedCount++
 		if assignment.Revision() > 0 {
-			r.continued++
+			r.assignedWithRecordsCount++
 		}
 	}
 	assigned[id] = true
 }
 
 // endStored reports whether the end of a job is in the store.
-func (r *transferTrial) endStored(id string) bool {
+func (r *transferStress) endStored(id string) bool {
 	_, err := r.store.Get(r.ctx, store.Routine, keys.JobEnd(id))
 	return err == nil
 }
 
 // storedItems reads all keys with a prefix.
-func (r *transferTrial) storedItems(prefix string) []wire.Item {
+func (r *transferStress) storedItems(prefix string) []wire.Item {
 	page, err := r.store.Range(r.ctx, store.Routine, prefix, "", 100_000)
 	if err != nil {
 		r.t.Error(err)
@@ -330,7 +330,7 @@
 
 // storedDone are the tasks of a job that the store holds as done, at either side. The shard's are
 // read first: the leader's hold what it has deleted.
-func (r *transferTrial) storedDone(job string) map[int]bool {
+func (r *transferStress) storedDone(job string) map[int]bool {
 	done := map[int]bool{}
 	items := r.storedItems(shard.AllocationPrefixForJob("east", job))
 	for _, item := range append(items, r.storedItems(keys.ChunkPrefixFor(job))...) {
@@ -348,8 +348,8 @@
 	return done
 }
 
-// judgeStart holds a start against what the store holds of the task, and against its last attempt.
-func (r *transferTrial) judgeStart(machine *fakeMachine, key fake.AttemptKey) {
+// checkTaskStart holds a start against what the store holds of the task, and against its last attempt.
+func (r *transferStress) checkTaskStart(machine *fakeMachine, key fake.AttemptKey) {
 	id, index, _ := wire.ParseTaskName(key.Task)
 	if r.storedDone(id)[index] {
 		r.t.Errorf("%v: %s is stored as done, and starts on %s", r.now().Duration(), key.Task, machine.agent.Name)
@@ -362,27 +362,27 @@
 	r.lastAttempts[key.Task] = key.Attempt
 }
 
-// judgeRepeatedly judges what controllers and store hold of the jobs, again and again.
-func (r *transferTrial) judgeRepeatedly() {
+// checkRepeatedly judges what controllers and store hold of the jobs, again and again.
+func (r *transferStress) checkRepeatedly() {
 	for ; r.ctx.Err() == nil; r.sleep(700 * micro.Millisecond) {
-		r.judgeDone()
+		r.checkStoredDoneTasks()
 		for _, controller := range r.controllers {
 			node := controller.runningNode()
 			if node == nil {
 				continue
 			}
 			if leader := node.activeLeader(); leader != nil {
-				r.askLoop(leader.controlLoop, func() []string { return r.misplacedAtLeader(leader) })
+				r.checkLoop(leader.controlLoop, func() []string { return r.misplacedAtLeader(leader) })
 			}
 			if owner, ok := node.shards.Owner("east"); ok {
-				r.askLoop(owner.controlLoop, func() []string { return r.misplacedAtOwner(owner) })
+				r.checkLoop(owner.controlLoop, func() []string { return r.misplacedAtOwner(owner) })
 			}
 		}
 	}
 }
 
-// judgeDone finds tasks that the store held as done, and holds no more though their job goes on.
-func (r *transferTrial) judgeDone() {
+// checkStoredDoneTasks finds tasks that the store held as done, and holds no more though their job goes on.
+func (r *transferStress) checkStoredDoneTasks() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, job := range r.jobs {
@@ -403,21 +403,21 @@
 	}
 }
 
-// loopAsked has a loop's own goroutine say what is wrong with it.
-type loopAsked struct {
-	ask   func() []string
+// loopQuery has a loop's own goroutine say what is wrong with it.
+type loopQuery struct {
+	query func() []string
 	reply eventloop.Reply[[]string]
 }
 
 // Apply asks.
-func (e loopAsked) Apply() { e.reply.Send(e.ask()) }
+func (e loopQuery) Apply() { e.reply.Send(e.query()) }
 
-// askLoop reports what a loop finds wrong with itself, if it answers within a second.
-func (r *transferTrial) askLoop(loop *controlLoop, ask func() []string) {
+// checkLoop reports what a loop finds wrong with itself, if it answers within a second.
+func (r *transferStress) checkLoop(loop *controlLoop, ask func() []string) {
 	wrong, _ := eventloop.Call(loop.loop, eventloop.Events, micro.Second, func(
 		reply eventloop.Reply[[]string],
 	) eventloop.Event {
-		return loopAsked{ask, reply}
+		return loopQuery{ask, reply}
 	})
 	for _, what := range wrong {
 		r.t.Errorf("%v: %s", r.now().Duration(), what)
@@ -425,7 +425,7 @@
 }
 
 // assignedInStore are the jobs that the store holds an assignment of.
-func (r *transferTrial) assignedInStore() map[string]bool {
+func (r *transferStress) assignedInStore() map[string]bool {
 	assigned := map[string]bool{}
 	for _, item := range r.storedItems(shard.AssignmentPrefixFor("east")) {
 		_, id, _ := shard.ParseAssignmentKey(item.Key)
@@ -435,7 +435,7 @@
 }
 
 // misplacedAtLeader finds allocations that a leader has of jobs that the shard's owner has.
-func (r *transferTrial) misplacedAtLeader(leader *Leader) (wrong []string) {
+func (r *transferStress) misplacedAtLeader(leader *Leader) (wrong []string) {
 	entry, ok := r.shardRecord()
 	if !ok || !entry.HasOwner() || !leader.holdsLease() {
 		return nil
@@ -450,7 +450,7 @@
 }
 
 // misplacedAtOwner finds allocations that a shard's owner has of jobs that are not in the shard.
-func (r *transferTrial) misplacedAtOwner(owner *ShardOwner) (wrong []string) {
+func (r *transferStress) misplacedAtOwner(owner *ShardOwner) (wrong []string) {
 	if !owner.holdsLease() {
 		return nil
 	}
@@ -476,7 +476,7 @@
 }
 
 // waitNothingRetained waits until neither controllers nor the store hold anything of jobs in a shard.
-func (r *transferTrial) waitNothingRetained() {
+func (r *transferStress) waitNothingRetained() {
 	for end := r.now() + 2*micro.Minute; ; r.sleep(micro.Second) {
 		retained := r.retained()
 		if len(retained) == 0 {
@@ -490,7 +490,7 @@
 }
 
 // retained lists what is left of jobs in the shard.
-func (r *transferTrial) retained() (left []string) {
+func (r *transferStress) retained() (left []string) {
 	for _, prefix := range []string{shard.AssignmentPrefix, shard.AllocationPrefix} {
 		for _, item := range r.storedItems(prefix) {
 			left = append(left, "the store's "+item.Key)
@@ -504,13 +504,13 @@
 }
 
 // retainedInLoops lists what the loops that run hold.
-func (r *transferTrial) retainedInLoops() (left []string) {
+func (r *transferStress) retainedInLoops() (left []string) {
 	answered := 0
 	ask := func(loop *controlLoop, list func() []string) {
 		found, ok := eventloop.Call(loop.loop, eventloop.Events, micro.Second, func(
 			reply eventloop.Reply[[]string],
 		) eventloop.Event {
-			return loopAsked{list, reply}
+			return loopQuery{list, reply}
 		})
 		if ok {
 			answered++
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -97,7 +97,7 @@
 
 // The start of a task is held up on its way, the shard moves, and it arrives a minute
 // after the job was cancelled through the next owner.
-func TestStartDelayedBeyondAShardMoveChangesNothing(t *testing.T) {
+func TestStartDelayedBeyondShardMoveRunsNoCancelledTask(t *testing.T) {
 	runShardScenario(t, 12, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
 		for _, machine := range sim.liveMachines() {
@@ -176,7 +176,7 @@
 
 // The transaction that transfers gets no answer: it was carried out, or will be seconds
 // later, or never.
-func TestShardTransferWithoutAnAnswer(t *testing.T) {
+func TestShardTransferWithUncertainOutcome(t *testing.T) {
 	for name, fate := range map[string]fake.CommitFault{
 		"carried out":               {Unanswered: true},
 		"carried out 3 s late":      {Unanswered: true, ExecuteAfter: 3 * micro.Second},
@@ -248,7 +248,7 @@
 }
 
 // A gang loses a member while its machines move: it starts anew, whole.
-func TestGangLosesAMemberWhileItsMachinesMove(t *testing.T) {
+func TestGangRestartsWhenItLosesAMemberDuringShardMove(t *testing.T) {
 	runShardScenario(t, 35, 3, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
 		gang := sim.newJob(jobRequest{kind: wire.Gang, tasks: 3, cpus: 4, runTime: 30 * micro.Second, zone: "b"}).submit()
@@ -316,7 +316,7 @@
 
 // A shard is given back to the leader with all its work, the controllers restart without
 // the feature, and nothing starts anew.
-func TestDissolvedShardIsTakenBackWithItsWork(t *testing.T) {
+func TestDissolvedShardIsReclaimedWithoutRestartingItsTasks(t *testing.T) {
 	for seed := range uint64(3) {
 		runShardScenario(t, 40+seed, 3, func(sim *simCluster) {
 			service := sim.startShardWorkload()
@@ -368,7 +368,7 @@
 }
 
 // A controller that runs without shards would take all machines for its own.
-func TestControllerWithoutShardsDoesNotLeadWhereThereAreShards(t *testing.T) {
+func TestControllerWithoutShardFeatureDoesNotLeadWhileShardsExist(t *testing.T) {
 	runShardScenario(t, 43, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
 		with := sim.config.Shards
@@ -388,7 +388,7 @@
 }
 
 // Without the feature nothing is stored or asked that was not before.
-func TestWithoutTheFeatureNothingOfShardsIsStored(t *testing.T) {
+func TestNoShardKeysAreStoredWithoutTheFeature(t *testing.T) {
 	runScenario(t, 44, 3, nil, func(sim *simCluster) {
 		sim.waitForRestoredLeader()
 		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, zone: "b"}).submit()
@@ -412,7 +412,7 @@
 
 // Two policies want one shard, and one of them flaps each minute: the first by name
 // counts, and the least time between moves holds.
-func TestPoliciesDoNotMoveAShardToAndFro(t *testing.T) {
+func TestConflictingPoliciesDoNotMoveAShardRepeatedly(t *testing.T) {
 	condition := func(text string) *policy.Condition {
 		c, err := policy.Compile(text)
 		if err != nil {
--- a/internal/controller/shard_machine_ages_test.go
+++ b/internal/controller/shard_machine_inactivity_test.go
@@ -13,7 +13,7 @@
 
 // Machine ages hold for the ownership that begins with them, and only for its first loop: an
 // earlier one may have answered machines, whose leases then run.
-func TestOnlyTheFirstLoopOfAnOwnershipInheritsMachineAges(t *testing.T) {
+func TestOnlyFirstLoopOfAnOwnershipUsesMachineInactivityRecord(t *testing.T) {
 	node, kill := newTestCluster(t).startNodeWith("n-1", func(n *Node) {
 		n.election.SuspendCampaign(60 * micro.Minute)
 	})
@@ -54,7 +54,7 @@
 // Machines of a shard that is moved every few seconds are cut off for a while, shorter or longer
 // than their leases, and live on: nothing that they run may run elsewhere meanwhile. The checker
 // of the rules sees each start.
-func TestIsolatedMachinesOfAMovingShardRunNothingTwice(t *testing.T) {
+func TestTasksOfIsolatedMachinesOfAMovingShardDoNotRunTwice(t *testing.T) {
 	for seed := range uint64(12) {
 		runShardScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 			sim.fastBoot = true
--- a/internal/controller/shard_machines_test.go
+++ b/internal/controller/shard_machines_test.go
@@ -19,8 +19,8 @@
 // leader ended before it had stored that: the agents told the new owner of the ends, which did not
 // know the job, and had them forgotten. The next leader took the tasks for running, until their
 // machines' leases had run out, and started them anew.
-func TestShardIsGivenAwayOnlyOnceTheEndsOnItsMachinesAreStored(t *testing.T) {
-	runScenario(t, 90, 3, judgeStarts, func(sim *simCluster) {
+func TestShardIsGrantedOnlyAfterTaskEndsOnItsMachinesAreStored(t *testing.T) {
+	runScenario(t, 90, 3, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newHandoverArray(false, "team").submit()
 		sim.waitRunning(array, arrayTasksAtOnce)
 		sim.declareShard(onDemand)
@@ -30,7 +30,7 @@
 		if entry, ok := sim.shardRecord(); !ok || entry.Record.State != shard.Forming {
 			sim.t.Errorf("the shard is %s", entry.Record.State)
 		}
-		sim.endLeader(5 * micro.Second)
+		sim.restartLeader(5 * micro.Second)
 		sim.sleep(10 * micro.Second)
 		allow()
 		sim.waitShardOwned("n-2", 2*micro.Minute)
@@ -56,7 +56,7 @@
 // and by neither of these. For the leader they were up, as the owner before had said. They took up
 // what the cloud had, and an offer none of whose machines boot was not left out beside machines
 // that are up.
-func TestMachinesThatDiedBeforeTheirShardChangedItsOwnerAreReturned(t *testing.T) {
+func TestIdleMachinesThatDieBeforeAnOwnerChangeAreTerminated(t *testing.T) {
 	runScenario(t, 91, 3, func(sim *simCluster) {
 		withShard(sim)
 		sim.config.Shards.Declared[0].Selector = spotOnly
@@ -85,8 +85,8 @@
 
 // Replicas that only the shard's machines can hold are stopped at once when a shard is formed over them,
 // and are down for as long as the longest task there runs.
-func TestReplicasWithNoOtherMachinesRunUntilTheirShardIsCleared(t *testing.T) {
-	runThreeSeeds(t, 92, judgeStarts, func(sim *simCluster) {
+func TestReplicasWithoutOtherMachinesRunUntilShardMachinesAreFree(t *testing.T) {
+	runThreeSeeds(t, 92, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newJob(
 			jobRequest{kind: wire.JobArray, tasks: 2, cpus: 4, runTime: 90 * micro.Second, team: "other"},
 		).submit()
--- a/internal/controller/shard_outages_test.go
+++ b/internal/controller/shard_outages_test.go
@@ -12,7 +12,7 @@
 
 // A shard's only zone is lost, with the machines and perhaps a controller in it: its begun jobs, which
 // may run in the other zone, go there.
-func TestBegunJobsOfAShardWhoseZoneIsLostRunElsewhere(t *testing.T) {
+func TestStartedJobsOfAShardRunElsewhereAfterZoneLoss(t *testing.T) {
 	for name, dead := range map[string]bool{"machines only": false, "with its controller": true} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, 230, 3, func(sim *simCluster) {
@@ -52,7 +52,7 @@
 
 // An array of which not all tasks fit at once loses the machines that it has in a shard. It is recalled
 // at once, as if it had waited for as long as its tasks had run, though others boot there in seconds.
-func TestArrayInAShardThatLosesItsMachinesIsNotRecalledAtOnce(t *testing.T) {
+func TestArrayThatLosesItsShardMachinesIsNotRecalledAtOnce(t *testing.T) {
 	for seed := range uint64(2) {
 		runScenario(t, 220+seed, 3, withShard, func(sim *simCluster) {
 			sim.waitShardOwned("n-2", 2*micro.Minute)
@@ -94,7 +94,7 @@
 
 // The zone of a shard is cut off with the shard's owner. The next owner hears none of the zone's
 // machines: that is no sign that they are dead.
-func TestIdleMachinesOfAShardBeyondAPartitionAreKept(t *testing.T) {
+func TestIdleShardMachinesAreKeptDuringPartition(t *testing.T) {
 	runScenario(t, 210, 3, func(sim *simCluster) {
 		withShard(sim)
 		sim.config.Shards.Declared[0].Owner = "n-1" // in zone b
@@ -143,17 +143,17 @@
 // The zone of a shard is cut off from all but the store, and an owner outside takes the shard over
 // meanwhile. In the moment in which the cut ends the zone counts as reachable, and idle machines of which
 // the owner could not hear for the length of the cut are terminated.
-func TestIdleMachinesOfAShardAreKeptWhenACutEndsInWhichItsOwnerChanged(t *testing.T) {
+func TestIdleShardMachinesAreKeptAfterPartitionWithOwnerChange(t *testing.T) {
 	for _, nodes := range []int{3, 5} { // zone b has one controller, or two, and lease proxies
 		for _, storeCut := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d nodes, store cut off %v", nodes, storeCut), func(t *testing.T) {
-				runIdleMachinesBeyondACut(t, nodes, storeCut)
+				runIdleMachinesAfterPartition(t, nodes, storeCut)
 			})
 		}
 	}
 }
 
-func runIdleMachinesBeyondACut(t *testing.T, nodes int, storeCut bool) {
+func runIdleMachinesAfterPartition(t *testing.T, nodes int, storeCut bool) {
 	t.Helper()
 	runScenario(t, 210, nodes, func(sim *simCluster) {
 		sim.config.LeaseProxyFactor = 20
--- a/internal/controller/went_back_test.go
+++ b/internal/controller/slow_store_status_test.go
@@ -10,8 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// holdUpEnds has the store answer none of some writes of ends, and carry them out seconds later.
-func (w *simCluster) holdUpEnds(oneIn int) {
+// delayJobEndWrites has the store answer none of some writes of ends, and carry them out seconds later.
+func (w *simCluster) delayJobEndWrites(oneIn int) {
 	for _, controller := range w.controllers {
 		controller.mu.Lock()
 		if controller.link != nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// pollOften asks one node after the other how a job is, until told that it is over.
-func (w *simCluster) pollOften(job *userJob) {
+// pollUntilDone asks one node after the other how a job is, until told that it is over.
+func (w *simCluster) pollUntilDone(job *userJob) {
 	for w.ctx.Err() == nil {
 		for _, controller := range w.controllers {
 			job.queryStatus(controller)
@@ -43,20 +43,20 @@
 
 // While the store was ten times slower and nodes were restarted, a job was called done and then
 // queued: by a read begun before its end was written, or by a leader whose write of the end was held up.
-func TestJobsThatAreDoneStaySoWhileTheStoreIsSlow(t *testing.T) {
+func TestDoneJobsAreNotReportedAsQueuedWhileTheStoreIsSlow(t *testing.T) {
 	runSeeds(t, 6, 3, func(sim *simCluster) {
 		sim.fastBoot = true
 		sim.waitForRestoredLeader()
 		var jobs []*userJob
 		for range 4 {
 			sim.slowStore(sim.randomTime(100*micro.Millisecond, 900*micro.Millisecond), 20*micro.Second)
-			sim.holdUpEnds(2)
+			sim.delayJobEndWrites(2)
 			for range 6 {
 				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 1, runTime: sim.randomTime(micro.Second, 8*micro.Second)})
 				jobs = append(jobs, job)
 				go func() {
 					job.submit()
-					sim.pollOften(job)
+					sim.pollUntilDone(job)
 				}()
 			}
 			sim.sleep(15 * micro.Second)
@@ -71,7 +71,7 @@
 			return true
 		})
 		for _, job := range jobs {
-			sim.pollOften(job) // by each node once more
+			sim.pollUntilDone(job) // by each node once more
 		}
 	})
 }
--- a/internal/controller/unserved_faults_test.go
+++ b/internal/controller/unserved_faults_test.go
@@ -41,7 +41,7 @@
 // to stop at 171.4 s, two of their machines were returned as idle, and of i-000009, which was
 // gone since 61.8 s and adopted at 85.2 s (reason="not in the records"), no line follows until
 // the end at 446.6 s; the last "leader status" has live=0 known=1.
-func TestMachineKnownByItsAllocationsAloneIsNotLeftToAShard(t *testing.T) {
+func TestUndescribedMachineIsNotLeftToAShard(t *testing.T) {
 	runOnDemandShardScenario(t, 47, func(sim *simCluster) {
 		sim.startRecording()
 		job := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, spot: true}).submit()
@@ -93,7 +93,7 @@
 // waited in the shard ("job waits ... reason="insufficient resources""), bound to zone b; the
 // owner's "leader status" said "small a ordinary 15, 15 empty", the leader's pending=12 tasks=41,
 // and no task was allocated from 292 to 397 s.
-func TestJobThatCannotUseAShardsFreeMachinesKeepsNoOtherFromThem(t *testing.T) {
+func TestJobThatCannotUseFreeShardMachinesDoesNotBlockOtherJobs(t *testing.T) {
 	runOnDemandShardScenario(t, 48, func(sim *simCluster) {
 		waiting := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, zone: "b"}).submit()
 		sim.waitRunning(waiting, 1)
@@ -122,7 +122,7 @@
 // Seen in TestRandomScenariosWithShardsKeepTheRules, seeds 2000697 and 2000081: 12 and 10 times
 // "handover hands_over=true up=0 suspect=3", the former with hands_over=false at 221.96 s and
 // hands_over=true on the same node and in the same term at 223.46 s.
-func TestLeaderThatAgentsOfItsShardReachDoesNotHandOver(t *testing.T) {
+func TestLeaderReachedByAgentsOfItsShardKeepsLeading(t *testing.T) {
 	runOnDemandShardScenario(t, 49, func(sim *simCluster) {
 		owner := sim.controllerNamed("n-2")
 		for sim.leader() != owner {
@@ -218,7 +218,7 @@
 // Seen in TestRandomScenariosWithShardsKeepTheRules, seed 5000818: eleven idle machines of the shard
 // are returned from 311 to 314 s, 46 s after the last move, while eight jobs wait for machines
 // that the cloud refuses.
-func TestIdleMachinesAreReturnedThoughTheirShardMoves(t *testing.T) {
+func TestIdleMachinesAreTerminatedThoughTheirShardMoves(t *testing.T) {
 	runShardScenario(t, 52, 3, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 4, cpus: 4, zone: "b"}).submit()
@@ -266,17 +266,17 @@
 		sim.waitRunning(first, 4)
 		first.cancel()
 		sim.sleep(5 * micro.Second) // the shard's owner has told of what is free
-		before := sim.machinesRequested("a")
+		before := sim.grantedMachineCount("a")
 		spread := sim.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4, spread: true}).submit()
 		sim.waitUntil("the service runs", servedWithin, func() bool { return spread.runningTasks() == tasks })
-		if more := sim.machinesRequested("a") - before; more > 0 {
+		if more := sim.grantedMachineCount("a") - before; more > 0 {
 			sim.t.Errorf("%d more machines were requested in the zone where the shard had four empty ones", more)
 		}
 	})
 }
 
-// machinesRequested counts the machines that the cloud granted so far in a zone.
-func (w *simCluster) machinesRequested(zone string) int {
+// grantedMachineCount counts the machines that the cloud granted so far in a zone.
+func (w *simCluster) grantedMachineCount(zone string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count := 0
--- a/internal/controller/serving_sides_test.go
+++ b/internal/controller/unserved_jobs_test.go
@@ -12,8 +12,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// unservedJobs is the gauge as the leader's metrics page shows it; "": it does not.
-func (w *simCluster) unservedJobs() string {
+// unservedJobsMetric is the gauge as the leader's metrics page shows it; "": it does not.
+func (w *simCluster) unservedJobsMetric() string {
 	if w.leader() == nil {
 		return ""
 	}
@@ -24,13 +24,13 @@
 }
 
 // A shard has all of zone b, and a service that is to be spread over both zones waits.
-func TestJobsThatNoSideMayServeAreCountedAndShown(t *testing.T) {
+func TestUnservedJobsAreCountedAndShown(t *testing.T) {
 	runShardScenario(t, 61, 3, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", micro.Minute)
-		sim.waitUntil("none is counted", 10*micro.Second, func() bool { return sim.unservedJobs() == "0" })
+		sim.waitUntil("none is counted", 10*micro.Second, func() bool { return sim.unservedJobsMetric() == "0" })
 		served := sim.newJob(jobRequest{kind: wire.Service, tasks: 2}).submit()
 		spread := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, spread: true}).submit()
-		sim.waitUntil("the spread service is counted", 10*micro.Second, func() bool { return sim.unservedJobs() == "1" })
+		sim.waitUntil("the spread service is counted", 10*micro.Second, func() bool { return sim.unservedJobsMetric() == "1" })
 		sim.waitRunning(served, 2)
 		show := wire.MustMarshal(shard.Command{Operation: shard.OperationShow, Shard: "east"})
 		for _, controller := range sim.controllers { // each but the leader asks that
@@ -42,11 +42,11 @@
 			}
 		}
 		go spread.cancel()
-		sim.waitUntil("it is over", 10*micro.Second, func() bool { return sim.unservedJobs() == "0" })
+		sim.waitUntil("it is over", 10*micro.Second, func() bool { return sim.unservedJobsMetric() == "0" })
 	})
 }
 
-func TestWaitReasonGoesWithTheServingSideWhereTheFleetIsDivided(t *testing.T) {
+func TestWaitReasonLogsEligibleOwnersWhereShardsExist(t *testing.T) {
 	leader := newFleet(t, 4).leader
 	var out bytes.Buffer
 	leader.log = slog.New(slog.NewTextHandler(&out, nil))
