--- a/internal/controller/describe_unserved_test.go
+++ b/internal/controller/describe_unserved_test.go
@@ -15,13 +15,13 @@
 	"notchmux.dev/notchmux/internal/store"
 )
 
-// What became of jobs that a scenario left unserved: as the leader sees them, as the owner of
-// the shard does, on the machines, and in the store.
+// Descriptions of jobs that a scenario left unserved: their state at the leader and at the shard owner, on the machines
+// and in the store.
 
-// maxDescribedJobs bounds what a failure prints.
+// maxDescribedJobs limits the number of jobs that a failed test describes.
 const maxDescribedJobs = 24
 
-// describeUnserved prints all that is known of jobs that were not served.
+// describeUnserved logs the leadership and the state of unserved jobs, at most maxDescribedJobs of them.
 func (w *simCluster) describeUnserved(ids []string) {
 	w.t.Helper()
 	for _, line := range w.describeLeadership() {
@@ -35,23 +35,24 @@
 		w.t.Logf("%s in the store: %s", id, w.describeStored(id))
 	}
 	if w.logs == nil {
-		w.t.Log("-sim.log=DIRECTORY keeps the nodes' logs")
+		w.t.Log("run with -sim.log=DIRECTORY to keep the logs of the nodes")
 	}
 }
 
-// describeLeadership says who leads, how often the lead changed, and who owns the shard.
+// describeLeadership describes which controller leads, since when and by which version of the leader key, and which
+// one owns the shard after how many changes of owner.
 func (w *simCluster) describeLeadership() []string {
 	var lines []string
 	for _, controller := range w.controllers {
 		node := controller.runningNode()
 		if node == nil {
-			lines = append(lines, controller.name+" does not run")
+			lines = append(lines, controller.name+" is not running")
 			continue
 		}
 		line := fmt.Sprintf("%s: follows %q", controller.name, node.election.Leader())
 		if leader := node.activeLeader(); leader != nil {
 			line = fmt.Sprintf(
-				"%s: leads, version %d of the leader's key, for %.1f s", controller.name, leader.term.FencingRevision,
+				"%s: leads with version %d of the leader key, for %.1f s", controller.name, leader.term.FencingRevision,
 				(node.Now() - leader.cluster.TermStartedAt).Seconds(),
 			)
 		}
@@ -66,14 +67,14 @@
 	return lines
 }
 
-// inspectedLoop is the loop of a leader or of a shard's owner, by name.
+// inspectedLoop is the control loop of a leader or of a shard owner, with a name for messages.
 type inspectedLoop struct {
 	name string
 	*controlLoop
-	coordinator *coordinator.Coordinator // nil: an owner's loop, or the leader's without shards
+	coordinator *coordinator.Coordinator // nil for an owner, and for a leader without shards
 }
 
-// controlLoops lists the loops that run.
+// controlLoops returns the running loops of leaders and of owners of the shard.
 func (w *simCluster) controlLoops() []inspectedLoop {
 	var loops []inspectedLoop
 	for _, controller := range w.controllers {
@@ -94,56 +95,59 @@
 	return loops
 }
 
-// loopInspected has the loop's own goroutine describe a job.
-type loopInspected struct {
+// jobDescriptionQuery is an event that describes a job on the loop's goroutine.
+type jobDescriptionQuery struct {
 	loop  inspectedLoop
 	job   string
 	reply eventloop.Reply[string]
 }
 
-// Apply describes the job.
-func (e loopInspected) Apply() { e.reply.Send(e.loop.describeJob(e.job)) }
+// Apply sends the description of the job.
+func (e jobDescriptionQuery) Apply() { e.reply.Send(e.loop.describeJob(e.job)) }
 
-// describe says what a loop knows of a job.
+// describe describes a loop's state of a job, and waits for at most a second for the loop to answer.
 func (l inspectedLoop) describe(id string) string {
 	description, ok := eventloop.Call(
 		l.loop, eventloop.Events, micro.Second,
-		func(reply eventloop.Reply[string]) eventloop.Event { return loopInspected{l, id, reply} },
+		func(reply eventloop.Reply[string]) eventloop.Event { return jobDescriptionQuery{l, id, reply} },
 	)
 	if !ok {
-		description = "the loop does not answer"
+		description = "the loop did not answer within a second"
 	}
 	return l.name + ": " + description
 }
 
-// describeJob runs on the loop's goroutine.
+// describeJob describes the loop's state of a job. It must be called on the loop's goroutine.
 func (l inspectedLoop) describeJob(id string) string {
 	now := l.node.Now()
 	job := l.cluster.Jobs[id]
 	if job == nil {
-		return "not known"
+		return "unknown job"
 	}
 	text := &strings.Builder{}
 	fmt.Fprintf(
-		text, "%v, %s, %s, team %s, %d tasks, %d done, %d run, %d wait", job.State, job.Spec.Kind, job.Spec.Priority,
+		text, "%v, %s, %s, team %s, %d tasks, %d done, %d running, %d pending", job.State, job.Spec.Kind, job.Spec.Priority,
 		job.Spec.Team, len(job.Tasks), job.DoneTasks, job.RunningTasks, job.PendingTasks(),
 	)
 	if job.Shard != "" {
-		fmt.Fprintf(text, ", in shard %s, at most %d at once, %d reserved", job.Shard, job.MaxAllocations, job.ReservedTasks)
+		fmt.Fprintf(
+			text, ", in shard %s, at most %d allocations, %d reserved tasks", job.Shard, job.MaxAllocations,
+			job.ReservedTasks,
+		)
 	}
 	if job.PendingTasks() > 0 && job.State == cluster.Active {
 		fmt.Fprintf(
-			text, ", waits for %.0f s: %v", (now - job.WaitingSince).Seconds(), l.scheduler.ExplainPending(job, now),
+			text, ", waiting for %.0f s: %v", (now - job.WaitingSince).Seconds(), l.scheduler.ExplainPending(job, now),
 		)
 	}
 	if team := l.cluster.Teams[job.Spec.Team]; team != nil {
-		fmt.Fprintf(text, "; its team uses %g of %g CPUs", team.UsedCPU, team.CPULimit)
+		fmt.Fprintf(text, "; team uses %g of %g CPUs", team.UsedCPU, team.CPULimit)
 	}
 	fmt.Fprintf(text, "; %s; %s; %s", describeConstraints(job), describeChunks(job), l.describeOffers(job))
 	for _, allocation := range job.Allocations() {
 		machine := allocation.Machine
 		fmt.Fprintf(
-			text, "; %s attempt %d %v, stopping %v, observed %v, on %s, %v, last heard %.1f s ago", allocation.TaskName,
+			text, "; %s attempt %d %v, stopping %v, observed %v, on %s, %v, last heartbeat %.1f s ago", allocation.TaskName,
 			allocation.Attempt, allocation.State, allocation.Stopping, allocation.Observed, machine.Name, machine.State,
 			(now - machine.LastHeartbeat).Seconds(),
 		)
@@ -151,7 +155,7 @@
 	return text.String()
 }
 
-// describeConstraints says what a job asks of the machines that it may use.
+// describeConstraints describes which machines a job may use.
 func describeConstraints(job *cluster.Job) string {
 	spec, zone := &job.Spec, "any"
 	if spec.Zone != nil {
@@ -162,12 +166,13 @@
 		types = strings.Join(spec.Types, " ")
 	}
 	return fmt.Sprintf(
-		"each %g CPUs, spot %t, zone %s, spread %t, one zone %t, types %s", spec.CPUs, spec.Spot, zone, spec.Spread,
+		"%g CPUs per task, spot %t, zone %s, spread %t, one zone %t, types %s", spec.CPUs, spec.Spot, zone, spec.Spread,
 		spec.OneZone, types,
 	)
 }
 
-// describeChunks says whether a job may still be assigned to a shard, and what keeps it from that.
+// describeChunks describes the states that decide whether a job can be assigned to a shard: whether it was ever
+// allocated or dequeued, and its chunk records.
 func describeChunks(job *cluster.Job) string {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "never allocated %t, never dequeued %t", job.NeverAllocated(), job.NeverDequeued())
@@ -180,7 +185,8 @@
 	return text.String()
 }
 
-// describeOffers lists what the catalog offers that a job may use, and which of that is in a shard.
+// describeOffers lists the instance offers of the catalog that a job may use, at a leader apart for the leader's own
+// and the shards' offers.
 func (l inspectedLoop) describeOffers(job *cluster.Job) string {
 	var own, sharded []string
 	for _, offer := range l.allowedOffers(job) {
@@ -192,12 +198,12 @@
 		}
 	}
 	if l.coordinator == nil {
-		return fmt.Sprintf("may use %q", own)
+		return fmt.Sprintf("may use the offers %q", own)
 	}
-	return fmt.Sprintf("may use of the leader's own %q, of shards' %q", own, sharded)
+	return fmt.Sprintf("may use the leader's offers %q and the shards' offers %q", own, sharded)
 }
 
-// allowedOffers lists what the catalog offers that a job may use.
+// allowedOffers returns the instance offers of the catalog that a job may use.
 func (l inspectedLoop) allowedOffers(job *cluster.Job) []autoscaler.InstanceOffer {
 	var offers []autoscaler.InstanceOffer
 	for _, machineType := range l.cluster.CatalogOrder {
@@ -212,7 +218,7 @@
 	return offers
 }
 
-// describeOnMachines says where a job's tasks are in truth, and what its user knows.
+// describeOnMachines describes what a job's user knows, and which machines actually run its tasks.
 func (w *simCluster) describeOnMachines(id string) string {
 	job := &userJob{w, id, nil}
 	names := []string{}
@@ -221,12 +227,12 @@
 	}
 	known := job.knowledge()
 	return fmt.Sprintf(
-		"accepted %v, done %v, aborted %v; %d tasks run on machines that are up: %v", known.accepted, known.done,
+		"accepted %v, done %v, aborted %v; %d tasks running; machines that are up: %v", known.accepted, known.done,
 		known.aborted, job.runningTasks(), names,
 	)
 }
 
-// describeStored lists the records of a job.
+// describeStored lists the keys and revisions of a job's stored records.
 func (w *simCluster) describeStored(id string) string {
 	prefixes := []string{keys.JobPrefixFor(id), keys.ChunkPrefix + id + "/"}
 	found := []string{}
--- a/internal/controller/guards_owner_copies_test.go
+++ b/internal/controller/guards_owner_copies_test.go
@@ -9,31 +9,33 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Guards of a shard's owner: how it takes the place of the leader's records of a job that changes hands.
+// Tests of the record copy: a shard owner copies the leader's task records of a job that is handed over to it.
 
-// transferAssignment is the assignment of j-1, which goes to the shard with records of the leader's.
+// transferAssignment returns the assignment of j-1 in transfer from the leader to the shard. The leader's task
+// records reach up to the given revision.
 func transferAssignment(revision uint64) shard.Assignment {
 	assignment := shard.NewAssignment(handoverJob(), revision, 1)
 	assignment.MaxAllocations = 6
 	return assignment
 }
 
-// expectCopied checks under which version the owner says that it has copied the leader's records; 0: it
-// does not. It checks also whether it says that it waits for the job in vain.
-func (o *handoverOwner) expectCopied(version uint64, inVain bool) {
+// expectCopied checks under which assignment version the owner reports the leader's records of j-1 as copied
+// (0: not reported), and whether it reports the job as waiting, which makes the leader recall it.
+func (o *handoverOwner) expectCopied(version uint64, waiting bool) {
 	o.t.Helper()
 	var want []shard.CopiedJob
 	if version > 0 {
 		want = append(want, shard.CopiedJob{Job: "j-1", Version: version})
 	}
 	update := o.buildShardUpdate(o.node.Now())
-	if fmt.Sprint(update.CopiedJobs) != fmt.Sprint(want) || len(update.WaitingJobs) == 1 != inVain {
-		o.t.Errorf("copied %v, want %v; waiting %v", update.CopiedJobs, want, update.WaitingJobs)
+	if fmt.Sprint(update.CopiedJobs) != fmt.Sprint(want) || len(update.WaitingJobs) == 1 != waiting {
+		o.t.Errorf("copied jobs %v, want %v; waiting jobs %v", update.CopiedJobs, want, update.WaitingJobs)
 	}
 }
 
-// An owner places a job before the leader's records are gone: a controller of the version before takes
-// these for later ones than the owner's. Or it says that it has copied them before all is stored.
+// Guards against an owner that allocates tasks of a handed-over job while the leader's records still exist: a
+// controller of the previous release would treat those as newer than the owner's. Also guards against an owner
+// that reports the records as copied before all of its own are stored.
 func TestOwnerAllocatesHandedOverJobOnlyAfterTransferEnds(t *testing.T) {
 	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
@@ -44,12 +46,12 @@
 			load(o, assignment)
 			o.expectAllocated(o.schedulePendingTasks(), nil)
 			if got := len(o.dirtyTaskRecords()); got != 2 {
-				t.Errorf("%d records are to be written, want 2", got)
+				t.Errorf("%d task records are dirty, want 2", got)
 			}
 			o.expectCopied(0, false)
 			o.markAllPersisted()
 			o.expectCopied(o.assignments["j-1"].Version(), false)
-			assignment.MaxAllocations = 5 // the leader writes it anew
+			assignment.MaxAllocations = 5 // the leader rewrites the assignment
 			o.expectAllocated(o.schedulePendingTasks(), nil)
 			version := o.put(handoverAssignmentKey, assignment)
 			o.applyAssignmentEvents()
@@ -63,7 +65,8 @@
 	}
 }
 
-// A record that an earlier owner stored of a chunk lacks what the leader's holds, and counts as a copy.
+// Guards against an owner that counts a chunk record stored by an earlier owner as a copy, although it lacks task
+// state that the leader's record of the chunk holds.
 func TestOwnerCopiesTaskStateMissingFromItsStoredRecords(t *testing.T) {
 	o := newHandoverOwner(t)
 	o.putChunk(0, []int{0}, [2]int{1, 7})
@@ -72,17 +75,21 @@
 	o.put(shard.AllocationKey("gpus", "j-1", 1), tasksRecord(nil, [][2]int{{2, 2}}))
 	o.put(handoverAssignmentKey, transferAssignment(revision))
 	o.recover()
-	if got, want := fmt.Sprint(o.dirtyTaskRecords()), fmt.Sprint([]string{shard.AllocationKey("gpus", "j-1", 1)}); got != want {
-		t.Errorf("to be written: %v, want %v", got, want)
+	if got, want := fmt.Sprint(o.dirtyTaskRecords()), fmt.Sprint(
+		[]string{shard.AllocationKey("gpus", "j-1", 1)},
+	); got != want {
+		t.Errorf("dirty task records %v, want %v", got, want)
 	}
 	o.expectCopied(0, false)
 }
 
-// A job that the owner cannot take over, or that the leader does not hand over, is served by nobody.
+// Guards against a job that neither owner serves because its handover does not complete: the shard owner cannot
+// read all of the leader's records, or the leader does not end the transfer. The shard owner must report the job
+// as waiting, so that the leader recalls it.
 func TestJobWithIncompleteHandoverIsReportedForRecall(t *testing.T) {
 	rewritten := transferAssignment(7)
-	rewritten.Transfer = nil // by a leader of the version before
-	assignments := map[string]shard.Assignment{"records are missing": transferAssignment(50), "rewritten": rewritten}
+	rewritten.Transfer = nil // by a leader of the previous release
+	assignments := map[string]shard.Assignment{"records missing": transferAssignment(50), "rewritten": rewritten}
 	for cause, assignment := range assignments {
 		for name, load := range assignmentLoaders {
 			t.Run(cause+", "+name, func(t *testing.T) {
@@ -93,7 +100,7 @@
 			})
 		}
 	}
-	t.Run("not ended", func(t *testing.T) {
+	t.Run("transfer not ended in time", func(t *testing.T) {
 		o := newHandoverOwner(t)
 		o.put(handoverAssignmentKey, transferAssignment(o.putChunk(0, []int{0})))
 		o.recover()
@@ -107,7 +114,8 @@
 	})
 }
 
-// A job that is recalled or cancelled while it changes hands is placed, or never let go.
+// Guards against a job that is recalled or cancelled while it is in transfer, and is allocated all the same or
+// never released.
 func TestJobInTransferIsReleasedOrStoppedOnRequest(t *testing.T) {
 	for _, mark := range []string{"recalled", "cancelled"} {
 		t.Run(mark, func(t *testing.T) {
@@ -122,7 +130,7 @@
 			o.expectCopied(0, false)
 			update := o.buildShardUpdate(o.node.Now())
 			if len(update.StoppingJobs) == 1 != assignment.StopRequested {
-				t.Errorf("stopping %v", update.StoppingJobs)
+				t.Errorf("stopping jobs %v", update.StoppingJobs)
 			}
 			if assignment.RecallRequested {
 				o.expectReleased(version)
@@ -134,8 +142,9 @@
 	}
 }
 
-// An owner has the leader delete its records of a job that runs on, as the version before stored it, before
-// it has copied them.
+// Guards against an owner that reports the leader's records as copied before it has stored its own, for a job that
+// runs during its handover, as the previous release assigned it: the leader then deletes its records. Tasks keep
+// running, so the owner's records always have changes to write, which must not delay the report.
 func TestOwnerReportsRecordCopyOfHandedOverJob(t *testing.T) {
 	o := newHandoverOwner(t)
 	assignment := continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 7}))
@@ -143,7 +152,7 @@
 	o.recover()
 	o.expectCopied(0, false)
 	o.markAllPersisted()
-	o.cluster.Jobs["j-1"].Chunks[2].MemoryVersion++ // its tasks go on, and there is always something to write
+	o.cluster.Jobs["j-1"].Chunks[2].MemoryVersion++ // its tasks keep running: records change
 	o.expectCopied(version, false)
 	want := map[int]uint64{1: 8, 2: 1, 3: 1, 4: 1, 5: 1}
 	o.expectAllocated(o.schedulePendingTasks(), want)
@@ -154,6 +163,6 @@
 		o.expectCopied(0, false)
 	}
 	if job := o.cluster.Jobs["j-1"]; job.Spec.Tasks != 6 || job.Spec.Zone != nil || job.Spec.Kind != wire.JobArray {
-		t.Errorf("%+v", job.Spec)
+		t.Errorf("spec of the job after its handover: %+v", job.Spec)
 	}
 }
--- a/internal/controller/guards_owner_handover_test.go
+++ b/internal/controller/guards_owner_handover_test.go
@@ -19,16 +19,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Guards of a shard's owner: how it takes a job over from the leader's records, and gives it back.
+// Tests of the handover at a shard owner: it restores a job from the leader's records, and releases it when the
+// leader recalls it.
 
-// handoverOwner is the owner of a shard that job j-1 goes to: an array of six tasks, two to a chunk.
-// What it writes itself reaches no store.
+// handoverOwner is the owner of a shard to which job j-1 is handed over: an array of six tasks, two per chunk.
+// Records that the owner writes itself do not reach the store.
 type handoverOwner struct {
 	*ShardOwner
 	t           *testing.T
 	store       store.Store
 	agent       *fake.Agent
-	recordsRead map[string]bool // assignments whose jobs' records were read
+	recordsRead map[string]bool // keys of the assignments whose jobs' records were read
 }
 
 func newHandoverOwner(t *testing.T) *handoverOwner {
@@ -40,7 +41,7 @@
 	return o
 }
 
-// put stores a value, and says under which version.
+// put stores a value and returns its version.
 func (o *handoverOwner) put(key string, value any) uint64 {
 	o.t.Helper()
 	return o.commit(wire.Change{Put: key, Value: value})
@@ -55,7 +56,8 @@
 	return version
 }
 
-// putChunk stores the leader's record of a chunk: tasks that are done, and attempts of others.
+// putChunk stores the leader's record of a chunk and returns its version. The record lists done tasks, and pairs
+// of a task and its latest attempt.
 func (o *handoverOwner) putChunk(index int, done []int, attempts ...[2]int) uint64 {
 	o.t.Helper()
 	return o.put(keys.CompactChunk("j-1", index), tasksRecord(done, attempts))
@@ -71,15 +73,15 @@
 	return record.Compact()
 }
 
-// handoverJob is the description of j-1.
+// handoverJob returns the spec of j-1.
 func handoverJob() wire.Job {
 	return wire.Job{
 		ID: "j-1", Team: "team", Class: "c", Kind: wire.JobArray, Priority: wire.Normal, Tasks: 6, CPUs: 0.5, MemoryGB: 1,
 	}
 }
 
-// continuedAssignment is the assignment of j-1, which goes on from the leader's records, as the version
-// before stored it.
+// continuedAssignment returns the assignment of j-1 as the previous release stored it: the job is handed over with
+// the leader's records up to the given revision.
 func continuedAssignment(revision uint64) shard.Assignment {
 	return shard.Assignment{
 		Continued:  &shard.ContinuedJob{Job: handoverJob(), Revision: wire.Count(revision)},
@@ -89,15 +91,16 @@
 
 var handoverAssignmentKey = shard.AssignmentKey("gpus", "j-1")
 
-// recover has the owner begin: it reads what is in the store.
+// recover has the owner restore its state from the store.
 func (o *handoverOwner) recover() {
 	o.t.Helper()
 	if !o.recoverShard(o.t.Context()) {
-		o.t.Fatal("not recovered")
+		o.t.Fatal("recovery of the shard did not complete")
 	}
 }
 
-// applyAssignmentEvents has the owner take in what became of its assignments, as its watch does.
+// applyAssignmentEvents applies the changes of the shard's assignments since the last read, as the owner's watch
+// does.
 func (o *handoverOwner) applyAssignmentEvents() {
 	o.t.Helper()
 	events, err := o.store.Watch(
@@ -108,51 +111,53 @@
 	}
 	records, ok := o.readContinuedJobs(o.t.Context(), events.Events, o.recordsRead)
 	if !ok {
-		o.t.Fatal("the leader's records are not read")
+		o.t.Fatal("the leader's records were not read")
 	}
 	shardAssignmentsChanged{o.ShardOwner, events, records}.Apply()
 }
 
-// assignmentLoaders are how an owner comes to read an assignment.
+// assignmentLoaders are the ways in which an owner loads an assignment.
 var assignmentLoaders = map[string]func(o *handoverOwner, assignment shard.Assignment){
-	"as it begins": func(o *handoverOwner, assignment shard.Assignment) {
+	"on recovery": func(o *handoverOwner, assignment shard.Assignment) {
 		o.put(handoverAssignmentKey, assignment)
 		o.recover()
 	},
-	"in its watch": func(o *handoverOwner, assignment shard.Assignment) {
+	"from its watch": func(o *handoverOwner, assignment shard.Assignment) {
 		o.recover()
 		o.put(handoverAssignmentKey, assignment)
 		o.applyAssignmentEvents()
 	},
 }
 
-// heartbeat has the agent report, and do what it is told. It says what that was.
+// heartbeat delivers a heartbeat of the agent, has the agent execute the commands of the reply, and returns the
+// kind, task and attempt of each.
 func (o *handoverOwner) heartbeat() []string {
 	o.t.Helper()
 	reply := o.answerTo(o.agent.Heartbeat(), func() {})
 	commands, ok := reply.Body.(wire.Commands)
 	if !ok {
-		o.t.Fatalf("status %d", reply.Status)
+		o.t.Fatalf("heartbeat answered with status %d", reply.Status)
 	}
 	o.agent.HandleResponse(commands, o.node.Now())
-	var told []string
+	var executed []string
 	for _, command := range commands.Items {
-		told = append(told, fmt.Sprint(command.Kind, " ", command.Task, " ", uint64(command.Attempt)))
+		executed = append(executed, fmt.Sprint(command.Kind, " ", command.Task, " ", uint64(command.Attempt)))
 	}
-	return told
+	return executed
 }
 
-// schedulePendingTasks has a machine come up and tasks be placed on it, and says which attempts of them hold places.
+// schedulePendingTasks delivers the two heartbeats after which a machine is up, runs the scheduler, and returns the
+// allocated attempts by task.
 func (o *handoverOwner) schedulePendingTasks() map[int]uint64 {
 	o.t.Helper()
 	o.heartbeat()
 	o.heartbeat()
-	o.schedulePending, o.lastSchedule, o.scheduleInterval = true, 0, 0 // also a second time at once
+	o.schedulePending, o.lastSchedule, o.scheduleInterval = true, 0, 0 // so that repeated calls run at once
 	o.schedule(o.node.Now())
 	return o.allocatedAttempts()
 }
 
-// allocatedAttempts are the attempts that hold places, by task.
+// allocatedAttempts returns the allocated attempts by task.
 func (o *handoverOwner) allocatedAttempts() map[int]uint64 {
 	attempts := map[int]uint64{}
 	if job := o.cluster.Jobs["j-1"]; job != nil {
@@ -163,15 +168,15 @@
 	return attempts
 }
 
-// expectAllocated checks which attempts hold places.
+// expectAllocated checks the allocated attempts by task.
 func (o *handoverOwner) expectAllocated(got, want map[int]uint64) {
 	o.t.Helper()
 	if !maps.Equal(got, want) {
-		o.t.Errorf("attempts %v hold places, want %v", got, want)
+		o.t.Errorf("allocated attempts %v, want %v", got, want)
 	}
 }
 
-// markAllPersisted has all that is to be written of the job be in the store.
+// markAllPersisted marks all changes of the job's records as stored.
 func (o *handoverOwner) markAllPersisted() {
 	for _, chunk := range o.cluster.Jobs["j-1"].Chunks {
 		record := o.records.ChunkRecord(chunk)
@@ -181,7 +186,7 @@
 	}
 }
 
-// dirtyTaskRecords lists the records of the job's tasks that are to be written.
+// dirtyTaskRecords lists the keys of the job's task records that are not written yet.
 func (o *handoverOwner) dirtyTaskRecords() (dirty []string) {
 	o.records.Each(func(record *statestore.Record) {
 		if strings.HasPrefix(record.Key, shard.AllocationPrefix) && record.Dirty() {
@@ -191,7 +196,7 @@
 	return dirty
 }
 
-// expectReleased checks under which version the owner says that it has released the job; 0: it does not.
+// expectReleased checks under which assignment version the owner reports j-1 as released; 0: not reported.
 func (o *handoverOwner) expectReleased(version uint64) {
 	o.t.Helper()
 	var want []shard.ReleasedJob
@@ -199,11 +204,11 @@
 		want = append(want, shard.ReleasedJob{Job: "j-1", Version: version})
 	}
 	if got := o.buildShardUpdate(o.node.Now()).ReleasedJobs; fmt.Sprint(got) != fmt.Sprint(want) {
-		o.t.Errorf("released %v, want %v", got, want)
+		o.t.Errorf("released jobs %v, want %v", got, want)
 	}
 }
 
-// A job that goes to a shard runs anew what was done, or under attempt numbers that were used.
+// Guards against a job that repeats done tasks, or reuses attempt numbers, after its handover to a shard.
 func TestHandedOverJobResumesFromLeaderRecords(t *testing.T) {
 	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
@@ -212,14 +217,15 @@
 			revision := o.putChunk(1, []int{3}, [2]int{2, 3})
 			load(o, continuedAssignment(revision))
 			if got := len(o.dirtyTaskRecords()); got != 2 {
-				t.Errorf("%d of the owner's own records are to be written, want 2: the leader's go", got)
+				t.Errorf("%d of the owner's records are dirty, want 2: the leader deletes its own", got)
 			}
 			o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{1: 8, 2: 4, 4: 1, 5: 1})
 		})
 	}
 }
 
-// An owner takes records in that a next leader wrote as it took the job back, and writes over them.
+// Guards against an owner that restores, and overwrites, records that a later leader wrote when it took the job
+// back. Their revisions are above that of the assignment.
 func TestOwnerIgnoresLeaderRecordsNewerThanAssignmentRevision(t *testing.T) {
 	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
@@ -232,7 +238,8 @@
 	}
 }
 
-// A next owner goes back to what the leader recorded before the job came to the shard.
+// Guards against a next owner that returns to the state that the leader recorded before the handover, and ignores
+// the records of the earlier owner. Done tasks and the highest attempts of both apply.
 func TestNextOwnerMergesLeaderAndOwnerRecords(t *testing.T) {
 	o := newHandoverOwner(t)
 	o.putChunk(0, []int{0}, [2]int{1, 7})
@@ -247,13 +254,13 @@
 	o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{2: 10, 3: 7, 4: 1, 5: 1})
 }
 
-// A job some of whose records are missing is begun anew, and what was done is done again.
+// Guards against a job that restarts, and repeats done tasks, because some of its records are missing.
 func TestJobWithMissingRecordsIsSuspended(t *testing.T) {
 	cases := map[string]func(o *handoverOwner) (revision uint64){
-		"all of them":       func(*handoverOwner) uint64 { return 50 },
-		"the latest":        func(o *handoverOwner) uint64 { return o.putChunk(0, []int{0, 1}) + 1 },
-		"rewritten, latest": func(o *handoverOwner) uint64 { return o.putChunk(0, []int{0, 1}) - 1 },
-		"one not understood": func(o *handoverOwner) uint64 {
+		"all":                     func(*handoverOwner) uint64 { return 50 },
+		"latest":                  func(o *handoverOwner) uint64 { return o.putChunk(0, []int{0, 1}) + 1 },
+		"latest, since rewritten": func(o *handoverOwner) uint64 { return o.putChunk(0, []int{0, 1}) - 1 },
+		"one malformed": func(o *handoverOwner) uint64 {
 			o.put(keys.CompactChunk("j-1", 0), "nonsense")
 			return o.putChunk(1, []int{2})
 		},
@@ -265,7 +272,7 @@
 				load(o, continuedAssignment(prepare(o)))
 				o.expectAllocated(o.schedulePendingTasks(), nil)
 				if dirty := o.dirtyTaskRecords(); len(dirty) > 0 {
-					t.Errorf("to be written: %v", dirty)
+					t.Errorf("dirty task records %v, want none", dirty)
 				}
 				o.expectReleased(0)
 			})
@@ -273,7 +280,8 @@
 	}
 }
 
-// A job that is over in its shard is held for ever once the leader has deleted its own records.
+// Guards against a job that has ended in its shard and is suspended permanently once the leader has deleted its
+// own records.
 func TestEndedJobNeedsNoLeaderRecords(t *testing.T) {
 	o := newHandoverOwner(t)
 	for chunk := range 3 {
@@ -282,11 +290,12 @@
 	o.put(handoverAssignmentKey, continuedAssignment(50))
 	o.recover()
 	if finished := o.buildShardUpdate(o.node.Now()).FinishedJobs; len(finished) != 1 {
-		t.Errorf("finished: %v", finished)
+		t.Errorf("finished jobs %v, want one", finished)
 	}
 }
 
-// A late heartbeat changes what an owner has said that it released, after the leader has read it.
+// Guards against a late heartbeat that changes the records of a job after its owner has reported it as released:
+// the leader has read them by then.
 func TestLateHeartbeatDoesNotChangeReleasedJob(t *testing.T) {
 	for _, state := range []wire.TaskState{wire.TaskRunning, wire.TaskExited} {
 		t.Run(string(state), func(t *testing.T) {
@@ -307,25 +316,25 @@
 			status := &wire.TaskStatus{Task: key.Task, Attempt: 9, State: state, Cause: wire.CauseDone}
 			if o.agent.Tasks[key] = status; state == wire.TaskRunning {
 				status.Cause = ""
-				if told := o.heartbeat(); !slices.Equal(told, []string{string(wire.CommandStop) + " j-1/1 9"}) {
-					t.Errorf("told %v", told)
+				if commands := o.heartbeat(); !slices.Equal(commands, []string{string(wire.CommandStop) + " j-1/1 9"}) {
+					t.Errorf("commands %v", commands)
 				}
 			}
 			for range 3 {
 				o.heartbeat()
 			}
 			if o.agent.Tasks[key] != nil {
-				t.Error("the agent is not told to forget the attempt")
+				t.Error("the agent got no command to forget the attempt")
 			}
 			if after := describePersistedState(job); after != before || len(o.dirtyTaskRecords()) > 0 {
-				t.Errorf("%s, before %s; to be written: %v", after, before, o.dirtyTaskRecords())
+				t.Errorf("records %s, before the heartbeat %s; dirty: %v", after, before, o.dirtyTaskRecords())
 			}
 			o.expectReleased(version)
 		})
 	}
 }
 
-// describePersistedState says what would be written of a job.
+// describePersistedState describes the state of a job as its records would store it.
 func describePersistedState(job *cluster.Job) string {
 	text := fmt.Sprint(job.State, ", ", job.AllocationCount, " allocations, ", job.DoneTasks, " done")
 	for _, chunk := range job.Chunks {
@@ -335,12 +344,12 @@
 	return text
 }
 
-// An owner that reads that a job is recalled, or cancelled, places it or lets its tasks run on.
+// Guards against an owner that loads a recalled or cancelled job, and allocates its tasks or leaves them running.
 func TestOwnerStopsLoadedJobThatIsRecalledOrCancelled(t *testing.T) {
 	marks := map[string]func(assignment *shard.Assignment){
 		"recalled":  func(assignment *shard.Assignment) { assignment.RecallRequested = true },
 		"cancelled": func(assignment *shard.Assignment) { assignment.StopRequested = true },
-		"cancelled once recalled": func(assignment *shard.Assignment) {
+		"cancelled after its recall": func(assignment *shard.Assignment) {
 			assignment.RecallRequested, assignment.StopRequested = true, true
 		},
 	}
@@ -356,23 +365,23 @@
 			o.agent.Tasks[fake.AttemptKey{Task: "j-1/1", Attempt: 8}] = &wire.TaskStatus{
 				Task: "j-1/1", Attempt: 8, State: wire.TaskRunning,
 			}
-			if told := o.heartbeat(); !slices.Equal(told, []string{string(wire.CommandStop) + " j-1/1 8"}) {
-				t.Errorf("told %v", told)
+			if commands := o.heartbeat(); !slices.Equal(commands, []string{string(wire.CommandStop) + " j-1/1 8"}) {
+				t.Errorf("commands %v", commands)
 			}
 			o.expectReleased(0)
 			o.expectAllocated(o.schedulePendingTasks(), nil)
-			o.expectReleased(0) // its record is still to be written
+			o.expectReleased(0) // its task record is still to be written
 			o.markAllPersisted()
 			o.expectAllocated(o.schedulePendingTasks(), nil)
 			if assignment.StopRequested {
-				version = 0 // its end goes another way
+				version = 0 // a cancelled job is not released: its end is reported
 			}
 			o.expectReleased(version)
 		})
 	}
 }
 
-// An owner goes on writing records of a job that was recalled before it read of it.
+// Guards against an owner that writes task records of a job that was recalled before the owner loaded it.
 func TestOwnerWritesNoRecordsOfJobLoadedAsRecalled(t *testing.T) {
 	for name, load := range assignmentLoaders {
 		t.Run(name, func(t *testing.T) {
@@ -382,14 +391,15 @@
 			load(o, assignment)
 			o.expectAllocated(o.schedulePendingTasks(), nil)
 			if dirty := o.dirtyTaskRecords(); len(dirty) > 0 {
-				t.Errorf("to be written: %v", dirty)
+				t.Errorf("dirty task records %v, want none", dirty)
 			}
 			o.expectReleased(o.assignments["j-1"].Version())
 		})
 	}
 }
 
-// A recalled job's tasks run on in the shard, or it is released before their ends are stored.
+// Guards against a recalled job whose tasks keep running in the shard, or that is released before the ends of its
+// tasks are stored.
 func TestOwnerReleasesRecalledJobAfterTaskEndsAreStored(t *testing.T) {
 	o := newHandoverOwner(t)
 	assignment := continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 7}))
@@ -401,7 +411,7 @@
 	assignment.RecallRequested = true
 	recalled := o.put(handoverAssignmentKey, assignment)
 	if recalled == created {
-		t.Fatal("one version")
+		t.Fatal("the recall did not change the version of the assignment")
 	}
 	o.applyAssignmentEvents()
 	o.schedulePendingTasks()
@@ -415,10 +425,10 @@
 	o.expectReleased(recalled)
 }
 
-// A job that comes to a shard for the second time is not known there any more, or goes on from what
-// was recorded before it came for the first time.
+// Guards against a job that is handed over to the same shard a second time, and is not loaded or continues from the
+// records of the time before its first handover.
 func TestRecalledJobIsRemovedAndLoadedFromNewAssignment(t *testing.T) {
-	for name, together := range map[string]bool{"one by one": false, "deleted and assigned at once": true} {
+	for name, together := range map[string]bool{"deletion read first": false, "deletion and assignment at once": true} {
 		t.Run(name, func(t *testing.T) {
 			o := newHandoverOwner(t)
 			o.recover()
@@ -433,20 +443,21 @@
 			if !together {
 				o.applyAssignmentEvents()
 				if left := retainedAtOwner(o.ShardOwner); len(left) > 0 {
-					t.Errorf("retained: %v", left)
+					t.Errorf("retained after the assignment was deleted: %v", left)
 				}
 			}
 			version := o.put(handoverAssignmentKey, continuedAssignment(o.putChunk(0, []int{0}, [2]int{1, 11})))
 			o.applyAssignmentEvents()
 			o.expectAllocated(o.schedulePendingTasks(), map[int]uint64{1: 12, 2: 1, 3: 1, 4: 1, 5: 1})
 			if got := o.assignments["j-1"].Version(); got != version {
-				t.Errorf("version %d of the assignment, want %d", got, version)
+				t.Errorf("assignment version %d, want %d", got, version)
 			}
 		})
 	}
 }
 
-// A controller of a version that does not know of such assignments begins their jobs anew.
+// Guards against a controller of an earlier release, which does not know continued assignments, restarting their
+// jobs. Such a release must find no job in the fields that it decodes.
 func TestPreviousReleasesDecodeNoJobFromContinuedAssignment(t *testing.T) {
 	var before struct {
 		Job            wire.Job `msgpack:"job"`
@@ -458,6 +469,6 @@
 		t.Fatal(err)
 	}
 	if before.Job.Tasks != 0 || before.Job.ID != "" {
-		t.Errorf("it finds %+v", before.Job)
+		t.Errorf("earlier release decodes the job %+v, want none", before.Job)
 	}
 }
--- a/internal/controller/guards_shards_test.go
+++ b/internal/controller/guards_shards_test.go
@@ -12,80 +12,80 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// From when an owner sends the transaction that transfers its shard, another may own it at
-// any moment: heartbeats get no answer, and no lease is renewed, until the store says that it
-// was not executed. Before, leases have no gap.
+// Once an owner has sent the transaction that transfers its shard, another controller may own the shard at any
+// moment: heartbeats are refused, and no lease is renewed, unless the store reports that the transaction was not
+// executed. Until the transaction is sent, leases are renewed without a gap.
 func TestOwnerRefusesHeartbeatsDuringATransfer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome error
-		want    int // the answer to a heartbeat once the outcome is known
+		want    int // HTTP status for a heartbeat once the outcome is known
 	}{
 		{"executed", nil, 503},
-		{"no answer", store.ErrUncertain, 503},
-		{"the precondition failed", store.ErrConflict, 200},
+		{"outcome uncertain", store.ErrUncertain, 503},
+		{"precondition failed", store.ErrConflict, 200},
 		{"refused", store.ErrRefused, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) { checkOwnerDuringATransfer(t, c.outcome, c.want) })
 	}
 }
 
-// checkOwnerDuringATransfer has a shard transferred with a result, and checks what the owner
-// answers: want is the answer to a heartbeat once the result is known.
+// checkOwnerDuringATransfer transfers a shard by a transaction with the given result, and checks the owner's replies
+// to heartbeats. want is the HTTP status once the result is known.
 func checkOwnerDuringATransfer(t *testing.T, result error, want int) {
 	t.Helper()
 	sent, outcome := make(chan bool), make(chan error)
 	o := guardedOwner(t, func() error { sent <- true; return <-outcome })
 	agent := fake.NewAgent("i-1", "small", "a", 30*micro.Second)
 	if got := o.answered(agent); got != 200 {
-		t.Fatalf("while it is active: %d", got)
+		t.Fatalf("heartbeat to an active owner: status %d", got)
 	}
 	o.observeMove(t)
 	if got := o.answered(agent); got != 200 || o.ownership.MayAllocate() {
-		t.Fatalf("while it drains: %d, allocates %v", got, o.ownership.MayAllocate())
+		t.Fatalf("heartbeat to a draining owner: status %d; may allocate: %v", got, o.ownership.MayAllocate())
 	}
 	o.reconcileTransfer(o.node.Now())
 	<-sent
 	if o.holdsLease() {
-		t.Error("the loop may answer and send commands while the transfer is in flight")
+		t.Error("the loop holds its lease, and may reply and send commands, while the transfer is in flight")
 	}
 	if got := o.answered(agent); got != 503 {
-		t.Errorf("while the transfer is in flight: %d", got)
+		t.Errorf("heartbeat while the transfer is in flight: status %d", got)
 	}
 	outcome <- result
 	o.awaitTransferAnswer(t)
 	if o.loop.Stopped() != (result == nil) {
-		t.Errorf("stopped: %v", o.loop.Stopped())
+		t.Errorf("loop stopped: %v", o.loop.Stopped())
 	}
 	if result == nil {
 		if o.holdsLease() {
-			t.Error("the loop may answer and send commands after the transfer")
+			t.Error("the loop holds its lease, and may reply and send commands, after the transfer")
 		}
 		return
 	}
 	if got := o.answered(agent); got != want {
-		t.Errorf("once the outcome is known: %d, want %d", got, want)
+		t.Errorf("heartbeat once the outcome is known: status %d, want %d", got, want)
 	}
 }
 
-// shardCancellation is a cancellation of a job in a shard.
+// shardCancellation is a case of TestCancellationInShardCompletesOnceAllLeasesEndWithinCancelBound.
 type shardCancellation struct {
 	name    string
 	zone    string
 	cancelS float64
-	held    int
-	wait    micro.Time // until the end is written; negative: not while allocations are held
-	fenced  bool
+	held    int        // allocations that are not released yet
+	wait    micro.Time // delay until the job's end is written; negative: not written while allocations are held
+	fenced  bool       // lease proxies of the zone get no reply
 }
 
-// The user of a cancelled job in a shard is told once its owner tells the tasks to stop, and
-// no lease outlives the bound; from that moment the zones' lease proxies get no answer.
+// The user of a cancelled job in a shard is notified once the shard owner has commanded its tasks to stop and no
+// lease can outlast the bound for cancellations (CancelS). From then on the zones' lease proxies get no reply.
 func TestCancellationInShardCompletesOnceAllLeasesEndWithinCancelBound(t *testing.T) {
 	for _, c := range []shardCancellation{
 		{"no proxies in the zone", "c", 50, 1, 0, true},
-		{"proxies that may renew leases for a span", "b", 50, 1, 30 * micro.Second, true},
-		{"leases that do not add up", "c", 30, 1, -1, false},
-		{"no allocation is held", "b", 30, 0, 0, false},
+		{"proxies that may still renew leases", "b", 50, 1, 30 * micro.Second, true},
+		{"leases that outlast the bound", "c", 30, 1, -1, false},
+		{"no held allocation", "b", 30, 0, 0, false},
 	} {
 		t.Run(c.name, c.check)
 	}
@@ -98,55 +98,55 @@
 	stopping := shard.StoppingJob{Job: "j-1", UnreleasedAllocations: c.held, Zones: []string{c.zone}}
 	l.shardCancellationProgress(t, stopping)
 	if l.writesEnd() {
-		t.Fatal("the end of a job that nobody cancelled is written")
+		t.Fatal("the end of a job that was not cancelled is written")
 	}
 	l.coordinator.BeginCancellation(job)
 	if !l.assignmentToStop() || l.writesEnd() {
-		t.Fatalf("to be stopped and stored %v, the end is written %v", l.assignmentToStop(), l.writesEnd())
+		t.Fatalf("assignment marked as to be stopped and stored: %v, end written: %v", l.assignmentToStop(), l.writesEnd())
 	}
 	l.shardCancellationProgress(t, stopping)
 	if got := l.writesEnd(); got != (c.wait == 0) {
-		t.Fatalf("the end is written at once: %v", got)
+		t.Fatalf("end written at once: %v", got)
 	}
 	l.clock.pass(max(c.wait, micro.Second))
 	l.shardCancellationProgress(t, stopping)
 	if got := l.writesEnd(); got != (c.wait >= 0) || l.cancellations.ZoneFenced(c.zone) != c.fenced {
-		t.Errorf("the end is written %v, the zone is fenced %v", got, l.cancellations.ZoneFenced(c.zone))
+		t.Errorf("end written: %v, zone fenced: %v", got, l.cancellations.ZoneFenced(c.zone))
 	}
 	stopping.UnreleasedAllocations = 0
 	l.shardCancellationProgress(t, stopping)
 	l.cancellations.UpdateFencedZones()
 	if !l.writesEnd() || l.cancellations.ZoneFenced(c.zone) {
 		t.Errorf(
-			"with none held the end is written %v, the zone is fenced %v",
+			"without held allocations: end written: %v, zone fenced: %v",
 			l.writesEnd(),
 			l.cancellations.ZoneFenced(c.zone),
 		)
 	}
 }
 
-// Machines of a shard are answered by the leader only while no owner may answer them.
+// The leader accepts heartbeats of a shard's machines only while no shard owner may accept them.
 func TestLeaderAcceptsHeartbeatsOfShardMachinesOnlyWhileShardHasNoOwner(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		state     shard.State
-		reclaimed bool // the leader has taken the shard back
+		reclaimed bool // the leader has reclaimed the shard
 		zone      string
 		want      int
 	}{
 		{"owned", shard.Owned, false, "c", 503},
 		{"moving", shard.Moving, false, "c", 503},
-		{"owned, a machine of no shard", shard.Owned, false, "a", 200},
+		{"owned, machine of no shard", shard.Owned, false, "a", 200},
 		{"forming", shard.Forming, false, "c", 200},
 		{"released, not read yet", shard.Released, false, "c", 503},
-		{"released and taken back", shard.Released, true, "c", 200},
+		{"released and reclaimed", shard.Released, true, "c", 200},
 	} {
 		l := newGuardedShardLeader(t, func(*Node) {})
 		l.writeShard(t, c.state)
 		agent := fake.NewAgent("i-1", "small", c.zone, 30*micro.Second)
 		if c.reclaimed {
-			waitUntil(t, "taken back", func() bool {
-				// Reconciled once more after it was taken back, the shard would be deleted.
+			waitUntil(t, "the shard is reclaimed", func() bool {
+				// A further reconciliation after the shard is reclaimed would delete it.
 				l.clock.pass(300 * micro.Millisecond)
 				l.runInLoop(func() { l.coordinator.Reconcile(l.node.Now()) })
 				for range 50 {
@@ -159,13 +159,13 @@
 			})
 		}
 		if got := l.answered(agent); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: heartbeat answered with status %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// Only the leader knows what lease proxies may have renewed: without its answer an owner
-// takes no lease for expired.
+// Only the leader knows which leases lease proxies may have renewed: without its status update reply a shard owner
+// treats no lease as expired.
 func TestOwnerExpiresNoLeaseWithoutLeaderStatusReply(t *testing.T) {
 	o := guardedOwner(t, func() error { return nil })
 	o.node.Cfg.Facts.Zones = []string{"a"}
@@ -173,22 +173,22 @@
 	machine, now := o.cluster.Machines["i-1"], o.node.Now()+60*micro.Minute
 	o.updateBoundFromLeader(now)
 	if o.cluster.LeaseExpired(machine, now) {
-		t.Error("a lease has expired without an answer of the leader")
+		t.Error("lease expired without a reply of the leader")
 	}
 	o.renewedUntil = map[string]micro.Time{"a": now - o.cluster.LeaseDuration}
 	o.updateBoundFromLeader(now)
 	if o.cluster.LeaseExpired(machine, now) {
-		t.Error("a lease has expired that a proxy may have renewed")
+		t.Error("lease expired that a proxy may have renewed")
 	}
 	o.renewedUntil = map[string]micro.Time{}
 	o.updateBoundFromLeader(now)
 	if !o.cluster.LeaseExpired(machine, now) {
-		t.Error("no lease ever expires")
+		t.Error("lease not expired that no proxy may have renewed")
 	}
 }
 
-// A shard is transferred only once nothing that its owner wrote is in flight or uncertain:
-// the next owner reads the rest. What was planned and not started is dropped.
+// A shard is transferred only once no write of its owner is in flight or uncertain: the next owner reads what is
+// stored. Planned allocations that were not started are dropped.
 func TestTransferWaitsUntilOwnerWritesAreSettled(t *testing.T) {
 	sent := make(chan bool)
 	o := guardedOwner(t, func() error { sent <- true; return store.ErrUncertain })
@@ -201,21 +201,21 @@
 	o.observeMove(t)
 	o.reconcileTransfer(o.node.Now())
 	if job.AllocationCount > 0 {
-		t.Error("a planned allocation is kept")
+		t.Error("planned allocation not dropped")
 	}
 	if o.ownership.State() != shard.Draining {
-		t.Fatalf("%v, though a record is to be written", o.ownership.State())
+		t.Fatalf("ownership %v although a record is to be written", o.ownership.State())
 	}
 	o.records.Each(func(record *statestore.Record) { record.ClearDirty() })
 	o.reconcileTransfer(o.node.Now())
 	if o.ownership.State() != shard.Transferring {
-		t.Fatalf("%v, though all is settled", o.ownership.State())
+		t.Fatalf("ownership %v although all writes are settled", o.ownership.State())
 	}
 	<-sent
 }
 
-// An owner's records of a job's allocations go after its assignment: left without them, an
-// assignment would make a job that is over one that never began.
+// An owner deletes the allocation records of an ended job after its assignment: an assignment without them would
+// make the ended job look like one that never started.
 func TestAssignmentIsDeletedBeforeTheAllocationRecords(t *testing.T) {
 	o := guardedOwner(t, func() error { return nil })
 	spec := wire.Job{
@@ -236,15 +236,15 @@
 	o.endJobInShard(job, wire.JobAborted, o.node.Now())
 	o.deleteFinishedAssignments(o.node.Now())
 	if assignment.Dirty() || job.AllocationCount != 1 {
-		t.Errorf("the assignment is deleted %v, with %d allocations held", assignment.Dirty(), job.AllocationCount)
+		t.Errorf("deletion of the assignment queued: %v, with %d allocations held", assignment.Dirty(), job.AllocationCount)
 	}
 	o.cluster.ExpireMachine(machine, o.node.Now())
 	o.deleteFinishedAssignments(o.node.Now())
 	if !assignment.Dirty() || allocations.Dirty() {
-		t.Fatalf("the assignment is deleted %v, the allocations' record %v", assignment.Dirty(), allocations.Dirty())
+		t.Fatalf("deletion queued: assignment %v, allocation record %v", assignment.Dirty(), allocations.Dirty())
 	}
 	assignment.OnCommitted(0)
 	if !allocations.Dirty() {
-		t.Error("the allocations' record is not deleted after the assignment")
+		t.Error("allocation record not deleted after the assignment")
 	}
 }
--- a/internal/controller/job_handover_test.go
+++ b/internal/controller/job_handover_test.go
@@ -17,17 +17,17 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Jobs whose tasks have run change hands between the leader and a shard's owner. The scenarios
-// look at jobs, machines and the store alone.
+// Scenarios in which started jobs are handed over from the leader to a shard owner, or back. They observe jobs,
+// machines and the store only.
 
-// arrayTasks is how many tasks the arrays here have, and arrayTasksAtOnce how many of them their
-// team's quota has capacity for.
+// arrayTasks is the number of tasks of the arrays here, and arrayTasksAtOnce the number of them that their team's
+// quota permits at once.
 const (
 	arrayTasks       = 12
 	arrayTasksAtOnce = teamMaxCPUs / 4
 )
 
-// eastShard declares a shard, owned by n-2 at first.
+// eastShard returns settings that declare a shard whose first owner is n-2.
 func eastShard(selector shard.Selector) *config.Shards {
 	return &config.Shards{
 		MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000,
@@ -35,8 +35,8 @@
 	}
 }
 
-// checkTaskStarts holds every start against what its task did before: one that is done does not run
-// again, and attempt numbers rise.
+// checkTaskStarts checks every start of a task against earlier ones: a done task must not start again, and attempt
+// numbers must rise.
 func checkTaskStarts(sim *simCluster) {
 	var mu sync.Mutex
 	lastAttempts := map[string]uint64{}
@@ -45,7 +45,7 @@
 		defer mu.Unlock()
 		id, index, _ := wire.ParseTaskName(key.Task)
 		if sim.taskDone(id, index) {
-			sim.t.Errorf("%v: %s is done, and starts on %s", sim.now(), key.Task, machine.agent.Name)
+			sim.t.Errorf("%v: %s starts on %s although it is done", sim.now(), key.Task, machine.agent.Name)
 		}
 		if last := lastAttempts[key.Task]; key.Attempt <= last {
 			sim.t.Errorf("%v: attempt %d of %s starts after attempt %d", sim.now(), key.Attempt, key.Task, last)
@@ -54,7 +54,7 @@
 	}
 }
 
-// taskDone reports whether a task ran to its end.
+// taskDone reports whether a task ran to completion.
 func (w *simCluster) taskDone(job string, index int) bool {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
@@ -62,17 +62,17 @@
 	return record != nil && record.completedTasks[index]
 }
 
-// doneTasks is how many tasks of the job ran to their end.
+// doneTasks returns the number of the job's tasks that ran to completion.
 func (j *userJob) doneTasks() int {
 	j.sim.checker.mu.Lock()
 	defer j.sim.checker.mu.Unlock()
 	return len(j.sim.checker.jobs[j.id].completedTasks)
 }
 
-// waitDone waits until the user is told that the job is done.
-func (w *simCluster) waitDone(job *userJob, most micro.Time) {
+// waitDone waits until a status reply says that the job is done.
+func (w *simCluster) waitDone(job *userJob, timeout micro.Time) {
 	w.t.Helper()
-	w.waitUntil(job.id+" is done", most, func() bool {
+	w.waitUntil(job.id+" is done", timeout, func() bool {
 		return replyState(job.queryStatus(w.randomUserNode())) == wire.JobDone
 	})
 }
@@ -80,10 +80,12 @@
 // waitServed waits until all replicas of a service run.
 func (w *simCluster) waitServed(service *userJob, replicas int) {
 	w.t.Helper()
-	w.waitUntil(service.id+" runs in full", servedWithin, func() bool { return service.runningTasks() == replicas })
+	w.waitUntil(service.id+" has all replicas running", servedWithin, func() bool {
+		return service.runningTasks() == replicas
+	})
 }
 
-// restartAll restarts all processes at once with other settings for shards.
+// restartAll restarts all processes at once with new shard settings.
 func (w *simCluster) restartAll(shards *config.Shards) {
 	w.setShards(shards)
 	for _, controller := range w.controllers {
@@ -92,21 +94,21 @@
 	w.sleep(2 * micro.Second)
 }
 
-// declareShard restarts all processes with a declared shard, and waits until it is being formed.
+// declareShard restarts all processes with settings that declare a shard, and waits until its record exists.
 func (w *simCluster) declareShard(selector shard.Selector) {
 	w.t.Helper()
 	w.restartAll(eastShard(selector))
 	w.waitUntil("the shard is being formed", micro.Minute, func() bool { _, ok := w.shardRecord(); return ok })
 }
 
-// formShard declares a shard, and waits until it is owned.
+// formShard declares a shard and waits until n-2 owns it.
 func (w *simCluster) formShard(selector shard.Selector) {
 	w.t.Helper()
 	w.declareShard(selector)
 	w.waitShardOwned("n-2", 2*micro.Minute)
 }
 
-// dissolveShard has the leader take the shard back, and waits until nothing of it is left.
+// dissolveShard has the leader reclaim the shard, and waits until no key of the shard is stored.
 func (w *simCluster) dissolveShard() {
 	w.t.Helper()
 	w.mu.Lock()
@@ -117,15 +119,16 @@
 	w.waitUntil("no record of the shard is left", 2*micro.Minute, func() bool { return len(w.shardKeys()) == 0 })
 }
 
-// newHandoverArray makes an array that runs in three waves, as its team's quota allows.
+// newHandoverArray creates an array whose team's quota permits a third of its tasks at once, so that it runs in
+// three waves.
 func (w *simCluster) newHandoverArray(spot bool, team string) *userJob {
 	return w.newJob(jobRequest{
 		kind: wire.JobArray, tasks: arrayTasks, cpus: 4, runTime: 20 * micro.Second, spot: spot, team: team,
 	})
 }
 
-// waitSecondWave waits until the first tasks of an array are done, which its controller knows by
-// then, and others run.
+// waitSecondWave waits until the first tasks of an array are done and others have run for long enough that its
+// controller knows of the ends.
 func (w *simCluster) waitSecondWave(array *userJob) {
 	w.t.Helper()
 	w.waitUntil("some tasks are done, others run", 3*micro.Minute, func() bool {
@@ -136,15 +139,15 @@
 
 var onDemand, spotOnly = shard.Selector{Kind: shard.OnDemandOnly}, shard.Selector{Kind: shard.SpotOnly}
 
-// handoverWork are the jobs that change hands in a scenario: a service and an array, of two teams.
+// handoverWork holds the jobs that are handed over in a scenario: a service and an array, of different teams.
 type handoverWork struct {
 	service  *userJob
 	replicas int
 	array    *userJob
 }
 
-// startWorkAtLeader runs jobs that may use on-demand machines alone, which no shard holds yet. Part
-// of the array is done.
+// startWorkAtLeader starts jobs that may use on-demand machines only, none of which belongs to a shard yet, and
+// waits until part of the array is done.
 func (w *simCluster) startWorkAtLeader() handoverWork {
 	w.t.Helper()
 	work := handoverWork{
@@ -156,8 +159,8 @@
 	return work
 }
 
-// startWorkInSpotShard runs jobs that may use both kinds of machines in a shard of all spot
-// machines. Part of the array is done.
+// startWorkInSpotShard starts jobs that may use spot and on-demand machines in a shard of all spot machines, and
+// waits until part of the array is done.
 func (w *simCluster) startWorkInSpotShard() handoverWork {
 	w.t.Helper()
 	w.waitShardOwned("n-2", 2*micro.Minute)
@@ -169,13 +172,13 @@
 	w.waitSecondWave(work.array)
 	for _, machine := range append(work.service.machines(), work.array.machines()...) {
 		if !machine.agent.Spot {
-			w.t.Fatalf("%s is no spot machine", machine.agent.Name)
+			w.t.Fatalf("%s is not a spot machine", machine.agent.Name)
 		}
 	}
 	return work
 }
 
-// terminateSpotMachines takes all spot machines away, for good. The others boot from now on.
+// terminateSpotMachines terminates all spot machines, and lets only on-demand machines boot from now on.
 func (w *simCluster) terminateSpotMachines() {
 	w.mu.Lock()
 	w.cloud.failsBoot = func(request wire.InstanceRequest) bool { return request.Spot }
@@ -191,7 +194,7 @@
 	}
 }
 
-// waitWorkServed waits until the service runs in full and the array is done.
+// waitWorkServed waits until all replicas of the service run and the array is done.
 func (w *simCluster) waitWorkServed(work handoverWork) {
 	w.t.Helper()
 	end := w.now() + servedWithin
@@ -199,20 +202,20 @@
 	w.waitDone(work.array, max(end-w.now(), 0)+micro.Minute) // two waves are left to run
 }
 
-// A direction is a way in which jobs change hands.
+// A direction is a direction of handovers, with the scenario that causes them.
 type direction struct {
 	name string
 	set  func(sim *simCluster)
-	// begin runs the work, and does what makes it change hands.
+	// begin starts the jobs and triggers their handover.
 	begin func(sim *simCluster) handoverWork
 	spot  bool // the jobs may use spot machines
-	// from is when, after begin, the hand-over may begin at the earliest, and step a part of the
-	// time in which it may.
+	// The handover starts at the earliest from after begin. Tests sample the time after that in
+	// intervals of step.
 	from, step micro.Time
 }
 
-// directions are from the leader to a shard, and back: once the leases of the machines ran out, and
-// its shard had no capacity for a job for another while.
+// directions returns the handovers from the leader to a shard, and back. A job returns once the leases of its
+// machines have expired and its shard has had no capacity for it for a further period.
 func directions() []direction {
 	return []direction{
 		{
@@ -232,7 +235,7 @@
 	}
 }
 
-// runHandoverScenario plays a scenario in either direction.
+// runHandoverScenario runs a scenario in both directions.
 func runHandoverScenario(
 	t *testing.T, seed uint64, name string, scenario func(sim *simCluster, work handoverWork),
 ) {
@@ -245,7 +248,7 @@
 	}
 }
 
-// runThreeSeeds plays a scenario with each of three seeds.
+// runThreeSeeds runs a scenario with each of three consecutive seeds.
 func runThreeSeeds(t *testing.T, first uint64, set func(*simCluster), scenario func(*simCluster)) {
 	t.Helper()
 	for seed := first; seed < first+3; seed++ {
@@ -253,8 +256,8 @@
 	}
 }
 
-// withSpotShard declares a shard of all spot machines from the beginning. They are dearer, and no
-// others boot at first: once the spot machines are lost, the leader asks for others at once.
+// withSpotShard declares a shard of all spot machines from the start. Spot machines are more expensive, and only
+// they boot at first: once they are terminated, the leader requests on-demand machines at once.
 func withSpotShard(sim *simCluster) {
 	withLongerBoots(sim)
 	sim.cloud.Capacity = 64
@@ -265,9 +268,9 @@
 	sim.config.Shards = eastShard(spotOnly)
 }
 
-// withLongerBoots lets machines be overdue for longer before they are returned. An offer is left
-// out once two of its machines are overdue: with the boot time of the small type, 5 s, one that is
-// requested alone is returned just before the next is overdue, and no other offer is ever tried.
+// withLongerBoots extends the time for which a machine is overdue before it is terminated. An offer is excluded once
+// two of its machines are overdue: with the boot time of the small type, 5 s, a machine that is requested alone is
+// terminated just before the next one is overdue, and no other offer is ever tried.
 func withLongerBoots(sim *simCluster) {
 	checkTaskStarts(sim)
 	for i := range sim.cloud.Types {
@@ -275,7 +278,7 @@
 	}
 }
 
-// assignmentVersion is the version of a job's assignment in the store; 0: there is none.
+// assignmentVersion returns the version of a job's stored assignment, 0 if there is none.
 func (w *simCluster) assignmentVersion(job *userJob) uint64 {
 	item, err := w.store.Get(w.ctx, store.Routine, shard.AssignmentKey("east", job.id))
 	if err != nil {
@@ -290,13 +293,14 @@
 	before, end := w.assignmentVersion(job), w.now()+servedWithin
 	for w.assignmentVersion(job) == before {
 		if w.now() > end {
-			w.t.Fatalf("%v: %s never begins to change hands", w.now(), job.id)
+			w.t.Fatalf("%v: the handover of %s did not start", w.now(), job.id)
 		}
 		w.sleep(5 * micro.Millisecond)
 	}
 }
 
-// A service that ran before a shard took in all machines that it may use is served by nobody.
+// Guards against a running service that neither the leader nor the shard owner serves once a shard is formed from
+// all machines that it may use.
 func TestRunningServiceIsServedByShardFormedFromItsMachines(t *testing.T) {
 	runThreeSeeds(t, 60, checkTaskStarts, func(sim *simCluster) {
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4}).submit()
@@ -306,15 +310,15 @@
 	})
 }
 
-// The rest of an array of which a part was done before a shard was formed over it never runs, or
-// what was done runs again.
+// Guards against a partly done array whose remaining tasks never run, or whose done tasks run again, once a shard
+// is formed from its machines.
 func TestPartlyDoneArrayIsFinishedByShardFormedFromItsMachines(t *testing.T) {
 	runThreeSeeds(t, 63, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newHandoverArray(false, "team").submit()
 		sim.waitSecondWave(array)
 		sim.formShard(onDemand)
 		if done := array.doneTasks(); done == arrayTasks {
-			sim.t.Fatal("nothing was left to run")
+			sim.t.Fatal("no task was left to run")
 		}
 		sim.waitDone(array, servedWithin)
 		if starts := array.startCount(); starts != arrayTasks {
@@ -323,34 +327,36 @@
 	})
 }
 
-// A service whose machine in a shard goes is kept there though only the leader can serve it.
+// Guards against a service that stays in a shard after its machine there is terminated, although only the leader
+// can serve it.
 func TestServiceThatItsShardCannotServeIsServedByTheLeader(t *testing.T) {
 	runThreeSeeds(t, 66, withSpotShard, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 1, cpus: 4, spot: true}).submit()
 		sim.waitServed(service, 1)
 		if machine := service.machines()[0]; !machine.agent.Spot {
-			sim.t.Fatalf("%s is no spot machine", machine.agent.Name)
+			sim.t.Fatalf("%s is not a spot machine", machine.agent.Name)
 		}
 		sim.terminateSpotMachines()
 		sim.waitServed(service, 1)
 	})
 }
 
-// The rest of an array of which a part was done in a shard is kept there though only the leader can
-// run it, or what was done runs again.
+// Guards against an array partly done in a shard whose remaining tasks stay there although only the leader can run
+// them, or whose done tasks run again.
 func TestArrayThatItsShardCannotFinishIsFinishedByTheLeader(t *testing.T) {
 	runThreeSeeds(t, 69, withSpotShard, func(sim *simCluster) {
 		work := sim.startWorkInSpotShard()
 		sim.terminateSpotMachines()
 		sim.waitDone(work.array, servedWithin)
-		if starts, most := work.array.startCount(), arrayTasks+arrayTasksAtOnce; starts > most {
-			sim.t.Errorf("%d starts of %d tasks, at most %d", starts, arrayTasks, most)
+		if starts, limit := work.array.startCount(), arrayTasks+arrayTasksAtOnce; starts > limit {
+			sim.t.Errorf("%d starts of %d tasks, at most %d", starts, arrayTasks, limit)
 		}
 	})
 }
 
-// A gang that runs when a shard is formed starts anew, or is served by nobody once it loses a machine.
+// Guards against a running gang that restarts when a shard is formed from its machines, or that no owner serves
+// once it loses a machine meanwhile.
 func TestGangIsServedThoughShardIsFormedFromItsMachines(t *testing.T) {
 	for _, loses := range []bool{false, true} {
 		t.Run(fmt.Sprint("loses a machine ", loses), func(t *testing.T) {
@@ -374,7 +380,7 @@
 	}
 }
 
-// A service that is spread over two zones is served by nobody once one of them is a shard.
+// Guards against a service spread over two zones that no owner serves once one of the zones is a shard.
 func TestSpreadServiceIsServedThoughOneOfItsZonesBecomesAShard(t *testing.T) {
 	runScenario(t, 73, 3, checkTaskStarts, func(sim *simCluster) {
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4, spread: true}).submit()
@@ -384,7 +390,8 @@
 	})
 }
 
-// An array that goes to a shard, back, and to the shard formed again loses tasks, or repeats them.
+// Guards against an array that loses or repeats tasks when it is handed over to a shard, back to the leader, and to
+// the shard formed again.
 func TestArrayIsFinishedThoughItsShardIsDissolvedAndFormedAgain(t *testing.T) {
 	runThreeSeeds(t, 74, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newJob(
@@ -399,7 +406,7 @@
 		sim.waitUntil("tasks start at the leader", servedWithin, func() bool { return array.startCount() > atLeader })
 		sim.formShard(onDemand)
 		if array.doneTasks() == 5*arrayTasksAtOnce {
-			sim.t.Fatal("nothing was left to run")
+			sim.t.Fatal("no task was left to run")
 		}
 		sim.waitDone(array, servedWithin)
 		if starts := array.startCount(); starts != 5*arrayTasksAtOnce {
@@ -408,7 +415,7 @@
 	})
 }
 
-// handoverDelays are the times after a job began to change hands at which something meets it.
+// handoverDelays returns the delays after the start of a handover at which tests cancel its job.
 func handoverDelays() []micro.Time {
 	return []micro.Time{
 		0, 20 * micro.Millisecond, 100 * micro.Millisecond, 300 * micro.Millisecond, 600 * micro.Millisecond,
@@ -416,7 +423,8 @@
 	}
 }
 
-// A cancellation that meets a job changing hands is lost between the two, and its tasks run on.
+// Guards against a cancellation that neither owner applies because its job is in transfer, so that its tasks keep
+// running.
 func TestCancellationDuringHandoverStopsAllTasks(t *testing.T) {
 	for _, delay := range handoverDelays() {
 		for _, kind := range []wire.JobKind{wire.Service, wire.JobArray} {
@@ -430,7 +438,7 @@
 	}
 }
 
-// job is the service or the array.
+// job returns the service or the array.
 func (w handoverWork) job(kind wire.JobKind) *userJob {
 	if kind == wire.Service {
 		return w.service
@@ -438,8 +446,8 @@
 	return w.array
 }
 
-// A cancellation shortly before a job may change hands is lost, and its tasks run on. A job that is
-// not cancelled shows that jobs do change hands there.
+// Guards against a cancellation that is lost, so that its tasks keep running, because it comes shortly before its
+// job is handed over. A service that is not cancelled confirms that jobs are handed over in the scenario.
 func TestCancellationShortlyBeforeHandoverStopsAllTasks(t *testing.T) {
 	for _, way := range directions() {
 		for step := range 10 {
@@ -458,12 +466,12 @@
 	}
 }
 
-// cancellationReplyWithin is by when the user of a job is told that it is cancelled where the leader and the
-// store can be reached.
+// cancellationReplyWithin is the time within which the user of a job is notified of its cancellation while the
+// leader and the store are reachable.
 const cancellationReplyWithin = 45 * micro.Second
 
-// cancelWork cancels all work, and waits until the users are told. Nothing of it runs once its
-// tasks had the time that they may take to stop, and its teams' quotas can be used again.
+// cancelWork cancels both jobs and waits until their users are notified. It checks that no task of them runs or
+// starts once the time that tasks may take to stop (cancelS) has passed.
 func (w *simCluster) cancelWork(work handoverWork) {
 	w.t.Helper()
 	jobs := []*userJob{work.service, work.array}
@@ -471,48 +479,50 @@
 		go job.cancel()
 	}
 	for _, job := range jobs {
-		w.waitUntil("the user of "+job.id+" is told", cancellationReplyWithin, func() bool { return job.knowledge().aborted })
+		w.waitUntil("the user of "+job.id+" is notified", cancellationReplyWithin, func() bool {
+			return job.knowledge().aborted
+		})
 	}
 	w.sleep(cancelS * micro.Second)
 	starts := work.service.startCount() + work.array.startCount()
 	w.sleep(micro.Minute)
 	for _, job := range jobs {
 		if running := job.runningTasks(); running > 0 {
-			w.t.Errorf("%d tasks of %s run after its cancellation", running, job.id)
+			w.t.Errorf("%d tasks of %s still run after its cancellation", running, job.id)
 		}
 	}
 	if later := work.service.startCount() + work.array.startCount(); later > starts {
-		w.t.Errorf("%d tasks start after their cancellation", later-starts)
+		w.t.Errorf("%d tasks started after their cancellation", later-starts)
 	}
 }
 
-// The leader ends, the owner ends or the shard moves while a job changes hands, and the job is lost
-// between them, or runs at both.
+// Guards against a job that neither owner serves, or that runs at both, because the leader or the shard owner ends,
+// or the shard moves, during its handover.
 func TestJobsAreServedThoughControllersFailDuringHandover(t *testing.T) {
-	troubles := map[string]func(sim *simCluster){
-		"leader ends":          func(sim *simCluster) { sim.restartLeader(5 * micro.Second) },
-		"leader ends, is back": func(sim *simCluster) { sim.restartLeader(100 * micro.Millisecond) },
+	faults := map[string]func(sim *simCluster){
+		"leader ends":             func(sim *simCluster) { sim.restartLeader(5 * micro.Second) },
+		"leader restarts at once": func(sim *simCluster) { sim.restartLeader(100 * micro.Millisecond) },
 		"owner ends": func(sim *simCluster) {
 			sim.restartController(sim.controllerNamed("n-2"), 5*micro.Second)
 		},
-		"owner ends, is back": func(sim *simCluster) {
+		"owner restarts at once": func(sim *simCluster) {
 			sim.restartController(sim.controllerNamed("n-2"), 100*micro.Millisecond)
 		},
-		"all end":         func(sim *simCluster) { sim.restartAll(sim.config.Shards) },
-		"the shard moves": func(sim *simCluster) { sim.requestMove("n-0") },
+		"all controllers restart": func(sim *simCluster) { sim.restartAll(sim.config.Shards) },
+		"shard moves":             func(sim *simCluster) { sim.requestMove("n-0") },
 	}
 	delays := map[wire.JobKind][]micro.Time{
 		wire.Service:  {0, 300 * micro.Millisecond, 3 * micro.Second},
 		wire.JobArray: {0, 50 * micro.Millisecond, micro.Second},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		for kind, all := range delays {
 			for _, delay := range all {
 				title := fmt.Sprint(name, " ", delay.Duration(), " after ", kind)
 				runHandoverScenario(t, 79, title, func(sim *simCluster, work handoverWork) {
 					sim.waitHandoverBegins(work.job(kind))
 					sim.sleep(delay)
-					trouble(sim)
+					fault(sim)
 					sim.waitWorkServed(work)
 				})
 			}
@@ -520,49 +530,49 @@
 	}
 }
 
-// restartLeader ends the process of whoever leads.
-func (w *simCluster) restartLeader(back micro.Time) {
+// restartLeader ends the leader's process, if there is a leader, and restarts it after a delay.
+func (w *simCluster) restartLeader(delay micro.Time) {
 	if leader := w.leader(); leader != nil {
-		w.restartController(leader, back)
+		w.restartController(leader, delay)
 	}
 }
 
-// A write of the hand-over gets no answer, is carried out late or never, or is refused: the job is
-// lost, runs at both, or a late write gives it away once more.
+// Guards against a job that neither owner serves, that runs at both, or that a late write hands over once more,
+// because a write of the handover is uncertain (executed at once, late or never) or refused.
 func TestJobsAreServedThoughHandoverWritesFail(t *testing.T) {
-	fates := map[string]fake.CommitFault{
-		"carried out, no answer":    {Unanswered: true},
-		"carried out 6 s late":      {Unanswered: true, ExecuteAfter: 6 * micro.Second},
-		"carried out a minute late": {Unanswered: true, ExecuteAfter: micro.Minute},
-		"never carried out":         {Unanswered: true, ExecuteAfter: 1000 * micro.Minute},
-		"refused":                   {Refused: true},
-	}
-	// Which other records the hand-over writes is its own concern.
-	mustMeet := map[string]bool{shard.AssignmentPrefix: true, shard.AllocationPrefix: false, keys.ChunkPrefix: false}
-	for prefix, must := range mustMeet {
-		for name, fate := range fates {
+	faults := map[string]fake.CommitFault{
+		"executed without a response": {Unanswered: true},
+		"executed 6 s late":           {Unanswered: true, ExecuteAfter: 6 * micro.Second},
+		"executed a minute late":      {Unanswered: true, ExecuteAfter: micro.Minute},
+		"never executed":              {Unanswered: true, ExecuteAfter: 1000 * micro.Minute},
+		"refused":                     {Refused: true},
+	}
+	// Handovers must write assignments. Whether they write the other records is not tested.
+	mustWrite := map[string]bool{shard.AssignmentPrefix: true, shard.AllocationPrefix: false, keys.ChunkPrefix: false}
+	for prefix, must := range mustWrite {
+		for name, fault := range faults {
 			title := fmt.Sprint("a write of ", strings.TrimSuffix(prefix, "/"), " ", name)
 			runHandoverScenario(t, 80, title, func(sim *simCluster, work handoverWork) {
-				met := sim.failWrites(prefix, fate)
+				affected := sim.failWrites(prefix, fault)
 				sim.waitWorkServed(work)
-				if must && met.Load() == 0 {
-					sim.t.Error("no write met the fault")
+				if must && affected.Load() == 0 {
+					sim.t.Error("no write was affected by the fault")
 				}
-				sim.sleep(90 * micro.Second) // what is carried out late changes nothing
+				sim.sleep(90 * micro.Second) // late writes must change nothing
 				sim.waitServed(work.service, work.replicas)
 			})
 		}
 	}
 }
 
-// failWrites has transactions that put or delete a key of a prefix meet a fault for two minutes,
-// at most two of each process in any quarter of a minute, and counts them.
+// failWrites applies a fault to transactions that put or delete a key with the prefix, for two minutes: at most two
+// of each process within any 15 s. It returns the number of affected transactions.
 func (w *simCluster) failWrites(prefix string, fault fake.CommitFault) *atomic.Int64 {
 	const window = 15 * micro.Second
-	end, met := w.now()+2*micro.Minute, &atomic.Int64{}
+	end, affected := w.now()+2*micro.Minute, &atomic.Int64{}
 	for _, controller := range w.controllers {
 		var mu sync.Mutex
-		var last [2]micro.Time // when the two before met it
+		var last [2]micro.Time // when the last two faults were applied
 		controller.mu.Lock()
 		controller.link.OnCommit(func(transaction wire.Transaction) fake.CommitFault {
 			mu.Lock()
@@ -572,23 +582,24 @@
 				return fake.CommitFault{}
 			}
 			last[0], last[1] = last[1], now
-			met.Add(1)
+			affected.Add(1)
 			return fault
 		})
 		controller.mu.Unlock()
 	}
-	return met
+	return affected
 }
 
-// changesKeyWithPrefix reports whether a transaction puts or deletes a key of a prefix.
+// changesKeyWithPrefix reports whether a transaction puts or deletes a key with the prefix.
 func changesKeyWithPrefix(transaction wire.Transaction, prefix string) bool {
 	return slices.ContainsFunc(transaction.Then, func(change wire.Change) bool {
 		return strings.HasPrefix(change.Put, prefix) || strings.HasPrefix(change.Delete, prefix)
 	})
 }
 
-// Machines of a shard that die empty just before it moves are unknown to its next owner: they are
-// paid for without an end, and count as up where the leader looks whether their offer boots.
+// Guards against machines that die without tasks just before their shard moves, and are never terminated because
+// the next owner does not know them. They would be paid for permanently, and would count as up when the leader
+// decides whether machines of their offer boot.
 func TestDeadEmptyMachinesAreTerminatedThoughTheirShardMoves(t *testing.T) {
 	runThreeSeeds(t, 90, withShard, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
@@ -601,26 +612,28 @@
 			machine.terminate()
 		}
 		sim.moveShard("n-0")
-		sim.waitUntil("the dead machines are returned", servedWithin, func() bool {
+		sim.waitUntil("termination of the dead machines is requested", servedWithin, func() bool {
 			return !slices.ContainsFunc(machines, func(machine *fakeMachine) bool {
-				_, asked := sim.terminationRequestedAt(machine.agent.Name)
-				return !asked
+				_, requested := sim.terminationRequestedAt(machine.agent.Name)
+				return !requested
 			})
 		})
 	})
 }
 
-// What a job that changes hands uses of its team's quota is counted twice, or never given back.
+// Guards against quota of a handed-over job that is counted twice or never released.
 func TestTeamQuotaIsFullyUsableAfterHandover(t *testing.T) {
 	const tasks = teamMaxCPUs / 4
-	runHandoverScenario(t, 81, "the whole quota is wanted", func(sim *simCluster, work handoverWork) {
+	runHandoverScenario(t, 81, "whole quota in demand", func(sim *simCluster, work handoverWork) {
 		next := sim.newJob(
 			jobRequest{kind: wire.JobArray, tasks: 2 * tasks, cpus: 4, runTime: 10 * micro.Second},
 		).submit()
 		sim.waitWorkServed(work)
 		sim.waitDone(next, servedWithin)
 		go work.service.cancel()
-		sim.waitUntil("the user is told", cancellationReplyWithin, func() bool { return work.service.knowledge().aborted })
+		sim.waitUntil("the user is notified", cancellationReplyWithin, func() bool {
+			return work.service.knowledge().aborted
+		})
 		for _, team := range []string{"team", "other"} {
 			all := sim.newJob(jobRequest{kind: wire.Service, tasks: tasks, cpus: 4, team: team}).submit()
 			sim.waitServed(all, tasks)
@@ -628,8 +641,8 @@
 	})
 }
 
-// A service goes without replicas for long while a shard is formed over its machines, though others
-// can be had for it at once.
+// Measures for how long a service lacks replicas while a shard is formed from its machines. Guards against a long
+// outage, since other machines are available for it at once.
 func TestServiceIsServedWhileShardIsFormedFromItsMachines(t *testing.T) {
 	shards := map[string]func(zone string) shard.Selector{
 		"of its zone":               func(zone string) shard.Selector { return shard.Selector{Zone: zone} },
@@ -643,7 +656,7 @@
 					sim.declareShard(selector(service.machines()[0].agent.Zone))
 					none, short := sim.measureOutage(service, replicas)
 					sim.t.Logf(
-						"%d replicas: none for %v, fewer than all for %v", replicas, none.Duration(), short.Duration(),
+						"%d replicas: none ran for %v, fewer than all for %v", replicas, none.Duration(), short.Duration(),
 					)
 				})
 			})
@@ -651,7 +664,8 @@
 	}
 }
 
-// startServiceOnDemand runs a service that may use spot machines on others, since no spot machine boots.
+// startServiceOnDemand starts a service that may use spot machines on on-demand machines, by failing the boot of
+// spot machines meanwhile.
 func (w *simCluster) startServiceOnDemand(replicas int) *userJob {
 	w.t.Helper()
 	setSpotFails := func(on bool) {
@@ -666,8 +680,8 @@
 	return service
 }
 
-// measureOutage measures for how long a service runs without any of its replicas, and without all
-// of them, until all have run for a minute.
+// measureOutage returns for how long no replica of a service runs, and for how long fewer than all run, until all
+// have run for a minute.
 func (w *simCluster) measureOutage(service *userJob, replicas int) (none, short micro.Time) {
 	w.t.Helper()
 	const step = 50 * micro.Millisecond
@@ -682,7 +696,7 @@
 			short, fullSince = short+step, w.now()
 		}
 		if w.now()-from > servedWithin+micro.Minute {
-			w.t.Fatalf("%v: %d of %d replicas run, none for %v", w.now(), running, replicas, none.Duration())
+			w.t.Fatalf("%v: %d of %d replicas run; none ran for %v in total", w.now(), running, replicas, none.Duration())
 		}
 	}
 	return none, short
--- a/internal/controller/job_transfers_test.go
+++ b/internal/controller/job_transfers_test.go
@@ -21,61 +21,62 @@
 )
 
 var (
-	transferSeeds   = flag.Int("transfers.seeds", 2, "how many seeds the test of jobs that change hands plays")
-	transferMinutes = flag.Int("transfers.minutes", 12, "for how long each of them has jobs change hands")
+	transferSeeds   = flag.Int("transfers.seeds", 2, "number of seeds for the test of repeated handovers")
+	transferMinutes = flag.Int("transfers.minutes", 12, "minutes of handovers for each seed")
 )
 
-// A task runs at both sides, is lost or done twice, a limit is passed, or something is kept of jobs
-// that went to and fro between the leader and a shard that moves and is formed again.
+// Guards against tasks that run at both owners, are lost or are done twice, exceeded limits, and state of jobs that
+// is retained, while jobs are handed over repeatedly between the leader and a shard that moves and is formed again.
 func TestJobsSurviveRepeatedHandoversAndShardMoves(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*transferSeeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			var trial *transferStress
+			var stress *transferStress
 			runScenario(
-				t, seed, 3, func(sim *simCluster) { trial = newTransferStress(sim, seed%2 == 0) },
-				func(*simCluster) { trial.run() },
+				t, seed, 3, func(sim *simCluster) { stress = newTransferStress(sim, seed%2 == 0) },
+				func(*simCluster) { stress.run() },
 			)
 		})
 	}
 }
 
-// multiChunkTaskCount is how many tasks a job has whose records are more than one.
+// multiChunkTaskCount is the number of tasks of a job with more than one chunk record.
 const multiChunkTaskCount = cluster.LegacyTasksPerChunk + 72
 
-// transferTeamCount are the teams whose jobs change hands.
+// transferTeamCount is the number of teams whose jobs are handed over.
 const transferTeamCount = 4
 
-// A transferStress has many jobs change hands, and judges what becomes of them.
+// A transferStress causes many handovers of jobs, and checks their effects.
 type transferStress struct {
 	*simCluster
-	end         micro.Time   // of the troubles
-	unreliable  bool         // writes and heartbeats meet troubles as well
-	maxPauseS   int          // how long nothing else happens at the most, beyond ten seconds
-	activeUsers atomic.Int64 // users whose last job is not over
+	end         micro.Time   // of submissions and faults
+	unreliable  bool         // writes and heartbeats are delayed as well
+	maxPauseS   int          // longest time between two faults, less ten seconds
+	activeUsers atomic.Int64 // users whose last job has not ended
 
 	mu                       sync.Mutex
 	jobs                     []*userJob
-	lastAttempts             map[string]uint64       // the latest attempt of each task that started
-	done                     map[string]map[int]bool // tasks that were stored as done, by job
-	assignedCount            int                     // how many jobs were assigned
-	assignedWithRecordsCount int                     // how many of them had records of their tasks
-	handedBackCount          int                     // how many came back
+	lastAttempts             map[string]uint64       // latest started attempt by task
+	done                     map[string]map[int]bool // tasks stored as done, by job
+	assignedCount            int                     // assignments of jobs to the shard
+	assignedWithRecordsCount int                     // of these, jobs with task records
+	returnedCount            int                     // jobs that returned to the leader
 }
 
-// newTransferStress sets a simulation up: a shard of all spot machines, which are dearer at times.
+// newTransferStress configures a simulation with a shard of all spot machines, which are more expensive than
+// on-demand ones for some seeds and types.
 func newTransferStress(sim *simCluster, unreliable bool) *transferStress {
-	trial := &transferStress{
+	stress := &transferStress{
 		simCluster: sim, end: micro.Time(*transferMinutes) * micro.Minute, unreliable: unreliable, maxPauseS: 180,
 		lastAttempts: map[string]uint64{}, done: map[string]map[int]bool{},
 	}
 	if unreliable {
-		trial.maxPauseS = 30
+		stress.maxPauseS = 30
 	}
-	sim.onTaskStart = trial.checkTaskStart
+	sim.onTaskStart = stress.checkTaskStart
 	sim.cloud.Capacity = 64
 	for i := range sim.cloud.Types {
-		sim.cloud.Types[i].BootS = 8 // so that two of an offer are overdue at once, and it is left out
+		sim.cloud.Types[i].BootS = 8 // two machines of an offer are overdue at once, so that the offer is excluded
 		sim.cloud.Types[i].SpotPrice = sim.cloud.Types[i].Price * []float64{0.7, 1.5}[sim.randomInt(2)]
 	}
 	sim.config.Facts.Teams = nil
@@ -84,11 +85,11 @@
 		sim.config.Facts.Teams = append(sim.config.Facts.Teams, config.Team{Name: name, CPUsMax: teamMaxCPUs})
 		sim.checker.cpuLimits[name] = teamMaxCPUs
 	}
-	sim.config.Shards = trial.shardConfig(false)
-	return trial
+	sim.config.Shards = stress.shardConfig(false)
+	return stress
 }
 
-// shardConfig are the settings for the shard, or for one that is to be dissolved.
+// shardConfig returns the settings of the shard, marked as to be dissolved if dissolve is set.
 func (r *transferStress) shardConfig(dissolve bool) *config.Shards {
 	return &config.Shards{
 		MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000, Dissolve: dissolve,
@@ -96,7 +97,7 @@
 	}
 }
 
-// run plays the trial.
+// run executes the scenario.
 func (r *transferStress) run() {
 	r.waitShardOwned("n-2", 2*micro.Minute)
 	go r.countTransfers()
@@ -124,15 +125,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.t.Logf(
-		"%d jobs, %d assigned, %d of them with records, %d came back, %d starts, %.0f s", len(r.jobs), r.assignedCount,
-		r.assignedWithRecordsCount, r.handedBackCount, r.checker.startCount, r.now().Seconds(),
+		"%d jobs, %d assigned, %d of them with records, %d returned to the leader, %d starts, %.0f s", len(r.jobs),
+		r.assignedCount,
+		r.assignedWithRecordsCount, r.returnedCount, r.checker.startCount, r.now().Seconds(),
 	)
-	if r.assignedWithRecordsCount == 0 || r.handedBackCount == 0 {
-		r.t.Error("no job went to and fro")
+	if r.assignedWithRecordsCount == 0 || r.returnedCount == 0 {
+		r.t.Error("no job with task records was handed over, or none returned to the leader")
 	}
 }
 
-// submitRepeatedly has a user submit one job after the other until the troubles end.
+// submitRepeatedly starts a user who submits one job after the other until the faults end.
 func (r *transferStress) submitRepeatedly(request jobRequest) {
 	r.activeUsers.Add(1)
 	go func() {
@@ -150,13 +152,14 @@
 	}()
 }
 
-// cancelAfterDelay has a user call a job off, which may be over by then.
+// cancelAfterDelay cancels a job after up to two minutes. The job may have ended by then.
 func (r *transferStress) cancelAfterDelay(job *userJob) {
 	r.sleep(micro.Time(r.randomInt(120)) * micro.Second)
 	job.cancel()
 }
 
-// alternateBootFailures has the machines of one side die, and its boots fail, and then those of the other.
+// alternateBootFailures terminates all spot machines and fails their boots for a while, then the same for on-demand
+// machines, in turn until the faults end.
 func (r *transferStress) alternateBootFailures() {
 	for fails := true; r.now() < r.end && r.ctx.Err() == nil; fails = !fails {
 		r.simCluster.mu.Lock()
@@ -174,13 +177,13 @@
 	r.cloud.failsBoot = nil
 }
 
-// injectFaultsUntilEnd has controllers end, the shard move and machines die until the troubles end. Halfway, the shard is
-// released and formed again.
+// injectFaultsUntilEnd restarts controllers, moves the shard and terminates machines until the faults end. Halfway,
+// the shard is dissolved and formed again.
 func (r *transferStress) injectFaultsUntilEnd() {
 	reformed := false
 	for r.now() < r.end {
 		r.sleep(micro.Time(10+r.randomInt(r.maxPauseS)) * micro.Second)
-		back := micro.Time(100+r.randomInt(8000)) * micro.Millisecond
+		restartDelay := micro.Time(100+r.randomInt(8000)) * micro.Millisecond
 		switch entry, owned := r.shardRecord(); {
 		case !reformed && r.now() > r.end/2:
 			reformed = true
@@ -191,10 +194,10 @@
 			}
 		case r.randomChance(0.3):
 			if leader := r.leader(); leader != nil {
-				r.restartController(leader, back)
+				r.restartController(leader, restartDelay)
 			}
 		case owned && entry.HasOwner() && r.randomChance(0.4):
-			r.restartController(r.controllerNamed(entry.Record.Owner.Node), back)
+			r.restartController(r.controllerNamed(entry.Record.Owner.Node), restartDelay)
 		case r.unreliable && r.randomChance(0.4):
 			r.disturbMessages(micro.Time(10+r.randomInt(20)) * micro.Second)
 		default:
@@ -207,7 +210,7 @@
 	}
 }
 
-// disturbMessages has writes be carried out late or not be answered, or heartbeats come late, for a while.
+// disturbMessages causes late or uncertain writes, a slow store or late copies of heartbeats for a time span.
 func (r *transferStress) disturbMessages(span micro.Time) {
 	switch r.randomInt(4) {
 	case 0:
@@ -221,11 +224,11 @@
 	}
 }
 
-// dissolveAndReformShard has the leader take the shard back, and then form it again.
+// dissolveAndReformShard has the leader reclaim the shard and then form it again.
 func (r *transferStress) dissolveAndReformShard() {
 	r.restartAllWith(r.shardConfig(true))
 	r.waitUntil("no record of the shard is left", servedWithin, func() bool { return len(r.shardKeys()) == 0 })
-	r.sleep(40 * micro.Second) // some of the jobs go on at the leader
+	r.sleep(40 * micro.Second) // some of the jobs run at the leader meanwhile
 	r.restartAllWith(r.shardConfig(false))
 	r.waitUntil("the shard is owned again", servedWithin, func() bool {
 		entry, ok := r.shardRecord()
@@ -240,7 +243,7 @@
 	}
 }
 
-// waitAllServed waits until all jobs are done and all services run in full.
+// waitAllServed waits until all jobs have ended and all replicas of the services run.
 func (r *transferStress) waitAllServed(services []*userJob) {
 	served := func() bool {
 		for _, service := range services {
@@ -250,7 +253,7 @@
 		}
 		return r.activeUsers.Load() == 0
 	}
-	const queued = 2 * micro.Minute // what the large arrays take
+	const queued = 2 * micro.Minute // queueing time of the large arrays
 	for end := r.now() + servedWithin + queued; !served(); r.sleep(micro.Second) {
 		if r.now() > end {
 			r.describeUnserved(r.unserved(services))
@@ -260,7 +263,7 @@
 	}
 }
 
-// unserved names the jobs that are not served.
+// unserved returns the IDs of the jobs that are not served.
 func (r *transferStress) unserved(services []*userJob) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -273,7 +276,7 @@
 	return left
 }
 
-// countTransfers counts the jobs that go to the shard, and those that come back.
+// countTransfers counts the jobs that are assigned to the shard, and those that return to the leader.
 func (r *transferStress) countTransfers() {
 	assigned := map[string]bool{}
 	for revision := uint64(0); r.ctx.Err() == nil; {
@@ -294,7 +297,7 @@
 	if event.Delete != "" {
 		_, id, _ := shard.ParseAssignmentKey(event.Delete)
 		if assigned[id] && !r.endStored(id) {
-			r.handedBackCount++
+			r.returnedCount++
 		}
 		delete(assigned, id)
 		return
@@ -319,7 +322,7 @@
 	return err == nil
 }
 
-// storedItems reads all keys with a prefix.
+// storedItems reads all items whose keys have the prefix.
 func (r *transferStress) storedItems(prefix string) []wire.Item {
 	page, err := r.store.Range(r.ctx, store.Routine, prefix, "", 100_000)
 	if err != nil {
@@ -328,8 +331,8 @@
 	return page.Items
 }
 
-// storedDone are the tasks of a job that the store holds as done, at either side. The shard's are
-// read first: the leader's hold what it has deleted.
+// storedDone returns the tasks of a job that are stored as done, in the shard's or the leader's records. The shard's
+// are read first: those that are deleted meanwhile are in the leader's by then.
 func (r *transferStress) storedDone(job string) map[int]bool {
 	done := map[int]bool{}
 	items := r.storedItems(shard.AllocationPrefixForJob("east", job))
@@ -348,11 +351,11 @@
 	return done
 }
 
-// checkTaskStart holds a start against what the store holds of the task, and against its last attempt.
+// checkTaskStart checks that a task that starts is not stored as done, and that its attempt number has risen.
 func (r *transferStress) checkTaskStart(machine *fakeMachine, key fake.AttemptKey) {
 	id, index, _ := wire.ParseTaskName(key.Task)
 	if r.storedDone(id)[index] {
-		r.t.Errorf("%v: %s is stored as done, and starts on %s", r.now().Duration(), key.Task, machine.agent.Name)
+		r.t.Errorf("%v: %s starts on %s although it is stored as done", r.now().Duration(), key.Task, machine.agent.Name)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -362,7 +365,7 @@
 	r.lastAttempts[key.Task] = key.Attempt
 }
 
-// checkRepeatedly judges what controllers and store hold of the jobs, again and again.
+// checkRepeatedly checks the state of the jobs in the controllers and in the store every 0.7 s.
 func (r *transferStress) checkRepeatedly() {
 	for ; r.ctx.Err() == nil; r.sleep(700 * micro.Millisecond) {
 		r.checkStoredDoneTasks()
@@ -381,7 +384,7 @@
 	}
 }
 
-// checkStoredDoneTasks finds tasks that the store held as done, and holds no more though their job goes on.
+// checkStoredDoneTasks checks that tasks once stored as done are still stored as done while their job is active.
 func (r *transferStress) checkStoredDoneTasks() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -396,35 +399,36 @@
 		}
 		for task := range known {
 			if !now[task] {
-				r.t.Errorf("%v: task %d of %s was stored as done", r.now().Duration(), task, job.id)
+				r.t.Errorf("%v: task %d of %s was stored as done and no longer is", r.now().Duration(), task, job.id)
 			}
 		}
 		r.done[job.id] = now
 	}
 }
 
-// loopQuery has a loop's own goroutine say what is wrong with it.
+// loopQuery is an event that runs a query on a loop's goroutine and sends its result.
 type loopQuery struct {
 	query func() []string
 	reply eventloop.Reply[[]string]
 }
 
-// Apply asks.
+// Apply runs the query.
 func (e loopQuery) Apply() { e.reply.Send(e.query()) }
 
-// checkLoop reports what a loop finds wrong with itself, if it answers within a second.
-func (r *transferStress) checkLoop(loop *controlLoop, ask func() []string) {
-	wrong, _ := eventloop.Call(loop.loop, eventloop.Events, micro.Second, func(
+// checkLoop runs a check on a loop's goroutine and reports the errors that it finds. A loop that does not answer
+// within a second is not checked.
+func (r *transferStress) checkLoop(loop *controlLoop, check func() []string) {
+	found, _ := eventloop.Call(loop.loop, eventloop.Events, micro.Second, func(
 		reply eventloop.Reply[[]string],
 	) eventloop.Event {
-		return loopQuery{ask, reply}
+		return loopQuery{check, reply}
 	})
-	for _, what := range wrong {
-		r.t.Errorf("%v: %s", r.now().Duration(), what)
+	for _, text := range found {
+		r.t.Errorf("%v: %s", r.now().Duration(), text)
 	}
 }
 
-// assignedInStore are the jobs that the store holds an assignment of.
+// assignedInStore returns the IDs of the jobs that have a stored assignment.
 func (r *transferStress) assignedInStore() map[string]bool {
 	assigned := map[string]bool{}
 	for _, item := range r.storedItems(shard.AssignmentPrefixFor("east")) {
@@ -434,8 +438,8 @@
 	return assigned
 }
 
-// misplacedAtLeader finds allocations that a leader has of jobs that the shard's owner has.
-func (r *transferStress) misplacedAtLeader(leader *Leader) (wrong []string) {
+// misplacedAtLeader lists allocations of a leader for jobs that are assigned to the owned shard.
+func (r *transferStress) misplacedAtLeader(leader *Leader) (misplaced []string) {
 	entry, ok := r.shardRecord()
 	if !ok || !entry.HasOwner() || !leader.holdsLease() {
 		return nil
@@ -443,27 +447,27 @@
 	assigned := r.assignedInStore()
 	for _, name := range allocatedJobs(leader.cluster) {
 		if assigned[name] {
-			wrong = append(wrong, "the leader has allocations of "+name+", which is in the shard")
+			misplaced = append(misplaced, "the leader has allocations of "+name+", which is assigned to the shard")
 		}
 	}
-	return wrong
+	return misplaced
 }
 
-// misplacedAtOwner finds allocations that a shard's owner has of jobs that are not in the shard.
-func (r *transferStress) misplacedAtOwner(owner *ShardOwner) (wrong []string) {
+// misplacedAtOwner lists allocations of a shard owner for jobs that are not assigned to the shard.
+func (r *transferStress) misplacedAtOwner(owner *ShardOwner) (misplaced []string) {
 	if !owner.holdsLease() {
 		return nil
 	}
 	assigned := r.assignedInStore()
 	for _, name := range allocatedJobs(owner.cluster) {
 		if !assigned[name] {
-			wrong = append(wrong, "the owner has allocations of "+name+", which is not in the shard")
+			misplaced = append(misplaced, "the owner has allocations of "+name+", which is not assigned to the shard")
 		}
 	}
-	return wrong
+	return misplaced
 }
 
-// allocatedJobs names the jobs of a controller's allocations.
+// allocatedJobs returns the ID of the job of each allocation in a controller's state.
 func allocatedJobs(state *cluster.State) (names []string) {
 	for _, machine := range state.SortedMachines() {
 		for _, allocation := range machine.SortedAllocations() {
@@ -475,7 +479,7 @@
 	return names
 }
 
-// waitNothingRetained waits until neither controllers nor the store hold anything of jobs in a shard.
+// waitNothingRetained waits until neither the controllers nor the store retain state of jobs in the shard.
 func (r *transferStress) waitNothingRetained() {
 	for end := r.now() + 2*micro.Minute; ; r.sleep(micro.Second) {
 		retained := r.retained()
@@ -489,7 +493,7 @@
 	}
 }
 
-// retained lists what is left of jobs in the shard.
+// retained lists the state of jobs in the shard that is left in the store and the controllers.
 func (r *transferStress) retained() (left []string) {
 	for _, prefix := range []string{shard.AssignmentPrefix, shard.AllocationPrefix} {
 		for _, item := range r.storedItems(prefix) {
@@ -503,10 +507,11 @@
 	return append(left, r.retainedInLoops()...)
 }
 
-// retainedInLoops lists what the loops that run hold.
+// retainedInLoops lists the state of jobs in the shard that the running loops retain. Both the leader's and the
+// owner's loop must answer.
 func (r *transferStress) retainedInLoops() (left []string) {
 	answered := 0
-	ask := func(loop *controlLoop, list func() []string) {
+	query := func(loop *controlLoop, list func() []string) {
 		found, ok := eventloop.Call(loop.loop, eventloop.Events, micro.Second, func(
 			reply eventloop.Reply[[]string],
 		) eventloop.Event {
@@ -523,19 +528,19 @@
 			continue
 		}
 		if leader := node.activeLeader(); leader != nil {
-			ask(leader.controlLoop, func() []string { return retainedRecords("leader", leader.controlLoop) })
+			query(leader.controlLoop, func() []string { return retainedRecords("leader", leader.controlLoop) })
 		}
 		if owner, ok := node.shards.Owner("east"); ok {
-			ask(owner.controlLoop, func() []string { return retainedAtOwner(owner) })
+			query(owner.controlLoop, func() []string { return retainedAtOwner(owner) })
 		}
 	}
 	if answered != 2 {
-		left = append(left, fmt.Sprint(answered, " loops answered, want a leader's and an owner's"))
+		left = append(left, fmt.Sprint(answered, " loops answered, want the leader's and the owner's"))
 	}
 	return left
 }
 
-// retainedRecords lists the records of jobs in a shard that a loop's writer keeps.
+// retainedRecords lists the records of jobs in a shard that a loop's writer retains.
 func retainedRecords(name string, loop *controlLoop) (left []string) {
 	loop.records.Each(func(record *statestore.Record) {
 		if strings.HasPrefix(record.Key, shard.AssignmentPrefix) || strings.HasPrefix(record.Key, shard.AllocationPrefix) {
@@ -545,7 +550,7 @@
 	return left
 }
 
-// retainedAtOwner lists what a shard's owner holds of jobs.
+// retainedAtOwner lists the state of jobs that a shard owner retains.
 func retainedAtOwner(owner *ShardOwner) []string {
 	left := retainedRecords("owner", owner.controlLoop)
 	for name, count := range map[string]int{
--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -15,10 +15,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What meets a move of a shard. The checker of the rules judges each scenario: no task
-// on two machines, no limit passed, nothing on after its cancellation.
+// Faults during a move of a shard. The checker of the simulated cluster verifies in each scenario that no task runs
+// on two machines, no limit is exceeded and no task runs on after its cancellation.
 
-// startShardWorkload waits until n-2 owns the shard and runs a service of three replicas in it.
+// startShardWorkload waits until n-2 owns the shard, and starts a service of three replicas in it.
 func (w *simCluster) startShardWorkload() *userJob {
 	w.t.Helper()
 	w.waitShardOwned("n-2", 2*micro.Minute)
@@ -27,64 +27,64 @@
 	return job
 }
 
-// waitShardSettled waits until some controller owns the shard and all of a service runs.
+// waitShardSettled waits until the loop of some owner of the shard serves and all replicas of a service run.
 func (w *simCluster) waitShardSettled(job *userJob, replicas int) {
 	w.t.Helper()
-	w.waitUntil("the share is owned again", 3*micro.Minute, func() bool {
+	w.waitUntil("the shard is owned again", 3*micro.Minute, func() bool {
 		entry, ok := w.shardRecord()
 		if !ok || entry.Record.State != shard.Owned {
 			return false
 		}
 		node := w.controllerNamed(entry.Record.Owner.Node).runningNode()
-		leader := (*ShardOwner)(nil)
+		owner := (*ShardOwner)(nil)
 		if node != nil {
-			leader, _ = node.shards.Owner("east")
+			owner, _ = node.shards.Owner("east")
 		}
-		return leader != nil && leader.serving.Load()
+		return owner != nil && owner.serving.Load()
 	})
 	w.waitUntil("all replicas run", 3*micro.Minute, func() bool { return job.runningTasks() == replicas })
 }
 
-// requestMove asks for a move to a controller until it is taken: another change of the shard
-// may be under way.
+// requestMove requests a move to a controller until the request is accepted, or until the shard is moving or already
+// there. Another change of the shard may be in progress before.
 func (w *simCluster) requestMove(to string) {
 	w.t.Helper()
-	w.waitUntil("the move is taken", micro.Minute, func() bool {
+	w.waitUntil("the move is accepted", micro.Minute, func() bool {
 		r := w.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: to})
 		return r.RefusalReason == "" || strings.Contains(r.RefusalReason, shard.ErrAlreadyMoving.Error()) ||
 			strings.Contains(r.RefusalReason, shard.ErrSameOwner.Error())
 	})
 }
 
-// A move begins while a task is being placed: while the write of its record has no
-// answer (carried out at once, late, or never), or with its start held up on the way.
+// Requests a move while a task is being allocated: the write of its allocation record is uncertain (executed at once
+// or late) or refused.
 func TestShardMoveDuringAnAllocation(t *testing.T) {
-	for name, fate := range map[string]fake.CommitFault{
-		"record carried out, no answer":    {Unanswered: true},
-		"record carried out late":          {Unanswered: true, ExecuteAfter: 6 * micro.Second},
-		"record not carried out":           {Refused: true},
-		"record carried out a minute late": {Unanswered: true, ExecuteAfter: micro.Minute},
+	for name, fault := range map[string]fake.CommitFault{
+		"record executed without a response": {Unanswered: true},
+		"record executed late":               {Unanswered: true, ExecuteAfter: 6 * micro.Second},
+		"record refused":                     {Refused: true},
+		"record executed a minute late":      {Unanswered: true, ExecuteAfter: micro.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runShardScenario(t, 11, 3, func(sim *simCluster) {
 				service := sim.startShardWorkload()
-				owner, met := sim.controllerNamed("n-2"), false
+				owner, moveRequested := sim.controllerNamed("n-2"), false
 				sim.onCommit(owner, shard.AllocationPrefix, func(n int, _ wire.Change) fake.CommitFault {
 					if n > 2 {
 						return fake.CommitFault{}
 					}
-					if !met {
-						met = true
+					if !moveRequested {
+						moveRequested = true
 						go sim.requestMove("n-0")
 					}
-					return fate
+					return fault
 				})
 				array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 3, runTime: 5 * micro.Second, zone: "b"}).submit()
-				sim.waitUntil(
-					"done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone },
-				)
-				if !met {
-					sim.t.Error("the move met no placement")
+				sim.waitUntil("the array is done", 3*micro.Minute, func() bool {
+					return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone
+				})
+				if !moveRequested {
+					sim.t.Error("no allocation record was written: the move was not requested")
 				}
 				sim.waitShardSettled(service, 3)
 				if service.startCount() != 3 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// The start of a task is held up on its way, the shard moves, and it arrives a minute
-// after the job was cancelled through the next owner.
+// Guards against a task that starts after its cancellation: its start command is delayed, the shard moves, and the
+// command arrives a minute after the job was cancelled through the next owner.
 func TestStartDelayedBeyondShardMoveRunsNoCancelledTask(t *testing.T) {
 	runShardScenario(t, 12, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
@@ -107,7 +107,7 @@
 		sim.sleep(3 * micro.Second)
 		sim.moveShard("n-0")
 		if got := array.cancel(); got != wire.JobAborted {
-			sim.t.Fatalf("cancelled: %s", got)
+			sim.t.Fatalf("state after the cancellation: %s", got)
 		}
 		sim.sleep(micro.Minute)
 		for _, machine := range sim.liveMachines() {
@@ -115,44 +115,64 @@
 		}
 		sim.sleep(5 * micro.Second)
 		if array.runningTasks() != 0 {
-			sim.t.Error("a cancelled task runs")
+			sim.t.Error("a task of the cancelled job runs")
 		}
 		sim.waitShardSettled(service, 3)
 	})
 }
 
-// The controllers of a move end, stand still or are cut off, alone and together, before
-// it and while its transaction is under way; some are back within a fraction of a second.
+// The owner, the target and the leader end, pause, or lose their connections, alone and together, before the transfer
+// of a shard and while its transaction is in flight. Some restart within a fraction of a second.
 func TestControllersFailDuringAShardMove(t *testing.T) {
 	soon, later := 100*micro.Millisecond, 8*micro.Second
-	troubles := map[string]func(sim *simCluster, owner, target, leader *controllerProcess){
-		"owner ends":           func(sim *simCluster, other, _, _ *controllerProcess) { sim.restartController(other, later) },
-		"owner ends, is back":  func(sim *simCluster, other, _, _ *controllerProcess) { sim.restartController(other, soon) },
-		"target ends":          func(sim *simCluster, _, x, _ *controllerProcess) { sim.restartController(x, later) },
-		"target ends, is back": func(sim *simCluster, _, x, _ *controllerProcess) { sim.restartController(x, soon) },
-		"leader ends":          func(sim *simCluster, _, _, l *controllerProcess) { sim.restartController(l, later) },
-		"both ends end": func(sim *simCluster, other, x, _ *controllerProcess) {
-			sim.restartController(other, later)
-			sim.restartController(x, soon)
+	faults := map[string]func(sim *simCluster, owner, target, leader *controllerProcess){
+		"owner ends": func(sim *simCluster, owner, _, _ *controllerProcess) {
+			sim.restartController(owner, later)
+		},
+		"owner restarts at once": func(sim *simCluster, owner, _, _ *controllerProcess) {
+			sim.restartController(owner, soon)
+		},
+		"target ends": func(sim *simCluster, _, target, _ *controllerProcess) {
+			sim.restartController(target, later)
+		},
+		"target restarts at once": func(sim *simCluster, _, target, _ *controllerProcess) {
+			sim.restartController(target, soon)
+		},
+		"leader ends": func(sim *simCluster, _, _, leader *controllerProcess) {
+			sim.restartController(leader, later)
+		},
+		"owner and target end": func(sim *simCluster, owner, target, _ *controllerProcess) {
+			sim.restartController(owner, later)
+			sim.restartController(target, soon)
+		},
+		"all end": func(sim *simCluster, owner, target, leader *controllerProcess) {
+			sim.restartController(owner, soon)
+			sim.restartController(target, later)
+			sim.restartController(leader, later)
+		},
+		"owner pauses": func(sim *simCluster, owner, _, _ *controllerProcess) {
+			owner.freeze(12 * micro.Second)
 		},
-		"all end": func(sim *simCluster, other, x, l *controllerProcess) {
-			sim.restartController(other, soon)
-			sim.restartController(x, later)
-			sim.restartController(l, later)
+		"target pauses": func(sim *simCluster, _, target, _ *controllerProcess) {
+			target.freeze(12 * micro.Second)
 		},
-		"owner freezes":  func(sim *simCluster, other, _, _ *controllerProcess) { other.freeze(12 * micro.Second) },
-		"target freezes": func(sim *simCluster, _, x, _ *controllerProcess) { x.freeze(12 * micro.Second) },
-		"owner loses store": func(sim *simCluster, other, _, _ *controllerProcess) {
-			sim.partitionNode(other, 20*micro.Second, "state")
+		"owner loses store": func(sim *simCluster, owner, _, _ *controllerProcess) {
+			sim.partitionNode(owner, 20*micro.Second, "state")
 		},
-		"owner loses workers": func(sim *simCluster, other, _, _ *controllerProcess) {
-			sim.partitionNode(other, 40*micro.Second, "workers")
+		"owner loses workers": func(sim *simCluster, owner, _, _ *controllerProcess) {
+			sim.partitionNode(owner, 40*micro.Second, "workers")
+		},
+		"target loses workers": func(sim *simCluster, _, target, _ *controllerProcess) {
+			sim.partitionNode(target, 40*micro.Second, "workers")
+		},
+		"store refuses owner": func(sim *simCluster, owner, _, _ *controllerProcess) {
+			sim.refuseNode(owner, 20*micro.Second)
+		},
+		"store outage": func(sim *simCluster, _, _, _ *controllerProcess) {
+			sim.storeOutage(12 * micro.Second)
 		},
-		"target loses workers": func(sim *simCluster, _, x, _ *controllerProcess) { sim.partitionNode(x, 40*micro.Second, "workers") },
-		"owner refused":        func(sim *simCluster, other, _, _ *controllerProcess) { sim.refuseNode(other, 20*micro.Second) },
-		"outage":               func(sim *simCluster, _, _, _ *controllerProcess) { sim.storeOutage(12 * micro.Second) },
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		for _, after := range []micro.Time{0, 15 * micro.Millisecond, 300 * micro.Millisecond} {
 			t.Run(fmt.Sprint(name, " after ", after.Duration()), func(t *testing.T) {
 				t.Parallel()
@@ -165,7 +185,7 @@
 					}
 					sim.requestMove(target)
 					sim.sleep(after)
-					trouble(sim, sim.controllerNamed("n-2"), sim.controllerNamed(target), leader)
+					fault(sim, sim.controllerNamed("n-2"), sim.controllerNamed(target), leader)
 					sim.sleep(30 * micro.Second)
 					sim.waitShardSettled(service, 3)
 				})
@@ -174,23 +194,23 @@
 	}
 }
 
-// The transaction that transfers gets no answer: it was carried out, or will be seconds
-// later, or never.
+// The transaction that transfers a shard is uncertain (executed at once, seconds or a minute later) or refused. The
+// shard must still move, and no replica may restart.
 func TestShardTransferWithUncertainOutcome(t *testing.T) {
-	for name, fate := range map[string]fake.CommitFault{
-		"carried out":               {Unanswered: true},
-		"carried out 3 s late":      {Unanswered: true, ExecuteAfter: 3 * micro.Second},
-		"carried out a minute late": {Unanswered: true, ExecuteAfter: micro.Minute},
-		"refused":                   {Refused: true},
+	for name, fault := range map[string]fake.CommitFault{
+		"executed at once":       {Unanswered: true},
+		"executed 3 s late":      {Unanswered: true, ExecuteAfter: 3 * micro.Second},
+		"executed a minute late": {Unanswered: true, ExecuteAfter: micro.Minute},
+		"refused":                {Refused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runShardScenario(t, 14, 3, func(sim *simCluster) {
 				service := sim.startShardWorkload()
-				tries := 0
+				transfers := 0
 				sim.onCommit(sim.controllerNamed("n-2"), shard.RecordPrefix, func(n int, _ wire.Change) fake.CommitFault {
-					tries = n
+					transfers = n
 					if n <= 2 {
-						return fate
+						return fault
 					}
 					return fake.CommitFault{}
 				})
@@ -198,24 +218,24 @@
 				sim.waitShardOwned("n-0", micro.Minute)
 				sim.sleep(70 * micro.Second)
 				sim.waitShardSettled(service, 3)
-				if tries == 0 || service.startCount() != 3 {
-					sim.t.Errorf("%d transactions met, %d starts of 3 replicas", tries, service.startCount())
+				if transfers == 0 || service.startCount() != 3 {
+					sim.t.Errorf("%d writes of the shard record by n-2, %d starts of 3 replicas", transfers, service.startCount())
 				}
 			})
 		})
 	}
 }
 
-// Late copies of heartbeats of the old owner's time reach the next one, machines hang
-// through the whole move, others hear nothing.
+// Late copies of heartbeats that were sent to the previous owner reach the next one, while some machines hang for the
+// whole move and others receive no replies.
 func TestLateHeartbeatsAndHungMachinesDuringAShardMove(t *testing.T) {
 	for seed := range uint64(4) {
 		runShardScenario(t, 20+seed, 3, func(sim *simCluster) {
 			service := sim.startShardWorkload()
 			sim.replayHeartbeats(0.5, 45*micro.Second, 2*micro.Minute)
-			on := service.machines()
-			on[0].hang(8 * micro.Second)
-			on[len(on)-1].loseResponses(6 * micro.Second)
+			machines := service.machines()
+			machines[0].hang(8 * micro.Second)
+			machines[len(machines)-1].loseResponses(6 * micro.Second)
 			for _, to := range []string{"n-0", "n-1", "n-2"} {
 				sim.requestMove(to)
 				sim.sleep(9 * micro.Second)
@@ -226,7 +246,7 @@
 	}
 }
 
-// Jobs are cancelled, and a team is at its limit, while their machines move.
+// A job that uses its team's whole limit is cancelled, and another job of the team waits, while the shard moves.
 func TestCancellationsDuringAShardMove(t *testing.T) {
 	for seed := range uint64(4) {
 		runShardScenario(t, 30+seed, 3, func(sim *simCluster) {
@@ -237,7 +257,7 @@
 			sim.requestMove("n-0")
 			sim.sleep(micro.Time(seed) * 10 * micro.Millisecond)
 			if got := full.cancel(); got != wire.JobAborted {
-				sim.t.Errorf("cancelled during a move: %s", got)
+				sim.t.Errorf("state after a cancellation during a move: %s", got)
 			}
 			sim.waitUntil(
 				"the next job is done", 4*micro.Minute,
@@ -247,7 +267,7 @@
 	}
 }
 
-// A gang loses a member while its machines move: it starts anew, whole.
+// A gang that loses a member while its shard moves restarts with all of its tasks.
 func TestGangRestartsWhenItLosesAMemberDuringShardMove(t *testing.T) {
 	runShardScenario(t, 35, 3, func(sim *simCluster) {
 		sim.waitShardOwned("n-2", 2*micro.Minute)
@@ -255,19 +275,20 @@
 		sim.waitUntil("the gang runs", 2*micro.Minute, func() bool { return gang.runningTasks() == 3 })
 		sim.requestMove("n-1")
 		gang.machines()[0].terminate()
-		sim.waitUntil(
-			"done", 5*micro.Minute, func() bool { return replyState(gang.queryStatus(sim.randomUserNode())) == wire.JobDone },
-		)
+		sim.waitUntil("the gang is done", 5*micro.Minute, func() bool {
+			return replyState(gang.queryStatus(sim.randomUserNode())) == wire.JobDone
+		})
 	})
 }
 
-// A move that cannot be is refused with its reason, and a repeated one is harmless.
+// Commands that cannot be executed, among them moves to the current owner, are refused with a reason and have no
+// effect on the shard.
 func TestShardMovesAreRefusedWithAReason(t *testing.T) {
 	runShardScenario(t, 36, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
 		for _, test := range []struct {
 			command shard.Command
-			says    string
+			reason  string
 		}{
 			{shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-2"}, shard.ErrSameOwner.Error()},
 			{shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-9"}, shard.ErrTargetWithoutSession.Error()},
@@ -275,12 +296,12 @@
 			{shard.Command{Operation: shard.OperationCancel, Shard: "east"}, shard.ErrNotMoving.Error()},
 			{shard.Command{Operation: "melt", Shard: "east"}, "no operation"},
 		} {
-			if reply := sim.shardCommand(test.command); !strings.Contains(reply.RefusalReason, test.says) {
-				sim.t.Errorf("%+v: %q, not %q", test.command, reply.RefusalReason, test.says)
+			if reply := sim.shardCommand(test.command); !strings.Contains(reply.RefusalReason, test.reason) {
+				sim.t.Errorf("%+v: refused with %q, want %q", test.command, reply.RefusalReason, test.reason)
 			}
 		}
 		sim.killController(sim.controllerNamed("n-0"))
-		sim.waitUntil("its session is over", micro.Minute, func() bool {
+		sim.waitUntil("the session of n-0 has expired", micro.Minute, func() bool {
 			return strings.Contains(
 				sim.shardCommand(shard.Command{Operation: shard.OperationMove, Shard: "east", Target: "n-0"}).RefusalReason,
 				shard.ErrTargetWithoutSession.Error(),
@@ -290,8 +311,8 @@
 	})
 }
 
-// Machines of a shard die, are taken, and are replaced, while it moves: its work runs on
-// machines that the leader rents for it, and the dead ones are returned.
+// A machine of a shard dies while the shard moves: its tasks run on a machine that the leader provisions for the
+// shard, and the instance of the dead machine is terminated.
 func TestMachinesOfAMovingShardAreReplaced(t *testing.T) {
 	runShardScenario(t, 37, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
@@ -302,7 +323,7 @@
 		dead.terminate()
 		sim.sleep(20 * micro.Second)
 		sim.waitShardSettled(service, 3)
-		sim.waitUntil("the dead machine is returned", 3*micro.Minute, func() bool {
+		sim.waitUntil("the dead machine is terminated at the cloud", 3*micro.Minute, func() bool {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
 			return sim.cloud.terminatedAt[dead.agent.Name] > 0
@@ -314,8 +335,8 @@
 	})
 }
 
-// A shard is given back to the leader with all its work, the controllers restart without
-// the feature, and nothing starts anew.
+// The leader reclaims a shard with all of its jobs, then the controllers restart without the feature. No task may
+// restart.
 func TestDissolvedShardIsReclaimedWithoutRestartingItsTasks(t *testing.T) {
 	for seed := range uint64(3) {
 		runShardScenario(t, 40+seed, 3, func(sim *simCluster) {
@@ -325,26 +346,26 @@
 			dissolve := *sim.config.Shards
 			dissolve.Dissolve = true
 			sim.reconfigure(&dissolve)
-			sim.waitUntil("no record of the share is left", 4*micro.Minute, func() bool { return len(sim.shardKeys()) == 0 })
+			sim.waitUntil("no record of the shard is left", 4*micro.Minute, func() bool { return len(sim.shardKeys()) == 0 })
 			sim.reconfigure(nil)
 			sim.sleep(40 * micro.Second)
 			if service.startCount() != 3 || service.runningTasks() != 3 || array.startCount() != 2 {
 				sim.t.Errorf(
-					"%d starts of 3 replicas, %d run, %d starts of 2 tasks", service.startCount(), service.runningTasks(),
+					"%d starts of 3 replicas, %d run; %d starts of 2 array tasks", service.startCount(), service.runningTasks(),
 					array.startCount(),
 				)
 			}
-			sim.waitUntil(
-				"done", 5*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone },
-			)
+			sim.waitUntil("the array is done", 5*micro.Minute, func() bool {
+				return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone
+			})
 		})
 	}
 }
 
-// reconfigure restarts all controllers, one after the other, with other settings.
-func (w *simCluster) reconfigure(s *config.Shards) {
+// reconfigure restarts all controllers, one after the other, with new shard settings.
+func (w *simCluster) reconfigure(shards *config.Shards) {
 	w.t.Helper()
-	w.setShards(s)
+	w.setShards(shards)
 	for _, controller := range w.controllers {
 		w.restartController(controller, micro.Second)
 		w.sleep(12 * micro.Second)
@@ -352,42 +373,42 @@
 	w.waitForRestoredLeader()
 }
 
-// shardKeys lists the keys of shards in the store, sessions excepted.
+// shardKeys lists the stored keys of shards except sessions. On an error it returns the error's text alone.
 func (w *simCluster) shardKeys() []string {
-	var out []string
+	var found []string
 	for _, prefix := range []string{shard.RecordPrefix, shard.AssignmentPrefix, shard.AllocationPrefix, shard.MarkerKey} {
 		page, err := w.store.Range(w.ctx, store.Routine, prefix, "", 1000)
 		if err != nil {
 			return []string{err.Error()}
 		}
-		for _, it := range page.Items {
-			out = append(out, it.Key)
+		for _, item := range page.Items {
+			found = append(found, item.Key)
 		}
 	}
-	return out
+	return found
 }
 
-// A controller that runs without shards would take all machines for its own.
+// A controller without the shard feature must not lead while shards exist: it would treat all machines as its own.
 func TestControllerWithoutShardFeatureDoesNotLeadWhileShardsExist(t *testing.T) {
 	runShardScenario(t, 43, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
-		with := sim.config.Shards
+		withShards := sim.config.Shards
 		sim.setShards(nil)
 		leader, _ := sim.waitForRestoredLeader()
 		sim.restartController(leader, micro.Second)
 		sim.sleep(5 * micro.Second)
-		sim.setShards(with)
-		for range 20 { // whoever else ends, it does not lead
+		sim.setShards(withShards)
+		for range 20 { // for a minute, the controller without the feature must not lead
 			sim.sleep(3 * micro.Second)
-			if l := sim.leader(); l == leader && leader.holdsLease() {
-				sim.t.Fatal("it leads")
+			if current := sim.leader(); current == leader && leader.holdsLease() {
+				sim.t.Fatal("the controller without the feature leads")
 			}
 		}
 		sim.waitShardSettled(service, 3)
 	})
 }
 
-// Without the feature nothing is stored or asked that was not before.
+// Without the feature no key of shards or sessions is stored, and shards can be listed all the same.
 func TestNoShardKeysAreStoredWithoutTheFeature(t *testing.T) {
 	runScenario(t, 44, 3, nil, func(sim *simCluster) {
 		sim.waitForRestoredLeader()
@@ -395,30 +416,30 @@
 		sim.waitRunning(job, 2)
 		sim.sleep(micro.Minute)
 		if keys := sim.shardKeys(); len(keys) > 0 {
-			sim.t.Errorf("stored: %v", keys)
+			sim.t.Errorf("stored keys of shards: %v", keys)
 		}
 		page, err := sim.store.Range(sim.ctx, store.Routine, shard.SessionPrefix, "", 1000)
 		if err != nil || len(page.Items) > 0 {
-			sim.t.Errorf("%d sessions, %v", len(page.Items), err)
+			sim.t.Errorf("%d sessions, error %v", len(page.Items), err)
 		}
 		status, _ := sim.randomUserNode().runningNode().handleAdmin(
 			wire.MustMarshal(shard.Command{Operation: shard.OperationList}),
 		)
 		if status != 200 {
-			sim.t.Errorf("status %d", status)
+			sim.t.Errorf("listing shards: status %d", status)
 		}
 	})
 }
 
-// Two policies want one shard, and one of them flaps each minute: the first by name
-// counts, and the least time between moves holds.
+// Two policies select different owners of one shard, and the condition of one of them changes each minute. The first
+// policy by name applies, and the minimum interval between moves limits the number of moves.
 func TestConflictingPoliciesDoNotMoveAShardRepeatedly(t *testing.T) {
 	condition := func(text string) *policy.Condition {
-		c, err := policy.Compile(text)
+		compiled, err := policy.Compile(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return compiled
 	}
 	runScenario(t, 45, 3, func(sim *simCluster) {
 		withShard(sim)
@@ -429,7 +450,7 @@
 		}
 	}, func(sim *simCluster) {
 		sim.waitUntil(
-			"the share is owned", 2*micro.Minute,
+			"the shard is owned", 2*micro.Minute,
 			func() bool { entry, ok := sim.shardRecord(); return ok && entry.HasOwner() },
 		)
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 3, cpus: 2, zone: "b"}).submit()
@@ -446,8 +467,8 @@
 	})
 }
 
-// How long a shard goes without placing, by the simulated clock: from the command to the
-// first order of the next owner.
+// Measures by the simulated clock the longest time for which a shard may go without allocations during a move: from
+// the command until the next owner serves.
 func TestShardMoveTakesLessThanASecond(t *testing.T) {
 	runShardScenario(t, 46, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
--- a/internal/controller/shard_machines_test.go
+++ b/internal/controller/shard_machines_test.go
@@ -11,24 +11,25 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Machines that change hands with a shard: with the ends of tasks that are not stored yet, and dead.
+// Scenarios in which machines get another owner: with task ends that are not stored yet, or when they are dead.
 
-// A shard is given away before the ends of the tasks on its machines are stored, and they run again.
+// Guards against a shard that is granted before the task ends on its machines are stored, so that the tasks run again.
 //
-// What happened: a shard was granted once the leader's memory held no allocation on its machines. The
-// leader ended before it had stored that: the agents told the new owner of the ends, which did not
-// know the job, and had them forgotten. The next leader took the tasks for running, until their
-// machines' leases had run out, and started them anew.
+// A shard was granted once the leader had no allocation on its machines in memory, and the leader ended before it had
+// stored the ends. The agents reported them to the new owner, which did not know the job and had the agents forget
+// them. The next leader considered the tasks running until their machines' leases had expired, and restarted them.
 func TestShardIsGrantedOnlyAfterTaskEndsOnItsMachinesAreStored(t *testing.T) {
 	runScenario(t, 90, 3, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newHandoverArray(false, "team").submit()
 		sim.waitRunning(array, arrayTasksAtOnce)
 		sim.declareShard(onDemand)
 		allow := sim.refuseCommits(keys.ChunkPrefix)
-		sim.waitUntil("the first tasks have ended", micro.Minute, func() bool { return array.doneTasks() == arrayTasksAtOnce })
+		sim.waitUntil("the first tasks have ended", micro.Minute, func() bool {
+			return array.doneTasks() == arrayTasksAtOnce
+		})
 		sim.sleep(20 * micro.Second)
 		if entry, ok := sim.shardRecord(); !ok || entry.Record.State != shard.Forming {
-			sim.t.Errorf("the shard is %s", entry.Record.State)
+			sim.t.Errorf("the shard is %s, want forming", entry.Record.State)
 		}
 		sim.restartLeader(5 * micro.Second)
 		sim.sleep(10 * micro.Second)
@@ -38,24 +39,22 @@
 	})
 }
 
-// refuseCommits has the store refuse all changes of keys with a prefix, until the function that it
-// returns is called.
+// refuseCommits has the store refuse all changes of keys with a prefix until the returned function is called.
 func (w *simCluster) refuseCommits(prefix string) (allow func()) {
 	var refused atomic.Bool
 	refused.Store(true)
-	fate := func(int, wire.Change) fake.CommitFault { return fake.CommitFault{Refused: refused.Load()} }
+	fault := func(int, wire.Change) fake.CommitFault { return fake.CommitFault{Refused: refused.Load()} }
 	for _, controller := range w.controllers {
-		w.onCommit(controller, prefix, fate)
+		w.onCommit(controller, prefix, fault)
 	}
 	return func() { refused.Store(false) }
 }
 
-// Idle machines of a shard die, its owner ends, and nobody ever gives them back.
+// Guards against idle machines of a shard that die shortly before its owner ends, and are never terminated.
 //
-// What happened: the next owner knows of machines by their heartbeats and by what its records hold,
-// and by neither of these. For the leader they were up, as the owner before had said. They took up
-// what the cloud had, and an offer none of whose machines boot was not left out beside machines
-// that are up.
+// The next owner learns of machines from their heartbeats and from its records, and dead idle machines have neither.
+// The leader considered them up, as the previous owner had reported. They occupied the capacity of the cloud, and
+// since they counted as up, an offer of which no machine boots was not excluded.
 func TestIdleMachinesThatDieBeforeAnOwnerChangeAreTerminated(t *testing.T) {
 	runScenario(t, 91, 3, func(sim *simCluster) {
 		withShard(sim)
@@ -70,21 +69,21 @@
 		sim.sleep(2 * micro.Second)
 		for _, machine := range dead {
 			if !machine.agent.Spot {
-				sim.t.Fatalf("%s is no spot machine", machine.agent.Name)
+				sim.t.Fatalf("%s is not a spot machine", machine.agent.Name)
 			}
 			machine.terminate()
 		}
 		sim.restartController(sim.controllerNamed("n-2"), 20*micro.Second)
 		for _, machine := range dead {
 			sim.waitUntil(
-				machine.agent.Name+" is returned", servedWithin, func() bool { return !sim.requestStored(machine) },
+				machine.agent.Name+" is terminated", servedWithin, func() bool { return !sim.requestStored(machine) },
 			)
 		}
 	})
 }
 
-// Replicas that only the shard's machines can hold are stopped at once when a shard is formed over them,
-// and are down for as long as the longest task there runs.
+// Guards against replicas that fit only on a shard's machines, are stopped as soon as the shard is being formed, and
+// stay down until the longest task on those machines has ended.
 func TestReplicasWithoutOtherMachinesRunUntilShardMachinesAreFree(t *testing.T) {
 	runThreeSeeds(t, 92, checkTaskStarts, func(sim *simCluster) {
 		array := sim.newJob(
@@ -94,26 +93,26 @@
 		service := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4}).submit()
 		sim.waitRunning(service, 2)
 		sim.declareShard(onDemand)
-		none := micro.Time(0)
+		outage := micro.Time(0)
 		for owned := false; !owned || service.runningTasks() < 2; {
 			const step = 50 * micro.Millisecond
 			sim.sleep(step)
 			if service.runningTasks() == 0 {
-				none += step
+				outage += step
 			}
 			entry, ok := sim.shardRecord()
 			owned = ok && entry.Record.State == shard.Owned
-			if none > servedWithin {
+			if outage > servedWithin {
 				break
 			}
 		}
-		sim.t.Logf("no replica for %v", none.Duration())
+		sim.t.Logf("no replica ran for %v", outage.Duration())
 		if array.runningTasks() > 0 {
-			sim.t.Error("the array still runs: the shard was not formed over it")
+			sim.t.Error("the array still runs: the shard was not granted before the service ran again")
 		}
-		const most = 30 * micro.Second // far less than the array's tasks run
-		if none > most {
-			sim.t.Errorf("no replica for %v, more than %v", none.Duration(), most.Duration())
+		const maxOutage = 30 * micro.Second // far less than the run time of the array's tasks, 90 s
+		if outage > maxOutage {
+			sim.t.Errorf("no replica ran for %v, more than %v", outage.Duration(), maxOutage.Duration())
 		}
 	})
 }
--- a/internal/controller/shard_measure_test.go
+++ b/internal/controller/shard_measure_test.go
@@ -15,11 +15,11 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-var measureMoves = flag.Int("share.measure", 0, "moves to measure for each size of a share; 0: none")
+var measureMoves = flag.Int("share.measure", 0, "number of shard moves to measure for each shard size; 0: one")
 
-// Measures moves on the simulated cluster, with a store that answers in 4 to 12 ms:
+// Measures shard moves on the simulated cluster, with a store that answers in 4 to 12 ms:
 //
-//	go test ./internal/controller -run TestMeasureShardMoves -v -shard.measure 40
+//	go test ./internal/controller -run TestMeasureShardMoves -v -share.measure 40
 func TestMeasureShardMoves(t *testing.T) {
 	for _, machines := range []int{1, 16, 256} {
 		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
@@ -32,36 +32,40 @@
 				sim.cloud.Capacity = machines + 20
 				sim.config.Facts.Teams[0].CPUsMax = 0
 				delete(sim.checker.cpuLimits, "team")
-				sim.wrapStore = func(l *fake.Link) store.Store {
-					l.SetDelay(storeLatency)
-					return usageCountingStore{l, &used}
+				sim.wrapStore = func(link *fake.Link) store.Store {
+					link.SetDelay(storeLatency)
+					return usageCountingStore{link, &used}
 				}
 			}, func(sim *simCluster) { sim.measureMoves(machines, &used) })
 		})
 	}
 }
 
+// measureMoves fills the shard with one replica per machine, measures moves of the shard between the controllers, and
+// logs percentiles of their durations.
 func (w *simCluster) measureMoves(machines int, used *usage) {
 	w.waitShardOwned("n-2", 2*micro.Minute)
 	service := w.newJob(jobRequest{kind: wire.Service, tasks: machines, cpus: 4, zone: "b"}).submit()
-	w.waitUntil("the share is full", 5*micro.Minute, func() bool { return service.runningTasks() == machines })
+	w.waitUntil("the shard is full", 5*micro.Minute, func() bool { return service.runningTasks() == machines })
 	w.sleep(20 * micro.Second)
 	moves := max(*measureMoves, 1)
-	var silent, whole, answered []micro.Time
+	var ownerless, total, untilFirstAnswer []micro.Time
 	requests := int64(0)
 	for i := range moves {
 		w.sleep(10 * micro.Second)
-		m := w.measureMove(fmt.Sprint("n-", i%3), used)
-		silent, whole, answered = append(silent, m.ownerless), append(whole, m.total), append(answered, m.untilFirstAnswer)
-		requests += m.requests
+		move := w.measureMove(fmt.Sprint("n-", i%3), used)
+		ownerless, total, untilFirstAnswer = append(ownerless, move.ownerless), append(total, move.total),
+			append(untilFirstAnswer, move.untilFirstAnswer)
+		requests += move.requests
 	}
 	w.t.Logf(
-		"%d machines, %d moves: no owner speaks for %s; from the command to the next owner %s; to its first answer %s; %.1f requests to the store a move, %d starts of %d replicas",
+		"%d machines, %d moves: without an owner for %s; from the command to the next owner %s, to its first answer %s; "+
+			"%.1f store requests per move, %d starts of %d replicas",
 		machines,
 		moves,
-		percentiles(silent),
-		percentiles(whole),
-		percentiles(answered),
+		percentiles(ownerless),
+		percentiles(total),
+		percentiles(untilFirstAnswer),
 		float64(requests)/float64(moves),
 		service.startCount(),
 		machines,
@@ -71,13 +75,15 @@
 	}
 }
 
-// measuredMove is what one move took.
+// measuredMove holds the durations of one move, and its number of store requests: how long no owner answered, and the
+// times from the command until the next owner serves and until it has answered a heartbeat.
 type measuredMove struct {
 	ownerless, total, untilFirstAnswer micro.Time
 	requests                           int64
 }
 
-func (w *simCluster) measureMove(to string, used *usage) (m measuredMove) {
+// measureMove moves the shard to a controller and measures the move.
+func (w *simCluster) measureMove(to string, used *usage) (move measuredMove) {
 	entry, _ := w.shardRecord()
 	old, _ := w.controllerNamed(entry.Record.Owner.Node).runningNode().shards.Owner("east")
 	requests := used.reads.Load() + used.commits.Load()
@@ -92,21 +98,22 @@
 		next, _ = w.controllerNamed(to).runningNode().shards.Owner("east")
 		time.Sleep(time.Millisecond)
 	}
-	m.total, m.ownerless = w.now()-from, w.now()-ownerlessSince
-	m.requests = used.reads.Load() + used.commits.Load() - requests
-	for reports := 0; reports == 0; time.Sleep(time.Millisecond) {
+	move.total, move.ownerless = w.now()-from, w.now()-ownerlessSince
+	move.requests = used.reads.Load() + used.commits.Load() - requests
+	for heartbeats := 0; heartbeats == 0; time.Sleep(time.Millisecond) {
 		read := make(chan struct{})
-		next.post(func() { reports = int(next.detector.Heartbeats()); close(read) })
+		next.post(func() { heartbeats = int(next.detector.Heartbeats()); close(read) })
 		<-read
 	}
-	m.untilFirstAnswer = w.now() - from
-	return m
+	move.untilFirstAnswer = w.now() - from
+	return move
 }
 
+// percentiles formats the median, the 95th percentile and the maximum of some durations, which it sorts.
 func percentiles(all []micro.Time) string {
 	slices.Sort(all)
 	ms := func(t micro.Time) int64 { return int64(t / micro.Millisecond) }
 	return fmt.Sprintf(
-		"%d ms (median), %d (95%%), %d (longest)", ms(all[len(all)/2]), ms(all[len(all)*95/100]), ms(all[len(all)-1]),
+		"%d ms (median), %d (95%%), %d (maximum)", ms(all[len(all)/2]), ms(all[len(all)*95/100]), ms(all[len(all)-1]),
 	)
 }
--- a/internal/controller/shard_outages_test.go
+++ b/internal/controller/shard_outages_test.go
@@ -10,10 +10,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A shard's only zone is lost, with the machines and perhaps a controller in it: its begun jobs, which
-// may run in the other zone, go there.
+// Guards against started jobs that stay in a shard whose only zone is lost, with the machines and in one case the
+// controller in it, although the jobs may run in the other zone.
 func TestStartedJobsOfAShardRunElsewhereAfterZoneLoss(t *testing.T) {
-	for name, dead := range map[string]bool{"machines only": false, "with its controller": true} {
+	for name, controllerLost := range map[string]bool{"machines only": false, "with its controller": true} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, 230, 3, func(sim *simCluster) {
 				withShard(sim)
@@ -23,18 +23,18 @@
 				first := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 4, zone: "b"}).submit()
 				sim.waitRunning(first, 2)
 				first.cancel()
-				sim.waitUntil("gone", micro.Minute, func() bool { return first.runningTasks() == 0 })
+				sim.waitUntil("the first service has stopped", micro.Minute, func() bool { return first.runningTasks() == 0 })
 				sim.sleep(3 * micro.Second)
 				array := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 4, runTime: 20 * micro.Minute}).submit()
 				sim.waitRunning(array, 2)
 				for _, machine := range array.machines() {
 					if machine.agent.Zone != "b" {
-						sim.t.Fatal("not in the shard")
+						sim.t.Fatal("the array runs outside the shard")
 					}
 				}
 				sim.sleep(20 * micro.Second)
-				sim.cloud.failsBoot = func(r wire.InstanceRequest) bool { return r.Zone == "b" }
-				if dead {
+				sim.cloud.failsBoot = func(request wire.InstanceRequest) bool { return request.Zone == "b" }
+				if controllerLost {
 					sim.killController(sim.controllerNamed("n-1"))
 				}
 				for _, machine := range sim.liveMachines() {
@@ -43,15 +43,15 @@
 					}
 				}
 				from := sim.now()
-				sim.waitUntil("it runs in the other zone", 15*micro.Minute, func() bool { return array.runningTasks() == 2 })
-				sim.t.Logf("after %.1f s", (sim.now() - from).Seconds())
+				sim.waitUntil("the array runs in the other zone", 15*micro.Minute, func() bool { return array.runningTasks() == 2 })
+				sim.t.Logf("the array runs again after %.1f s", (sim.now() - from).Seconds())
 			})
 		})
 	}
 }
 
-// An array of which not all tasks fit at once loses the machines that it has in a shard. It is recalled
-// at once, as if it had waited for as long as its tasks had run, though others boot there in seconds.
+// Guards against an array whose tasks do not all fit at once and that is recalled as soon as it loses its machines in
+// a shard, as if it had waited for as long as its tasks had run, although new machines boot there within seconds.
 func TestArrayThatLosesItsShardMachinesIsNotRecalledAtOnce(t *testing.T) {
 	for seed := range uint64(2) {
 		runScenario(t, 220+seed, 3, withShard, func(sim *simCluster) {
@@ -77,7 +77,7 @@
 			}
 			if recalledAt > 0 && recalledAt < died+leaseS*micro.Second+handBackTimeout {
 				sim.t.Errorf(
-					"recalled %.1f s after its machines died, runs again after %.1f", (recalledAt - died).Seconds(),
+					"recalled %.1f s after its machines died, runs again after %.1f s", (recalledAt - died).Seconds(),
 					(runsAt - died).Seconds(),
 				)
 			}
@@ -85,15 +85,15 @@
 	}
 }
 
-// isRecalled reports whether the store says that a job is recalled.
+// isRecalled reports whether the stored assignment of a job requests its recall.
 func (w *simCluster) isRecalled(job *userJob) bool {
 	item, err := w.store.Get(w.ctx, store.Routine, shard.AssignmentKey("east", job.id))
 	var assignment shard.Assignment
 	return err == nil && wire.Unmarshal(item.Value, &assignment) == nil && assignment.RecallRequested
 }
 
-// The zone of a shard is cut off with the shard's owner. The next owner hears none of the zone's
-// machines: that is no sign that they are dead.
+// Guards against a next owner that terminates the idle machines of a zone because it gets no heartbeats from them: the
+// zone is partitioned from the others together with the shard's previous owner, and its machines are alive.
 func TestIdleShardMachinesAreKeptDuringPartition(t *testing.T) {
 	runScenario(t, 210, 3, func(sim *simCluster) {
 		withShard(sim)
@@ -112,7 +112,7 @@
 		sim.sleep(10 * micro.Second)
 		machines := service.machines()
 		service.cancel()
-		sim.waitUntil("idle", micro.Minute, func() bool { return service.runningTasks() == 0 })
+		sim.waitUntil("the machines are idle", micro.Minute, func() bool { return service.runningTasks() == 0 })
 		sim.sleep(2 * micro.Second)
 		from := sim.now()
 		sim.partitionZone("b", 4*micro.Minute)
@@ -120,15 +120,17 @@
 			sim.sleep(micro.Second)
 			for _, machine := range machines {
 				if !machine.isUp() {
-					sim.t.Fatalf("%s was terminated %.1f s after the cut began", machine.agent.Name, (sim.now() - from).Seconds())
+					sim.t.Fatalf(
+						"%s was terminated %.1f s after the partition began", machine.agent.Name, (sim.now() - from).Seconds(),
+					)
 				}
 			}
 		}
 	})
 }
 
-// partitionZoneFromNodes cuts a zone off from the other zones' nodes and machines, for so long: its own
-// controllers reach the store, and keep their sessions.
+// partitionZoneFromNodes partitions a zone from the nodes and machines of other zones for a time d. The zone's own
+// controllers still reach the store, and keep their sessions.
 func (w *simCluster) partitionZoneFromNodes(zone string, d micro.Time) {
 	set := func(on bool) func() {
 		return func() {
@@ -140,20 +142,22 @@
 	w.injectFault(d, set(true), set(false))
 }
 
-// The zone of a shard is cut off from all but the store, and an owner outside takes the shard over
-// meanwhile. In the moment in which the cut ends the zone counts as reachable, and idle machines of which
-// the owner could not hear for the length of the cut are terminated.
+// Guards against idle machines that are terminated when a partition of their zone ends, during which the shard got an
+// owner outside the zone. The zone counts as reachable from that moment on, while the owner has had no heartbeats of
+// its machines for the length of the partition. The partitioned zone reaches the store, or does not.
 func TestIdleShardMachinesAreKeptAfterPartitionWithOwnerChange(t *testing.T) {
-	for _, nodes := range []int{3, 5} { // zone b has one controller, or two, and lease proxies
-		for _, storeCut := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d nodes, store cut off %v", nodes, storeCut), func(t *testing.T) {
-				runIdleMachinesAfterPartition(t, nodes, storeCut)
+	for _, nodes := range []int{3, 5} { // zone b has one controller, or two of them and lease proxies
+		for _, storePartitioned := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d nodes, store partitioned %v", nodes, storePartitioned), func(t *testing.T) {
+				runIdleMachinesAfterPartition(t, nodes, storePartitioned)
 			})
 		}
 	}
 }
 
-func runIdleMachinesAfterPartition(t *testing.T, nodes int, storeCut bool) {
+// runIdleMachinesAfterPartition partitions the shard's zone for four minutes, moves the shard to an owner outside it
+// meanwhile, and checks that the idle machines in the zone stay up for six minutes.
+func runIdleMachinesAfterPartition(t *testing.T, nodes int, storePartitioned bool) {
 	t.Helper()
 	runScenario(t, 210, nodes, func(sim *simCluster) {
 		sim.config.LeaseProxyFactor = 20
@@ -168,11 +172,11 @@
 		sim.sleep(10 * micro.Second)
 		machines := service.machines()
 		service.cancel()
-		sim.waitUntil("idle", micro.Minute, func() bool { return service.runningTasks() == 0 })
+		sim.waitUntil("the machines are idle", micro.Minute, func() bool { return service.runningTasks() == 0 })
 		sim.sleep(2 * micro.Second)
 		sim.moveShard("n-2")
 		from := sim.now()
-		if storeCut {
+		if storePartitioned {
 			sim.partitionZone("b", 4*micro.Minute)
 		} else {
 			sim.partitionZoneFromNodes("b", 4*micro.Minute)
@@ -187,7 +191,10 @@
 			}
 			for _, machine := range machines {
 				if !machine.isUp() {
-					sim.t.Fatalf("%s was terminated %.1f s after the cut of 240 s began", machine.agent.Name, (sim.now() - from).Seconds())
+					sim.t.Fatalf(
+						"%s was terminated %.1f s after the partition of 240 s began", machine.agent.Name,
+						(sim.now() - from).Seconds(),
+					)
 				}
 			}
 		}
--- a/internal/controller/shard_simulation_test.go
+++ b/internal/controller/shard_simulation_test.go
@@ -10,9 +10,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Shards on the simulated cluster: what moves while jobs run, and what meets it.
+// Helpers for shards on the simulated cluster, and the scenario of a shard that moves while its jobs run.
 
-// withShard declares a shard of zone b, owned by n-2 at first.
+// withShard declares a shard of zone b whose first owner is n-2.
 func withShard(sim *simCluster) {
 	sim.config.Shards = &config.Shards{
 		MinMoveInterval: micro.Minute, MaxMachinesMoving: 10_000,
@@ -20,71 +20,72 @@
 	}
 }
 
-// runShardScenario plays a scenario on a cluster with a shard.
+// runShardScenario runs a scenario on a cluster with a shard of zone b.
 func runShardScenario(t *testing.T, seed uint64, nodes int, scenario func(sim *simCluster)) {
 	t.Helper()
 	runScenario(t, seed, nodes, withShard, scenario)
 }
 
-// shardRecord reads the record of the shard from the store.
+// shardRecord reads the shard's record from the store, and reports whether there is one that can be parsed.
 func (w *simCluster) shardRecord() (shard.Entry, bool) {
-	it, err := w.store.Get(w.ctx, store.Routine, shard.RecordKey("east"))
+	item, err := w.store.Get(w.ctx, store.Routine, shard.RecordKey("east"))
 	if err != nil {
 		return shard.Entry{}, false
 	}
-	entry, err := shard.ParseRecord(it.Key, it.Value, uint64(it.Version))
+	entry, err := shard.ParseRecord(item.Key, item.Value, uint64(item.Version))
 	return entry, err == nil
 }
 
-// waitShardOwned waits until a controller owns the shard, and its loop serves.
-func (w *simCluster) waitShardOwned(by string, most micro.Time) {
+// waitShardOwned waits until a controller owns the shard and its loop serves.
+func (w *simCluster) waitShardOwned(by string, timeout micro.Time) {
 	w.t.Helper()
-	w.waitUntil("the share is "+by+"'s", most, func() bool {
-		e, ok := w.shardRecord()
-		if !ok || e.Record.State != shard.Owned || e.Record.Owner.Node != by {
+	w.waitUntil("the shard is owned by "+by+", which serves it", timeout, func() bool {
+		entry, ok := w.shardRecord()
+		if !ok || entry.Record.State != shard.Owned || entry.Record.Owner.Node != by {
 			return false
 		}
-		n := w.controllerNamed(by).runningNode()
-		if n == nil {
+		node := w.controllerNamed(by).runningNode()
+		if node == nil {
 			return false
 		}
-		l, ok := n.shards.Owner("east")
-		return ok && l.serving.Load()
+		owner, ok := node.shards.Owner("east")
+		return ok && owner.serving.Load()
 	})
 }
 
+// controllerNamed returns the controller with a name, and fails the test if there is none.
 func (w *simCluster) controllerNamed(name string) *controllerProcess {
 	for _, controller := range w.controllers {
 		if controller.name == name {
 			return controller
 		}
 	}
-	w.t.Fatalf("no controller %s", name)
+	w.t.Fatalf("no controller is named %s", name)
 	return nil
 }
 
-// shardCommand gives an operator's command to some node until it is carried out or refused.
-func (w *simCluster) shardCommand(c shard.Command) (reply shard.CommandReply) {
+// shardCommand sends an operator's command to random nodes until it is executed or refused, and returns the reply.
+func (w *simCluster) shardCommand(command shard.Command) (reply shard.CommandReply) {
 	w.t.Helper()
 	w.waitUntil("the command is answered", micro.Minute, func() bool {
 		controller := w.randomUserNode()
 		if controller == nil {
 			return false
 		}
-		status, out := controller.runningNode().handleAdmin(wire.MustMarshal(c))
-		return status == 200 && wire.Unmarshal(out, &reply) == nil
+		status, body := controller.runningNode().handleAdmin(wire.MustMarshal(command))
+		return status == 200 && wire.Unmarshal(body, &reply) == nil
 	})
 	return reply
 }
 
-// moveShard has the shard moved.
+// moveShard moves the shard to a controller, and waits until that owns it.
 func (w *simCluster) moveShard(to string) {
 	w.t.Helper()
 	w.requestMove(to)
 	w.waitShardOwned(to, micro.Minute)
 }
 
-// A shard is formed, its jobs run on its machines, and it moves to and fro while they do.
+// A shard is formed and moved repeatedly while its jobs run on its machines. No task may restart.
 func TestShardMovesWhileItsJobsRun(t *testing.T) {
 	for seed := range uint64(3) {
 		runShardScenario(t, seed, 3, func(sim *simCluster) {
@@ -93,7 +94,7 @@
 			other := sim.newJob(jobRequest{kind: wire.Service, tasks: 2, cpus: 2, zone: "a"}).submit()
 			sim.waitRunning(service, 3)
 			sim.waitRunning(other, 2)
-			sim.waitUntil("the owner tells of its machines and its job", micro.Minute, func() bool {
+			sim.waitUntil("the owner reports its machines and its job", micro.Minute, func() bool {
 				reply := sim.shardCommand(shard.Command{Operation: shard.OperationShow, Shard: "east"})
 				return len(reply.Shards) == 1 && reply.Shards[0].AssignedJobs == 1 && reply.Shards[0].MachineCount > 0
 			})
@@ -104,17 +105,17 @@
 				sim.moveShard(to)
 				sim.sleep(4 * micro.Second)
 			}
-			sim.waitUntil(
-				"done", 3*micro.Minute, func() bool { return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone },
-			)
+			sim.waitUntil("the array is done", 3*micro.Minute, func() bool {
+				return replyState(array.queryStatus(sim.randomUserNode())) == wire.JobDone
+			})
 			if service.startCount() != 3 || service.runningTasks() != 3 || array.startCount() != 4 {
 				sim.t.Errorf(
-					"%d starts of 3 replicas, %d run; %d starts of 4 tasks", service.startCount(), service.runningTasks(),
+					"%d starts of 3 replicas, %d run; %d starts of 4 array tasks", service.startCount(), service.runningTasks(),
 					array.startCount(),
 				)
 			}
 			service.cancel()
-			sim.waitUntil("the replicas are gone", micro.Minute, func() bool { return service.runningTasks() == 0 })
+			sim.waitUntil("all replicas have stopped", micro.Minute, func() bool { return service.runningTasks() == 0 })
 		})
 	}
 }
--- a/internal/controller/slow_store_status_test.go
+++ b/internal/controller/slow_store_status_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// delayJobEndWrites has the store answer none of some writes of ends, and carry them out seconds later.
+// delayJobEndWrites leaves one in oneIn writes of job ends unanswered, and has the store execute them up to 6 s later.
 func (w *simCluster) delayJobEndWrites(oneIn int) {
 	for _, controller := range w.controllers {
 		controller.mu.Lock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// pollUntilDone asks one node after the other how a job is, until told that it is over.
+// pollUntilDone queries the status of a job at all nodes in turn, until its user knows that it is done.
 func (w *simCluster) pollUntilDone(job *userJob) {
 	for w.ctx.Err() == nil {
 		for _, controller := range w.controllers {
@@ -41,8 +41,9 @@
 	}
 }
 
-// While the store was ten times slower and nodes were restarted, a job was called done and then
-// queued: by a read begun before its end was written, or by a leader whose write of the end was held up.
+// Guards against status replies that report a job as done and later as queued. This was seen while the store was ten
+// times slower and nodes were restarted. The later reply came from a read that had started before the job's end was
+// written, or from a leader whose write of the end was delayed.
 func TestDoneJobsAreNotReportedAsQueuedWhileTheStoreIsSlow(t *testing.T) {
 	runSeeds(t, 6, 3, func(sim *simCluster) {
 		sim.fastBoot = true
@@ -52,7 +53,9 @@
 			sim.slowStore(sim.randomTime(100*micro.Millisecond, 900*micro.Millisecond), 20*micro.Second)
 			sim.delayJobEndWrites(2)
 			for range 6 {
-				job := sim.newJob(jobRequest{kind: wire.JobArray, tasks: 2, cpus: 1, runTime: sim.randomTime(micro.Second, 8*micro.Second)})
+				job := sim.newJob(jobRequest{
+					kind: wire.JobArray, tasks: 2, cpus: 1, runTime: sim.randomTime(micro.Second, 8*micro.Second),
+				})
 				jobs = append(jobs, job)
 				go func() {
 					job.submit()
@@ -62,7 +65,7 @@
 			sim.sleep(15 * micro.Second)
 			sim.replaceLeader(3 * micro.Second)
 		}
-		sim.waitUntil("all are told done", 2*micro.Minute, func() bool {
+		sim.waitUntil("all users know that their jobs are done", 2*micro.Minute, func() bool {
 			for _, job := range jobs {
 				if !job.knowledge().done {
 					return false
@@ -71,7 +74,7 @@
 			return true
 		})
 		for _, job := range jobs {
-			sim.pollUntilDone(job) // by each node once more
+			sim.pollUntilDone(job) // query each node once more
 		}
 	})
 }
