--- a/internal/controller/guards_owner_handover_test.go
+++ b/internal/controller/guards_owner_handover_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	records, ok := o.readContinuedJobs(o.t.Context(), events.Events, o.recordsRead)
+	records, ok := o.readHandedOverJobs(o.t.Context(), events.Events, o.recordsRead)
 	if !ok {
 		o.t.Fatal("the leader's records were not read")
 	}
--- a/internal/controller/unserved_jobs_test.go
+++ b/internal/controller/unserved_jobs_test.go
@@ -20,7 +20,7 @@
 	}
 	var page bytes.Buffer
 	w.leader().runningNode().Metrics.Write(&page)
-	_, value, _ := strings.Cut(page.String(), unservedJobs+" ")
+	_, value, _ := strings.Cut(page.String(), unservedJobsGauge+" ")
 	return strings.TrimSpace(value)
 }
 
@@ -58,7 +58,7 @@
 	var out bytes.Buffer
 	leader.log = slog.New(slog.NewTextHandler(&out, nil))
 	leader.logWaitReason(leader.cluster.Jobs["j-000000"], 0)
-	leader.describeServingSide = func(*cluster.Job) string { return "none: zones" }
+	leader.describeEligibleOwners = func(*cluster.Job) string { return "none: zones" }
 	leader.logWaitReason(leader.cluster.Jobs["j-000000"], 0)
 	withoutShards, withShards, _ := strings.Cut(out.String(), "\n")
 	if strings.Contains(withoutShards, "side=") || !strings.Contains(withShards, `side="none: zones"`) {
