--- a/internal/controller/job_transfers_test.go
+++ b/internal/controller/job_transfers_test.go
@@ -555,7 +555,7 @@
 	left := retainedRecords("owner", owner.controlLoop)
 	for name, count := range map[string]int{
 		"assignments": len(owner.assignments), "assignedAt": len(owner.assignedAt), "recalled": len(owner.recalled),
-		"copies": len(owner.copies), "held": len(owner.suspended),
+		"copies": len(owner.copies), "suspended": len(owner.suspended),
 		"cancelling": len(owner.cancelling), "finished": len(owner.finished), "jobs": len(owner.cluster.Jobs),
 	} {
 		if count > 0 {
