--- a/internal/controller/bad_input_test.go
+++ b/internal/controller/bad_input_test.go
@@ -13,9 +13,9 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// threeNodes is a leader, a node that follows it, and one that the store refuses.
-func (b *testCluster) threeNodes() map[string]*Node {
-	leader, _ := b.startLeaderWithGateOpen("n-0", withLongLease)
+// startLeaderFollowerAndRefusedNode is a leader, a node that follows it, and one that the store refuses.
+func (b *testCluster) startLeaderFollowerAndRefusedNode() map[string]*Node {
+	leader, _ := b.startLeaderWithFormatGateOpen("n-0", withLongLease)
 	addr := b.servePeer(leader)
 	beside := func(name string, refused bool) *Node {
 		node, _ := b.startNodeWith(name, func(node *Node) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// submissionWith is a submission of a gang with a field changed, or left out.
-func submissionWith(id, field string, v any) []byte {
+// submissionWithField is a submission of a gang with a field changed, or left out.
+func submissionWithField(id, field string, v any) []byte {
 	var m map[string]any
 	if err := wire.Unmarshal(submission(id, wire.Gang), &m); err != nil {
 		panic(err)
@@ -50,9 +50,9 @@
 	return wire.MustMarshal(m)
 }
 
-type omitted struct{}
+type omittedField struct{}
 
-var absentField any = omitted{}
+var absentField any = omittedField{}
 
 // malformedSubmissions are submissions that are malformed whatever the state of the site.
 func malformedSubmissions() map[string][]byte {
@@ -62,7 +62,7 @@
 	}
 	add := func(field string, values map[string]any) {
 		for why, value := range values {
-			out[field+" "+why] = submissionWith("j-1", field, value)
+			out[field+" "+why] = submissionWithField("j-1", field, value)
 		}
 	}
 	for _, f := range []string{"nameId", "jobclass", "outfit", "shape", "rank", "bundle"} {
@@ -97,14 +97,14 @@
 // infeasibleSubmissions are well-formed submissions of jobs that can never run.
 func infeasibleSubmissions() map[string][]byte {
 	return map[string][]byte{
-		"unknown team":                 submissionWith("j-1", "outfit", "nobody"),
-		"too large":                    submissionWith("j-1", "vcpus", 5),
-		"no such zone":                 submissionWith("j-1", "yard", "mars"),
-		"no such type":                 submissionWith("j-1", "rigs", []any{"none"}),
-		"no type":                      submissionWith("j-1", "rigs", []any{}),
-		"over the limit":               submissionWith("j-1", "pieces", 17),
-		"awaits what nobody submitted": submissionWith("j-1", "awaits", []any{"j-404"}),
-		"awaits itself":                submissionWith("j-1", "awaits", []any{"j-1"}),
+		"unknown team":                 submissionWithField("j-1", "outfit", "nobody"),
+		"too large":                    submissionWithField("j-1", "vcpus", 5),
+		"no such zone":                 submissionWithField("j-1", "yard", "mars"),
+		"no such type":                 submissionWithField("j-1", "rigs", []any{"none"}),
+		"no type":                      submissionWithField("j-1", "rigs", []any{}),
+		"over the limit":               submissionWithField("j-1", "pieces", 17),
+		"awaits what nobody submitted": submissionWithField("j-1", "awaits", []any{"j-404"}),
+		"awaits itself":                submissionWithField("j-1", "awaits", []any{"j-1"}),
 	}
 }
 
@@ -118,7 +118,7 @@
 
 func TestInvalidSubmissionsAreRejectedAtEveryNode(t *testing.T) {
 	env := newTestCluster(t)
-	nodes := env.threeNodes()
+	nodes := env.startLeaderFollowerAndRefusedNode()
 	for name, node := range nodes {
 		for why, body := range malformedSubmissions() {
 			if reply := node.Submit(body); reply.Status != 400 {
@@ -135,7 +135,7 @@
 	for _, field := range []string{"rigs", "yard", "dueS", "awaits"} {
 		for why, value := range map[string]any{"left out": absentField, "null": nil} {
 			for name, node := range nodes {
-				if reply := node.Submit(submissionWith("j-1", field, value)); reply.Status != 201 && reply.Status != 200 {
+				if reply := node.Submit(submissionWithField("j-1", field, value)); reply.Status != 201 && reply.Status != 200 {
 					t.Errorf("%s: %s %s: status %d", name, field, why, reply.Status)
 				}
 			}
@@ -146,9 +146,9 @@
 // Whether a job that can't run now is the repeat of one that was accepted under
 // other limits, only the store knows: without it, none is refused for good, and
 // none taken. What is malformed was never accepted.
-func TestInvalidSubmissionsInAnOutage(t *testing.T) {
+func TestInfeasibleSubmissionsAreDeferredDuringAStoreOutage(t *testing.T) {
 	env := newTestCluster(t)
-	nodes := env.threeNodes()
+	nodes := env.startLeaderFollowerAndRefusedNode()
 	env.store.SetOutage(true)
 	check := func(when string) {
 		for name, node := range nodes {
@@ -170,7 +170,7 @@
 	env.checkNothingStored()
 }
 
-func TestInvalidSubmissionsWithoutALeader(t *testing.T) {
+func TestInvalidSubmissionsAreRejectedWithoutALeader(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith("n-1", func(node *Node) { node.election.SuspendCampaign(10 * micro.Minute) })
 	for why, body := range malformedSubmissions() {
@@ -195,9 +195,9 @@
 
 // The limits were lowered, and the machine types replaced, after a job was
 // accepted: its repeat is still one.
-func TestRepeatedSubmissionIsNeverRejectedWhateverChangedSince(t *testing.T) {
+func TestRepeatedSubmissionIsAcceptedAfterConfigurationChanges(t *testing.T) {
 	env := newTestCluster(t)
-	nodes := env.threeNodes()
+	nodes := env.startLeaderFollowerAndRefusedNode()
 	for id, body := range map[string][]byte{"j-1": submission("j-1", wire.Gang), "j-2": dependentSubmission("j-2", "j-1")} {
 		if reply := nodes["leader"].Submit(body); id == "j-1" && reply.Status != 201 {
 			t.Fatalf("%+v", reply)
--- a/internal/controller/failing_jobs_test.go
+++ b/internal/controller/failing_jobs_test.go
@@ -11,8 +11,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// changeCount counts the changes of the store whose key begins so.
-func (w *simCluster) changeCount(prefix string) int {
+// storeChangeCount counts the changes of the store whose key begins so.
+func (w *simCluster) storeChangeCount(prefix string) int {
 	ev, err := w.store.Watch(w.ctx, prefix, 0, 0)
 	if err != nil {
 		w.t.Fatal(err)
@@ -20,8 +20,8 @@
 	return len(ev.Events)
 }
 
-// schedulingPasses is how often the process looked for capacity.
-func (p *controllerProcess) schedulingPasses() int {
+// schedulingPassCount is how often the process looked for capacity.
+func (p *controllerProcess) schedulingPassCount() int {
 	var b strings.Builder
 	p.runningNode().Metrics.Write(&b)
 	for line := range strings.Lines(b.String()) {
@@ -36,7 +36,7 @@
 // Jobs submitted with a mistake, many at once and one of thousands of tasks, cost
 // so many starts, records, instance requests and passes, whatever their number of tasks;
 // another team's work is served beside them, and they are cancelled like any.
-func TestManyJobsThatFailOnEveryMachineCostLittle(t *testing.T) {
+func TestJobsThatFailOnEveryMachineUseBoundedResources(t *testing.T) {
 	const (
 		singles = 60
 		span    = 3 * micro.Minute
@@ -76,7 +76,7 @@
 		machines, _ := sim.instanceCounts()
 		passes := 0
 		for _, controller := range sim.controllers {
-			passes += controller.schedulingPasses()
+			passes += controller.schedulingPassCount()
 		}
 		mu.Lock()
 		most, all := 0, 0
@@ -85,7 +85,7 @@
 		}
 		hugeStarts := starts[huge.id]
 		mu.Unlock()
-		records, hugeRecords := sim.changeCount("run/"), sim.changeCount("run/"+huge.id+"/")
+		records, hugeRecords := sim.storeChangeCount("run/"), sim.storeChangeCount("run/"+huge.id+"/")
 		t.Logf(
 			"%d starts of %d jobs, %d at most of one, %d of the huge one; %d changes of records, %d of the huge one's; %d machines rented, %d passes; good work took %.1f s at most",
 			all,
--- a/internal/controller/final_status_cache_test.go
+++ b/internal/controller/final_status_cache_test.go
@@ -27,7 +27,7 @@
 // Users may ask for over jobs at any later time and as often as they like: each
 // is read from the store once, whatever else is kept is bounded, and what had to
 // go is read again.
-func TestFinalStatusesAreReadOnceAndCachedWithinABound(t *testing.T) {
+func TestFinalStatusesAreReadOnceAndCacheIsBounded(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith("n-0", func(node *Node) { node.election.SuspendCampaign(1 << 50) })
 	reads := 0
--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -124,11 +124,11 @@
 		}},
 		{"starts' answers lost", func(sim *simCluster, leader *controllerProcess) func() bool {
 			sim.onCommit(leader, "run/", func(n int, _ wire.Change) fake.CommitFault { return fake.CommitFault{Unanswered: n%2 == 1} })
-			return func() bool { return sim.checker.startsSoFar() > 0 }
+			return func() bool { return sim.checker.totalStartCount() > 0 }
 		}},
 		{"slow store", func(sim *simCluster, leader *controllerProcess) func() bool {
 			sim.slowStore(700*micro.Millisecond, 30*micro.Second)
-			return func() bool { return sim.checker.startsSoFar() > 0 }
+			return func() bool { return sim.checker.totalStartCount() > 0 }
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -198,12 +198,12 @@
 	}
 }
 
-// startsSoFar is how many tasks began so far.
-func (c *checker) startsSoFar() int { c.mu.Lock(); defer c.mu.Unlock(); return c.startCount }
+// totalStartCount is how many tasks began so far.
+func (c *checker) totalStartCount() int { c.mu.Lock(); defer c.mu.Unlock(); return c.startCount }
 
 // There is more work than capacity, and store and agents are slow to answer. Urgent
 // jobs take the place of others without ever meeting them there.
-func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
+func TestJobsFinishWhenDemandExceedsCapacityOverSlowLinks(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -263,10 +263,10 @@
 
 // One-task jobs come four a second, a quarter of them cancelled, and the store
 // takes few changes. All the while users are answered; little is left behind.
-func TestStreamOfSmallJobsUnderALimitOnWrites(t *testing.T) {
+func TestSmallJobStreamStaysWithinStoreWriteLimit(t *testing.T) {
 	// The lower one is all that the stream needs at its four changes a job.
 	for _, most := range []float64{30, 16} {
-		t.Run(fmt.Sprint(most, " changes a second"), func(t *testing.T) { runStreamUnderWriteLimit(t, most) })
+		t.Run(fmt.Sprint(most, " changes a second"), func(t *testing.T) { runJobStreamUnderWriteLimit(t, most) })
 	}
 }
 
@@ -291,7 +291,7 @@
 	return byKind, len(events.Events)
 }
 
-func runStreamUnderWriteLimit(t *testing.T, changes float64) {
+func runJobStreamUnderWriteLimit(t *testing.T, changes float64) {
 	const (
 		stream               = 2 * micro.Minute
 		latestCancel         = 6 * micro.Second // after a job's submission
@@ -395,7 +395,7 @@
 
 // Jobs bound to a zone, by name or because all their tasks go together, lose
 // machines again and again, once all of a zone, and once with the leader.
-func TestJobsBoundToOneZoneLoseMachines(t *testing.T) {
+func TestZoneBoundJobsFinishDespiteMachineLosses(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -465,7 +465,7 @@
 				)
 			}
 			sim.waitUntil(
-				"four run", micro.Minute, func() bool { return len(sim.liveMachines()) >= 4 && sim.checker.startsSoFar() >= 4 },
+				"four run", micro.Minute, func() bool { return len(sim.liveMachines()) >= 4 && sim.checker.totalStartCount() >= 4 },
 			)
 			for _, machine := range sim.liveMachines() {
 				machine.terminate()
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -176,14 +176,14 @@
 
 func (f *largeFleet) failOver() {
 	f.t.Helper()
-	old, starts := f.waitForLeader(), f.checker.startsSoFar()
+	old, starts := f.waitForLeader(), f.checker.totalStartCount()
 	reads, commits, changes := f.storeUsageOf(func() {
 		f.restartController(old, 8*micro.Second)
 		f.waitForNextLeader(old)
 		f.sleep(micro.Minute)
 	})
 	f.t.Logf("takeover: %d reads, %d transactions, %d changes in the minute after", reads, commits, changes)
-	if began := f.checker.startsSoFar() - starts; began != 0 || f.checker.runningTasks() != f.machines {
+	if began := f.checker.totalStartCount() - starts; began != 0 || f.checker.runningTasks() != f.machines {
 		f.t.Errorf("%d tasks began anew, %d of %d run", began, f.checker.runningTasks(), f.machines)
 	}
 	if most := int64(f.machines) / 10; reads > most {
--- a/internal/controller/golden_calls_test.go
+++ b/internal/controller/golden_calls_test.go
@@ -16,15 +16,15 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedPeers notes the calls to other nodes, and answers each with the same body.
-type recordedPeers struct {
+// peerCallRecorder notes the calls to other nodes, and answers each with the same body.
+type peerCallRecorder struct {
 	mu     sync.Mutex
 	calls  []string // node, path and body of each
 	status int
 	answer string // in hexadecimal
 }
 
-func (p *recordedPeers) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
+func (p *peerCallRecorder) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
 	out, err := hex.DecodeString(p.answer)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +33,7 @@
 }
 
 // last is the latest call; "": none.
-func (p *recordedPeers) last() string {
+func (p *peerCallRecorder) last() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.calls) == 0 {
@@ -42,8 +42,8 @@
 	return p.calls[len(p.calls)-1]
 }
 
-// followerOf makes a node that takes n-1 for the leader and has its calls recorded.
-func (b *testCluster) followerOf(peers *recordedPeers) *Node {
+// startFollowerOfRecordedLeader makes a node that takes n-1 for the leader and has its calls recorded.
+func (b *testCluster) startFollowerOfRecordedLeader(peers *peerCallRecorder) *Node {
 	b.t.Helper()
 	_, err := b.store.Commit(context.Background(), store.Leadership, wire.Transaction{
 		Then: []wire.Change{{Put: election.LeaderKey, Value: election.Record{Node: "n-1"}}},
@@ -67,7 +67,7 @@
 
 // Nodes of two builds call each other: the bodies, and the answers, stay as they are. Those
 // of the calls that are made for users alone are in package jobapi.
-func TestCallsBetweenNodesKeepTheirBytes(t *testing.T) {
+func TestPeerRequestsKeepTheirEncoding(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -103,8 +103,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			env := newTestCluster(t)
-			peers := &recordedPeers{status: c.status, answer: c.answer}
-			n := env.followerOf(peers)
+			peers := &peerCallRecorder{status: c.status, answer: c.answer}
+			n := env.startFollowerOfRecordedLeader(peers)
 			env.store.SetOutage(true)
 			if got := fmt.Sprintf("%+v", c.ask(n)); got != c.got {
 				t.Errorf("the answer is taken for %s, want %s", got, c.got)
@@ -118,9 +118,9 @@
 
 // What a node answers when it is asked. Calls that are made for users alone are in package
 // jobapi.
-func TestAnswersBetweenNodesKeepTheirBytes(t *testing.T) {
+func TestPeerResponsesKeepTheirEncoding(t *testing.T) {
 	env := newTestCluster(t)
-	n := env.followerOf(&recordedPeers{})
+	n := env.startFollowerOfRecordedLeader(&peerCallRecorder{})
 	_, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{
 		Then: []wire.Change{{Put: "job/j-1/spec", Value: "any"}},
 	})
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // The next leader, of this build or another, reads what this one wrote.
-func TestRecordsOfTheFleetKeepTheirBytes(t *testing.T) {
+func TestStoredRecordsKeepTheirEncoding(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -20,10 +20,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// nextLimits are limits that are announced in the settings, as the store enforces them.
-var nextLimits = fake.Limits{ValueBytes: 2 << 10, TxnOps: 4, WriteRPS: 400}
+// loweredLimits are limits that are announced in the settings, as the store enforces them.
+var loweredLimits = fake.Limits{ValueBytes: 2 << 10, TxnOps: 4, WriteRPS: 400}
 
-func withAnnouncedLimits(n *Node) {
+func announceLoweredLimits(n *Node) {
 	s := &n.Cfg.Facts.State
 	s.Next.ValueKB, s.Next.TxnOps, s.Next.WriteRPS = 2, 4, 400
 	n.Cfg.Facts.Teams[0].CPUsMax = 0
@@ -31,7 +31,7 @@
 
 // The store lowers its limits without notice, while a job begun under the
 // earlier version, with records far over the new limit, still runs.
-func TestLimitsAreLoweredWithoutNoticeAndNothingIsRefused(t *testing.T) {
+func TestNoRequestExceedsStoreLimitsLoweredWithoutNotice(t *testing.T) {
 	env := newTestCluster(t)
 	env.cloud = fake.NewCloud(
 		40,
@@ -46,11 +46,11 @@
 		)
 	}
 	env.storeVersion1Job(t, places...)
-	if size := wire.JSONSize(cluster.ChunkRecord{Allocations: places}); size <= nextLimits.ValueBytes {
+	if size := wire.JSONSize(cluster.ChunkRecord{Allocations: places}); size <= loweredLimits.ValueBytes {
 		t.Fatalf("%d bytes are no large record", size)
 	}
-	node, kill := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
-	env.store.SetLimits(nextLimits)
+	node, kill := env.startLeaderWithFormatGateOpen("n-0", announceLoweredLimits)
+	env.store.SetLimits(loweredLimits)
 	body := func(id string, tasks int) []byte {
 		var fields map[string]any
 		if err := wire.Unmarshal(submission(id, wire.JobArray), &fields); err != nil {
@@ -140,10 +140,10 @@
 	waitUntil(t, "logged too", func() bool { return log.count("job/j-2/end") > 0 })
 }
 
-func TestPreconditionsOfOneRequestFitTheSmallerLimit(t *testing.T) {
+func TestSubmissionPreconditionsFitLoweredTransactionLimit(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
-	env.store.SetLimits(nextLimits)
+	node, _ := env.startLeaderWithFormatGateOpen("n-0", announceLoweredLimits)
+	env.store.SetLimits(loweredLimits)
 	var needs []string
 	for i := range 50 {
 		id := fmt.Sprint("j-", 100+i)
@@ -161,9 +161,9 @@
 }
 
 // Instance requests name up to fifty machines.
-func TestRecordsOfTheFleetFitTheSmallerLimit(t *testing.T) {
+func TestInstanceAndImageRecordsFitLoweredValueLimit(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startLeaderWithGateOpen("n-0", withAnnouncedLimits)
+	node, _ := env.startLeaderWithFormatGateOpen("n-0", announceLoweredLimits)
 	leader := newLeader(node, node.activeLeader().term)
 	leader.cluster.EnableCompactRecords(64)
 	rec := provision.InstanceRequestRecord{
@@ -189,7 +189,7 @@
 	returning := rec
 	returning.Machines, returning.Terminating = rec.Machines[:10], rec.Machines[10:]
 	for _, value := range []any{rec, returning, images, persist.FormatRecord{Version: persist.FormatVersion, TasksPerChunk: 64}} {
-		if size := wire.JSONSize(value); size > nextLimits.ValueBytes-persist.ValueMargin {
+		if size := wire.JSONSize(value); size > loweredLimits.ValueBytes-persist.ValueMargin {
 			t.Errorf("%T takes %d bytes", value, size)
 		}
 	}
@@ -221,7 +221,7 @@
 
 // Every third answer of the store was lost, and each start waited for the time-out
 // of a write that was none of its own.
-func TestOneLateAnswerBlocksNoOtherKey(t *testing.T) {
+func TestDelayedCommitResponseBlocksNoOtherKey(t *testing.T) {
 	env := newTestCluster(t)
 	s := blockingStore{nil, "hire/r-0", make(chan struct{}), make(chan struct{}, 1)}
 	node, _ := env.startNodeWith("n-0", func(node *Node) {
--- a/internal/controller/partial_services_test.go
+++ b/internal/controller/partial_services_test.go
@@ -61,7 +61,7 @@
 }
 
 // A service placed in part loses the replicas that it has for a side that has no capacity either.
-func TestServicePlacedInPartKeepsItsReplicasUnlessAllFitTheOtherSide(t *testing.T) {
+func TestPartiallyPlacedServiceKeepsItsReplicasUnlessAllFitTheOtherOwner(t *testing.T) {
 	for name, selector := range map[string]shard.Selector{"at the leader": onDemand, "in a shard": spotOnly} {
 		t.Run(name, func(t *testing.T) {
 			runPartialService(t, selector, false, func(sim *simCluster, service *userJob) {
--- a/internal/controller/peer_backoff_test.go
+++ b/internal/controller/peer_backoff_test.go
@@ -20,7 +20,7 @@
 // runs took 0.02 s, no call was out for a millisecond, and the trace of the calls ends in
 // "/peer/exist ... peer: no answer" from before the address was there. The time limit of 500 ms,
 // which was suspected, was reached in no run.
-func TestNodeRefusedByTheStoreAsksItsPeersAgain(t *testing.T) {
+func TestNodeRefusedByTheStoreRetriesPeersThatTimedOut(t *testing.T) {
 	runScenario(t, 1, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
 		refused := others[0]
@@ -45,18 +45,18 @@
 		if reply := job.submitOnce(refused); reply.Status != http.StatusCreated && reply.Status != http.StatusOK {
 			sim.t.Errorf("with peers that answer: %+v", reply)
 		}
-		if took := sim.now() - from; took > acceptedWithinAim {
+		if took := sim.now() - from; took > submissionLatencyTarget {
 			sim.t.Errorf("answered after %v", took.Duration())
 		}
 	})
 }
 
-// acceptedWithinAim is within what time submissions are to be accepted.
-const acceptedWithinAim = 200 * micro.Millisecond
+// submissionLatencyTarget is within what time submissions are to be accepted.
+const submissionLatencyTarget = 200 * micro.Millisecond
 
 // The leader holds the user of a cancellation while the tasks end. Asked by another node, it
 // answers before that one gives up: else the leader counts as out of reach there.
-func TestPendingCancellationDoesNotPutTheLeaderOutOfReach(t *testing.T) {
+func TestPendingCancellationDoesNotMarkTheLeaderUnreachable(t *testing.T) {
 	runScenario(t, 2, 3, nil, func(sim *simCluster) {
 		leader, others := sim.waitForRestoredLeader()
 		refused := others[0]
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -12,7 +12,7 @@
 
 // What other nodes, also those of the version before, are answered to calls that cannot be
 // served: the statuses are a fixed format.
-func TestPeerCallsThatCannotBeServedGetTheirStatuses(t *testing.T) {
+func TestPeerCallsThatCannotBeServedReturnFixedStatuses(t *testing.T) {
 	env := newTestCluster(t)
 	leader, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil && leader.activeLeader().serving.Load() })
--- a/internal/controller/pipeline_test.go
+++ b/internal/controller/pipeline_test.go
@@ -28,8 +28,8 @@
 	return wire.MustMarshal(m)
 }
 
-// startLeaderWithGateOpen is a leading node with the gate open.
-func (b *testCluster) startLeaderWithGateOpen(name string, set func(*Node)) (*Node, func()) {
+// startLeaderWithFormatGateOpen is a leading node with the gate open.
+func (b *testCluster) startLeaderWithFormatGateOpen(name string, set func(*Node)) (*Node, func()) {
 	n, kill := b.startNodeWith(name, set)
 	waitUntil(b.t, "leading", func() bool { return n.activeLeader() != nil })
 	waitUntil(b.t, "open", func() bool { n.formatGate.Check(context.Background()); return n.formatGate.FormatOpen() })
@@ -38,7 +38,7 @@
 
 func TestPipelineRunsStageByStage(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startLeaderWithGateOpen("n-0", func(*Node) {})
+	node, _ := env.startLeaderWithFormatGateOpen("n-0", func(*Node) {})
 	for _, s := range [][]byte{submission("j-1", wire.JobArray), dependentSubmission("j-2", "j-1", "j-1"), dependentSubmission("j-3", "j-1", "j-2"), dependentSubmission("j-4")} {
 		if reply := node.Submit(s); reply.Status != 201 {
 			t.Fatalf("%+v", reply)
@@ -68,7 +68,7 @@
 
 func TestDependenciesMustHaveBeenAccepted(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startLeaderWithGateOpen("n-0", func(*Node) {})
+	node, _ := env.startLeaderWithFormatGateOpen("n-0", func(*Node) {})
 	node.Submit(submission("j-1", wire.JobArray))
 	if reply := node.Submit(dependentSubmission("j-2", "j-1")); reply.Status != 201 {
 		t.Fatalf("%+v", reply)
@@ -124,12 +124,12 @@
 
 // A list of awaited jobs that is longer than a value: none of it may get lost, or
 // the job would start too early.
-func TestLongListOfDependenciesIsStoredAndReadWhole(t *testing.T) {
+func TestDependencyListLargerThanAValueIsRestoredInFull(t *testing.T) {
 	env := newTestCluster(t)
 	small := func(node *Node) {
 		node.Cfg.Facts.State.Next.ValueKB, node.Cfg.Facts.State.Next.TxnOps = 2, 4
 	}
-	node, kill := env.startLeaderWithGateOpen("n-0", small)
+	node, kill := env.startLeaderWithFormatGateOpen("n-0", small)
 	env.store.SetLimits(fake.Limits{ValueBytes: 2 << 10, TxnOps: 4})
 	var ids []string
 	var then []wire.Change
@@ -158,7 +158,7 @@
 		t.Fatalf("%d requests over the limits", env.store.MalformedCount)
 	}
 	kill()
-	restarted, _ := env.startLeaderWithGateOpen("n-1", small)
+	restarted, _ := env.startLeaderWithFormatGateOpen("n-1", small)
 	leader := restarted.activeLeader()
 	unmet := func() int {
 		got := make(chan int, 1)
@@ -180,10 +180,10 @@
 // The leader ends after the cancellation is stored and before what needs the job is:
 // the next one finishes it, at few changes a transaction; a node that reads the
 // store says the same meanwhile.
-func TestCancellationCascadesToDependentsAcrossAChangeOfLeader(t *testing.T) {
+func TestCancellationCascadesToDependentsAcrossFailover(t *testing.T) {
 	env := newTestCluster(t)
 	narrow := func(node *Node) { node.Cfg.Facts.State.Next.TxnOps = 4 }
-	node, kill := env.startLeaderWithGateOpen("n-0", narrow)
+	node, kill := env.startLeaderWithFormatGateOpen("n-0", narrow)
 	node.Submit(submission("j-0", wire.Service))
 	for i := 1; i <= 30; i++ {
 		if reply := node.Submit(dependentSubmission(fmt.Sprint("j-", i), fmt.Sprint("j-", i-1))); reply.Status != 201 {
@@ -214,7 +214,7 @@
 		t.Fatalf("nobody cancelled it: %q", got)
 	}
 	env.store.SetLimits(fake.Limits{TxnOps: 4})
-	next, _ := env.startLeaderWithGateOpen("n-2", narrow)
+	next, _ := env.startLeaderWithFormatGateOpen("n-2", narrow)
 	for i := 1; i <= 30; i++ {
 		waitUntil(t, "aborted", func() bool {
 			_, err := env.store.Get(context.Background(), store.Routine, keys.JobEnd(fmt.Sprint("j-", i)))
@@ -235,7 +235,7 @@
 
 func TestWaitingJobCanBeCancelled(t *testing.T) {
 	env := newTestCluster(t)
-	n, _ := env.startLeaderWithGateOpen("n-0", func(*Node) {})
+	n, _ := env.startLeaderWithFormatGateOpen("n-0", func(*Node) {})
 	n.Submit(submission("j-9", wire.Service))
 	n.Submit(dependentSubmission("j-10", "j-9"))
 	n.Submit(dependentSubmission("j-11", "j-10"))
@@ -266,7 +266,7 @@
 
 // The end of a job is stored, and its writer does not know it yet. Another node
 // has read it and told the user, who then asks the leader.
-func TestLeaderDoesNotAnswerFromMemoryWhileAnEndIsInFlight(t *testing.T) {
+func TestLeaderReportsStoredFinalStatusWhileItsWriteIsUncertain(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNodeWith(
 		"n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, keys.JobEnd("j-1")} },
@@ -313,7 +313,7 @@
 
 // The leader looked for an end whose write had no answer, and did not find it: the
 // write was held up, and carried out after that look.
-func TestLeaderDoesNotAnswerFromMemoryOnceAnEndWasDelayed(t *testing.T) {
+func TestLeaderReportsFinalStatusThatWasExecutedLate(t *testing.T) {
 	env := newTestCluster(t)
 	d := heldWriteStore{nil, keys.JobEnd("j-1"), &sync.Mutex{}, &[]wire.Transaction{}, new(int)}
 	node, _ := env.startNodeWith("n-0", func(node *Node) {
@@ -342,9 +342,9 @@
 }
 
 // The same of a cancellation, and of what needs the cancelled job.
-func TestLeaderDoesNotCallPendingWhatAnEndInFlightAborts(t *testing.T) {
+func TestLeaderReportsDependentsAbortedWhileCancellationIsUncertain(t *testing.T) {
 	env := newTestCluster(t)
-	node, _ := env.startLeaderWithGateOpen(
+	node, _ := env.startLeaderWithFormatGateOpen(
 		"n-0", func(node *Node) { node.Store = unansweredKeyStore{node.Store, keys.JobEnd("j-1")} },
 	)
 	node.Submit(submission("j-1", wire.Service))
@@ -363,9 +363,9 @@
 
 // An old leader's last copy of a cancellation, and its last task's completion, race:
 // whichever end is created first is the only one, for what awaits the job too.
-func TestLateDuplicateOfAnEndDecidesNothingTwice(t *testing.T) {
+func TestLateDuplicateFinalStatusIsIgnored(t *testing.T) {
 	env := newTestCluster(t)
-	node, kill := env.startLeaderWithGateOpen("n-0", func(*Node) {})
+	node, kill := env.startLeaderWithFormatGateOpen("n-0", func(*Node) {})
 	node.Submit(submission("j-1", wire.JobArray))
 	node.Submit(dependentSubmission("j-2", "j-1"))
 	guard := node.activeLeader().term.Precondition()
@@ -375,7 +375,7 @@
 		If:   []wire.Precondition{guard, {Key: keys.JobEnd("j-1")}},
 		Then: []wire.Change{{Put: keys.JobEnd("j-1"), Value: cluster.FinalStatusRecord{State: wire.JobAborted}}},
 	})
-	next, _ := env.startLeaderWithGateOpen("n-1", func(*Node) {})
+	next, _ := env.startLeaderWithFormatGateOpen("n-1", func(*Node) {})
 	stop := make(chan struct{})
 	defer close(stop)
 	go env.runAgents(next, stop)
--- a/internal/controller/retention_test.go
+++ b/internal/controller/retention_test.go
@@ -44,14 +44,14 @@
 		if knows() {
 			t.Error("a late copy of its acceptance brought it back")
 		}
-		if sim.runRecordCount(job.id) != 0 {
+		if sim.chunkRecordCount(job.id) != 0 {
 			t.Error("it was forgotten before its records were deleted")
 		}
 	})
 }
 
-// runRecordCount is how many records of a job's tasks the store holds.
-func (w *simCluster) runRecordCount(id string) int {
+// chunkRecordCount is how many records of a job's tasks the store holds.
+func (w *simCluster) chunkRecordCount(id string) int {
 	p, err := w.store.Range(w.ctx, 0, keys.ChunkPrefixFor(id), "", 1000)
 	if err != nil {
 		w.t.Error(err)
@@ -60,7 +60,7 @@
 }
 
 // A record that is yet to be deleted is the next leader's only word of an allocation.
-func TestJobWithAnOpenRecordIsNotPruned(t *testing.T) {
+func TestJobWithStoredChunkRecordIsNotPruned(t *testing.T) {
 	fleet := newFleet(t, 4)
 	job := fleet.leader.cluster.SortedMachines()[0].SortedAllocations()[0].Job
 	fleet.leader.cluster.FinalizeJob(job, true, fleet.now)
--- a/internal/controller/status_batcher_test.go
+++ b/internal/controller/status_batcher_test.go
@@ -15,7 +15,7 @@
 
 // Status queries for ids that the leader does not know take no turn of its loop, which has
 // the agents' reports to answer.
-func TestStatusQueriesForUnknownIDsTakeNoTurnOfTheLeader(t *testing.T) {
+func TestStatusQueriesForUnknownIDsBypassTheLeaderLoop(t *testing.T) {
 	runScenario(t, 5, 3, nil, func(sim *simCluster) {
 		leader, _ := sim.waitForRestoredLeader()
 		currentLeader := leader.runningNode().activeLeader()
@@ -34,7 +34,7 @@
 
 // A job that was over before the leader's term is answered from its memory, to
 // users and to other nodes: no status query for it reads the store.
-func TestLeaderAnswersForJobsThatWereOverBeforeItsTerm(t *testing.T) {
+func TestLeaderAnswersFromMemoryForJobsEndedBeforeItsTerm(t *testing.T) {
 	env := newTestCluster(t)
 	over := map[string]wire.JobState{"j-000001": wire.JobDone, "j-000002": wire.JobAborted}
 	var then []wire.Change
--- a/internal/controller/status_lookup_test.go
+++ b/internal/controller/status_lookup_test.go
@@ -62,7 +62,7 @@
 	nodeLimiter *rate.Limiter // the node's part
 }
 
-func (m *requestMeter) wrap(l *fake.Link) store.Store {
+func (m *requestMeter) wrapLink(l *fake.Link) store.Store {
 	l.SetDelay(storeLatency)
 	own := rate.NewLimiter(rate.Limit(m.rps/3), max(1, int(m.rps/3))) // full at first, as the real client's
 	return &rateLimitedStore{Link: l, meter: m, nodeLimiter: own}
@@ -215,7 +215,7 @@
 // A storm of status queries for unknown ids holds back no renewal, no write and no
 // submission, in calm, while the store refuses all, and while a leader is elected.
 // All look-ups together stay within the status queries' part of the store's limit.
-func TestStormOfStatusQueriesDelaysNothingElse(t *testing.T) {
+func TestStatusQueryStormDelaysNoOtherRequests(t *testing.T) {
 	const stormS = 20
 	for name, trouble := range map[string]func(sim *simCluster, leader *controllerProcess){
 		"calm": func(*simCluster, *controllerProcess) {},
@@ -232,7 +232,7 @@
 		t.Run(name, func(t *testing.T) {
 			meter := newRequestMeter(queryStormStoreRPS)
 			runScenario(t, 3, 3, func(sim *simCluster) {
-				sim.wrapStore = meter.wrap
+				sim.wrapStore = meter.wrapLink
 				sim.config.Facts.State.RPS = queryStormStoreRPS
 			}, func(sim *simCluster) {
 				leader, _ := sim.waitForRestoredLeader()
@@ -339,7 +339,7 @@
 
 // Beside nodes of the version before, a node that the store refuses still has
 // them read jobs for its status queries.
-func TestRefusedNodeAnswersStatusQueriesThroughPeersOfTheVersionBefore(t *testing.T) {
+func TestRefusedNodeAnswersStatusQueriesThroughPeersOfPreviousRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestCluster(t)
 		n, stop := env.startNodeWith("n-0", func(n *Node) {
@@ -366,10 +366,10 @@
 	return wire.Page{}, store.ErrBudgetExhausted
 }
 
-// A countingPeer counts the calls to it.
-type countingPeer struct{ calls atomic.Int64 }
+// A callCountingPeer counts the calls to it.
+type callCountingPeer struct{ calls atomic.Int64 }
 
-func (c *countingPeer) Call(context.Context, string, string, []byte, micro.Time) (int, []byte, error) {
+func (c *callCountingPeer) Call(context.Context, string, string, []byte, micro.Time) (int, []byte, error) {
 	c.calls.Add(1)
 	return 503, nil, nil
 }
@@ -378,7 +378,7 @@
 // other nodes, which have status queries of their own.
 func TestStatusQueriesOverTheBudgetAreNotRelayed(t *testing.T) {
 	env := newTestCluster(t)
-	peers := &countingPeer{}
+	peers := &callCountingPeer{}
 	node, stop := env.startNodeWith("n-0", func(node *Node) {
 		node.election.SuspendCampaign(1 << 50)
 		node.Store = exhaustedStore{env.store}
@@ -400,10 +400,10 @@
 // Jobs that were over before the leader took over are answered at every node, at
 // the first poll, whatever flood of unknown ids is under way: from the leader's
 // memory, without a read of the store.
-func TestFinishedJobsAreAnsweredInAFloodOfUnknownIDs(t *testing.T) {
+func TestFinishedJobsAreAnsweredDuringAStormOfUnknownIDs(t *testing.T) {
 	meter := newRequestMeter(queryStormStoreRPS)
 	runScenario(t, 4, 3, func(sim *simCluster) {
-		sim.wrapStore = meter.wrap
+		sim.wrapStore = meter.wrapLink
 		sim.fastBoot = true
 		sim.config.Facts.State.RPS = queryStormStoreRPS
 	}, func(sim *simCluster) {
@@ -442,13 +442,13 @@
 
 // While nobody leads, a finished job is read from the store within a bound, also
 // in a flood of unknown ids that uses up the status queries' budget again and again.
-func TestFinishedJobIsReadInAFloodWhileNobodyLeads(t *testing.T) {
+func TestFinishedJobIsReadDuringAStormWithoutALeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestCluster(t)
 		meter := newRequestMeter(queryStormStoreRPS)
 		node, stop := env.startNodeWith("n-0", func(node *Node) {
 			node.election.SuspendCampaign(1 << 50)
-			node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
+			node.Store = meter.wrapLink(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 			node.Cfg.Facts.State.RPS = queryStormStoreRPS
 		})
 		node.setBudgetFractions(0.3, 0.3)
@@ -485,7 +485,7 @@
 
 // A node that reads every job from the store, and may read far fewer than it is
 // queried for, answers for each of them in turn: none is left without an answer.
-func TestJobsTakeTurnsWhileTheLookupBudgetIsShort(t *testing.T) {
+func TestEveryJobIsAnsweredWhenLookupBudgetIsShort(t *testing.T) {
 	const (
 		jobs    = 80
 		every   = 5 * time.Second
@@ -496,7 +496,7 @@
 		meter := newRequestMeter(queryStormStoreRPS)
 		node, stop := env.startNodeWith("n-0", func(node *Node) {
 			node.election.SuspendCampaign(1 << 50)
-			node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
+			node.Store = meter.wrapLink(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 			node.Cfg.Facts.State.RPS = queryStormStoreRPS
 		})
 		node.setBudgetFractions(0.1, 0.1)
@@ -584,7 +584,7 @@
 	env := newTestCluster(t)
 	meter := newRequestMeter(0)
 	gate := gatedStore{
-		rateLimitedStore: meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1)))).(*rateLimitedStore),
+		rateLimitedStore: meter.wrapLink(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1)))).(*rateLimitedStore),
 		release:          make(chan struct{}),
 	}
 	n, stop := env.startNodeWith("n-0", func(n *Node) {
@@ -597,7 +597,7 @@
 
 // A look-up that has read that a job is unknown, and is slow to say so, must not
 // answer a status query that came after another node accepted the job.
-func TestStatusQuerySharesNoLookupBegunBeforeTheJobWasAccepted(t *testing.T) {
+func TestStatusQuerySharesNoLookupStartedBeforeAcceptance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env, node, _, gate := startGatedNode(t)
 		before, after := make(chan httpapi.Reply, 1), make(chan httpapi.Reply, 1)
@@ -618,7 +618,7 @@
 
 // The same for a read of a job that was accepted: what began before the job was
 // over must not answer a status query that came after another node said that it is.
-func TestStatusQuerySharesNoReadBegunBeforeTheJobWasOver(t *testing.T) {
+func TestStatusQuerySharesNoReadStartedBeforeTheJobEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env, node, _, gate := startGatedNode(t)
 		if _, err := env.store.Commit(
@@ -694,12 +694,12 @@
 }
 
 // What cannot be a job's id is denied without asking anyone, whoever asks.
-func TestMalformedIDsCostNothing(t *testing.T) {
+func TestMalformedIDsCauseNoStoreRequests(t *testing.T) {
 	env := newTestCluster(t)
 	meter := newRequestMeter(0)
 	node, stop := env.startNodeWith("n-0", func(node *Node) {
 		node.election.SuspendCampaign(1 << 50)
-		node.Store = meter.wrap(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
+		node.Store = meter.wrapLink(fake.NewLink(env.store, rand.New(rand.NewPCG(1, 1))))
 	})
 	defer stop()
 	for _, id := range []string{"", "j-", "j", "j-1x", "x-000001", "j-000001/../x", "J-000001", "j-0000 1", "j-٣"} {
@@ -716,7 +716,7 @@
 }
 
 // Status queries come last in what is left of a node's budget.
-func TestStatusQueriesComeLastInTheBudget(t *testing.T) {
+func TestStatusQueriesHaveLowestBudgetPriority(t *testing.T) {
 	for _, c := range []store.Class{store.Leadership, store.Urgent, store.Routine, store.Deferrable} {
 		lim := rate.NewLimiter(0, 100)
 		for store.Admit(lim, store.StatusQuery, 1) {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -37,7 +37,7 @@
 	v1Status            = "84a66e616d654964a86a2d303030343132a6737461747573a772756e6e696e67a4646f6e6503a772756e6e696e6702"
 )
 
-func decodeVersion1(t *testing.T, v1 string) []byte {
+func decodeHex(t *testing.T, v1 string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(v1)
 	if err != nil {
@@ -83,11 +83,11 @@
 
 // Until the gate is open, either version must find what it expects in what the
 // other writes: the bytes are the same, both ways.
-func TestFormsOfTheEarlierVersionAreReadAndWrittenAsTheyWere(t *testing.T) {
+func TestVersion1FormatsAreReadAndWrittenUnchanged(t *testing.T) {
 	for bytes, want := range version1Values() {
 		got := reflect.New(reflect.TypeOf(want))
 		if err := wire.Unmarshal(
-			decodeVersion1(t, bytes), got.Interface(),
+			decodeHex(t, bytes), got.Interface(),
 		); err != nil || fmt.Sprint(got.Elem().Interface()) == "" ||
 			!reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%T read as %+v, %v", want, got.Elem().Interface(), err)
@@ -99,7 +99,7 @@
 }
 
 // A size is measured in the form that the store counts: what it decodes, as JSON.
-func TestSizesAreMeasuredAsTheStoreCountsThem(t *testing.T) {
+func TestJSONSizeMatchesTheSizeThatTheStoreCounts(t *testing.T) {
 	all := version1Values()
 	all["compact"] = (&cluster.ChunkRecord{Allocations: []cluster.AllocationRecord{{Index: 1, Attempt: 2, Machine: "i-1", Session: 3, Zone: "east"}}, Done: [][2]int{{2, 3}}, Attempts: [][2]int{}}).Compact()
 	all["format"] = persist.FormatRecord{Version: 2, TasksPerChunk: 64}
@@ -124,9 +124,9 @@
 	}
 }
 
-// v1EndRecord and v1Job are the earlier version's types, as far as the new one has
+// v1FinalStatusRecord and v1Job are the earlier version's types, as far as the new one has
 // added to them.
-type v1EndRecord struct {
+type v1FinalStatusRecord struct {
 	State wire.JobState `msgpack:"state"`
 }
 
@@ -137,8 +137,8 @@
 	SubmittedAt int64    `msgpack:"at,omitempty"`
 }
 
-func TestEarlierVersionReadsPastWhatWasAdded(t *testing.T) {
-	var e v1EndRecord
+func TestVersion1IgnoresAddedFields(t *testing.T) {
+	var e v1FinalStatusRecord
 	if err := wire.Unmarshal(
 		wire.MustMarshal(cluster.FinalStatusRecord{State: wire.JobDone, EndedAt: 1700000000000000}), &e,
 	); err != nil ||
@@ -175,7 +175,7 @@
 }
 
 // An allocation that one version misses in the other's records runs twice.
-func TestRunningTasksOfTheEarlierVersionAreKnownBeforeAndAfterTheGateOpens(t *testing.T) {
+func TestRunningTasksOfVersion1AreKnownBeforeAndAfterTheFormatGateOpens(t *testing.T) {
 	env := newTestCluster(t)
 	var places []cluster.AllocationRecord
 	for i := range 100 {
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestGateOpensOnceAllNodesOfTheSettingsHaveAnnouncedAndStaysOpen(t *testing.T) {
+func TestFormatGateOpensOnceAllConfiguredNodesAnnouncedAndStaysOpen(t *testing.T) {
 	env := newTestCluster(t)
 	pair := func(other string) func(*Node) {
 		return func(node *Node) { node.Cfg.Peers = []config.Peer{{Node: other}} }
@@ -305,7 +305,7 @@
 
 // The other version answers a call that it does not know with 404: the store is
 // asked instead.
-func TestCallThatTheOtherVersionLacksHasAFallback(t *testing.T) {
+func TestUnsupportedPeerCallFallsBackToTheStore(t *testing.T) {
 	env := newTestCluster(t)
 	leader, _ := env.startNode("n-1")
 	waitUntil(t, "leading", func() bool { return leader.activeLeader() != nil })
