--- a/internal/controller/fleet_faults_test.go
+++ b/internal/controller/fleet_faults_test.go
@@ -456,7 +456,7 @@
 
 // All machines terminate at once, so no node receives heartbeats. A node must not blame its own network for that
 // indefinitely: leaders used to resign in turn, so that the machines were never declared lost and never replaced.
-func TestAllMachinesDieAndAreReplaced(t *testing.T) {
+func TestAllMachinesTerminateAndAreReplaced(t *testing.T) {
 	for seed := range uint64(3) {
 		runScenario(t, seed, 3+int(seed), func(sim *simCluster) { sim.fastBoot = true }, func(sim *simCluster) {
 			sim.waitForRestoredLeader()
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -25,12 +25,12 @@
 
 // Records and messages as encoded by version 1, in hexadecimal.
 const (
-	v1Spec              = "de0015a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a47465616da57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd0000000000000a467707573cb0000000000000000a572616d4762cb3ff0000000000000a662756e646c65a6696d672d3037a670756c6c4762cb3ff8000000000000a47269677391a5736d616c6ca479617264a465617374a76f6e655a6f6e65c3a773636174746572c2a76c6f616e657273c3a6677565737353cb406e000000000000a9626f6f6b6d61726b53cb403e000000000000a6737461736853cb4010000000000000a464756553cb408c200000000000a26174cf00060a24181e4000"
+	v1JobSpec           = "de0015a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a47465616da57368617065a8656e73656d626c65a472616e6ba6757267656e74a6706965636573ccc8a57663707573cb3fd0000000000000a467707573cb0000000000000000a572616d4762cb3ff0000000000000a662756e646c65a6696d672d3037a670756c6c4762cb3ff8000000000000a47269677391a5736d616c6ca479617264a465617374a76f6e655a6f6e65c3a773636174746572c2a76c6f616e657273c3a6677565737353cb406e000000000000a9626f6f6b6d61726b53cb403e000000000000a6737461736853cb4010000000000000a464756553cb408c200000000000a26174cf00060a24181e4000"
 	v1Chunk             = "83a1709295cc8202a8692d30303032333103a46561737495cc8301a8692d30303032333201a477657374a1649292cc80cc8192cc8cccc7a1749192cc8704"
-	v1End               = "81a57374617465a761626f72746564"
+	v1FinalStatus       = "81a57374617465a761626f72746564"
 	v1InstanceRequest   = "84a17285a468697265a5722d372d31a3726967a5736d616c6ca479617264a465617374a76c6f616e657273c3a5636f756e7402a16d92a8692d303030323331a8692d303030323332a161c3a26174cf00060a24181e4000"
-	v1First             = "81a16da8692d303030323331"
-	v1Leader            = "83a46e6f6465a36e2d30a56e6f6e6365a3414243a56c6561736507"
+	v1FirstProvisioned  = "81a16da8692d303030323331"
+	v1LeaderRecord      = "83a46e6f6465a36e2d30a56e6f6e6365a3414243a56c6561736507"
 	v1Images            = "83a16e91a6696d672d3037a16791cb3ff8000000000000a16d81a8692d3030303233319100"
 	v1LeaseProxyRequest = "83a16ea36e2d31a16582a17407a161cd3039a16bc3"
 	v1LeaseProxyEcho    = "82a17407a161cd3039"
@@ -51,7 +51,7 @@
 func version1Values() map[string]any {
 	due, zone := 900.0, "east"
 	return map[string]any{
-		v1Spec: wire.Job{
+		v1JobSpec: wire.Job{
 			ID: "j-000412", Class: "train", Team: "team", Kind: wire.Gang, Priority: wire.High, Tasks: 200, CPUs: 0.25,
 			MemoryGB: 1, Image: "img-07", ImageGB: 1.5, Types: []string{"small"}, Zone: &zone, OneZone: true, Spot: true,
 			EstimateS: 240, CheckpointIntervalS: 30, CheckpointDurationS: 4, DeadlineS: &due, SubmittedAt: 1700000000000000,
@@ -64,13 +64,13 @@
 			Done:     [][2]int{{128, 129}, {140, 199}},
 			Attempts: [][2]int{{135, 4}},
 		},
-		v1End: cluster.FinalStatusRecord{State: wire.JobAborted},
+		v1FinalStatus: cluster.FinalStatusRecord{State: wire.JobAborted},
 		v1InstanceRequest: provision.InstanceRequestRecord{
 			Request:  wire.InstanceRequest{RequestID: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2},
 			Machines: []string{"i-000231", "i-000232"}, Answered: true, CreatedAt: 1700000000000000,
 		},
-		v1First:  provision.FirstProvisionedRecord{Machine: "i-000231"},
-		v1Leader: election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
+		v1FirstProvisioned: provision.FirstProvisionedRecord{Machine: "i-000231"},
+		v1LeaderRecord:     election.Record{Node: "n-0", Nonce: "ABC", Lease: 7},
 		v1Images: cluster.ImageRecord{
 			Names: []string{"img-07"}, GB: []float64{1.5}, Machines: map[string][]int{"i-000231": {0}},
 		},
