--- a/internal/cluster/machine_history.go
+++ b/internal/cluster/machine_inactivity.go
@@ -2,8 +2,8 @@
 
 import "notchmux.dev/notchmux/internal/micro"
 
-// MachineHistory is what is known about machines from before this controller's term.
-type MachineHistory struct {
+// MachineInactivity is what is known about machines from before this controller's term.
+type MachineInactivity struct {
 	// RenewedAt is the time, by machine, at which the lease of the machine's agent may last have
 	// been renewed before the term. The lease of a machine without an entry may have been renewed
 	// until the term began.
@@ -21,23 +21,23 @@
 	return s.TermStartedAt
 }
 
-// ExportMachineHistory returns what a controller that takes over all machines of this one can rely
+// ExportMachineInactivity returns what a controller that takes over all machines of this one can rely
 // on: the last possible lease renewals of machines with allocations that send no heartbeats, and
 // the times since which other machines are idle.
-func (s *State) ExportMachineHistory() MachineHistory {
-	history := MachineHistory{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
+func (s *State) ExportMachineInactivity() MachineInactivity {
+	inactivity := MachineInactivity{RenewedAt: map[string]micro.Time{}, IdleSince: map[string]micro.Time{}}
 	for name, idleSince := range s.PreviousTerm.IdleSince {
 		if s.Machines[name] == nil {
-			history.IdleSince[name] = idleSince // its agent has not sent a heartbeat in this term
+			inactivity.IdleSince[name] = idleSince // its agent has not sent a heartbeat in this term
 		}
 	}
 	for _, machine := range s.SortedMachines() {
 		switch {
 		case machine.State != Up && len(machine.Allocations) > 0:
-			history.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
+			inactivity.RenewedAt[machine.Name] = max(machine.LeaseRenewedAt, s.lastRenewalBeforeTerm(machine))
 		case machine.State == Up && len(machine.Allocations) == 0:
-			history.IdleSince[machine.Name] = machine.IdleSince
+			inactivity.IdleSince[machine.Name] = machine.IdleSince
 		}
 	}
-	return history
+	return inactivity
 }
