--- a/internal/controller/golden_calls_test.go
+++ b/internal/controller/golden_calls_test.go
@@ -16,15 +16,15 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedPeers notes the calls to other nodes, and answers each with the same body.
-type recordedPeers struct {
+// peerCallRecorder records the calls to peers, and answers each with the same status and body.
+type peerCallRecorder struct {
 	mu     sync.Mutex
-	calls  []string // node, path and body of each
+	calls  []string // node, path and hexadecimal body of each call
 	status int
-	answer string // in hexadecimal
+	answer string // response body, in hexadecimal
 }
 
-func (p *recordedPeers) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
+func (p *peerCallRecorder) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
 	out, err := hex.DecodeString(p.answer)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,8 +32,8 @@
 	return p.status, out, err
 }
 
-// last is the latest call; "": none.
-func (p *recordedPeers) last() string {
+// last returns the latest call, or "" if there was none.
+func (p *peerCallRecorder) last() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.calls) == 0 {
@@ -42,8 +42,8 @@
 	return p.calls[len(p.calls)-1]
 }
 
-// followerOf makes a node that takes n-1 for the leader and has its calls recorded.
-func (b *testCluster) followerOf(peers *recordedPeers) *Node {
+// startFollowerOfRecordedLeader starts a node that considers n-1 the leader and calls it through the recorder.
+func (b *testCluster) startFollowerOfRecordedLeader(peers *peerCallRecorder) *Node {
 	b.t.Helper()
 	_, err := b.store.Commit(context.Background(), store.Leadership, wire.Transaction{
 		Then: []wire.Change{{Put: election.LeaderKey, Value: election.Record{Node: "n-1"}}},
@@ -61,20 +61,20 @@
 
 const (
 	goldenStatus  = "84a66e616d654964a36a2d31a6737461747573a772756e6e696e67a4646f6e6503a772756e6e696e6702"
-	goldenIDs     = "92a36a2d31a36a2d32" // j-1 and j-2
+	goldenIDs     = "92a36a2d31a36a2d32" // j-1 and j-2, as a list
 	runningStatus = "{ID:j-1 State:running Done:3 Running:2 Dependencies:[]}"
 )
 
-// Nodes of two builds call each other: the bodies, and the answers, stay as they are. Those
-// of the calls that are made for users alone are in package jobapi.
-func TestCallsBetweenNodesKeepTheirBytes(t *testing.T) {
+// The encoding of calls between nodes and of their responses is fixed, as nodes of different releases call each other.
+// Calls that only serve user requests are tested in package jobapi.
+func TestPeerRequestsKeepTheirEncoding(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
 		answer string
-		ask    func(n *Node) any
+		run    func(n *Node) any
 		call   string
-		got    string // what the node makes of the answer
+		want   string // the decoded response
 	}{
 		{
 			"show", 200, goldenStatus, func(n *Node) any { return n.Status("j-1").Body },
@@ -103,24 +103,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			env := newTestCluster(t)
-			peers := &recordedPeers{status: c.status, answer: c.answer}
-			n := env.followerOf(peers)
+			peers := &peerCallRecorder{status: c.status, answer: c.answer}
+			n := env.startFollowerOfRecordedLeader(peers)
 			env.store.SetOutage(true)
-			if got := fmt.Sprintf("%+v", c.ask(n)); got != c.got {
-				t.Errorf("the answer is taken for %s, want %s", got, c.got)
+			if got := fmt.Sprintf("%+v", c.run(n)); got != c.want {
+				t.Errorf("the response is decoded as %s, want %s", got, c.want)
 			}
 			if got := peers.last(); got != c.call {
-				t.Errorf("called %s, want %s", got, c.call)
+				t.Errorf("the last call is %s, want %s", got, c.call)
 			}
 		})
 	}
 }
 
-// What a node answers when it is asked. Calls that are made for users alone are in package
-// jobapi.
-func TestAnswersBetweenNodesKeepTheirBytes(t *testing.T) {
+// The responses of a node to calls of its peers have a fixed encoding. Calls that only serve user requests are tested
+// in package jobapi.
+func TestPeerResponsesKeepTheirEncoding(t *testing.T) {
 	env := newTestCluster(t)
-	n := env.followerOf(&recordedPeers{})
+	n := env.startFollowerOfRecordedLeader(&peerCallRecorder{})
 	_, err := env.store.Commit(context.Background(), store.Routine, wire.Transaction{
 		Then: []wire.Change{{Put: "job/j-1/spec", Value: "any"}},
 	})
