--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -85,7 +85,7 @@
 	}
 	var job jobapi.StoredJob
 	job.Spec, job.Accepted = snapshot.Specs[id]
-	job.End, job.Over = snapshot.Ends[id]
-	job.Complete = job.Accepted && snapshot.CompleteDependencies(&job.Spec)
+	job.FinalStatus, job.Ended = snapshot.Ends[id]
+	job.DependenciesComplete = job.Accepted && snapshot.CompleteDependencies(&job.Spec)
 	return job, nil
 }
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -104,11 +104,11 @@
 type StoredJob struct {
 	Spec     wire.Job
 	Accepted bool // there is a description
-	// Complete reports whether the description has all of its dependencies: else the job
+	// DependenciesComplete reports whether the description has all of its dependencies: else the job
 	// must not be taken for one that awaits less.
-	Complete bool
-	End      cluster.FinalStatusRecord
-	Over     bool // there is an end
+	DependenciesComplete bool
+	FinalStatus          cluster.FinalStatusRecord
+	Ended                bool // there is an end
 }
 
 // JobReader reads jobs from the store.
--- a/internal/jobapi/status_reader.go
+++ b/internal/jobapi/status_reader.go
@@ -46,16 +46,16 @@
 	switch {
 	case err != nil:
 		return httpapi.Reply{}, fmt.Errorf("reading job %s: %w", id, err)
-	case !job.Accepted && !job.Over:
+	case !job.Accepted && !job.Ended:
 		return noSuchJob(), nil
-	case job.Over && job.End.State.Final():
-		return r.finalReply(id, job.End.State, &job), nil
-	case !job.Over && !job.Complete:
+	case job.Ended && job.FinalStatus.State.Final():
+		return r.finalReply(id, job.FinalStatus.State, &job), nil
+	case !job.Ended && !job.DependenciesComplete:
 		return httpapi.Reply{}, fmt.Errorf("dependencies of job %s missing: %w", id, store.ErrUncertain)
 	}
 	status := wire.JobStatus{ID: id, State: wire.JobPending, Done: done, Running: running}
-	if job.Over {
-		status.State = job.End.State
+	if job.Ended {
+		status.State = job.FinalStatus.State
 	} else if len(job.Spec.Dependencies) > 0 && done+running == 0 {
 		unmet, aborted, err := r.dependencyStatus(job.Spec.Dependencies, class)
 		if err != nil {
@@ -118,8 +118,8 @@
 		if err != nil {
 			return nil, false, err
 		}
-		if job.Over {
-			if job.End.State == wire.JobAborted {
+		if job.Ended {
+			if job.FinalStatus.State == wire.JobAborted {
 				return nil, true, nil
 			}
 			continue
@@ -135,7 +135,7 @@
 // readDependency reads a job that another needs, unless its end is known.
 func (r *statusReader) readDependency(id string, class store.Class) (StoredJob, error) {
 	if status, ok := r.finalStatuses.Get(id); ok {
-		return StoredJob{End: cluster.FinalStatusRecord{State: status.State}, Over: true}, nil
+		return StoredJob{FinalStatus: cluster.FinalStatusRecord{State: status.State}, Ended: true}, nil
 	}
 	if class == store.StatusQuery {
 		r.budget.charge()
@@ -144,7 +144,7 @@
 	if err != nil {
 		return StoredJob{}, fmt.Errorf("reading job %s: %w", id, err)
 	}
-	if !job.Over && (!job.Accepted || !job.Complete) {
+	if !job.Ended && (!job.Accepted || !job.DependenciesComplete) {
 		return StoredJob{}, fmt.Errorf("description of job %s missing: %w", id, store.ErrUncertain)
 	}
 	return job, nil
