--- a/internal/httpapi/golden_test.go
+++ b/internal/httpapi/golden_test.go
@@ -6,7 +6,7 @@
 	"notchmux.dev/notchmux/internal/golden"
 )
 
-func TestRefusalsKeepTheirBytes(t *testing.T) {
+func TestErrorReplyEncodingMatchesGolden(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reply Reply
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -65,9 +65,9 @@
 // is left serves them as they come, and the users.
 const keepAliveFraction = 0.75
 
-// idleHeartbeats is after how many report intervals a silent connection is closed: a
+// idleTimeoutHeartbeats is after how many report intervals a silent connection is closed: a
 // cut leaves many half open.
-const idleHeartbeats = 3
+const idleTimeoutHeartbeats = 3
 
 // Serve runs until the context ends.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
@@ -76,7 +76,7 @@
 	server := &fasthttp.Server{
 		Handler:               s.handle,
 		Concurrency:           maxConnections,
-		IdleTimeout:           max(idleHeartbeats*s.HeartbeatInterval, 10*micro.Second).Duration(),
+		IdleTimeout:           max(idleTimeoutHeartbeats*s.HeartbeatInterval, 10*micro.Second).Duration(),
 		ReadTimeout:           35 * time.Second,
 		WriteTimeout:          10 * time.Second,
 		MaxRequestBodySize:    4 * wire.MaxBody,
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -20,7 +20,7 @@
 
 // With half as many machines again as a node has sockets, several hundred
 // agents found none and were never heard: their machines took no work.
-func TestMoreAgentsThanSocketsAllGetResponses(t *testing.T) {
+func TestAllAgentsGetResponsesWithMoreAgentsThanSockets(t *testing.T) {
 	const sockets, agents = 100, 400
 	listener := fasthttputil.NewInmemoryListener()
 	server := &Server{
--- a/internal/jobapi/admission.go
+++ b/internal/jobapi/admission.go
@@ -23,8 +23,8 @@
 	overloadRetrySeconds = 5 // too many tasks wait
 )
 
-// admission is what was found of a submission.
-type admission struct {
+// admissionResult is what was found of a submission.
+type admissionResult struct {
 	refusal string        // why it is refused for good; "": it is not
 	status  int           // of the refusal
 	reply   httpapi.Reply // the answer, if it is decided without a refusal
@@ -54,31 +54,31 @@
 }
 
 // admit looks at a submission: its size, whether it can ever run, and what it depends on.
-func (s *Service) admit(job *wire.Job, catalog *wire.Catalog, relay bool) admission {
+func (s *Service) admit(job *wire.Job, catalog *wire.Catalog, relay bool) admissionResult {
 	if reason := s.infeasibleReason(job, catalog); reason != "" {
-		return admission{refusal: reason, status: http.StatusUnprocessableEntity}
+		return admissionResult{refusal: reason, status: http.StatusUnprocessableEntity}
 	}
 	if wire.JSONSize(withoutDependencies(job)) > s.maxValueBytes()-specMargin {
-		return admission{refusal: "the description is too large to keep", status: http.StatusBadRequest}
+		return admissionResult{refusal: "the description is too large to keep", status: http.StatusBadRequest}
 	}
 	if len(job.Dependencies) == 0 {
-		return admission{}
+		return admissionResult{}
 	}
 	if !s.formatGate.FormatOpen() {
 		// A node of the earlier version may still lead, and would not wait.
 		retry := httpapi.RetryReply(http.StatusServiceUnavailable, formatRetrySeconds)
-		return admission{reply: s.existingStatusOr(job.ID, relay, retry), decided: true}
+		return admissionResult{reply: s.existingStatusOr(job.ID, relay, retry), decided: true}
 	}
 	missing, err := s.unknownDependency(job.Dependencies, job.ID, relay)
 	if err != nil {
 		s.log.Debug("dependencies not looked up", "job", job.ID, "err", err)
-		return admission{reply: tryAgain(), decided: true}
+		return admissionResult{reply: tryAgain(), decided: true}
 	}
 	if missing != "" {
 		refusal := "awaits " + missing + ", which was never accepted"
-		return admission{refusal: refusal, status: http.StatusUnprocessableEntity}
+		return admissionResult{refusal: refusal, status: http.StatusUnprocessableEntity}
 	}
-	return admission{}
+	return admissionResult{}
 }
 
 // withoutDependencies is a description without the list of its dependencies.
--- a/internal/jobapi/golden_test.go
+++ b/internal/jobapi/golden_test.go
@@ -18,38 +18,38 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedPeers notes the calls to other nodes, and answers each with the same body.
-type recordedPeers struct {
-	mu     sync.Mutex
-	calls  []string // node, path and body of each
-	status int
-	answer string // in hexadecimal
+// recordingPeers notes the calls to other nodes, and answers each with the same body.
+type recordingPeers struct {
+	mu       sync.Mutex
+	calls    []string // node, path and body of each
+	status   int
+	replyHex string // in hexadecimal
 }
 
-func (p *recordedPeers) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
-	out, err := hex.DecodeString(p.answer)
+func (p *recordingPeers) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
+	out, err := hex.DecodeString(p.replyHex)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls = append(p.calls, node+" "+call+" "+hex.EncodeToString(body))
 	return p.status, out, err
 }
 
-func (p *recordedPeers) CallRegardless(
+func (p *recordingPeers) CallRegardless(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return p.Call(ctx, node, call, body, timeout)
 }
 
-func (p *recordedPeers) Retry(
+func (p *recordingPeers) Retry(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return p.Call(ctx, node, call, body, timeout)
 }
 
-func (p *recordedPeers) LeaderFirst() []string { return []string{"n-1"} }
+func (p *recordingPeers) LeaderFirst() []string { return []string{"n-1"} }
 
 // last is the latest call; "": none.
-func (p *recordedPeers) last() string {
+func (p *recordingPeers) last() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.calls) == 0 {
@@ -58,11 +58,11 @@
 	return p.calls[len(p.calls)-1]
 }
 
-// goldenLeadership is that of a node that takes n-1 for the leader, or leads itself.
-type goldenLeadership struct{ active Leader }
+// stubLeadership is that of a node that takes n-1 for the leader, or leads itself.
+type stubLeadership struct{ active Leader }
 
-func (l goldenLeadership) ActiveLeader() Leader { return l.active }
-func (l goldenLeadership) LeaderName() string   { return "n-1" }
+func (l stubLeadership) ActiveLeader() Leader { return l.active }
+func (l stubLeadership) LeaderName() string   { return "n-1" }
 
 // emptyLeader has no job in its state.
 type emptyLeader struct{}
@@ -73,19 +73,19 @@
 func (emptyLeader) AddJob(wire.Job)                            {}
 func (emptyLeader) CancelJob(string, micro.Time) httpapi.Reply { return httpapi.Reply{Status: 404} }
 
-type reachable struct{}
+type stubNode struct{}
 
-func (reachable) Isolated() bool      { return false }
-func (reachable) FormatOpen() bool    { return false }
-func (reachable) Load() *wire.Catalog { return nil }
+func (stubNode) Isolated() bool      { return false }
+func (stubNode) FormatOpen() bool    { return false }
+func (stubNode) Load() *wire.Catalog { return nil }
 
 func newGoldenService(st store.Store, peers Peers, leader Leader) *Service {
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node, cfg.Peers = "n-0", []config.Peer{{Node: "n-1"}}
 	cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 16, 24
 	return New(cfg, Dependencies{
-		Store: st, Leadership: goldenLeadership{leader}, Peers: peers, Catalog: reachable{}, Health: reachable{},
-		FormatGate: reachable{}, Log: slog.New(slog.DiscardHandler), Now: micro.Now, Wall: micro.WallNow,
+		Store: st, Leadership: stubLeadership{leader}, Peers: peers, Catalog: stubNode{}, Health: stubNode{},
+		FormatGate: stubNode{}, Log: slog.New(slog.DiscardHandler), Now: micro.Now, Wall: micro.WallNow,
 	})
 }
 
@@ -97,7 +97,7 @@
 )
 
 // Nodes of two builds call each other: the bodies, and the answers, stay as they are.
-func TestCallsForUsersKeepTheirBytes(t *testing.T) {
+func TestPeerRequestEncodingMatchesGolden(t *testing.T) {
 	ids := []string{"j-1", "j-2"}
 	for _, c := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			st := fake.NewStore()
 			st.SetOutage(true)
-			peers := &recordedPeers{status: 200, answer: c.answer}
+			peers := &recordingPeers{status: 200, replyHex: c.answer}
 			if got := fmt.Sprintf("%+v", c.ask(newGoldenService(st, peers, nil))); got != c.got {
 				t.Errorf("the answer is taken for %s, want %s", got, c.got)
 			}
@@ -144,7 +144,7 @@
 }
 
 // What a node answers when it is asked.
-func TestAnswersForUsersKeepTheirBytes(t *testing.T) {
+func TestPeerReplyEncodingMatchesGolden(t *testing.T) {
 	st := fake.NewStore()
 	_, err := st.Commit(t.Context(), store.Routine, wire.Transaction{
 		Then: []wire.Change{{Put: "job/j-1/spec", Value: "any"}},
@@ -152,7 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := newGoldenService(st, &recordedPeers{}, emptyLeader{})
+	service := newGoldenService(st, &recordingPeers{}, emptyLeader{})
 	service.finalStatuses.Put(wire.JobStatus{ID: "j-1", State: wire.JobDone, Done: 3, Running: 2})
 	ids, err := hex.DecodeString(goldenIDs)
 	if err != nil {
@@ -178,8 +178,8 @@
 }
 
 // The leader is told of a job that another node accepted, whole.
-func TestNotificationOfAnAcceptedJobKeepsItsBytes(t *testing.T) {
-	peers := &recordedPeers{status: 200}
+func TestJobAcceptedNotificationEncodingMatchesGolden(t *testing.T) {
+	peers := &recordingPeers{status: 200}
 	job, err := wire.DecodeJob(wire.MustMarshal(map[string]any{
 		"nameId": "j-1", "jobclass": "c", "outfit": "team", "shape": string(wire.JobArray), "rank": "standard",
 		"pieces": 2, "vcpus": 1, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false,
--- a/internal/jobapi/peer_calls.go
+++ b/internal/jobapi/peer_calls.go
@@ -35,11 +35,11 @@
 func (s *Service) PeerCalls() map[string]PeerHandler {
 	return map[string]PeerHandler{
 		peer.Submit:               s.submitForPeer,
-		peer.AcceptedJobs:         answerIDs(s.acceptedForPeer),
-		peer.AcceptedJobsBudgeted: answerIDs(s.acceptedWithinBudget),
+		peer.AcceptedJobs:         jobFilterHandler(s.acceptedForPeer),
+		peer.AcceptedJobsBudgeted: jobFilterHandler(s.acceptedWithinBudget),
 		peer.StoredStatus:         s.storedStatusForPeer,
 		peer.Status:               s.asLeader(s.statusForPeer),
-		peer.StatusBatch:          s.asLeader(answerStatuses(s.statusesForPeer)),
+		peer.StatusBatch:          s.asLeader(statusBatchHandler(s.statusesForPeer)),
 		peer.Cancel:               s.asLeader(s.cancelForPeer),
 		peer.JobAccepted:          s.asLeader(jobAcceptedByPeer),
 	}
@@ -56,9 +56,9 @@
 	}
 }
 
-// answerIDs is a call that takes some jobs and answers with those of them that something is
+// jobFilterHandler is a call that takes some jobs and answers with those of them that something is
 // true of. A status other than 200 goes without a body.
-func answerIDs(handle func(ids []string) (found []string, status int)) PeerHandler {
+func jobFilterHandler(handle func(ids []string) (found []string, status int)) PeerHandler {
 	return func(body []byte) (int, []byte) {
 		var ids []string
 		if wire.Unmarshal(body, &ids) != nil {
@@ -72,9 +72,9 @@
 	}
 }
 
-// answerStatuses is a call that takes some jobs and answers with the statuses of those that are
+// statusBatchHandler is a call that takes some jobs and answers with the statuses of those that are
 // known.
-func answerStatuses(handle func(leader Leader, ids []string) []wire.JobStatus) leaderHandler {
+func statusBatchHandler(handle func(leader Leader, ids []string) []wire.JobStatus) leaderHandler {
 	return func(leader Leader, body []byte) (int, []byte) {
 		var ids []string
 		if wire.Unmarshal(body, &ids) != nil || len(ids) > maxStatusesPerCall {
--- a/internal/jobapi/status_batcher.go
+++ b/internal/jobapi/status_batcher.go
@@ -22,18 +22,18 @@
 	// maxStatusesPerCall is how many jobs one call asks for: the answer stays below
 	// wire.MaxBody, whatever the jobs wait for.
 	maxStatusesPerCall = 128
-	// leaderBackoff is for how long a leader that answered too late is asked for several
+	// leaderBackoffPeriod is for how long a leader that answered too late is asked for several
 	// jobs at a time only, gathered for backoffBatchDelay, by backoffMaxCalls calls at a time,
 	// and given backoffCallTimeout for each. Asked as usual, an overloaded leader answered
 	// nothing for minutes: each call that came too late kept the node from asking again for
 	// as long as a peer is left alone that gave no answer.
-	leaderBackoff      = 10 * micro.Second
-	backoffCallTimeout = 900 * micro.Millisecond
-	backoffBatchDelay  = 50 * micro.Millisecond
-	backoffMaxCalls    = 2
-	// singleQueriesFor is for how long a leader is asked for one job at a time after it
+	leaderBackoffPeriod = 10 * micro.Second
+	backoffCallTimeout  = 900 * micro.Millisecond
+	backoffBatchDelay   = 50 * micro.Millisecond
+	backoffMaxCalls     = 2
+	// singleQueryPeriod is for how long a leader is asked for one job at a time after it
 	// did not know the call for several.
-	singleQueriesFor = micro.Minute
+	singleQueryPeriod = micro.Minute
 )
 
 // StatusBatcher gathers status queries for the leader. Any goroutine may call its methods.
@@ -66,14 +66,14 @@
 	now := b.now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.backoffUntil = now + leaderBackoff
+	b.backoffUntil = now + leaderBackoffPeriod
 }
 
 // querySingly notes that the leader does not know the call for several jobs.
 func (b *StatusBatcher) querySingly() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.singleUntil = b.now() + singleQueriesFor
+	b.singleUntil = b.now() + singleQueryPeriod
 }
 
 // statusQuery is a query that waits for the leader's answer.
--- a/internal/jobapi/status_batcher_test.go
+++ b/internal/jobapi/status_batcher_test.go
@@ -29,7 +29,7 @@
 type slowLeader struct {
 	mu      sync.Mutex
 	calls   []string // by name, with the number of jobs asked for
-	release chan struct{}
+	unblock chan struct{}
 	legacy  bool // it does not know the call for several jobs
 	states  map[string]wire.JobState
 }
@@ -49,7 +49,7 @@
 	s.calls = append(s.calls, fmt.Sprint(call, " ", len(ids)))
 	s.mu.Unlock()
 	select {
-	case <-s.release:
+	case <-s.unblock:
 	case <-ctx.Done():
 		return 0, nil, peer.ErrUnreachable
 	}
@@ -116,7 +116,7 @@
 		})
 		synctest.Wait()
 	}
-	close(leader.release)
+	close(leader.unblock)
 	polls.Wait()
 	synctest.Wait()
 	if batcher.callsInFlight != 0 || len(batcher.pending) != 0 {
@@ -127,10 +127,10 @@
 
 // Status queries that came while calls were under way went out one by one, and the calls used
 // up the leader's processor.
-func TestStatusQueriesInAStormShareCallsToTheLeader(t *testing.T) {
+func TestConcurrentStatusQueriesShareCallsToLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs = 300
-		leader := &slowLeader{release: make(chan struct{}), states: map[string]wire.JobState{}}
+		leader := &slowLeader{unblock: make(chan struct{}), states: map[string]wire.JobState{}}
 		for i := range jobs {
 			if i%3 != 0 {
 				leader.states[fmt.Sprintf("j-%d", i)] = []wire.JobState{wire.JobRunning, wire.JobDone}[i%2]
@@ -151,13 +151,13 @@
 
 // A leader of the version before does not know the call for several jobs: its users
 // get their answers from the store until the next poll, then singly.
-func TestLeaderWithoutTheBatchCallIsQueriedSingly(t *testing.T) {
+func TestLeaderWithoutBatchCallIsQueriedSingly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader := &slowLeader{
-			release: make(chan struct{}), legacy: true, states: map[string]wire.JobState{"j-0": wire.JobRunning},
+			unblock: make(chan struct{}), legacy: true, states: map[string]wire.JobState{"j-0": wire.JobRunning},
 		}
 		batcher := NewStatusBatcher(leader, func() micro.Time { return micro.Minute })
-		close(leader.release)
+		close(leader.unblock)
 		if got := batcher.queryMany("n-0", []*statusQuery{{id: "j-0"}, {id: "j-1"}}); len(got) != 0 {
 			t.Fatalf("%v", got)
 		}
--- a/internal/jobapi/status_lookup.go
+++ b/internal/jobapi/status_lookup.go
@@ -22,10 +22,10 @@
 	// lookupTimeout is how long a query waits for its look-up. With what the leader
 	// may take (PeerCallTimeout) it stays within the 2 s for which users wait.
 	lookupTimeout = 1200 * micro.Millisecond
-	// recentAnswerSpan is for how long a job that was read for a query yields to jobs
+	// recentAnswerWindow is for how long a job that was read for a query yields to jobs
 	// that were not, while the budget is short. It is below the 75 s without an
 	// answer after which users call a job forgotten.
-	recentAnswerSpan = 60 * micro.Second
+	recentAnswerWindow = 60 * micro.Second
 	// legacyPeerReads is how many IDs of a batch are read one by one where a peer of
 	// the version before cannot say which were accepted.
 	legacyPeerReads = 4
@@ -161,7 +161,7 @@
 func (l *statusLookups) readWithinBudget(id string) httpapi.Reply {
 	now := l.now()
 	spare := 0
-	if l.answeredLately(id, now) {
+	if l.answeredRecently(id, now) {
 		spare = RequestsPerRead
 	}
 	if !l.budget.admit(RequestsPerRead, spare) {
@@ -169,19 +169,19 @@
 	}
 	reply := l.source.readAnywhere(id, store.StatusQuery)
 	if reply.Status == http.StatusOK {
-		l.noteAnswered(id, now)
+		l.recordAnswered(id, now)
 	}
 	return reply
 }
 
-func (l *statusLookups) answeredLately(id string, now micro.Time) bool {
+func (l *statusLookups) answeredRecently(id string, now micro.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answeredAt, answered := l.lastAnswered[id]
-	return answered && now-answeredAt < recentAnswerSpan
+	return answered && now-answeredAt < recentAnswerWindow
 }
 
-func (l *statusLookups) noteAnswered(id string, now micro.Time) {
+func (l *statusLookups) recordAnswered(id string, now micro.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.lastAnswered) >= maxLastAnswered {
--- a/internal/jobapi/submission.go
+++ b/internal/jobapi/submission.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// hedgeAfter is how long the store may take over a submission before a peer is
+	// hedgeDelay is how long the store may take over a submission before a peer is
 	// asked as well.
-	hedgeAfter = 100 * micro.Millisecond
+	hedgeDelay = 100 * micro.Millisecond
 	// specWriteTimeout is how long the store may take over all writes of a submission.
 	specWriteTimeout = 1500 * micro.Millisecond
 	// malformedRetrySeconds is after how many seconds the sender comes back whose
@@ -107,7 +107,7 @@
 	}
 	delay := time.Duration(0)
 	if !s.health.Isolated() {
-		delay = hedgeAfter.Duration()
+		delay = hedgeDelay.Duration()
 	}
 	hedge := time.NewTimer(delay)
 	defer hedge.Stop()
