--- a/internal/jobapi/admission.go
+++ b/internal/jobapi/admission.go
@@ -116,7 +116,7 @@
 	var unknown []string
 	for _, id := range dependencies {
 		if id == self {
-			// The job is being submitted now, so it was not accepted before it was named as a dependency.
+			// The job names itself. If it had been accepted before, the caller would find it as a repeated submission.
 			return id, nil
 		}
 		if !s.knownAccepted(id) {
--- a/internal/jobapi/status_batcher_test.go
+++ b/internal/jobapi/status_batcher_test.go
@@ -35,8 +35,8 @@
 }
 
 // Call responds as a leader does, once unblock is closed.
-func (s *slowLeader) Call(ctx context.Context, _, call string, body []byte, wait micro.Time) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
+func (s *slowLeader) Call(ctx context.Context, _, call string, body []byte, timeout micro.Time) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	ids := []string{string(body)}
 	if call == peer.StatusBatch {
@@ -74,16 +74,16 @@
 
 // CallRegardless is the same as Call.
 func (s *slowLeader) CallRegardless(
-	ctx context.Context, node, call string, body []byte, wait micro.Time,
+	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
-	return s.Call(ctx, node, call, body, wait)
+	return s.Call(ctx, node, call, body, timeout)
 }
 
 // Retry is the same as Call.
 func (s *slowLeader) Retry(
-	ctx context.Context, node, call string, body []byte, wait micro.Time,
+	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
-	return s.Call(ctx, node, call, body, wait)
+	return s.Call(ctx, node, call, body, timeout)
 }
 
 // LeaderFirst returns the leader as the only node.
--- a/internal/jobapi/submission.go
+++ b/internal/jobapi/submission.go
@@ -29,7 +29,8 @@
 // Submit accepts a job. It replies 201 only after the job's spec has been written to the store.
 func (s *Service) Submit(body []byte) httpapi.Reply { return s.submit(body, true) }
 
-// submit accepts a job. Only a submission from a user is relayed to a peer (relay), not one that a peer relayed.
+// submit accepts a job. It relays the submission to a peer only if relay is set, so that a submission relayed by a peer
+// is not relayed again.
 func (s *Service) submit(body []byte, relay bool) httpapi.Reply {
 	job, err := wire.DecodeJob(body)
 	if err != nil {
@@ -51,7 +52,7 @@
 		// The spec is stored already, by an earlier submission or by a write whose response was lost.
 		return s.repeatedSubmissionStatus(job.ID)
 	case errors.Is(err, store.ErrMalformed):
-		s.log.Error("store rejected job spec as malformed", "job", job.ID, "bytes", wire.JSONSize(job))
+		s.log.Error("store rejected malformed job spec; user gets 503", "job", job.ID, "bytes", wire.JSONSize(job))
 		return httpapi.RetryReply(http.StatusServiceUnavailable, malformedRetrySeconds)
 	}
 	s.log.Debug("write job spec failed", "job", job.ID, "err", err)
