--- a/internal/jobapi/golden_test.go
+++ b/internal/jobapi/golden_test.go
@@ -18,38 +18,38 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// recordedPeers notes the calls to other nodes, and answers each with the same body.
-type recordedPeers struct {
-	mu     sync.Mutex
-	calls  []string // node, path and body of each
-	status int
-	answer string // in hexadecimal
+// recordingPeers records the calls to other nodes and gives the same response to each.
+type recordingPeers struct {
+	mu       sync.Mutex
+	calls    []string // node, path and body of each call, the body in hexadecimal
+	status   int
+	replyHex string // body of the response, in hexadecimal
 }
 
-func (p *recordedPeers) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
-	out, err := hex.DecodeString(p.answer)
+func (p *recordingPeers) Call(_ context.Context, node, call string, body []byte, _ micro.Time) (int, []byte, error) {
+	out, err := hex.DecodeString(p.replyHex)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls = append(p.calls, node+" "+call+" "+hex.EncodeToString(body))
 	return p.status, out, err
 }
 
-func (p *recordedPeers) CallRegardless(
+func (p *recordingPeers) CallRegardless(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return p.Call(ctx, node, call, body, timeout)
 }
 
-func (p *recordedPeers) Retry(
+func (p *recordingPeers) Retry(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	return p.Call(ctx, node, call, body, timeout)
 }
 
-func (p *recordedPeers) LeaderFirst() []string { return []string{"n-1"} }
+func (p *recordingPeers) LeaderFirst() []string { return []string{"n-1"} }
 
-// last is the latest call; "": none.
-func (p *recordedPeers) last() string {
+// last returns the latest call, or "" if there was none.
+func (p *recordingPeers) last() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.calls) == 0 {
@@ -58,13 +58,13 @@
 	return p.calls[len(p.calls)-1]
 }
 
-// goldenLeadership is that of a node that takes n-1 for the leader, or leads itself.
-type goldenLeadership struct{ active Leader }
+// stubLeadership names n-1 as the leader; if active is set, it is the leader on this node.
+type stubLeadership struct{ active Leader }
 
-func (l goldenLeadership) ActiveLeader() Leader { return l.active }
-func (l goldenLeadership) LeaderName() string   { return "n-1" }
+func (l stubLeadership) ActiveLeader() Leader { return l.active }
+func (l stubLeadership) LeaderName() string   { return "n-1" }
 
-// emptyLeader has no job in its state.
+// emptyLeader is a leader without jobs.
 type emptyLeader struct{}
 
 func (emptyLeader) Statuses([]string) []wire.JobStatus         { return nil }
@@ -73,19 +73,22 @@
 func (emptyLeader) AddJob(wire.Job)                            {}
 func (emptyLeader) CancelJob(string, micro.Time) httpapi.Reply { return httpapi.Reply{Status: 404} }
 
-type reachable struct{}
+// stubNode is the Health, FormatGate and Catalog of a node that is not isolated, uses the older record formats and has
+// not read the catalog.
+type stubNode struct{}
 
-func (reachable) Isolated() bool      { return false }
-func (reachable) FormatOpen() bool    { return false }
-func (reachable) Load() *wire.Catalog { return nil }
+func (stubNode) Isolated() bool      { return false }
+func (stubNode) FormatOpen() bool    { return false }
+func (stubNode) Load() *wire.Catalog { return nil }
 
+// newGoldenService returns the service of node n-0, whose only peer is n-1.
 func newGoldenService(st store.Store, peers Peers, leader Leader) *Service {
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node, cfg.Peers = "n-0", []config.Peer{{Node: "n-1"}}
 	cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 16, 24
 	return New(cfg, Dependencies{
-		Store: st, Leadership: goldenLeadership{leader}, Peers: peers, Catalog: reachable{}, Health: reachable{},
-		FormatGate: reachable{}, Log: slog.New(slog.DiscardHandler), Now: micro.Now, Wall: micro.WallNow,
+		Store: st, Leadership: stubLeadership{leader}, Peers: peers, Catalog: stubNode{}, Health: stubNode{},
+		FormatGate: stubNode{}, Log: slog.New(slog.DiscardHandler), Now: micro.Now, Wall: micro.WallNow,
 	})
 }
 
@@ -96,55 +99,56 @@
 	runningStatus  = "{ID:j-1 State:running Done:3 Running:2 Dependencies:[]}"
 )
 
-// Nodes of two builds call each other: the bodies, and the answers, stay as they are.
-func TestCallsForUsersKeepTheirBytes(t *testing.T) {
+// Nodes of different versions call each other, so the encoding of requests and the decoding of responses must not
+// change.
+func TestPeerRequestEncodingMatchesGolden(t *testing.T) {
 	ids := []string{"j-1", "j-2"}
 	for _, c := range []struct {
-		name   string
-		answer string
-		ask    func(s *Service) any
-		call   string
-		got    string // what the node makes of the answer
+		name        string
+		responseHex string // body of the peer's response
+		send        func(s *Service) any
+		wantCall    string
+		wantDecoded string // the decoded response
 	}{
-		{"show", goldenStatus, func(s *Service) any {
+		{"status", goldenStatus, func(s *Service) any {
 			reply, ok := s.batcher.queryOne("n-1", "j-1")
 			return fmt.Sprintf("%v %+v", ok, reply.Body)
 		}, "n-1 /peer/show 6a2d31", "true " + runningStatus},
-		{"show several", goldenStatuses, func(s *Service) any {
+		{"status batch", goldenStatuses, func(s *Service) any {
 			return s.batcher.queryMany("n-1", []*statusQuery{{leader: "n-1", id: "j-1"}, {leader: "n-1", id: "j-2"}})
 		}, "n-1 /peer/shows " + goldenIDs, "map[j-1:" + runningStatus + "]"},
-		{"withdraw", goldenStatus, func(s *Service) any {
+		{"cancel", goldenStatus, func(s *Service) any {
 			return s.Cancel("j-1").Body
 		}, "n-1 /peer/withdraw 6a2d31", runningStatus},
-		{"read", goldenStatus, func(s *Service) any {
+		{"stored status", goldenStatus, func(s *Service) any {
 			reply, _ := s.readByPeers("j-1")
 			return reply.Body
 		}, "n-1 /peer/read 6a2d31", runningStatus},
-		{"accepted", "91a36a2d32", func(s *Service) any {
-			there, _ := s.acceptedByPeers(ids)
-			return there
+		{"accepted jobs within budget", "91a36a2d32", func(s *Service) any {
+			accepted, _ := s.acceptedByPeers(ids)
+			return accepted
 		}, "n-1 /peer/accepted " + goldenIDs, "map[j-2:true]"},
-		{"exist", "91a36a2d31", func(s *Service) any {
-			there, _ := s.acceptedJobs(ids, true)
-			return there
+		{"accepted jobs", "91a36a2d31", func(s *Service) any {
+			accepted, _ := s.acceptedJobs(ids, true)
+			return accepted
 		}, "n-1 /peer/exist " + goldenIDs, "map[j-1:true]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			st := fake.NewStore()
 			st.SetOutage(true)
-			peers := &recordedPeers{status: 200, answer: c.answer}
-			if got := fmt.Sprintf("%+v", c.ask(newGoldenService(st, peers, nil))); got != c.got {
-				t.Errorf("the answer is taken for %s, want %s", got, c.got)
+			peers := &recordingPeers{status: 200, replyHex: c.responseHex}
+			if got := fmt.Sprintf("%+v", c.send(newGoldenService(st, peers, nil))); got != c.wantDecoded {
+				t.Errorf("response decoded as %s, want %s", got, c.wantDecoded)
 			}
-			if got := peers.last(); got != c.call {
-				t.Errorf("called %s, want %s", got, c.call)
+			if got := peers.last(); got != c.wantCall {
+				t.Errorf("called %s, want %s", got, c.wantCall)
 			}
 		})
 	}
 }
 
-// What a node answers when it is asked.
-func TestAnswersForUsersKeepTheirBytes(t *testing.T) {
+// Nodes of different versions call each other, so the encoding of responses must not change.
+func TestPeerReplyEncodingMatchesGolden(t *testing.T) {
 	st := fake.NewStore()
 	_, err := st.Commit(t.Context(), store.Routine, wire.Transaction{
 		Then: []wire.Change{{Put: "job/j-1/spec", Value: "any"}},
@@ -152,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := newGoldenService(st, &recordedPeers{}, emptyLeader{})
+	service := newGoldenService(st, &recordingPeers{}, emptyLeader{})
 	service.finalStatuses.Put(wire.JobStatus{ID: "j-1", State: wire.JobDone, Done: 3, Running: 2})
 	ids, err := hex.DecodeString(goldenIDs)
 	if err != nil {
@@ -165,21 +169,21 @@
 		body []byte
 		want string
 	}{
-		{"exist", peer.AcceptedJobs, ids, "200 91a36a2d31"},
-		{"accepted", peer.AcceptedJobsBudgeted, ids, "200 91a36a2d31"},
-		{"show", peer.Status, []byte("j-1"), "200 " + final},
-		{"show several", peer.StatusBatch, []byte("\x91\xa3j-1"), "200 91" + final},
+		{"accepted jobs", peer.AcceptedJobs, ids, "200 91a36a2d31"},
+		{"accepted jobs within budget", peer.AcceptedJobsBudgeted, ids, "200 91a36a2d31"},
+		{"status", peer.Status, []byte("j-1"), "200 " + final},
+		{"status batch", peer.StatusBatch, []byte("\x91\xa3j-1"), "200 91" + final},
 	} {
 		status, out := service.PeerCalls()[c.call](c.body)
 		if got := fmt.Sprintf("%d %x", status, out); got != c.want {
-			t.Errorf("%s: answered %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: response is %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// The leader is told of a job that another node accepted, whole.
-func TestNotificationOfAnAcceptedJobKeepsItsBytes(t *testing.T) {
-	peers := &recordedPeers{status: 200}
+// The leader of another version decodes this notification, so all fields of the job must keep their encoding.
+func TestJobAcceptedNotificationEncodingMatchesGolden(t *testing.T) {
+	peers := &recordingPeers{status: 200}
 	job, err := wire.DecodeJob(wire.MustMarshal(map[string]any{
 		"nameId": "j-1", "jobclass": "c", "outfit": "team", "shape": string(wire.JobArray), "rank": "standard",
 		"pieces": 2, "vcpus": 1, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false,
