--- a/internal/persist/hand_over.go
+++ b/internal/persist/hand_over.go
@@ -55,7 +55,7 @@
 }
 
 // goneFromStore reports whether a record is not in the store, and no write of it may bring it back.
-func goneFromStore(record *statestore.Record) bool { return record.AbsentAsRead() && record.Settled() }
+func goneFromStore(record *statestore.Record) bool { return record.AbsentAtLastRead() && record.Settled() }
 
 // handedOverDeleted takes in that the record of a chunk was deleted.
 func (r *Records) handedOverDeleted(chunk *cluster.TaskChunk, record *statestore.Record, memoryVersion uint64) {
--- a/internal/shard/coordinator/reclaim.go
+++ b/internal/shard/coordinator/reclaim.go
@@ -180,7 +180,7 @@
 		if assigned.shardName != shardName {
 			continue
 		}
-		if assigned.deletionRequested && assigned.storeRecord.AbsentAsRead() {
+		if assigned.deletionRequested && assigned.storeRecord.AbsentAtLastRead() {
 			c.dropAssignment(assigned) // never stored; a late write of it fails since the shard's version has changed
 			continue
 		}
--- a/internal/statestore/record.go
+++ b/internal/statestore/record.go
@@ -76,9 +76,9 @@
 // may be executed after the read.
 func (r *Record) Uncertain() bool { return r.uncertain }
 
-// AbsentAsRead reports whether the key does not exist as far as was read, and nothing of the record is to
+// AbsentAtLastRead reports whether the key does not exist as far as was read, and nothing of the record is to
 // be written or read. A write without an answer may still be executed.
-func (r *Record) AbsentAsRead() bool {
+func (r *Record) AbsentAtLastRead() bool {
 	return r.version == 0 && !r.dirty && !r.inFlight && !r.needsVerify
 }
 
