--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -8,26 +8,26 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// nothing is an event without effect.
-type nothing struct{}
+// noopEvent is an event without effect.
+type noopEvent struct{}
 
-func (nothing) Apply() {}
+func (noopEvent) Apply() {}
 
 // fullLoop makes a loop whose queues are full and that nothing serves.
 func fullLoop() *Loop {
 	loop := New()
 	for range cap(loop.events) {
-		loop.events <- nothing{}
+		loop.events <- noopEvent{}
 	}
 	for range cap(loop.queries) {
-		loop.queries <- nothing{}
+		loop.queries <- noopEvent{}
 	}
 	return loop
 }
 
 // A call whose queue was full at its timeout waited until the loop ended: its user got no answer
 // for the rest of the term.
-func TestCallEndsAtItsTimeoutWhereTheQueueIsFull(t *testing.T) {
+func TestCallWithFullQueueReturnsAtTimeout(t *testing.T) {
 	for name, queue := range map[string]Queue{"events": Events, "queries": Queries} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,7 +36,7 @@
 				const timeout = 2 * micro.Second
 				returned, answered := false, false
 				go func() {
-					_, answered = Call(loop, queue, timeout, func(Reply[int]) Event { return nothing{} })
+					_, answered = Call(loop, queue, timeout, func(Reply[int]) Event { return noopEvent{} })
 					returned = true
 				}()
 				time.Sleep(timeout.Duration() + time.Millisecond)
@@ -50,7 +50,7 @@
 }
 
 // A call that the loop took in and never answers ends at its timeout; one beyond a stop, at once.
-func TestCallEndsAtItsTimeoutOrWithTheLoop(t *testing.T) {
+func TestUnansweredCallReturnsAtTimeoutOrStop(t *testing.T) {
 	for name, stopped := range map[string]bool{"timeout": false, "stopped": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,7 +65,7 @@
 					want = 0
 				}
 				from := time.Now()
-				_, ok := Call(loop, Events, timeout, func(Reply[int]) Event { return nothing{} })
+				_, ok := Call(loop, Events, timeout, func(Reply[int]) Event { return noopEvent{} })
 				if took := time.Since(from); ok || took != want {
 					t.Errorf("answered %v after %v, want %v", ok, took, want)
 				}
@@ -74,29 +74,29 @@
 	}
 }
 
-// counted counts how often it is applied.
-type counted struct{ applied *int }
+// countingEvent counts how often it is applied.
+type countingEvent struct{ applied *int }
 
-func (c counted) Apply() { *c.applied++ }
+func (c countingEvent) Apply() { *c.applied++ }
 
-// stopping stops its loop, and has the count begin anew.
-type stopping struct {
+// stoppingEvent stops its loop, and has the count begin anew.
+type stoppingEvent struct {
 	loop    *Loop
 	applied *int
 }
 
-func (s stopping) Apply() {
+func (s stoppingEvent) Apply() {
 	s.loop.Stop()
 	*s.applied = 0
 }
 
 // Answers to calls of a term that had ended were still taken in, some at random, and the batch
 // that ended it to its last event.
-func TestStoppedLoopAppliesNothingMore(t *testing.T) {
+func TestStoppedLoopAppliesNoEvents(t *testing.T) {
 	for name, byEvent := range map[string]bool{"stopped by others": false, "stopped by an event": true} {
 		t.Run(name, func(t *testing.T) {
 			for range 50 {
-				if applied := appliedAfterStop(byEvent); applied > 0 {
+				if applied := countAppliedAfterStop(byEvent); applied > 0 {
 					t.Fatalf("%d events were applied after the stop", applied)
 				}
 			}
@@ -104,19 +104,19 @@
 	}
 }
 
-// appliedAfterStop runs a loop with full queues that was stopped already, or that its first event
+// countAppliedAfterStop runs a loop with full queues that was stopped already, or that its first event
 // stops, and counts what is served after that.
-func appliedAfterStop(byEvent bool) int {
+func countAppliedAfterStop(byEvent bool) int {
 	loop, applied := New(), 0
-	stop := stopping{loop, &applied}
+	stop := stoppingEvent{loop, &applied}
 	if byEvent {
 		loop.Post(stop)
 	} else {
 		stop.Apply()
 	}
 	for range 2 * eventBatchSize {
-		loop.events <- counted{&applied}
-		loop.queries <- counted{&applied}
+		loop.events <- countingEvent{&applied}
+		loop.queries <- countingEvent{&applied}
 	}
 	loop.Run(Handlers{
 		Now: micro.Now, Tick: func(micro.Time) {},
--- a/internal/keys/golden_test.go
+++ b/internal/keys/golden_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Builds that run side by side, and later ones, look for each other's keys under these names.
-func TestKeysOfRecordsKeepTheirSpelling(t *testing.T) {
+func TestRecordKeysAreUnchanged(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"description", JobSpec("j-1"), "job/j-1/spec"},
 		{"end", JobEnd("j-1"), "job/j-1/end"},
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The keys are fixed formats: another version reads them.
-func TestKeysKeepTheirFormat(t *testing.T) {
+func TestKeyFormatsAreUnchanged(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{JobSpec("j-1"), "job/j-1/spec"},
 		{JobEnd("j-1"), "job/j-1/end"},
--- a/internal/persist/chunks.go
+++ b/internal/persist/chunks.go
@@ -29,7 +29,7 @@
 	}
 	record.OnCommitted = func(version uint64) {
 		if record.Version() == 0 && !chunk.Job.IsTerminal() {
-			r.handedOverDeleted(chunk, record, version)
+			r.recordDeletionCommitted(chunk, record, version)
 			return
 		}
 		r.cluster.ChunkPersisted(chunk, version)
@@ -41,16 +41,16 @@
 // ChunkRevision is the version of a chunk's key; false: something of the chunk is still to be
 // written, or uncertain, or is in the first form alone.
 func (r *Records) ChunkRevision(chunk *cluster.TaskChunk) (revision uint64, persisted bool) {
-	persisted = chunk.MemoryVersion <= chunk.StoredVersion && !inFirstFormAlone(chunk)
+	persisted = chunk.MemoryVersion <= chunk.StoredVersion && !onlyInLegacyFormat(chunk)
 	if record := r.chunks[chunk]; record != nil {
 		return record.Version(), persisted && record.Settled()
 	}
 	return chunk.KeyRevision, persisted
 }
 
-// inFirstFormAlone reports whether a chunk's tasks are stored in the first form, and not yet in
+// onlyInLegacyFormat reports whether a chunk's tasks are stored in the first form, and not yet in
 // the compact one.
-func inFirstFormAlone(chunk *cluster.TaskChunk) bool {
+func onlyInLegacyFormat(chunk *cluster.TaskChunk) bool {
 	return chunk.Legacy != nil && !chunk.Stored && !chunk.Legacy.Obsolete()
 }
 
@@ -71,7 +71,7 @@
 func (r *Records) PersistJob(job *cluster.Job) {
 	now := r.host.Now()
 	for _, chunk := range job.Chunks {
-		if inFirstFormAlone(chunk) && chunk.MemoryVersion <= chunk.StoredVersion {
+		if onlyInLegacyFormat(chunk) && chunk.MemoryVersion <= chunk.StoredVersion {
 			chunk.MemoryVersion++
 			r.ChunkRecord(chunk).MarkDirty(now, statestore.PriorityHigh)
 		}
--- a/internal/persist/format.go
+++ b/internal/persist/format.go
@@ -33,7 +33,7 @@
 	format := &Format{records: records, record: records.Record(keys.Format), log: log}
 	format.record.Build = func() (any, uint64) { return format.next(), 0 }
 	format.record.OnCommitted = func(uint64) {
-		format.raised()
+		format.onRaised()
 		log.Info("format raised", "version", format.stored.Version, "tasks", format.stored.TasksPerChunk)
 	}
 	format.record.ResolveUncertain = func(item wire.Item) bool {
@@ -75,7 +75,7 @@
 	}
 	f.record.SetVersion(uint64(item.Version))
 	f.stored = stored
-	f.raised()
+	f.onRaised()
 	return nil
 }
 
@@ -83,8 +83,8 @@
 	return tasks >= 1 && tasks <= cluster.LegacyTasksPerChunk && cluster.LegacyTasksPerChunk%tasks == 0
 }
 
-// raised turns to the compact form: fleet/format is in the store.
-func (f *Format) raised() {
+// onRaised turns to the compact form: fleet/format is in the store.
+func (f *Format) onRaised() {
 	if f.records.cluster.CompactRecords {
 		return
 	}
--- a/internal/persist/hand_over.go
+++ b/internal/persist/hand_over.go
@@ -10,7 +10,7 @@
 func (r *Records) DeleteHandedOver(job *cluster.Job) (gone bool) {
 	gone = true
 	for _, chunk := range job.Chunks {
-		if !r.legacyDeleted(chunk) || !r.handedOverGone(chunk) {
+		if !r.legacyDeleted(chunk) || !r.handedOverRecordDeleted(chunk) {
 			gone = false
 		}
 	}
@@ -32,7 +32,7 @@
 	case record == nil && legacy.KeyRevision > 0:
 		r.LegacyRecordSuperseded(legacy)
 		return false
-	case record != nil && !goneFromStore(record):
+	case record != nil && !absentFromStore(record):
 		record.MarkDirty(r.host.Now(), statestore.PriorityHigh)
 		return false
 	}
@@ -40,13 +40,13 @@
 	return true
 }
 
-// handedOverGone reports whether the record of a chunk is deleted, and has that done if it is not.
-func (r *Records) handedOverGone(chunk *cluster.TaskChunk) bool {
+// handedOverRecordDeleted reports whether the record of a chunk is deleted, and has that done if it is not.
+func (r *Records) handedOverRecordDeleted(chunk *cluster.TaskChunk) bool {
 	if chunk.Legacy != nil {
 		return false
 	}
 	record := r.chunks[chunk]
-	if !chunk.Stored && (record == nil || goneFromStore(record)) {
+	if !chunk.Stored && (record == nil || absentFromStore(record)) {
 		return true
 	}
 	chunk.HandedOver = true
@@ -54,11 +54,11 @@
 	return false
 }
 
-// goneFromStore reports whether a record is not in the store, and no write of it may bring it back.
-func goneFromStore(record *statestore.Record) bool { return record.AbsentAtLastRead() && record.Settled() }
+// absentFromStore reports whether a record is not in the store, and no write of it may bring it back.
+func absentFromStore(record *statestore.Record) bool { return record.AbsentAtLastRead() && record.Settled() }
 
-// handedOverDeleted takes in that the record of a chunk was deleted.
-func (r *Records) handedOverDeleted(chunk *cluster.TaskChunk, record *statestore.Record, memoryVersion uint64) {
+// recordDeletionCommitted takes in that the record of a chunk was deleted.
+func (r *Records) recordDeletionCommitted(chunk *cluster.TaskChunk, record *statestore.Record, memoryVersion uint64) {
 	chunk.Stored, chunk.KeyRevision = false, 0
 	chunk.StoredVersion = max(chunk.StoredVersion, memoryVersion)
 	if !record.Dirty() {
--- a/internal/persist/hand_over_test.go
+++ b/internal/persist/hand_over_test.go
@@ -33,7 +33,7 @@
 		if condition() {
 			return
 		}
-		h.send()
+		h.flushAndWait()
 		for len(h.events) > 0 {
 			(<-h.events).Apply()
 		}
@@ -41,15 +41,15 @@
 	t.Fatal("never")
 }
 
-// send sends what is due, and waits until the store has answered.
-func (h *testHost) send() {
+// flushAndWait sends what is due, and waits until the store has answered.
+func (h *testHost) flushAndWait() {
 	h.now += 2 * micro.Second
 	h.records.Flush(h.now)
 	synctest.Wait()
 }
 
-// putFirstForm stores a record of j-1 in the first form.
-func (h *testHost) putFirstForm(t *testing.T, record *cluster.ChunkRecord) {
+// putLegacyRecord stores a record of j-1 in the first form.
+func (h *testHost) putLegacyRecord(t *testing.T, record *cluster.ChunkRecord) {
 	t.Helper()
 	put := wire.Change{Put: keys.LegacyChunk("j-1", 0), Value: record}
 	if _, err := h.store.Commit(t.Context(), store.Routine, wire.Transaction{Then: []wire.Change{put}}); err != nil {
@@ -57,16 +57,16 @@
 	}
 }
 
-// persistedJob is a job whose records were in the first form and are in the compact one by now, with
+// newMigratedJob is a job whose records were in the first form and are in the compact one by now, with
 // what is left of the first form still to be deleted.
-func persistedJob(t *testing.T) (*testHost, *cluster.Job) {
+func newMigratedJob(t *testing.T) (*testHost, *cluster.Job) {
 	t.Helper()
 	host := newTestHost(testRole{})
 	host.cluster.EnableCompactRecords(2)
 	host.cluster.HandoverSupported = true
 	job := host.addJob(4)
 	first := &cluster.ChunkRecord{Done: [][2]int{{0, 0}, {3, 3}}}
-	host.putFirstForm(t, first)
+	host.putLegacyRecord(t, first)
 	host.cluster.RestoreChunk(job, 0, first, 1, host.now)
 	host.cluster.FinishRestore(host.now)
 	host.commitUntil(t, func() bool {
@@ -80,12 +80,12 @@
 // The leader's records of a job that a shard's owner has by now stay in the store, in either form: a
 // version before takes them for later ones than the owner's. Or those that are deleted are not written
 // anew once the job is the leader's again.
-func TestRecordsOfAJobThatIsHandedOverGoAndComeBack(t *testing.T) {
-	synctest.Test(t, checkRecordsGoAndComeBack)
+func TestRecordsOfHandedOverJobAreDeletedAndRewrittenOnReturn(t *testing.T) {
+	synctest.Test(t, checkRecordsAreDeletedAndRewritten)
 }
 
-func checkRecordsGoAndComeBack(t *testing.T) {
-	host, job := persistedJob(t)
+func checkRecordsAreDeletedAndRewritten(t *testing.T) {
+	host, job := newMigratedJob(t)
 	if tasks := host.cluster.Assign(job, "east"); tasks != 2 {
 		t.Fatalf("%d tasks assigned", tasks)
 	}
@@ -107,16 +107,16 @@
 }
 
 // A deletion that was sent before the job came back is carried out after it: the record is not there.
-func TestDeletionThatIsUnderWayAsAJobComesBackLosesNothing(t *testing.T) {
-	synctest.Test(t, checkDeletionUnderWay)
+func TestRecordsAreRewrittenIfJobReturnsDuringDeletion(t *testing.T) {
+	synctest.Test(t, checkReturnDuringDeletion)
 }
 
-func checkDeletionUnderWay(t *testing.T) {
-	host, job := persistedJob(t)
+func checkReturnDuringDeletion(t *testing.T) {
+	host, job := newMigratedJob(t)
 	host.cluster.Assign(job, "east")
 	host.commitUntil(t, func() bool { host.records.DeleteHandedOver(job); return len(host.storedChunks(t)) == 2 })
 	host.records.DeleteHandedOver(job)
-	host.send()
+	host.flushAndWait()
 	host.cluster.Unassign(job, host.now)
 	host.commitUntil(t, func() bool {
 		_, persisted := host.records.JobRevision(job)
--- a/internal/persist/records_test.go
+++ b/internal/persist/records_test.go
@@ -24,8 +24,8 @@
 	store   *fake.Store
 	cluster *cluster.State
 	events  chan eventloop.Event
-	ended   map[string]wire.JobState
-	raised  int
+	finalStates   map[string]wire.JobState
+	formatRaisedCount  int
 }
 
 func (h *testHost) Now() micro.Time                                { return h.now }
@@ -33,8 +33,8 @@
 func (h *testHost) HoldsLease() bool                               { return true }
 func (h *testHost) Post(event eventloop.Event)                     { h.events <- event }
 func (h *testHost) ObserveCommit(micro.Time)                       {}
-func (h *testHost) JobEnded(job *cluster.Job, state wire.JobState) { h.ended[job.Spec.ID] = state }
-func (h *testHost) FormatRaised()                                  { h.raised++ }
+func (h *testHost) JobEnded(job *cluster.Job, state wire.JobState) { h.finalStates[job.Spec.ID] = state }
+func (h *testHost) FormatRaised()                                  { h.formatRaisedCount++ }
 
 func (h *testHost) ChunkDirty(chunk *cluster.TaskChunk)  { h.records.ChunkDirty(chunk) }
 func (h *testHost) ChunkUrgent(chunk *cluster.TaskChunk) { h.records.ChunkUrgent(chunk) }
@@ -74,7 +74,7 @@
 		now:    1000 * micro.Second,
 		store:  fake.NewStore(),
 		events: make(chan eventloop.Event, 100),
-		ended:  map[string]wire.JobState{},
+		finalStates:  map[string]wire.JobState{},
 	}
 	host.cluster = cluster.New(host)
 	host.records = New(Dependencies{
@@ -101,11 +101,11 @@
 }
 
 // The first end wins: what the store holds is the truth, and the leader is told that.
-func TestEndOfAJobIsWrittenOnce(t *testing.T) {
+func TestStoredFinalStateOfJobTakesPrecedence(t *testing.T) {
 	host := newTestHost(testRole{})
 	job := host.addJob(1)
 	host.records.WriteJobEnd(job, wire.JobDone)
-	if host.records.EndUncertain("j-1") || len(host.ended) > 0 {
+	if host.records.EndUncertain("j-1") || len(host.finalStates) > 0 {
 		t.Fatal("nothing was sent yet")
 	}
 	record := host.records.Lookup(keys.JobEnd("j-1"))
@@ -116,8 +116,8 @@
 	if record.ResolveUncertain(wire.Item{Key: record.Key, Value: []byte{0xc1}}) {
 		t.Fatal("a value that is no end settles nothing")
 	}
-	if !record.ResolveUncertain(stored) || host.ended["j-1"] != wire.JobAborted {
-		t.Errorf("the leader was told %q", host.ended["j-1"])
+	if !record.ResolveUncertain(stored) || host.finalStates["j-1"] != wire.JobAborted {
+		t.Errorf("the leader was told %q", host.finalStates["j-1"])
 	}
 	if host.records.Lookup(keys.JobEnd("j-1")) != nil {
 		t.Error("the record of an end that is stored is kept")
@@ -126,7 +126,7 @@
 
 // The owner of a shard keeps the chunks of a job that has ended until its assignment has
 // gone; a leader deletes them.
-func TestChunksOfAnEndedJob(t *testing.T) {
+func TestChunksOfEndedJobAreDeletedUnlessRoleKeepsThem(t *testing.T) {
 	for _, keeps := range []bool{false, true} {
 		host := newTestHost(testRole{keepsChunks: keeps})
 		job := host.addJob(1)
@@ -150,7 +150,7 @@
 
 // A format that was raised is for good, and nothing turns to the compact form before it is
 // stored.
-func TestFormatIsRaisedOnceStored(t *testing.T) {
+func TestCompactFormatIsEnabledOnceFormatIsStored(t *testing.T) {
 	host := newTestHost(testRole{})
 	for _, stored := range []any{
 		"x",
@@ -164,16 +164,16 @@
 		}
 	}
 	host.records.Format.Raise(host.now)
-	if host.cluster.CompactRecords || host.raised > 0 {
+	if host.cluster.CompactRecords || host.formatRaisedCount > 0 {
 		t.Fatal("the compact form is in use before the format is stored")
 	}
 	host.commit()
-	if !host.cluster.CompactRecords || host.raised != 1 ||
+	if !host.cluster.CompactRecords || host.formatRaisedCount != 1 ||
 		host.cluster.TasksPerChunk != host.records.Format.next().TasksPerChunk {
 		t.Fatalf(
 			"compact %v, raised %d times, %d tasks in a chunk",
 			host.cluster.CompactRecords,
-			host.raised,
+			host.formatRaisedCount,
 			host.cluster.TasksPerChunk,
 		)
 	}
@@ -184,7 +184,7 @@
 }
 
 // A machine's speed is restored with the version of its key; what is no record is an error.
-func TestSpeedsAreRestored(t *testing.T) {
+func TestSpeedsAreRestoredWithKeyVersion(t *testing.T) {
 	host := newTestHost(testRole{})
 	if host.records.RestoreSpeeds(wire.Item{Key: keys.Speeds, Value: []byte{0xc1}}) == nil {
 		t.Error("no error for a value that is none of speeds")
@@ -205,7 +205,7 @@
 
 // Each round writes two records at the most, reaches all in turn, and deletes those
 // that a smaller fleet needs no more.
-func TestImageRecordsOfALargeFleetAreWrittenInTurn(t *testing.T) {
+func TestImagePagesOfLargeFleetAreWrittenInTurn(t *testing.T) {
 	host := newTestHost(testRole{})
 	host.cluster.EnableCompactRecords(64)
 	has := cluster.ImageRecord{Names: []string{"x"}, GB: []float64{9}, Machines: map[string][]int{}}
@@ -214,21 +214,21 @@
 	}
 	host.cluster.RestoreImages(has, host.now)
 	all := len(host.cluster.ImagePages(host.records.Images.maxPageBytes()))
-	written := host.writeImageRounds(3 * all)
+	written := host.runImageWriteRounds(3 * all)
 	if len(written) != all {
 		t.Errorf("%d of %d records were written", len(written), all)
 	}
 	for _, machine := range host.cluster.SortedMachines()[100:] {
 		host.cluster.RemoveMachine(machine, host.now)
 	}
-	host.writeImageRounds(3 * all)
+	host.runImageWriteRounds(3 * all)
 	if n := len(host.records.Images.pages); n != 0 {
 		t.Errorf("%d records are left of a fleet that needs none", n)
 	}
 }
 
-// writeImageRounds plays rounds of writing image records, and lists what was put.
-func (h *testHost) writeImageRounds(n int) map[string]bool {
+// runImageWriteRounds plays rounds of writing image records, and lists what was put.
+func (h *testHost) runImageWriteRounds(n int) map[string]bool {
 	put := map[string]bool{}
 	for range n {
 		h.records.Images.writeNext(h.now)
@@ -256,7 +256,7 @@
 
 // A job in a shard goes on from the leader's compact records: named by a revision while something
 // is still to be written, in doubt, or in the first form alone, what is done would be done again.
-func TestRevisionOfAJobIsThatOfItsSettledCompactRecords(t *testing.T) {
+func TestJobRevisionRequiresSettledCompactRecords(t *testing.T) {
 	host := newTestHost(testRole{})
 	host.cluster.EnableCompactRecords(2)
 	job := host.addJob(4)
@@ -286,7 +286,7 @@
 }
 
 // The owner of a shard reads compact records alone.
-func TestJobInTheFirstFormAloneIsPersistedInTheCompactForm(t *testing.T) {
+func TestJobOnlyInLegacyFormatIsPersistedInCompactFormat(t *testing.T) {
 	host := newTestHost(testRole{})
 	host.cluster.EnableCompactRecords(2)
 	job := host.addJob(4)
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	revision, err := w.store.Commit(ctx, store.Urgent, txn)
-	w.host.Post(transactionAnswered{w, txn, changes, sentAt, revision, err})
+	w.host.Post(transactionCompleted{w, txn, changes, sentAt, revision, err})
 }
 
 // handleCommitResult takes in the outcome of a transaction.
@@ -65,7 +65,7 @@
 // markStored takes in one change that is in the store.
 func (w *Writer) markStored(change batchChange, revision uint64) {
 	record := change.record
-	record.uncertain, record.inFlightUnanswered = false, false
+	record.uncertain, record.mayExecuteLate = false, false
 	record.version = revision
 	if change.deleted {
 		record.version, record.deleteSent = 0, false
@@ -92,8 +92,8 @@
 	for _, change := range changes {
 		record := change.record
 		record.needsVerify = record.needsVerify || needsVerify
-		record.uncertain = record.uncertain && (record.inFlightUnanswered || needsVerify)
-		record.inFlightUnanswered = record.inFlightUnanswered || needsVerify
+		record.uncertain = record.uncertain && (record.mayExecuteLate || needsVerify)
+		record.mayExecuteLate = record.mayExecuteLate || needsVerify
 		record.MarkDirty(now, PriorityHigh)
 	}
 }
@@ -160,7 +160,7 @@
 	case result.err == nil:
 		record.needsVerify = false
 		record.version = uint64(result.item.Version)
-		record.uncertain, record.inFlightUnanswered = false, false
+		record.uncertain, record.mayExecuteLate = false, false
 		if record.ResolveUncertain != nil && record.ResolveUncertain(result.item) {
 			record.dirty = false
 		}
--- a/internal/statestore/events.go
+++ b/internal/statestore/events.go
@@ -14,8 +14,8 @@
 // Apply puts the changes back in line.
 func (e leaseLost) Apply() { e.writer.requeue(e.changes, false) }
 
-// transactionAnswered is what came of a transaction.
-type transactionAnswered struct {
+// transactionCompleted is what came of a transaction.
+type transactionCompleted struct {
 	writer   *Writer
 	txn      wire.Transaction
 	changes  []batchChange
@@ -25,7 +25,7 @@
 }
 
 // Apply takes in the outcome.
-func (e transactionAnswered) Apply() {
+func (e transactionCompleted) Apply() {
 	now := e.writer.host.Now()
 	e.writer.host.ObserveCommit(now - e.sentAt)
 	e.writer.handleCommitResult(e.txn, e.changes, e.revision, e.err, now)
--- a/internal/statestore/record.go
+++ b/internal/statestore/record.go
@@ -50,7 +50,7 @@
 	uncertain          bool       // a write was sent that may yet be executed, or was, unknown to this writer
 	inFlight           bool       // a write of it, or a read of its version, is in flight
 	deleteSent         bool       // the last write that was sent deletes the key
-	inFlightUnanswered bool       // a write of it got no response: it may be executed at any later time
+	mayExecuteLate bool       // a write of it got no response: it may be executed at any later time
 	rejectedUntil      micro.Time // the store rejected it: no retry before
 	dirtySince         micro.Time // when it became dirty
 }
--- a/internal/statestore/guards_test.go
+++ b/internal/statestore/writer_test.go
@@ -13,19 +13,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// hostGuard is a condition of the test's host: the version of the leader's key.
-var hostGuard = wire.Precondition{Key: "leader", Version: 7}
+// hostPrecondition is a condition of the test's host: the version of the leader's key.
+var hostPrecondition = wire.Precondition{Key: "leader", Version: 7}
 
 // testHost is a host whose clock, right and loop the test holds.
 type testHost struct {
 	now    micro.Time
-	valid  bool
+	holdsLease  bool
 	posted chan eventloop.Event
 }
 
 func (h *testHost) Now() micro.Time                    { return h.now }
-func (h *testHost) HoldsLease() bool                   { return h.valid }
-func (h *testHost) Preconditions() []wire.Precondition { return []wire.Precondition{hostGuard} }
+func (h *testHost) HoldsLease() bool                   { return h.holdsLease }
+func (h *testHost) Preconditions() []wire.Precondition { return []wire.Precondition{hostPrecondition} }
 func (h *testHost) Post(event eventloop.Event)         { h.posted <- event }
 func (h *testHost) MaxValueBytes() int                 { return 1000 }
 func (h *testHost) MaxTransactionOps() int             { return 8 }
@@ -62,7 +62,7 @@
 
 func newHarness() *harness {
 	h := &harness{
-		host:  &testHost{now: micro.Minute, valid: true, posted: make(chan eventloop.Event, 16)},
+		host:  &testHost{now: micro.Minute, holdsLease: true, posted: make(chan eventloop.Event, 16)},
 		store: &testStore{},
 	}
 	h.store.commit = func() (uint64, error) { return 20, nil }
@@ -71,8 +71,8 @@
 	return h
 }
 
-// entry makes an entry with a value, at a version.
-func (h *harness) entry(key string, version uint64) *Record {
+// newRecord makes an newRecord with a value, at a version.
+func (h *harness) newRecord(key string, version uint64) *Record {
 	record := h.Record(key)
 	record.SetVersion(version)
 	record.Build = func() (any, uint64) { return "value of " + key, 3 }
@@ -94,20 +94,20 @@
 
 // Each transaction carries the conditions of the host and the version last known of each
 // key: a deposed leader, and a late copy of an earlier write, change nothing.
-func TestTransactionCarriesThePreconditionsOfTheHostAndOfEachKey(t *testing.T) {
+func TestTransactionHasPreconditionsOfHostAndOfEachKey(t *testing.T) {
 	h := newHarness()
 	further := wire.Precondition{Key: "share/gpus", Version: 9}
 	for _, key := range []string{"run/j-1/0", "run/j-2/0"} {
-		record := h.entry(key, 11)
+		record := h.newRecord(key, 11)
 		record.Preconditions = func() []wire.Precondition { return []wire.Precondition{further} }
 		record.MarkDirty(h.host.now, PriorityHigh)
 	}
 	h.step()
-	want := []wire.Precondition{hostGuard, further, {Key: "run/j-1/0", Version: 11}, {Key: "run/j-2/0", Version: 11}}
+	want := []wire.Precondition{hostPrecondition, further, {Key: "run/j-1/0", Version: 11}, {Key: "run/j-2/0", Version: 11}}
 	if len(h.store.sent) != 1 || !slices.Equal(h.store.sent[0].If, want) {
 		t.Fatalf("sent %+v, want the conditions %+v", h.store.sent, want)
 	}
-	h.entry("run/j-1/0", 20).MarkDirty(h.host.now, PriorityHigh)
+	h.newRecord("run/j-1/0", 20).MarkDirty(h.host.now, PriorityHigh)
 	h.Record("run/j-2/0").MarkDirty(h.host.now, PriorityHigh)
 	h.step()
 	for _, g := range h.store.sent[1].If[2:] {
@@ -119,18 +119,18 @@
 
 // A process that stood still between gathering a transaction and sending it may have lost
 // the right to write.
-func TestNothingIsSentOnceTheLeaseHasLapsed(t *testing.T) {
+func TestNothingIsSentAfterLeaseExpired(t *testing.T) {
 	h := newHarness()
 	saved := false
-	record := h.entry("run/j-1/0", 11)
+	record := h.newRecord("run/j-1/0", 11)
 	record.OnCommitted = func(uint64) { saved = true }
 	record.MarkDirty(h.host.now, PriorityHigh)
-	h.host.valid = false
+	h.host.holdsLease = false
 	h.step()
 	if len(h.store.sent) > 0 || saved {
 		t.Errorf("sent %+v, saved %v", h.store.sent, saved)
 	}
-	h.host.valid = true
+	h.host.holdsLease = true
 	h.step()
 	if len(h.store.sent) != 1 || !saved || record.Uncertain() {
 		t.Errorf("with the right back: sent %+v, saved %v, in doubt %v", h.store.sent, saved, record.Uncertain())
@@ -139,7 +139,7 @@
 
 // After a write without an answer the key is read before the next one, which carries the
 // version that was found; Saved is told only of a write that is known to be in the store.
-func TestUncertainWriteIsVerifiedBeforeTheNextOne(t *testing.T) {
+func TestUncertainWriteIsVerifiedBeforeNextWrite(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome error
@@ -163,7 +163,7 @@
 	h.store.commit = func() (uint64, error) { return 0, outcome }
 	h.store.get = func(string) (wire.Item, error) { return wire.Item{Version: 15}, nil }
 	saved := 0
-	record := h.entry("run/j-1/0", 11)
+	record := h.newRecord("run/j-1/0", 11)
 	record.OnCommitted = func(uint64) { saved++ }
 	record.MarkDirty(h.host.now, PriorityHigh)
 	h.step()
@@ -188,11 +188,11 @@
 // That an uncertain write is not there when it is looked for says nothing of later: it
 // stays in doubt until a write is known to be in the store, also when the next try is
 // refused. A refusal alone leaves no doubt.
-func TestWriteStaysUncertainAfterAReadThatFindsNothing(t *testing.T) {
+func TestWriteStaysUncertainIfReadFindsNoKey(t *testing.T) {
 	h := newHarness()
 	outcome := store.ErrUncertain
 	h.store.commit = func() (uint64, error) { return 0, outcome }
-	record := h.entry("job/j-1/end", 0)
+	record := h.newRecord("job/j-1/end", 0)
 	record.MarkDirty(h.host.now, PriorityUrgent)
 	h.step()
 	if !record.Uncertain() {
@@ -212,7 +212,7 @@
 	if record.Uncertain() || record.Version() != 22 {
 		t.Errorf("in doubt %v, version %d once it is written", record.Uncertain(), record.Version())
 	}
-	other := h.entry("job/j-2/end", 0)
+	other := h.newRecord("job/j-2/end", 0)
 	other.MarkDirty(h.host.now, PriorityUrgent)
 	h.store.commit = func() (uint64, error) { return 0, store.ErrRefused }
 	h.step()
@@ -222,11 +222,11 @@
 }
 
 // What the store holds after an uncertain write may settle it: the first end wins.
-func TestStoredValueResolvesAnUncertainWrite(t *testing.T) {
+func TestStoredValueResolvesUncertainWrite(t *testing.T) {
 	h := newHarness()
 	h.store.commit = func() (uint64, error) { return 0, store.ErrUncertain }
 	h.store.get = func(string) (wire.Item, error) { return wire.Item{Version: 15}, nil }
-	record := h.entry("job/j-1/end", 0)
+	record := h.newRecord("job/j-1/end", 0)
 	found := 0
 	record.ResolveUncertain = func(item wire.Item) bool { found++; return item.Version == 15 }
 	record.MarkDirty(h.host.now, PriorityUrgent)
@@ -246,7 +246,7 @@
 	h := newHarness()
 	sent, release := make(chan bool, 2), make(chan bool)
 	h.store.commit = func() (uint64, error) { sent <- true; <-release; return 20, nil }
-	record := h.entry("run/j-1/0", 11)
+	record := h.newRecord("run/j-1/0", 11)
 	record.MarkDirty(h.host.now, PriorityHigh)
 	h.Flush(h.host.now)
 	<-sent
@@ -269,7 +269,7 @@
 
 // Of a transaction that the store calls malformed, each change is sent alone, so that the
 // one at fault holds up no other; that one is put off.
-func TestMalformedChangeDelaysNoOther(t *testing.T) {
+func TestMalformedChangeDoesNotDelayOthers(t *testing.T) {
 	h := newHarness()
 	h.store.commit = func() (uint64, error) {
 		for _, change := range h.store.sent[len(h.store.sent)-1].Then {
@@ -279,9 +279,9 @@
 		}
 		return 20, nil
 	}
-	bad := h.entry("run/j-2/0", 11)
-	good := h.entry("run/j-3/0", 11)
-	for _, record := range []*Record{h.entry("run/j-1/0", 11), bad, good} {
+	bad := h.newRecord("run/j-2/0", 11)
+	good := h.newRecord("run/j-3/0", 11)
+	for _, record := range []*Record{h.newRecord("run/j-1/0", 11), bad, good} {
 		record.MarkDirty(h.host.now, PriorityHigh)
 	}
 	for range 4 {
@@ -313,7 +313,7 @@
 // An entry that has nothing to write yet writes nothing.
 func TestRecordThatIsNotReadyWritesNothing(t *testing.T) {
 	h := newHarness()
-	record := h.entry("run/j-1/0", 11)
+	record := h.newRecord("run/j-1/0", 11)
 	record.Build = func() (any, uint64) { return NotReady, 0 }
 	record.MarkDirty(h.host.now, PriorityHigh)
 	h.step()
@@ -333,7 +333,7 @@
 // A transaction that is under way may concern an entry that was dropped meanwhile.
 func TestNothingIsSettledWhileATransactionIsInFlight(t *testing.T) {
 	h := newHarness()
-	record := h.entry("run/j-1/0", 11)
+	record := h.newRecord("run/j-1/0", 11)
 	record.MarkDirty(h.host.now, PriorityHigh)
 	h.Flush(h.host.now)
 	h.Drop(record)
@@ -348,7 +348,7 @@
 
 // A delete that was carried out without an answer is never taken for done: what waits for it waits
 // for good. Nor is it done twice, or where the key never existed.
-func TestDeleteFoundDoneIsCommittedOnce(t *testing.T) {
+func TestFoundDeleteIsReportedOnce(t *testing.T) {
 	for name, row := range map[string]struct {
 		version uint64
 		outcome error
@@ -380,7 +380,7 @@
 }
 
 // A delete that is marked to be written once more while it is in flight is taken for done twice.
-func TestDeleteMarkedAgainInFlightIsCommittedOnce(t *testing.T) {
+func TestDeleteMarkedDirtyInFlightIsReportedOnce(t *testing.T) {
 	for name, outcome := range map[string]error{"answered": nil, "no answer": store.ErrUncertain} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness()
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -16,7 +16,7 @@
 // nonRefillingLimiter makes a limiter that is full and never fills again: no clock has a say.
 func nonRefillingLimiter(burst int) *rate.Limiter { return rate.NewLimiter(0, burst) }
 
-func TestClassLeavesItsReservedFraction(t *testing.T) {
+func TestClassLeavesReservedFraction(t *testing.T) {
 	const burst = 100
 	for _, c := range []struct {
 		class Class
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestLeadershipBorrowsAndOthersWait(t *testing.T) {
+func TestOnlyLeadershipMayExceedBudget(t *testing.T) {
 	limiter := nonRefillingLimiter(2)
 	for range 10 {
 		if !Admit(limiter, Leadership, 1) {
@@ -70,7 +70,7 @@
 	return NewClient(listener.Addr().String(), 300, 300)
 }
 
-func TestCallsOverTheBudgetAreNotSent(t *testing.T) {
+func TestCallsOverBudgetAreNotSent(t *testing.T) {
 	var requests atomic.Int32
 	client := newRateLimitedClient(t, &requests)
 	client.writes, client.reads = nonRefillingLimiter(10), nonRefillingLimiter(10)
@@ -126,7 +126,7 @@
 
 // A change that the read budget refused took its share of the write budget with it: a node short
 // of reads kept its own writes, cancellations included, from the store.
-func TestCallRefusedByOneBudgetTakesNothingFromTheOther(t *testing.T) {
+func TestCallRejectedByOneBudgetUsesNoTokensOfTheOther(t *testing.T) {
 	const burst = 10
 	for _, c := range []struct {
 		name          string
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -44,7 +44,7 @@
 	return wire.Transaction{If: guards, Then: []wire.Change{{Put: key, Value: "v"}}}
 }
 
-func TestEachStatusHasItsError(t *testing.T) {
+func TestStatusIsMappedToError(t *testing.T) {
 	empty := wire.MustMarshal(map[string]any{})
 	for _, c := range []struct {
 		name   string
@@ -84,7 +84,7 @@
 
 // A commit whose answer is lost may have run: it is neither repeated nor taken for
 // refused, on a connection that is new or has served before.
-func TestLostResponseIsUncertainAndNothingIsSentTwice(t *testing.T) {
+func TestLostResponseIsUncertainAndNotRetried(t *testing.T) {
 	state := fake.NewStore()
 	var requests atomic.Int32
 	client := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestCallsEndAtTheDeadlineOfTheirContext(t *testing.T) {
+func TestCallsEndAtContextDeadline(t *testing.T) {
 	state := fake.NewStore()
 	client := store.NewClient(serve(t, state.Handle), unlimitedRate, unlimitedRate)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Hour))
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestExpiredLeaseIsNoLeaseForAnyCall(t *testing.T) {
+func TestCallsWithExpiredLeaseReturnErrNoLease(t *testing.T) {
 	const ttl = 3 * micro.Second
 	var now atomic.Int64
 	state := fake.NewStore()
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestNamesAreEscapedInQueries(t *testing.T) {
+func TestQueryParametersAreEscaped(t *testing.T) {
 	var prefix, since string
 	client := store.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) {
 		prefix, since = string(ctx.QueryArgs().Peek("prefix")), string(ctx.QueryArgs().Peek("since"))
