--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,6 +1,6 @@
-// Package eventloop runs the goroutine that owns a controller's state: that of a term of
-// leadership, or of the ownership of a shard. All else that goes on (answers of the store,
-// of the cloud and of agents, requests of users) reaches that state as typed events.
+// Package eventloop runs the goroutine that owns the state of a controller for one term of
+// leadership or for the ownership of one shard. Everything else (responses of the store, the
+// cloud and agents, requests of users) reaches that state as typed events.
 package eventloop
 
 import (
@@ -12,45 +12,48 @@
 )
 
 const (
-	// eventQueueSize is how many events wait for the loop before those that bring more are
-	// held up. After a partition all agents send a heartbeat within a second or two: there
-	// is room for those of more than 10,000 machines.
+	// eventQueueSize is the number of events that can be queued before Post blocks. After a
+	// partition, all agents send a heartbeat within a second or two; the queue holds the
+	// heartbeats of more than 10,000 machines.
 	eventQueueSize = 16384
-	// queryQueueSize is the same for queries, whose callers go to the store instead.
+	// queryQueueSize is the number of queries that can be queued. Callers whose query is not
+	// answered in time read from the store instead.
 	queryQueueSize = 1024
-	// eventBatchSize is how many events are served before the loop looks at anything else.
+	// eventBatchSize is the maximum number of queued events that are applied before the loop
+	// checks queries and ticks again.
 	eventBatchSize = 64
-	// tickInterval is how often Handlers.Tick runs.
+	// tickInterval is the interval between calls of Handlers.Tick.
 	tickInterval = 100 * time.Millisecond
 )
 
-// Event is something that the loop takes in. Its type says what happened.
+// Event is a unit of work for the loop. Its type identifies what happened.
 type Event interface {
-	// Apply changes the state that the loop's goroutine owns; only that goroutine calls it.
+	// Apply changes the state that the loop's goroutine owns. Only that goroutine calls it.
 	Apply()
 }
 
-// Queue says which events are served first.
+// Queue identifies one of the loop's queues.
 type Queue uint8
 
-// The queues: queries wait until no event does.
+// The queues of a loop. Events are preferred to queries: after each event, up to eventBatchSize
+// queued events are applied before the next query.
 const (
 	Events Queue = iota
 	Queries
 )
 
-// Handlers are what a loop runs beside events, on its own goroutine.
+// Handlers are the callbacks that a loop calls on its own goroutine.
 type Handlers struct {
-	// Now is the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now func() micro.Time
-	// Tick runs every 100 ms while the loop has time for it.
+	// Tick is called every 100 ms. Ticks are dropped while the loop is busy.
 	Tick func(now micro.Time)
-	// AfterEvents runs after each batch of events and each tick.
+	// AfterEvents is called after each batch of events, each query and each tick.
 	AfterEvents func(now micro.Time)
 }
 
-// Loop holds the events that wait for one goroutine. All methods but Run may be called
-// from any goroutine.
+// Loop queues events and applies them on the goroutine that calls Run. All methods except Run
+// may be called from any goroutine.
 type Loop struct {
 	events   chan Event
 	queries  chan Event
@@ -58,7 +61,7 @@
 	stopOnce sync.Once
 }
 
-// New makes a loop that takes events at once, and serves them once Run is called.
+// New returns a loop that queues events from now on and applies them once Run is called.
 func New() *Loop {
 	return &Loop{
 		events:  make(chan Event, eventQueueSize),
@@ -67,7 +70,8 @@
 	}
 }
 
-// Post hands the loop an event; it is dropped once the loop is stopped.
+// Post queues an event. It blocks while the queue is full, and drops the event if the loop is
+// stopped meanwhile.
 func (l *Loop) Post(event Event) {
 	select {
 	case l.events <- event:
@@ -75,7 +79,7 @@
 	}
 }
 
-// Len is how many events wait in a queue.
+// Len returns the number of events in a queue.
 func (l *Loop) Len(queue Queue) int {
 	if queue == Queries {
 		return len(l.queries)
@@ -83,10 +87,10 @@
 	return len(l.events)
 }
 
-// Stop ends the loop for good.
+// Stop ends the loop permanently. It may be called more than once.
 func (l *Loop) Stop() { l.stopOnce.Do(func() { close(l.done) }) }
 
-// StopWith stops the loop when the context ends.
+// StopWith stops the loop when the context is cancelled.
 func (l *Loop) StopWith(ctx context.Context) {
 	go func() {
 		select {
@@ -107,10 +111,10 @@
 	}
 }
 
-// Done is closed when the loop is stopped.
+// Done returns a channel that is closed when the loop is stopped.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Sleep waits for a time; false if the loop was stopped meanwhile.
+// Sleep waits for a duration. It returns false early if the loop is stopped meanwhile.
 func (l *Loop) Sleep(d micro.Time) bool {
 	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
@@ -122,7 +126,8 @@
 	}
 }
 
-// Run serves events and ticks until the loop is stopped; nothing is served after that.
+// Run applies events and calls the handlers until the loop is stopped. No event is applied after
+// the stop.
 func (l *Loop) Run(handlers Handlers) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -144,15 +149,15 @@
 	}
 }
 
-// apply serves an event, unless the loop was stopped meanwhile: where several channels are
-// ready, select takes any.
+// apply applies an event unless the loop was stopped. The check is required because select picks
+// a random channel if several are ready, so an event may be received after the stop.
 func (l *Loop) apply(event Event) {
 	if !l.Stopped() {
 		event.Apply()
 	}
 }
 
-// drainEvents serves some of the events that wait already.
+// drainEvents applies at most eventBatchSize events that are already queued.
 func (l *Loop) drainEvents() {
 	for range eventBatchSize {
 		select {
@@ -164,24 +169,24 @@
 	}
 }
 
-// Reply takes the answer to an event that a caller waits for.
+// Reply delivers the answer to an event to the caller that waits for it.
 type Reply[R any] struct{ answers chan R }
 
-// Send gives the answer. Only the first one counts; it never blocks for that one.
+// Send sends the answer. Only the first answer is used, and sending it never blocks.
 func (r Reply[R]) Send(answer R) { r.answers <- answer }
 
-// Call hands the loop an event and waits for its answer, at most for the timeout; false if
-// there was none in time or the loop was stopped.
+// Call queues an event and waits for its answer. It returns false if the event was not queued and
+// answered within the timeout, or if the loop was stopped.
 func Call[R any](l *Loop, queue Queue, timeout micro.Time, event func(Reply[R]) Event) (answer R, ok bool) {
 	reply := Reply[R]{make(chan R, 1)}
-	to := l.events
+	target := l.events
 	if queue == Queries {
-		to = l.queries
+		target = l.queries
 	}
 	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
-	case to <- event(reply):
+	case target <- event(reply):
 	case <-l.done:
 		return answer, false
 	case <-timer.C:
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -8,12 +8,12 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// noopEvent is an event without effect.
+// noopEvent is an event whose Apply does nothing.
 type noopEvent struct{}
 
 func (noopEvent) Apply() {}
 
-// fullLoop makes a loop whose queues are full and that nothing serves.
+// fullLoop returns a loop whose queues are full and that is not running.
 func fullLoop() *Loop {
 	loop := New()
 	for range cap(loop.events) {
@@ -25,8 +25,8 @@
 	return loop
 }
 
-// A call whose queue was full at its timeout waited until the loop ended: its user got no answer
-// for the rest of the term.
+// Guards against a call that ignores its timeout while its queue is full: it waited until the
+// loop was stopped, so that the user got no answer for the rest of the term.
 func TestCallWithFullQueueReturnsAtTimeout(t *testing.T) {
 	for name, queue := range map[string]Queue{"events": Events, "queries": Queries} {
 		t.Run(name, func(t *testing.T) {
@@ -42,14 +42,15 @@
 				time.Sleep(timeout.Duration() + time.Millisecond)
 				synctest.Wait()
 				if !returned || answered {
-					t.Errorf("at its timeout: returned %v, answered %v", returned, answered)
+					t.Errorf("after the timeout: returned %v, answered %v", returned, answered)
 				}
 			})
 		})
 	}
 }
 
-// A call that the loop took in and never answers ends at its timeout; one beyond a stop, at once.
+// A call that is queued but never answered returns at its timeout. A call of a stopped loop returns
+// immediately.
 func TestUnansweredCallReturnsAtTimeoutOrStop(t *testing.T) {
 	for name, stopped := range map[string]bool{"timeout": false, "stopped": true} {
 		t.Run(name, func(t *testing.T) {
@@ -64,22 +65,22 @@
 				if stopped {
 					want = 0
 				}
-				from := time.Now()
+				startedAt := time.Now()
 				_, ok := Call(loop, Events, timeout, func(Reply[int]) Event { return noopEvent{} })
-				if took := time.Since(from); ok || took != want {
-					t.Errorf("answered %v after %v, want %v", ok, took, want)
+				if took := time.Since(startedAt); ok || took != want {
+					t.Errorf("call returned %v after %v, want false after %v", ok, took, want)
 				}
 			})
 		})
 	}
 }
 
-// countingEvent counts how often it is applied.
+// countingEvent increments a counter when it is applied.
 type countingEvent struct{ applied *int }
 
 func (c countingEvent) Apply() { *c.applied++ }
 
-// stoppingEvent stops its loop, and has the count begin anew.
+// stoppingEvent stops its loop and resets the counter when it is applied.
 type stoppingEvent struct {
 	loop    *Loop
 	applied *int
@@ -90,22 +91,22 @@
 	*s.applied = 0
 }
 
-// Answers to calls of a term that had ended were still taken in, some at random, and the batch
-// that ended it to its last event.
+// Guards against events that are applied after the end of a term: answers to its calls were still
+// applied at random, and so were all remaining events of the batch that ended it.
 func TestStoppedLoopAppliesNoEvents(t *testing.T) {
-	for name, byEvent := range map[string]bool{"stopped by others": false, "stopped by an event": true} {
+	for name, byEvent := range map[string]bool{"stopped before Run": false, "stopped by an event": true} {
 		t.Run(name, func(t *testing.T) {
 			for range 50 {
 				if applied := countAppliedAfterStop(byEvent); applied > 0 {
-					t.Fatalf("%d events were applied after the stop", applied)
+					t.Fatalf("%d events or handlers ran after the stop", applied)
 				}
 			}
 		})
 	}
 }
 
-// countAppliedAfterStop runs a loop with full queues that was stopped already, or that its first event
-// stops, and counts what is served after that.
+// countAppliedAfterStop runs a loop with queued events and queries that is stopped before Run or by
+// its first event, and returns the number of events applied and handlers called after the stop.
 func countAppliedAfterStop(byEvent bool) int {
 	loop, applied := New(), 0
 	stop := stoppingEvent{loop, &applied}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,9 +1,8 @@
-// Package keys builds and parses the keys of the state store that belong to jobs, nodes and
-// the fleet as a whole. They are fixed formats: versions of the service that run side by
-// side, and those that come later, read each other's. The keys of shards are in package
-// shard.
+// Package keys builds and parses the state store keys of jobs, nodes and the fleet as a whole.
+// Their formats must not change: releases that run concurrently, and later releases, read each
+// other's keys. The keys of shards are in package shard.
 //
-// The package holds no state; any goroutine may call it.
+// The package holds no state and is safe for concurrent use.
 package keys
 
 import (
@@ -11,33 +10,36 @@
 	"strings"
 )
 
-// The prefixes of the keys, by what they hold.
+// The key prefixes.
 const (
-	// JobPrefix begins a job's own keys: its description, its end, its dependencies.
+	// JobPrefix is the prefix of the keys of jobs: spec, final state and dependencies.
 	JobPrefix = "job/"
-	// ChunkPrefix begins the records of jobs' tasks, in either form.
+	// ChunkPrefix is the prefix of the chunk records, which hold the state of the jobs' tasks, in
+	// the legacy and the compact format.
 	ChunkPrefix = "run/"
-	// FleetPrefix begins the records of the fleet as a whole, which a leader reads first.
+	// FleetPrefix is the prefix of the records of the fleet as a whole, which a new leader reads
+	// first.
 	FleetPrefix = "fleet/"
-	// InstanceRequestPrefix begins the records of instance requests.
+	// InstanceRequestPrefix is the prefix of the instance request records.
 	InstanceRequestPrefix = "hire/"
-	// NodePrefix begins what nodes announce of themselves.
+	// NodePrefix is the prefix of the records in which nodes announce themselves.
 	NodePrefix = "node/"
 )
 
-// The records of the fleet as a whole.
+// The keys of the records of the fleet as a whole.
 const (
-	// Speeds holds the estimated speeds of the machine types.
+	// Speeds is the key of the estimated speeds of the machine types.
 	Speeds = "fleet/speed"
-	// FirstProvisioned names the first machine that the service ever provisioned.
+	// FirstProvisioned is the key that holds the name of the first machine that the service ever
+	// provisioned.
 	FirstProvisioned = "fleet/first"
-	// Images is the first page of the machines' images.
+	// Images is the key of the first page of the images cached on machines.
 	Images = "fleet/images"
-	// Format is the version of the stored forms that is in use.
+	// Format is the key of the version of the stored format that is in use.
 	Format = "fleet/format"
 )
 
-// CompactMark begins the last part of the key of a chunk's record in the compact form.
+// CompactMark is the prefix of the last segment of the key of a chunk record in the compact format.
 const CompactMark = "c"
 
 const (
@@ -47,24 +49,25 @@
 	imagePagePrefix  = Images + "/"
 )
 
-// JobPrefixFor begins one job's own keys.
+// JobPrefixFor returns the prefix of the keys of one job.
 func JobPrefixFor(job string) string { return JobPrefix + job + "/" }
 
-// JobSpec is the key of a job's description.
+// JobSpec returns the key of a job's spec.
 func JobSpec(job string) string { return JobPrefixFor(job) + specPart }
 
-// JobEnd is the key of a job's end, which is written once.
+// JobEnd returns the key of a job's final state, which is written once.
 func JobEnd(job string) string { return JobPrefixFor(job) + endPart }
 
-// JobDependencies is the key of a part, counted from 0, of a long list of dependencies.
+// JobDependencies returns the key of one part, numbered from 0, of a dependency list that is too
+// long for one value.
 func JobDependencies(job string, part int) string {
 	return JobPrefixFor(job) + dependenciesPart + strconv.Itoa(part)
 }
 
-// JobKeyKind says what one of a job's own keys holds.
+// JobKeyKind is the kind of value that a job's key holds.
 type JobKeyKind uint8
 
-// The kinds; keys of another kind are those of a later version.
+// The kinds of job keys. UnknownJobKey is a key written by a later release.
 const (
 	UnknownJobKey JobKeyKind = iota
 	SpecKey
@@ -72,8 +75,8 @@
 	DependenciesKey
 )
 
-// ParseJobKey splits one of a job's own keys. The part is that of a list of dependencies,
-// else 0.
+// ParseJobKey splits a job's key. The part is the number of the dependency list's part for
+// DependenciesKey, and 0 for all other kinds.
 func ParseJobKey(key string) (job string, kind JobKeyKind, part int) {
 	job, rest, _ := strings.Cut(strings.TrimPrefix(key, JobPrefix), "/")
 	switch rest {
@@ -89,21 +92,22 @@
 	return job, UnknownJobKey, 0
 }
 
-// IsJobSpec reports whether a key holds a job's description.
+// IsJobSpec reports whether a key holds a job's spec.
 func IsJobSpec(key string) bool { return strings.HasSuffix(key, "/"+specPart) }
 
-// ChunkPrefixFor begins the records of one job's tasks.
+// ChunkPrefixFor returns the prefix of the chunk records of one job.
 func ChunkPrefixFor(job string) string { return ChunkPrefix + job + "/" }
 
-// CompactChunk is the key of a chunk's record in the compact form.
+// CompactChunk returns the key of a chunk record in the compact format.
 func CompactChunk(job string, index int) string {
 	return ChunkPrefixFor(job) + CompactMark + strconv.Itoa(index)
 }
 
-// LegacyChunk is the key of a chunk's record in the first form.
+// LegacyChunk returns the key of a chunk record in the legacy format.
 func LegacyChunk(job string, index int) string { return ChunkPrefixFor(job) + strconv.Itoa(index) }
 
-// ParseChunk splits the key of a chunk's record; ok is false if it is none of either form.
+// ParseChunk splits the key of a chunk record. It returns false if the key is neither in the legacy
+// nor in the compact format.
 func ParseChunk(key string) (job string, index int, compact, ok bool) {
 	job, rest, _ := strings.Cut(strings.TrimPrefix(key, ChunkPrefix), "/")
 	rest, compact = strings.CutPrefix(rest, CompactMark)
@@ -111,7 +115,7 @@
 	return job, index, compact, err == nil
 }
 
-// ImagePage is the key of a page of the machines' images after the first, which is 0.
+// ImagePage returns the key of a page of the images cached on machines. Pages are numbered from 0.
 func ImagePage(page int) string {
 	if page == 0 {
 		return Images
@@ -119,11 +123,12 @@
 	return imagePagePrefix + strconv.Itoa(page)
 }
 
-// IsImagePage reports whether a key lies where the machines' images do.
+// IsImagePage reports whether a key is that of the first image page or has the prefix of the
+// further pages. The key may still have no valid page number; see ParseImagePage.
 func IsImagePage(key string) bool { return key == Images || strings.HasPrefix(key, imagePagePrefix) }
 
-// ParseImagePage is the number of a page of the machines' images; ok is false if the key is
-// that of none.
+// ParseImagePage returns the page number in the key of an image page. It returns false if the key
+// is not that of an image page.
 func ParseImagePage(key string) (page int, ok bool) {
 	if key == Images {
 		return 0, true
@@ -133,8 +138,8 @@
 	return page, isPage && err == nil && page > 0
 }
 
-// InstanceRequest is the key of an instance request's record.
+// InstanceRequest returns the key of an instance request's record.
 func InstanceRequest(request string) string { return InstanceRequestPrefix + request }
 
-// Node is the key of what a node announces.
+// Node returns the key of the record in which a node announces itself.
 func Node(name string) string { return NodePrefix + name }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The keys are fixed formats: another version reads them.
+// The key formats must not change because other releases read the keys.
 func TestKeyFormatsAreUnchanged(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{JobSpec("j-1"), "job/j-1/spec"},
@@ -19,7 +19,7 @@
 		{Node("n-0"), "node/n-0"},
 	} {
 		if c.got != c.want {
-			t.Errorf("key %q, not %q", c.got, c.want)
+			t.Errorf("key is %q, want %q", c.got, c.want)
 		}
 	}
 }
@@ -39,10 +39,10 @@
 		"job/j-1":          {"j-1", UnknownJobKey, 0},
 	} {
 		if job, kind, part := ParseJobKey(key); job != want.job || kind != want.kind || part != want.part {
-			t.Errorf("%s: job %q, kind %d, part %d", key, job, kind, part)
+			t.Errorf("ParseJobKey(%q) returned job %q, kind %d, part %d; want %+v", key, job, kind, part, want)
 		}
 		if got := IsJobSpec(key); got != (want.kind == SpecKey) {
-			t.Errorf("%s: is a description: %v", key, got)
+			t.Errorf("IsJobSpec(%q) returned %v", key, got)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	} {
 		if job, index, compact, ok := ParseChunk(key); job != want.job || index != want.index ||
 			compact != want.compact || ok != want.ok {
-			t.Errorf("%s: job %q, index %d, compact %v, ok %v", key, job, index, compact, ok)
+			t.Errorf("ParseChunk(%q) returned job %q, index %d, compact %v, ok %v", key, job, index, compact, ok)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 		"fleet/speed":     {0, false, false},
 	} {
 		if page, ok := ParseImagePage(key); page != want.page || ok != want.ok {
-			t.Errorf("%s: page %d, %v", key, page, ok)
+			t.Errorf("ParseImagePage(%q) returned page %d, ok %v", key, page, ok)
 		}
 		if got := IsImagePage(key); got != want.isImages {
-			t.Errorf("%s: lies among the images: %v", key, got)
+			t.Errorf("IsImagePage(%q) returned %v", key, got)
 		}
 	}
 }
