--- a/internal/persist/chunks.go
+++ b/internal/persist/chunks.go
@@ -5,7 +5,7 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// ChunkRecord finds or makes the record of a chunk of a job's tasks.
+// ChunkRecord returns the record of a chunk of a job's tasks, and creates it if there is none.
 func (r *Records) ChunkRecord(chunk *cluster.TaskChunk) *statestore.Record {
 	record := r.chunks[chunk]
 	if record != nil {
@@ -16,10 +16,10 @@
 	record.SetVersion(chunk.KeyRevision)
 	record.Build = func() (any, uint64) {
 		if chunk.Job.IsTerminal() && len(chunk.Allocations) == 0 {
-			return nil, chunk.MemoryVersion // its end says all there is to know
+			return nil, chunk.MemoryVersion // deleted: the final state of the job replaces it
 		}
 		if chunk.HandedOver {
-			return nil, chunk.MemoryVersion // the owner of its shard has a record of its own
+			return nil, chunk.MemoryVersion // deleted: the shard owner has its own record
 		}
 		value := chunk.Record()
 		if compact {
@@ -38,8 +38,8 @@
 	return record
 }
 
-// ChunkRevision is the version of a chunk's key; false: something of the chunk is still to be
-// written, or uncertain, or is in the first form alone.
+// ChunkRevision returns the version of a chunk's key. It returns false if a write of the chunk is
+// pending or uncertain, or if the chunk is stored only in the legacy format.
 func (r *Records) ChunkRevision(chunk *cluster.TaskChunk) (revision uint64, persisted bool) {
 	persisted = chunk.MemoryVersion <= chunk.StoredVersion && !onlyInLegacyFormat(chunk)
 	if record := r.chunks[chunk]; record != nil {
@@ -48,14 +48,15 @@
 	return chunk.KeyRevision, persisted
 }
 
-// onlyInLegacyFormat reports whether a chunk's tasks are stored in the first form, and not yet in
-// the compact one.
+// onlyInLegacyFormat reports whether a chunk's tasks are stored in the legacy format, and not yet in
+// the compact format.
 func onlyInLegacyFormat(chunk *cluster.TaskChunk) bool {
 	return chunk.Legacy != nil && !chunk.Stored && !chunk.Legacy.Obsolete()
 }
 
-// JobRevision is the latest version of the keys of a job's chunks, 0 if there are none; false if
-// something of them is still to be written, or uncertain.
+// JobRevision returns the latest version of the keys of a job's chunks, or 0 if there are none. It
+// returns false if a write of a chunk is pending or uncertain, or if a chunk is stored only in the
+// legacy format.
 func (r *Records) JobRevision(job *cluster.Job) (revision uint64, persisted bool) {
 	for _, chunk := range job.Chunks {
 		chunkRevision, stored := r.ChunkRevision(chunk)
@@ -67,7 +68,8 @@
 	return revision, true
 }
 
-// PersistJob has what is still to be written of a job's chunks written soon, in the compact form.
+// PersistJob raises pending writes of a job's chunks to PriorityHigh, and schedules writes in the
+// compact format for chunks that are stored only in the legacy format.
 func (r *Records) PersistJob(job *cluster.Job) {
 	now := r.host.Now()
 	for _, chunk := range job.Chunks {
@@ -81,24 +83,26 @@
 	}
 }
 
-// LookupChunk finds the record of a chunk; nil: there is none.
+// LookupChunk returns the record of a chunk, or nil if there is none.
 func (r *Records) LookupChunk(chunk *cluster.TaskChunk) *statestore.Record { return r.chunks[chunk] }
 
-// ChunkDirty notes that a chunk must be written.
+// ChunkDirty marks a chunk to be written with low priority. The record of an ended job's chunk is
+// deleted instead, unless the role keeps it or the chunk still has allocations.
 func (r *Records) ChunkDirty(chunk *cluster.TaskChunk) {
 	if !chunk.Job.IsTerminal() {
 		r.ChunkRecord(chunk).MarkDirty(r.host.Now(), statestore.PriorityLow)
 		return
 	}
 	if r.role.KeepsChunksOfEndedJobs() || len(chunk.Allocations) > 0 {
-		return // goes once its last allocation is released; in a shard, once its assignment has gone
+		return // deleted once its last allocation is released or, in a shard, the job's assignment is deleted
 	}
 	record := r.ChunkRecord(chunk)
 	r.deleteObsoleteLegacy(chunk.Job)
 	record.Defer(r.host.Now())
 }
 
-// ChunkUrgent notes that a start waits for a chunk.
+// ChunkUrgent marks a chunk to be written soon because the start of a task waits for the write. The
+// write is urgent for jobs of priority level 0.
 func (r *Records) ChunkUrgent(chunk *cluster.TaskChunk) {
 	priority := statestore.PriorityHigh
 	if chunk.Job.PriorityLevel == 0 {
@@ -107,7 +111,8 @@
 	r.ChunkRecord(chunk).MarkDirty(r.host.Now(), priority)
 }
 
-// ForgetJob drops what is kept of the records of a job's tasks.
+// ForgetJob drops the records of a job's chunks from memory. A record with a pending or uncertain
+// write stays with the writer.
 func (r *Records) ForgetJob(job *cluster.Job) {
 	for _, chunk := range job.Chunks {
 		if record := r.chunks[chunk]; record != nil && record.Settled() {
--- a/internal/persist/hand_over.go
+++ b/internal/persist/hand_over.go
@@ -5,20 +5,21 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// DeleteHandedOver has the records of a job's chunks deleted: the owner of its shard has its own by
-// now. It reports whether none is left.
-func (r *Records) DeleteHandedOver(job *cluster.Job) (gone bool) {
-	gone = true
+// DeleteHandedOver schedules the deletion of the records of a handed-over job's chunks, of which the
+// shard owner has its own copy by now. It reports whether all of them are deleted.
+func (r *Records) DeleteHandedOver(job *cluster.Job) (deleted bool) {
+	deleted = true
 	for _, chunk := range job.Chunks {
 		if !r.legacyDeleted(chunk) || !r.handedOverRecordDeleted(chunk) {
-			gone = false
+			deleted = false
 		}
 	}
-	return gone
+	return deleted
 }
 
-// legacyDeleted reports whether no record in the first form is left that a chunk comes from. Left
-// behind, one would bring the job's earlier progress back once the chunk's own is deleted.
+// legacyDeleted reports whether the legacy record that a chunk was migrated from is deleted, and
+// schedules its deletion if it is not. A legacy record that remained after the deletion of the
+// chunk's own record would restore an earlier progress of the job.
 func (r *Records) legacyDeleted(chunk *cluster.TaskChunk) bool {
 	legacy := chunk.Legacy
 	if legacy == nil {
@@ -40,7 +41,8 @@
 	return true
 }
 
-// handedOverRecordDeleted reports whether the record of a chunk is deleted, and has that done if it is not.
+// handedOverRecordDeleted reports whether the record of a chunk is deleted, and schedules its
+// deletion if it is not.
 func (r *Records) handedOverRecordDeleted(chunk *cluster.TaskChunk) bool {
 	if chunk.Legacy != nil {
 		return false
@@ -54,10 +56,12 @@
 	return false
 }
 
-// absentFromStore reports whether a record is not in the store, and no write of it may bring it back.
-func absentFromStore(record *statestore.Record) bool { return record.AbsentAtLastRead() && record.Settled() }
+// absentFromStore reports whether a record is not in the store and no outstanding write can create it.
+func absentFromStore(record *statestore.Record) bool {
+	return record.AbsentAtLastRead() && record.Settled()
+}
 
-// recordDeletionCommitted takes in that the record of a chunk was deleted.
+// recordDeletionCommitted records that the record of a chunk was deleted from the store.
 func (r *Records) recordDeletionCommitted(chunk *cluster.TaskChunk, record *statestore.Record, memoryVersion uint64) {
 	chunk.Stored, chunk.KeyRevision = false, 0
 	chunk.StoredVersion = max(chunk.StoredVersion, memoryVersion)
--- a/internal/persist/images.go
+++ b/internal/persist/images.go
@@ -8,19 +8,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// imageWriteInterval is how often a page or two of the machines' images are written.
+// imageWriteInterval is the interval between writes of the image records.
 const imageWriteInterval = 20 * micro.Second
 
-// ImageRecords are the records of the machines' images, kept as a hint for the next leader.
-// One value holds those of some 200 machines; the machines that have most are in the first
-// page, the others follow in further ones, which are written in the compact form only. Each
-// round writes the first page and one of the others in turn, so that the cost does not grow
-// with the fleet.
+// ImageRecords are the records of the images cached on machines, which are a hint for the next
+// leader. One value holds the images of about 200 machines. The first page holds the machines with
+// most images; the other machines are on further pages, which are written only while the compact
+// format is in use. Each round writes the first page and one further page in turn, so that the cost
+// does not grow with the fleet.
 type ImageRecords struct {
 	records         *Records
 	firstPage       *statestore.Record
-	pages           map[int]*statestore.Record // the further pages that the store may hold
-	lastWrittenPage int                        // the further page that was written last
+	pages           map[int]*statestore.Record // further pages that the store may hold, by number
+	lastWrittenPage int                        // the further page written last
 	lastWrite       micro.Time
 }
 
@@ -34,15 +34,16 @@
 	return images
 }
 
-// maxPageBytes is what a page may take: half of a value, since its size is estimated.
+// maxPageBytes returns the maximum size of a page: half of the maximum value size, because the size
+// of a page is only estimated.
 func (i *ImageRecords) maxPageBytes() int { return i.records.MaxValueBytes() / 2 }
 
-// build makes the pages as the machines are now: one at least.
+// build returns the pages for the current images of the machines. There is at least one page.
 func (i *ImageRecords) build() []cluster.ImageRecord {
 	return i.records.cluster.ImagePages(i.maxPageBytes())
 }
 
-// Restore notes a page that was read in a failover.
+// Restore records the version of a page that was read in a failover.
 func (i *ImageRecords) Restore(item wire.Item) {
 	page, ok := keys.ParseImagePage(item.Key)
 	switch {
@@ -54,7 +55,8 @@
 	}
 }
 
-// page finds or makes the record of a further page. One that is needed no more is deleted.
+// page returns the record of a further page, and creates it if there is none. Writing a page that is
+// no longer needed deletes it.
 func (i *ImageRecords) page(page int) *statestore.Record {
 	record := i.pages[page]
 	if record != nil {
@@ -72,7 +74,8 @@
 	return record
 }
 
-// WriteIfDue writes the first page and one of the others, every 20 s.
+// WriteIfDue schedules a write of the first page and one further page if 20 s have passed since the
+// last one.
 func (i *ImageRecords) WriteIfDue(now micro.Time) {
 	if now-i.lastWrite >= imageWriteInterval {
 		i.lastWrite = now
@@ -80,11 +83,11 @@
 	}
 }
 
-// writeNext writes the first page, and one of the others.
+// writeNext schedules a write of the first page and of the next further page.
 func (i *ImageRecords) writeNext(now micro.Time) {
 	i.firstPage.MarkDirty(now, statestore.PriorityLow)
 	if !i.records.cluster.CompactRecords {
-		return // the version before would not delete them
+		return // the previous release would not delete further pages
 	}
 	last := len(i.build()) - 1
 	for page := range i.pages {
--- a/internal/persist/job_ends.go
+++ b/internal/persist/job_ends.go
@@ -7,8 +7,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// WriteJobEnd writes the end of a job. The first end wins: if another is found, that
-// one is the truth.
+// WriteJobEnd schedules the write of a job's final state. The first final state in the store takes
+// precedence: if another one is found there, it is reported to the host instead.
 func (r *Records) WriteJobEnd(job *cluster.Job, state wire.JobState) {
 	record := r.Record(keys.JobEnd(job.Spec.ID))
 	endedAt := int64(r.host.Wall())
@@ -20,7 +20,7 @@
 	record.ResolveUncertain = func(item wire.Item) bool {
 		var stored cluster.FinalStatusRecord
 		if err := wire.Unmarshal(item.Value, &stored); err != nil {
-			r.log.Debug("stored record not understood", "key", item.Key, "err", err)
+			r.log.Debug("decode stored final state failed; write remains pending", "key", item.Key, "err", err)
 			return false
 		}
 		r.Drop(record)
@@ -34,10 +34,10 @@
 	record.MarkDirty(r.host.Now(), priority)
 }
 
-// EndUncertain reports whether the job's end may be in the store unknown to this leader.
-// That an uncertain write is not there when it is looked for says nothing of later:
-// held up for seconds, it was carried out after the look, a user was told that the
-// job was done, and then by the leader that it was pending.
+// EndUncertain reports whether the job's final state may be in the store without this owner knowing.
+// An uncertain write that a read does not find may still be executed late: in one case it was
+// executed seconds later, after the read, so that a user was told that the job was done and
+// afterwards, by the leader, that it was pending.
 func (r *Records) EndUncertain(job string) bool {
 	record := r.Lookup(keys.JobEnd(job))
 	return record != nil && record.Uncertain()
--- a/internal/persist/legacy.go
+++ b/internal/persist/legacy.go
@@ -6,19 +6,18 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// The records of tasks in the first form, that of version 1: a key run/JOB/N for so many
-// tasks. Until the format gate opens they are written, since nodes of version 1 may lead
-// next; once it is open they are read, replaced by chunks in the compact form and deleted.
+// This file handles the chunk records in the legacy format of version 1, which have a key run/JOB/N
+// per fixed number of tasks. They are written until the format gate opens, because a node of version
+// 1 may become the next leader. Once the gate is open, they are read, replaced by chunks in the
+// compact format and deleted.
 //
-// This file, and with it what cluster.LegacyRecord and keys.LegacyChunk serve, can go once
-// no site starts from the data of version 1: when each site's fleet/format is version 2 or
-// later and none has a key run/JOB/N left, the first version that refuses to lead a site
-// whose gate is shut does without it.
+// This file, cluster.LegacyRecord and keys.LegacyChunk can be removed in the first version that
+// refuses to lead a site whose gate is closed, once no site starts from the data of version 1: the
+// fleet/format of each site is version 2 or later, and no site has a key run/JOB/N left.
 
-// ChunkMigrated notes that a chunk's record in the first form stands for chunks of the
-// compact one until they are stored: it turns the record into one that only deletes the
-// key, in its time. A write of it may be under way: whatever comes of that, the record
-// stays until its time has come.
+// ChunkMigrated registers that a chunk's legacy record holds the content of compact chunks until
+// these are stored. From then on, the record only deletes the key once it is obsolete. A write of
+// the record may be in flight; whatever its outcome, the record remains until it is obsolete.
 func (r *Records) ChunkMigrated(chunk *cluster.TaskChunk, legacy *cluster.LegacyRecord) {
 	record := r.chunks[chunk]
 	delete(r.chunks, chunk)
@@ -35,8 +34,8 @@
 	r.legacyRecords[legacy] = record
 }
 
-// LegacyRecordSuperseded deletes a record in the first form when there is time, if nothing
-// depends on it any more.
+// LegacyRecordSuperseded schedules the deletion of a legacy record with background priority if no
+// chunk depends on it any more.
 func (r *Records) LegacyRecordSuperseded(legacy *cluster.LegacyRecord) {
 	if legacy == nil {
 		return
@@ -52,8 +51,7 @@
 	}
 }
 
-// deleteObsoleteLegacy deletes the records in the first form that a job which has ended needs
-// no more.
+// deleteObsoleteLegacy schedules the deletion of the obsolete legacy records of an ended job.
 func (r *Records) deleteObsoleteLegacy(job *cluster.Job) {
 	for _, chunk := range job.Chunks {
 		if chunk.Legacy != nil && chunk.Legacy.Obsolete() {
@@ -69,7 +67,8 @@
 	return record
 }
 
-// deleteOnceObsolete builds the deletion of a record in the first form.
+// deleteOnceObsolete returns a Build function that deletes a legacy record once it is obsolete, and
+// writes nothing before that.
 func deleteOnceObsolete(legacy *cluster.LegacyRecord) func() (any, uint64) {
 	return func() (any, uint64) {
 		if !legacy.Obsolete() {
--- a/internal/persist/records.go
+++ b/internal/persist/records.go
@@ -1,8 +1,7 @@
-// Package persist keeps in the state store what the controller that owns part of the
-// cluster's state, the leader or the owner of a shard, has decided: the ends of jobs, the
-// chunks of their tasks, the speeds of machine types, the machines' images and the version
-// of the stored forms. It says which keys have a change to be written and how urgent that
-// is; package statestore batches the changes into transactions.
+// Package persist writes the state of an owner (the leader or a shard owner) to the state store:
+// the final states of jobs, the chunks of their tasks, the speeds of machine types, the images
+// cached on machines and the version of the stored format. It determines which keys must be written
+// and with which priority; package statestore batches the changes into transactions.
 //
 // The records are owned by the goroutine of the owner's event loop. Only that goroutine may
 // call this package.
@@ -21,47 +20,48 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ValueMargin is kept of the limit on a value, in bytes.
+// ValueMargin is the number of bytes by which values stay below the store's limit on a value.
 const ValueMargin = 32
 
 // Host is the event loop that owns the records.
 type Host interface {
-	// Now is the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now() micro.Time
-	// Wall is the wall clock.
+	// Wall returns the time of the wall clock.
 	Wall() micro.Time
-	// HoldsLease reports whether the host may still write; any goroutine may ask.
+	// HoldsLease reports whether the host may still write. It may be called from any goroutine.
 	HoldsLease() bool
-	// Post hands the loop an event; any goroutine may call it.
+	// Post queues an event for the loop. It may be called from any goroutine.
 	Post(event eventloop.Event)
-	// ObserveCommit is told how long a transaction took.
+	// ObserveCommit records the duration of a transaction.
 	ObserveCommit(took micro.Time)
-	// JobEnded is told that a job's end is in the store.
+	// JobEnded is called when a job's final state is in the store.
 	JobEnded(job *cluster.Job, state wire.JobState)
-	// FormatRaised is told that the compact form is in use from now on.
+	// FormatRaised is called when the compact format comes into use.
 	FormatRaised()
 }
 
-// Role is what the records of a leader and those of a shard's owner differ in.
+// Role defines the differences between the records of a leader and those of a shard owner.
 type Role interface {
-	// Preconditions are what every transaction is conditional on.
+	// Preconditions returns the preconditions of every transaction.
 	Preconditions() []wire.Precondition
-	// ChunkKey is the key of a chunk's record.
+	// ChunkKey returns the key of a chunk's record.
 	ChunkKey(job string, index int, compact bool) string
-	// KeepsChunksOfEndedJobs reports whether the records of a job's tasks stay when it has
-	// ended, until its assignment to the shard has gone.
+	// KeepsChunksOfEndedJobs reports whether the chunk records of an ended job are kept until its
+	// assignment to the shard is deleted.
 	KeepsChunksOfEndedJobs() bool
 }
 
-// Limits are those of the state store.
+// Limits are the limits of the state store.
 type Limits interface {
-	// MaxValueBytes is what a value may take: now, and from the store's next limits on.
+	// MaxValueBytes returns the maximum size of a value in bytes under the store's current limits
+	// and under its next limits.
 	MaxValueBytes() (current, next int)
-	// MaxTxnOps is how many changes a transaction may have.
+	// MaxTxnOps returns the maximum number of changes in a transaction.
 	MaxTxnOps() int
 }
 
-// Dependencies are what the records are built from.
+// Dependencies are the components and state that the records of New depend on.
 type Dependencies struct {
 	Host    Host
 	Role    Role
@@ -72,13 +72,13 @@
 	Log     *slog.Logger
 }
 
-// Records are the keys that the owner of the state keeps in the store, by what they are for.
-// The embedded writer also serves other parts, whose records have keys of their own.
+// Records are the records that the owner of the state keeps in the store. Other components create
+// records with their own keys through the embedded writer.
 type Records struct {
 	*statestore.Writer
-	// Images are the records of the machines' images.
+	// Images are the records of the images cached on machines.
 	Images *ImageRecords
-	// Format is the record of the stored forms' version.
+	// Format is the record of the stored format's version.
 	Format *Format
 
 	host          Host
@@ -90,10 +90,10 @@
 	speedRecord   *statestore.Record
 	chunks        map[*cluster.TaskChunk]*statestore.Record
 	legacyRecords map[*cluster.LegacyRecord]*statestore.Record
-	prunedAt      micro.Time // when jobs that ended long ago were last pruned
+	prunedAt      micro.Time // when PruneIfDue last pruned
 }
 
-// New makes the records of a term of leadership or of a shard's ownership.
+// New returns the records of a term of leadership or of the ownership of a shard.
 func New(deps Dependencies) *Records {
 	records := &Records{
 		host:          deps.Host,
@@ -113,8 +113,8 @@
 	return records
 }
 
-// MaxValueBytes is what a value may take. Once the compact form is in use, the store's
-// next limits may come at any time.
+// MaxValueBytes returns the maximum size of a value in bytes, less ValueMargin. While the compact format is
+// in use, it is that of the store's next limits, which may take effect at any time.
 func (r *Records) MaxValueBytes() int {
 	current, next := r.limits.MaxValueBytes()
 	if r.cluster.CompactRecords {
@@ -123,10 +123,11 @@
 	return current - ValueMargin
 }
 
-// WriteSpeeds writes the estimated speeds of the machine types.
+// WriteSpeeds schedules a write of the estimated speeds of the machine types.
 func (r *Records) WriteSpeeds(now micro.Time) { r.speedRecord.MarkDirty(now, statestore.PriorityLow) }
 
-// RestoreSpeeds takes in the speeds that were read in a failover.
+// RestoreSpeeds restores the estimated speeds that were read in a failover. It returns an error if
+// the value cannot be decoded.
 func (r *Records) RestoreSpeeds(item wire.Item) error {
 	var stored scheduler.SpeedRecord
 	if err := wire.Unmarshal(item.Value, &stored); err != nil {
@@ -137,26 +138,26 @@
 	return nil
 }
 
-// writerHost is what the writer of the records needs of them and of their host.
+// writerHost implements statestore.Host for the writer of the records.
 type writerHost struct{ records *Records }
 
-// Now is the steady clock.
+// Now returns the time of the host's monotonic clock.
 func (h writerHost) Now() micro.Time { return h.records.host.Now() }
 
 // HoldsLease reports whether the host may still write.
 func (h writerHost) HoldsLease() bool { return h.records.host.HoldsLease() }
 
-// Preconditions are those of the role.
+// Preconditions returns the preconditions of the role.
 func (h writerHost) Preconditions() []wire.Precondition { return h.records.role.Preconditions() }
 
-// Post hands the host's loop an event.
+// Post queues an event for the host's loop.
 func (h writerHost) Post(event eventloop.Event) { h.records.host.Post(event) }
 
-// MaxValueBytes is what a value may take now.
+// MaxValueBytes returns the maximum size of a value in bytes.
 func (h writerHost) MaxValueBytes() int { return h.records.MaxValueBytes() }
 
-// MaxTransactionOps is how many changes a transaction may have.
+// MaxTransactionOps returns the maximum number of changes in a transaction.
 func (h writerHost) MaxTransactionOps() int { return h.records.limits.MaxTxnOps() }
 
-// ObserveCommit is told how long a transaction took.
+// ObserveCommit reports the duration of a transaction to the host.
 func (h writerHost) ObserveCommit(took micro.Time) { h.records.host.ObserveCommit(took) }
--- a/internal/persist/retention.go
+++ b/internal/persist/retention.go
@@ -6,11 +6,10 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// pruneInterval is how often jobs and machines are forgotten that ended long ago.
+// pruneInterval is the minimum interval between removals of old jobs and machines from memory.
 const pruneInterval = 30 * micro.Second
 
-// PruneIfDue forgets jobs and machines that ended long ago, at most every 30 s, and returns
-// the jobs.
+// PruneIfDue calls Prune if 30 s have passed since it last did so, and returns the removed jobs.
 func (r *Records) PruneIfDue(now micro.Time) []*cluster.Job {
 	if now-r.prunedAt < pruneInterval {
 		return nil
@@ -19,7 +18,7 @@
 	return r.Prune(now)
 }
 
-// Prune forgets jobs and machines that ended long ago, and returns the jobs.
+// Prune removes jobs and machines that ended long ago from memory, and returns the removed jobs.
 func (r *Records) Prune(now micro.Time) []*cluster.Job {
 	pruned := r.cluster.Prune(now, r.jobFlushed)
 	for _, job := range pruned {
@@ -28,8 +27,8 @@
 	return pruned
 }
 
-// jobFlushed reports whether nothing of a job that has ended has still to be written, or
-// may yet be carried out.
+// jobFlushed reports whether all writes of an ended job have been completed and none can be
+// executed late. It returns false while the job is assigned to a shard.
 func (r *Records) jobFlushed(job *cluster.Job) bool {
 	if r.Lookup(keys.JobEnd(job.Spec.ID)) != nil || job.Shard != "" {
 		return false
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -13,12 +13,12 @@
 const (
 	commitTimeout     = 1200 * time.Millisecond
 	verifyTimeout     = time.Second
-	refusedBackoff    = 80 * micro.Millisecond  // after a refusal, before the next try
-	uncertainBackoff  = 50 * micro.Millisecond  // after an uncertain write, before the next one
-	unreadableBackoff = 100 * micro.Millisecond // after an uncertain key could not be read
+	refusedBackoff    = 80 * micro.Millisecond  // after a refusal, before the next transaction
+	uncertainBackoff  = 50 * micro.Millisecond  // after an uncertain write, before the next transaction
+	unreadableBackoff = 100 * micro.Millisecond // after a failed read of an uncertain key
 )
 
-// commit sends a transaction, and posts what came of it. It runs beside the loop.
+// commit sends a transaction and posts its outcome to the loop. It runs on its own goroutine.
 func (w *Writer) commit(txn wire.Transaction, changes []batchChange) {
 	sentAt := w.host.Now()
 	if !w.host.HoldsLease() {
@@ -31,7 +31,7 @@
 	w.host.Post(transactionCompleted{w, txn, changes, sentAt, revision, err})
 }
 
-// handleCommitResult takes in the outcome of a transaction.
+// handleCommitResult applies the outcome of a transaction to the records in it.
 func (w *Writer) handleCommitResult(
 	txn wire.Transaction, changes []batchChange, revision uint64, err error, now micro.Time,
 ) {
@@ -46,23 +46,24 @@
 		w.requeue(changes, false)
 		w.notBefore = now + refusedBackoff
 	case errors.Is(err, store.ErrMalformed):
-		// Not executed, and never will be as it is: one of its values, or their number, is
-		// over a limit that was lowered.
+		// Not executed, and a retry of the same transaction would fail too: one of its values,
+		// or the number of its changes, exceeds a limit that was lowered. Each change is sent
+		// in a transaction of its own to find the one that the store rejects.
 		w.requeue(changes, false)
 		if len(changes) > 1 {
 			w.singleChangeBatches = len(changes)
 		} else {
-			w.reject(changes[0].record, now, "refused as malformed", transactionSize(txn))
+			w.reject(changes[0].record, now, "request malformed", transactionSize(txn))
 		}
 	default:
-		// A conflict or no response: what the store holds must be read.
-		w.log.Info("write not confirmed", "keys", len(changes), "err", err)
+		// A conflict or no response: the keys must be read before they are written again.
+		w.log.Info("transaction not confirmed; its keys will be read", "keys", len(changes), "err", err)
 		w.requeue(changes, true)
 		w.notBefore = now + uncertainBackoff
 	}
 }
 
-// markStored takes in one change that is in the store.
+// markStored records that a change is in the store.
 func (w *Writer) markStored(change batchChange, revision uint64) {
 	record := change.record
 	record.uncertain, record.mayExecuteLate = false, false
@@ -84,8 +85,8 @@
 	return records
 }
 
-// requeue has changes written again that were not, or of which that is not known; those keys
-// are verified first.
+// requeue marks the changes of a transaction to be written again. If needsVerify is set, the
+// transaction may have been executed, and the keys are read before they are written.
 func (w *Writer) requeue(changes []batchChange, needsVerify bool) {
 	w.endInFlight(recordsOf(changes)...)
 	now := w.host.Now()
@@ -106,17 +107,18 @@
 	return bytes
 }
 
-// reject puts off a change that the store does not accept: a retry at once would only use up
-// the budget of all others.
+// reject delays the retry of a change that the store does not accept. An immediate retry would only
+// use up the budget of all other changes.
 func (w *Writer) reject(record *Record, now micro.Time, reason string, size int) {
 	w.log.Error(
-		"value rejected by the store", "key", record.Key, "reason", reason, "bytes", size, "limit", w.host.MaxValueBytes(),
+		"value rejected by store", "key", record.Key, "reason", reason, "bytes", size, "limit", w.host.MaxValueBytes(),
 	)
 	priority := record.priority
 	record.dirty, record.rejectedUntil = false, now+rejectedRetryDelay
 	record.MarkDirty(now, priority)
 }
 
+// retryRejected queues the rejected changes again whose retry delay has passed.
 func (w *Writer) retryRejected(now micro.Time) {
 	var stillRejected []*Record
 	for _, record := range w.rejected {
@@ -130,15 +132,15 @@
 	w.rejected = stillRejected
 }
 
-// verification is what a read of an uncertain key found.
+// verification is the result of reading an uncertain key.
 type verification struct {
 	record *Record
 	item   wire.Item
 	err    error
 }
 
-// verifyUncertain reads the versions of keys whose last write is uncertain, and posts them. It
-// runs beside the loop.
+// verifyUncertain reads keys whose last write is uncertain and posts the results to the loop. It
+// stops at the first key that cannot be read. It runs on its own goroutine.
 func (w *Writer) verifyUncertain(records []*Record) {
 	var results []verification
 	for _, record := range records {
@@ -153,7 +155,8 @@
 	w.host.Post(recordsVerified{w, records, results})
 }
 
-// handleVerification takes in what the store holds of an uncertain key.
+// handleVerification applies the result of reading an uncertain key to its record. A key that is not
+// found stays uncertain because the write may still be executed late.
 func (w *Writer) handleVerification(result verification, now micro.Time) {
 	record := result.record
 	switch {
--- a/internal/statestore/events.go
+++ b/internal/statestore/events.go
@@ -5,16 +5,16 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// leaseLost says that a transaction was not sent: the host's lease had ended.
+// leaseLost reports that a transaction was not sent because the host's lease had expired.
 type leaseLost struct {
 	writer  *Writer
 	changes []batchChange
 }
 
-// Apply puts the changes back in line.
+// Apply queues the changes again.
 func (e leaseLost) Apply() { e.writer.requeue(e.changes, false) }
 
-// transactionCompleted is what came of a transaction.
+// transactionCompleted reports the outcome of a transaction that was sent.
 type transactionCompleted struct {
 	writer   *Writer
 	txn      wire.Transaction
@@ -24,22 +24,22 @@
 	err      error
 }
 
-// Apply takes in the outcome.
+// Apply applies the outcome to the records.
 func (e transactionCompleted) Apply() {
 	now := e.writer.host.Now()
 	e.writer.host.ObserveCommit(now - e.sentAt)
 	e.writer.handleCommitResult(e.txn, e.changes, e.revision, e.err, now)
 }
 
-// recordsVerified is what the store holds of keys whose last write was uncertain. The
-// results end at the first key that could not be read.
+// recordsVerified reports the results of reading keys whose last write was uncertain. The results
+// end at the first key that could not be read.
 type recordsVerified struct {
 	writer  *Writer
 	records []*Record
 	results []verification
 }
 
-// Apply takes in the results, and gives all records their place in line back.
+// Apply applies the results, and queues all records again that are still dirty.
 func (e recordsVerified) Apply() {
 	for _, result := range e.results {
 		e.writer.handleVerification(result, e.writer.host.Now())
--- a/internal/statestore/flush.go
+++ b/internal/statestore/flush.go
@@ -7,29 +7,32 @@
 )
 
 const (
-	// backgroundThreshold is how few changes of low priority may wait for those of the
-	// background to be written.
+	// backgroundThreshold is the number of queued low-priority changes from which on no
+	// background changes are written.
 	backgroundThreshold = 50
-	// maxTransactionBytes keeps a transaction under the store's limit for one.
+	// maxTransactionBytes is the maximum size of a transaction, below the store's limit.
 	maxTransactionBytes = 60 << 10
-	// transactionOverhead is what a transaction takes beside its changes, in bytes.
+	// transactionOverhead is the size of a transaction without its changes, in bytes.
 	transactionOverhead = 1024
-	// maxVerifyBatch is how many uncertain keys are read together.
+	// maxVerifyBatch is the maximum number of uncertain keys that are read in one batch.
 	maxVerifyBatch = 8
-	// lowPriorityInterval is how often transactions of low priorities alone begin.
+	// lowPriorityInterval is the minimum time from a transaction to the next one if only changes
+	// of PriorityLow and PriorityBackground are queued.
 	lowPriorityInterval = 200 * micro.Millisecond
-	// budgetBackoff is how long the writer waits for its budget.
+	// budgetBackoff is the delay before the next attempt if no transaction could be assembled
+	// although urgent changes were queued, as when the request budget is exhausted.
 	budgetBackoff = 50 * micro.Millisecond
 )
 
-// While a response is late by slowResponse, another transaction goes out beside it: with
-// every third response lost, starts once waited for one timeout after the other.
+// Another transaction is sent concurrently, up to maxInFlight, if there has been no response within
+// slowResponse. With one transaction at a time and every third response lost, task starts waited for
+// one timeout after another.
 const (
 	maxInFlight  = 6
 	slowResponse = 80 * micro.Millisecond
 )
 
-// batchChange is a change in a transaction.
+// batchChange is one change in a transaction.
 type batchChange struct {
 	record        *Record
 	memoryVersion uint64
@@ -41,13 +44,13 @@
 	txn              wire.Transaction
 	changes          []batchChange
 	toVerify         []*Record
-	foundDeleted     []batchChange // deletes that were carried out without an answer
+	foundDeleted     []batchChange // deletes found to be executed whose response was lost
 	size             int
-	preconditions    map[wire.Precondition]bool // records' own preconditions that are in it already
+	preconditions    map[wire.Precondition]bool // preconditions of records that are already in txn
 	maxPreconditions int
 }
 
-// Flush starts a transaction if one is due.
+// Flush starts a transaction, and a read of uncertain keys, if they are due.
 func (w *Writer) Flush(now micro.Time) {
 	if now < w.notBefore || w.inFlight >= maxInFlight || w.inFlight > 0 && now-w.lastSent < slowResponse {
 		return
@@ -62,7 +65,7 @@
 	}
 	b := w.assembleBatch(now)
 	for _, change := range b.foundDeleted {
-		change.record.OnCommitted(change.memoryVersion) // may mark records: not while queues are gone through
+		change.record.OnCommitted(change.memoryVersion) // may mark records: not allowed while iterating queues
 	}
 	w.lowPriorityNotBefore = now + lowPriorityInterval
 	if len(b.toVerify) > 0 {
@@ -80,7 +83,7 @@
 	}
 }
 
-// assembleBatch makes a transaction of what is due, the highest priority first.
+// assembleBatch assembles a transaction of the changes that are due, highest priority first.
 func (w *Writer) assembleBatch(now micro.Time) *batch {
 	maxChanges := w.host.MaxTransactionOps()
 	b := &batch{
@@ -93,7 +96,7 @@
 	}
 	w.fillFromQueue(b, PriorityUrgent, min(maxChanges, w.store.AvailableWrites(store.Urgent)), now)
 	w.fillFromQueue(b, PriorityHigh, min(maxChanges, w.store.AvailableWrites(store.Routine)), now)
-	// Low priorities leave most of the budget to what comes next.
+	// Low-priority changes leave much of the budget to more important changes that may follow.
 	w.fillFromQueue(b, PriorityLow, min(maxChanges, w.store.AvailableWrites(store.Deferrable)), now-coalesceWindow)
 	if len(w.queues[PriorityLow]) < backgroundThreshold {
 		w.fillFromQueue(b, PriorityBackground, min(maxChanges, w.store.AvailableWrites(store.Deferrable)), now)
@@ -109,8 +112,8 @@
 	}
 }
 
-// endInFlight takes in that records are no longer in flight. Those that changed meanwhile lost
-// their place in their queue, and are queued again.
+// endInFlight marks the records of a transaction or read as no longer in flight. Records that became
+// dirty meanwhile were skipped in their queue, and are queued again.
 func (w *Writer) endInFlight(records ...*Record) {
 	w.inFlight--
 	for _, record := range records {
@@ -121,15 +124,17 @@
 	}
 }
 
-// fillFromQueue takes what is due from a queue, as far as the transaction has room for it.
+// fillFromQueue moves due changes from a queue into the transaction, as far as it has capacity. Only
+// changes that became dirty at or before dueBefore are due. Uncertain records are added to the
+// records to verify instead.
 func (w *Writer) fillFromQueue(b *batch, priority Priority, maxChanges int, dueBefore micro.Time) {
 	queue := w.queues[priority]
 	taken := 0
 	for ; taken < len(queue); taken++ {
 		record := queue[taken]
 		if !record.dirty || record.priority != priority || record.rejectedUntil > 0 || record.inFlight {
-			// Written meanwhile, due in another queue, rejected by the store, or queued again
-			// once it is no longer in flight.
+			// Written meanwhile, queued at another priority, rejected by the store, or in
+			// flight; in the latter case endInFlight queues it again.
 			continue
 		}
 		if record.needsVerify {
@@ -143,7 +148,7 @@
 			break
 		}
 	}
-	// What was skipped as uncertain is queued again after verifyUncertain.
+	// Uncertain records are queued again after verifyUncertain.
 	if taken == len(queue) {
 		w.queues[priority] = queue[:0]
 	} else {
@@ -151,8 +156,8 @@
 	}
 }
 
-// addChange takes a record's change into the transaction, if it has one to make; false if
-// there is no room for it.
+// addChange adds the change of a record, if there is any to write, to the transaction. It returns
+// false if the transaction has no capacity for it.
 func (w *Writer) addChange(b *batch, record *Record) bool {
 	value, memoryVersion := record.Build()
 	if value == any(NotReady) {
@@ -198,7 +203,7 @@
 	return true
 }
 
-// missingPreconditions lists the record's own preconditions that the transaction lacks.
+// missingPreconditions returns the preconditions of a record that are not in the transaction yet.
 func (b *batch) missingPreconditions(record *Record) []wire.Precondition {
 	if record.Preconditions == nil {
 		return nil
--- a/internal/statestore/record.go
+++ b/internal/statestore/record.go
@@ -5,88 +5,89 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Priority is how soon a change must be written; each has a queue.
+// Priority determines how soon a change is written. Each priority has its own queue.
 type Priority uint8
 
 // The priorities, highest first.
 const (
-	PriorityUrgent     Priority = iota // cancellations, and starts of the first priority
-	PriorityHigh                       // other starts, ends of jobs, instance requests
-	PriorityLow                        // completions of tasks, which agents report until they are written
-	PriorityBackground                 // records of finished jobs, which only the next failover would read
+	PriorityUrgent     Priority = iota // cancellations, and task starts of jobs of the highest priority level
+	PriorityHigh                       // other task starts, final states of jobs, instance requests
+	PriorityLow                        // task completions, which agents report until they are written
+	PriorityBackground                 // records of ended jobs, which only the next failover would read
 	priorityCount      = 4
 )
 
 const (
-	// rejectedRetryDelay is how long a change waits that the store rejected.
+	// rejectedRetryDelay is the delay before a change that the store rejected is sent again.
 	rejectedRetryDelay = 5 * micro.Second
-	// coalesceWindow is how long a change of low priority waits for others of its key to join it.
+	// coalesceWindow is how long a low-priority change is delayed so that further changes of its
+	// key are written with it.
 	coalesceWindow = 1500 * micro.Millisecond
-	// changeOverhead is what a change takes of a transaction beside its value, in bytes.
+	// changeOverhead is the size of a change in a transaction without its value, in bytes.
 	changeOverhead = 300
 )
 
-// Record is one key that a writer keeps. The preconditions of every write of it are those of
-// the writer's host and the version last known: a late copy of an earlier write fails,
-// whatever it carries.
+// Record is a key that a writer maintains. Every write of it has the preconditions of the writer's
+// host and of the last known version of the key, so that a late copy of an earlier write fails
+// whatever its value.
 type Record struct {
 	Key string
-	// Build gives the value to be written, and the version in memory that OnCommitted gets
-	// once it is in the store. A nil value deletes the key; NotReady writes nothing now.
+	// Build returns the value to write and its version in memory, which is passed to OnCommitted
+	// once the value is in the store. A nil value deletes the key; NotReady writes nothing.
 	Build func() (value any, memoryVersion uint64)
-	// OnCommitted is called when a write is in the store.
+	// OnCommitted is called when a write is known to be in the store.
 	OnCommitted func(memoryVersion uint64)
-	// ResolveUncertain takes in what the store holds after an uncertain write; true: nothing
-	// more is to be written. It may be nil.
+	// ResolveUncertain is called with the stored item that was read after an uncertain write. It
+	// returns true if nothing more needs to be written. It may be nil.
 	ResolveUncertain func(item wire.Item) bool
-	// Preconditions are further conditions of each write; it may be nil.
+	// Preconditions returns additional preconditions of each write. It may be nil.
 	Preconditions func() []wire.Precondition
 
-	writer             *Writer
-	version            uint64
-	dirty              bool
-	priority           Priority
-	needsVerify        bool       // an uncertain write: read the version before the next
-	uncertain          bool       // a write was sent that may yet be executed, or was, unknown to this writer
-	inFlight           bool       // a write of it, or a read of its version, is in flight
-	deleteSent         bool       // the last write that was sent deletes the key
-	mayExecuteLate bool       // a write of it got no response: it may be executed at any later time
-	rejectedUntil      micro.Time // the store rejected it: no retry before
-	dirtySince         micro.Time // when it became dirty
+	writer         *Writer
+	version        uint64
+	dirty          bool
+	priority       Priority
+	needsVerify    bool       // the last write is uncertain: the version must be read before the next one
+	uncertain      bool       // a write without a known outcome may have been executed, or may be executed later
+	inFlight       bool       // a write of the record, or a read of its version, is in flight
+	deleteSent     bool       // the last write that was sent is a delete
+	mayExecuteLate bool       // a write got no response: it may be executed at any later time
+	rejectedUntil  micro.Time // no retry before this time because the store rejected the value
+	dirtySince     micro.Time // when the record became dirty
 }
 
-// NotReady is what Build gives while the change has to wait: the record is marked dirty again
-// when its time comes.
+// NotReady is returned by Build if the change must not be written yet. The caller marks the record
+// dirty again once it may be written.
 var NotReady = new(struct{ _ int })
 
-// Version is the key's version as last known; 0: it does not exist.
+// Version returns the last known version of the key, or 0 if the key does not exist.
 func (r *Record) Version() uint64 { return r.version }
 
-// SetVersion notes the key's version as it was read.
+// SetVersion sets the last known version of the key.
 func (r *Record) SetVersion(version uint64) { r.version = version }
 
-// Dirty reports whether a change waits to be written.
+// Dirty reports whether a change is waiting to be written.
 func (r *Record) Dirty() bool { return r.dirty }
 
-// ClearDirty forgets a change that waits to be written.
+// ClearDirty discards a change that is waiting to be written.
 func (r *Record) ClearDirty() { r.dirty = false }
 
-// Uncertain reports whether a write was sent that may be in the store, or come to it, unknown
-// to this writer. That a read does not find it says nothing of later: held up for seconds, it
-// may be executed after the read.
+// Uncertain reports whether a write without a known outcome may be in the store, or may be executed
+// later. A read that does not find the write does not resolve it: a write that is delayed for
+// seconds may be executed after the read.
 func (r *Record) Uncertain() bool { return r.uncertain }
 
-// AbsentAtLastRead reports whether the key does not exist as far as was read, and nothing of the record is to
-// be written or read. A write without an answer may still be executed.
+// AbsentAtLastRead reports whether the key did not exist when it was last read or written, and no
+// write or read of the record is pending. A write without a response may still be executed late.
 func (r *Record) AbsentAtLastRead() bool {
 	return r.version == 0 && !r.dirty && !r.inFlight && !r.needsVerify
 }
 
-// Settled reports whether nothing of the record is still to be written or uncertain.
+// Settled reports whether no write of the record is pending, in flight or uncertain.
 func (r *Record) Settled() bool { return !r.dirty && !r.inFlight && !r.needsVerify && !r.uncertain }
 
-// MarkDirty notes that the key is to be written, and how soon. A change that waits already is
-// only ever made more urgent.
+// MarkDirty schedules a write of the key with a priority. It never lowers the priority of a change
+// that is already queued. A change that the store rejected is queued after its retry delay.
 func (r *Record) MarkDirty(now micro.Time, priority Priority) {
 	if now < r.rejectedUntil {
 		r.priority = priority
@@ -106,11 +107,11 @@
 	r.writer.queues[priority] = append(r.writer.queues[priority], r)
 }
 
-// Defer gives a change the lowest priority, however urgent it was.
+// Defer schedules a write of the key with the lowest priority, whatever its priority was before.
 func (r *Record) Defer(now micro.Time) {
 	if r.dirty && r.priority == PriorityBackground {
 		return
 	}
-	r.dirty = false // skipped in the other queue
+	r.dirty = false // the entry in the previous queue is skipped because of its priority
 	r.MarkDirty(now, PriorityBackground)
 }
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -1,10 +1,10 @@
-// Package statestore batches the changes that one controller makes to the keys that it alone
-// writes, as compare-and-swap transactions. Each transaction carries the preconditions of its
-// host, such as the version of the leader's key, and the last known version of each key, so
-// that a deposed leader, and a late copy of an earlier write, change nothing. A write without
-// a response is followed by a read of its keys before the next one.
+// Package statestore batches the changes of keys that only one controller writes into
+// compare-and-swap transactions. Each transaction has the preconditions of the host, such as the
+// version of the leader's key, and the last known version of each key, so that writes of a deposed
+// leader and late copies of earlier writes have no effect. After a write without a response, its
+// keys are read before they are written again.
 //
-// A Writer and its Records are owned by one goroutine, the loop of its host.
+// A Writer and its Records are owned by one goroutine, the event loop of the host.
 package statestore
 
 import (
@@ -19,53 +19,55 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Host is the controller's loop that a writer serves.
+// Host is the event loop that owns a writer.
 type Host interface {
+	// Now returns the time of the monotonic clock.
 	Now() micro.Time
-	// HoldsLease reports whether the host may still write; any goroutine may ask.
+	// HoldsLease reports whether the host may still write. It may be called from any goroutine.
 	HoldsLease() bool
-	// Preconditions are what every transaction is conditional on.
+	// Preconditions returns the preconditions of every transaction.
 	Preconditions() []wire.Precondition
-	// Post hands the host's loop an event; any goroutine may call it.
+	// Post queues an event for the host's loop. It may be called from any goroutine.
 	Post(event eventloop.Event)
-	// MaxValueBytes is what a value may take now.
+	// MaxValueBytes returns the maximum size of a value in bytes.
 	MaxValueBytes() int
-	// MaxTransactionOps is how many changes a transaction may have.
+	// MaxTransactionOps returns the maximum number of changes in a transaction.
 	MaxTransactionOps() int
-	// ObserveCommit takes in how long a transaction took, for the metrics.
+	// ObserveCommit records the duration of a transaction in the metrics.
 	ObserveCommit(took micro.Time)
 }
 
-// PreconditionsPerChange is how many preconditions the store allows for each change that a
-// transaction may have.
+// PreconditionsPerChange is the store's limit on the preconditions of a transaction as a multiple of
+// its limit on the changes of a transaction.
 const PreconditionsPerChange = 4
 
-// Writer batches the changes: one transaction at a time, and a few more while the
-// store is slow to answer. A key is in one of them at most.
+// Writer batches changes into transactions. It sends one transaction at a time, and up to
+// maxInFlight concurrently while the store responds slowly. A key is in at most one of them.
 type Writer struct {
 	host    Host
 	store   store.Store
 	log     *slog.Logger
 	records map[string]*Record
 
-	// Records in the order in which they became due; one counts in the queue of its priority.
+	// The queued records of each priority, in the order in which they were queued. An entry is
+	// ignored if the record's priority is no longer that of the queue.
 	queues       [priorityCount][]*Record
-	rejected     []*Record      // rejected by the store, to be tried again
-	changeCounts map[string]int // stored since ChangeCounts was called, by cause
-
-	singleChangeBatches  int        // so many transactions of one change come next, to find what is rejected
-	inFlight             int        // transactions, and reads of uncertain keys, in flight
-	lastSent             micro.Time // when the last of them went out
-	notBefore            micro.Time // no transaction before
-	lowPriorityNotBefore micro.Time // no transaction of low priorities alone before
+	rejected     []*Record      // rejected by the store, to be retried later
+	changeCounts map[string]int // changes stored since the last call of ChangeCounts, by kind
+
+	singleChangeBatches  int        // number of following transactions limited to one change, to find a malformed one
+	inFlight             int        // number of transactions and reads of uncertain keys in flight
+	lastSent             micro.Time // when the last transaction or read was sent
+	notBefore            micro.Time // no transaction is sent before this time
+	lowPriorityNotBefore micro.Time // no transaction with only low-priority changes is sent before this time
 }
 
-// New makes a writer for a host's loop.
+// New returns a writer that is owned by the loop of a host.
 func New(host Host, st store.Store, log *slog.Logger) *Writer {
 	return &Writer{host: host, store: st, log: log, records: map[string]*Record{}, changeCounts: map[string]int{}}
 }
 
-// Record finds or makes the record of a key.
+// Record returns the record of a key, and creates it if there is none.
 func (w *Writer) Record(key string) *Record {
 	record := w.records[key]
 	if record == nil {
@@ -75,24 +77,24 @@
 	return record
 }
 
-// Lookup finds the record of a key; nil: there is none.
+// Lookup returns the record of a key, or nil if there is none.
 func (w *Writer) Lookup(key string) *Record { return w.records[key] }
 
-// Drop forgets a record; what the store holds stays.
+// Drop removes a record from the writer. The key in the store is not changed.
 func (w *Writer) Drop(record *Record) { delete(w.records, record.Key) }
 
-// Each calls f with every record.
+// Each calls f for every record, in no particular order.
 func (w *Writer) Each(f func(record *Record)) {
 	for _, record := range w.records {
 		f(record)
 	}
 }
 
-// Queued is how many changes wait in a queue; those that moved to another one and are still to
-// be skipped count as well.
+// Queued returns the number of entries in the queue of a priority. Entries of changes that have
+// moved to another queue, which are skipped later, are included.
 func (w *Writer) Queued(priority Priority) int { return len(w.queues[priority]) }
 
-// Settled reports whether nothing is still to be written, in flight or uncertain.
+// Settled reports whether no write is pending, in flight or uncertain.
 func (w *Writer) Settled() bool {
 	if w.inFlight > 0 {
 		return false
@@ -105,7 +107,7 @@
 	return true
 }
 
-// countChanges counts changes by what they are for: the prefix of their keys, and deletes.
+// countChanges counts changes by kind: the first segment of the key, and whether it is a delete.
 func (w *Writer) countChanges(changes []batchChange) {
 	for _, change := range changes {
 		kind, _, _ := strings.Cut(change.record.Key, "/")
@@ -119,7 +121,8 @@
 	}
 }
 
-// ChangeCounts lists the changes that were stored since its last call, by cause.
+// ChangeCounts returns the number of changes of each kind that were stored since its last call, as
+// text, and resets the counts.
 func (w *Writer) ChangeCounts() string {
 	kinds := make([]string, 0, len(w.changeCounts))
 	for kind, n := range w.changeCounts {
@@ -130,7 +133,7 @@
 	return strings.Join(kinds, ", ")
 }
 
-// EscalateAll gives all changes that wait the highest priority.
+// EscalateAll raises all queued changes to the highest priority.
 func (w *Writer) EscalateAll(now micro.Time) {
 	for _, record := range w.records {
 		if record.dirty {
--- a/internal/store/prefix.go
+++ b/internal/store/prefix.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// prefixPageSize is how many keys one request of ReadPrefix asks for.
+// prefixPageSize is the number of keys that ReadPrefix requests per page.
 const prefixPageSize = 1000
 
-// ReadPrefix reads all keys with a prefix, in their order: one page, but for the largest jobs.
-// The first error of the store or of visit ends it; visit gets the key without the prefix.
+// ReadPrefix reads all keys with a prefix in key order and calls visit with each key, less the
+// prefix, and its value. It returns the first error of the store or of visit. All but the largest
+// jobs fit into one page.
 func ReadPrefix(
 	ctx context.Context, from Store, class Class, prefix string, visit func(rest string, value []byte) error,
 ) error {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the client of the consensus-backed key-value store that the protocol
-// calls the store: leases, ranges, compare-and-swap transactions and watches, and
-// the part of the service's limits that this node may use.
+// Package store is the client of the consensus-backed key-value store that the protocol calls the
+// store. It provides leases, range reads, compare-and-swap transactions and watches, and limits the
+// requests of this node to its share of the store's rate limits.
 //
 // All methods of Client may be called from any goroutine.
 package store
@@ -22,7 +22,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The ways in which a call can fail; match them with errors.Is.
+// The errors of calls, to be matched with errors.Is. The comments give the HTTP status or the cause.
 var (
 	ErrConflict         = errors.New("store: a precondition did not hold")         // 409
 	ErrCompacted        = errors.New("store: revision too old to watch")           // 410
@@ -33,26 +33,27 @@
 	ErrBudgetExhausted  = errors.New("store: this node's budget is exhausted")     // not sent
 	ErrMalformed        = errors.New("store: request rejected as malformed")       // 400
 	ErrNotFound         = errors.New("store: no such key")                         // 404
-	ErrUnexpectedStatus = errors.New("store: unexpected status")                   // anything else
+	ErrUnexpectedStatus = errors.New("store: unexpected status")                   // other status, invalid body
 )
 
-// Class is the importance of a call when the budget runs low.
+// Class is the importance of a call. It determines how much of the budget the call may use.
 type Class int
 
 // The classes, most important first.
 const (
 	Leadership  Class = iota
-	Urgent            // cancellations, starts
+	Urgent            // cancellations, task starts
 	Routine           // other writes, reads for submissions
-	Deferrable        // what can wait: completions, records of finished jobs
-	StatusQuery       // status queries that the leader does not answer: users ask again
+	Deferrable        // writes that can wait: task completions, records of ended jobs
+	StatusQuery       // status queries that the leader does not answer; users repeat them
 )
 
-// ReservedFraction is the part of the burst that a class must leave to more important ones.
+// ReservedFraction returns the fraction of the burst that a class must leave to more important
+// classes. It is negative for Leadership, which may overdraw the budget.
 func (c Class) ReservedFraction() float64 {
 	switch c {
 	case Leadership:
-		return -1 // may borrow: a lease renewal is never held back
+		return -1 // may overdraw the budget: a lease renewal is never rejected
 	case Urgent:
 		return 0.05
 	case Deferrable:
@@ -63,15 +64,16 @@
 	return 0.2
 }
 
-// Store is what the rest of the service needs of the key-value store.
+// Store is the interface of the key-value store that the other packages use. Client documents the
+// methods.
 type Store interface {
-	// AvailableWrites is how many puts and deletes the budget allows now.
+	// AvailableWrites returns how many puts and deletes the budget currently allows for a class.
 	AvailableWrites(class Class) int
 	Get(ctx context.Context, class Class, key string) (wire.Item, error)
 	Range(ctx context.Context, class Class, prefix, after string, limit int) (wire.Page, error)
 	Commit(ctx context.Context, class Class, txn wire.Transaction) (revision uint64, err error)
-	// ExistingKeys says which of the keys exist, by one transaction that changes nothing
-	// and whose preconditions say that none of them does.
+	// ExistingKeys reports which of the keys exist. It uses one transaction without changes, whose
+	// preconditions are that none of the keys exists.
 	ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error)
 	Grant(ctx context.Context, ttl micro.Time) (lease uint64, err error)
 	Renew(ctx context.Context, lease uint64) error
@@ -79,8 +81,8 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error)
 }
 
-// Client speaks to the store over HTTP. It never repeats a call: a lost response makes the
-// outcome uncertain, and the caller decides.
+// Client accesses the store over HTTP. It never retries a call: if the response is lost, the outcome
+// is uncertain, and the caller decides whether to retry.
 type Client struct {
 	baseURL  string
 	http     *fasthttp.Client
@@ -94,14 +96,14 @@
 
 	mu                sync.Mutex
 	budgetFractions   [2]float64
-	announcedWriteRPS float64 // changes a second that may come into force; 0: none
+	announcedWriteRPS float64 // lower limit in changes per second that may take effect; 0 if none
 
-	lastResponse atomic.Int64 // microseconds, by this node's steady clock
+	lastResponse atomic.Int64 // microseconds on this node's monotonic clock
 }
 
-// NewClient makes a client for the service at addr (host:port), which allows all nodes
-// together the given requests and changes a second; SetBudgetFraction says how much of them
-// this node may use, a third until then.
+// NewClient returns a client of the store at addr (host:port). The rates are the requests and changes
+// per second that the store allows for all nodes together. This node uses a third of them until
+// SetBudgetFraction is called.
 func NewClient(addr string, readRPS, writeRPS float64) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
@@ -119,7 +121,7 @@
 	}
 }
 
-// SetBudgetFraction sets the part of the service's limits that this node may use.
+// SetBudgetFraction sets the fractions of the store's limits that this node may use, from 0 to 1.
 func (c *Client) SetBudgetFraction(reads, writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,19 +129,20 @@
 	c.applyLimits()
 }
 
+// applyLimits updates the limiters. The caller holds mu.
 func (c *Client) applyLimits() {
 	setRate(c.reads, c.readRPS*c.budgetFractions[0])
 	setRate(c.writes, c.writeRPS*c.budgetFractions[1])
 }
 
-// setRate sets a limiter's rate, and bursts of what comes in a second.
+// setRate sets the rate of a limiter, and its burst to the tokens of one second, at least 1.
 func setRate(limiter *rate.Limiter, perSecond float64) {
 	limiter.SetLimit(rate.Limit(perSecond))
 	limiter.SetBurst(max(1, int(perSecond)))
 }
 
-// AnnounceWriteLimit says that the service may lower its limit to so many changes a second
-// from now on. The full rate is used until a change is first refused for its rate.
+// AnnounceWriteLimit announces that the store may lower its limit to the given changes per second from
+// now on. The current limit is used until the store first rejects a write for its rate.
 func (c *Client) AnnounceWriteLimit(writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +151,8 @@
 	}
 }
 
-// applyAnnouncedWriteLimit lowers the rate after the service refused a change for it.
+// applyAnnouncedWriteLimit lowers the write limit to the announced one, if there is any. It is called
+// after the store rejected a write for its rate.
 func (c *Client) applyAnnouncedWriteLimit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,16 +162,18 @@
 	}
 }
 
-// LastResponse is when the store last answered with anything but a refusal, by this node's
-// steady clock; 0: never.
+// LastResponse returns the time on this node's monotonic clock of the last response with a status
+// other than 503, or 0 if there was none.
 func (c *Client) LastResponse() micro.Time { return micro.Time(c.lastResponse.Load()) }
 
-// AvailableWrites is how many puts and deletes the budget allows now.
+// AvailableWrites returns how many puts and deletes the budget currently allows for a class. It is
+// negative if less than the reserved fraction is left.
 func (c *Client) AvailableWrites(class Class) int {
 	return int(c.writes.Tokens() - max(class.ReservedFraction(), 0)*float64(c.writes.Burst()))
 }
 
-// Admit takes n tokens from a limiter if the class may have them now.
+// Admit takes n tokens from a limiter if it has enough for the class now, and reports whether it did.
+// Leadership always gets its tokens, and overdraws the limiter if there are too few.
 func Admit(limiter *rate.Limiter, class Class, n int) bool {
 	if n == 0 {
 		return true
@@ -179,12 +185,12 @@
 	return admissible(limiter, class, n) && limiter.AllowN(time.Now(), min(n, limiter.Burst()))
 }
 
-// admissible reports whether a limiter has n tokens for the class now.
+// admissible reports whether taking n tokens leaves the fraction reserved for more important classes.
 func admissible(limiter *rate.Limiter, class Class, n int) bool {
 	return limiter.Tokens()-float64(n) >= class.ReservedFraction()*float64(limiter.Burst())
 }
 
-// admit takes a call's tokens from both limiters, or none.
+// admit takes the tokens of a call from both limiters, or from neither.
 func (c *Client) admit(class Class, writes int) bool {
 	c.admission.Lock()
 	defer c.admission.Unlock()
@@ -194,8 +200,8 @@
 	return Admit(c.writes, class, writes) && Admit(c.reads, class, 1)
 }
 
-// call sends one request, if the budget allows it, and decodes the reply into out. It ends
-// at the timeout or at the context's deadline, whichever is earlier.
+// call sends one request, if the budget allows it, and decodes the response into out. It returns after
+// the timeout or at the context's deadline, whichever is earlier.
 func (c *Client) call(
 	ctx context.Context, class Class, writes int, method, path string, body []byte, timeout time.Duration, out any,
 ) error {
@@ -232,7 +238,7 @@
 	return statusError(code)
 }
 
-// hasBody reports whether the protocol gives replies of a status a body that is read.
+// hasBody reports whether responses with a status have a body that must be decoded.
 func hasBody(code int) bool {
 	switch code {
 	case fasthttp.StatusOK, fasthttp.StatusConflict, fasthttp.StatusBadRequest, fasthttp.StatusNotFound:
@@ -241,7 +247,7 @@
 	return false
 }
 
-// statusError is what a status says of a call; nil: it was executed.
+// statusError returns the error for a status, or nil if the call was executed.
 func statusError(code int) error {
 	switch code {
 	case fasthttp.StatusOK:
@@ -262,14 +268,14 @@
 	return fmt.Errorf("%w %d", ErrUnexpectedStatus, code)
 }
 
-// Get reads one key.
+// Get reads one key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, class Class, key string) (wire.Item, error) {
 	var item wire.Item
 	err := c.call(ctx, class, 0, fasthttp.MethodGet, "/keys/"+key, nil, c.timeout, &item)
 	return item, err
 }
 
-// Range reads up to limit keys with the prefix, in order, starting after a key.
+// Range reads at most limit keys with the prefix, in key order, starting after the given key.
 func (c *Client) Range(ctx context.Context, class Class, prefix, after string, limit int) (wire.Page, error) {
 	var page wire.Page
 	path := "/keys?prefix=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
@@ -280,8 +286,9 @@
 	return page, err
 }
 
-// Commit runs a compare-and-swap transaction. On ErrConflict nothing was changed; on
-// ErrUncertain it may have been executed, or be so later.
+// Commit executes a compare-and-swap transaction and returns the revision of its changes. On
+// ErrConflict, nothing was changed. On ErrUncertain, the transaction may have been executed, or may be
+// executed late.
 func (c *Client) Commit(ctx context.Context, class Class, txn wire.Transaction) (uint64, error) {
 	body, err := wire.Marshal(txn)
 	if err != nil {
@@ -295,7 +302,7 @@
 	return uint64(result.Revision), err
 }
 
-// ExistingKeys says which of the keys there are.
+// ExistingKeys reports which of the keys exist.
 func (c *Client) ExistingKeys(ctx context.Context, class Class, keys []string) (map[string]bool, error) {
 	txn := wire.Transaction{If: make([]wire.Precondition, 0, len(keys)), Then: []wire.Change{}}
 	for _, key := range keys {
@@ -317,7 +324,7 @@
 	return existing, nil
 }
 
-// Grant asks for a lease.
+// Grant requests a new lease and returns its ID.
 func (c *Client) Grant(ctx context.Context, ttl micro.Time) (uint64, error) {
 	var reply wire.LeaseReply
 	body := wire.MustMarshal(wire.LeaseRequest{TTLMs: int64(ttl / micro.Millisecond)})
@@ -325,7 +332,7 @@
 	return uint64(reply.Lease), err
 }
 
-// Renew extends a lease to its full time; ErrNoLease: it has expired.
+// Renew extends a lease to its full TTL. It returns ErrNoLease if the lease has expired.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
 	err := c.call(
 		ctx,
@@ -343,7 +350,8 @@
 	return err
 }
 
-// Revoke ends a lease, and deletes its keys, at once. One that has ended is no error.
+// Revoke ends a lease immediately and deletes its keys. It returns no error if the lease has already
+// ended.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	err := c.call(ctx, Leadership, 0, fasthttp.MethodDelete, "/leases/"+strconv.FormatUint(lease, 10), nil, c.timeout, nil)
 	if errors.Is(err, ErrNotFound) {
@@ -352,8 +360,8 @@
 	return err
 }
 
-// Watch waits for changes under the prefix after a revision, for so long at most.
-// ErrCompacted: the store no longer holds all of them.
+// Watch waits for changes of keys with the prefix after a revision, for at most the given time. It
+// returns ErrCompacted if the store has compacted some of these changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
 	var events wire.Events
 	path := "/changes?prefix=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(after, 10) +
