--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -9,14 +9,14 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// history is what a checker is told, by hand.
-type history struct {
+// checkerHistory is what a checker is told, by hand.
+type checkerHistory struct {
 	*checker
 	clock micro.Time
 }
 
-func newHistory() *history {
-	history := &history{}
+func newHistory() *checkerHistory {
+	history := &checkerHistory{}
 	history.checker = newChecker(func() micro.Time { return history.clock }, 50*micro.Second)
 	history.cpuLimits["team"] = 8
 	zone := "a"
@@ -27,12 +27,12 @@
 		{ID: "j-4", Team: "team", Kind: wire.Gang, Tasks: 2, CPUs: 1, OneZone: true},
 		{ID: "j-5", Team: "team", Kind: wire.JobArray, Tasks: 1, CPUs: 1, Types: []string{"large"}, Zone: &zone},
 	} {
-		history.submitted(j, 0, false)
+		history.recordSubmission(j, 0, false)
 	}
 	return history
 }
 
-func (h *history) runs(machine, zone string, tasks ...string) {
+func (h *checkerHistory) observe(machine, zone string, tasks ...string) {
 	set := map[string]bool{}
 	for _, t := range tasks {
 		set[t] = true
@@ -40,7 +40,7 @@
 	h.observeTasks(machine, "small", zone, false, set)
 }
 
-func (h *history) answers(id string, knowledge userKnowledge, status int, s wire.JobState) {
+func (h *checkerHistory) reply(id string, knowledge userKnowledge, status int, s wire.JobState) {
 	r := httpapi.Reply{Status: status, Body: wire.JobStatus{ID: id, State: s}}
 	if status >= 400 {
 		r = httpapi.Reply{Status: status}
@@ -58,136 +58,136 @@
 // ruleHistories holds, for each rule, a history that breaks it and a like one that keeps it.
 var ruleHistories = []struct {
 	rule         string
-	broken, kept func(h *history)
+	broken, kept func(h *checkerHistory)
 }{
 	{
 		"ran_twice",
-		func(h *history) { h.runs("m1", "a", "j-1/0"); h.runs("m2", "a", "j-1/0") },
-		func(h *history) {
-			h.runs("m1", "a", "j-1/0")
-			h.runs("m1", "a")
-			h.runs("m2", "a", "j-1/0")
+		func(h *checkerHistory) { h.observe("m1", "a", "j-1/0"); h.observe("m2", "a", "j-1/0") },
+		func(h *checkerHistory) {
+			h.observe("m1", "a", "j-1/0")
+			h.observe("m1", "a")
+			h.observe("m2", "a", "j-1/0")
 		},
 	},
 	{
 		"quota",
-		func(h *history) { h.runs("m1", "a", "j-2/0", "j-2/1"); h.runs("m2", "a", "j-1/0") },
-		func(h *history) {
-			h.runs("m1", "a", "j-2/0", "j-2/1")
-			h.runs("m1", "a", "j-2/0")
-			h.runs("m2", "a", "j-1/0")
+		func(h *checkerHistory) { h.observe("m1", "a", "j-2/0", "j-2/1"); h.observe("m2", "a", "j-1/0") },
+		func(h *checkerHistory) {
+			h.observe("m1", "a", "j-2/0", "j-2/1")
+			h.observe("m1", "a", "j-2/0")
+			h.observe("m2", "a", "j-1/0")
 		},
 	},
 	{
 		"wrong_place", // spread
-		func(h *history) { h.runs("m1", "a", "j-3/0", "j-3/1", "j-3/2") },
-		func(h *history) { h.runs("m1", "a", "j-3/0", "j-3/1"); h.runs("m2", "b", "j-3/2") },
+		func(h *checkerHistory) { h.observe("m1", "a", "j-3/0", "j-3/1", "j-3/2") },
+		func(h *checkerHistory) { h.observe("m1", "a", "j-3/0", "j-3/1"); h.observe("m2", "b", "j-3/2") },
 	},
 	{
 		"wrong_place", // one zone
-		func(h *history) { h.runs("m1", "a", "j-4/0"); h.runs("m2", "b", "j-4/1") },
-		func(h *history) { h.runs("m1", "a", "j-4/0"); h.runs("m2", "a", "j-4/1") },
+		func(h *checkerHistory) { h.observe("m1", "a", "j-4/0"); h.observe("m2", "b", "j-4/1") },
+		func(h *checkerHistory) { h.observe("m1", "a", "j-4/0"); h.observe("m2", "a", "j-4/1") },
 	},
 	{
 		"wrong_place", // type, zone and kind
-		func(h *history) {
+		func(h *checkerHistory) {
 			h.observeTasks("m1", "small", "a", false, map[string]bool{"j-5/0": true})
 		},
-		func(h *history) {
+		func(h *checkerHistory) {
 			h.observeTasks("m1", "large", "a", false, map[string]bool{"j-5/0": true})
 		},
 	},
 	{
 		"wrong_place",
-		func(h *history) {
+		func(h *checkerHistory) {
 			h.observeTasks("m1", "large", "b", false, map[string]bool{"j-5/0": true})
 		},
-		func(h *history) {},
+		func(h *checkerHistory) {},
 	},
 	{
 		"wrong_place",
-		func(h *history) { h.observeTasks("m1", "large", "a", true, map[string]bool{"j-5/0": true}) },
-		func(h *history) {},
+		func(h *checkerHistory) { h.observeTasks("m1", "large", "a", true, map[string]bool{"j-5/0": true}) },
+		func(h *checkerHistory) {},
 	},
 	{
 		"ran_cancelled", // still there
-		func(h *history) {
-			h.runs("m1", "a", "j-1/0")
+		func(h *checkerHistory) {
+			h.observe("m1", "a", "j-1/0")
 			h.requestCancel("j-1")
-			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.reply("j-1", knowsAccepted, 200, wire.JobAborted)
 			h.clock += 51 * micro.Second
 			h.checkCancelled()
 		},
-		func(h *history) {
-			h.runs("m1", "a", "j-1/0")
+		func(h *checkerHistory) {
+			h.observe("m1", "a", "j-1/0")
 			h.requestCancel("j-1")
-			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.reply("j-1", knowsAccepted, 200, wire.JobAborted)
 			h.clock += 49 * micro.Second
 			h.checkCancelled()
-			h.runs("m1", "a")
+			h.observe("m1", "a")
 			h.clock += 10 * micro.Second
 			h.checkCancelled()
 		},
 	},
 	{
 		"ran_cancelled", // begins
-		func(h *history) {
+		func(h *checkerHistory) {
 			h.requestCancel("j-1")
-			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.reply("j-1", knowsAccepted, 200, wire.JobAborted)
 			h.clock += 51 * micro.Second
-			h.runs("m1", "a", "j-1/0")
+			h.observe("m1", "a", "j-1/0")
 		},
-		func(h *history) {},
+		func(h *checkerHistory) {},
 	},
 	{
-		"forgotten", func(h *history) { h.answers("j-1", knowsAccepted, 404, "") },
-		func(h *history) { h.answers("j-1", userKnowledge{}, 404, "") },
+		"forgotten", func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 404, "") },
+		func(h *checkerHistory) { h.reply("j-1", userKnowledge{}, 404, "") },
 	},
 	{
-		"forgotten", func(h *history) { h.answers("j-1", knowsAccepted, 422, "") },
-		func(h *history) { h.answers("j-1", userKnowledge{}, 422, "") },
+		"forgotten", func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 422, "") },
+		func(h *checkerHistory) { h.reply("j-1", userKnowledge{}, 422, "") },
 	},
 	{
-		"invented", func(h *history) { h.answers("j-9", userKnowledge{}, 200, wire.JobPending) },
-		func(h *history) { h.answers("j-9", userKnowledge{}, 404, "") },
+		"invented", func(h *checkerHistory) { h.reply("j-9", userKnowledge{}, 200, wire.JobPending) },
+		func(h *checkerHistory) { h.reply("j-9", userKnowledge{}, 404, "") },
 	},
-	{"invented", func(h *history) { h.runs("m1", "a", "j-9/0") }, func(h *history) {}},
+	{"invented", func(h *checkerHistory) { h.observe("m1", "a", "j-9/0") }, func(h *checkerHistory) {}},
 	{
 		"not_done",
-		func(h *history) {
-			h.taskCompleted("j-1", 0)
-			h.answers("j-1", knowsAccepted, 200, wire.JobDone)
+		func(h *checkerHistory) {
+			h.recordCompletion("j-1", 0)
+			h.reply("j-1", knowsAccepted, 200, wire.JobDone)
 		},
-		func(h *history) {
-			h.taskCompleted("j-1", 0)
-			h.taskCompleted("j-1", 1)
-			h.answers("j-1", knowsAccepted, 200, wire.JobDone)
+		func(h *checkerHistory) {
+			h.recordCompletion("j-1", 0)
+			h.recordCompletion("j-1", 1)
+			h.reply("j-1", knowsAccepted, 200, wire.JobDone)
 		},
 	},
 	{
-		"went_back", func(h *history) { h.answers("j-1", knowsDone, 200, wire.JobRunning) },
-		func(h *history) { h.answers("j-1", knowsAccepted, 200, wire.JobRunning) },
+		"went_back", func(h *checkerHistory) { h.reply("j-1", knowsDone, 200, wire.JobRunning) },
+		func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 200, wire.JobRunning) },
 	},
 	{
-		"went_back", func(h *history) { h.answers("j-1", knowsAborted, 201, wire.JobPending) },
-		func(h *history) { h.answers("j-1", knowsAccepted, 201, wire.JobPending) },
+		"went_back", func(h *checkerHistory) { h.reply("j-1", knowsAborted, 201, wire.JobPending) },
+		func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 201, wire.JobPending) },
 	},
 	{
 		"went_back", // cancelled by nobody
-		func(h *history) { h.answers("j-1", knowsAccepted, 200, wire.JobAborted) },
-		func(h *history) {
+		func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 200, wire.JobAborted) },
+		func(h *checkerHistory) {
 			h.requestCancel("j-1")
-			h.answers("j-1", knowsAccepted, 200, wire.JobAborted)
+			h.reply("j-1", knowsAccepted, 200, wire.JobAborted)
 		},
 	},
 	{
-		"retry_after", func(h *history) { h.checkAnswer("j-1", "n-0", knowsAccepted, httpapi.Reply{Status: 503}) },
-		func(h *history) { h.checkAnswer("j-1", "n-0", knowsAccepted, httpapi.RetryReply(503, 1)) },
+		"retry_after", func(h *checkerHistory) { h.checkAnswer("j-1", "n-0", knowsAccepted, httpapi.Reply{Status: 503}) },
+		func(h *checkerHistory) { h.checkAnswer("j-1", "n-0", knowsAccepted, httpapi.RetryReply(503, 1)) },
 	},
 }
 
 // A checker that finds nothing proves nothing.
-func TestCheckerCatchesEachRule(t *testing.T) {
+func TestCheckerDetectsViolationsOfEachRule(t *testing.T) {
 	for _, test := range ruleHistories {
 		h := newHistory()
 		test.broken(h)
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c *checker) breaks(rule, format string, args ...any) {
+func (c *checker) reportViolation(rule, format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
 	if key := rule + " " + what; !c.reported[key] {
 		c.reported[key] = true
@@ -76,8 +76,8 @@
 	return wire.Job{}, false
 }
 
-// submitted notes a job that a user is about to submit.
-func (c *checker) submitted(spec wire.Job, run micro.Time, broken bool) {
+// recordSubmission notes a job that a user is about to submit.
+func (c *checker) recordSubmission(spec wire.Job, run micro.Time, broken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[spec.ID] == nil {
@@ -85,8 +85,8 @@
 	}
 }
 
-// taskCompleted notes that a task ran to its end.
-func (c *checker) taskCompleted(id string, index int) {
+// recordCompletion notes that a task ran to its end.
+func (c *checker) recordCompletion(id string, index int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if record := c.jobs[id]; record != nil {
@@ -127,30 +127,30 @@
 	}
 	sort.Strings(names)
 	for _, task := range names {
-		c.taskBegan(task, name, typ, zone, spot)
+		c.taskStarted(task, name, typ, zone, spot)
 	}
 	c.tasksByMachine[name] = tasks
 }
 
-func (c *checker) taskBegan(task, machine, typ, zone string, spot bool) {
+func (c *checker) taskStarted(task, machine, typ, zone string, spot bool) {
 	c.startCount++
 	id, _, ok := wire.ParseTaskName(task)
 	record := c.jobs[id]
 	if !ok || record == nil {
-		c.breaks("invented", "%s runs, and nobody submitted it", task)
+		c.reportViolation("invented", "%s runs, and nobody submitted it", task)
 		return
 	}
 	for other := range c.machinesByTask[task] {
-		c.breaks("ran_twice", "%s begins on %s and is on %s", task, machine, other)
+		c.reportViolation("ran_twice", "%s begins on %s and is on %s", task, machine, other)
 	}
 	spec := &record.spec
 	c.cpusInUse[spec.Team] += spec.CPUs
 	if most := c.cpuLimits[spec.Team]; most > 0 && c.cpusInUse[spec.Team] > most+1e-9 {
-		c.breaks("quota", "%s has %v CPUs with %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, most)
+		c.reportViolation("quota", "%s has %v CPUs with %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, most)
 	}
 	for _, need := range spec.Dependencies {
 		if n := c.jobs[need]; n == nil || len(n.completedTasks) < n.spec.Tasks {
-			c.breaks("too_early", "%s begins, %s is not done", task, need)
+			c.reportViolation("too_early", "%s begins, %s is not done", task, need)
 		}
 	}
 	allowed := spec.Types == nil
@@ -158,7 +158,7 @@
 		allowed = allowed || t == typ
 	}
 	if !allowed || spec.Zone != nil && *spec.Zone != zone || spot && !spec.Spot {
-		c.breaks("wrong_place", "%s on %s, type %s, zone %s, spot %v", task, machine, typ, zone, spot)
+		c.reportViolation("wrong_place", "%s on %s, type %s, zone %s, spot %v", task, machine, typ, zone, spot)
 	}
 	here, elsewhere := 1, ""
 	for t, machines := range c.machinesByTask {
@@ -173,10 +173,10 @@
 		}
 	}
 	if spec.OneZone && elsewhere != "" {
-		c.breaks("wrong_place", "%s in zone %s beside tasks in %s", task, zone, elsewhere)
+		c.reportViolation("wrong_place", "%s in zone %s beside tasks in %s", task, zone, elsewhere)
 	}
 	if spec.Spread && here > (spec.Tasks+1)/2 {
-		c.breaks("wrong_place", "%s is one of %d in zone %s", task, here, zone)
+		c.reportViolation("wrong_place", "%s is one of %d in zone %s", task, here, zone)
 	}
 	if c.machinesByTask[task] == nil {
 		c.machinesByTask[task] = map[string]string{}
@@ -185,7 +185,7 @@
 	if record.aborted {
 		c.lateStartCount++
 		if c.now() > record.abortReportedAt+c.cancelLimit {
-			c.breaks("ran_cancelled", "%s begins on %s", task, machine)
+			c.reportViolation("ran_cancelled", "%s begins on %s", task, machine)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 		id, _, _ := wire.ParseTaskName(task)
 		if record := c.jobs[id]; record != nil && record.aborted && now > record.abortReportedAt+c.cancelLimit {
 			for m := range ms {
-				c.breaks("ran_cancelled", "%s is on %s, its user was told at %.1f s", task, m, record.abortReportedAt.Seconds())
+				c.reportViolation("ran_cancelled", "%s is on %s, its user was told at %.1f s", task, m, record.abortReportedAt.Seconds())
 			}
 		}
 	}
@@ -222,13 +222,13 @@
 	c.mu.Unlock()
 }
 
-// cancelWanted reports whether a user asked to cancel a job, or one that it awaits.
-func (c *checker) cancelWanted(record *jobRecord) bool {
+// cancellationRequested reports whether a user asked to cancel a job, or one that it awaits.
+func (c *checker) cancellationRequested(record *jobRecord) bool {
 	if record.cancelRequested {
 		return true
 	}
 	for _, id := range record.spec.Dependencies {
-		if n := c.jobs[id]; n != nil && c.cancelWanted(n) {
+		if n := c.jobs[id]; n != nil && c.cancellationRequested(n) {
 			return true
 		}
 	}
@@ -243,42 +243,42 @@
 	record := c.jobs[id]
 	switch {
 	case reply.Status == 404 && knowledge.accepted:
-		c.breaks("forgotten", "%s is unknown to %s", id, by)
+		c.reportViolation("forgotten", "%s is unknown to %s", id, by)
 		return
 	case (reply.Status == 400 || reply.Status == 422) && knowledge.accepted:
-		c.breaks("forgotten", "a repeat of %s got %d from %s", id, reply.Status, by)
+		c.reportViolation("forgotten", "a repeat of %s got %d from %s", id, reply.Status, by)
 		return
 	case (reply.Status == 503 || reply.Status == 429) && reply.RetryAfter == 0:
-		c.breaks("retry_after", "%d without a time from %s", reply.Status, by)
+		c.reportViolation("retry_after", "%d without a time from %s", reply.Status, by)
 		return
 	case reply.Status != 200 && reply.Status != 201:
 		return
 	}
 	if record == nil {
-		c.breaks("invented", "%s was never submitted, %s knows it", id, by)
+		c.reportViolation("invented", "%s was never submitted, %s knows it", id, by)
 		return
 	}
 	status, ok := reply.Body.(wire.JobStatus)
 	if !ok {
-		c.breaks("no status", "%s answers %+v for %s", by, reply, id)
+		c.reportViolation("no status", "%s answers %+v for %s", by, reply, id)
 		return
 	}
 	record.accepted = true
 	if knowledge.done && status.State != wire.JobDone || knowledge.aborted && status.State != wire.JobAborted ||
 		reply.Status == 201 && (knowledge.done || knowledge.aborted) {
-		c.breaks("went_back", "%s was over (%+v), %s says %d %s", id, knowledge, by, reply.Status, status.State)
+		c.reportViolation("went_back", "%s was over (%+v), %s says %d %s", id, knowledge, by, reply.Status, status.State)
 	}
 	switch status.State {
 	case wire.JobDone:
 		if len(record.completedTasks) < record.spec.Tasks {
-			c.breaks(
+			c.reportViolation(
 				"not_done", "%s is called done by %s with %d of %d tasks", id, by, len(record.completedTasks), record.spec.Tasks,
 			)
 		}
 		record.done = true
 	case wire.JobAborted:
-		if !c.cancelWanted(record) {
-			c.breaks("went_back", "%s is called cancelled by %s, and nobody asked for it", id, by)
+		if !c.cancellationRequested(record) {
+			c.reportViolation("went_back", "%s is called cancelled by %s, and nobody asked for it", id, by)
 		}
 		if !record.aborted {
 			record.aborted, record.abortReportedAt, record.abortReportedBy = true, c.now(), by
@@ -290,6 +290,6 @@
 		}
 	}
 	if record.done && record.aborted {
-		c.breaks("went_back", "%s was called done and cancelled", id)
+		c.reportViolation("went_back", "%s was called done and cancelled", id)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -186,7 +186,7 @@
 	return ""
 }
 
-func TestJobRunsToItsEndAndIsKnownAfterAllProcessesWereReplaced(t *testing.T) {
+func TestCompletedJobIsKnownAfterAllControllersWereReplaced(t *testing.T) {
 	env := newTestCluster(t)
 	node, kill := env.startNode("n-0")
 	if reply := node.Submit(submission("j-1", wire.JobArray)); reply.Status != 201 {
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestUncertainSubmissionIsAnsweredAtOnceAndItsRetryIsKnown(t *testing.T) {
+func TestUncertainSubmissionReturnsARetryableStatusAndItsRetryIsRecognized(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestOutageLongerThanTheLeadersLeaseStopsItsAnswersAndItComesBack(t *testing.T) {
+func TestLeaderStopsServingInAnOutageLongerThanItsLeaseAndResumes(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
@@ -313,7 +313,7 @@
 	}
 }
 
-func TestOnlyOneLeadsAndAStaleWriteFailsItsPrecondition(t *testing.T) {
+func TestOnlyOneControllerLeadsAndAWriteOfThePreviousTermFailsItsPrecondition(t *testing.T) {
 	env := newTestCluster(t)
 	n0, kill := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return n0.activeLeader() != nil })
@@ -344,7 +344,7 @@
 }
 
 // Held packets deliver an old write after a newer one: it must change nothing.
-func TestLateDuplicateOfAWriteFailsItsOwnKeysRevision(t *testing.T) {
+func TestLateDuplicateOfAWriteFailsItsRevisionPrecondition(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	stop := make(chan struct{})
@@ -385,7 +385,7 @@
 
 // A job of the most tasks has more records than a page holds, and they come
 // before its description: read by one page, it would be called unknown.
-func TestLargestJobIsKnownToANodeThatReadsTheStore(t *testing.T) {
+func TestLargestJobIsFoundByReadingTheStore(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
@@ -409,7 +409,7 @@
 
 // After an outage of the store, every machine has been unheard for long, since
 // this node turned them away: that is no sign of death.
-func TestHeartbeatGapCountsOnlyWhileThisNodeListens(t *testing.T) {
+func TestHeartbeatGapCountsOnlyWhileThisNodeReceivesHeartbeats(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -181,7 +181,7 @@
 }
 
 // Work that waited a minute looks at all machines, several times.
-func BenchmarkSchedulingPassOfLateWork(b *testing.B) {
+func BenchmarkSchedulingPassWithOverdueJobs(b *testing.B) {
 	for _, n := range []int{290, 2900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, n)
@@ -216,7 +216,7 @@
 }
 
 // Jobs that wait for others cost a pass nothing.
-func BenchmarkSchedulingPassBesideWaitingJobs(b *testing.B) {
+func BenchmarkSchedulingPassWithWaitingJobs(b *testing.B) {
 	for _, n := range []int{0, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, 290)
@@ -229,7 +229,7 @@
 }
 
 // An end costs as much as the jobs that wait for it, however many others wait.
-func BenchmarkEnd(b *testing.B) {
+func BenchmarkJobFinalization(b *testing.B) {
 	for _, n := range []int{50, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fleet := newFleet(b, 290)
@@ -258,7 +258,7 @@
 }
 
 // A failover costs the reading of what waits, and no more than so much for each.
-func BenchmarkFailoverOfWaitingJobs(b *testing.B) {
+func BenchmarkFailoverWithWaitingJobs(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			snapshot := recovery.NewSnapshot(slog.New(slog.DiscardHandler))
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -98,8 +98,8 @@
 	f.waitUntil(what, most, func() bool { return f.checker.runningTasks() == f.machines })
 }
 
-// storeUsageOf gives what the nodes asked of the store while something happened.
-func (f *largeFleet) storeUsageOf(happens func()) (reads, commits, changes int64) {
+// measureStoreUsage gives what the nodes asked of the store while something happened.
+func (f *largeFleet) measureStoreUsage(happens func()) (reads, commits, changes int64) {
 	reads, commits, changes = f.storeUsage.reads.Load(), f.storeUsage.commits.Load(), f.storeUsage.changes.Load()
 	happens()
 	return f.storeUsage.reads.Load() - reads, f.storeUsage.commits.Load() - commits, f.storeUsage.changes.Load() - changes
@@ -128,7 +128,7 @@
 				fleet.coldStart()
 				fleet.queryAllJobs()
 				fleet.failOver()
-				fleet.loseHalf()
+				fleet.terminateHalf()
 			})
 		})
 	}
@@ -137,7 +137,7 @@
 func (f *largeFleet) coldStart() {
 	f.t.Helper()
 	from := f.now()
-	reads, commits, changes := f.storeUsageOf(f.fill)
+	reads, commits, changes := f.measureStoreUsage(f.fill)
 	all, _ := f.instanceCounts()
 	f.t.Logf(
 		"cold start: %d machines rented, %d reads, %d transactions, %d changes, %v", all, reads, commits, changes,
@@ -156,7 +156,7 @@
 func (f *largeFleet) queryAllJobs() {
 	f.t.Helper()
 	answered := 0
-	reads, _, changes := f.storeUsageOf(func() {
+	reads, _, changes := f.measureStoreUsage(func() {
 		for range 50 {
 			for _, job := range f.jobs {
 				if reply := job.queryStatus(f.randomUserNode()); reply.Status == 200 {
@@ -177,7 +177,7 @@
 func (f *largeFleet) failOver() {
 	f.t.Helper()
 	old, starts := f.waitForLeader(), f.checker.startsSoFar()
-	reads, commits, changes := f.storeUsageOf(func() {
+	reads, commits, changes := f.measureStoreUsage(func() {
 		f.restartController(old, 8*micro.Second)
 		f.waitForNextLeader(old)
 		f.sleep(micro.Minute)
@@ -196,10 +196,10 @@
 	})
 }
 
-func (f *largeFleet) loseHalf() {
+func (f *largeFleet) terminateHalf() {
 	f.t.Helper()
 	from := f.now()
-	reads, commits, changes := f.storeUsageOf(func() {
+	reads, commits, changes := f.measureStoreUsage(func() {
 		for i, machine := range f.liveMachines() {
 			if i%2 == 0 {
 				machine.terminate()
--- a/internal/controller/simulation_machines_test.go
+++ b/internal/controller/simulation_machines_test.go
@@ -209,7 +209,7 @@
 			h.exitTask(key, task, wire.CauseError)
 		case task.State == wire.TaskRunning && record.spec.Kind == wire.JobArray && now-h.stateSince[key] >= record.runTime+micro.Time(index)*record.runTimeStep:
 			h.exitTask(key, task, wire.CauseDone)
-			h.sim.checker.taskCompleted(id, index)
+			h.sim.checker.recordCompletion(id, index)
 		}
 	}
 	h.updateChecker()
@@ -367,7 +367,7 @@
 			case task.State == wire.TaskRunning && whole && now-m.h.stateSince[m.k] >= record.runTime:
 				m.h.exitTask(m.k, task, wire.CauseDone)
 				for i := range record.spec.Tasks {
-					w.checker.taskCompleted(a.id, i)
+					w.checker.recordCompletion(a.id, i)
 				}
 			}
 			m.h.updateChecker()
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -52,7 +52,7 @@
 	checker              *checker
 	ctx                  context.Context
 	config               config.Config
-	jobsNamed            int // jobs named so far
+	jobCount            int // jobs named so far
 	machineTypes         []wire.MachineType
 	fastBoot             bool                                            // machines are up within two seconds
 	writeRPS             float64                                         // changes a second that the store takes; 0: any number
@@ -67,7 +67,7 @@
 	recording            bool                                            // reports are kept, so that copies can come late
 	newLogger            func(node string) *slog.Logger
 	logs                 *logBuffer
-	gaveUp               bool // the scenario was not played to its end: it failed, perhaps on another T than this one's
+	incomplete               bool // the scenario was not played to its end: it failed, perhaps on another T than this one's
 }
 
 const (
@@ -95,9 +95,9 @@
 		// Also after a scenario that gave up: a simulation that goes on would hide why.
 		defer sim.close(stop)
 		go sim.runMachines(ctx)
-		sim.gaveUp = true
+		sim.incomplete = true
 		scenario(sim)
-		sim.gaveUp = false
+		sim.incomplete = false
 	})
 }
 
@@ -112,7 +112,7 @@
 	for _, v := range w.checker.violations {
 		w.t.Error(v)
 	}
-	if w.gaveUp || w.t.Failed() {
+	if w.incomplete || w.t.Failed() {
 		w.saveLogs()
 	}
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -64,15 +64,15 @@
 		request.priority = wire.Normal
 	}
 	w.mu.Lock()
-	w.jobsNamed++
-	id := fmt.Sprintf("j-%04d", w.jobsNamed)
+	w.jobCount++
+	id := fmt.Sprintf("j-%04d", w.jobCount)
 	w.mu.Unlock()
 	body := request.body(id)
 	spec, err := wire.DecodeJob(body)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.checker.submitted(*spec, request.runTime, request.alwaysFails)
+	w.checker.recordSubmission(*spec, request.runTime, request.alwaysFails)
 	w.checker.jobNamed(id).runTimeStep = request.runTimeStep
 	return &userJob{w, id, body}
 }
