--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -9,7 +9,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// checkerHistory is what a checker is told, by hand.
+// checkerHistory feeds a checker with events that a test lists explicitly.
 type checkerHistory struct {
 	*checker
 	clock micro.Time
@@ -32,6 +32,7 @@
 	return history
 }
 
+// observe records that exactly these tasks are on a machine.
 func (h *checkerHistory) observe(machine, zone string, tasks ...string) {
 	set := map[string]bool{}
 	for _, t := range tasks {
@@ -40,6 +41,7 @@
 	h.observeTasks(machine, "small", zone, false, set)
 }
 
+// reply passes a reply about a job to the checker; one with a status of 400 or more has no body.
 func (h *checkerHistory) reply(id string, knowledge userKnowledge, status int, s wire.JobState) {
 	r := httpapi.Reply{Status: status, Body: wire.JobStatus{ID: id, State: s}}
 	if status >= 400 {
@@ -48,17 +50,17 @@
 	h.checkAnswer(id, "n-0", knowledge, r)
 }
 
-// What a user knows of a job.
+// What earlier replies told the user about a job.
 var (
 	knowsAccepted = userKnowledge{accepted: true}
 	knowsDone     = userKnowledge{accepted: true, done: true}
 	knowsAborted  = userKnowledge{accepted: true, aborted: true}
 )
 
-// ruleHistories holds, for each rule, a history that breaks it and a like one that keeps it.
+// ruleHistories holds, for each rule, a history that violates it and a similar one that complies with it.
 var ruleHistories = []struct {
-	rule         string
-	broken, kept func(h *checkerHistory)
+	rule                 string
+	violating, compliant func(h *checkerHistory)
 }{
 	{
 		"ran_twice",
@@ -89,7 +91,7 @@
 		func(h *checkerHistory) { h.observe("m1", "a", "j-4/0"); h.observe("m2", "a", "j-4/1") },
 	},
 	{
-		"wrong_place", // type, zone and kind
+		"wrong_place", // machine type; the next two: zone and spot
 		func(h *checkerHistory) {
 			h.observeTasks("m1", "small", "a", false, map[string]bool{"j-5/0": true})
 		},
@@ -110,7 +112,7 @@
 		func(h *checkerHistory) {},
 	},
 	{
-		"ran_cancelled", // still there
+		"ran_cancelled", // the task is still on a machine
 		func(h *checkerHistory) {
 			h.observe("m1", "a", "j-1/0")
 			h.requestCancel("j-1")
@@ -130,7 +132,7 @@
 		},
 	},
 	{
-		"ran_cancelled", // begins
+		"ran_cancelled", // the task starts
 		func(h *checkerHistory) {
 			h.requestCancel("j-1")
 			h.reply("j-1", knowsAccepted, 200, wire.JobAborted)
@@ -173,7 +175,7 @@
 		func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 201, wire.JobPending) },
 	},
 	{
-		"went_back", // cancelled by nobody
+		"went_back", // cancelled without a request
 		func(h *checkerHistory) { h.reply("j-1", knowsAccepted, 200, wire.JobAborted) },
 		func(h *checkerHistory) {
 			h.requestCancel("j-1")
@@ -186,18 +188,18 @@
 	},
 }
 
-// A checker that finds nothing proves nothing.
+// Guards against a checker that misses violations: every simulation would pass with it.
 func TestCheckerDetectsViolationsOfEachRule(t *testing.T) {
 	for _, test := range ruleHistories {
 		h := newHistory()
-		test.broken(h)
+		test.violating(h)
 		if len(h.violations) == 0 || !strings.Contains(h.violations[0], test.rule) {
-			t.Errorf("%s: not caught: %v", test.rule, h.violations)
+			t.Errorf("%s: violation not detected, reported: %v", test.rule, h.violations)
 		}
 		h = newHistory()
-		test.kept(h)
+		test.compliant(h)
 		if len(h.violations) > 0 {
-			t.Errorf("%s: caught where nothing is broken: %v", test.rule, h.violations)
+			t.Errorf("%s: compliant history reported as a violation: %v", test.rule, h.violations)
 		}
 	}
 }
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -10,43 +10,43 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// A checker holds what happened against the protocol's rules. It is told of
-// every task that is on a machine, of every completion, and of every answer to a
-// user with what the user knew when asking.
+// checker verifies the events of a simulation against the rules of the protocol. It is
+// notified of the tasks on each machine, of every completed task, and of every reply to
+// a user, together with what the user knew when sending the request.
 type checker struct {
 	mu             sync.Mutex
 	now            func() micro.Time
 	cancelLimit    micro.Time
-	cpuLimits      map[string]float64 // CPUs of a team
+	cpuLimits      map[string]float64 // by team
 	machineTypes   map[string]wire.MachineType
 	jobs           map[string]*jobRecord
-	machinesByTask map[string]map[string]string // task: the machines that it is on, with their zones
-	tasksByMachine map[string]map[string]bool   // machine: tasks on it
-	cpusInUse      map[string]float64
+	machinesByTask map[string]map[string]string // by task: the zones of its machines, by machine
+	tasksByMachine map[string]map[string]bool   // by machine: the tasks on it
+	cpusInUse      map[string]float64           // by team
 	violations     []string
-	reported       map[string]bool
-	startCount     int // tasks that began
-	lateStartCount int // those that began after their user was told that the job is cancelled
+	reported       map[string]bool // violations that were reported, so that each is listed once
+	startCount     int             // task starts
+	lateStartCount int             // task starts after a reply told the user that the job is cancelled
 	answerCount    int
 }
 
-// jobRecord is what is known of a job.
+// jobRecord holds the description of a job and the state that its user and its tasks have observed.
 type jobRecord struct {
 	spec            wire.Job
 	runTime         micro.Time
-	runTimeStep     micro.Time // how much longer each task runs than the one before
-	alwaysFails     bool       // fails wherever it runs
-	accepted        bool
-	cancelRequested bool // its user asked to cancel it
-	done            bool
-	aborted         bool
-	abortReportedAt micro.Time // when the user was told that it is cancelled
-	abortReportedBy string     // by which node
-	tasksAtAbort    int        // its tasks that were on machines then
+	runTimeStep     micro.Time // increase of the run time from one task index to the next
+	alwaysFails     bool       // its tasks fail on every machine
+	accepted        bool       // a reply reported the job as accepted
+	cancelRequested bool       // the user requested its cancellation
+	done            bool       // a reply reported the job as done
+	aborted         bool       // a reply reported the job as cancelled
+	abortReportedAt micro.Time // when the first such reply arrived
+	abortReportedBy string     // name of the controller that sent it
+	tasksAtAbort    int        // number of its tasks on machines at that time
 	completedTasks  map[int]bool
 }
 
-// userKnowledge is what a user knew when asking.
+// userKnowledge is the state of a job as earlier replies reported it, when the user sends a request.
 type userKnowledge struct{ accepted, done, aborted bool }
 
 func newChecker(now func() micro.Time, cancel micro.Time) *checker {
@@ -57,6 +57,7 @@
 	}
 }
 
+// reportViolation records a violation of a rule, once for each distinct message; the caller holds the lock.
 func (c *checker) reportViolation(rule, format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
 	if key := rule + " " + what; !c.reported[key] {
@@ -76,16 +77,18 @@
 	return wire.Job{}, false
 }
 
-// recordSubmission notes a job that a user is about to submit.
-func (c *checker) recordSubmission(spec wire.Job, run micro.Time, broken bool) {
+// recordSubmission records a job before its user submits it; alwaysFails makes its tasks fail on every machine.
+func (c *checker) recordSubmission(spec wire.Job, runTime micro.Time, alwaysFails bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[spec.ID] == nil {
-		c.jobs[spec.ID] = &jobRecord{spec: spec, runTime: run, alwaysFails: broken, completedTasks: map[int]bool{}}
+		c.jobs[spec.ID] = &jobRecord{
+			spec: spec, runTime: runTime, alwaysFails: alwaysFails, completedTasks: map[int]bool{},
+		}
 	}
 }
 
-// recordCompletion notes that a task ran to its end.
+// recordCompletion records that a task completed.
 func (c *checker) recordCompletion(id string, index int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +97,7 @@
 	}
 }
 
-// observeMachine looks at what is on a machine; its lock is held.
+// observeMachine records the active tasks of a machine; the caller holds the lock of the machine.
 func (c *checker) observeMachine(machine *fakeMachine) {
 	tasks := map[string]bool{}
 	for key, t := range machine.agent.Tasks {
@@ -105,12 +108,12 @@
 	c.observeTasks(machine.agent.Name, machine.agent.Type, machine.agent.Zone, machine.agent.Spot, tasks)
 }
 
-// observeTasks notes the tasks that are on a machine now.
+// observeTasks records the set of tasks that are on a machine now, and checks the rules for each one that is new.
 func (c *checker) observeTasks(name, typ, zone string, spot bool, tasks map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.tasksByMachine[name]
-	for task := range was {
+	previous := c.tasksByMachine[name]
+	for task := range previous {
 		if !tasks[task] {
 			id, _, _ := wire.ParseTaskName(task)
 			delete(c.machinesByTask[task], name)
@@ -121,7 +124,7 @@
 	}
 	names := make([]string, 0, len(tasks))
 	for task := range tasks {
-		if !was[task] {
+		if !previous[task] {
 			names = append(names, task)
 		}
 	}
@@ -132,25 +135,28 @@
 	c.tasksByMachine[name] = tasks
 }
 
+// taskStarted checks the rules that hold when a task starts on a machine; the caller holds the lock.
 func (c *checker) taskStarted(task, machine, typ, zone string, spot bool) {
 	c.startCount++
 	id, _, ok := wire.ParseTaskName(task)
 	record := c.jobs[id]
 	if !ok || record == nil {
-		c.reportViolation("invented", "%s runs, and nobody submitted it", task)
+		c.reportViolation("invented", "task %s started, but its job was not submitted", task)
 		return
 	}
 	for other := range c.machinesByTask[task] {
-		c.reportViolation("ran_twice", "%s begins on %s and is on %s", task, machine, other)
+		c.reportViolation("ran_twice", "task %s started on %s while it is on %s", task, machine, other)
 	}
 	spec := &record.spec
 	c.cpusInUse[spec.Team] += spec.CPUs
-	if most := c.cpuLimits[spec.Team]; most > 0 && c.cpusInUse[spec.Team] > most+1e-9 {
-		c.reportViolation("quota", "%s has %v CPUs with %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, most)
+	if limit := c.cpuLimits[spec.Team]; limit > 0 && c.cpusInUse[spec.Team] > limit+1e-9 {
+		c.reportViolation(
+			"quota", "team %s uses %v CPUs after the start of %s, limit %v", spec.Team, c.cpusInUse[spec.Team], task, limit,
+		)
 	}
-	for _, need := range spec.Dependencies {
-		if n := c.jobs[need]; n == nil || len(n.completedTasks) < n.spec.Tasks {
-			c.reportViolation("too_early", "%s begins, %s is not done", task, need)
+	for _, dependency := range spec.Dependencies {
+		if d := c.jobs[dependency]; d == nil || len(d.completedTasks) < d.spec.Tasks {
+			c.reportViolation("too_early", "task %s started before its dependency %s was done", task, dependency)
 		}
 	}
 	allowed := spec.Types == nil
@@ -158,7 +164,9 @@
 		allowed = allowed || t == typ
 	}
 	if !allowed || spec.Zone != nil && *spec.Zone != zone || spot && !spec.Spot {
-		c.reportViolation("wrong_place", "%s on %s, type %s, zone %s, spot %v", task, machine, typ, zone, spot)
+		c.reportViolation(
+			"wrong_place", "task %s started on %s of type %s, zone %s, spot %v", task, machine, typ, zone, spot,
+		)
 	}
 	here, elsewhere := 1, ""
 	for t, machines := range c.machinesByTask {
@@ -173,10 +181,12 @@
 		}
 	}
 	if spec.OneZone && elsewhere != "" {
-		c.reportViolation("wrong_place", "%s in zone %s beside tasks in %s", task, zone, elsewhere)
+		c.reportViolation(
+			"wrong_place", "task %s of a single-zone job started in zone %s, another task is in %s", task, zone, elsewhere,
+		)
 	}
 	if spec.Spread && here > (spec.Tasks+1)/2 {
-		c.reportViolation("wrong_place", "%s is one of %d in zone %s", task, here, zone)
+		c.reportViolation("wrong_place", "task %s is one of %d tasks of a spread job in zone %s", task, here, zone)
 	}
 	if c.machinesByTask[task] == nil {
 		c.machinesByTask[task] = map[string]string{}
@@ -185,27 +195,30 @@
 	if record.aborted {
 		c.lateStartCount++
 		if c.now() > record.abortReportedAt+c.cancelLimit {
-			c.reportViolation("ran_cancelled", "%s begins on %s", task, machine)
+			c.reportViolation("ran_cancelled", "task %s of a cancelled job started on %s", task, machine)
 		}
 	}
 }
 
-// checkCancelled finds tasks of cancelled jobs that are still there.
+// checkCancelled reports tasks of cancelled jobs that are still on a machine after cancelLimit.
 func (c *checker) checkCancelled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for task, ms := range c.machinesByTask {
+	for task, machines := range c.machinesByTask {
 		id, _, _ := wire.ParseTaskName(task)
 		if record := c.jobs[id]; record != nil && record.aborted && now > record.abortReportedAt+c.cancelLimit {
-			for m := range ms {
-				c.reportViolation("ran_cancelled", "%s is on %s, its user was told at %.1f s", task, m, record.abortReportedAt.Seconds())
+			for machine := range machines {
+				c.reportViolation(
+					"ran_cancelled", "task %s is on %s, the cancellation was confirmed at %.1f s", task, machine,
+					record.abortReportedAt.Seconds(),
+				)
 			}
 		}
 	}
 }
 
-// knowledgeOf is what a user knows of a job when asking.
+// knowledgeOf returns what earlier replies told the user about a job.
 func (c *checker) knowledgeOf(id string) userKnowledge {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,14 +228,15 @@
 	return userKnowledge{}
 }
 
-// requestCancel notes that the user asks to cancel a job.
+// requestCancel records that the user requests the cancellation of a job.
 func (c *checker) requestCancel(id string) {
 	c.mu.Lock()
 	c.jobs[id].cancelRequested = true
 	c.mu.Unlock()
 }
 
-// cancellationRequested reports whether a user asked to cancel a job, or one that it awaits.
+// cancellationRequested reports whether a user requested the cancellation of a job or of one of its
+// direct or indirect dependencies; the caller holds the lock.
 func (c *checker) cancellationRequested(record *jobRecord) bool {
 	if record.cancelRequested {
 		return true
@@ -235,7 +249,7 @@
 	return false
 }
 
-// checkAnswer holds an answer of a node against what the user knew.
+// checkAnswer checks the reply of a controller about a job against the user's knowledge at the time of the request.
 func (c *checker) checkAnswer(id, by string, knowledge userKnowledge, reply httpapi.Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,42 +257,46 @@
 	record := c.jobs[id]
 	switch {
 	case reply.Status == 404 && knowledge.accepted:
-		c.reportViolation("forgotten", "%s is unknown to %s", id, by)
+		c.reportViolation("forgotten", "accepted job %s is unknown to %s", id, by)
 		return
 	case (reply.Status == 400 || reply.Status == 422) && knowledge.accepted:
-		c.reportViolation("forgotten", "a repeat of %s got %d from %s", id, reply.Status, by)
+		c.reportViolation("forgotten", "the repeated submission of %s got status %d from %s", id, reply.Status, by)
 		return
 	case (reply.Status == 503 || reply.Status == 429) && reply.RetryAfter == 0:
-		c.reportViolation("retry_after", "%d without a time from %s", reply.Status, by)
+		c.reportViolation("retry_after", "status %d without a retry time from %s", reply.Status, by)
 		return
 	case reply.Status != 200 && reply.Status != 201:
 		return
 	}
 	if record == nil {
-		c.reportViolation("invented", "%s was never submitted, %s knows it", id, by)
+		c.reportViolation("invented", "job %s was never submitted, but %s returned its status", id, by)
 		return
 	}
 	status, ok := reply.Body.(wire.JobStatus)
 	if !ok {
-		c.reportViolation("no status", "%s answers %+v for %s", by, reply, id)
+		c.reportViolation("no status", "%s replied %+v for job %s", by, reply, id)
 		return
 	}
 	record.accepted = true
 	if knowledge.done && status.State != wire.JobDone || knowledge.aborted && status.State != wire.JobAborted ||
 		reply.Status == 201 && (knowledge.done || knowledge.aborted) {
-		c.reportViolation("went_back", "%s was over (%+v), %s says %d %s", id, knowledge, by, reply.Status, status.State)
+		c.reportViolation(
+			"went_back", "job %s had ended (%+v), %s replied status %d, state %s", id, knowledge, by, reply.Status,
+			status.State,
+		)
 	}
 	switch status.State {
 	case wire.JobDone:
 		if len(record.completedTasks) < record.spec.Tasks {
 			c.reportViolation(
-				"not_done", "%s is called done by %s with %d of %d tasks", id, by, len(record.completedTasks), record.spec.Tasks,
+				"not_done", "job %s reported as done by %s after %d of %d tasks", id, by, len(record.completedTasks),
+				record.spec.Tasks,
 			)
 		}
 		record.done = true
 	case wire.JobAborted:
 		if !c.cancellationRequested(record) {
-			c.reportViolation("went_back", "%s is called cancelled by %s, and nobody asked for it", id, by)
+			c.reportViolation("went_back", "job %s reported as cancelled by %s without a request", id, by)
 		}
 		if !record.aborted {
 			record.aborted, record.abortReportedAt, record.abortReportedBy = true, c.now(), by
@@ -290,6 +308,6 @@
 		}
 	}
 	if record.done && record.aborted {
-		c.reportViolation("went_back", "%s was called done and cancelled", id)
+		c.reportViolation("went_back", "job %s reported as done and as cancelled", id)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -23,7 +23,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// fakeAgents passes dispatched commands to fake agents.
+// fakeAgents delivers dispatched commands to fake agents, by machine name.
 type fakeAgents struct {
 	mu        sync.Mutex
 	byMachine map[string]*fake.Agent
@@ -41,6 +41,7 @@
 	return nil, false, agent.ErrUncertain
 }
 
+// testCluster is a store, a cloud and agents that are shared by the controllers of a test, in real time.
 type testCluster struct {
 	t      *testing.T
 	store  *fake.Store
@@ -62,11 +63,12 @@
 	}
 }
 
-// startNode makes a node; its process is dead once the returned function was called.
+// startNode starts a controller; the returned function ends its process.
 func (b *testCluster) startNode(name string) (*Node, func()) {
 	return b.startNodeWith(name, func(*Node) {})
 }
 
+// startNodeWith is startNode with set applied before the controller starts.
 func (b *testCluster) startNodeWith(name string, set func(*Node)) (*Node, func()) {
 	cfg := &config.Config{Properties: config.Defaults()}
 	cfg.Node = name
@@ -74,7 +76,7 @@
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.HeartbeatIntervalS, cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 30, 3, 16, 24
 	cfg.Facts.Workers.CancelS = 50
 	cfg.Facts.Teams = []config.Team{{Name: "team", CPUsMax: 16}}
-	// Nothing waits for capacity to come free: machines are rented at once.
+	// The short objective makes the autoscaler request machines at once instead of waiting for released capacity.
 	cfg.Facts.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 30}}
 	node := NewWith(Dependencies{
 		Cfg: cfg, Store: b.store, Cloud: b.cloud, Agent: b.agents, Peers: peer.NewClient(nil),
@@ -92,14 +94,14 @@
 	return node, cancel
 }
 
-// replaceStore gives a node that serves already another way to the store.
+// replaceStore replaces the store client of a running controller.
 func replaceStore(node *Node, to store.Store) {
 	node.Store = to
 	rebuildParts(node)
 }
 
-// rebuildParts makes the parts of a node that take others at their construction anew, from
-// those that the test has put in. A format gate that was open stays so.
+// rebuildParts reconstructs the components that receive their dependencies at construction, so that they
+// use the dependencies that the test has set. An open format gate stays open.
 func rebuildParts(node *Node) {
 	open := node.formatGate.FormatOpen()
 	node.formatGate = newFormatGate(node)
@@ -109,7 +111,7 @@
 	node.initJobAPI()
 }
 
-// servePeer lets a node answer its peers on loopback.
+// servePeer serves the peer calls of a controller on a loopback address and returns the address.
 func (b *testCluster) servePeer(n *Node) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -121,7 +123,7 @@
 	return ln.Addr().String()
 }
 
-// unansweredCommitStore is a store that answers no transaction until its caller gives up.
+// unansweredCommitStore is a store whose transactions stay without a response until the context of the caller ends.
 type unansweredCommitStore struct{ store.Store }
 
 func (unansweredCommitStore) Commit(ctx context.Context, _ store.Class, _ wire.Transaction) (uint64, error) {
@@ -129,16 +131,17 @@
 	return 0, store.ErrUncertain
 }
 
-// waitUntil polls; the time is only a bound on a hang.
-func waitUntil(t *testing.T, what string, ok func() bool) {
+// waitUntil polls a condition. The limit of 60 s only bounds a hang.
+func waitUntil(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("condition not reached: " + condition)
 		}
 	}
 }
 
+// submission returns the body of a submission of a job with two tasks of one CPU each.
 func submission(id string, kind wire.JobKind) []byte {
 	return wire.MustMarshal(map[string]any{
 		"nameId": id, "jobclass": "c", "outfit": "team", "shape": string(kind), "rank": "standard",
@@ -147,7 +150,8 @@
 	})
 }
 
-// runAgents lets the rented machines report until stopped.
+// runAgents sends the heartbeats of all provisioned machines to a controller until stopped. Running tasks
+// complete at once, except those of j-9.
 func (b *testCluster) runAgents(node *Node, stop <-chan struct{}) {
 	for {
 		select {
@@ -179,6 +183,7 @@
 	}
 }
 
+// jobState returns the state of a job as the controller reports it, "" without a status.
 func jobState(n *Node, id string) wire.JobState {
 	if s, ok := n.Status(id).Body.(wire.JobStatus); ok {
 		return s.State
@@ -190,7 +195,7 @@
 	env := newTestCluster(t)
 	node, kill := env.startNode("n-0")
 	if reply := node.Submit(submission("j-1", wire.JobArray)); reply.Status != 201 {
-		t.Fatalf("%+v", reply)
+		t.Fatalf("submission got %+v", reply)
 	}
 	stop := make(chan struct{})
 	go env.runAgents(node, stop)
@@ -198,16 +203,16 @@
 	close(stop)
 	kill()
 	restarted, _ := env.startNode("n-0")
-	waitUntil(t, "its state from the store", func() bool { return jobState(restarted, "j-1") == wire.JobDone })
+	waitUntil(t, "final state read from the store", func() bool { return jobState(restarted, "j-1") == wire.JobDone })
 	if reply := restarted.Submit(submission("j-1", wire.JobArray)); reply.Status != 200 ||
 		reply.Body.(wire.JobStatus).State != wire.JobDone {
-		t.Fatalf("a late repeat got %+v", reply)
+		t.Fatalf("repeated submission of a completed job got %+v", reply)
 	}
 	if reply := restarted.Cancel("j-1"); reply.Status != 200 || reply.Body.(wire.JobStatus).State != wire.JobDone {
-		t.Fatalf("withdrawn after its end: %+v", reply)
+		t.Fatalf("cancellation of a completed job got %+v", reply)
 	}
 	if reply := restarted.Status("j-404"); reply.Status != 404 {
-		t.Fatalf("%+v", reply)
+		t.Fatalf("status of an unknown job: %+v", reply)
 	}
 }
 
@@ -218,8 +223,8 @@
 	stop := make(chan struct{})
 	go env.runAgents(node, stop)
 	waitUntil(t, "running", func() bool { return jobState(node, "j-9") == wire.JobRunning })
-	waitUntil(t, "withdrawn", func() bool { return node.Cancel("j-9").Status == 200 })
-	waitUntil(t, "its tasks gone", func() bool {
+	waitUntil(t, "cancelled", func() bool { return node.Cancel("j-9").Status == 200 })
+	waitUntil(t, "all tasks exited", func() bool {
 		env.agents.mu.Lock()
 		defer env.agents.mu.Unlock()
 		for _, fakeAgent := range env.agents.byMachine {
@@ -234,9 +239,9 @@
 	close(stop)
 	kill()
 	restarted, _ := env.startNode("n-1")
-	waitUntil(t, "another leads", func() bool { return restarted.activeLeader() != nil })
+	waitUntil(t, "the next leader is active", func() bool { return restarted.activeLeader() != nil })
 	if got := jobState(restarted, "j-9"); got != wire.JobAborted {
-		t.Fatalf("it is %q", got)
+		t.Fatalf("state %q under the next leader, want the aborted state", got)
 	}
 }
 
@@ -244,14 +249,14 @@
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
-	env.store.LoseAnswers(1)
+	env.store.LoseAnswers(1) // the response to the next commit
 	reply := node.Submit(submission("j-1", wire.JobArray))
-	for reply.Status == 201 { // the lost answer was the leader's own
+	for reply.Status == 201 { // the lost response was that of a commit of the leader itself
 		env.store.LoseAnswers(1)
 		reply = node.Submit(submission("j-1", wire.JobArray))
 	}
 	if reply.Status != 503 && reply.Status != 200 || reply.Status == 503 && reply.RetryAfter == 0 {
-		t.Fatalf("%+v", reply)
+		t.Fatalf("uncertain submission got %+v", reply)
 	}
 	if reply := node.Submit(submission("j-1", wire.JobArray)); reply.Status != 200 {
 		t.Fatalf("the retry got %+v", reply)
@@ -287,7 +292,7 @@
 	}
 	node.catalog.Store(nil)
 	if reply := node.Submit(change("pieces", 1)); reply.Status != 503 || reply.RetryAfter == 0 {
-		t.Errorf("without a catalog: %+v", reply)
+		t.Errorf("submission without a catalog got %+v", reply)
 	}
 }
 
@@ -297,19 +302,19 @@
 	waitUntil(t, "leading", func() bool { return node.activeLeader() != nil })
 	leader := node.activeLeader()
 	env.store.SetOutage(true)
-	waitUntil(t, "silent", func() bool { return node.activeLeader() == nil })
+	waitUntil(t, "no longer leading", func() bool { return node.activeLeader() == nil })
 	if reply := node.Heartbeat(
 		wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1}),
 	); reply.Status != 503 {
-		t.Fatalf("a worker got %+v", reply)
+		t.Fatalf("heartbeat during the outage got %+v", reply)
 	}
 	if reply := node.Status("j-1"); reply.Status != 503 || reply.RetryAfter == 0 {
-		t.Fatalf("a poll got %+v", reply)
+		t.Fatalf("status query during the outage got %+v", reply)
 	}
 	env.store.SetOutage(false)
 	waitUntil(t, "leading again", func() bool { return node.activeLeader() != nil })
 	if again := node.activeLeader(); again != nil && again != leader {
-		t.Fatal("its lease had its full time again, yet the term changed")
+		t.Fatal("the term changed although the lease was renewed to its full duration")
 	}
 }
 
@@ -318,9 +323,9 @@
 	n0, kill := env.startNode("n-0")
 	waitUntil(t, "leading", func() bool { return n0.activeLeader() != nil })
 	n1, _ := env.startNode("n-1")
-	waitUntil(t, "known", func() bool { return n1.election.Leader() == "n-0" })
+	waitUntil(t, "n-0 known as leader", func() bool { return n1.election.Leader() == "n-0" })
 	if n1.activeLeader() != nil {
-		t.Fatal("two lead")
+		t.Fatal("two controllers lead")
 	}
 	old := n0.activeLeader().term
 	env.store.HoldCommits(1)
@@ -329,21 +334,22 @@
 		wire.Transaction{If: []wire.Precondition{old.Precondition()}, Then: []wire.Change{{Put: "job/j-1/end", Value: "x"}}},
 	)
 	if err == nil {
-		t.Fatal("not held back")
+		t.Fatal("the commit was executed, want it held back")
 	}
 	kill()
-	waitUntil(t, "the other leads", func() bool { return n1.activeLeader() != nil })
+	waitUntil(t, "n-1 leads", func() bool { return n1.activeLeader() != nil })
 	if env.store.DeliverHeld() != 0 {
-		t.Fatal("a write of the old term took effect under the new one")
+		t.Fatal("a write of the previous term took effect in the new one")
 	}
 	reply := n1.Heartbeat(wire.MustMarshal(wire.Heartbeat{Machine: "i-1", Addr: "x:1", AgentEpoch: 1, Sequence: 1}))
 	if commands, ok := reply.Body.(wire.Commands); !ok ||
 		uint64(commands.FencingToken) <= dispatch.FirstFencingToken(old.FencingRevision) {
-		t.Fatalf("token of the new term: %+v", reply)
+		t.Fatalf("no commands with a higher fencing token in the new term: %+v", reply)
 	}
 }
 
-// Held packets deliver an old write after a newer one: it must change nothing.
+// The network delays commits and delivers them after newer writes to the same keys: the late writes must
+// change nothing.
 func TestLateDuplicateOfAWriteFailsItsRevisionPrecondition(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
@@ -361,7 +367,7 @@
 	after, _ := env.store.Range(context.Background(), store.Routine, "job/", "", 100)
 	for i := range before.Items {
 		if before.Items[i].Version != after.Items[i].Version {
-			t.Fatalf("%s was overwritten late", before.Items[i].Key)
+			t.Fatalf("%s was overwritten by a late write", before.Items[i].Key)
 		}
 	}
 }
@@ -370,21 +376,21 @@
 	env := newTestCluster(t)
 	node, kill := env.startNode("n-0")
 	node.Submit(submission("j-1", wire.JobArray))
-	waitUntil(t, "rented", func() bool { return len(env.cloud.Instances()) > 0 })
+	waitUntil(t, "machine provisioned", func() bool { return len(env.cloud.Instances()) > 0 })
 	kill()
 	restarted, _ := env.startNode("n-1")
-	waitUntil(t, "another leads", func() bool { return restarted.activeLeader() != nil })
+	waitUntil(t, "the next leader is active", func() bool { return restarted.activeLeader() != nil })
 	stop := make(chan struct{})
 	defer close(stop)
 	go env.runAgents(restarted, stop)
 	waitUntil(t, "done", func() bool { return jobState(restarted, "j-1") == wire.JobDone })
 	if got := len(env.cloud.Instances()); got > 1 {
-		t.Fatalf("%d machines for a job that needs one", got)
+		t.Fatalf("%d machines provisioned for a job that needs one", got)
 	}
 }
 
-// A job of the most tasks has more records than a page holds, and they come
-// before its description: read by one page, it would be called unknown.
+// A job with the maximum number of tasks (100,000) has more records than one page of the store holds, and
+// they precede its description: a status query that reads one page only would report the job as unknown.
 func TestLargestJobIsFoundByReadingTheStore(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
@@ -403,12 +409,13 @@
 	}
 	reply, err := node.jobs.ReadStatus("j-1", store.Routine)
 	if status, ok := reply.Body.(wire.JobStatus); err != nil || !ok || status.Done != 2*1563 {
-		t.Fatalf("%+v, %v", reply, err)
+		t.Fatalf("status does not count all done tasks: %+v, error %v", reply, err)
 	}
 }
 
-// After an outage of the store, every machine has been unheard for long, since
-// this node turned them away: that is no sign of death.
+// During an outage of the store a leader without a lease refuses heartbeats, so afterwards the last heartbeat
+// of every machine is old. That time must not count as missing heartbeats, or live machines would be declared
+// dead.
 func TestHeartbeatGapCountsOnlyWhileThisNodeReceivesHeartbeats(t *testing.T) {
 	env := newTestCluster(t)
 	node, _ := env.startNode("n-0")
@@ -424,10 +431,10 @@
 	leader.term = election.NewTerm(9, 1000*micro.Second)
 	leader.tick(120 * micro.Second)
 	if q := leader.detector.SinceHeartbeat(machine, 122*micro.Second); q != 2*micro.Second {
-		t.Errorf("silent for %v s after 2 s of listening", q.Seconds())
+		t.Errorf("no heartbeat for %v s, want 2 s: heartbeats were received again for 2 s", q.Seconds())
 	}
-	leader.tick(123 * micro.Second) // the process got no time for 3 s
+	leader.tick(123 * micro.Second) // process pause of 3 s
 	if q := leader.detector.SinceHeartbeat(machine, 124*micro.Second); q != micro.Second {
-		t.Errorf("silent for %v s", q.Seconds())
+		t.Errorf("no heartbeat for %v s, want 1 s after a process pause of 3 s", q.Seconds())
 	}
 }
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -18,21 +18,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// unansweredDispatch answers no dispatched command.
+// unansweredDispatch is a dispatch transport on which every command stays without a response.
 type unansweredDispatch struct{}
 
 func (unansweredDispatch) Send(string, wire.Commands) (*wire.Heartbeat, bool, error) {
 	return nil, false, agent.ErrUncertain
 }
 
-// fleet is a leader with so many machines, most of which run tasks, on a clock of
-// its own.
+// fleet is a leader with the agents of its machines, most of which run tasks, on a simulated clock.
 type fleet struct {
 	leader *Leader
 	now    micro.Time
 	agents []*fake.Agent
 }
 
+// newFleet returns a fleet with six single-CPU tasks per machine of eight CPUs, scheduled in one pass.
 func newFleet(tb testing.TB, machines int) *fleet {
 	tb.Helper()
 	fleet := &fleet{now: 1000 * micro.Second}
@@ -86,8 +86,10 @@
 	return fleet
 }
 
+// heartbeat delivers a heartbeat of an agent to the leader, and the response to the agent.
 func (h *fleet) heartbeat(w *fake.Agent) { h.handleHeartbeat(w, wire.MustMarshal(w.Heartbeat())) }
 
+// handleHeartbeat handles an encoded heartbeat as the leader does, and delivers the response to the agent.
 func (h *fleet) handleHeartbeat(w *fake.Agent, body []byte) {
 	r, err := wire.DecodeHeartbeat(body)
 	if err != nil {
@@ -95,7 +97,7 @@
 	}
 	m, verdict := h.leader.cluster.Reconcile(r, cluster.FromHeartbeat, h.now)
 	if verdict != cluster.Applied {
-		panic("not taken")
+		panic("heartbeat not applied")
 	}
 	o := wire.Commands{
 		FencingToken: wire.Count(h.leader.dispatcher.FencingToken()),
@@ -180,7 +182,7 @@
 	}
 }
 
-// Work that waited a minute looks at all machines, several times.
+// Scheduling a job that has waited for a minute without an allocation examines all machines several times.
 func BenchmarkSchedulingPassWithOverdueJobs(b *testing.B) {
 	for _, n := range []int{290, 2900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -201,7 +203,7 @@
 	}
 }
 
-// addWaitingJobs adds so many jobs that each await two of those that run.
+// addWaitingJobs adds n jobs that each depend on two of the running jobs.
 func (h *fleet) addWaitingJobs(n int) {
 	var ids []string
 	for id := range h.leader.cluster.Jobs {
@@ -215,7 +217,7 @@
 	}
 }
 
-// Jobs that wait for others cost a pass nothing.
+// Jobs that wait for their dependencies should not add to the cost of a scheduling pass.
 func BenchmarkSchedulingPassWithWaitingJobs(b *testing.B) {
 	for _, n := range []int{0, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -228,7 +230,8 @@
 	}
 }
 
-// An end costs as much as the jobs that wait for it, however many others wait.
+// The cost of finalizing a job should depend only on the number of jobs that wait for it, not on that of other
+// waiting jobs.
 func BenchmarkJobFinalization(b *testing.B) {
 	for _, n := range []int{50, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -257,7 +260,7 @@
 	}
 }
 
-// A failover costs the reading of what waits, and no more than so much for each.
+// The cost of a failover should be linear in the number of waiting jobs whose records are restored.
 func BenchmarkFailoverWithWaitingJobs(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -15,29 +15,30 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Fleets of thousands of machines on the simulated cluster. What is asserted are
-// amounts (requests, changes, machines, entries), not time on this machine.
+// Tests of fleets with thousands of machines on the simulated cluster. They assert
+// amounts (requests, changes, machines, events), not run times, which depend on the
+// machine that runs the test.
 
-var runLargestFleet = flag.Bool("fleet.large", false, "play the fleet of 6,000 machines as well")
+var runLargestFleet = flag.Bool("fleet.large", false, "also test a fleet of 6,000 machines")
 
-// usage counts what the nodes ask of the store.
+// usage counts the requests of all controllers to the store.
 type usage struct {
 	reads, commits, changes atomic.Int64
 }
 
-// usageCountingStore counts requests on their way to the store.
+// usageCountingStore counts requests and passes them to the store.
 type usageCountingStore struct {
 	store.Store
 	usage *usage
 }
 
-// Get reads a key.
+// Get counts a read and reads a key.
 func (m usageCountingStore) Get(ctx context.Context, class store.Class, key string) (wire.Item, error) {
 	m.usage.reads.Add(1)
 	return m.Store.Get(ctx, class, key)
 }
 
-// Range reads keys in order.
+// Range counts a read and reads a page of keys in order.
 func (m usageCountingStore) Range(
 	ctx context.Context, class store.Class, prefix, after string, limit int,
 ) (wire.Page, error) {
@@ -45,7 +46,7 @@
 	return m.Store.Range(ctx, class, prefix, after, limit)
 }
 
-// ExistingKeys says which keys there are.
+// ExistingKeys counts a read and returns which of the keys exist.
 func (m usageCountingStore) ExistingKeys(
 	ctx context.Context, class store.Class, keys []string,
 ) (map[string]bool, error) {
@@ -53,14 +54,14 @@
 	return m.Store.ExistingKeys(ctx, class, keys)
 }
 
-// Commit counts a transaction and its changes.
+// Commit counts a transaction and its changes, and commits it.
 func (m usageCountingStore) Commit(ctx context.Context, class store.Class, txn wire.Transaction) (uint64, error) {
 	m.usage.commits.Add(1)
 	m.usage.changes.Add(int64(len(txn.Then)))
 	return m.Store.Commit(ctx, class, txn)
 }
 
-// largeFleet is a cluster whose services fill one machine with each task.
+// largeFleet is a simulated cluster whose services have tasks that each fill a machine.
 type largeFleet struct {
 	*simCluster
 	storeUsage usage
@@ -68,10 +69,10 @@
 	jobs       []*userJob
 }
 
-// tasksPerService is how many tasks, and machines, each service of a large fleet has.
+// tasksPerService is the number of tasks, and so of machines, of each service of a large fleet.
 const tasksPerService = 100
 
-// runLargeFleet plays a scenario on a fleet of so many machines.
+// runLargeFleet runs a scenario on a fleet of the given number of machines, without a CPU limit of the team.
 func runLargeFleet(t *testing.T, machines int, scenario func(fleet *largeFleet)) {
 	t.Helper()
 	fleet := &largeFleet{machines: machines}
@@ -84,28 +85,28 @@
 	}, func(*simCluster) { scenario(fleet) })
 }
 
-// fill submits services for all machines and waits until they run.
+// fill submits services for all machines and waits until all their tasks run.
 func (f *largeFleet) fill() {
 	f.t.Helper()
 	for range f.machines / tasksPerService {
 		f.jobs = append(f.jobs, f.newJob(jobRequest{kind: wire.Service, tasks: tasksPerService, cpus: 4}).submit())
 	}
-	f.waitAllRunning("the whole fleet runs", 5*micro.Minute)
+	f.waitAllRunning("all tasks of the fleet run", 5*micro.Minute)
 }
 
-func (f *largeFleet) waitAllRunning(what string, most micro.Time) {
+func (f *largeFleet) waitAllRunning(condition string, timeout micro.Time) {
 	f.t.Helper()
-	f.waitUntil(what, most, func() bool { return f.checker.runningTasks() == f.machines })
+	f.waitUntil(condition, timeout, func() bool { return f.checker.runningTasks() == f.machines })
 }
 
-// measureStoreUsage gives what the nodes asked of the store while something happened.
-func (f *largeFleet) measureStoreUsage(happens func()) (reads, commits, changes int64) {
+// measureStoreUsage returns the number of requests and changes that the controllers sent to the store during action.
+func (f *largeFleet) measureStoreUsage(action func()) (reads, commits, changes int64) {
 	reads, commits, changes = f.storeUsage.reads.Load(), f.storeUsage.commits.Load(), f.storeUsage.changes.Load()
-	happens()
+	action()
 	return f.storeUsage.reads.Load() - reads, f.storeUsage.commits.Load() - commits, f.storeUsage.changes.Load() - changes
 }
 
-// withLeaderState reads the leader's model from within its loop.
+// withLeaderState calls read in the event loop of the leader, which owns the state, and waits for it.
 func (f *largeFleet) withLeaderState(read func(c *cluster.State, l *Leader)) {
 	f.t.Helper()
 	currentLeader := f.waitForLeader().runningNode().activeLeader()
@@ -114,9 +115,9 @@
 	<-done
 }
 
-// A cold start, a burst beside it, status queries, a failover, and the loss of half of the
-// machines: the fleet fills, none of its work is lost or started twice, and what the
-// store is asked grows with the records, not with machines times time.
+// A cold start with a burst of submissions, status queries, a failover, and the loss of half of the machines:
+// the services fill the fleet, no task is lost or started twice, and the number of store requests and changes
+// grows with the number of records, not with the number of machines times the duration.
 func TestFleetsOfThousandsOfMachines(t *testing.T) {
 	sizes := []int{4000}
 	if *runLargestFleet {
@@ -140,16 +141,16 @@
 	reads, commits, changes := f.measureStoreUsage(f.fill)
 	all, _ := f.instanceCounts()
 	f.t.Logf(
-		"cold start: %d machines rented, %d reads, %d transactions, %d changes, %v", all, reads, commits, changes,
+		"cold start: %d machines provisioned, %d reads, %d transactions, %d changes, %v", all, reads, commits, changes,
 		f.now()-from,
 	)
 	if all > f.machines+f.machines/10 {
-		f.t.Errorf("%d machines rented for work that fills %d", all, f.machines)
+		f.t.Errorf("%d machines provisioned for services that fill %d", all, f.machines)
 	}
-	// A description, records of 128 tasks and an answered instance request of up to 50 machines,
-	// each written a few times while tasks come to run.
-	if most := int64(f.machines) / 2; changes > most {
-		f.t.Errorf("%d changes for the cold start, %d at the most", changes, most)
+	// Per service a job description and chunk records of 128 tasks, and a record of an instance request per up
+	// to 50 machines; each is written several times until the tasks run.
+	if limit := int64(f.machines) / 2; changes > limit {
+		f.t.Errorf("cold start took %d changes, limit %d", changes, limit)
 	}
 }
 
@@ -165,12 +166,12 @@
 			}
 		}
 	})
-	f.t.Logf("polls: %d of %d answered, %d reads", answered, 50*len(f.jobs), reads)
+	f.t.Logf("status queries: %d of %d answered, %d reads", answered, 50*len(f.jobs), reads)
 	if answered != 50*len(f.jobs) {
-		f.t.Errorf("%d of %d polls were answered", answered, 50*len(f.jobs))
+		f.t.Errorf("%d of %d status queries were answered", answered, 50*len(f.jobs))
 	}
 	if reads > 20 || changes > 20 {
-		f.t.Errorf("polls for jobs that the leader knows took %d reads and %d changes", reads, changes)
+		f.t.Errorf("status queries of jobs known to the leader: %d reads, %d changes, limit 20 each", reads, changes)
 	}
 }
 
@@ -182,16 +183,19 @@
 		f.waitForNextLeader(old)
 		f.sleep(micro.Minute)
 	})
-	f.t.Logf("takeover: %d reads, %d transactions, %d changes in the minute after", reads, commits, changes)
-	if began := f.checker.startsSoFar() - starts; began != 0 || f.checker.runningTasks() != f.machines {
-		f.t.Errorf("%d tasks began anew, %d of %d run", began, f.checker.runningTasks(), f.machines)
+	f.t.Logf("failover: %d reads, %d transactions, %d changes up to a minute after it", reads, commits, changes)
+	if restarted := f.checker.startsSoFar() - starts; restarted != 0 || f.checker.runningTasks() != f.machines {
+		f.t.Errorf("%d tasks restarted in the failover, %d of %d run", restarted, f.checker.runningTasks(), f.machines)
 	}
-	if most := int64(f.machines) / 10; reads > most {
-		f.t.Errorf("the takeover and a minute took %d reads, %d at the most", reads, most)
+	if limit := int64(f.machines) / 10; reads > limit {
+		f.t.Errorf("failover and the minute after it took %d reads, limit %d", reads, limit)
 	}
 	f.withLeaderState(func(c *cluster.State, leader *Leader) {
 		if len(c.Machines) > f.machines+f.machines/10 || leader.loop.Len(eventloop.Events) > f.machines {
-			f.t.Errorf("%d machines and %d events in the leader", len(c.Machines), leader.loop.Len(eventloop.Events))
+			f.t.Errorf(
+				"the leader holds %d machines and %d queued events, too many", len(c.Machines),
+				leader.loop.Len(eventloop.Events),
+			)
 		}
 	})
 }
@@ -206,15 +210,17 @@
 			}
 		}
 		f.sleep(micro.Second)
-		f.waitAllRunning("the work of the lost machines runs again", 6*micro.Minute)
+		f.waitAllRunning("the tasks of the terminated machines run again", 6*micro.Minute)
 	})
-	f.t.Logf("half lost: %d reads, %d transactions, %d changes, %v", reads, commits, changes, f.now()-from)
-	if most := int64(3 * f.machines); changes > most {
-		f.t.Errorf("%d changes after the loss, %d at the most", changes, most)
+	f.t.Logf(
+		"half of the machines lost: %d reads, %d transactions, %d changes, %v", reads, commits, changes, f.now()-from,
+	)
+	if limit := int64(3 * f.machines); changes > limit {
+		f.t.Errorf("loss of half of the machines took %d changes, limit %d", changes, limit)
 	}
 }
 
-// runningTasks is how many tasks are on machines.
+// runningTasks returns the number of tasks on machines.
 func (c *checker) runningTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -12,16 +12,16 @@
 )
 
 var (
-	simulatedScenarios = flag.Int("sim.seeds", 40, "how many days the random test plays")
-	firstSeed          = flag.Uint64("sim.first", 1, "the seed of the first of them")
-	onlySeed           = flag.Uint64("sim.seed", 0, "the one day that it plays; 0: all of them")
+	simulatedScenarios = flag.Int("sim.seeds", 40, "number of seeds that a random test runs")
+	firstSeed          = flag.Uint64("sim.first", 1, "first seed")
+	onlySeed           = flag.Uint64("sim.seed", 0, "the only seed to run; 0: run -sim.seeds seeds")
 )
 
-// Random days: jobs of all kinds, and troubles that meet as they come. After the
-// troubles are over, each accepted job that was not cancelled must be served
-// within the time that the users name. The troubles of a day follow from its
-// seed; the order of what happens in the same instant does not, so a failure may
-// take several replays (-sim.seed=N -count=20).
+// Random scenarios: jobs of all kinds, and faults that overlap at random. After the
+// faults have ended, each accepted job that was not cancelled must be served within
+// the time that the users specify. The faults of a scenario are derived from its seed,
+// but the order of simultaneous events is not, so reproducing a failure may take
+// several runs (-sim.seed=N -count=20).
 func TestRandomScenariosKeepTheRules(t *testing.T) {
 	seeds := []uint64{}
 	for i := range *simulatedScenarios {
@@ -48,14 +48,16 @@
 	}
 }
 
+// runRandomScenario submits random jobs during random faults, waits until all faults have ended, and checks
+// that every job is served after that and known to all controllers.
 func runRandomScenario(sim *simCluster) {
-	const day = 200 * micro.Second
+	const end = 200 * micro.Second
 	var jobs []*userJob
-	go sim.injectRandomFaults(day)
-	for sim.now() < day {
+	go sim.injectRandomFaults(end)
+	for sim.now() < end {
 		time.Sleep(sim.randomDuration(micro.Second, 6*micro.Second))
 		request := sim.randomJobRequest()
-		if n := len(jobs); n > 0 && sim.randomChance(0.15) { // a pipeline
+		if n := len(jobs); n > 0 && sim.randomChance(0.15) { // a job with a dependency
 			if x := sim.checker.jobNamed(jobs[sim.randomInt(n)].id); x.accepted && x.spec.Kind != wire.Service &&
 				!x.alwaysFails {
 				request.dependencies = []string{x.spec.ID}
@@ -63,14 +65,14 @@
 		}
 		job := sim.newJob(request)
 		jobs = append(jobs, job)
-		if sim.randomChance(0.1) { // users call off much at once
+		if sim.randomChance(0.1) { // users cancel many jobs at once
 			for _, o := range jobs {
 				if jd := sim.checker.jobNamed(o.id); jd.accepted && !jd.cancelRequested && sim.randomChance(0.5) {
 					go o.cancel()
 				}
 			}
 		}
-		if sim.randomChance(0.1) { // and ask for what nobody submitted
+		if sim.randomChance(0.1) { // status queries of a job that was not submitted
 			x := &userJob{sim, fmt.Sprint("j-9", sim.randomInt(100000)), nil}
 			for _, controller := range sim.controllers {
 				go x.queryStatus(controller)
@@ -93,28 +95,29 @@
 			}
 		}()
 	}
-	// The last troubles last a minute and more; those services that run are
-	// enough to fill a team, so they are cancelled after a while.
-	sim.waitUntil("all troubles over", 4*micro.Minute, func() bool { return sim.noActiveFaults() })
-	calmSince := sim.now()
+	// The last faults can last longer than a minute.
+	sim.waitUntil("all faults ended", 4*micro.Minute, func() bool { return sim.noActiveFaults() })
+	faultsEndedAt := sim.now()
 	for {
 		left := []string{}
 		for _, job := range jobs {
-			if knowledge := job.knowledge(); !job.satisfied() && (knowledge.accepted || sim.now() < calmSince+60*micro.Second) {
+			if knowledge := job.knowledge(); !job.satisfied() &&
+				(knowledge.accepted || sim.now() < faultsEndedAt+60*micro.Second) {
 				left = append(left, job.id)
 			}
 		}
 		if len(left) == 0 {
 			break
 		}
-		if sim.now() > calmSince+4*micro.Minute {
-			sim.t.Errorf("%.1f s: four minutes after the last trouble not served: %v", sim.now().Seconds(), left)
+		if sim.now() > faultsEndedAt+4*micro.Minute {
+			sim.t.Errorf("%.1f s: jobs not served four minutes after the last fault: %v", sim.now().Seconds(), left)
 			sim.describeUnserved(left)
 			return
 		}
 		time.Sleep(time.Second)
-		// Whoever runs for ever makes capacity for the rest by and by.
-		if sim.now() > calmSince+30*micro.Second {
+		// Running services, and jobs whose tasks always fail, can fill the quota of a team. They are cancelled
+		// 30 s after the last fault, so that the other jobs get capacity.
+		if sim.now() > faultsEndedAt+30*micro.Second {
 			for _, job := range jobs {
 				if jd := sim.checker.jobNamed(job.id); jd.accepted && !jd.cancelRequested &&
 					(jd.alwaysFails || jd.spec.Kind == wire.Service && job.satisfied()) {
@@ -123,21 +126,21 @@
 			}
 		}
 	}
-	for _, job := range jobs { // and nothing is forgotten
+	for _, job := range jobs { // the checker reports jobs that a controller no longer knows
 		for _, controller := range sim.controllers {
 			job.queryStatus(controller)
 		}
 	}
 	sim.t.Logf(
-		"%d jobs, %d tasks began, %d of them after a confirmed cancellation, %d answers, %.0f s", len(jobs),
+		"%d jobs, %d task starts, %d of them after a confirmed cancellation, %d replies, %.0f s", len(jobs),
 		sim.checker.startCount, sim.checker.lateStartCount, sim.checker.answerCount, sim.now().Seconds(),
 	)
 	if sim.checker.startCount == 0 {
-		sim.t.Error("nothing ran")
+		sim.t.Error("no task started")
 	}
 }
 
-// randomJobRequest draws a job.
+// randomJobRequest draws the properties of a job.
 func (w *simCluster) randomJobRequest() jobRequest {
 	request := jobRequest{
 		tasks: 1 + w.randomInt(6), runTime: micro.Time(1+w.randomInt(30)) * micro.Second, cpus: float64(1 + w.randomInt(2)),
@@ -164,10 +167,11 @@
 	return request
 }
 
-// The same days with a share of the machines, which an operator moves to and fro all the
-// time: its owners, the leader and the machines meet the same troubles.
+// The same scenarios with a shard, which an operator moves between controllers repeatedly: the shard's owners,
+// the leader and the machines are subject to the same faults.
 func TestRandomScenariosWithShardsKeepTheRules(t *testing.T) {
-	seeds := []uint64{5326} // four nodes whose machines are all dead handed the lead round for ever
+	// With seed 5326, four controllers passed the leadership round without end, as all machines were dead.
+	seeds := []uint64{5326}
 	for i := range *simulatedScenarios {
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
@@ -179,7 +183,7 @@
 			t.Parallel()
 			runScenario(t, seed, []int{3, 4, 5}[seed%3], func(sim *simCluster) {
 				withShard(sim)
-				// Not a whole zone: services that are spread over both would find no capacity.
+				// The shard does not own a whole zone: services that are spread over both zones would find no capacity.
 				sim.config.Shards.Declared[0].Selector = shard.Selector{
 					Kind: []shard.InstanceKind{shard.SpotOnly, shard.OnDemandOnly}[seed%2],
 				}
@@ -196,9 +200,9 @@
 	}
 }
 
-// moveShardRandomly has the share moved to one controller after another, or a move cancelled.
+// moveShardRandomly requests moves of the shard to random controllers, and cancels some of them.
 func (w *simCluster) moveShardRandomly() {
-	for w.ctx.Err() == nil && w.now() < 260*micro.Second { // then all must be served
+	for w.ctx.Err() == nil && w.now() < 260*micro.Second { // afterwards all jobs must be served
 		time.Sleep(w.randomDuration(micro.Second, 12*micro.Second))
 		c := shard.Command{
 			Operation: shard.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name,
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -12,18 +12,18 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The troubles of a simulation. Each begins and ends by itself, and counts as long as
-// it lasts.
+// The faults of a simulation. Each ends after its duration, and is counted in
+// simCluster.activeFaults until then.
 
-// injectFault runs one, and notes when it is over: after a while, or when what it
-// returns is called.
+// injectFault starts a fault with on, and ends it with off after the duration, or
+// earlier when the returned function is called.
 func (w *simCluster) injectFault(duration micro.Time, on, off func()) func() {
 	w.mu.Lock()
 	w.activeFaults++
 	w.mu.Unlock()
 	on()
 	var once sync.Once
-	over := func() {
+	end := func() {
 		once.Do(func() {
 			off()
 			w.mu.Lock()
@@ -31,35 +31,38 @@
 			w.mu.Unlock()
 		})
 	}
-	time.AfterFunc(duration.Duration(), over)
-	return over
+	time.AfterFunc(duration.Duration(), end)
+	return end
 }
 
-// noActiveFaults reports whether no trouble is left.
+// noActiveFaults reports whether all faults have ended.
 func (w *simCluster) noActiveFaults() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.activeFaults == 0
 }
 
-// storeOutage takes the store from all nodes.
+// storeOutage makes the store unavailable to all controllers.
 func (w *simCluster) storeOutage(d micro.Time) {
 	w.injectFault(d, func() { w.store.SetOutage(true) }, func() { w.store.SetOutage(false) })
 }
 
-// refuseNode has the store refuse one node for a while.
+// refuseNode makes the store refuse the requests of one controller for the duration.
 func (w *simCluster) refuseNode(controller *controllerProcess, d micro.Time) {
 	w.injectFault(d, func() { controller.setRefused(true) }, func() { controller.setRefused(false) })
 }
 
-// partitionNode keeps some of its surroundings from a node for a while.
-func (w *simCluster) partitionNode(controller *controllerProcess, d micro.Time, what ...string) {
+// partitionNode cuts connections of a controller ("state", "peers", "workers", "users", "cloud") for the duration.
+func (w *simCluster) partitionNode(controller *controllerProcess, d micro.Time, connections ...string) {
 	w.injectFault(
-		d, func() { controller.setPartitioned(true, what...) }, func() { controller.setPartitioned(false, what...) },
+		d,
+		func() { controller.setPartitioned(true, connections...) },
+		func() { controller.setPartitioned(false, connections...) },
 	)
 }
 
-// partitionZone keeps a zone's nodes and agents from everything outside.
+// partitionZone partitions the controllers and agents of a zone from everything outside it, for the duration
+// or until the returned function is called.
 func (w *simCluster) partitionZone(zone string, d micro.Time) func() {
 	set := func(on bool) func() {
 		return func() {
@@ -76,18 +79,18 @@
 	return w.injectFault(d, set(true), set(false))
 }
 
-// disturbCommits has a share of the commits carried out late, or their answers lost: of
-// some nodes, or of all if none is named.
+// disturbCommits executes a fraction (late) of the commits late and loses the responses to another
+// fraction (lost): commits of the given controllers, or of all if none is given.
 func (w *simCluster) disturbCommits(late, lost float64, duration micro.Time, only ...*controllerProcess) {
 	if only == nil {
 		only = w.controllers
 	}
-	set := func(a, b float64) func() {
+	set := func(lateRatio, lostRatio float64) func() {
 		return func() {
 			for _, controller := range only {
 				controller.mu.Lock()
 				if controller.link != nil {
-					controller.link.SetCommitFaultRatios(a, b)
+					controller.link.SetCommitFaultRatios(lateRatio, lostRatio)
 				}
 				controller.mu.Unlock()
 			}
@@ -96,10 +99,10 @@
 	w.injectFault(duration, set(late, lost), set(0, 0))
 }
 
-// onCommit says what befalls the commits of one process that put a key of a prefix:
-// the first of them, the second, and so on.
+// onCommit sets the faults of those commits of one process that put a key with the prefix. fault is called
+// with the number of the commit, from 1, and its first such change.
 func (w *simCluster) onCommit(
-	controller *controllerProcess, prefix string, fate func(n int, c wire.Change) fake.CommitFault,
+	controller *controllerProcess, prefix string, fault func(n int, c wire.Change) fake.CommitFault,
 ) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -107,24 +110,24 @@
 	controller.link.OnCommit(func(t wire.Transaction) fake.CommitFault {
 		for _, c := range t.Then {
 			if strings.HasPrefix(c.Put, prefix) {
-				return fate(int(count.Add(1)), c)
+				return fault(int(count.Add(1)), c)
 			}
 		}
 		return fake.CommitFault{}
 	})
 }
 
-// slowStore makes the store slow for all.
+// slowStore delays the store's responses to all controllers.
 func (w *simCluster) slowStore(delay, d micro.Time) { w.slowStoreFor(w.controllers, delay, d) }
 
-// slowStoreFor makes it slow for some nodes.
+// slowStoreFor delays the store's responses to the given controllers.
 func (w *simCluster) slowStoreFor(procs []*controllerProcess, delay, d micro.Time) {
-	set := func(x micro.Time) func() {
+	set := func(value micro.Time) func() {
 		return func() {
 			for _, controller := range procs {
 				controller.mu.Lock()
 				if controller.link != nil {
-					controller.link.SetDelay(x)
+					controller.link.SetDelay(value)
 				}
 				controller.mu.Unlock()
 			}
@@ -133,14 +136,14 @@
 	w.injectFault(d, set(delay), set(0))
 }
 
-// slowAgents makes every heartbeat, direct command and answer of agents take half
-// to one and a half times so long.
+// slowAgents delays each message between agents and controllers (heartbeats, direct commands and the
+// responses to them) by a random time from 0.5 to 1.5 times the delay.
 func (w *simCluster) slowAgents(delay, d micro.Time) {
-	set := func(x micro.Time) func() { return func() { w.mu.Lock(); w.agentLatency = x; w.mu.Unlock() } }
+	set := func(value micro.Time) func() { return func() { w.mu.Lock(); w.agentLatency = value; w.mu.Unlock() } }
 	w.injectFault(d, set(delay), set(0))
 }
 
-// waitAgentLatency is one way between an agent and a node.
+// waitAgentLatency waits for the latency of one message between an agent and a controller.
 func (w *simCluster) waitAgentLatency() {
 	w.mu.Lock()
 	d := w.agentLatency
@@ -150,29 +153,30 @@
 	}
 }
 
-// replayHeartbeats has copies of heartbeats come late.
-func (w *simCluster) replayHeartbeats(share float64, most, d micro.Time) {
-	set := func(s float64, m micro.Time) func() {
+// replayHeartbeats replays a fraction of the heartbeats, each up to maxDelay later.
+func (w *simCluster) replayHeartbeats(ratio float64, maxDelay, d micro.Time) {
+	set := func(newRatio float64, newMaxDelay micro.Time) func() {
 		return func() {
 			w.mu.Lock()
-			w.replayRatio, w.maxReplayDelay = s, m
+			w.replayRatio, w.maxReplayDelay = newRatio, newMaxDelay
 			w.mu.Unlock()
 		}
 	}
-	w.injectFault(d, set(share, most), set(0, most))
+	w.injectFault(d, set(ratio, maxDelay), set(0, maxDelay))
 }
 
-// currentReplayRatio is the share of the heartbeats that are copied now.
+// currentReplayRatio returns the fraction of the heartbeats that are replayed.
 func (w *simCluster) currentReplayRatio() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.replayRatio
 }
 
-// holdDispatch has the network hold up the next dispatched command to a machine, until it is
-// released: long after its sender gave up, and after what was sent later.
+// holdDispatch makes the network hold back the next dispatched commands to a machine until they are
+// released: long after their sender has timed out, and after commands that were sent later.
 func (h *fakeMachine) holdDispatch() { h.mu.Lock(); h.holdNextDispatch = true; h.mu.Unlock() }
 
+// interceptDispatch holds commands back if holdDispatch was called, and reports whether it did.
 func (h *fakeMachine) interceptDispatch(o wire.Commands) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -183,18 +187,18 @@
 	return true
 }
 
-// releaseDispatches delivers what was held up, and reports whether the machine took it.
+// releaseDispatches delivers the commands that were held back, and reports whether the agent accepted any.
 func (h *fakeMachine) releaseDispatches() bool {
 	h.mu.Lock()
 	held := h.heldDispatches
 	h.heldDispatches, h.holdNextDispatch = nil, false
 	h.mu.Unlock()
-	took := false
+	accepted := false
 	for _, o := range held {
 		_, ok, there := h.handleDispatch(o)
-		took = took || ok && there
+		accepted = accepted || ok && there
 	}
-	return took
+	return accepted
 }
 
 func (h *fakeMachine) heldDispatchCount() int {
@@ -203,13 +207,15 @@
 	return len(h.heldDispatches)
 }
 
-// startRecording keeps what all machines report from now on.
+// startRecording keeps the heartbeats that all machines send from now on.
 func (w *simCluster) startRecording() { w.mu.Lock(); w.recording = true; w.mu.Unlock() }
 
-// replayHeartbeatWithout delivers a copy of the machine's last heartbeat from before a job's task was
-// on it to every node, and replayHeartbeatWith one of the last that shows the task.
+// replayHeartbeatWithout delivers a copy of the machine's last heartbeat before it lists a task of the job
+// to every controller.
 func (h *fakeMachine) replayHeartbeatWithout(job *userJob) { h.replayHeartbeat(job, false) }
 
+// replayHeartbeatWith delivers a copy of the machine's last heartbeat that lists a task of the job to every
+// controller.
 func (h *fakeMachine) replayHeartbeatWith(job *userJob) { h.replayHeartbeat(job, true) }
 
 func (h *fakeMachine) replayHeartbeat(job *userJob, with bool) {
@@ -225,7 +231,7 @@
 	}
 	h.mu.Unlock()
 	if r, err := wire.DecodeHeartbeat(body); err != nil || r.FencingToken == 0 {
-		h.sim.t.Fatal("no such report that shows a token")
+		h.sim.t.Fatal("no matching recorded heartbeat with a fencing token to replay")
 	}
 	for _, controller := range h.sim.controllers {
 		if node := controller.runningNode(); node != nil {
@@ -234,10 +240,10 @@
 	}
 }
 
-// isolate cuts a machine off both ways.
+// isolate loses the messages of a machine in both directions.
 func (h *fakeMachine) isolate(d micro.Time) { h.loseHeartbeats(d); h.loseResponses(d) }
 
-// currentTerm names the term of whoever leads, 0 if nobody does.
+// currentTerm returns the fencing revision of the current leader's term, or 0 if there is no leader.
 func (w *simCluster) currentTerm() uint64 {
 	if controller := w.leader(); controller != nil {
 		if l := controller.runningNode().activeLeader(); l != nil {
@@ -247,19 +253,19 @@
 	return 0
 }
 
-// replaceLeader ends the leader's process, which is back after a while, and waits until
-// another term has begun.
-func (w *simCluster) replaceLeader(back micro.Time) {
+// replaceLeader kills the leader's process, which restarts after the delay, and waits until
+// another term begins.
+func (w *simCluster) replaceLeader(restartDelay micro.Time) {
 	w.t.Helper()
-	was := w.currentTerm()
-	if was == 0 {
-		w.t.Fatal("nobody leads")
+	previous := w.currentTerm()
+	if previous == 0 {
+		w.t.Fatal("no controller leads")
 	}
-	w.restartController(w.leader(), back)
-	w.waitUntil("another term", 20*micro.Second, func() bool { x := w.currentTerm(); return x != 0 && x != was })
+	w.restartController(w.leader(), restartDelay)
+	w.waitUntil("another term", 20*micro.Second, func() bool { x := w.currentTerm(); return x != 0 && x != previous })
 }
 
-// randomMachines draws machines.
+// randomMachines draws up to n live machines; a machine may be drawn more than once.
 func (w *simCluster) randomMachines(n int) []*fakeMachine {
 	machines := w.liveMachines()
 	var out []*fakeMachine
@@ -269,17 +275,17 @@
 	return out
 }
 
-// injectRandomFaults draws them until a day is over.
-func (w *simCluster) injectRandomFaults(day micro.Time) {
+// injectRandomFaults draws faults until 60 s before the time end.
+func (w *simCluster) injectRandomFaults(end micro.Time) {
 	nothing := func() {}
-	for w.now() < day-60*micro.Second && w.ctx.Err() == nil {
+	for w.now() < end-60*micro.Second && w.ctx.Err() == nil {
 		time.Sleep(w.randomDuration(2*micro.Second, 20*micro.Second))
 		controller := w.controllers[w.randomInt(len(w.controllers))]
 		if leader := w.leader(); leader != nil && w.randomChance(0.7) {
 			controller = leader
 		}
 		duration := micro.Time(w.randomDuration(2*micro.Second, 50*micro.Second) / time.Microsecond)
-		w.newLogger("simulation").Debug("trouble drawn", "node", controller.name, "for_s", duration.Seconds())
+		w.newLogger("simulation").Debug("fault drawn", "node", controller.name, "for_s", duration.Seconds())
 		switch w.randomInt(18) {
 		case 0:
 			w.storeOutage(micro.Time(w.randomDuration(2*micro.Second, 70*micro.Second) / time.Microsecond))
@@ -340,7 +346,7 @@
 			}
 		case 15:
 			w.injectFault(duration, func() { controller.freeze(duration) }, nothing)
-		case 16: // orders held up on their way, and delivered long after
+		case 16: // the network holds commands back and delivers them late
 			machines := w.randomMachines(3)
 			w.injectFault(duration, func() {
 				for _, machine := range machines {
--- a/internal/controller/simulation_machines_test.go
+++ b/internal/controller/simulation_machines_test.go
@@ -10,7 +10,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// fakeMachine is a machine with its agent.
+// fakeMachine is a machine of the simulated cloud with its agent.
 type fakeMachine struct {
 	sim *simCluster
 
@@ -18,23 +18,24 @@
 	agent               *fake.Agent
 	booted              bool
 	terminated          bool
-	hungUntil           micro.Time      // it stands still until then
-	responsesLostUntil  micro.Time      // nothing that is sent to it arrives until then
-	heartbeatsLostUntil micro.Time      // it reaches no controller until then
-	holdNextDispatch    bool            // the network holds up the next dispatched command
-	heldDispatches      []wire.Commands // those that it holds up
-	sentHeartbeats      [][]byte        // in the order in which they were sent
-	stateSince          map[fake.AttemptKey]micro.Time
-	controllerIndex     int // the node it reports to
-	sending             bool
+	hungUntil           micro.Time                     // end of its hang
+	responsesLostUntil  micro.Time                     // messages to it are lost until then
+	heartbeatsLostUntil micro.Time                     // its heartbeats are lost until then
+	holdNextDispatch    bool                           // the network holds back the next dispatched commands
+	heldDispatches      []wire.Commands                // commands that the network holds back
+	sentHeartbeats      [][]byte                       // recorded heartbeats, in the order of sending
+	stateSince          map[fake.AttemptKey]micro.Time // when each task entered its current state
+	controllerIndex     int                            // controller that it sends heartbeats to
+	sending             bool                           // a heartbeat awaits its response
 	nextHeartbeat       micro.Time
 	lastHeartbeat       micro.Time
-	changed             bool
+	changed             bool // the next heartbeat is sent early, since the state changed
 }
 
-// imageFetchTime is how long an image takes.
+// imageFetchTime is the time that fetching an image takes.
 const imageFetchTime = micro.Second
 
+// boot starts the agent, unless the machine is terminated.
 func (h *fakeMachine) boot() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,7 +47,7 @@
 	h.agent.RefuseStart = h.refusalCause
 }
 
-// terminate takes the machine away with all that is on it.
+// terminate ends the machine together with its tasks.
 func (h *fakeMachine) terminate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,26 +70,29 @@
 	return h.sim.now() < h.heartbeatsLostUntil
 }
 
-// hang lets the machine stand still; deafen and silence cut one way of its talk.
+// hang pauses the machine for the duration: its tasks make no progress and it neither sends nor handles
+// messages, but the lease of its agent expires.
 func (h *fakeMachine) hang(d micro.Time) {
 	h.mu.Lock()
 	h.hungUntil = h.sim.now() + d
 	h.mu.Unlock()
 }
 
+// loseResponses loses all messages to the machine for the duration.
 func (h *fakeMachine) loseResponses(d micro.Time) {
 	h.mu.Lock()
 	h.responsesLostUntil = h.sim.now() + d
 	h.mu.Unlock()
 }
 
+// loseHeartbeats loses all heartbeats of the machine for the duration.
 func (h *fakeMachine) loseHeartbeats(d micro.Time) {
 	h.mu.Lock()
 	h.heartbeatsLostUntil = h.sim.now() + d
 	h.mu.Unlock()
 }
 
-// waitWhileHung waits while the machine stands still.
+// waitWhileHung waits until the end of a hang.
 func (h *fakeMachine) waitWhileHung() {
 	for {
 		h.mu.Lock()
@@ -101,14 +105,14 @@
 	}
 }
 
-// refusalCause is why a start is refused.
+// refusalCause returns the cause for which the agent refuses to start a task, "" if it does not.
 func (h *fakeMachine) refusalCause(task string) wire.ExitCause {
 	id, _, _ := wire.ParseTaskName(task)
 	spec, ok := h.sim.checker.spec(id)
 	if !ok {
 		return wire.CauseJobUnknown
 	}
-	room := h.sim.checker.machineTypes[h.agent.Type].CPUs
+	freeCPUs := h.sim.checker.machineTypes[h.agent.Type].CPUs
 	for key, t := range h.agent.Tasks {
 		if t.State == wire.TaskExited {
 			continue
@@ -118,15 +122,16 @@
 		}
 		other, _, _ := wire.ParseTaskName(key.Task)
 		o, _ := h.sim.checker.spec(other)
-		room -= o.CPUs
+		freeCPUs -= o.CPUs
 	}
-	if room < spec.CPUs-1e-9 {
+	if freeCPUs < spec.CPUs-1e-9 {
 		return wire.CauseNoResources
 	}
 	return ""
 }
 
-// handleDispatch takes orders that came by themselves.
+// handleDispatch handles dispatched commands. It returns the agent's answer and whether the agent accepted the
+// commands; the last result is false if no agent runs.
 func (h *fakeMachine) handleDispatch(o wire.Commands) (*wire.Heartbeat, bool, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -134,14 +139,14 @@
 		return nil, false, false
 	}
 	h.expireLease()
-	was := h.agent.FencingToken
+	previousToken := h.agent.FencingToken
 	r, ok := h.agent.HandleDispatch(o)
-	h.changed = h.changed || h.agent.FencingToken > was
+	h.changed = h.changed || h.agent.FencingToken > previousToken
 	h.updateChecker()
 	return r, ok, true
 }
 
-// status is the answer to a probe; false: no agent is there.
+// status returns the response to a probe, or false if no agent runs.
 func (h *fakeMachine) status() (*wire.Heartbeat, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -152,7 +157,7 @@
 	return h.agent.Heartbeat(), true
 }
 
-// expireLease ends the session if the lease ran out.
+// expireLease ends the agent's session if its lease has expired; the caller holds the lock.
 func (h *fakeMachine) expireLease() {
 	if h.agent.ExpireLease(h.sim.now()) {
 		h.changed = true
@@ -160,7 +165,8 @@
 	}
 }
 
-// updateChecker shows the checker what is on the machine; the caller holds the lock.
+// updateChecker records the start and removal of tasks and passes the tasks of the machine to the checker; the
+// caller holds the lock.
 func (h *fakeMachine) updateChecker() {
 	now := h.sim.now()
 	for key, task := range h.agent.Tasks {
@@ -180,7 +186,7 @@
 	h.sim.checker.observeMachine(h)
 }
 
-// step is a tenth of a second of the machine.
+// step advances the machine to the current time; it is called every 100 ms.
 func (h *fakeMachine) step() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -223,23 +229,25 @@
 	}
 }
 
+// exitTask ends a task with a cause; the caller holds the lock.
 func (h *fakeMachine) exitTask(key fake.AttemptKey, t *wire.TaskStatus, cause wire.ExitCause) {
 	t.State, t.Cause = wire.TaskExited, cause
 	h.changed = true
 }
 
-// sendHeartbeat sends one heartbeat and takes its answer.
+// sendHeartbeat sends one heartbeat and handles the response. Without one, the machine sends the next heartbeat
+// to another controller.
 func (h *fakeMachine) sendHeartbeat(heartbeat *wire.Heartbeat, body []byte, sent micro.Time) {
 	sim := h.sim
 	h.mu.Lock()
 	to := sim.controllers[h.controllerIndex]
 	h.mu.Unlock()
-	var got httpapi.Reply
+	var reply httpapi.Reply
 	ok := false
 	if h.heartbeatsLost() || sim.isPartitioned(h.agent.Zone, to.zone) {
 		time.Sleep(4 * time.Second)
 	} else {
-		got, ok = sim.callNode(to, "workers", 4*time.Second, func(node *Node) httpapi.Reply {
+		reply, ok = sim.callNode(to, "workers", 4*time.Second, func(node *Node) httpapi.Reply {
 			sim.waitAgentLatency()
 			defer sim.waitAgentLatency()
 			return node.Heartbeat(body)
@@ -266,19 +274,19 @@
 	}
 	h.expireLease()
 	late := now-sent > 4*micro.Second
-	switch o := got.Body.(type) {
+	switch o := reply.Body.(type) {
 	case wire.Commands:
-		if ok && !late && got.Status == 200 {
+		if ok && !late && reply.Status == 200 {
 			if h.agent.Epoch == uint64(heartbeat.AgentEpoch) {
-				was := h.agent.FencingToken
+				previousToken := h.agent.FencingToken
 				h.agent.HandleResponse(o, sent)
-				h.changed = h.changed || h.agent.FencingToken > was
+				h.changed = h.changed || h.agent.FencingToken > previousToken
 				h.updateChecker()
 			}
 			return
 		}
 	case wire.NotLeader:
-		if ok && !late && got.Status == 421 {
+		if ok && !late && reply.Status == 421 {
 			for i, controller := range sim.controllers {
 				if controller.name == o.LeaderHint && i != h.controllerIndex {
 					h.controllerIndex, h.nextHeartbeat = i, now+200*micro.Millisecond
@@ -291,21 +299,21 @@
 	h.controllerIndex, h.nextHeartbeat = (h.controllerIndex+1)%len(sim.controllers), now+micro.Second
 }
 
-// replayHeartbeat delivers a copy of a heartbeat once more, much later, to any node, or to
-// all just as another leader has begun.
+// replayHeartbeat delivers a copy of a heartbeat again: after a random delay to a random controller, or to
+// all controllers once another leader is active, at the latest after a minute.
 func (w *simCluster) replayHeartbeat(body []byte) {
 	w.mu.Lock()
-	most := w.maxReplayDelay
+	maxDelay := w.maxReplayDelay
 	w.mu.Unlock()
-	if most == 0 {
+	if maxDelay == 0 {
 		return
 	}
 	if w.randomChance(0.5) {
-		was := w.leader()
+		previous := w.leader()
 		go func() {
 			for range 600 {
 				time.Sleep(100 * time.Millisecond)
-				if leader := w.leader(); w.ctx.Err() != nil || leader != nil && leader != was {
+				if leader := w.leader(); w.ctx.Err() != nil || leader != nil && leader != previous {
 					break
 				}
 			}
@@ -317,14 +325,15 @@
 		}()
 		return
 	}
-	time.AfterFunc(w.randomDuration(2*micro.Second, most), func() {
+	time.AfterFunc(w.randomDuration(2*micro.Second, maxDelay), func() {
 		if node := w.controllers[w.randomInt(len(w.controllers))].runningNode(); node != nil && w.ctx.Err() == nil {
 			node.Heartbeat(body)
 		}
 	})
 }
 
-// runGangs lets the tasks of gangs find each other.
+// runGangs advances the tasks of gangs: a gang runs once all its tasks wait for it. Tasks exit when the
+// gang stays incomplete for 40 s, or for 5 s while they run.
 func (w *simCluster) runGangs() {
 	type member struct {
 		h     *fakeMachine
@@ -352,19 +361,19 @@
 	}
 	for a, ms := range all {
 		record := w.checker.jobNamed(a.id)
-		whole := len(ms) == record.spec.Tasks
+		complete := len(ms) == record.spec.Tasks
 		for _, m := range ms {
 			m.h.mu.Lock()
 			task := m.h.agent.Tasks[m.k]
 			switch {
 			case task == nil || task.State == wire.TaskExited:
-			case task.State == wire.TaskWaitingForGang && whole:
+			case task.State == wire.TaskWaitingForGang && complete:
 				task.State, m.h.stateSince[m.k], m.h.changed = wire.TaskRunning, now, true
 			case task.State == wire.TaskWaitingForGang && now-m.h.stateSince[m.k] > 40*micro.Second:
 				m.h.exitTask(m.k, task, wire.CauseGangTimeout)
-			case task.State == wire.TaskRunning && !whole && now-m.h.stateSince[m.k] > 5*micro.Second:
+			case task.State == wire.TaskRunning && !complete && now-m.h.stateSince[m.k] > 5*micro.Second:
 				m.h.exitTask(m.k, task, wire.CauseGangPeerLost)
-			case task.State == wire.TaskRunning && whole && now-m.h.stateSince[m.k] >= record.runTime:
+			case task.State == wire.TaskRunning && complete && now-m.h.stateSince[m.k] >= record.runTime:
 				m.h.exitTask(m.k, task, wire.CauseDone)
 				for i := range record.spec.Tasks {
 					w.checker.recordCompletion(a.id, i)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -33,41 +33,46 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-var simulationLog = flag.String("sim.log", "", "folder for the nodes' logs of simulations that failed")
+var simulationLog = flag.String("sim.log", "", "directory for the controllers' logs of failed simulations")
 
-// A simCluster is a whole site in fake time: nodes with all their parts but the
-// sockets, agents, the cloud, the store and users, with the troubles that the
-// protocol and the users foresee. A checker of the rules sees every start, exit
-// and answer. Scenarios bring one meeting of troubles about; the random test draws
-// them.
+// simCluster simulates a site in fake time: controllers with all components except
+// network listeners, agents, the cloud, the store and users, and the faults that the
+// protocol and the users specify. A checker verifies every task start, task exit and
+// reply against the rules. A scenario brings about one combination of faults; the
+// random tests draw faults from a seed.
 type simCluster struct {
-	t                    testing.TB
-	mu                   sync.Mutex // of rand, agents and troubles
-	rand                 *rand.Rand
-	startedAt            time.Time
-	store                *fake.Store
-	cloud                *fakeCloud
-	controllers          []*controllerProcess
-	machines             map[string]*fakeMachine
-	checker              *checker
-	ctx                  context.Context
-	config               config.Config
-	jobCount            int // jobs named so far
-	machineTypes         []wire.MachineType
-	fastBoot             bool                                            // machines are up within two seconds
-	writeRPS             float64                                         // changes a second that the store takes; 0: any number
-	onTaskStart          func(machine *fakeMachine, key fake.AttemptKey) // told of every start that takes effect
-	wrapStore            func(l *fake.Link) store.Store                  // what the nodes have of the store; nil: the link itself
-	unansweredHeartbeats atomic.Int64                                    // reports that got neither orders nor a leader's name
-	maxReplayDelay       micro.Time                                      // how late copies of heartbeats come at the most; 0: none come
-	replayRatio          float64                                         // of the heartbeats that are copied
-	partitionedZones     map[string]bool                                 // zones that are cut off from the others
-	agentLatency         micro.Time                                      // how long what agents send or are sent is on its way; 0: no time
-	activeFaults         int                                             // troubles that are not over
-	recording            bool                                            // reports are kept, so that copies can come late
-	newLogger            func(node string) *slog.Logger
-	logs                 *logBuffer
-	incomplete               bool // the scenario was not played to its end: it failed, perhaps on another T than this one's
+	t            testing.TB
+	mu           sync.Mutex // guards rand, the machines and the state of faults
+	rand         *rand.Rand
+	startedAt    time.Time
+	store        *fake.Store
+	cloud        *fakeCloud
+	controllers  []*controllerProcess
+	machines     map[string]*fakeMachine
+	checker      *checker
+	ctx          context.Context
+	config       config.Config
+	jobCount     int // number of job IDs assigned so far
+	machineTypes []wire.MachineType
+	fastBoot     bool // machines boot within two seconds
+	// writeRPS is the number of changes that the store accepts per second; 0: unlimited
+	writeRPS float64
+	// onTaskStart is called at every task start that takes effect
+	onTaskStart func(machine *fakeMachine, key fake.AttemptKey)
+	// wrapStore returns the store client of a controller; nil: the link itself
+	wrapStore func(l *fake.Link) store.Store
+	// unansweredHeartbeats counts heartbeats answered with neither commands nor a leader hint
+	unansweredHeartbeats atomic.Int64
+	maxReplayDelay       micro.Time      // longest delay of replayed heartbeats; 0: none are replayed
+	replayRatio          float64         // fraction of the heartbeats that are replayed
+	partitionedZones     map[string]bool // zones that are partitioned from the others
+	agentLatency         micro.Time      // mean one-way latency between agents and controllers
+	activeFaults         int             // number of faults that have not ended
+	// recording is set if sent heartbeats are kept, so that they can be replayed
+	recording  bool
+	newLogger  func(node string) *slog.Logger
+	logs       *logBuffer
+	incomplete bool // the scenario did not run to its end: it failed, perhaps on another testing.T
 }
 
 const (
@@ -77,7 +82,8 @@
 	teamMaxCPUs = 16
 )
 
-// runScenario runs a scenario in fake time.
+// runScenario runs a scenario in fake time on a cluster with so many controllers; set, if not nil, changes
+// the cluster before the controllers start. Violations of the rules fail the test.
 func runScenario(t *testing.T, seed uint64, nodes int, set func(*simCluster), scenario func(*simCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -92,7 +98,7 @@
 		for _, controller := range sim.controllers {
 			sim.startController(controller)
 		}
-		// Also after a scenario that gave up: a simulation that goes on would hide why.
+		// The simulation is closed even if the scenario failed early: one that keeps running would hide the cause.
 		defer sim.close(stop)
 		go sim.runMachines(ctx)
 		sim.incomplete = true
@@ -101,14 +107,14 @@
 	})
 }
 
-// close ends a simulation and reports what broke in it.
+// close stops a simulation and reports the violations.
 func (w *simCluster) close(stop func()) {
 	stop()
 	for _, controller := range w.controllers {
 		w.killController(controller)
 	}
 	synctest.Wait()
-	time.Sleep(2 * time.Minute) // what is under way comes to its end
+	time.Sleep(2 * time.Minute) // operations in progress end
 	for _, v := range w.checker.violations {
 		w.t.Error(v)
 	}
@@ -117,7 +123,7 @@
 	}
 }
 
-// saveLogs keeps the nodes' logs, if anybody wants to read them.
+// saveLogs writes the controllers' logs to a file if -sim.log is set.
 func (w *simCluster) saveLogs() {
 	if w.logs == nil {
 		return
@@ -130,6 +136,7 @@
 	}
 }
 
+// newSimCluster returns a cluster without controllers or machines.
 func newSimCluster(t testing.TB, ctx context.Context, seed uint64) *simCluster {
 	sim := &simCluster{
 		t: t, rand: rand.New(rand.NewPCG(seed, 17)), startedAt: time.Now(), store: fake.NewStore(),
@@ -183,7 +190,7 @@
 	return sim
 }
 
-// logBuffer keeps what the nodes log until it is known whether anybody wants to read it.
+// logBuffer holds the controllers' logs until the result of the simulation is known.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -195,62 +202,65 @@
 	return l.buffer.Write(p)
 }
 
-// now is true time since the simulation began.
+// now returns the time since the start of the simulation, without the drift and offset of the controllers' clocks.
 func (w *simCluster) now() micro.Time { return micro.Time(time.Since(w.startedAt).Microseconds()) }
 
 func (w *simCluster) isRecording() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.recording }
 
+// randomInt draws an integer from 0 to below-1.
 func (w *simCluster) randomInt(below int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rand.IntN(below)
 }
 
-func (w *simCluster) randomChance(share float64) bool {
+// randomChance returns true with the given probability; a probability of 0 draws no random number.
+func (w *simCluster) randomChance(probability float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return share > 0 && w.rand.Float64() < share
+	return probability > 0 && w.rand.Float64() < probability
 }
 
-// randomDuration draws a span.
-func (w *simCluster) randomDuration(least, most micro.Time) time.Duration {
+// randomDuration draws a duration from shortest to longest, both included.
+func (w *simCluster) randomDuration(shortest, longest micro.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return (least + micro.Time(w.rand.Int64N(int64(most-least)+1))).Duration()
+	return (shortest + micro.Time(w.rand.Int64N(int64(longest-shortest)+1))).Duration()
 }
 
 func (w *simCluster) sleep(d micro.Time) { time.Sleep(d.Duration()) }
 
-// waitUntil waits for something that must come about, for so long at the most.
-func (w *simCluster) waitUntil(what string, most micro.Time, ok func() bool) {
+// waitUntil polls a condition, and ends the test if it is not reached within the timeout.
+func (w *simCluster) waitUntil(condition string, timeout micro.Time, ok func() bool) {
 	w.t.Helper()
-	for end := w.now() + most; !ok(); w.sleep(50 * micro.Millisecond) {
+	for end := w.now() + timeout; !ok(); w.sleep(50 * micro.Millisecond) {
 		if w.now() > end {
 			w.saveLogs() // the scenario ends here
-			w.t.Fatalf("%v: never: %s", w.now(), what)
+			w.t.Fatalf("%v: condition not reached: %s", w.now(), condition)
 		}
 	}
 }
 
-// proc is a node over its incarnations.
+// controllerProcess is a controller across restarts of its process.
 type controllerProcess struct {
 	sim        *simCluster
 	name, zone string
-	drift      float64
-	offset     micro.Time
+	drift      float64    // rate of its clock relative to true time
+	offset     micro.Time // added to the reading of its clock
 
 	mu                sync.Mutex
 	node              *Node
 	link              *fake.Link
 	cancel            context.CancelFunc
 	alive             bool
-	frozenUntil       time.Time       // it stands still until then
-	partitions        map[string]bool // what the network keeps from it: state, peers, agents, users
-	storeReachability fake.Reachability
+	frozenUntil       time.Time         // end of its process pause
+	partitions        map[string]bool   // connections that are cut: state, peers, workers, users, cloud
+	storeReachability fake.Reachability // while it is not partitioned from the store
 
-	peerDelay micro.Time // how long it takes over each answer to another node
+	peerDelay micro.Time // delay of each reply to another controller
 }
 
+// addController adds a controller whose process does not run yet.
 func (w *simCluster) addController(name, zone string, all int) *controllerProcess {
 	controller := &controllerProcess{
 		sim: w, name: name, zone: zone, drift: 1 + float64(w.randomInt(50))/1e5,
@@ -260,14 +270,14 @@
 	return controller
 }
 
-// setShards sets the configuration of shards for processes that start from now on.
+// setShards sets the shard configuration of processes that start later.
 func (w *simCluster) setShards(shards *config.Shards) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.config.Shards = shards
 }
 
-// startController starts a process of the node.
+// startController starts a process of the controller.
 func (w *simCluster) startController(controller *controllerProcess) {
 	w.mu.Lock()
 	cfg := w.config
@@ -287,7 +297,7 @@
 		link.SetWriteBudget(w.writeRPS, 1/float64(len(w.controllers)))
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
-	began := w.now()
+	startedAt := w.now()
 	parts := Dependencies{
 		Cfg:     &cfg,
 		Store:   link,
@@ -298,7 +308,7 @@
 		Log:     w.newLogger(controller.name),
 		Metrics: metrics.New(),
 		Now: func() micro.Time {
-			return controller.offset + micro.Time(float64(w.now()-began)*controller.drift) + micro.Second
+			return controller.offset + micro.Time(float64(w.now()-startedAt)*controller.drift) + micro.Second
 		},
 		Wall: micro.WallNow,
 	}
@@ -323,7 +333,7 @@
 	go func() { _ = node.runShards(ctx) }()
 }
 
-// killController ends the process with no signal.
+// killController ends the process without a graceful shutdown.
 func (w *simCluster) killController(controller *controllerProcess) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -335,10 +345,10 @@
 	controller.cancel()
 }
 
-// restartController kills the process, and starts another after a while.
-func (w *simCluster) restartController(controller *controllerProcess, after micro.Time) {
+// restartController kills the process and starts another one after a delay.
+func (w *simCluster) restartController(controller *controllerProcess, delay micro.Time) {
 	w.killController(controller)
-	time.AfterFunc(after.Duration(), func() {
+	time.AfterFunc(delay.Duration(), func() {
 		if w.ctx.Err() == nil && !controller.isAlive() {
 			w.startController(controller)
 		}
@@ -347,7 +357,7 @@
 
 func (p *controllerProcess) isAlive() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.alive }
 
-// freeze lets the process stand still: what it sends, and what it is sent, waits.
+// freeze simulates a process pause: messages from and to the process wait until its end.
 func (p *controllerProcess) freeze(d micro.Time) {
 	p.mu.Lock()
 	p.frozenUntil = time.Now().Add(d.Duration())
@@ -355,7 +365,7 @@
 	p.mu.Unlock()
 }
 
-// waitWhileFrozen waits while the process stands still.
+// waitWhileFrozen waits until the end of a process pause.
 func (p *controllerProcess) waitWhileFrozen() {
 	p.mu.Lock()
 	d := time.Until(p.frozenUntil)
@@ -365,7 +375,7 @@
 	}
 }
 
-// waitPeerDelay waits as long as the node takes over an answer to another.
+// waitPeerDelay waits for the delay of a reply to another controller.
 func (p *controllerProcess) waitPeerDelay() {
 	p.mu.Lock()
 	d := p.peerDelay
@@ -373,20 +383,20 @@
 	time.Sleep(d.Duration())
 }
 
-// delayPeerAnswers has a node take its time over answers to the other nodes.
+// delayPeerAnswers sets the delay of a controller's replies to the other controllers.
 func (w *simCluster) delayPeerAnswers(controller *controllerProcess, d micro.Time) {
 	controller.mu.Lock()
 	controller.peerDelay = d
 	controller.mu.Unlock()
 }
 
-// setPartitioned sets what the network keeps from the node.
-func (p *controllerProcess) setPartitioned(on bool, what ...string) {
+// setPartitioned cuts or restores connections of the controller; "state" is the connection to the store.
+func (p *controllerProcess) setPartitioned(on bool, connections ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, x := range what {
-		p.partitions[x] = on
-		if x == "state" {
+	for _, connection := range connections {
+		p.partitions[connection] = on
+		if connection == "state" {
 			if p.link.SetReachability(p.storeReachability); on {
 				p.link.SetReachability(fake.Partitioned)
 			}
@@ -394,7 +404,7 @@
 	}
 }
 
-// setRefused has the store refuse the node, and it alone.
+// setRefused sets whether the store refuses requests of this controller.
 func (p *controllerProcess) setRefused(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -407,13 +417,13 @@
 	}
 }
 
-func (p *controllerProcess) partitionedFrom(what string) bool {
+func (p *controllerProcess) partitionedFrom(connection string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.partitions[what]
+	return p.partitions[connection]
 }
 
-// runningNode is the process that answers now; nil: none.
+// runningNode returns the node of the running process, or nil if none runs.
 func (p *controllerProcess) runningNode() *Node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -423,7 +433,7 @@
 	return p.node
 }
 
-// leader is the node with the leadership lease, nil if there is none.
+// leader returns the controller that holds the leadership lease, or nil if there is none.
 func (w *simCluster) leader() *controllerProcess {
 	for _, controller := range w.controllers {
 		if n := controller.runningNode(); n != nil && n.activeLeader() != nil {
@@ -433,39 +443,40 @@
 	return nil
 }
 
-// isPartitioned reports whether the network keeps two zones apart.
+// isPartitioned reports whether a network partition separates two zones.
 func (w *simCluster) isPartitioned(a, b string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return a != b && (w.partitionedZones[a] || w.partitionedZones[b])
 }
 
-// callNode asks a process, as one that waits for so long.
+// callNode sends a request to a controller over one of its connections ("users" or "workers") and returns the
+// reply, or false if none arrived within the timeout. It returns at once if no process runs there.
 func (w *simCluster) callNode(
-	controller *controllerProcess, from string, wait time.Duration, ask func(*Node) httpapi.Reply,
+	controller *controllerProcess, connection string, timeout time.Duration, call func(*Node) httpapi.Reply,
 ) (httpapi.Reply, bool) {
 	node := controller.runningNode()
 	if node == nil {
 		return httpapi.Reply{}, false
 	}
-	if controller.partitionedFrom(from) {
-		time.Sleep(wait)
+	if controller.partitionedFrom(connection) {
+		time.Sleep(timeout)
 		return httpapi.Reply{}, false
 	}
 	ch := make(chan httpapi.Reply, 1)
 	go func() {
 		controller.waitWhileFrozen()
 		if controller.runningNode() == node {
-			reply := ask(node)
+			reply := call(node)
 			controller.waitWhileFrozen()
 			ch <- reply
 		}
 	}()
-	t := time.NewTimer(wait)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case reply := <-ch:
-		if controller.runningNode() != node || controller.partitionedFrom(from) {
+		if controller.runningNode() != node || controller.partitionedFrom(connection) {
 			<-t.C
 			return httpapi.Reply{}, false
 		}
@@ -475,13 +486,13 @@
 	}
 }
 
-// peerCaller are the calls of one process to the other nodes.
+// peerCaller sends the calls of one process to the other controllers.
 type peerCaller struct {
 	process *controllerProcess
 	link    *fake.Link
 }
 
-// Call asks a node.
+// Call sends a call to a controller and returns the status and body of its reply, or peer.ErrUnreachable.
 func (c *peerCaller) Call(ctx context.Context, node, call string, body []byte, wait micro.Time) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
@@ -521,14 +532,14 @@
 	}
 }
 
-// dispatchSender carry the dispatched commands of one process.
+// dispatchSender sends the dispatched commands of one process.
 type dispatchSender struct {
 	process *controllerProcess
 	link    *fake.Link
 }
 
-// Send delivers orders to an agent. A machine that hangs keeps them until it
-// goes on, long after the sender has given up.
+// Send delivers commands to an agent. A hung machine executes them when it resumes,
+// which may be long after the sender has timed out.
 func (s *dispatchSender) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	s.process.waitWhileFrozen()
 	if s.process.runningNode() == nil {
@@ -566,11 +577,11 @@
 	}
 }
 
-// agentProber carries the probes of one process.
+// agentProber sends the probes of one process.
 type agentProber struct{ process *controllerProcess }
 
-// Probe asks an agent for its status. One that hangs does not answer in time. One whose heartbeats
-// are lost answers what comes to it, as it does commands.
+// Probe queries the status of an agent. A hung agent does not respond within the timeout. An agent whose
+// heartbeats are lost responds to probes, as it does to commands.
 func (p agentProber) Probe(addr string) (*wire.Heartbeat, error) {
 	p.process.waitWhileFrozen()
 	sim := p.process.sim
@@ -594,37 +605,37 @@
 	case status := <-answers:
 		return status, nil
 	case <-timer.C:
-		return nil, errors.New("no answer")
+		return nil, errors.New("probe timed out")
 	}
 }
 
-// fakeCloud are the cloud, which boots agents.
+// fakeCloud is the cloud of a simulation; the machines that it provisions boot agents.
 type fakeCloud struct {
 	*fake.Cloud
 	sim              *simCluster
 	unavailable      bool
-	bootFailureRatio float64  // share of machines that never come up
-	lostAnswerRatio  float64  // share of instance requests whose answer is lost
-	terminated       []string // machines that were returned
-	// whose boot fails; nil: none beside the share above
+	bootFailureRatio float64  // fraction of machines that never boot
+	lostAnswerRatio  float64  // fraction of instance requests whose response is lost
+	terminated       []string // names of terminated machines
+	// failsBoot selects requests whose machines do not boot; nil: only the bootFailureRatio applies
 	failsBoot func(r wire.InstanceRequest) bool
-	// machines that are not listed; nil: none
+	// unlisted selects machines that List omits; nil: none
 	unlisted func(name string) bool
-	// how late a return is carried out, and not answered; 0: at once
+	// terminationDelay is the delay of terminations, which then get no response; 0: executed at once
 	terminationDelay     micro.Time
-	terminationRequested map[string]micro.Time // machines whose return was asked for, and when first
-	startedAt            map[string]micro.Time // when each machine was rented
-	terminatedAt         map[string]micro.Time // when it was returned
+	terminationRequested map[string]micro.Time // by machine: time of the first termination request
+	startedAt            map[string]micro.Time // by machine: when it was provisioned
+	terminatedAt         map[string]micro.Time // by machine: when it was terminated
 }
 
-// billedTime is for how long all machines together were rented.
+// billedTime returns the sum of the times for which the machines were provisioned.
 func (s *fakeCloud) billedTime() micro.Time {
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
 	var sum micro.Time
 	for name, from := range s.startedAt {
-		end, back := s.terminatedAt[name]
-		if !back {
+		end, terminated := s.terminatedAt[name]
+		if !terminated {
 			end = s.sim.now()
 		}
 		sum += end - from
@@ -632,13 +643,15 @@
 	return sum
 }
 
-// cloudClient is the cloud as one process reaches it.
+// cloudClient is the connection of one process to the cloud.
 type cloudClient struct {
 	*fakeCloud
 	process *controllerProcess
 	link    *fake.Link
 }
 
+// waitReachable waits for the latency of a request. It returns cloud.ErrUncertain when the context ends if the
+// process has no connection to the cloud, and cloud.ErrUnavailable if the cloud is unavailable.
 func (s *cloudClient) waitReachable(ctx context.Context) error {
 	s.process.waitWhileFrozen()
 	time.Sleep(s.sim.randomDuration(20*micro.Millisecond, 200*micro.Millisecond))
@@ -654,7 +667,7 @@
 	return nil
 }
 
-// Catalog lists the types.
+// Catalog returns the machine types, within 3 s.
 func (s *cloudClient) Catalog(ctx context.Context) (*wire.Catalog, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -664,7 +677,7 @@
 	return s.Cloud.Catalog(ctx)
 }
 
-// RequestInstances rents machines, which boot by and by or at once.
+// RequestInstances provisions machines, which boot after a random delay.
 func (s *cloudClient) RequestInstances(ctx context.Context, r wire.InstanceRequest) ([]string, error) {
 	if err := s.waitReachable(ctx); err != nil {
 		return nil, err
@@ -680,21 +693,21 @@
 	return names, err
 }
 
-// Terminate deletes machines.
+// Terminate terminates machines, after terminationDelay and without a response if that is set.
 func (s *cloudClient) Terminate(ctx context.Context, names []string) error {
 	if err := s.waitReachable(ctx); err != nil {
 		return err
 	}
 	s.sim.mu.Lock()
-	late := s.terminationDelay
+	delay := s.terminationDelay
 	for _, name := range names {
 		if s.terminationRequested[name] == 0 {
 			s.terminationRequested[name] = s.sim.now()
 		}
 	}
 	s.sim.mu.Unlock()
-	if late > 0 {
-		time.AfterFunc(late.Duration(), func() { _ = s.terminate(context.Background(), names) })
+	if delay > 0 {
+		time.AfterFunc(delay.Duration(), func() { _ = s.terminate(context.Background(), names) })
 		<-ctx.Done()
 		return cloud.ErrUncertain
 	}
@@ -718,7 +731,7 @@
 	return s.Cloud.Terminate(ctx, names)
 }
 
-// List lists all machines.
+// List lists the machines after a name, except those that unlisted selects.
 func (s *cloudClient) List(ctx context.Context, after string) (*wire.MachineList, error) {
 	if err := s.waitReachable(ctx); err != nil {
 		return nil, err
@@ -737,9 +750,9 @@
 	return w.machines[name]
 }
 
-// liveMachines lists the machines that are there, in the order of their names. No lock
-// of a machine is taken under that of the cluster: a machine takes them the other
-// way round.
+// liveMachines returns the booted machines that are not terminated, sorted by name. The lock
+// of a machine must not be acquired while the lock of the cluster is held: machines acquire
+// them in the opposite order.
 func (w *simCluster) liveMachines() []*fakeMachine {
 	w.mu.Lock()
 	all := make([]*fakeMachine, 0, len(w.machines))
@@ -757,18 +770,19 @@
 	return out
 }
 
-// bootMachine brings a rented machine up, once.
+// bootMachine boots a provisioned machine after a random delay, unless its boot fails. A repeated call for a
+// machine has no effect.
 func (w *simCluster) bootMachine(name string, request wire.InstanceRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.machines[name] != nil {
 		return
 	}
-	fw := fake.NewAgent(name, request.Type, request.Zone, leaseS*micro.Second)
-	fw.Spot = request.Spot
-	fw.InitialState = wire.TaskFetching
+	fakeAgent := fake.NewAgent(name, request.Type, request.Zone, leaseS*micro.Second)
+	fakeAgent.Spot = request.Spot
+	fakeAgent.InitialState = wire.TaskFetching
 	machine := &fakeMachine{
-		sim: w, agent: fw, stateSince: map[fake.AttemptKey]micro.Time{}, controllerIndex: w.rand.IntN(len(w.controllers)),
+		sim: w, agent: fakeAgent, stateSince: map[fake.AttemptKey]micro.Time{}, controllerIndex: w.rand.IntN(len(w.controllers)),
 	}
 	w.machines[name] = machine
 	w.cloud.startedAt[name] = w.now()
@@ -782,7 +796,7 @@
 	time.AfterFunc(duration, machine.boot)
 }
 
-// runMachines lets the machines go on, every tenth of a second.
+// runMachines advances the machines and gangs every 100 ms until the context ends.
 func (w *simCluster) runMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, machine := range w.liveMachines() {
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -9,12 +9,12 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// jobRequest is a job as a user wants it.
+// jobRequest holds the properties of a job that a user submits.
 type jobRequest struct {
 	kind         wire.JobKind
 	tasks        int
 	runTime      micro.Time
-	runTimeStep  micro.Time // each task of an array runs so much longer than the one before
+	runTimeStep  micro.Time // increase of the run time from one task index of an array to the next
 	cpus         float64
 	team         string
 	priority     wire.Priority
@@ -23,9 +23,10 @@
 	spot         bool
 	zone         string
 	alwaysFails  bool
-	dependencies []string // ids of jobs that must be done before
+	dependencies []string // IDs of jobs that must be done before it starts
 }
 
+// body returns the body of the submission.
 func (o jobRequest) body(id string) []byte {
 	m := map[string]any{
 		"nameId": id, "jobclass": "c", "outfit": o.team, "shape": string(o.kind), "rank": string(o.priority),
@@ -45,14 +46,14 @@
 	return wire.MustMarshal(m)
 }
 
-// userJob is a submission by its user, who keeps to the protocol.
+// userJob is a job with its user, who follows the protocol: requests are repeated until they are answered.
 type userJob struct {
 	sim  *simCluster
 	id   string
 	body []byte
 }
 
-// newJob makes a job that nobody has submitted yet.
+// newJob returns a job that is not submitted yet. By default it has one CPU per task, team "team" and normal priority.
 func (w *simCluster) newJob(request jobRequest) *userJob {
 	if request.cpus == 0 {
 		request.cpus = 1
@@ -77,7 +78,7 @@
 	return &userJob{w, id, body}
 }
 
-// randomUserNode draws a node that takes users, nil if there is none.
+// randomUserNode draws a running controller that users can reach, or returns nil if eight draws find none.
 func (w *simCluster) randomUserNode() *controllerProcess {
 	for range 8 {
 		if controller := w.controllers[w.randomInt(len(w.controllers))]; controller.isAlive() &&
@@ -88,15 +89,16 @@
 	return nil
 }
 
-// request sends one request to one node.
+// request sends one request to one controller and passes the reply to the checker. It returns an empty reply
+// if none arrives within the timeout.
 func (j *userJob) request(
-	controller *controllerProcess, wait time.Duration, ask func(*Node) httpapi.Reply,
+	controller *controllerProcess, timeout time.Duration, call func(*Node) httpapi.Reply,
 ) httpapi.Reply {
 	if controller == nil {
 		return httpapi.Reply{}
 	}
 	knowledge := j.sim.checker.knowledgeOf(j.id)
-	r, ok := j.sim.callNode(controller, "users", wait, ask)
+	r, ok := j.sim.callNode(controller, "users", timeout, call)
 	if !ok {
 		return httpapi.Reply{}
 	}
@@ -104,6 +106,7 @@
 	return r
 }
 
+// submitOnce sends one submission, without a retry.
 func (j *userJob) submitOnce(controller *controllerProcess) httpapi.Reply {
 	return j.request(controller, 5*time.Second, func(n *Node) httpapi.Reply { return n.Submit(j.body) })
 }
@@ -112,12 +115,13 @@
 	return j.request(controller, 2*time.Second, func(n *Node) httpapi.Reply { return n.Status(j.id) })
 }
 
+// cancelOnce sends one cancellation request, without a retry.
 func (j *userJob) cancelOnce(controller *controllerProcess) httpapi.Reply {
 	j.sim.checker.requestCancel(j.id)
 	return j.request(controller, 5*time.Second, func(n *Node) httpapi.Reply { return n.Cancel(j.id) })
 }
 
-// state is what the answer says, "" if it says nothing.
+// replyState returns the job state in a successful reply, or "" for any other reply.
 func replyState(r httpapi.Reply) wire.JobState {
 	if s, ok := r.Body.(wire.JobStatus); ok && (r.Status == 200 || r.Status == 201) {
 		return s.State
@@ -125,7 +129,7 @@
 	return ""
 }
 
-// submit goes on until the job is accepted.
+// submit repeats the submission every second until the job is accepted.
 func (j *userJob) submit() *userJob {
 	for j.sim.ctx.Err() == nil {
 		if r := j.submitOnce(j.sim.randomUserNode()); r.Status == 200 || r.Status == 201 {
@@ -136,7 +140,7 @@
 	return j
 }
 
-// cancel goes on until the user is told.
+// cancel repeats the cancellation every second until a reply reports a final state, and returns the state.
 func (j *userJob) cancel() wire.JobState {
 	for j.sim.ctx.Err() == nil {
 		if s := replyState(j.cancelOnce(j.sim.randomUserNode())); s.Final() {
@@ -147,7 +151,7 @@
 	return ""
 }
 
-// watchUntilFinal polls until the job is over.
+// watchUntilFinal queries the status every 3 to 6 s until a reply reports a final state.
 func (j *userJob) watchUntilFinal() {
 	for j.sim.ctx.Err() == nil {
 		if replyState(j.queryStatus(j.sim.randomUserNode())).Final() {
@@ -157,8 +161,8 @@
 	}
 }
 
-// queryRapidly asks all nodes, again and again within milliseconds, and repeats the
-// submission.
+// queryRapidly sends status queries and repeated submissions to all controllers, three times within
+// milliseconds.
 func (j *userJob) queryRapidly() {
 	for range 3 {
 		for _, controller := range j.sim.controllers {
@@ -169,21 +173,21 @@
 	}
 }
 
-// runningTasks is how many tasks of the job are on machines.
+// runningTasks returns the number of tasks of the job on machines.
 func (j *userJob) runningTasks() int {
 	checker := j.sim.checker
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	n := 0
-	for task, ms := range checker.machinesByTask {
+	for task, machines := range checker.machinesByTask {
 		if id, _, _ := wire.ParseTaskName(task); id == j.id {
-			n += len(ms)
+			n += len(machines)
 		}
 	}
 	return n
 }
 
-// machines lists the machines that tasks of the job are on.
+// machines returns the live machines that tasks of the job are on.
 func (j *userJob) machines() []*fakeMachine {
 	checker := j.sim.checker
 	checker.mu.Lock()
@@ -205,7 +209,7 @@
 	return out
 }
 
-// tasksRunningFor lists the tasks of a job that have run for so long.
+// tasksRunningFor returns the names of the tasks of a job that have been running for at least d.
 func (w *simCluster) tasksRunningFor(job *userJob, d micro.Time) []string {
 	var out []string
 	for _, machine := range w.liveMachines() {
@@ -221,7 +225,7 @@
 	return out
 }
 
-// startCount is how many starts of its tasks took effect so far.
+// startCount returns the number of starts of its tasks that took effect so far.
 func (j *userJob) startCount() int {
 	j.sim.mu.Lock()
 	var all []*fakeMachine
@@ -242,22 +246,23 @@
 	return n
 }
 
-// abortReport is when the user was told that the job is cancelled, by which node, and
-// how many of its tasks were on machines then; false: not yet.
-func (j *userJob) abortReport() (at micro.Time, by string, left int, ok bool) {
+// abortReport returns when the first reply told the user that the job is cancelled, which controller sent it,
+// and the number of its tasks on machines at that time; ok is false before such a reply.
+func (j *userJob) abortReport() (at micro.Time, by string, tasks int, ok bool) {
 	checker := j.sim.checker
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	x := checker.jobs[j.id]
-	return x.abortReportedAt, x.abortReportedBy, x.tasksAtAbort, x.aborted
+	record := checker.jobs[j.id]
+	return record.abortReportedAt, record.abortReportedBy, record.tasksAtAbort, record.aborted
 }
 
-// knowledge what the user was told so far.
+// knowledge returns what replies have told the user so far.
 func (j *userJob) knowledge() userKnowledge { return j.sim.checker.knowledgeOf(j.id) }
 
-// satisfied reports whether a job has got what it is owed: it is over, or a service
-// that runs in full, or fails wherever it runs.
+// satisfied reports whether nothing remains to be done for the job: it has ended, or is a service
+// whose tasks all run, or its tasks fail on every machine.
 func (j *userJob) satisfied() bool {
-	s, jd := j.knowledge(), j.sim.checker.jobNamed(j.id)
-	return s.done || s.aborted || jd.alwaysFails || jd.spec.Kind == wire.Service && j.runningTasks() == jd.spec.Tasks
+	known, record := j.knowledge(), j.sim.checker.jobNamed(j.id)
+	return known.done || known.aborted || record.alwaysFails ||
+		record.spec.Kind == wire.Service && j.runningTasks() == record.spec.Tasks
 }
