--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -46,7 +46,7 @@
 	completedTasks  map[int]bool
 }
 
-// userKnowledge is the state of a job as earlier replies reported it, when the user sends a request.
+// userKnowledge holds what earlier replies had told the user about a job when a request was sent.
 type userKnowledge struct{ accepted, done, aborted bool }
 
 func newChecker(now func() micro.Time, cancel micro.Time) *checker {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -29,12 +29,12 @@
 	byMachine map[string]*fake.Agent
 }
 
-func (h *fakeAgents) Send(addr string, o wire.Commands) (*wire.Heartbeat, bool, error) {
+func (h *fakeAgents) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for name, w := range h.byMachine {
+	for name, fakeAgent := range h.byMachine {
 		if name+":9000" == addr {
-			r, ok := w.HandleDispatch(o)
+			r, ok := fakeAgent.HandleDispatch(commands)
 			return r, ok, nil
 		}
 	}
--- a/internal/controller/fleet_bench_test.go
+++ b/internal/controller/fleet_bench_test.go
@@ -87,25 +87,27 @@
 }
 
 // heartbeat delivers a heartbeat of an agent to the leader, and the response to the agent.
-func (h *fleet) heartbeat(w *fake.Agent) { h.handleHeartbeat(w, wire.MustMarshal(w.Heartbeat())) }
+func (h *fleet) heartbeat(fakeAgent *fake.Agent) {
+	h.handleHeartbeat(fakeAgent, wire.MustMarshal(fakeAgent.Heartbeat()))
+}
 
 // handleHeartbeat handles an encoded heartbeat as the leader does, and delivers the response to the agent.
-func (h *fleet) handleHeartbeat(w *fake.Agent, body []byte) {
-	r, err := wire.DecodeHeartbeat(body)
+func (h *fleet) handleHeartbeat(fakeAgent *fake.Agent, body []byte) {
+	heartbeat, err := wire.DecodeHeartbeat(body)
 	if err != nil {
 		panic(err)
 	}
-	m, verdict := h.leader.cluster.Reconcile(r, cluster.FromHeartbeat, h.now)
+	machine, verdict := h.leader.cluster.Reconcile(heartbeat, cluster.FromHeartbeat, h.now)
 	if verdict != cluster.Applied {
 		panic("heartbeat not applied")
 	}
-	o := wire.Commands{
+	commands := wire.Commands{
 		FencingToken: wire.Count(h.leader.dispatcher.FencingToken()),
-		Items:        h.leader.cluster.Commands(m, h.leader.dispatcher.FencingToken(), false, h.now),
+		Items:        h.leader.cluster.Commands(machine, h.leader.dispatcher.FencingToken(), false, h.now),
 	}
-	h.leader.cluster.ResponseSent(m, h.leader.dispatcher.FencingToken())
-	_ = wire.MustMarshal(o)
-	w.HandleResponse(o, h.now)
+	h.leader.cluster.ResponseSent(machine, h.leader.dispatcher.FencingToken())
+	_ = wire.MustMarshal(commands)
+	fakeAgent.HandleResponse(commands, h.now)
 }
 
 func BenchmarkHeartbeat(b *testing.B) {
--- a/internal/controller/fleet_size_test.go
+++ b/internal/controller/fleet_size_test.go
@@ -147,8 +147,8 @@
 	if all > f.machines+f.machines/10 {
 		f.t.Errorf("%d machines provisioned for services that fill %d", all, f.machines)
 	}
-	// Per service a job description and chunk records of 128 tasks, and a record of an instance request per up
-	// to 50 machines; each is written several times until the tasks run.
+	// The changes are job descriptions, chunk records of 128 tasks each, and records of answered instance requests
+	// of up to 50 machines each. Each record is written a few times until the tasks run.
 	if limit := int64(f.machines) / 2; changes > limit {
 		f.t.Errorf("cold start took %d changes, limit %d", changes, limit)
 	}
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -58,24 +58,25 @@
 		time.Sleep(sim.randomDuration(micro.Second, 6*micro.Second))
 		request := sim.randomJobRequest()
 		if n := len(jobs); n > 0 && sim.randomChance(0.15) { // a job with a dependency
-			if x := sim.checker.jobNamed(jobs[sim.randomInt(n)].id); x.accepted && x.spec.Kind != wire.Service &&
-				!x.alwaysFails {
-				request.dependencies = []string{x.spec.ID}
+			if dependency := sim.checker.jobNamed(jobs[sim.randomInt(n)].id); dependency.accepted &&
+				dependency.spec.Kind != wire.Service && !dependency.alwaysFails {
+				request.dependencies = []string{dependency.spec.ID}
 			}
 		}
 		job := sim.newJob(request)
 		jobs = append(jobs, job)
 		if sim.randomChance(0.1) { // users cancel many jobs at once
-			for _, o := range jobs {
-				if jd := sim.checker.jobNamed(o.id); jd.accepted && !jd.cancelRequested && sim.randomChance(0.5) {
-					go o.cancel()
+			for _, other := range jobs {
+				if record := sim.checker.jobNamed(other.id); record.accepted && !record.cancelRequested &&
+					sim.randomChance(0.5) {
+					go other.cancel()
 				}
 			}
 		}
 		if sim.randomChance(0.1) { // status queries of a job that was not submitted
-			x := &userJob{sim, fmt.Sprint("j-9", sim.randomInt(100000)), nil}
+			unknown := &userJob{sim, fmt.Sprint("j-9", sim.randomInt(100000)), nil}
 			for _, controller := range sim.controllers {
-				go x.queryStatus(controller)
+				go unknown.queryStatus(controller)
 			}
 		}
 		queryRapidly, cancel := sim.randomChance(0.4), sim.randomChance(0.35)
@@ -119,8 +120,8 @@
 		// 30 s after the last fault, so that the other jobs get capacity.
 		if sim.now() > faultsEndedAt+30*micro.Second {
 			for _, job := range jobs {
-				if jd := sim.checker.jobNamed(job.id); jd.accepted && !jd.cancelRequested &&
-					(jd.alwaysFails || jd.spec.Kind == wire.Service && job.satisfied()) {
+				if record := sim.checker.jobNamed(job.id); record.accepted && !record.cancelRequested &&
+					(record.alwaysFails || record.spec.Kind == wire.Service && job.satisfied()) {
 					go job.cancel()
 				}
 			}
@@ -204,15 +205,15 @@
 func (w *simCluster) moveShardRandomly() {
 	for w.ctx.Err() == nil && w.now() < 260*micro.Second { // afterwards all jobs must be served
 		time.Sleep(w.randomDuration(micro.Second, 12*micro.Second))
-		c := shard.Command{
+		command := shard.Command{
 			Operation: shard.OperationMove, Shard: "east", Target: w.controllers[w.randomInt(len(w.controllers))].name,
 		}
 		if w.randomChance(0.15) {
-			c.Operation = shard.OperationCancel
+			command.Operation = shard.OperationCancel
 		}
 		if controller := w.randomUserNode(); controller != nil {
-			if n := controller.runningNode(); n != nil {
-				n.handleAdmin(wire.MustMarshal(c))
+			if node := controller.runningNode(); node != nil {
+				node.handleAdmin(wire.MustMarshal(command))
 			}
 		}
 	}
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -177,13 +177,13 @@
 func (h *fakeMachine) holdDispatch() { h.mu.Lock(); h.holdNextDispatch = true; h.mu.Unlock() }
 
 // interceptDispatch holds commands back if holdDispatch was called, and reports whether it did.
-func (h *fakeMachine) interceptDispatch(o wire.Commands) bool {
+func (h *fakeMachine) interceptDispatch(commands wire.Commands) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.holdNextDispatch || len(o.Items) == 0 {
+	if !h.holdNextDispatch || len(commands.Items) == 0 {
 		return false
 	}
-	h.holdNextDispatch, h.heldDispatches = false, append(h.heldDispatches, o)
+	h.holdNextDispatch, h.heldDispatches = false, append(h.heldDispatches, commands)
 	return true
 }
 
@@ -194,9 +194,9 @@
 	h.heldDispatches, h.holdNextDispatch = nil, false
 	h.mu.Unlock()
 	accepted := false
-	for _, o := range held {
-		_, ok, there := h.handleDispatch(o)
-		accepted = accepted || ok && there
+	for _, commands := range held {
+		_, applied, up := h.handleDispatch(commands)
+		accepted = accepted || applied && up
 	}
 	return accepted
 }
--- a/internal/controller/simulation_machines_test.go
+++ b/internal/controller/simulation_machines_test.go
@@ -132,7 +132,7 @@
 
 // handleDispatch handles dispatched commands. It returns the agent's answer and whether the agent accepted the
 // commands; the last result is false if no agent runs.
-func (h *fakeMachine) handleDispatch(o wire.Commands) (*wire.Heartbeat, bool, bool) {
+func (h *fakeMachine) handleDispatch(commands wire.Commands) (*wire.Heartbeat, bool, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.booted || h.terminated {
@@ -140,10 +140,10 @@
 	}
 	h.expireLease()
 	previousToken := h.agent.FencingToken
-	r, ok := h.agent.HandleDispatch(o)
+	heartbeat, ok := h.agent.HandleDispatch(commands)
 	h.changed = h.changed || h.agent.FencingToken > previousToken
 	h.updateChecker()
-	return r, ok, true
+	return heartbeat, ok, true
 }
 
 // status returns the response to a probe, or false if no agent runs.
@@ -274,12 +274,12 @@
 	}
 	h.expireLease()
 	late := now-sent > 4*micro.Second
-	switch o := reply.Body.(type) {
+	switch answer := reply.Body.(type) {
 	case wire.Commands:
 		if ok && !late && reply.Status == 200 {
 			if h.agent.Epoch == uint64(heartbeat.AgentEpoch) {
 				previousToken := h.agent.FencingToken
-				h.agent.HandleResponse(o, sent)
+				h.agent.HandleResponse(answer, sent)
 				h.changed = h.changed || h.agent.FencingToken > previousToken
 				h.updateChecker()
 			}
@@ -288,7 +288,7 @@
 	case wire.NotLeader:
 		if ok && !late && reply.Status == 421 {
 			for i, controller := range sim.controllers {
-				if controller.name == o.LeaderHint && i != h.controllerIndex {
+				if controller.name == answer.LeaderHint && i != h.controllerIndex {
 					h.controllerIndex, h.nextHeartbeat = i, now+200*micro.Millisecond
 					return
 				}
@@ -336,13 +336,13 @@
 // gang stays incomplete for 40 s, or for 5 s while they run.
 func (w *simCluster) runGangs() {
 	type member struct {
-		h     *fakeMachine
-		k     fake.AttemptKey
-		index int
+		machine *fakeMachine
+		key     fake.AttemptKey
+		index   int
 	}
 	type attempt struct {
-		id  string
-		try uint64
+		id     string
+		number uint64
 	}
 	now := w.now()
 	all := map[attempt][]member{}
@@ -363,24 +363,24 @@
 		record := w.checker.jobNamed(a.id)
 		complete := len(ms) == record.spec.Tasks
 		for _, m := range ms {
-			m.h.mu.Lock()
-			task := m.h.agent.Tasks[m.k]
+			m.machine.mu.Lock()
+			task := m.machine.agent.Tasks[m.key]
 			switch {
 			case task == nil || task.State == wire.TaskExited:
 			case task.State == wire.TaskWaitingForGang && complete:
-				task.State, m.h.stateSince[m.k], m.h.changed = wire.TaskRunning, now, true
-			case task.State == wire.TaskWaitingForGang && now-m.h.stateSince[m.k] > 40*micro.Second:
-				m.h.exitTask(m.k, task, wire.CauseGangTimeout)
-			case task.State == wire.TaskRunning && !complete && now-m.h.stateSince[m.k] > 5*micro.Second:
-				m.h.exitTask(m.k, task, wire.CauseGangPeerLost)
-			case task.State == wire.TaskRunning && complete && now-m.h.stateSince[m.k] >= record.runTime:
-				m.h.exitTask(m.k, task, wire.CauseDone)
+				task.State, m.machine.stateSince[m.key], m.machine.changed = wire.TaskRunning, now, true
+			case task.State == wire.TaskWaitingForGang && now-m.machine.stateSince[m.key] > 40*micro.Second:
+				m.machine.exitTask(m.key, task, wire.CauseGangTimeout)
+			case task.State == wire.TaskRunning && !complete && now-m.machine.stateSince[m.key] > 5*micro.Second:
+				m.machine.exitTask(m.key, task, wire.CauseGangPeerLost)
+			case task.State == wire.TaskRunning && complete && now-m.machine.stateSince[m.key] >= record.runTime:
+				m.machine.exitTask(m.key, task, wire.CauseDone)
 				for i := range record.spec.Tasks {
 					w.checker.recordCompletion(a.id, i)
 				}
 			}
-			m.h.updateChecker()
-			m.h.mu.Unlock()
+			m.machine.updateChecker()
+			m.machine.mu.Unlock()
 		}
 	}
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -27,23 +27,23 @@
 }
 
 // body returns the body of the submission.
-func (o jobRequest) body(id string) []byte {
-	m := map[string]any{
-		"nameId": id, "jobclass": "c", "outfit": o.team, "shape": string(o.kind), "rank": string(o.priority),
-		"pieces": o.tasks, "vcpus": o.cpus, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1,
-		"oneZone": o.oneZone, "scatter": o.spread, "loaners": o.spot,
-		"guessS": (o.runTime + micro.Time(o.tasks-1)*o.runTimeStep).Seconds(), "bookmarkS": 0, "stashS": 0,
+func (r jobRequest) body(id string) []byte {
+	fields := map[string]any{
+		"nameId": id, "jobclass": "c", "outfit": r.team, "shape": string(r.kind), "rank": string(r.priority),
+		"pieces": r.tasks, "vcpus": r.cpus, "gpus": 0, "ramGb": 1, "bundle": "i", "pullGb": 1,
+		"oneZone": r.oneZone, "scatter": r.spread, "loaners": r.spot,
+		"guessS": (r.runTime + micro.Time(r.tasks-1)*r.runTimeStep).Seconds(), "bookmarkS": 0, "stashS": 0,
 	}
-	if o.kind == wire.Service {
-		m["guessS"] = 0
+	if r.kind == wire.Service {
+		fields["guessS"] = 0
 	}
-	if o.zone != "" {
-		m["yard"] = o.zone
+	if r.zone != "" {
+		fields["yard"] = r.zone
 	}
-	if o.dependencies != nil {
-		m["awaits"] = o.dependencies
+	if r.dependencies != nil {
+		fields["awaits"] = r.dependencies
 	}
-	return wire.MustMarshal(m)
+	return wire.MustMarshal(fields)
 }
 
 // userJob is a job with its user, who follows the protocol: requests are repeated until they are answered.
