--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -16,7 +16,7 @@
 type checker struct {
 	mu             sync.Mutex
 	now            func() micro.Time
-	cancelLimit    micro.Time
+	cancelLimit    micro.Time         // for which tasks may stay on machines after a confirmed cancellation
 	cpuLimits      map[string]float64 // by team
 	machineTypes   map[string]wire.MachineType
 	jobs           map[string]*jobRecord
@@ -30,7 +30,7 @@
 	answerCount    int
 }
 
-// jobRecord holds the description of a job and the state that its user and its tasks have observed.
+// jobRecord holds the description of a job, what replies have told its user, and its completed tasks.
 type jobRecord struct {
 	spec            wire.Job
 	runTime         micro.Time
@@ -49,9 +49,12 @@
 // userKnowledge holds what earlier replies had told the user about a job when a request was sent.
 type userKnowledge struct{ accepted, done, aborted bool }
 
-func newChecker(now func() micro.Time, cancel micro.Time) *checker {
+// newChecker returns a checker. Tasks of a job may stay on machines for cancelLimit after its cancellation is
+// confirmed to the user.
+func newChecker(now func() micro.Time, cancelLimit micro.Time) *checker {
 	return &checker{
-		now: now, cancelLimit: cancel, cpuLimits: map[string]float64{}, machineTypes: map[string]wire.MachineType{},
+		now: now, cancelLimit: cancelLimit, cpuLimits: map[string]float64{},
+		machineTypes: map[string]wire.MachineType{},
 		jobs: map[string]*jobRecord{}, machinesByTask: map[string]map[string]string{},
 		tasksByMachine: map[string]map[string]bool{}, cpusInUse: map[string]float64{}, reported: map[string]bool{},
 	}
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -117,10 +117,11 @@
 	})
 }
 
-// slowStore delays the store's responses to all controllers.
+// slowStore is slowStoreFor all controllers.
 func (w *simCluster) slowStore(delay, d micro.Time) { w.slowStoreFor(w.controllers, delay, d) }
 
-// slowStoreFor delays the store's responses to the given controllers.
+// slowStoreFor adds a latency to the store requests of the given controllers: about half of 0.5 to 1.5 times the
+// delay on the way to the store and again on the way back.
 func (w *simCluster) slowStoreFor(procs []*controllerProcess, delay, d micro.Time) {
 	set := func(value micro.Time) func() {
 		return func() {
