--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -55,7 +55,7 @@
 	return &checker{
 		now: now, cancelLimit: cancelLimit, cpuLimits: map[string]float64{},
 		machineTypes: map[string]wire.MachineType{},
-		jobs: map[string]*jobRecord{}, machinesByTask: map[string]map[string]string{},
+		jobs:         map[string]*jobRecord{}, machinesByTask: map[string]map[string]string{},
 		tasksByMachine: map[string]map[string]bool{}, cpusInUse: map[string]float64{}, reported: map[string]bool{},
 	}
 }
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -120,8 +120,8 @@
 // slowStore is slowStoreFor all controllers.
 func (w *simCluster) slowStore(delay, d micro.Time) { w.slowStoreFor(w.controllers, delay, d) }
 
-// slowStoreFor adds a latency to the store requests of the given controllers: about half of 0.5 to 1.5 times the
-// delay on the way to the store and again on the way back.
+// slowStoreFor adds latency to the store requests of the given controllers: 0.25 to 0.75 times the delay, drawn
+// separately for the request and for the response.
 func (w *simCluster) slowStoreFor(procs []*controllerProcess, delay, d micro.Time) {
 	set := func(value micro.Time) func() {
 		return func() {
