--- a/cmd/devcluster/main_test.go
+++ b/cmd/devcluster/main_test.go
@@ -8,7 +8,7 @@
 )
 
 // An interrupt was ignored: nobody closed the listeners.
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunReturnsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	ended := make(chan error, 1)
@@ -32,7 +32,7 @@
 }
 
 // An address that is taken ends it with an error that names the address.
-func TestRunReportsATakenAddress(t *testing.T) {
+func TestRunReportsAddressInUse(t *testing.T) {
 	listener := listen(t)
 	err := run(t.Context(), cli{State: listener, Cloud: "127.0.0.1:0", Node: "127.0.0.1:1"})
 	if err == nil {
--- a/cmd/notchmux/golden_test.go
+++ b/cmd/notchmux/golden_test.go
@@ -15,7 +15,7 @@
 )
 
 // printed is a share as a controller tells of it.
-func printed() *shard.CommandReply {
+func sampleReply() *shard.CommandReply {
 	return &shard.CommandReply{Shards: []shard.Status{
 		{
 			Name:             "gpus",
@@ -45,7 +45,7 @@
 }
 
 // Scripts of operators read it.
-func TestSharesArePrintedAsTheyWere(t *testing.T) {
+func TestShardOutputFormatIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		json bool
@@ -93,13 +93,13 @@
 `},
 	} {
 		var out bytes.Buffer
-		if err := (&shardCmd{JSON: c.json}).print(printed(), &out); err != nil || out.String() != c.want {
+		if err := (&shardCmd{JSON: c.json}).print(sampleReply(), &out); err != nil || out.String() != c.want {
 			t.Errorf("%s: printed\n%s\nwant\n%s\n%v", c.name, out.String(), c.want, err)
 		}
 	}
 }
 
-func TestJobIsPrintedAsItWas(t *testing.T) {
+func TestJobOutputFormatIsUnchanged(t *testing.T) {
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -114,14 +114,14 @@
 			c.SetBodyString("\x85\xa6nameId\xa3j-1\xa6status\xa7running\xa4done\x03\xa7running\x02\xa6awaits\x91\xa3j-0")
 		})
 	}()
-	got := standardOutput(t, func() error { return (&statusCmd{ID: "j-1"}).Run(nil, &jobCmd{Addr: ln.Addr().String()}) })
+	got := captureStdout(t, func() error { return (&statusCmd{ID: "j-1"}).Run(nil, &jobCmd{Addr: ln.Addr().String()}) })
 	if want := `{"nameId":"j-1","status":"running","done":3,"running":2,"awaits":["j-0"]}` + "\n"; got != want {
 		t.Errorf("printed %s, want %s", got, want)
 	}
 }
 
-// standardOutput is what a function prints to the standard output.
-func standardOutput(t *testing.T, f func() error) string {
+// captureStdout is what a function prints to the standard output.
+func captureStdout(t *testing.T, f func() error) string {
 	t.Helper()
 	in, out, err := os.Pipe()
 	if err != nil {
@@ -199,7 +199,7 @@
 			for name, value := range c.set {
 				t.Setenv(name, value)
 			}
-			if got := parsed(t, c.args); got != c.want {
+			if got := parseCommand(t, c.args); got != c.want {
 				t.Errorf("understood as %s, want %s", got, c.want)
 			}
 		})
@@ -207,7 +207,7 @@
 }
 
 // parsed is the command that arguments stand for, with what it was told.
-func parsed(t *testing.T, args []string) string {
+func parseCommand(t *testing.T, args []string) string {
 	t.Helper()
 	var c cli
 	parser, err := kong.New(&c, kong.Name("notchmux"))
--- a/cmd/notchmux/main.go
+++ b/cmd/notchmux/main.go
@@ -108,8 +108,8 @@
 		"node %s in %s: %d peers, %d teams, %d objectives\n", cfg.Node, cfg.Zone, len(cfg.Peers), len(cfg.Facts.Teams),
 		len(cfg.Facts.Objectives),
 	)
-	describeShards(cfg.Shards)
-	warnOfDivision(cfg)
+	printShardSettings(cfg.Shards)
+	printPlacementWarnings(cfg)
 	config.Describe(func(key string, def, least, most float64, help string) {
 		fmt.Printf("%-22s default %g, %g to %g: %s\n", key, def, least, most, help)
 	})
--- a/cmd/notchmux/shard.go
+++ b/cmd/notchmux/shard.go
@@ -98,7 +98,7 @@
 	var table bytes.Buffer
 	for _, row := range reply.Shards {
 		fmt.Fprintf(
-			&table, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, nodeOrLeader(row.Record.Owner.Node),
+			&table, "%s: %s, owner %s, selects %s\n", row.Name, row.Record.State, ownerName(row.Record.Owner.Node),
 			row.Record.Selector,
 		)
 		fmt.Fprintf(
@@ -107,7 +107,7 @@
 			time.UnixMicro(row.Record.ChangedAt).UTC().Format(time.RFC3339),
 		)
 		if row.Record.State == shard.Moving {
-			fmt.Fprintf(&table, "  to %s\n", nodeOrLeader(row.Record.Target.Node))
+			fmt.Fprintf(&table, "  to %s\n", ownerName(row.Record.Target.Node))
 		}
 		if row.BlockedReason != "" {
 			fmt.Fprintf(&table, "  %s\n", row.BlockedReason)
@@ -117,15 +117,15 @@
 	return nil
 }
 
-func nodeOrLeader(node string) string {
+func ownerName(node string) string {
 	if node == "" {
 		return "the leader"
 	}
 	return node
 }
 
-// describeShards says what the settings of shards amount to.
-func describeShards(s *config.Shards) {
+// printShardSettings says what the settings of shards amount to.
+func printShardSettings(s *config.Shards) {
 	if s == nil {
 		return
 	}
--- a/cmd/notchmux/shard_warnings.go
+++ b/cmd/notchmux/shard_warnings.go
@@ -7,14 +7,14 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// warnOfDivision says for which work the declared shards leave no place. The machine types
+// printPlacementWarnings says for which work the declared shards leave no place. The machine types
 // come from the cloud at run time: the selectors, the zones and the teams of the settings
 // show only a part. The leader says the rest when it forms a shard.
-func warnOfDivision(cfg *config.Config) {
+func printPlacementWarnings(cfg *config.Config) {
 	if cfg.Shards == nil {
 		return
 	}
-	parts := cfg.Shards.Parts()
+	parts := cfg.Shards.Definitions()
 	for _, warning := range shard.PlacementWarnings(
 		shard.PossibleOffers(cfg.Facts.Zones, parts), parts, cfg.TeamNames(),
 	) {
--- a/cmd/notchmux/shard_warnings_test.go
+++ b/cmd/notchmux/shard_warnings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestCheckWarnsOfADivisionThatLeavesWorkWithoutAPlace(t *testing.T) {
+func TestCheckWarnsWhenShardsLeaveJobsUnplaceable(t *testing.T) {
 	for shares, want := range map[string]string{
 		"share.s.kind = spot\n":                  "",
 		"share.s.zone = west\n":                  "\nwarning: zone west lies in share s, zone east outside: ",
@@ -18,7 +18,7 @@
 			t.Fatal(err)
 		}
 		command := checkCmd{settings{Config: "../../examples/settings.toml", Feature: []string{path}}}
-		got := standardOutput(t, func() error { return command.Run(nil) })
+		got := captureStdout(t, func() error { return command.Run(nil) })
 		if !strings.Contains(got, want) || strings.Contains(got, "warning") != (want != "") {
 			t.Errorf("%s: %s", shares, got)
 		}
--- a/cmd/notchmux/waiting_jobs.go
+++ b/cmd/notchmux/waiting_jobs.go
@@ -9,8 +9,8 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// shownShard is a shard as JSON, with the jobs that wait for it.
-type shownShard struct {
+// shardWithWaitingJobs is a shard as JSON, with the jobs that wait for it.
+type shardWithWaitingJobs struct {
 	shard.Status
 
 	WaitingJobs []shard.WaitingJob `json:"waitingJobs,omitempty"`
@@ -22,9 +22,9 @@
 		return c.print(&reply.CommandReply, out)
 	}
 	if c.JSON {
-		var shown []shownShard
+		var shown []shardWithWaitingJobs
 		for _, status := range reply.Shards {
-			shown = append(shown, shownShard{status, reply.WaitingJobs})
+			shown = append(shown, shardWithWaitingJobs{status, reply.WaitingJobs})
 		}
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
--- a/cmd/notchmux/waiting_jobs_test.go
+++ b/cmd/notchmux/waiting_jobs_test.go
@@ -8,14 +8,14 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-func TestWaitingJobsArePrintedAfterTheirShare(t *testing.T) {
+func TestWaitingJobsArePrintedAfterTheirShard(t *testing.T) {
 	waiting := []shard.WaitingJob{
 		{ID: "j-2", Team: "vision", Tasks: 2, WaitingS: 300, UnservedReason: "zones"},
 		{ID: "j-1", Team: "speech", Tasks: 7, WaitingS: 12, ServedBy: []string{"the leader", "shard gpus"}},
 	}
 	var alone, text, json bytes.Buffer
-	command, detailed := &shardCmd{}, &shard.DetailedReply{CommandReply: *printed(), WaitingJobs: waiting}
-	if command.print(printed(), &alone) != nil || command.printDetailed(detailed, &text) != nil ||
+	command, detailed := &shardCmd{}, &shard.DetailedReply{CommandReply: *sampleReply(), WaitingJobs: waiting}
+	if command.print(sampleReply(), &alone) != nil || command.printDetailed(detailed, &text) != nil ||
 		(&shardCmd{JSON: true}).printDetailed(detailed, &json) != nil {
 		t.Fatal("not printed")
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,7 +68,7 @@
 	return Load(settingsPath, propertiesPath)
 }
 
-func TestSettingsAreRead(t *testing.T) {
+func TestLoadReadsSettingsAndProperties(t *testing.T) {
 	c, err := loadConfig(t, settings, "# ours\nmachine.silent.s = 12\nscore.l1: 70\n")
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestBadSettingsNameFileKeyAndReasonInOneLine(t *testing.T) {
+func TestInvalidSettingsReportFileKeyAndReasonOnOneLine(t *testing.T) {
 	for _, tc := range []struct{ toml, props, want string }{
 		{strings.Replace(settings, `node = "n-0"`, "", 1), "", `"node"`},
 		{strings.Replace(settings, "txn_ops = 24", "txn_ops = 0", 1), "", `"facts.state.txn_ops"`},
@@ -102,7 +102,7 @@
 }
 
 // An agent's lease runs out after 31.06 s at the latest, 3 s are slack.
-func TestSettingsThatBreakTheCancelTimeoutAreRefused(t *testing.T) {
+func TestSettingsThatExceedCancelTimeoutAreRejected(t *testing.T) {
 	workers := func(lease, cancel string) string {
 		return strings.NewReplacer("lease_s = 30.0", "lease_s = "+lease, "cancel_s = 50.0", "cancel_s = "+cancel).Replace(
 			settings,
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestUpcomingLimitsAreReadAndTheLowerApplies(t *testing.T) {
+func TestLowerOfCurrentAndNextLimitsApplies(t *testing.T) {
 	cfg, err := loadConfig(t, settings, "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -36,8 +36,8 @@
 	Owner    string // its first owner; "": the controller with the fewest shares
 }
 
-// Parts are the declared shares as far as they decide which work has a place.
-func (s *Shards) Parts() []shard.Definition {
+// Definitions are the declared shares as far as they decide which work has a place.
+func (s *Shards) Definitions() []shard.Definition {
 	parts := make([]shard.Definition, len(s.Declared))
 	for i, declared := range s.Declared {
 		parts[i] = shard.Definition{Name: declared.Name, Selector: declared.Selector, Teams: declared.Teams}
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -18,7 +18,7 @@
 	return LoadFeatures([]string{path}, "n-0", []Peer{{Node: "n-1"}})
 }
 
-func TestSharesFileIsRead(t *testing.T) {
+func TestLoadFeaturesReadsShards(t *testing.T) {
 	features, err := loadFeatureText(t, `
 share.gpu.type = g8
 share.gpu.kind = ordinary
@@ -50,7 +50,7 @@
 }
 
 // Each mistake is one line with file, key and reason.
-func TestMistakesInTheSharesFileAreNamed(t *testing.T) {
+func TestInvalidShardSettingsReportFileKeyAndReason(t *testing.T) {
 	for text, want := range map[string]string{
 		"shares.melt = 1":                                          `key "shares.melt": is unknown`,
 		"share.gpu.colour = red":                                   `key "share.gpu.colour": is unknown`,
@@ -89,7 +89,7 @@
 }
 
 // The file that is deployed is sound, and declares no share.
-func TestDeployedSharesFileIsSound(t *testing.T) {
+func TestDeployedShardsFileIsValid(t *testing.T) {
 	f, err := LoadFeatures([]string{filepath.Join("..", "..", "deploy", "shares.properties")}, "n-0", nil)
 	if err != nil || f.Shards == nil || len(f.Shards.Declared) > 0 || f.Shards.Dissolve {
 		t.Errorf("%+v, %v", f.Shards, err)
--- a/internal/formatgate/gate.go
+++ b/internal/formatgate/gate.go
@@ -127,7 +127,7 @@
 		g.transition(Announced)
 	}
 	item, err := g.store.Get(ctx, store.Routine, keys.Format)
-	if err == nil && g.raises(item) {
+	if err == nil && g.isFormatRaised(item) {
 		// The leader that raised it, and later ones, need not be told.
 		g.MarkOpen()
 		return
@@ -145,7 +145,7 @@
 	g.node.RaiseFormat()
 }
 
-func (g *Gate) raises(item wire.Item) bool {
+func (g *Gate) isFormatRaised(item wire.Item) bool {
 	var record persist.FormatRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
 		g.log.Debug("stored record not understood", "key", item.Key, "err", err)
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -18,7 +18,7 @@
 	})
 }
 
-func TestNodeIsUnhealthyOnlyIfItAloneIsPartitionedAndDoesNotFlap(t *testing.T) {
+func TestNodeIsUnhealthyOnlyIfPartitionedAloneAndDoesNotFlap(t *testing.T) {
 	silent, refused, stored, peered := ProbeResult{}, ProbeResult{StoreRefused: true}, ProbeResult{
 		StoreReached: true,
 	}, ProbeResult{PeerReached: true}
@@ -47,7 +47,7 @@
 }
 
 // The same as package controller's test of a whole node, of the monitor alone.
-func TestMonitorThatReachesNeitherStoreNorPeersIsNotReady(t *testing.T) {
+func TestMonitorIsNotReadyWithoutStoreAndPeers(t *testing.T) {
 	fakeStore := fake.NewStore()
 	monitor := newMonitor(fakeStore)
 	monitor.Observe(monitor.Probe(context.Background()))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestGaugesArePrintedUntilTheyAreRemoved(t *testing.T) {
+func TestGaugesArePrintedUntilRemoved(t *testing.T) {
 	set := New()
 	set.Count("refused")
 	set.SetGauge("unserved_jobs", 2)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -49,13 +49,13 @@
 func Compile(text string) (*Condition, error) {
 	program, err := expr.Compile(text, expr.Env(Facts{}), expr.AsBool(), expr.MaxNodes(maxNodes))
 	if err != nil {
-		return nil, explain(err)
+		return nil, singleLineError(err)
 	}
 	return &Condition{text: text, program: program}, nil
 }
 
-// explain puts an error of the compiler into one line.
-func explain(err error) error {
+// singleLineError puts an error of the compiler into one line.
+func singleLineError(err error) error {
 	var located *file.Error
 	if errors.As(err, &located) {
 		return fmt.Errorf("line %d, column %d: %s", located.Line, located.Column+1, located.Message)
@@ -68,7 +68,7 @@
 	machine := vm.VM{MemoryBudget: memoryBudget}
 	out, err := machine.Run(c.program, f)
 	if err != nil {
-		return false, explain(err)
+		return false, singleLineError(err)
 	}
 	holds, ok := out.(bool)
 	if !ok {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestConditions(t *testing.T) {
+func TestConditionsEvaluate(t *testing.T) {
 	facts := Facts{Waiting: map[string]int{"a": 3}, Free: map[string]int{"gpu": 2}}
 	facts.SetTime(time.Date(2026, 12, 2, 5, 30, 0, 0, time.UTC))
 	for text, want := range map[string]bool{
@@ -30,7 +30,7 @@
 }
 
 // However an expression is written, what it may cost is bounded.
-func TestCostOfAConditionIsBounded(t *testing.T) {
+func TestConditionCostIsBounded(t *testing.T) {
 	if _, err := Compile(strings.Repeat("hour > 1 or ", 200) + "false"); err == nil {
 		t.Error("an expression of hundreds of terms is taken")
 	}
--- a/internal/shard/coordinator/form_warnings.go
+++ b/internal/shard/coordinator/form_warnings.go
@@ -36,7 +36,7 @@
 		return true
 	})
 	var formed shard.Definition
-	for _, definition := range c.Config.Shards.Parts() {
+	for _, definition := range c.Config.Shards.Definitions() {
 		_, overlaps := c.table().Overlapping(definition.Selector) // true also for a declared shard that exists
 		switch {
 		case definition.Name == declared.Name:
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -20,7 +20,7 @@
 
 // What the store, the cloud, agents and users exchange with the controllers is
 // fixed by the protocol.
-func TestMessagesOfTheProtocolKeepTheirBytes(t *testing.T) {
+func TestMessageEncodingsAreUnchanged(t *testing.T) {
 	for _, c := range slices.Concat(jobAndAgentMessages(), storeMessages(), cloudMessages()) {
 		if err := golden.Binary(c.value, c.bytes); err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -39,11 +39,11 @@
 			"0000000000a661776169747392a36a2d31a36a2d32a8617761697473496e06a26174cf00060a24181e4000"},
 		{"status", status(), "85a66e616d654964a86a2d303030343132a6737461747573a772756e6e696e67a4646f6e6503a772756e6e696e67" +
 			"02a661776169747391a36a2d31"},
-		{"task report", taskReport(), "85a57069656365ac6a2d3030303431322f313330a374727902a6737461747573a5656e646564a563617" +
+		{"task report", taskStatus(), "85a57069656365ac6a2d3030303431322f313330a374727902a6737461747573a5656e646564a563617" +
 			"57365a56572726f72a57361766564c3"},
 		{"report", wire.Heartbeat{
 			Machine: "i-000231", Addr: "10.0.0.7:9000", Type: "small", Zone: "east", Spot: true, AgentEpoch: 3, Sequence: 300,
-			FencingToken: 1 << 40, PreemptionNoticeS: pointer(29.5), Tasks: []wire.TaskStatus{taskReport()},
+			FencingToken: 1 << 40, PreemptionNoticeS: pointer(29.5), Tasks: []wire.TaskStatus{taskStatus()},
 		}, "8aa4686f7374a8692d303030323331a761646472657373ad31302e302e302e373a39303030a3726967a5736d616c6ca479617264a46561" +
 			"7374a76c6f616e657273c3a5736869667403a574616c6c79cd012ca56261746f6ecf0000010000000000a7726563616c6c53cb403d800000" +
 			"000000a67069656365739185a57069656365ac6a2d3030303431322f313330a374727902a6737461747573a5656e646564a56361757365a5" +
@@ -123,7 +123,7 @@
 }
 
 // The command line prints a status; the store counts a job and an instance request in this form.
-func TestJobsAndStatusesKeepTheirJSON(t *testing.T) {
+func TestJSONEncodingsAreUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestWordsOfTheProtocolKeepTheirSpelling(t *testing.T) {
+func TestProtocolValuesAreUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		got  []string
@@ -225,7 +225,7 @@
 	return wire.JobStatus{ID: "j-000412", State: wire.JobRunning, Done: 3, Running: 2, Dependencies: []string{"j-1"}}
 }
 
-func taskReport() wire.TaskStatus {
+func taskStatus() wire.TaskStatus {
 	return wire.TaskStatus{
 		Task:         "j-000412/130",
 		Attempt:      2,
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestHostileBodiesAreRefused(t *testing.T) {
+func TestHostileBodiesAreRejected(t *testing.T) {
 	for name, body := range map[string][]byte{
 		"empty":             {},
 		"huge list":         {0xdd, 0xff, 0xff, 0xff, 0xff},
