--- a/wire/agent.go
+++ b/wire/agent.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// TaskState is a task's state as its agent reports it.
+// TaskState is the state of a task in an agent's heartbeat.
 type TaskState string
 
-// The states an agent reports.
+// The states of a task.
 const (
 	TaskFetching       TaskState = "pulling"
 	TaskWaitingForGang TaskState = "gathering"
@@ -18,7 +18,7 @@
 	TaskExited         TaskState = "ended"
 )
 
-// ExitCause says why a task exited, or why its start was refused.
+// ExitCause is the reason why a task exited, or why the agent refused to start it.
 type ExitCause string
 
 // The causes of an exit.
@@ -33,7 +33,7 @@
 	CauseJobUnknown     ExitCause = "no_such"
 )
 
-// TaskStatus is one task in an agent's heartbeat.
+// TaskStatus is the status of one task in an agent's heartbeat.
 type TaskStatus struct {
 	Task         string    `msgpack:"piece"`
 	Attempt      Count     `msgpack:"try"`
@@ -42,7 +42,7 @@
 	Checkpointed bool      `msgpack:"saved,omitempty"`
 }
 
-// Heartbeat is what an agent tells the controllers.
+// Heartbeat is the status that an agent sends to the controllers at regular intervals.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"address"`
@@ -56,7 +56,7 @@
 	Tasks             []TaskStatus `msgpack:"pieces"`
 }
 
-// DecodeHeartbeat decodes and checks an agent's heartbeat.
+// DecodeHeartbeat decodes and validates an agent's heartbeat. Every error wraps ErrMalformed.
 func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := Unmarshal(body, &heartbeat); err != nil {
@@ -79,33 +79,34 @@
 	return &heartbeat, nil
 }
 
-// TaskName is the name of a job's task on the wire.
+// TaskName returns the name of a job's task on the wire: the job's ID, a slash and the task's index.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName takes a task's name apart.
+// ParseTaskName splits the name of a task into its job's ID and its index. It returns false if the name is
+// invalid.
 func ParseTaskName(name string) (job string, index int, ok bool) {
-	job, num, found := strings.Cut(name, "/")
+	job, number, found := strings.Cut(name, "/")
 	if !found || !ValidJobID(job) {
 		return "", 0, false
 	}
-	index, err := strconv.Atoi(num)
+	index, err := strconv.Atoi(number)
 	if err != nil || index < 0 || index >= MaxTasks {
 		return "", 0, false
 	}
 	return job, index, true
 }
 
-// CommandKind is what a command asks of an agent.
+// CommandKind is the action that a command requests from an agent.
 type CommandKind string
 
-// The orders.
+// The kinds of command.
 const (
 	CommandStart  CommandKind = "start"
 	CommandStop   CommandKind = "halt"
 	CommandForget CommandKind = "forget"
 )
 
-// Command is one command to an agent.
+// Command requests that an agent starts, stops or forgets one attempt of a task.
 type Command struct {
 	Kind         CommandKind `msgpack:"verb"`
 	Task         string      `msgpack:"piece"`
@@ -113,14 +114,16 @@
 	GracePeriodS *float64    `msgpack:"leewayS,omitempty"`
 }
 
-// Commands answers a heartbeat, or goes to an agent directly with its session.
+// Commands is the response to a heartbeat. When commands are sent to an agent directly, it carries the agent's
+// epoch too.
 type Commands struct {
 	FencingToken Count     `msgpack:"baton"`
 	AgentEpoch   Count     `msgpack:"shift,omitempty"`
 	Items        []Command `msgpack:"orders"`
 }
 
-// NotLeader tells an agent which node leads.
+// NotLeader is the response to a heartbeat from a node that does not serve the machine. It names the node that
+// does, the leader or a shard owner, if it is known.
 type NotLeader struct {
 	LeaderHint string `msgpack:"foreman,omitempty"`
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,6 +1,6 @@
 package wire
 
-// MachineType is a type of machine that the cloud rents.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Name        string   `msgpack:"label"`
 	CPUs        float64  `msgpack:"vcpus"`
@@ -14,12 +14,12 @@
 	Zones       []string `msgpack:"yards"`
 }
 
-// Catalog lists the machine types.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types []MachineType `msgpack:"rigs"`
 }
 
-// InstanceRequest asks the cloud for machines.
+// InstanceRequest requests machines of one type from the cloud.
 type InstanceRequest struct {
 	RequestID string `msgpack:"hire" json:"hire"`
 	Type      string `msgpack:"rig" json:"rig"`
@@ -28,22 +28,22 @@
 	Count     int    `msgpack:"count" json:"count"`
 }
 
-// MachineNames lists machines, rented or to be returned.
+// MachineNames lists machines that were provisioned or are to be terminated.
 type MachineNames struct {
 	Machines []string `msgpack:"hosts"`
 }
 
-// MachineState is a machine's state in the cloud's list.
+// MachineState is the state of a machine in the cloud's machine list.
 type MachineState string
 
-// The states the cloud lists.
+// The states of a machine.
 const (
 	MachineBooting MachineState = "booting"
 	MachineRunning MachineState = "running"
 	MachineFailed  MachineState = "failed"
 )
 
-// ListedMachine is one row of the cloud's list.
+// ListedMachine is one machine in the cloud's machine list.
 type ListedMachine struct {
 	Name  string       `msgpack:"nameId"`
 	Addr  string       `msgpack:"address"`
@@ -54,7 +54,7 @@
 	AgeS  float64      `msgpack:"heldS"`
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is one page of the cloud's machine list.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"hosts"`
 	More     bool            `msgpack:"more"`
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,6 +1,5 @@
-// Package wire holds the public message types of notchmux, their codec and
-// their validation. Clients may import it. Field names on the wire are the
-// protocol's; the Go names are the field's usual terms.
+// Package wire defines the public message types of notchmux, their codec and their validation. Clients may import
+// it. The field names on the wire are given by the protocol; the Go names are the usual terms of cluster scheduling.
 package wire
 
 import (
@@ -13,17 +12,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxBody is the largest body that a request, or a response to an agent or
-// user, may have.
+// MaxBody is the largest size in bytes of the body of a request, or of a response to an agent or user.
 const MaxBody = 64 << 10
 
-// ErrMalformed is the error for a body that is no well-formed message.
+// ErrMalformed is returned for a body that is not a valid message.
 var ErrMalformed = errors.New("malformed body")
 
-// maxNesting bounds nesting, so that a hostile body cannot exhaust the stack.
+// maxNesting is the maximum nesting depth of a body, so that a hostile body cannot exhaust the stack.
 const maxNesting = 32
 
-// Marshal encodes a message.
+// Marshal encodes a message as MessagePack.
 func Marshal(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -35,7 +33,8 @@
 	return buf.Bytes(), nil
 }
 
-// MustMarshal encodes one of this package's own types, which cannot fail.
+// MustMarshal encodes a value whose encoding cannot fail, such as the types of this package. It panics if the
+// encoding fails.
 func MustMarshal(v any) []byte {
 	b, err := Marshal(v)
 	if err != nil {
@@ -44,14 +43,13 @@
 	return b
 }
 
-// Unmarshal decodes one message. The body must hold exactly one value: it is
-// walked first, so that lengths it only claims allocate nothing.
+// Unmarshal decodes a body that holds exactly one value. The structure of the body is checked first, so that
+// lengths which exceed the body do not cause allocations. Every error wraps ErrMalformed.
 func Unmarshal(body []byte, v any) (err error) {
 	if err := checkWellFormed(body); err != nil {
 		return err
 	}
-	// The decoder panics on some kinds of mismatch; a bad message must never
-	// take the process down.
+	// The decoder panics on some type mismatches; a malformed message must never crash the process.
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%w: %v", ErrMalformed, r)
@@ -63,7 +61,7 @@
 	return nil
 }
 
-// checkWellFormed checks that body is exactly one well-formed value of bounded depth.
+// checkWellFormed returns an error unless body is exactly one well-formed value, nested at most maxNesting deep.
 func checkWellFormed(body []byte) error {
 	rest, err := skipValue(body, maxNesting)
 	if err != nil {
@@ -75,7 +73,7 @@
 	return nil
 }
 
-// skipValue gives what follows the first value of b. The value may nest so deep.
+// skipValue returns the data after the first value. The value may be nested at most depth deep.
 func skipValue(data []byte, depth int) ([]byte, error) {
 	if len(data) == 0 || depth == 0 {
 		return nil, ErrMalformed
@@ -83,7 +81,7 @@
 	code, rest := data[0], data[1:]
 	switch {
 	case code <= 0x7f || code >= 0xe0 || code == 0xc0 || code == 0xc2 || code == 0xc3:
-		return rest, nil // a small number, nil, false or true
+		return rest, nil // small integer, nil, false or true
 	case code <= 0x8f:
 		return skipItems(rest, 2*int(code&0x0f), depth-1)
 	case code <= 0x9f:
@@ -104,18 +102,18 @@
 	return skipSized(code, rest, depth)
 }
 
-// skipSized skips a text, list or map whose size follows its code.
+// skipSized skips a string, array or map whose size follows its code.
 func skipSized(code byte, data []byte, depth int) ([]byte, error) {
 	var width int
 	switch code {
-	case 0xd9, 0xda, 0xdb: // texts
+	case 0xd9, 0xda, 0xdb: // strings
 		width = 1 << (code - 0xd9)
-	case 0xdc, 0xdd: // lists
+	case 0xdc, 0xdd: // arrays
 		width = 2 << (code - 0xdc)
 	case 0xde, 0xdf: // maps
 		width = 2 << (code - 0xde)
 	default:
-		return nil, ErrMalformed // binary and extension types are not ours
+		return nil, ErrMalformed // the protocol has no binary and extension types
 	}
 	if len(data) < width {
 		return nil, ErrMalformed
@@ -134,6 +132,7 @@
 	return skipItems(rest, 2*size, depth-1)
 }
 
+// skipBytes returns the data after the first n bytes.
 func skipBytes(data []byte, n int) ([]byte, error) {
 	if n < 0 || len(data) < n {
 		return nil, ErrMalformed
@@ -141,8 +140,8 @@
 	return data[n:], nil
 }
 
-// skipItems skips so many values. Each takes a byte at least: a count beyond that
-// is refused before any is looked at.
+// skipItems skips count values. Each takes at least one byte, so a count above the length of the data is rejected
+// before any value is read.
 func skipItems(data []byte, count, depth int) ([]byte, error) {
 	if count > len(data) {
 		return nil, ErrMalformed
@@ -156,7 +155,8 @@
 	return data, nil
 }
 
-// JSONSize is the size of a value in its JSON form, which size limits count.
+// JSONSize returns the size in bytes of a value encoded as JSON, to which size limits apply. It returns
+// math.MaxInt if the value cannot be encoded.
 func JSONSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -165,8 +165,8 @@
 	return len(b)
 }
 
-// Count is a whole number from 0 up to 2^64-1. A decimal number is taken where
-// it is exact.
+// Count is an integer from 0 to 2^64-1. It is also decoded from a floating-point number below 2^53 that has no
+// fraction.
 type Count uint64
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
@@ -186,6 +186,7 @@
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (c Count) EncodeMsgpack(e *msgpack.Encoder) error { return e.EncodeUint(uint64(c)) }
 
+// asCount converts a decoded number to a count. It returns false if value is not a non-negative integer.
 func asCount(value any) (uint64, bool) {
 	switch number := value.(type) {
 	case int8:
@@ -214,13 +215,14 @@
 	return 0, false
 }
 
-func asAmount(v any) (float64, bool) {
-	switch x := v.(type) {
+// asAmount converts a decoded number to an amount. It returns false if value is not a finite non-negative number.
+func asAmount(value any) (float64, bool) {
+	switch number := value.(type) {
 	case float32:
-		return asAmount(float64(x))
+		return asAmount(float64(number))
 	case float64:
-		return x, x >= 0 && !math.IsNaN(x) && !math.IsInf(x, 0)
+		return number, number >= 0 && !math.IsNaN(number) && !math.IsInf(number, 0)
 	}
-	n, ok := asCount(v)
-	return float64(n), ok
+	count, ok := asCount(value)
+	return float64(count), ok
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -11,15 +11,14 @@
 
 func pointer[T any](value T) *T { return &value }
 
-// message is one with the bytes that stand for it.
+// message is a value with its expected encoding in hexadecimal.
 type message struct {
 	name  string
 	value any
 	bytes string
 }
 
-// What the store, the cloud, agents and users exchange with the controllers is
-// fixed by the protocol.
+// The protocol fixes the encoding of all messages between the controllers and the store, the cloud, agents and users.
 func TestMessageEncodingsAreUnchanged(t *testing.T) {
 	for _, c := range slices.Concat(jobAndAgentMessages(), storeMessages(), cloudMessages()) {
 		if err := golden.Binary(c.value, c.bytes); err != nil {
@@ -28,7 +27,7 @@
 	}
 }
 
-// jobAndAgentMessages are the messages of users and agents.
+// jobAndAgentMessages returns the messages of users and agents.
 func jobAndAgentMessages() []message {
 	return []message{
 		{"job", job(), "de0017a66e616d654964a86a2d303030343132a86a6f62636c617373a5747261696ea66f7574666974a6766973696f6ea5" +
@@ -39,29 +38,29 @@
 			"0000000000a661776169747392a36a2d31a36a2d32a8617761697473496e06a26174cf00060a24181e4000"},
 		{"status", status(), "85a66e616d654964a86a2d303030343132a6737461747573a772756e6e696e67a4646f6e6503a772756e6e696e67" +
 			"02a661776169747391a36a2d31"},
-		{"task report", taskStatus(), "85a57069656365ac6a2d3030303431322f313330a374727902a6737461747573a5656e646564a563617" +
+		{"task status", taskStatus(), "85a57069656365ac6a2d3030303431322f313330a374727902a6737461747573a5656e646564a563617" +
 			"57365a56572726f72a57361766564c3"},
-		{"report", wire.Heartbeat{
+		{"heartbeat", wire.Heartbeat{
 			Machine: "i-000231", Addr: "10.0.0.7:9000", Type: "small", Zone: "east", Spot: true, AgentEpoch: 3, Sequence: 300,
 			FencingToken: 1 << 40, PreemptionNoticeS: pointer(29.5), Tasks: []wire.TaskStatus{taskStatus()},
 		}, "8aa4686f7374a8692d303030323331a761646472657373ad31302e302e302e373a39303030a3726967a5736d616c6ca479617264a46561" +
 			"7374a76c6f616e657273c3a5736869667403a574616c6c79cd012ca56261746f6ecf0000010000000000a7726563616c6c53cb403d800000" +
 			"000000a67069656365739185a57069656365ac6a2d3030303431322f313330a374727902a6737461747573a5656e646564a56361757365a5" +
 			"6572726f72a57361766564c3"},
-		{"orders", wire.Commands{FencingToken: 1 << 41, AgentEpoch: 4, Items: []wire.Command{{
+		{"commands", wire.Commands{FencingToken: 1 << 41, AgentEpoch: 4, Items: []wire.Command{{
 			Kind: wire.CommandStop,
 			Task: "j-000412/130", Attempt: 2, GracePeriodS: pointer(4.5),
 		}}}, "83a56261746f6ecf0000020000000000a5736869667404a" +
 			"66f72646572739184a476657262a468616c74a57069656365ac6a2d3030303431322f313330a374727902a76c656577617953cb401200000" +
 			"0000000"},
-		{"redirect", wire.NotLeader{LeaderHint: "10.0.0.1:8080"}, "81a7666f72656d616ead31302e302e302e313a38303830"},
+		{"not leader", wire.NotLeader{LeaderHint: "10.0.0.1:8080"}, "81a7666f72656d616ead31302e302e302e313a38303830"},
 	}
 }
 
-// storeMessages are the messages of the store.
+// storeMessages returns the messages of the store.
 func storeMessages() []message {
 	return []message{
-		{"condition", wire.Precondition{Key: "run/j-1/0", Version: 77}, "82a36b6579a972756e2f6a2d312f30a57374616d704d"},
+		{"precondition", wire.Precondition{Key: "run/j-1/0", Version: 77}, "82a36b6579a972756e2f6a2d312f30a57374616d704d"},
 		{
 			"change",
 			wire.Change{Put: "run/j-1/0", Value: "value", Lease: 70000, Delete: "run/j-1/1"},
@@ -73,7 +72,7 @@
 		}}}, "82a66775617264739182a36b6579a66c6561646572a57374616d704ea47468656e9184a370" +
 			"7574a161a176a162a674656e75726505a664656c657465a163"},
 		{
-			"result of a transaction",
+			"transaction result",
 			wire.TransactionResult{
 				Revision: 79, Failed: []string{"leader", "hire/r-1"},
 				Error: "no such lease",
@@ -86,8 +85,8 @@
 			wire.Page{Items: []wire.Item{item()}, More: true, Revision: 80},
 			"83a4726f77739184a36b6579a8686972652f722d31a176a176a57374616d7053a674656e75726554a46d6f7265c3a565706f636850",
 		},
-		{"request for a lease", wire.LeaseRequest{TTLMs: 10000}, "81a66c6966654d73cd2710"},
-		{"lease", wire.LeaseReply{Lease: 81}, "81a674656e75726551"},
+		{"lease request", wire.LeaseRequest{TTLMs: 10000}, "81a66c6966654d73cd2710"},
+		{"lease reply", wire.LeaseReply{Lease: 81}, "81a674656e75726551"},
 		{
 			"event", event(),
 			"84a3707574ac6a6f622f6a2d312f73706563a664656c657465ac6a6f622f6a2d322f73706563a176a177a57374616d7055",
@@ -97,10 +96,10 @@
 	}
 }
 
-// cloudMessages are the messages of the cloud.
+// cloudMessages returns the messages of the cloud.
 func cloudMessages() []message {
 	return []message{
-		{"catalogue", wire.Catalog{Types: []wire.MachineType{{
+		{"catalog", wire.Catalog{Types: []wire.MachineType{{
 			Name: "small", CPUs: 4, GPUs: 1, MemoryGB: 16, CacheGB: 40, FetchGBPerS: 0.5,
 			Price: 2.25, SpotPrice: 0.75, BootS: 45, Zones: []string{"east", "west"},
 		}}}, "81a472696773918aa56c6162656ca5736d616c6ca57663707573cb4010000000000000a467707573cb3ff0000000000000a572616d47" +
@@ -108,12 +107,12 @@
 			"02000000000000a973706f745072696365cb3fe8000000000000a87374617274757053cb4046800000000000a5796172647392a465617374" +
 			"a477657374"},
 		{
-			"rental",
+			"instance request",
 			wire.InstanceRequest{RequestID: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2},
 			"85a468697265a5722d372d31a3726967a5736d616c6ca479617264a465617374a76c6f616e657273c3a5636f756e7402",
 		},
-		{"names of machines", wire.MachineNames{Machines: []string{"i-1", "i-2"}}, "81a5686f73747392a3692d31a3692d32"},
-		{"list of machines", wire.MachineList{Machines: []wire.ListedMachine{{
+		{"machine names", wire.MachineNames{Machines: []string{"i-1", "i-2"}}, "81a5686f73747392a3692d31a3692d32"},
+		{"machine list", wire.MachineList{Machines: []wire.ListedMachine{{
 			Name: "i-1", Addr: "10.0.0.7:9000", Type: "small", Zone: "east",
 			Spot: true, State: wire.MachineBooting, AgeS: 12.5,
 		}}, More: true}, "82a5686f7374739187a66e616d654964a3692d31a761646472657373ad31302e302e302e373a39303030a3726967a573" +
@@ -122,7 +121,8 @@
 	}
 }
 
-// The command line prints a status; the store counts a job and an instance request in this form.
+// The command line prints job statuses as JSON, and size limits of the store apply to the JSON of jobs and instance
+// requests.
 func TestJSONEncodingsAreUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -135,7 +135,7 @@
 			`"awaits":["j-1","j-2"],"awaitsIn":6,"at":1700000000000000}`},
 		{"status", status(), `{"nameId":"j-000412","status":"running","done":3,"running":2,"awaits":["j-1"]}`},
 		{
-			"rental",
+			"instance request",
 			wire.InstanceRequest{RequestID: "r-7-1", Type: "small", Zone: "east", Spot: true, Count: 2},
 			`{"hire":"r-7-1","rig":"small","yard":"east","loaners":true,"count":2}`,
 		},
@@ -152,7 +152,7 @@
 		got  []string
 		want string
 	}{
-		{"kinds", []string{string(wire.JobArray), string(wire.Gang), string(wire.Service)}, "batch ensemble daemon"},
+		{"job kinds", []string{string(wire.JobArray), string(wire.Gang), string(wire.Service)}, "batch ensemble daemon"},
 		{
 			"priorities",
 			[]string{string(wire.Production), string(wire.High), string(wire.Normal), string(wire.Low)},
@@ -170,13 +170,13 @@
 			},
 			"pulling gathering running flushing ended",
 		},
-		{"causes", []string{
+		{"exit causes", []string{
 			string(wire.CauseDone), string(wire.CauseStopped), string(wire.CauseGangPeerLost), string(wire.CauseGangTimeout),
 			string(wire.CauseError),
 			string(wire.CauseNoResources), string(wire.CauseAlreadyRunning), string(wire.CauseJobUnknown),
 		}, "done stopped peers alone error full in_use no_such"},
 		{
-			"orders",
+			"command kinds",
 			[]string{string(wire.CommandStart), string(wire.CommandStop), string(wire.CommandForget)},
 			"start halt forget",
 		},
--- a/wire/job.go
+++ b/wire/job.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// JobKind is the shape of a job.
+// JobKind is the kind of a job.
 type JobKind string
 
 // The kinds of job.
@@ -15,7 +15,7 @@
 	Service  JobKind = "daemon"
 )
 
-// Priority is a job's rank for preemption.
+// Priority is the priority of a job for scheduling and preemption.
 type Priority string
 
 // The priorities, highest first.
@@ -26,7 +26,7 @@
 	Low        Priority = "idle"
 )
 
-// Level orders priorities: 0 is the highest.
+// Level returns the position of the priority in descending order, from 0 for the highest to 3 for the lowest.
 func (p Priority) Level() int {
 	switch p {
 	case Production:
@@ -39,7 +39,7 @@
 	return 3
 }
 
-// JobState is a job's state as users see it.
+// JobState is the state of a job that users see.
 type JobState string
 
 // The states of a job.
@@ -53,10 +53,10 @@
 // Final reports whether the state can no longer change.
 func (s JobState) Final() bool { return s == JobDone || s == JobAborted }
 
-// MaxTasks is the most tasks a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Job is a submission.
+// Job is a job as submitted by a user, and as stored.
 type Job struct {
 	ID                  string   `msgpack:"nameId" json:"nameId"`
 	Class               string   `msgpack:"jobclass" json:"jobclass"`
@@ -78,38 +78,39 @@
 	CheckpointIntervalS float64  `msgpack:"bookmarkS" json:"bookmarkS"`
 	CheckpointDurationS float64  `msgpack:"stashS" json:"stashS"`
 	DeadlineS           *float64 `msgpack:"dueS" json:"dueS"`
-	// Dependencies are the jobs to be done before any task starts.
+	// Dependencies holds the IDs of the jobs that must be done before any task starts.
 	Dependencies []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"`
-	// DependencyChunks is stored only: further keys that hold more of them.
+	// DependencyChunks is the number of further keys that hold more dependencies. It is only used in the store.
 	DependencyChunks int `msgpack:"awaitsIn,omitempty" json:"awaitsIn,omitempty"`
-	// SubmittedAt is stored only: wall clock, microseconds.
+	// SubmittedAt is the wall-clock time of the submission in microseconds since the Unix epoch. It is only used in
+	// the store.
 	SubmittedAt int64 `msgpack:"at,omitempty" json:"at,omitempty"`
 }
 
-// JobStatus answers a submission, a status query or a cancellation.
+// JobStatus is the response to a submission, a status query or a cancellation.
 type JobStatus struct {
 	ID           string   `msgpack:"nameId" json:"nameId"`
 	State        JobState `msgpack:"status" json:"status"`
 	Done         int      `msgpack:"done" json:"done"`
 	Running      int      `msgpack:"running" json:"running"`
-	Dependencies []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"` // some of the jobs that it still waits for
+	Dependencies []string `msgpack:"awaits,omitempty" json:"awaits,omitempty"` // some of those not done yet
 }
 
-// ValidJobID reports whether id has the form of a job's id.
+// ValidJobID reports whether id is a valid job ID: "j-" followed by 1 to 40 digits.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "j-")
 	if !ok || len(digits) == 0 || len(digits) > 40 {
 		return false
 	}
-	for _, r := range digits {
-		if r < '0' || r > '9' {
+	for _, digit := range digits {
+		if digit < '0' || digit > '9' {
 			return false
 		}
 	}
 	return true
 }
 
-// DecodeJob decodes and validates a submission. Every error means status 400.
+// DecodeJob decodes and validates a submission. Every error wraps ErrMalformed and results in HTTP status 400.
 func DecodeJob(body []byte) (*Job, error) {
 	if len(body) > MaxBody {
 		return nil, fmt.Errorf("%w: over %d bytes", ErrMalformed, MaxBody)
@@ -152,7 +153,7 @@
 	return job, nil
 }
 
-// checkIdentifiers fails the job's id, kind and priority if they are none.
+// checkIdentifiers marks the job's ID, kind and priority as invalid if they are.
 func (f *fieldReader) checkIdentifiers(job *Job) {
 	if !ValidJobID(job.ID) {
 		f.fail("nameId")
@@ -169,12 +170,13 @@
 	}
 }
 
-// fieldReader reads typed fields and remembers the first that is missing or wrong.
+// fieldReader reads typed fields of a submission and records the first one that is missing or invalid.
 type fieldReader struct {
 	values       map[string]any
-	firstInvalid string // the first of them; "": none
+	firstInvalid string // name of the first missing or invalid field; "": none
 }
 
+// fail records a field as missing or invalid.
 func (f *fieldReader) fail(name string) {
 	if f.firstInvalid == "" {
 		f.firstInvalid = name
@@ -182,54 +184,54 @@
 }
 
 func (f *fieldReader) text(name string) string {
-	s, ok := f.values[name].(string)
+	value, ok := f.values[name].(string)
 	if !ok {
 		f.fail(name)
 	}
-	return s
+	return value
 }
 
 func (f *fieldReader) amount(name string) float64 {
-	x, ok := asAmount(f.values[name])
+	value, ok := asAmount(f.values[name])
 	if !ok {
 		f.fail(name)
 	}
-	return x
+	return value
 }
 
 func (f *fieldReader) flag(name string) bool {
-	b, ok := f.values[name].(bool)
+	value, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name)
 	}
-	return b
+	return value
 }
 
 func (f *fieldReader) taskCount(name string) int {
-	n, ok := asCount(f.values[name])
-	if !ok || n < 1 || n > MaxTasks {
+	count, ok := asCount(f.values[name])
+	if !ok || count < 1 || count > MaxTasks {
 		f.fail(name)
 	}
-	return int(n)
+	return int(count)
 }
 
 func (f *fieldReader) optionalText(name string) *string {
 	if f.values[name] == nil {
 		return nil
 	}
-	s := f.text(name)
-	return &s
+	value := f.text(name)
+	return &value
 }
 
 func (f *fieldReader) optionalAmount(name string) *float64 {
 	if f.values[name] == nil {
 		return nil
 	}
-	x := f.amount(name)
-	return &x
+	value := f.amount(name)
+	return &value
 }
 
-// optionalList gives nil where the field is missing, or no list and so wrong.
+// optionalList returns nil if the field is missing or is not a list; the latter is recorded as invalid.
 func (f *fieldReader) optionalList(name string) []any {
 	value := f.values[name]
 	if value == nil {
@@ -258,7 +260,7 @@
 	return texts
 }
 
-// optionalJobIDs reads a list of jobs' ids, each of which counts once.
+// optionalJobIDs returns the job IDs in a list without duplicates.
 func (f *fieldReader) optionalJobIDs(name string) []string {
 	var ids []string
 	list := f.optionalList(name)
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,13 +2,14 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Precondition is a condition of a transaction: the key has this version (0: none).
+// Precondition requires that a key has this version for a transaction to be executed. Version 0 requires that the
+// key does not exist.
 type Precondition struct {
 	Key     string `msgpack:"key"`
 	Version Count  `msgpack:"stamp"`
 }
 
-// Change is a put or a delete of a transaction.
+// Change puts or deletes one key in a transaction.
 type Change struct {
 	Put    string `msgpack:"put,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
@@ -16,20 +17,20 @@
 	Delete string `msgpack:"delete,omitempty"`
 }
 
-// Transaction is an atomic transaction on the store.
+// Transaction is executed by the store atomically, if all preconditions hold.
 type Transaction struct {
 	If   []Precondition `msgpack:"guards"`
 	Then []Change       `msgpack:"then"`
 }
 
-// TransactionResult answers a transaction.
+// TransactionResult is the response to a transaction. Failed holds the keys whose preconditions did not hold.
 type TransactionResult struct {
 	Revision Count    `msgpack:"epoch"`
 	Failed   []string `msgpack:"failed"`
 	Error    string   `msgpack:"error"`
 }
 
-// Item is a key with its value and version.
+// Item is a stored key with its value, version and lease.
 type Item struct {
 	Key     string             `msgpack:"key"`
 	Value   msgpack.RawMessage `msgpack:"v"`
@@ -37,24 +38,24 @@
 	Lease   Count              `msgpack:"tenure"`
 }
 
-// Page is part of a range of keys.
+// Page is one page of the items in a range of keys.
 type Page struct {
 	Items    []Item `msgpack:"rows"`
 	More     bool   `msgpack:"more"`
 	Revision Count  `msgpack:"epoch"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest requests a lease from the store.
 type LeaseRequest struct {
 	TTLMs int64 `msgpack:"lifeMs"`
 }
 
-// LeaseReply grants one.
+// LeaseReply is the response to a LeaseRequest and holds the ID of the lease.
 type LeaseReply struct {
 	Lease Count `msgpack:"tenure"`
 }
 
-// Event is one change that a watch saw.
+// Event is one change of a key that a watch returns.
 type Event struct {
 	Put     string             `msgpack:"put"`
 	Delete  string             `msgpack:"delete"`
@@ -62,7 +63,7 @@
 	Version Count              `msgpack:"stamp"`
 }
 
-// Events answers a watch.
+// Events is the response to a watch: the changes up to a revision.
 type Events struct {
 	Revision Count   `msgpack:"epoch"`
 	Events   []Event `msgpack:"events"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -18,58 +18,58 @@
 }
 
 func TestDecodeJobAcceptsOrRejects(t *testing.T) {
-	without := func(k string) map[string]any { m := sampleJob(); delete(m, k); return m }
-	with := func(k string, v any) map[string]any { m := sampleJob(); m[k] = v; return m }
+	without := func(key string) map[string]any { fields := sampleJob(); delete(fields, key); return fields }
+	with := func(key string, value any) map[string]any { fields := sampleJob(); fields[key] = value; return fields }
 	for _, tc := range []struct {
-		name string
-		v    any
-		ok   bool
+		name  string
+		value any
+		valid bool
 	}{
-		{"as published", sampleJob(), true},
-		{"whole decimals for counts", with("pieces", 16.0), true},
-		{"null list left out", without("rigs"), true},
+		{"sample from the protocol", sampleJob(), true},
+		{"float without a fraction for a count", with("pieces", 16.0), true},
+		{"optional list omitted", without("rigs"), true},
 		{"unknown field", with("extra", []any{1, "x"}), true},
-		{"most tasks", with("pieces", 100_000), true},
-		{"no id", without("nameId"), false},
-		{"bad id", with("nameId", "x-1"), false},
-		{"id with a slash", with("nameId", "j-1/end"), false},
+		{"maximum number of tasks", with("pieces", 100_000), true},
+		{"missing ID", without("nameId"), false},
+		{"invalid ID", with("nameId", "x-1"), false},
+		{"ID with a slash", with("nameId", "j-1/end"), false},
 		{"no tasks", with("pieces", 0), false},
 		{"too many tasks", with("pieces", 100_001), false},
-		{"part of a task", with("pieces", 1.5), false},
+		{"fractional number of tasks", with("pieces", 1.5), false},
 		{"negative amount", with("vcpus", -1.0), false},
-		{"not a number", with("ramGb", math.NaN()), false},
-		{"infinite", with("guessS", math.Inf(1)), false},
-		{"text for an amount", with("gpus", "1"), false},
-		{"unknown shape", with("shape", "batches"), false},
-		{"unknown rank", with("rank", "top"), false},
+		{"NaN for an amount", with("ramGb", math.NaN()), false},
+		{"infinite amount", with("guessS", math.Inf(1)), false},
+		{"string for an amount", with("gpus", "1"), false},
+		{"unknown kind", with("shape", "batches"), false},
+		{"unknown priority", with("rank", "top"), false},
 		{"number for a flag", with("oneZone", 1), false},
 		{"list of numbers", with("rigs", []any{1}), false},
-		{"awaited jobs", with("awaits", []any{"j-1", "j-2", "j-1"}), true},
-		{"none awaited", with("awaits", []any{}), true},
-		{"null awaited", with("awaits", nil), true},
-		{"text for awaited jobs", with("awaits", "j-1"), false},
-		{"number among awaited jobs", with("awaits", []any{"j-1", 2}), false},
-		{"no id among awaited jobs", with("awaits", []any{"j-1/end"}), false},
+		{"duplicate dependencies", with("awaits", []any{"j-1", "j-2", "j-1"}), true},
+		{"empty dependencies", with("awaits", []any{}), true},
+		{"null dependencies", with("awaits", nil), true},
+		{"string for dependencies", with("awaits", "j-1"), false},
+		{"number among dependencies", with("awaits", []any{"j-1", 2}), false},
+		{"invalid ID among dependencies", with("awaits", []any{"j-1/end"}), false},
 		{"negative deadline", with("dueS", -1), false},
 		{"not a map", []any{1}, false},
 		{"null", nil, false},
 	} {
-		body, err := Marshal(tc.v)
+		body, err := Marshal(tc.value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		job, err := DecodeJob(body)
-		if (err == nil) != tc.ok {
+		if (err == nil) != tc.valid {
 			t.Errorf("%s: %v", tc.name, err)
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: error of another kind: %v", tc.name, err)
+			t.Errorf("%s: error does not wrap ErrMalformed: %v", tc.name, err)
 		}
-		if tc.name == "awaited jobs" && len(job.Dependencies) != 2 {
-			t.Errorf("%s: a repeat counts: %v", tc.name, job.Dependencies)
+		if tc.name == "duplicate dependencies" && len(job.Dependencies) != 2 {
+			t.Errorf("%s: duplicate dependencies are kept: %v", tc.name, job.Dependencies)
 		}
-		if tc.ok && (job.ID != "j-000412" || job.Kind != Gang || job.CPUs != 8) {
-			t.Errorf("%s: read as %+v", tc.name, job)
+		if tc.valid && (job.ID != "j-000412" || job.Kind != Gang || job.CPUs != 8) {
+			t.Errorf("%s: decoded as %+v", tc.name, job)
 		}
 	}
 }
@@ -77,22 +77,22 @@
 func TestHostileBodiesAreRejected(t *testing.T) {
 	for name, body := range map[string][]byte{
 		"empty":             {},
-		"huge list":         {0xdd, 0xff, 0xff, 0xff, 0xff},
+		"huge array":        {0xdd, 0xff, 0xff, 0xff, 0xff},
 		"huge map":          {0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'a'},
-		"huge text":         {0xdb, 0xff, 0xff, 0xff, 0xff, 'a'},
+		"huge string":       {0xdb, 0xff, 0xff, 0xff, 0xff, 'a'},
 		"deep nesting":      bytes.Repeat([]byte{0x91}, 60_000),
 		"binary":            {0xc4, 0x01, 0x00},
 		"trailing bytes":    append(MustMarshal(sampleJob()), 0xc0),
-		"over the limit":    []byte(strings.Repeat("x", MaxBody+1)),
-		"text in place":     MustMarshal("hello"),
-		"cut off halfway":   MustMarshal(sampleJob())[:40],
+		"above MaxBody":     []byte(strings.Repeat("x", MaxBody+1)),
+		"string body":       MustMarshal("hello"),
+		"truncated":         MustMarshal(sampleJob())[:40],
 		"number as map key": {0x81, 0x01, 0x02},
 	} {
 		if _, err := DecodeJob(body); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s: DecodeJob accepted it", name)
 		}
 		if _, err := DecodeHeartbeat(body); err == nil {
-			t.Errorf("%s was taken as a report", name)
+			t.Errorf("%s: DecodeHeartbeat accepted it", name)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	}
 	decoded, err := DecodeJob(MustMarshal(job))
 	if err != nil || decoded.Tasks != 16 || *decoded.DeadlineS != 900 || decoded.Types[0] != "g8" || decoded.Zone != nil {
-		t.Fatalf("%+v, %v", decoded, err)
+		t.Fatalf("decoded %+v, error %v", decoded, err)
 	}
 }
 
@@ -120,10 +120,10 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if job, err := DecodeJob(body); err == nil &&
 			(!ValidJobID(job.ID) || job.Tasks < 1 || job.Tasks > MaxTasks || !(job.CPUs >= 0)) {
-			t.Fatalf("took %+v", job)
+			t.Fatalf("accepted invalid job %+v", job)
 		}
 		if heartbeat, err := DecodeHeartbeat(body); err == nil && (heartbeat.Machine == "" || heartbeat.AgentEpoch == 0) {
-			t.Fatalf("took %+v", heartbeat)
+			t.Fatalf("accepted invalid heartbeat %+v", heartbeat)
 		}
 	})
 }
