--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks what a node is told: the platform's settings
-// file (TOML) and the operators' own properties (Java style).
+// Package config loads and checks the configuration of a node: the platform's settings file
+// (TOML), the operators' properties (Java style) and the files of optional features.
 package config
 
 import (
@@ -21,7 +21,7 @@
 	Addr string `toml:"addr"`
 }
 
-// Team is a team's guarantee and limit; a limit of 0 means none.
+// Team holds the guaranteed quota and the limits of a team; a limit of 0 means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -30,7 +30,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is what is expected for a class of jobs.
+// Objective is a service level objective for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -39,7 +39,7 @@
 	Times   float64 `toml:"times"`
 }
 
-// Platform is the settings file that the platform hands over.
+// Platform is the content of the platform's settings file.
 type Platform struct {
 	Node       string `toml:"node"`
 	Zone       string `toml:"area"`
@@ -68,8 +68,8 @@
 			WriteRPS float64 `toml:"write_rps"`
 			ValueKB  float64 `toml:"value_kb"`
 			TxnOps   int     `toml:"txn_ops"`
-			// Next holds the limits that the store will have at some later
-			// time, without notice; a field that is missing or 0 does not change.
+			// Next holds the limits that the store will enforce from some later
+			// time on, without notice. A limit that is missing or 0 does not change.
 			Next struct {
 				WriteRPS float64 `toml:"write_rps"`
 				ValueKB  float64 `toml:"value_kb"`
@@ -88,61 +88,63 @@
 	} `toml:"facts"`
 }
 
-// Config is everything a node runs by.
+// Config is the complete configuration of a node.
 type Config struct {
 	Platform
 	Properties
 	Features
 }
 
-// AgentLease is the agents' lease.
+// AgentLease returns the duration of an agent's lease.
 func (c *Config) AgentLease() micro.Time { return micro.FromSeconds(c.Facts.Workers.LeaseS) }
 
-// LeaseProxyDuration is how long the controllers of a zone that is cut off keep the leases
-// of its agents alive.
+// LeaseProxyDuration returns how long the controllers of an unreachable zone keep the leases of
+// its agents alive.
 func (c *Config) LeaseProxyDuration() micro.Time {
 	return micro.Time(c.LeaseProxyFactor * float64(c.AgentLease()))
 }
 
-// CancelTimeout is how long the tasks of a cancelled job may take to be gone.
+// CancelTimeout returns the time within which all tasks of a cancelled job must have ended.
 func (c *Config) CancelTimeout() micro.Time { return micro.FromSeconds(c.Facts.Workers.CancelS) }
 
-// LeaseExpiredAfter is after how long without a renewal an agent's lease has surely run
-// out, by the clock of whoever counts it.
+// LeaseExpiredAfter returns the time without a renewal after which an agent's lease has certainly
+// expired by the clock of whoever measures it: the lease plus 0.2 % and 1 s.
 func (c *Config) LeaseExpiredAfter() micro.Time {
 	return c.AgentLease() + c.AgentLease()/500 + micro.Second
 }
 
-// CancelSlack is what may pass between a look at the clock and the user being
-// told of a cancellation.
+// CancelSlack is the longest time between a reading of the clock and the confirmation of a
+// cancellation to the user.
 const CancelSlack = 3 * micro.Second
 
-// MaxCancelledTaskLife is how long a task may live on after its user was told that its job is
-// cancelled, if from then on the store answers nobody and no order
-// arrives: until its leadership lease lapses the leader may answer the agent's
-// reports, and the agent's lease runs from the last one answered.
+// MaxCancelledTaskLife returns how long a task may continue to run after the user received the
+// confirmation of the cancellation, if from then on the store is unavailable and no command reaches
+// the agent: the leader may respond to the agent's heartbeats until its leadership lease expires, and
+// the agent's lease runs from the last heartbeat that got a response.
 func (c *Config) MaxCancelledTaskLife() micro.Time {
 	return c.LeaderLease + c.LeaseExpiredAfter() + CancelSlack
 }
 
-// MustProveTermination reports whether leases alone do not end a cancelled job's tasks in
-// time: its user is then told only once they are proven gone.
+// MustProveTermination reports whether the expiry of leases alone does not end a cancelled job's
+// tasks within CancelTimeout. The cancellation is then confirmed to the user only once the tasks have
+// provably ended.
 func (c *Config) MustProveTermination() bool { return c.MaxCancelledTaskLife() > c.CancelTimeout() }
 
-// cancelRetryWindow is for how long users repeat a cancellation that is not confirmed.
+// cancelRetryWindow is how long users retry a cancellation that is not confirmed.
 const cancelRetryWindow = micro.Minute
 
-// checkCancelTimeout refuses settings by which cancellations cannot be kept to.
+// checkCancelTimeout rejects settings with which cancellations cannot be confirmed in time. The error
+// names the key to change and its bound.
 func (c *Config) checkCancelTimeout(path, propertiesPath string) error {
 	if !c.MustProveTermination() {
 		return nil
 	}
 	maxLeaderLease := c.CancelTimeout() - c.LeaseExpiredAfter() - CancelSlack
 	if maxLeaderLease >= Defaults().LeaderLease {
-		// It is the operators' own value that breaks the bound.
+		// The default lease satisfies the bound, so the operators' value violates it.
 		return fmt.Errorf(
 			"%s: key %q: must be at most %v: after a cancellation the leader's lease "+
-				"and then the workers' must be over within facts.workers.cancel_s",
+				"and then the agents' leases must expire within facts.workers.cancel_s",
 			propertiesPath,
 			"leader.lease.s",
 			maxLeaderLease.Seconds(),
@@ -150,8 +152,8 @@
 	}
 	if c.LeaseExpiredAfter()+CancelSlack > cancelRetryWindow {
 		return fmt.Errorf(
-			"%s: key %q: must be at least %v: the leader's lease and then the workers' must be over by then, "+
-				"and users repeat a withdrawal for too short a time to wait for that",
+			"%s: key %q: must be at least %v: the leader's lease and then the agents' leases must expire by then, "+
+				"and users do not retry a cancellation for long enough to wait for proof of termination",
 			path,
 			"facts.workers.cancel_s",
 			c.MaxCancelledTaskLife().Seconds(),
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// lowerLimit is the smaller of two limits, of which the second may not be given.
+// lowerLimit returns the smaller of two limits; next is ignored if it is not set (0).
 func lowerLimit[T int | float64](current, next T) T {
 	if next > 0 {
 		return min(current, next)
@@ -168,22 +170,24 @@
 	return current
 }
 
-// MaxValueBytes is the most that a value may take, as the store counts it:
-// now, and from its next limits on.
+// MaxValueBytes returns the largest size of a value in bytes, as the store counts it: current applies
+// now, safe satisfies the next limits too.
 func (c *Config) MaxValueBytes() (current, safe int) {
 	state := &c.Facts.State
 	return int(state.ValueKB * 1024), int(lowerLimit(state.ValueKB, state.Next.ValueKB) * 1024)
 }
 
-// MaxTxnOps is the most changes of a transaction, now and from the next limits on.
+// MaxTxnOps returns the largest number of changes in a transaction that both the current and the
+// next limits allow.
 func (c *Config) MaxTxnOps() int { return lowerLimit(c.Facts.State.TxnOps, c.Facts.State.Next.TxnOps) }
 
-// NextWriteRPS is the rate of changes from the next limits on.
+// NextWriteRPS returns the number of changes per second that both the current and the next limits
+// allow.
 func (c *Config) NextWriteRPS() float64 {
 	return lowerLimit(c.Facts.State.WriteRPS, c.Facts.State.Next.WriteRPS)
 }
 
-// Team finds a team by name.
+// Team returns the team of that name, or nil if there is none.
 func (c *Config) Team(name string) *Team {
 	for i := range c.Facts.Teams {
 		if c.Facts.Teams[i].Name == name {
@@ -193,7 +197,7 @@
 	return nil
 }
 
-// TeamNames lists the teams of the settings.
+// TeamNames returns the names of all teams in the settings.
 func (c *Config) TeamNames() []string {
 	names := make([]string, len(c.Facts.Teams))
 	for i := range c.Facts.Teams {
@@ -202,7 +206,7 @@
 	return names
 }
 
-// InOtherZone reports whether another node of the settings is in another zone than this one.
+// InOtherZone reports whether node is a peer in the settings whose zone differs from this node's.
 func (c *Config) InOtherZone(node string) bool {
 	for _, other := range c.Peers {
 		if other.Node == node {
@@ -212,8 +216,8 @@
 	return false
 }
 
-// Load reads and checks the platform's file and the properties. An empty
-// propertiesPath means defaults. Errors name file, key and reason in one line.
+// Load reads and checks the platform's settings and the properties. If propertiesPath is empty, all
+// properties have their defaults. Errors name the file, the key and the reason on one line.
 func Load(path, propertiesPath string) (*Config, error) {
 	cfg := &Config{}
 	raw, err := os.ReadFile(path)
@@ -233,47 +237,47 @@
 	return cfg, nil
 }
 
-// maxHeartbeatDelay is the most that a heartbeat may come late by the protocol, in report
-// intervals, and heartbeatTimeoutS how long an agent waits for an answer.
+// maxHeartbeatDelay is the longest time between two heartbeats that the protocol allows, in heartbeat
+// intervals. heartbeatTimeoutS is how long an agent waits for a response, in seconds.
 const (
 	maxHeartbeatDelay = 1.25
 	heartbeatTimeoutS = 4.25
 )
 
-// MaxHeartbeatInterval is the longest time between two heartbeats of a live agent.
+// MaxHeartbeatInterval returns the longest time between two heartbeats of a live agent.
 func (c *Config) MaxHeartbeatInterval() micro.Time {
 	return micro.FromSeconds(c.Facts.Workers.HeartbeatIntervalS * maxHeartbeatDelay)
 }
 
-// HeartbeatOverdueAfter is how long after its last heartbeat a machine's next one is overdue.
+// HeartbeatOverdueAfter returns the time after a machine's last heartbeat from which the next one is
+// overdue.
 func (c *Config) HeartbeatOverdueAfter() micro.Time {
 	return c.MaxHeartbeatInterval() + 250*micro.Millisecond
 }
 
-// RegistrationWindow is how long after a failover every live agent has surely tried all
-// nodes, those out of reach included.
+// RegistrationWindow returns the time after a failover by which every live agent has certainly tried
+// all nodes, including unreachable ones.
 func (c *Config) RegistrationWindow() micro.Time {
 	longestInterval := c.Facts.Workers.HeartbeatIntervalS * maxHeartbeatDelay
 	return micro.FromSeconds(longestInterval + float64(len(c.Peers)+1)*(heartbeatTimeoutS+1))
 }
 
-// DeriveDefaults fills in what follows from the platform's facts where no property says
-// otherwise.
+// DeriveDefaults sets properties that the operators left at 0 from the platform's facts.
 func (c *Config) DeriveDefaults() {
 	if c.SuspectAfter == 0 {
 		c.SuspectAfter = micro.FromSeconds(c.Facts.Workers.HeartbeatIntervalS*maxHeartbeatDelay + heartbeatTimeoutS)
 	}
 }
 
-// The leader writes nearly all there is to write, but answers questions from
-// memory: most reads are the others'.
+// Fractions of the store's limits that the leader uses. The leader does nearly all writes, but serves
+// queries from memory, so most reads come from the other nodes.
 const (
 	leaderReads  = 0.4
 	leaderWrites = 0.7
 )
 
-// LeaderShare is the part of the store's limits on requests and on writes that
-// the leader may use. With the shares of the others it makes the whole.
+// LeaderShare returns the fractions of the store's request and write limits that the leader may use.
+// Together with the fractions of all followers they add up to 1.
 func (c *Config) LeaderShare() (reads, writes float64) {
 	if len(c.Peers) == 0 {
 		return 1, 1
@@ -281,30 +285,32 @@
 	return leaderReads, leaderWrites
 }
 
-// FollowerShare is each other node's part.
+// FollowerShare returns the fractions of the store's request and write limits that each node other
+// than the leader may use.
 func (c *Config) FollowerShare() (reads, writes float64) {
 	n := float64(max(len(c.Peers), 1))
 	return (1 - leaderReads) / n, (1 - leaderWrites) / n
 }
 
-// EqualShare is each node's part while it is not known who leads.
+// EqualShare returns the fractions of the store's request and write limits that each node may use
+// while the leader is unknown.
 func (c *Config) EqualShare() (reads, writes float64) {
-	x := 1 / float64(len(c.Peers)+1)
-	return x, x
+	fraction := 1 / float64(len(c.Peers)+1)
+	return fraction, fraction
 }
 
 func parsePlatform(text string, p *Platform) error {
 	if _, err := toml.Decode(text, p); err != nil {
-		var perr toml.ParseError
-		if errors.As(err, &perr) {
-			return fmt.Errorf("key %q: %s", perr.LastKey, perr.Message)
+		var parseErr toml.ParseError
+		if errors.As(err, &parseErr) {
+			return fmt.Errorf("key %q: %s", parseErr.LastKey, parseErr.Message)
 		}
 		return err
 	}
 	return p.check()
 }
 
-// check finds the first key that is missing or out of range.
+// check returns an error for the first key that is missing or out of range.
 func (p *Platform) check() error {
 	if p.Node == "" {
 		return invalidKey("node", "is missing")
@@ -324,14 +330,14 @@
 const notAnAddress = "is not an address of the form host:port"
 
 func (p *Platform) checkAddresses() error {
-	for _, a := range []struct{ key, addr string }{
+	for _, setting := range []struct{ key, addr string }{
 		{"public_addr", p.PublicAddr},
 		{"peer_listen", p.PeerListen},
 		{"external.cloud", p.External.Cloud},
 		{"external.state", p.External.State},
 	} {
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return invalidKey(a.key, notAnAddress)
+		if _, _, err := net.SplitHostPort(setting.addr); err != nil {
+			return invalidKey(setting.key, notAnAddress)
 		}
 	}
 	return nil
@@ -341,7 +347,7 @@
 	names := map[string]bool{p.Node: true}
 	for _, peer := range p.Peers {
 		if peer.Node == "" || names[peer.Node] {
-			return invalidKey("known.node", "is missing or given twice")
+			return invalidKey("known.node", "is missing or duplicate")
 		}
 		names[peer.Node] = true
 		if _, _, err := net.SplitHostPort(peer.Addr); err != nil {
@@ -361,9 +367,9 @@
 func (p *Platform) checkAmounts() error {
 	facts := &p.Facts
 	for _, amount := range []struct {
-		key   string
-		value float64
-		zero  bool // may be zero
+		key       string
+		value     float64
+		allowZero bool
 	}{
 		{"facts.workers.report_s", facts.Workers.HeartbeatIntervalS, false},
 		{"facts.workers.lease_s", facts.Workers.LeaseS, false},
@@ -385,7 +391,7 @@
 		{"facts.clock_off_ms", facts.ClockOffMs, true},
 	} {
 		value := amount.value
-		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 || value == 0 && !amount.zero {
+		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 || value == 0 && !amount.allowZero {
 			return invalidKey(amount.key, "is missing or out of range")
 		}
 	}
@@ -396,12 +402,12 @@
 	seen := map[string]bool{}
 	for _, team := range p.Facts.Teams {
 		if team.Name == "" || seen[team.Name] {
-			return invalidKey("facts.teams.name", "is missing or given twice")
+			return invalidKey("facts.teams.name", "is missing or duplicate")
 		}
 		seen[team.Name] = true
-		for _, v := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
-			if math.IsNaN(v) || v < 0 {
-				return invalidKey("facts.teams", "amounts of "+team.Name+" are out of range")
+		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
+			if math.IsNaN(amount) || amount < 0 {
+				return invalidKey("facts.teams", "quota or limit of team "+team.Name+" is out of range")
 			}
 		}
 	}
@@ -409,8 +415,8 @@
 }
 
 func (p *Platform) checkObjectives() error {
-	for _, o := range p.Facts.Objectives {
-		if math.IsNaN(o.WithinS) || o.WithinS < 0 || o.Times < 0 {
+	for _, objective := range p.Facts.Objectives {
+		if math.IsNaN(objective.WithinS) || objective.WithinS < 0 || objective.Times < 0 {
 			return invalidKey("facts.objectives", "within_s or times is out of range")
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,13 +69,13 @@
 }
 
 func TestLoadReadsSettingsAndProperties(t *testing.T) {
-	c, err := loadConfig(t, settings, "# ours\nmachine.silent.s = 12\nscore.l1: 70\n")
+	c, err := loadConfig(t, settings, "# comment\nmachine.silent.s = 12\nscore.l1: 70\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.SuspectAfter != 12*micro.Second || c.ScoreL1 != 70 || c.ScoreL2 != 30 || c.Team("t").GPUsMax != 16 ||
 		c.Peers[0].Addr != "127.0.0.2:8081" {
-		t.Fatalf("%+v", c)
+		t.Fatalf("loaded %+v", c)
 	}
 }
 
@@ -87,23 +87,23 @@
 		{strings.Replace(settings, `cloud = "127.0.0.1:1"`, `cloud = "here"`, 1), "", `"external.cloud"`},
 		{settings, "machine.silent.s = soon\n", `"machine.silent.s"`},
 		{settings, "machine.silent.s = 1\n", `must be 0 or at least 3`},
-		{settings, "machine.loud.s = 1\n", `"machine.loud.s": is unknown`},
+		{settings, "machine.unknown.s = 1\n", `"machine.unknown.s": is unknown`},
 		{settings, "leader.renew.s = 3\n", `"leader.renew.s"`},
 		{settings, "score.l2 = 80\n", `"score.l2"`},
 	} {
 		_, err := loadConfig(t, tc.toml, tc.props)
 		if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("want %s in one line, got: %v", tc.want, err)
+			t.Errorf("got error %v, want one line with %s", err, tc.want)
 		}
 		if err != nil && !strings.Contains(err.Error(), ".toml") && !strings.Contains(err.Error(), ".properties") {
-			t.Errorf("no file is named: %v", err)
+			t.Errorf("error does not name the file: %v", err)
 		}
 	}
 }
 
-// An agent's lease runs out after 31.06 s at the latest, 3 s are slack.
+// With a lease of 30 s an agent's lease expires after 31.06 s at the latest; 3 s are slack.
 func TestSettingsThatExceedCancelTimeoutAreRejected(t *testing.T) {
-	workers := func(lease, cancel string) string {
+	withWorkers := func(lease, cancel string) string {
 		return strings.NewReplacer("lease_s = 30.0", "lease_s = "+lease, "cancel_s = 50.0", "cancel_s = "+cancel).Replace(
 			settings,
 		)
@@ -119,22 +119,23 @@
 		{"30.0", "50.0", "leader.lease.s = 16\n", false, `.properties: key "leader.lease.s": must be at most 15.94: `},
 		{"30.0", "50.0", "leader.lease.s = 60\n", false, `.properties: key "leader.lease.s": must be at most 15.94: `},
 		{"30.0", "100.0", "leader.lease.s = 60\n", false, ""},
-		// Too short for the leases, yet kept: users are told once tasks are proven gone.
+		// The cancel timeout is too short for the leases to expire, but can be met: cancellations are
+		// confirmed once the tasks have provably ended.
 		{"30.0", "37.5", "", true, ""},
 		{"30.0", "5.0", "leader.lease.s = 60\n", true, ""},
 		{"55.0", "20.0", "", true, ""},
-		// That proof may come after users have given up asking.
+		// The proof may come after users have stopped retrying.
 		{"60.0", "50.0", "", false, `.toml: key "facts.workers.cancel_s": must be at least 67.62: `},
 		{"60.0", "67.7", "", false, ""},
 	} {
-		cfg, err := loadConfig(t, workers(tc.lease, tc.cancel), tc.props)
+		cfg, err := loadConfig(t, withWorkers(tc.lease, tc.cancel), tc.props)
 		switch {
 		case tc.want == "" && err != nil:
 			t.Errorf("lease %s, cancel %s, %q: %v", tc.lease, tc.cancel, tc.props, err)
 		case tc.want == "" && cfg.MustProveTermination() != tc.prove:
-			t.Errorf("lease %s, cancel %s, %q: proofs first: %v", tc.lease, tc.cancel, tc.props, !tc.prove)
+			t.Errorf("lease %s, cancel %s, %q: MustProveTermination = %v", tc.lease, tc.cancel, tc.props, !tc.prove)
 		case tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("lease %s, cancel %s, %q: want %s, got: %v", tc.lease, tc.cancel, tc.props, tc.want, err)
+			t.Errorf("lease %s, cancel %s, %q: want error %s, got: %v", tc.lease, tc.cancel, tc.props, tc.want, err)
 		}
 	}
 }
@@ -146,7 +147,7 @@
 	}
 	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != current || cfg.MaxTxnOps() != 24 ||
 		cfg.NextWriteRPS() != 30 {
-		t.Errorf("without limits to come: %d, %d, %d, %v", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
+		t.Errorf("no next limits: %d, %d bytes, %d changes, %v writes/s", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
 	}
 	withNext := strings.Replace(
 		settings, "txn_ops = 24\n", "txn_ops = 24\n[facts.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 1,
@@ -156,10 +157,10 @@
 	}
 	if current, safe := cfg.MaxValueBytes(); current != 16<<10 || safe != 2<<10 || cfg.MaxTxnOps() != 8 ||
 		cfg.NextWriteRPS() != 21 {
-		t.Errorf("with them: %d, %d, %d, %v", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
+		t.Errorf("next limits: %d and %d bytes, %d changes, %v writes/s", current, safe, cfg.MaxTxnOps(), cfg.NextWriteRPS())
 	}
 	if _, err = loadConfig(t, strings.Replace(withNext, "value_kb = 2.0", "value_kb = -2.0", 1), ""); err == nil ||
 		!strings.Contains(err.Error(), "facts.state.next.value_kb") {
-		t.Errorf("negative: %v", err)
+		t.Errorf("negative next limit: error %v", err)
 	}
 }
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -14,38 +14,38 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// Features are the parts of the service that are off unless their file is given.
+// Features holds the settings of optional features. A feature is off unless its file is given.
 type Features struct {
 	Shards *Shards // nil: off
 }
 
-// Shards are the settings of shares of the machines.
+// Shards holds the settings of shards.
 type Shards struct {
 	Declared          []DeclaredShard
 	Policies          []MovePolicy
-	Dissolve          bool       // give all shares back to the leader, before the feature is switched off
-	MinMoveInterval   micro.Time // between two moves of a share by policies
-	MaxMachinesMoving int        // machines whose shares policies move at the same time
+	Dissolve          bool       // owners release all shards to the leader, before the feature is switched off
+	MinMoveInterval   micro.Time // least time between two moves of a shard by policies
+	MaxMachinesMoving int        // largest number of machines in shards that policies move at the same time
 }
 
-// DeclaredShard is a share that the leader forms if it does not exist.
+// DeclaredShard is a shard that the leader forms if it does not exist.
 type DeclaredShard struct {
 	Name     string
 	Selector shard.Selector
 	Teams    []string
-	Owner    string // its first owner; "": the controller with the fewest shares
+	Owner    string // node name of the first owner; "": the controller with the fewest shards
 }
 
-// Definitions are the declared shares as far as they decide which work has a place.
+// Definitions returns the name, selector and teams of each declared shard.
 func (s *Shards) Definitions() []shard.Definition {
-	parts := make([]shard.Definition, len(s.Declared))
+	definitions := make([]shard.Definition, len(s.Declared))
 	for i, declared := range s.Declared {
-		parts[i] = shard.Definition{Name: declared.Name, Selector: declared.Selector, Teams: declared.Teams}
+		definitions[i] = shard.Definition{Name: declared.Name, Selector: declared.Selector, Teams: declared.Teams}
 	}
-	return parts
+	return definitions
 }
 
-// MovePolicy moves a share to a controller while its condition holds.
+// MovePolicy moves a shard to a controller while its condition holds.
 type MovePolicy struct {
 	Name  string
 	Shard string
@@ -53,8 +53,8 @@
 	When  *policy.Condition
 }
 
-// LoadFeatures reads the files of the parts that are switched on. A file's name says
-// which part it is for.
+// LoadFeatures loads the settings files of the enabled features. The base name of a file without
+// ".properties" is the name of its feature. Errors name the file, the key and the reason on one line.
 func LoadFeatures(paths []string, node string, peers []Peer) (Features, error) {
 	var features Features
 	for _, path := range paths {
@@ -66,7 +66,7 @@
 			}
 			features.Shards = shards
 		default:
-			return features, fmt.Errorf("%s: there is no feature %q", path, name)
+			return features, fmt.Errorf("%s: unknown feature %q", path, name)
 		}
 	}
 	return features, nil
@@ -80,7 +80,7 @@
 	return names
 }
 
-// shareKeys are the settings that are not of one share or policy.
+// Keys of the settings that apply to all shards and policies.
 const (
 	keyDissolve          = "shares.dissolve"
 	keyMinMoveInterval   = "shares.move.least.s"
@@ -111,8 +111,8 @@
 	return parser.validate()
 }
 
-// shardParser reads the settings key by key. Each of its steps gives the reason for
-// which a key is refused, "" if it is taken.
+// shardParser parses the shard settings key by key. Its parse methods return the reason why a key is
+// rejected, or "" if it is accepted.
 type shardParser struct {
 	path     string
 	nodes    map[string]bool
@@ -132,7 +132,7 @@
 	case kind == "policy" && shard.ValidName(name):
 		return p.parsePolicy(name, field, value)
 	case kind == "share" || kind == "policy":
-		return "names are made of small letters, digits and hyphens, 40 at the most"
+		return "names consist of lower-case letters, digits and hyphens, at most 40 characters"
 	}
 	return "is unknown"
 }
@@ -189,7 +189,7 @@
 		}
 	case "owner":
 		if !p.nodes[value] {
-			return strconv.Quote(value) + " is no controller of the settings"
+			return strconv.Quote(value) + " is not a controller in the settings"
 		}
 		declared.Owner = value
 	default:
@@ -209,7 +209,7 @@
 		movePolicy.Shard = value
 	case "owner":
 		if !p.nodes[value] {
-			return strconv.Quote(value) + " is no controller of the settings"
+			return strconv.Quote(value) + " is not a controller in the settings"
 		}
 		movePolicy.Owner = value
 	case "when":
@@ -224,7 +224,7 @@
 	return ""
 }
 
-// validate checks what concerns several keys.
+// validate checks the constraints between keys and returns the complete settings.
 func (p *shardParser) validate() (*Shards, error) {
 	for _, name := range sortedNames(p.shards) {
 		declared := p.shards[name]
@@ -241,7 +241,7 @@
 	for _, name := range sortedNames(p.policies) {
 		movePolicy := p.policies[name]
 		if p.shards[movePolicy.Shard] == nil {
-			return nil, fmt.Errorf("%s: key %q: %q is no share of this file", p.path, "policy."+name+".share", movePolicy.Shard)
+			return nil, fmt.Errorf("%s: key %q: %q is no share in this file", p.path, "policy."+name+".share", movePolicy.Shard)
 		}
 		if movePolicy.Owner == "" {
 			return nil, fmt.Errorf("%s: key %q: is missing", p.path, "policy."+name+".owner")
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -40,29 +40,29 @@
 	shards := features.Shards
 	if len(shards.Declared) != 2 || shards.Declared[1].Name != "gpu" || shards.Declared[1].Owner != "n-1" ||
 		len(shards.Declared[1].Teams) != 2 {
-		t.Errorf("%+v", shards.Declared)
+		t.Errorf("declared shards %+v", shards.Declared)
 	}
 	if len(shards.Policies) != 2 || shards.Policies[0].Name != "1-morning" || shards.MinMoveInterval != 90*micro.Second ||
 		shards.MaxMachinesMoving != 100 ||
 		shards.Dissolve {
-		t.Errorf("%+v", shards)
+		t.Errorf("shard settings %+v", shards)
 	}
 }
 
-// Each mistake is one line with file, key and reason.
+// Each error is one line with the file, the key and the reason.
 func TestInvalidShardSettingsReportFileKeyAndReason(t *testing.T) {
 	for text, want := range map[string]string{
-		"shares.melt = 1":                                          `key "shares.melt": is unknown`,
+		"shares.unknown = 1":                                       `key "shares.unknown": is unknown`,
 		"share.gpu.colour = red":                                   `key "share.gpu.colour": is unknown`,
-		"share.GPU.type = g8":                                      "small letters",
+		"share.GPU.type = g8":                                      "lower-case letters",
 		"fleet.gpu = g8":                                           "is unknown",
 		"share.gpu.kind = spott":                                   "not spot or ordinary",
-		"share.gpu.owner = n-9":                                    "no controller of the settings",
+		"share.gpu.owner = n-9":                                    "not a controller in the settings",
 		"share.gpu.teams = a":                                      "selects all machines",
 		"shares.move.least.s = 0":                                  "not a number from 1",
 		"shares.move.machines = many":                              "not a whole number",
 		"shares.dissolve = perhaps":                                "not true or false",
-		"policy.p.owner = n-0":                                     "is no share of this file",
+		"policy.p.owner = n-0":                                     "is no share in this file",
 		"share.g.type=x\npolicy.p.share = g":                       `key "policy.p.owner": is missing`,
 		"policy.p.when = hour > ":                                  "line 1, column",
 		"policy.p.when = hours > 3":                                "unknown name hours",
@@ -73,25 +73,25 @@
 		_, err := loadFeatureText(t, text)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") ||
 			!strings.Contains(err.Error(), "shares.properties") {
-			t.Errorf("%q: %v, nothing said of %q", text, err, want)
+			t.Errorf("%q: got error %v, want one line with %q", text, err, want)
 		}
 	}
-	if _, err := LoadFeatures([]string{"/nowhere/melting.properties"}, "n-0", nil); err == nil ||
-		!strings.Contains(err.Error(), `no feature "melting"`) {
-		t.Errorf("%v", err)
+	if _, err := LoadFeatures([]string{"/nowhere/unknown.properties"}, "n-0", nil); err == nil ||
+		!strings.Contains(err.Error(), `unknown feature "unknown"`) {
+		t.Errorf("unknown feature: error %v", err)
 	}
 	if _, err := LoadFeatures([]string{"/nowhere/shares.properties"}, "n-0", nil); err == nil {
-		t.Error("a missing file is none")
+		t.Error("no error for a missing file")
 	}
 	if features, err := LoadFeatures(nil, "n-0", nil); err != nil || features.Shards != nil {
-		t.Errorf("%+v, %v without any file", features, err)
+		t.Errorf("without files: features %+v, error %v", features, err)
 	}
 }
 
-// The file that is deployed is sound, and declares no share.
+// The deployed settings file is valid and declares no shard.
 func TestDeployedShardsFileIsValid(t *testing.T) {
-	f, err := LoadFeatures([]string{filepath.Join("..", "..", "deploy", "shares.properties")}, "n-0", nil)
-	if err != nil || f.Shards == nil || len(f.Shards.Declared) > 0 || f.Shards.Dissolve {
-		t.Errorf("%+v, %v", f.Shards, err)
+	features, err := LoadFeatures([]string{filepath.Join("..", "..", "deploy", "shares.properties")}, "n-0", nil)
+	if err != nil || features.Shards == nil || len(features.Shards.Declared) > 0 || features.Shards.Dissolve {
+		t.Errorf("shard settings %+v, error %v", features.Shards, err)
 	}
 }
