--- a/internal/formatgate/gate.go
+++ b/internal/formatgate/gate.go
@@ -1,11 +1,11 @@
-// Package formatgate lets two versions of the service run side by side on each other's data.
-// Stored forms that the earlier version cannot read wait for a gate: each node of this
-// version announces itself in the store; once all nodes of the settings have, the leader
-// raises the format record, for good. A site that was never run by an earlier version passes
-// the same gate.
+// Package formatgate lets two versions of the service run side by side on the same stored data.
+// Formats that the previous release cannot read are not written until the format gate opens:
+// each node of this version announces itself in the store, and once all nodes in the settings
+// have done so, the leader raises the version in the format record permanently. A new cluster
+// passes the same gate.
 //
-// A Gate belongs to a node. Run owns the polling; all other methods may be called from any
-// goroutine.
+// Each node has one Gate. Run polls on the goroutine of its caller; all other methods may be
+// called from any goroutine.
 package formatgate
 
 import (
@@ -29,49 +29,50 @@
 	pollInterval = micro.Second
 	// checkTimeout bounds one check.
 	checkTimeout = 1500 * time.Millisecond
-	// maxNodes is how many nodes' announcements one read of the store returns.
+	// maxNodes is the largest number of announcements that one read of the store returns.
 	maxNodes = 1000
 )
 
-// NodeRecord is what a node announces. It is a fixed format.
+// NodeRecord is the stored announcement of a node. Its format must not change.
 type NodeRecord struct {
 	Version int `msgpack:"version" json:"version"`
 }
 
-// State is how far this node takes the site's move to the new forms to be.
+// State is this node's view of the cluster's transition to the new formats.
 type State int32
 
-// The states.
+// The states of a gate.
 const (
-	Unannounced State = iota // the store does not know of this node's version yet
-	Announced                // it does; not all nodes have announced, or the format is not raised
-	Open                     // the format is raised
+	Unannounced State = iota // this node's version is not recorded in the store yet
+	Announced                // it is recorded, but the format version is not raised yet
+	Open                     // the format version is raised
 )
 
 func (s State) String() string { return [...]string{"unannounced", "announced", "open"}[s] }
 
-// WriteLimitAnnouncer is a store client that can be told of a rate of changes that may come
-// into force without notice.
+// WriteLimitAnnouncer is a store client that prepares for a write limit, in changes per second, that
+// the store may start to enforce without notice.
 type WriteLimitAnnouncer interface{ AnnounceWriteLimit(writes float64) }
 
-// Node is the node that a gate belongs to.
+// Node is the node to which a gate belongs.
 type Node interface {
-	// AnnounceThroughPeers has another node record this node's version; false: none could.
+	// AnnounceThroughPeers asks the peers to record this node's version in the store. It reports
+	// whether one of them did.
 	AnnounceThroughPeers(ctx context.Context) bool
-	// Leads reports whether the node leads now.
+	// Leads reports whether the node is the leader.
 	Leads() bool
-	// RaiseFormat has the node's leader raise the format.
+	// RaiseFormat makes the node, which leads, raise the version in the format record.
 	RaiseFormat()
 }
 
-// Config is what a gate goes by.
+// Config configures a gate.
 type Config struct {
-	Name         string          // of the node
-	Peers        func() []string // the other nodes of the settings
-	NextWriteRPS float64         // the changes a second that the store may allow once the gate is open
+	Name         string          // name of this node
+	Peers        func() []string // returns the names of the other nodes in the settings
+	NextWriteRPS float64         // changes per second that the store may limit to once the gate is open
 }
 
-// Gate is one node's part in the move to the new forms.
+// Gate decides whether this node may write the new formats.
 type Gate struct {
 	cfg   Config
 	store store.Store
@@ -80,18 +81,19 @@
 	state atomic.Int32
 }
 
-// New makes a gate that is closed.
+// New returns a closed gate.
 func New(cfg Config, st store.Store, node Node, log *slog.Logger) *Gate {
 	return &Gate{cfg: cfg, store: st, node: node, log: log}
 }
 
-// State is the gate's state.
+// State returns the gate's state.
 func (g *Gate) State() State { return State(g.state.Load()) }
 
-// FormatOpen reports whether the new forms are in use.
+// FormatOpen reports whether the new formats may be written.
 func (g *Gate) FormatOpen() bool { return g.State() == Open }
 
-// MarkOpen notes that the format is raised.
+// MarkOpen opens the gate after the format version was raised, and announces the next write limit to the
+// store client.
 func (g *Gate) MarkOpen() {
 	g.transition(Open)
 	if announcer, ok := g.store.(WriteLimitAnnouncer); ok {
@@ -99,14 +101,14 @@
 	}
 }
 
-// transition is the one place where the gate's state changes.
+// transition sets and logs the state. All state changes go through it.
 func (g *Gate) transition(to State) {
 	if previous := State(g.state.Swap(int32(to))); previous != to {
-		g.log.Info("format gate", "from", previous.String(), "to", to.String())
+		g.log.Info("format gate state changed", "from", previous.String(), "to", to.String())
 	}
 }
 
-// Run announces this node, and polls until the gate is open or the context ends.
+// Run checks the gate each second until it is open or the context ends. It returns nil.
 func (g *Gate) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !g.FormatOpen() {
 		g.Check(ctx)
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// Check announces this node if that was not done yet, and looks whether the gate is open or
-// the leader may open it.
+// Check announces this node if it is not announced yet, and opens the gate if the format version is
+// raised. On the leader it raises the format version once all nodes have announced themselves.
 func (g *Gate) Check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -128,7 +130,7 @@
 	}
 	item, err := g.store.Get(ctx, store.Routine, keys.Format)
 	if err == nil && g.isFormatRaised(item) {
-		// The leader that raised it, and later ones, need not be told.
+		// The leader that raised the format, and later leaders, need no notification.
 		g.MarkOpen()
 		return
 	}
@@ -137,31 +139,34 @@
 	}
 }
 
+// raiseIfAllAnnounced raises the format version if all nodes in the settings have announced themselves.
 func (g *Gate) raiseIfAllAnnounced(ctx context.Context) {
 	if missing := g.unannounced(ctx); len(missing) > 0 {
-		g.log.Debug("format gate waits", "nodes", missing)
+		g.log.Debug("format gate waits for nodes to announce this version", "nodes", missing)
 		return
 	}
 	g.node.RaiseFormat()
 }
 
+// isFormatRaised reports whether a format record has this version or a later one.
 func (g *Gate) isFormatRaised(item wire.Item) bool {
 	var record persist.FormatRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		g.log.Debug("stored record not understood", "key", item.Key, "err", err)
+		g.log.Debug("decode stored record failed", "key", item.Key, "err", err)
 		return false
 	}
 	return record.Version >= persist.FormatVersion
 }
 
-// announce makes this node's version known, through a peer if the store is out of this
-// node's reach alone: one upgraded while it was isolated from the store once kept the gate
-// shut for a minute, and the limits fell meanwhile.
+// announce records this node's version in the store, through a peer if only this node cannot reach the
+// store: a node that was upgraded while isolated from the store once kept the gate closed for a minute,
+// and the store lowered its limits meanwhile.
 func (g *Gate) announce(ctx context.Context) bool {
 	return g.record(ctx, g.cfg.Name) || g.node.AnnounceThroughPeers(ctx)
 }
 
-// record writes that a node runs this version, unless the store says so already.
+// record records in the store that a node runs this version, unless it is recorded already. It reports
+// whether the record exists.
 func (g *Gate) record(ctx context.Context, node string) bool {
 	key := keys.Node(node)
 	item, err := g.store.Get(ctx, store.Routine, key)
@@ -178,17 +183,18 @@
 	return err == nil
 }
 
+// runsThisVersion reports whether a node record has this version or a later one.
 func (g *Gate) runsThisVersion(item wire.Item) bool {
 	var record NodeRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		g.log.Debug("stored record not understood", "key", item.Key, "err", err)
+		g.log.Debug("decode stored record failed", "key", item.Key, "err", err)
 		return false
 	}
 	return record.Version >= persist.FormatVersion
 }
 
-// HandleAnnounce records another node of the settings on its behalf; it gives the HTTP
-// status of the answer.
+// HandleAnnounce records another node in the settings on its behalf and returns the HTTP status of the
+// response: 400 for a malformed body, 404 for an unknown node, 503 if the store cannot be written.
 func (g *Gate) HandleAnnounce(ctx context.Context, body []byte) int {
 	var node string
 	if wire.Unmarshal(body, &node) != nil {
@@ -203,8 +209,8 @@
 	return http.StatusOK
 }
 
-// unannounced lists the nodes of the settings that have not announced this version; if the
-// store cannot be asked, all.
+// unannounced returns the nodes in the settings that have not announced this version, or all nodes if
+// the store cannot be read.
 func (g *Gate) unannounced(ctx context.Context) []string {
 	names := append([]string{g.cfg.Name}, g.cfg.Peers()...)
 	page, err := g.store.Range(ctx, store.Routine, keys.NodePrefix, "", maxNodes)
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,9 +1,8 @@
-// Package health watches over what a node reaches. A node that is cut off from the store and
-// its peers alone must not keep users whose questions others could answer; but in an outage of
-// the store, which refuses all nodes, none steps out.
+// Package health monitors whether a node reaches the store and its peers. A node that is partitioned
+// from both must report itself not ready, so that users connect to nodes that can serve them. In an
+// outage of the store, which refuses all nodes, every node stays ready.
 //
-// The Monitor owns the state, under a lock: any goroutine may call its methods. Run probes on
-// the goroutine of its caller.
+// The methods of a Monitor may be called from any goroutine. Run probes on the goroutine of its caller.
 package health
 
 import (
@@ -22,20 +21,21 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// State is whether a node can serve users.
+// State describes whether a node can serve users.
 type State uint8
 
-// The states.
+// The states of a node.
 const (
-	Healthy   State = iota // reaches the store, or a peer that may
-	Degraded               // reached neither when it last looked
-	Unhealthy              // has reached neither for a while: users are better served elsewhere
+	Healthy   State = iota // reaches the store, or a peer that may reach it
+	Degraded               // reached neither in the last probe
+	Unhealthy              // has reached neither in several probes; users should use other nodes
 )
 
 func (s State) String() string { return [...]string{"healthy", "degraded", "unhealthy"}[s] }
 
-// A node steps out after so many probes without success, a second apart, and
-// comes back after so many with: enough not to flap with a lossy network.
+// UnhealthyAfter is the number of consecutive failed probes, one second apart, after which a node is
+// unhealthy. HealthyAfter is the number of consecutive successful probes after which it is healthy again.
+// More than one each keeps the state from flapping on a lossy network.
 const (
 	UnhealthyAfter = 3
 	HealthyAfter   = 2
@@ -43,50 +43,50 @@
 
 const (
 	probeInterval     = micro.Second
-	maxStoreAnswerAge = 900 * micro.Millisecond // how old the store's last answer may be
+	maxResponseAge    = 900 * micro.Millisecond // age up to which the store's last response replaces a probe
 	storeProbeTimeout = 800 * micro.Millisecond
 	peerProbeTimeout  = 500 * micro.Millisecond
 )
 
-// ProbeResult is what one probe found.
+// ProbeResult is the result of one probe.
 type ProbeResult struct {
-	StoreReached bool // the store answered
-	StoreRefused bool // it answered with a refusal, as all nodes get in an outage
-	PeerReached  bool // a peer answered
+	StoreReached bool // the store responded
+	StoreRefused bool // the store refused the request, as it does to all nodes in an outage
+	PeerReached  bool // a peer responded
 }
 
-// Store is what a probe asks the state store.
+// Store is the part of the state store that a probe uses.
 type Store interface {
 	Get(ctx context.Context, class store.Class, key string) (wire.Item, error)
 }
 
-// ResponseTracker is a store client that knows when the store last answered.
+// ResponseTracker is a store client that records when the store last responded.
 type ResponseTracker interface{ LastResponse() micro.Time }
 
-// Config is what a monitor is built on.
+// Config holds the dependencies of a monitor.
 type Config struct {
-	Store Store        // one that is a ResponseTracker is asked less often
+	Store Store        // probed less often if it is a ResponseTracker
 	Peers peer.Caller  // calls the other nodes
-	Log   *slog.Logger // takes the changes of state
-	// PeerNames lists the other nodes.
+	Log   *slog.Logger // receives state changes
+	// PeerNames returns the names of the other nodes.
 	PeerNames func() []string
-	Now       func() micro.Time // the steady clock
+	Now       func() micro.Time // monotonic clock
 }
 
-// Monitor watches over what a node reaches.
+// Monitor tracks whether a node reaches the store and its peers.
 type Monitor struct {
 	cfg Config
 
 	mu               sync.Mutex
 	state            State
-	consecutive      int  // probes in a row that speak for a change
-	storeUnreachable bool // the last probe found no answer from the store
+	consecutive      int  // consecutive probes whose result contradicts the state
+	storeUnreachable bool // the store did not respond to the last probe, or refused it
 }
 
-// New makes the monitor of a node that is healthy until probes say otherwise.
+// New returns a monitor in state Healthy.
 func New(cfg Config) *Monitor { return &Monitor{cfg: cfg} }
 
-// Run probes until the context ends.
+// Run probes each second until the context ends. It returns nil.
 func (m *Monitor) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		m.Observe(m.Probe(ctx))
@@ -98,34 +98,34 @@
 	return nil
 }
 
-// State is what the probes so far say.
+// State returns the state after all probes so far.
 func (m *Monitor) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-// Ready reports whether the node can take requests.
+// Ready reports whether the node should receive requests.
 func (m *Monitor) Ready() bool { return m.State() != Unhealthy }
 
-// Isolated reports whether the store was out of reach at the last probe. What this node
-// then refuses, others may serve: its users do better with a new connection.
+// Isolated reports whether the last probe got no response from the store, or a refusal. Other nodes may
+// then be able to serve requests that this node rejects, so its users should reconnect.
 func (m *Monitor) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.storeUnreachable
 }
 
-// setState is the one place where the state changes.
+// setState sets and logs the state. All state changes go through it; the caller holds the lock.
 func (m *Monitor) setState(to State) {
 	if m.state == to {
 		return
 	}
-	m.cfg.Log.Info("health changed", "from", m.state.String(), "to", to.String())
+	m.cfg.Log.Info("health state changed", "from", m.state.String(), "to", to.String())
 	m.state, m.consecutive = to, 0
 }
 
-// Observe takes in what a probe found.
+// Observe updates the state with the result of a probe.
 func (m *Monitor) Observe(result ProbeResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,10 +152,10 @@
 	}
 }
 
-// Probe looks whether the store answers, and if it does not, whether a peer does.
+// Probe checks whether the store responds, and if it does not, whether a peer does.
 func (m *Monitor) Probe(ctx context.Context) ProbeResult {
 	if tracker, ok := m.cfg.Store.(ResponseTracker); ok {
-		if answeredAt := tracker.LastResponse(); answeredAt > 0 && m.cfg.Now()-answeredAt < maxStoreAnswerAge {
+		if respondedAt := tracker.LastResponse(); respondedAt > 0 && m.cfg.Now()-respondedAt < maxResponseAge {
 			return ProbeResult{StoreReached: true}
 		}
 	}
@@ -171,21 +171,21 @@
 	return ProbeResult{PeerReached: m.probePeers(ctx)}
 }
 
-// probePeers reports whether a peer answers; all are asked at the same time.
+// probePeers reports whether any peer responds. It pings all peers in parallel.
 func (m *Monitor) probePeers(ctx context.Context) bool {
 	names := m.cfg.PeerNames()
 	var group errgroup.Group
-	answers := make(chan bool, len(names))
+	results := make(chan bool, len(names))
 	for _, name := range names {
 		group.Go(func() error {
 			_, _, err := m.cfg.Peers.Call(ctx, name, peer.Ping, nil, peerProbeTimeout)
-			answers <- err == nil
+			results <- err == nil
 			return nil
 		})
 	}
 	_ = group.Wait() // no probe returns an error
-	close(answers)
-	for ok := range answers {
+	close(results)
+	for ok := range results {
 		if ok {
 			return true
 		}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -11,61 +11,61 @@
 	"notchmux.dev/notchmux/internal/peer"
 )
 
-func newMonitor(of Store) *Monitor {
+func newMonitor(store Store) *Monitor {
 	return New(Config{
-		Store: of, Peers: peer.NewClient(nil), PeerNames: func() []string { return nil }, Now: micro.Now,
+		Store: store, Peers: peer.NewClient(nil), PeerNames: func() []string { return nil }, Now: micro.Now,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 }
 
 func TestNodeIsUnhealthyOnlyIfPartitionedAloneAndDoesNotFlap(t *testing.T) {
-	silent, refused, stored, peered := ProbeResult{}, ProbeResult{StoreRefused: true}, ProbeResult{
+	failed, refused, reached, peerOnly := ProbeResult{}, ProbeResult{StoreRefused: true}, ProbeResult{
 		StoreReached: true,
 	}, ProbeResult{PeerReached: true}
 	for _, test := range []struct {
-		name  string
-		looks []ProbeResult
-		want  State
+		name   string
+		probes []ProbeResult
+		want   State
 	}{
-		{"reaches the store", []ProbeResult{stored, stored}, Healthy},
-		{"one look failed", []ProbeResult{stored, silent}, Degraded},
-		{"a lossy network", []ProbeResult{silent, stored, silent, stored, silent, stored}, Healthy},
-		{"reaches neither store nor peers", []ProbeResult{silent, silent, silent}, Unhealthy},
+		{"reaches the store", []ProbeResult{reached, reached}, Healthy},
+		{"one probe failed", []ProbeResult{reached, failed}, Degraded},
+		{"lossy network", []ProbeResult{failed, reached, failed, reached, failed, reached}, Healthy},
+		{"reaches neither the store nor peers", []ProbeResult{failed, failed, failed}, Unhealthy},
 		{"the store refuses all, peers refuse connections", []ProbeResult{refused, refused, refused, refused}, Healthy},
-		{"only peers", []ProbeResult{peered, peered, peered, peered}, Healthy},
-		{"one good look is too few to come back", []ProbeResult{silent, silent, silent, stored, silent}, Unhealthy},
-		{"back", []ProbeResult{silent, silent, silent, stored, stored}, Healthy},
+		{"reaches only peers", []ProbeResult{peerOnly, peerOnly, peerOnly, peerOnly}, Healthy},
+		{"one successful probe is too few to recover", []ProbeResult{failed, failed, failed, reached, failed}, Unhealthy},
+		{"two successful probes restore health", []ProbeResult{failed, failed, failed, reached, reached}, Healthy},
 	} {
 		monitor := newMonitor(fake.NewStore())
-		for _, result := range test.looks {
+		for _, result := range test.probes {
 			monitor.Observe(result)
 		}
 		if got := monitor.State(); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: state %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// The same as package controller's test of a whole node, of the monitor alone.
+// Covers the monitor alone; package controller tests the same condition on a complete node.
 func TestMonitorIsNotReadyWithoutStoreAndPeers(t *testing.T) {
 	fakeStore := fake.NewStore()
 	monitor := newMonitor(fakeStore)
 	monitor.Observe(monitor.Probe(context.Background()))
 	if !monitor.Ready() || monitor.Isolated() {
-		t.Fatal("it reaches the store")
+		t.Fatal("not ready or isolated although the store is reachable")
 	}
 	fakeStore.SetPartitioned(true)
 	for range UnhealthyAfter {
 		monitor.Observe(monitor.Probe(context.Background()))
 	}
 	if monitor.Ready() || !monitor.Isolated() {
-		t.Fatal("still ready")
+		t.Fatal("ready or not isolated although neither the store nor a peer is reachable")
 	}
 	fakeStore.SetPartitioned(false)
 	for range HealthyAfter {
 		monitor.Observe(monitor.Probe(context.Background()))
 	}
 	if !monitor.Ready() {
-		t.Fatal("not back")
+		t.Fatal("not ready after the partition ended")
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics keeps latency histograms for operators.
+// Package metrics keeps latency histograms, counters and gauges for operators.
 package metrics
 
 import (
@@ -14,7 +14,7 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Set is a set of named histograms, counters and gauges.
+// Set is a set of named histograms, counters and gauges. Its methods may be called from any goroutine.
 type Set struct {
 	mu         sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
@@ -22,14 +22,14 @@
 	gauges     map[string]int64
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
 	return &Set{
 		histograms: map[string]*hdrhistogram.Histogram{}, counters: map[string]int64{}, gauges: map[string]int64{},
 	}
 }
 
-// Observe takes in a latency.
+// Observe records a latency in a histogram. Latencies are clamped to the range from 1 µs to 2 minutes.
 func (s *Set) Observe(name string, latency micro.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,28 +41,28 @@
 	_ = histogram.RecordValue(min(max(int64(latency), 1), int64(2*micro.Minute)))
 }
 
-// Count adds to a counter.
+// Count increments a counter by 1.
 func (s *Set) Count(name string) {
 	s.mu.Lock()
 	s.counters[name]++
 	s.mu.Unlock()
 }
 
-// SetGauge notes the value that a quantity has now.
+// SetGauge sets the current value of a gauge.
 func (s *Set) SetGauge(name string, value int64) {
 	s.mu.Lock()
 	s.gauges[name] = value
 	s.mu.Unlock()
 }
 
-// RemoveGauge takes out a quantity that this node no longer knows.
+// RemoveGauge removes a gauge whose value this node no longer knows.
 func (s *Set) RemoveGauge(name string) {
 	s.mu.Lock()
 	delete(s.gauges, name)
 	s.mu.Unlock()
 }
 
-// Write prints all, a line each.
+// Write writes one line for each histogram, then for each counter and each gauge, sorted by name.
 func (s *Set) Write(w io.Writer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	writeValues(w, s.gauges)
 }
 
-// writeValues prints counters or gauges, in the order of their names.
+// writeValues writes one line for each counter or gauge, sorted by name.
 func writeValues(w io.Writer, values map[string]int64) {
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		_, _ = fmt.Fprintf(w, "%s %d\n", name, values[name])
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy evaluates the operators' conditions: expressions over the time of day
-// and over what waits and what is free. They are checked when the settings are loaded.
+// Package policy compiles and evaluates the conditions of operators' policies: boolean expressions over the
+// time, pending tasks and free machines. Conditions are compiled when the settings are loaded.
 package policy
 
 import (
@@ -13,39 +13,38 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// The bounds on an expression: on its size, and on what evaluating it may allocate.
+// Limits on the size of an expression, in syntax nodes, and on the memory that its evaluation may allocate.
 const (
 	maxNodes     = 200
 	memoryBudget = 10_000
 )
 
-// Facts are what a condition may ask about. The fields' tags are the names in
-// expressions.
+// Facts holds the inputs of a condition. The field tags are the names used in expressions.
 type Facts struct {
-	Hour    int    `expr:"hour"`    // of the day, UTC
-	Minute  int    `expr:"minute"`  // of the hour
+	Hour    int    `expr:"hour"`    // hour of the day, UTC
+	Minute  int    `expr:"minute"`  // minute of the hour
 	Weekday string `expr:"weekday"` // "monday" to "sunday"
 
-	Waiting    map[string]int `expr:"waiting"`    // tasks that wait for an allocation, by team
-	Guaranteed map[string]int `expr:"guaranteed"` // of those, the ones within the team's guarantee
-	Free       map[string]int `expr:"free"`       // machines without any task, by share
-	Machines   map[string]int `expr:"machines"`   // machines that are up, by share
+	Waiting    map[string]int `expr:"waiting"`    // tasks waiting for an allocation, by team
+	Guaranteed map[string]int `expr:"guaranteed"` // waiting tasks within the team's guaranteed quota, by team
+	Free       map[string]int `expr:"free"`       // machines without tasks, by shard
+	Machines   map[string]int `expr:"machines"`   // machines that are up, by shard
 }
 
-// SetTime fills in the time of day.
+// SetTime sets Hour, Minute and Weekday to the UTC time t.
 func (f *Facts) SetTime(t time.Time) {
 	t = t.UTC()
 	f.Hour, f.Minute = t.Hour(), t.Minute()
 	f.Weekday = strings.ToLower(t.Weekday().String())
 }
 
-// Condition is an expression that was found sound.
+// Condition is a compiled boolean expression.
 type Condition struct {
 	text    string
 	program *vm.Program
 }
 
-// Compile checks an expression. The error tells what is wrong and where.
+// Compile compiles an expression. A compile error is one line with the position and the reason.
 func Compile(text string) (*Condition, error) {
 	program, err := expr.Compile(text, expr.Env(Facts{}), expr.AsBool(), expr.MaxNodes(maxNodes))
 	if err != nil {
@@ -54,7 +53,7 @@
 	return &Condition{text: text, program: program}, nil
 }
 
-// singleLineError puts an error of the compiler into one line.
+// singleLineError returns an error of package expr as one line, with its position if it has one.
 func singleLineError(err error) error {
 	var located *file.Error
 	if errors.As(err, &located) {
@@ -63,7 +62,8 @@
 	return fmt.Errorf("%s", strings.ReplaceAll(err.Error(), "\n", " "))
 }
 
-// Holds evaluates the condition.
+// Holds reports whether the condition is true for f. It returns an error if the evaluation fails or exceeds
+// its memory budget.
 func (c *Condition) Holds(f Facts) (bool, error) {
 	machine := vm.VM{MemoryBudget: memoryBudget}
 	out, err := machine.Run(c.program, f)
@@ -72,10 +72,10 @@
 	}
 	holds, ok := out.(bool)
 	if !ok {
-		return false, fmt.Errorf("%q gave no truth value", c.text)
+		return false, fmt.Errorf("%q did not evaluate to a boolean", c.text)
 	}
 	return holds, nil
 }
 
-// String is the expression as it was written.
+// String returns the source text of the expression.
 func (c *Condition) String() string { return c.text }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -18,27 +18,27 @@
 		`free["gpu"] >= 2 and guaranteed["a"] == 0`:      true,
 		`sum(map([1, 2, 3], # * 2)) == 12 or hour > 100`: true,
 	} {
-		c, err := Compile(text)
+		condition, err := Compile(text)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: compile: %v", text, err)
 			continue
 		}
-		if got, err := c.Holds(facts); err != nil || got != want {
-			t.Errorf("%s: %v, %v", text, got, err)
+		if got, err := condition.Holds(facts); err != nil || got != want {
+			t.Errorf("%s: got %v, error %v, want %v", text, got, err, want)
 		}
 	}
 }
 
-// However an expression is written, what it may cost is bounded.
+// The size of an expression and the memory for its evaluation are bounded.
 func TestConditionCostIsBounded(t *testing.T) {
 	if _, err := Compile(strings.Repeat("hour > 1 or ", 200) + "false"); err == nil {
-		t.Error("an expression of hundreds of terms is taken")
+		t.Error("an expression of 200 terms was accepted")
 	}
-	c, err := Compile(`len(map(1..1000000, #)) > 0`)
+	condition, err := Compile(`len(map(1..1000000, #)) > 0`)
 	if err != nil {
-		return // refused at once: as good
+		return // rejecting it at compile time is sufficient
 	}
-	if _, err := c.Holds(Facts{}); err == nil {
-		t.Error("a million numbers were made for one condition")
+	if _, err := condition.Holds(Facts{}); err == nil {
+		t.Error("an expression that allocates a million numbers was evaluated")
 	}
 }
