--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -70,7 +70,7 @@
 	},
 	{
 		"scale.price.ratio", 3.3, 1, 1000,
-		"highest price of capacity for work below the highest priority, over the cheapest on-demand price",
+		"highest price of capacity provisioned for work below the top priority, over the cheapest on-demand price",
 		func(p *Properties, v float64) { p.MaxPriceRatio = v },
 	},
 	{
