--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -76,10 +76,10 @@
 			dev.store.SetLimits(
 				fake.Limits{ValueBytes: int(flags.ValueKB * 1024), TxnOps: flags.TxnOps, WriteRPS: flags.WriteRPS},
 			)
-			fmt.Println("state service limits lowered")
+			fmt.Println("the state service has lowered its limits")
 		})
 	}
-	fmt.Println("state service listening on", flags.State, "and cloud on", flags.Cloud)
+	fmt.Println("state service on", flags.State, "and cloud on", flags.Cloud)
 	return group.Wait()
 }
 
