--- a/cmd/notchmux/golden_test.go
+++ b/cmd/notchmux/golden_test.go
@@ -14,8 +14,8 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// printed is a share as a controller tells of it.
-func printed() *shard.CommandReply {
+// sampleReply returns a controller's reply with one shard in which every printed field is set.
+func sampleReply() *shard.CommandReply {
 	return &shard.CommandReply{Shards: []shard.Status{
 		{
 			Name:             "gpus",
@@ -44,8 +44,8 @@
 	}}
 }
 
-// Scripts of operators read it.
-func TestSharesArePrintedAsTheyWere(t *testing.T) {
+// Operators' scripts parse this output.
+func TestShardOutputFormatIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		json bool
@@ -93,13 +93,13 @@
 `},
 	} {
 		var out bytes.Buffer
-		if err := (&shardCmd{JSON: c.json}).print(printed(), &out); err != nil || out.String() != c.want {
+		if err := (&shardCmd{JSON: c.json}).print(sampleReply(), &out); err != nil || out.String() != c.want {
 			t.Errorf("%s: printed\n%s\nwant\n%s\n%v", c.name, out.String(), c.want, err)
 		}
 	}
 }
 
-func TestJobIsPrintedAsItWas(t *testing.T) {
+func TestJobOutputFormatIsUnchanged(t *testing.T) {
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -114,23 +114,23 @@
 			c.SetBodyString("\x85\xa6nameId\xa3j-1\xa6status\xa7running\xa4done\x03\xa7running\x02\xa6awaits\x91\xa3j-0")
 		})
 	}()
-	got := standardOutput(t, func() error { return (&statusCmd{ID: "j-1"}).Run(nil, &jobCmd{Addr: ln.Addr().String()}) })
+	got := captureStdout(t, func() error { return (&statusCmd{ID: "j-1"}).Run(nil, &jobCmd{Addr: ln.Addr().String()}) })
 	if want := `{"nameId":"j-1","status":"running","done":3,"running":2,"awaits":["j-0"]}` + "\n"; got != want {
 		t.Errorf("printed %s, want %s", got, want)
 	}
 }
 
-// standardOutput is what a function prints to the standard output.
-func standardOutput(t *testing.T, f func() error) string {
+// captureStdout returns what f prints to standard output.
+func captureStdout(t *testing.T, f func() error) string {
 	t.Helper()
 	in, out, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := os.Stdout
+	original := os.Stdout
 	os.Stdout = out
 	err = f()
-	os.Stdout = was
+	os.Stdout = original
 	_ = out.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -142,8 +142,8 @@
 	return string(text)
 }
 
-// The command line takes its words from the names of fields: a renamed field renames a
-// flag.
+// Flags and commands are derived from field names, so renaming a field without an explicit name would rename a flag
+// or command.
 func TestCommandsAndFlagsKeepTheirNames(t *testing.T) {
 	for _, name := range []string{"NOTCHMUX_ADDR", "NOTCHMUX_PEER", "NOTCHMUX_PROPERTIES"} {
 		t.Setenv(name, "")
@@ -154,8 +154,8 @@
 	for _, c := range []struct {
 		name string
 		args []string
-		set  map[string]string // in the environment
-		want string            // the command, and what it was told
+		set  map[string]string // environment variables
+		want string            // the command and the values of its flags and arguments
 	}{
 		{
 			"serve",
@@ -163,7 +163,7 @@
 			nil, "serve {a b [c d]}",
 		},
 		{
-			"serve, properties by the environment",
+			"serve, properties from the environment",
 			[]string{"serve", "--config", "a"},
 			map[string]string{"NOTCHMUX_PROPERTIES": "e"},
 			"serve {a e []}",
@@ -173,7 +173,7 @@
 		{"submit", []string{"job", "--addr", "h:1", "submit", "f.json"}, nil, "job submit <file> h:1 f.json"},
 		{"show, default address", []string{"job", "show", "j-1"}, nil, "job show <id> 127.0.0.1:8080 j-1"},
 		{
-			"show, address by the environment",
+			"show, address from the environment",
 			[]string{"job", "show", "j-1"},
 			map[string]string{"NOTCHMUX_ADDR": "h:3"},
 			"job show <id> h:3 j-1",
@@ -181,7 +181,7 @@
 		{"withdraw", []string{"job", "--addr", "h:1", "withdraw", "j-2"}, nil, "job withdraw <id> h:1 j-2"},
 		{"list, default peer", []string{"share", "list"}, nil, "share list 127.0.0.1:8081 false"},
 		{
-			"list, peer by the environment",
+			"list, peer from the environment",
 			[]string{"share", "list"},
 			map[string]string{"NOTCHMUX_PEER": "h:4"},
 			"share list h:4 false",
@@ -199,27 +199,27 @@
 			for name, value := range c.set {
 				t.Setenv(name, value)
 			}
-			if got := parsed(t, c.args); got != c.want {
-				t.Errorf("understood as %s, want %s", got, c.want)
+			if got := parseCommand(t, c.args); got != c.want {
+				t.Errorf("parsed as %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// parsed is the command that arguments stand for, with what it was told.
-func parsed(t *testing.T, args []string) string {
+// parseCommand parses command line arguments and returns the command with the values of its flags and arguments.
+func parseCommand(t *testing.T, args []string) string {
 	t.Helper()
 	var c cli
 	parser, err := kong.New(&c, kong.Name("notchmux"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	found, err := parser.Parse(args)
+	result, err := parser.Parse(args)
 	if err != nil {
 		t.Fatal(err)
 	}
-	command := found.Command()
-	told := map[string]string{
+	command := result.Command()
+	values := map[string]string{
 		"serve": fmt.Sprint(c.Serve.settings), "check": fmt.Sprint(c.Check.settings),
 		"job submit <file>": c.Job.Addr + " " + c.Job.Submit.File, "job show <id>": c.Job.Addr + " " + c.Job.Show.ID,
 		"job withdraw <id>":      c.Job.Addr + " " + c.Job.Withdraw.ID,
@@ -228,8 +228,8 @@
 		"share move <name> <to>": fmt.Sprint(c.Share.Peer, " ", c.Share.JSON, " ", c.Share.Move.Name, " ", c.Share.Move.To),
 		"share cancel <name>":    fmt.Sprint(c.Share.Peer, " ", c.Share.JSON, " ", c.Share.Cancel.Name),
 	}[command]
-	if told == "" {
+	if values == "" {
 		return command
 	}
-	return command + " " + told
+	return command + " " + values
 }
