--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -42,7 +42,7 @@
 	for _, name := range namedTest.FindAllString(text, -1) {
 		prefix, open := strings.CutSuffix(strings.TrimSuffix(name, "*"), "…")
 		open = open || strings.HasSuffix(name, "*")
-		if !declared[prefix] && (!open || !anyBegins(declared, prefix)) {
+		if !declared[prefix] && (!open || !anyHasPrefix(declared, prefix)) {
 			missing = append(missing, name)
 		}
 	}
@@ -54,7 +54,7 @@
 	return missing
 }
 
-func anyBegins(declared map[string]bool, prefix string) bool {
+func anyHasPrefix(declared map[string]bool, prefix string) bool {
 	for name := range declared {
 		if strings.HasPrefix(name, prefix) {
 			return true
--- a/internal/ci/known_red_test.go
+++ b/internal/ci/known_red_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// site makes a tiny module with the scripts: in it TestBroken and TestTorn (which
+// newTestModule makes a tiny module with the scripts: in it TestBroken and TestTorn (which
 // panics) fail, and so does TestOther if it is told to.
-func site(t *testing.T) string {
+func newTestModule(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -61,17 +61,17 @@
 	return dir
 }
 
-// listCase is a list of known failures, and what the script makes of it.
-type listCase struct {
+// knownRedCase is a list of known failures, and what the script makes of it.
+type knownRedCase struct {
 	name, list, env string
-	ok              bool
-	says            []string
+	wantPass              bool
+	wantOutput            []string
 }
 
 const twoListed = "TestBroken `go test -run TestBroken ./...` breaks by design, issue 1\n" +
 	"TestTorn `go test -run TestTorn ./...` panics, issue 2"
 
-var listCases = []listCase{
+var knownRedCases = []knownRedCase{
 	{"nothing listed", "", "", false, []string{"--- FAIL: TestBroken "}},
 	{
 		"all that fail are listed", twoListed + "\nTestMended `go test -run TestMended ./...` was red, issue 3\n\n", "", true,
@@ -119,11 +119,11 @@
 // The linters have tests of their own: here the script that runs them only says that it ran.
 func TestOnlyListedTestsMayFail(t *testing.T) {
 	t.Parallel()
-	dir := site(t)
+	dir := newTestModule(t)
 	if err := os.WriteFile(filepath.Join(dir, ".ci", "lint"), []byte("echo linted\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range listCases {
+	for _, c := range knownRedCases {
 		list := filepath.Join(dir, "KNOWN-RED.txt")
 		if c.list == "" {
 			_ = os.Remove(list)
@@ -131,10 +131,10 @@
 			t.Fatal(err)
 		}
 		out, err := runScript(t, dir, "run", c.env)
-		if (err == nil) != c.ok {
+		if (err == nil) != c.wantPass {
 			t.Errorf("%s: %v\n%s", c.name, err, out)
 		}
-		for _, s := range append(c.says, "linted\n") {
+		for _, s := range append(c.wantOutput, "linted\n") {
 			if !strings.Contains(out, s) {
 				t.Errorf("%s: nothing said of %q:\n%s", c.name, s, out)
 			}
--- a/internal/ci/lint_test.go
+++ b/internal/ci/lint_test.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	documented = "// Package x is small.\npackage x\n\n"
-	ofTests    = documented + "import \"testing\"\n\nfunc TestIt(*testing.T) {\n"
+	packageHeader = "// Package x is small.\npackage x\n\n"
+	testFileHeader    = packageHeader + "import \"testing\"\n\nfunc TestIt(*testing.T) {\n"
 )
 
-// planted is a file of the tiny module, without its ".go", and who finds something in it.
-type planted struct {
+// lintCase is a file of the tiny module, without its ".go", and who finds something in it.
+type lintCase struct {
 	file, text string
 	linter     string // "": no finding
 }
 
 func TestLintersFailOnEachKindOfFinding(t *testing.T) {
 	t.Parallel()
-	dir := site(t)
+	dir := newTestModule(t)
 	for _, c := range []struct {
 		name, file, text string
 		says             string // "": no finding
 	}{
-		{"nothing to find", "x.go", documented + "// Do does nothing.\nfunc Do() {}\n", ""},
-		{"test that is long, but not too long", "x_test.go", ofTests + prints(61) + "}\n", ""},
-		{"long test", "x_test.go", ofTests + prints(107) + "}\n", "#function-length"},
+		{"nothing to find", "x.go", packageHeader + "// Do does nothing.\nfunc Do() {}\n", ""},
+		{"test that is long, but not too long", "x_test.go", testFileHeader + printLines(61) + "}\n", ""},
+		{"long test", "x_test.go", testFileHeader + printLines(107) + "}\n", "#function-length"},
 		{"package without a comment", "x.go", "package x\n", "(ST1000)"},
 		{
-			"exported function without a comment", "x.go", documented + "func Do() {}\n",
+			"exported function without a comment", "x.go", packageHeader + "func Do() {}\n",
 			"exported function Do should have comment",
 		},
 		{
 			"comment that begins with another name", "x.go",
-			documented + "// Does nothing.\nfunc Do() {}\n", "(ST1020)",
+			packageHeader + "// Does nothing.\nfunc Do() {}\n", "(ST1020)",
 		},
-		{"code that nobody uses", "x.go", documented + "func do() {}\n", "(U1000)"},
-		{"code of tests that nobody uses", "x_test.go", documented + "func do() {}\n", "(U1000)"},
+		{"code that nobody uses", "x.go", packageHeader + "func do() {}\n", "(U1000)"},
+		{"code of tests that nobody uses", "x_test.go", packageHeader + "func do() {}\n", "(U1000)"},
 		{
 			"long function", "x.go",
-			documented + "// Do prints.\nfunc Do() {\n" + prints(61) + "}\n", "#function-length",
+			packageHeader + "// Do prints.\nfunc Do() {\n" + printLines(61) + "}\n", "#function-length",
 		},
 		{
 			"complex function", "x.go",
-			documented + "// Do prints.\nfunc Do(n int) {\n" + nested(9) + "}\n", "#cognitive-complexity",
+			packageHeader + "// Do prints.\nfunc Do(n int) {\n" + nestedBranches(9) + "}\n", "#cognitive-complexity",
 		},
 		{
 			"ignored with its reason", "x.go",
-			documented + "//lint:ignore U1000 kept for a test\nfunc do() {}\n", "",
+			packageHeader + "//lint:ignore U1000 kept for a test\nfunc do() {}\n", "",
 		},
 		{
 			"ignored without a reason", "x.go",
-			documented + "//lint:ignore U1000\nfunc do() {}\n", "malformed linter directive",
+			packageHeader + "//lint:ignore U1000\nfunc do() {}\n", "malformed linter directive",
 		},
 		{
 			"disabled without a reason", "x.go",
-			documented + "//revive:disable-next-line:exported\nfunc Do() {}\n",
+			packageHeader + "//revive:disable-next-line:exported\nfunc Do() {}\n",
 			"reason of lint disabling not found",
 		},
 	} {
@@ -83,8 +83,8 @@
 	}
 }
 
-// dirty has a finding of each kind that golangci-lint alone makes over the whole tree.
-var dirty = []planted{
+// lintCases has a finding of each kind that golangci-lint alone makes over the whole tree.
+var lintCases = []lintCase{
 	{"ignored_error", "import \"os\"\n\n// Do1 removes.\nfunc Do1() { os.Remove(\"x\") }\n", "errcheck"},
 	{
 		"compared_error", "import \"io\"\n\n// Do2 compares.\nfunc Do2(err error) bool { return err == io.EOF }\n",
@@ -152,15 +152,15 @@
 // One run tells of all files, which saves the linters' start for each.
 func TestGolangciLintFailsOnEachKindOfFinding(t *testing.T) {
 	t.Parallel()
-	checkAllPlanted(t, site(t), "wire", dirty)
+	checkLintCases(t, newTestModule(t), "wire", lintCases)
 }
 
-// dirtyIfStrict is clean under the set for the whole tree.
-func dirtyIfStrict() []planted {
-	return []planted{
+// strictLintCases is clean under the set for the whole tree.
+func strictLintCases() []lintCase {
+	return []lintCase{
 		{"long_line", "// Do1 prints.\nfunc Do1() {\n\tprintln(\"" + strings.Repeat("x", 111) + "\")\n}\n", "lll"},
-		{"complex_function", "// Do2 prints.\nfunc Do2(n int) {\n" + nested(6) + "}\n", "gocognit"},
-		{"long_test", "import \"testing\"\n\nfunc TestIt(*testing.T) {\n" + prints(61) + "}\n", "funlen"},
+		{"complex_function", "// Do2 prints.\nfunc Do2(n int) {\n" + nestedBranches(6) + "}\n", "gocognit"},
+		{"long_test", "import \"testing\"\n\nfunc TestIt(*testing.T) {\n" + printLines(61) + "}\n", "funlen"},
 		{
 			"not_wrapped", "import \"fmt\"\n\n// Do4 wraps.\n" +
 				"func Do4(err error) error { return fmt.Errorf(\"x: %v\", err) }\n",
@@ -199,8 +199,8 @@
 
 func TestStrictPackagesAreHeldToTheWholeSet(t *testing.T) {
 	t.Parallel()
-	dir := site(t)
-	checkAllPlanted(t, dir, "internal/strict", dirtyIfStrict())
+	dir := newTestModule(t)
+	checkLintCases(t, dir, "internal/strict", strictLintCases())
 	// Where a package is not listed, nothing is said of them.
 	wire := filepath.Join(dir, "wire")
 	if err := os.RemoveAll(wire); err != nil {
@@ -213,7 +213,7 @@
 	if err := os.Mkdir(filepath.Dir(empty), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(empty, []byte(strings.TrimSpace(documented)+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(empty, []byte(strings.TrimSpace(packageHeader)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := runScript(t, dir, "lint"); err != nil || out != "" {
@@ -221,9 +221,9 @@
 	}
 }
 
-// checkAllPlanted runs the linters once with each file in a package: the linter must
+// checkLintCases runs the linters once with each file in a package: the linter must
 // tell of its own file, and nothing is said of a file without one.
-func checkAllPlanted(t *testing.T, dir, pkg string, all []planted) {
+func checkLintCases(t *testing.T, dir, pkg string, all []lintCase) {
 	t.Helper()
 	for _, c := range all {
 		text := []byte("package x\n\n" + c.text)
@@ -248,7 +248,7 @@
 
 func TestStrictPackagesExist(t *testing.T) {
 	t.Parallel()
-	dir := site(t)
+	dir := newTestModule(t)
 	for list, says := range map[string]string{
 		"# None.\n":                       "lists no package",
 		"internal/strict\ninternal/old\n": "no such directory: internal/old",
@@ -265,13 +265,13 @@
 // What no linter reads, as no package has it, is formatted all the same.
 func TestRunFailsOnFilesThatAreNotFormatted(t *testing.T) {
 	t.Parallel()
-	dir := site(t)
+	dir := newTestModule(t)
 	for _, name := range []string{"wire/testdata/x.go", "wire/other.go", "tools/x.go"} {
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
 		}
-		text := "//go:build never\n\n" + documented + "func  do() {}\n"
+		text := "//go:build never\n\n" + packageHeader + "func  do() {}\n"
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -283,13 +283,13 @@
 	}
 }
 
-// prints makes the lines of a function that does no more than print.
-func prints(lines int) string {
+// printLines makes the lines of a function that does no more than print.
+func printLines(lines int) string {
 	return strings.Repeat("\tprintln()\n", lines)
 }
 
-// nested makes the lines of a function that branches ever deeper.
-func nested(depth int) string {
+// nestedBranches makes the lines of a function that branches ever deeper.
+func nestedBranches(depth int) string {
 	body := "println()\n"
 	for range depth {
 		body = "if n > 0 {\n\t" + strings.ReplaceAll(strings.TrimSuffix(body, "\n"), "\n", "\n\t") + "\n}\n"
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -77,7 +77,7 @@
 	if request != nil {
 		body = wire.MustMarshal(request)
 	}
-	answered := make(chan answer, 1)
+	answered := make(chan callResult, 1)
 	go func() { answered <- c.exchange(method, path, body) }()
 	select {
 	case <-ctx.Done():
@@ -87,15 +87,15 @@
 	}
 }
 
-// answer is what came of a call.
-type answer struct {
+// callResult is what came of a call.
+type callResult struct {
 	status int
 	body   []byte
 	err    error // there was none
 }
 
 // exchange sends a request and waits for its answer, at most for the client's timeout.
-func (c *Client) exchange(method, path string, body []byte) answer {
+func (c *Client) exchange(method, path string, body []byte) callResult {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -105,13 +105,13 @@
 		request.SetBodyRaw(body)
 	}
 	if err := c.httpClient.DoDeadline(request, response, time.Now().Add(c.timeout)); err != nil {
-		return answer{err: fmt.Errorf("%w: %w", ErrUncertain, err)}
+		return callResult{err: fmt.Errorf("%w: %w", ErrUncertain, err)}
 	}
-	return answer{status: response.StatusCode(), body: bytes.Clone(response.Body())}
+	return callResult{status: response.StatusCode(), body: bytes.Clone(response.Body())}
 }
 
 // decode decodes a reply of status 200 into response, unless that is nil; other answers are errors.
-func (a answer) decode(response any) error {
+func (a callResult) decode(response any) error {
 	if a.err != nil {
 		return a.err
 	}
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -227,7 +227,7 @@
 				}
 				askedAt := reachedAt - 1
 				referralQueryCompleted{
-					loop.controlLoop, referral.Answer{Reached: true}, askedAt, func(referral.Answer) { accepted++ },
+					loop.controlLoop, referral.Result{Reached: true}, askedAt, func(referral.Result) { accepted++ },
 				}.Apply()
 			})
 			<-applied
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -21,13 +21,13 @@
 		l.handOver(evidence, now) // so many live agents do not fail at the same time
 		return
 	}
-	l.queryReferrals(now, func(answer referral.Answer) { l.considerHandover(evidence, answer) })
+	l.queryReferrals(now, func(answer referral.Result) { l.considerHandover(evidence, answer) })
 }
 
 // considerHandover hands over the leadership if the peers' answers show that agents may reach another
 // node.
-func (l *Leader) considerHandover(evidence detector.Reachability, answer referral.Answer) {
-	if !answer.AgentsMayBeThere(evidence.SinceContact) {
+func (l *Leader) considerHandover(evidence detector.Reachability, answer referral.Result) {
+	if !answer.AgentsMayBeAlive(evidence.SinceContact) {
 		l.logHandover(false, "no peer referred an agent to this node or reaches its agents", evidence)
 		return
 	}
@@ -71,9 +71,9 @@
 		o.unreachable = true
 		return
 	}
-	o.queryReferrals(now, func(answer referral.Answer) {
+	o.queryReferrals(now, func(answer referral.Result) {
 		// Never reset here: a heartbeat gap may have been detected in the meantime.
-		if answer.AgentsMayBeThere(evidence.SinceContact) {
+		if answer.AgentsMayBeAlive(evidence.SinceContact) {
 			o.unreachable = true
 		}
 	})
@@ -82,15 +82,15 @@
 // queryReferrals asks the peers whether they referred agents to this node, or reach agents that are
 // silent here. The loop then passes the answer to callback, unless an agent reached this node in the
 // meantime. Only one query is in flight at a time.
-func (l *controlLoop) queryReferrals(now micro.Time, callback func(referral.Answer)) {
+func (l *controlLoop) queryReferrals(now micro.Time, callback func(referral.Result)) {
 	if l.referralQueryInFlight {
 		return
 	}
 	l.referralQueryInFlight = true
 	query := referral.Query{Node: l.node.Cfg.Node, Agents: l.agentsToProbe(now)}
-	asker := referral.Asker{Caller: l.node.Peers, Prober: l.node.Prober, Peers: l.node.peerNames()}
+	asker := referral.Client{Caller: l.node.Peers, Prober: l.node.Prober, Peers: l.node.peerNames()}
 	go func() {
-		answer := asker.Ask(context.Background(), query)
+		answer := asker.QueryPeers(context.Background(), query)
 		l.loop.Post(referralQueryCompleted{l, answer, now, callback})
 	}()
 }
@@ -110,9 +110,9 @@
 // referralQueryCompleted is the event that carries the peers' answers to a referral query.
 type referralQueryCompleted struct {
 	loop      *controlLoop
-	answer    referral.Answer
+	answer    referral.Result
 	queriedAt micro.Time
-	callback  func(referral.Answer)
+	callback  func(referral.Result)
 }
 
 // Apply calls the callback with the answer, unless the lease has expired or an agent has reached this
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -55,7 +55,7 @@
 func checkFields(value any, absent []string) error {
 	remaining := slices.Clone(absent)
 	var errs []error
-	for _, err := range flatten(unset(fmt.Sprintf("%T", value), reflect.ValueOf(value))) {
+	for _, err := range flatten(checkSet(fmt.Sprintf("%T", value), reflect.ValueOf(value))) {
 		var missing unsetError
 		if errors.As(err, &missing) && slices.Contains(remaining, missing.path) {
 			remaining = slices.DeleteFunc(remaining, func(path string) bool { return path == missing.path })
@@ -85,19 +85,19 @@
 	return errs
 }
 
-// unset names the exported fields of a value, at any depth, that have no value.
-func unset(path string, value reflect.Value) error {
+// checkSet names the exported fields of a value, at any depth, that have no value.
+func checkSet(path string, value reflect.Value) error {
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if value.IsNil() {
 			return unsetError{path, "not set"}
 		}
-		return unset(path, value.Elem())
+		return checkSet(path, value.Elem())
 	case reflect.Struct:
 		var errs []error
 		for i := range value.NumField() {
 			if field := value.Type().Field(i); field.IsExported() {
-				errs = append(errs, unset(path+"."+field.Name, value.Field(i)))
+				errs = append(errs, checkSet(path+"."+field.Name, value.Field(i)))
 			}
 		}
 		return errors.Join(errs...)
@@ -105,7 +105,7 @@
 		if value.Len() == 0 {
 			return unsetError{path, "empty"}
 		}
-		return unsetItems(path, value)
+		return checkItemsSet(path, value)
 	default:
 		if value.IsZero() && value.Kind() != reflect.Array {
 			return unsetError{path, "not set"}
@@ -114,20 +114,20 @@
 	}
 }
 
-// unsetItems is unset for the items of a list of structures, or of a map of them.
-func unsetItems(path string, value reflect.Value) error {
+// checkItemsSet is unset for the items of a list of structures, or of a map of them.
+func checkItemsSet(path string, value reflect.Value) error {
 	if value.Type().Elem().Kind() != reflect.Struct {
 		return nil
 	}
 	var errs []error
 	if value.Kind() == reflect.Map {
 		for _, key := range value.MapKeys() {
-			errs = append(errs, unset(fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key)))
+			errs = append(errs, checkSet(fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key)))
 		}
 		return errors.Join(errs...)
 	}
 	for i := range value.Len() {
-		errs = append(errs, unset(fmt.Sprintf("%s[%d]", path, i), value.Index(i)))
+		errs = append(errs, checkSet(fmt.Sprintf("%s[%d]", path, i), value.Index(i)))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/referral/referral.go
+++ b/internal/referral/referral.go
@@ -124,54 +124,54 @@
 	return machines
 }
 
-// Answer is what all peers together know of agents that were referred to a node.
-type Answer struct {
+// Result is what all peers together know of agents that were referred to a node.
+type Result struct {
 	Unanswered int        // peers that did not say
 	Referred   bool       // an agent was referred to the node
 	Age        micro.Time // how long ago the last one was
 	Reached    bool       // an agent answers a peer, and does not answer the node
 }
 
-// AgentsMayBeThere reports whether there may be agents that do not reach the node: a peer reached
+// AgentsMayBeAlive reports whether there may be agents that do not reach the node: a peer reached
 // one, or may have referred one to the node within a time.
-func (a Answer) AgentsMayBeThere(within micro.Time) bool {
+func (a Result) AgentsMayBeAlive(within micro.Time) bool {
 	return a.Reached || a.ReferredWithin(within)
 }
 
 // ReferredWithin reports whether agents may have been referred to the node within a time: a peer
 // says so, or one did not answer.
-func (a Answer) ReferredWithin(d micro.Time) bool {
+func (a Result) ReferredWithin(d micro.Time) bool {
 	return a.Unanswered > 0 || a.Referred && a.Age < d
 }
 
-// Asker asks the peers of a node.
-type Asker struct {
+// Client asks the peers of a node.
+type Client struct {
 	Caller peer.Caller
 	Prober agent.Prober // probes for the node itself; nil: no agent answers the node
 	Peers  []string     // by name
 }
 
-// Ask asks all peers. One of a version that does not know the call counts as one that did not
+// QueryPeers asks all peers. One of a version that does not know the call counts as one that did not
 // answer; one that does not know of probes answers without.
-func (a Asker) Ask(ctx context.Context, query Query) Answer {
+func (a Client) QueryPeers(ctx context.Context, query Query) Result {
 	body := wire.MustMarshal(query)
 	replies := make([]*Reply, len(a.Peers))
 	var group errgroup.Group
 	for i, name := range a.Peers {
 		group.Go(func() error {
-			replies[i] = askOne(ctx, a.Caller, name, body)
+			replies[i] = queryPeer(ctx, a.Caller, name, body)
 			return nil
 		})
 	}
 	_ = group.Wait() // no call returns an error
-	answer, reached := combine(replies, query.Agents)
+	answer, reached := combineReplies(replies, query.Agents)
 	// Only now: an agent that was not there a moment ago would answer the peers alone.
 	answer.Reached = len(probe(a.Prober, reached)) < len(reached)
 	return answer
 }
 
-// askOne asks one peer; nil: it did not answer.
-func askOne(ctx context.Context, caller peer.Caller, name string, body []byte) *Reply {
+// queryPeer asks one peer; nil: it did not answer.
+func queryPeer(ctx context.Context, caller peer.Caller, name string, body []byte) *Reply {
 	var reply Reply
 	status, out, err := caller.Call(ctx, name, peer.Referral, body, Timeout)
 	if err != nil || status != http.StatusOK || wire.Unmarshal(out, &reply) != nil {
@@ -180,8 +180,8 @@
 	return &reply
 }
 
-// combine takes the replies together, and lists those of the named agents that answered a peer.
-func combine(replies []*Reply, agents []Agent) (answer Answer, reached []Agent) {
+// combineReplies takes the replies together, and lists those of the named agents that answered a peer.
+func combineReplies(replies []*Reply, agents []Agent) (answer Result, reached []Agent) {
 	answered := map[string]bool{}
 	for _, reply := range replies {
 		if reply == nil {
--- a/internal/referral/referral_test.go
+++ b/internal/referral/referral_test.go
@@ -30,9 +30,9 @@
 }
 
 // ask asks them all, for a node that reaches some agents itself.
-func (p peers) ask(here reachableAgents, query Query) Answer {
-	asker := Asker{Caller: p, Prober: here, Peers: slices.Sorted(maps.Keys(p))}
-	return asker.Ask(context.Background(), query)
+func (p peers) ask(here reachableAgents, query Query) Result {
+	asker := Client{Caller: p, Prober: here, Peers: slices.Sorted(maps.Keys(p))}
+	return asker.QueryPeers(context.Background(), query)
 }
 
 // A leader whose machines were all dead could not tell that from a network that keeps its agents
@@ -45,25 +45,25 @@
 	}
 	for name, row := range map[string]struct {
 		peers  peers
-		want   Answer
+		want   Result
 		within bool // agents may have been referred to n-0 within 10 s
 	}{
-		"none was referred": {peers{"n-1": {}, "n-2": {}}, Answer{}, false},
+		"none was referred": {peers{"n-1": {}, "n-2": {}}, Result{}, false},
 		"one was just now": {
-			peers{"n-1": {}, "n-2": referred("n-0", askedAt-micro.Second)}, Answer{Referred: true, Age: micro.Second}, true,
+			peers{"n-1": {}, "n-2": referred("n-0", askedAt-micro.Second)}, Result{Referred: true, Age: micro.Second}, true,
 		},
 		"the latest of two counts": {
 			peers{"n-1": referred("n-0", askedAt-3*micro.Second), "n-2": referred("n-0", askedAt-20*micro.Second)},
-			Answer{Referred: true, Age: 3 * micro.Second},
+			Result{Referred: true, Age: 3 * micro.Second},
 			true,
 		},
 		"one was long ago": {
 			peers{"n-1": referred("n-0", askedAt-micro.Minute+1), "n-2": {}},
-			Answer{Referred: true, Age: micro.Minute - 1},
+			Result{Referred: true, Age: micro.Minute - 1},
 			false,
 		},
-		"one was, to another node": {peers{"n-1": referred("n-2", askedAt), "n-2": {}}, Answer{}, false},
-		"one peer does not answer": {peers{"n-1": {}, "n-2": nil}, Answer{Unanswered: 1}, true},
+		"one was, to another node": {peers{"n-1": referred("n-2", askedAt), "n-2": {}}, Result{}, false},
+		"one peer does not answer": {peers{"n-1": {}, "n-2": nil}, Result{Unanswered: 1}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := row.peers.ask(nil, Query{Node: "n-0"})
@@ -114,7 +114,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			answer := row.peers.ask(row.here, Query{Node: "n-0", Agents: silent})
-			if got := answer.AgentsMayBeThere(10 * micro.Second); got != row.mayBeThere {
+			if got := answer.AgentsMayBeAlive(10 * micro.Second); got != row.mayBeThere {
 				t.Errorf("%+v: %v", answer, got)
 			}
 		})
