--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent sends commands directly to agents, and asks them for their status.
+// Package agent sends commands directly to agents and probes them for their status.
 package agent
 
 import (
@@ -14,25 +14,25 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ErrUncertain means that the commands may have run, or may still run later.
-var ErrUncertain = errors.New("agent: no answer, orders may run late")
+// ErrUncertain means that no response came: the commands may have been executed, or may still be executed later.
+var ErrUncertain = errors.New("agent: no response, commands may have been executed or may be executed later")
 
 // Sender sends commands to an agent and returns its heartbeat. executed is false
-// where the agent refused them (older token or other session).
+// if the agent refused them (older fencing token or another agent epoch).
 type Sender interface {
 	Send(addr string, commands wire.Commands) (heartbeat *wire.Heartbeat, executed bool, err error)
 }
 
-// Prober asks an agent for a heartbeat. That changes nothing at the agent: neither does it execute
-// anything, nor does its lease become longer. Without an answer within ProbeTimeout there is an error.
+// Prober asks an agent for a heartbeat. A probe changes no state of the agent: the agent executes
+// no command, and its lease is not extended. Probe returns an error if no response arrives within ProbeTimeout.
 type Prober interface {
 	Probe(addr string) (*wire.Heartbeat, error)
 }
 
-// ProbeTimeout is how long an agent may take over the answer to a probe.
+// ProbeTimeout is how long an agent may take to respond to a probe, including the time to connect.
 const ProbeTimeout = 300 * micro.Millisecond
 
-// Client speaks to real agents.
+// Client is a Sender and Prober that reaches agents over HTTP. It is safe for concurrent use.
 type Client struct {
 	timeout     micro.Time
 	dialProbe   fasthttp.DialFuncWithTimeout
@@ -40,12 +40,12 @@
 	hostClients map[string]*fasthttp.HostClient
 }
 
-// maxHostClients bounds the clients kept, several times the largest fleet that a site is
-// known to run. Beyond it all are made anew, which costs their idle connections;
-// those end soon anyway, since sockets are scarce where agents are many.
+// maxHostClients bounds the number of cached host clients. It is several times the largest known fleet.
+// When it is exceeded, all clients are discarded and created again on demand, which costs their idle
+// connections. These are short-lived anyway, because sockets are scarce in a large fleet.
 const maxHostClients = 16_384
 
-// NewClient makes a client that gives an agent the time to answer.
+// NewClient returns a client whose Send waits for a response for at most the timeout.
 func NewClient(timeout micro.Time) *Client {
 	return &Client{
 		timeout: timeout, dialProbe: fasthttp.DialTimeout, hostClients: map[string]*fasthttp.HostClient{},
@@ -74,12 +74,13 @@
 	return client
 }
 
-// dialTimeout is how long a connection to an agent may take to come about.
+// dialTimeout bounds the time to connect to an agent for Send.
 const dialTimeout = time.Second
 
 func dial(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, dialTimeout) }
 
-// Send posts the commands.
+// Send posts the commands to the agent. The error is ErrUncertain if there is no response; commands are
+// never sent again.
 func (c *Client) Send(addr string, commands wire.Commands) (*wire.Heartbeat, bool, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -92,13 +93,13 @@
 	}
 	status := resp.StatusCode()
 	if status != fasthttp.StatusOK && status != fasthttp.StatusConflict {
-		return nil, false, fmt.Errorf("agent: status %d", status)
+		return nil, false, fmt.Errorf("agent: send commands: unexpected status %d", status)
 	}
 	heartbeat, err := wire.DecodeHeartbeat(resp.Body())
 	return heartbeat, status == fasthttp.StatusOK, err
 }
 
-// Probe asks for the agent's status, over a connection of its own: ProbeTimeout bounds also the time to connect.
+// Probe asks for the agent's status over a separate connection, so that ProbeTimeout also bounds the time to connect.
 func (c *Client) Probe(addr string) (*wire.Heartbeat, error) {
 	client := fasthttp.HostClient{
 		Addr:                      addr,
@@ -117,7 +118,7 @@
 		return nil, fmt.Errorf("agent: probe: %w", err)
 	}
 	if status := resp.StatusCode(); status != fasthttp.StatusOK {
-		return nil, fmt.Errorf("agent: probe: status %d", status)
+		return nil, fmt.Errorf("agent: probe: unexpected status %d", status)
 	}
 	return wire.DecodeHeartbeat(resp.Body())
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud's interface.
+// Package cloud is the client of the cloud provider's API.
 package cloud
 
 import (
@@ -16,16 +16,16 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// The ways in which a call can fail.
+// Errors of a call. After ErrUncertain the call may have been executed, or may still be; after the others it was not.
 var (
 	ErrNoCapacity  = errors.New("cloud: no capacity")
-	ErrUnavailable = errors.New("cloud: in trouble, not executed")
-	ErrRateLimited = errors.New("cloud: over its limit")
-	ErrMalformed   = errors.New("cloud: request called malformed")
-	ErrUncertain   = errors.New("cloud: no answer, may have run")
+	ErrUnavailable = errors.New("cloud: service unavailable, request not executed")
+	ErrRateLimited = errors.New("cloud: rate limit exceeded")
+	ErrMalformed   = errors.New("cloud: request rejected as malformed")
+	ErrUncertain   = errors.New("cloud: no response, request may have been executed")
 )
 
-// Provider is what the rest of the service needs.
+// Provider manages the machines of a cloud provider. Its methods are documented at Client.
 type Provider interface {
 	Catalog(ctx context.Context) (*wire.Catalog, error)
 	RequestInstances(ctx context.Context, request wire.InstanceRequest) ([]string, error)
@@ -33,13 +33,13 @@
 	List(ctx context.Context, after string) (*wire.MachineList, error)
 }
 
-// responseTimeout is how long the cloud may take over an answer.
+// responseTimeout is how long a call waits for the cloud's response.
 const responseTimeout = 5 * time.Second
 
-// MaxTerminate is how many machines one call returns.
+// MaxTerminate is the largest number of machines in one Terminate call.
 const MaxTerminate = 100
 
-// Client speaks to the real cloud.
+// Client is a Provider that calls the cloud over HTTP.
 type Client struct {
 	baseURL    string
 	httpClient *fasthttp.Client
@@ -47,7 +47,8 @@
 	limiter    *rate.Limiter
 }
 
-// NewClient makes a client that stays within the given rate.
+// NewClient returns a client that sends at most 90 % of rps requests per second, in bursts of at most one
+// second's worth.
 func NewClient(addr string, rps float64) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
@@ -57,8 +58,8 @@
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		},
 		timeout: responseTimeout,
-		// Bursts of a second's worth, and a margin for the other nodes, which
-		// read the catalog once.
+		// The burst is one second's worth of requests. The remaining tenth of the rate is a margin
+		// for the other nodes, which read the catalog once.
 		limiter: rate.NewLimiter(rate.Limit(rps*0.9), max(1, int(rps))),
 	}
 }
@@ -67,8 +68,8 @@
 	Error string `msgpack:"error"`
 }
 
-// call makes one call, and decodes a reply of status 200 into response. It ends with the
-// context: ErrUncertain, though the cloud may still carry it out.
+// call sends one request and decodes a response of status 200 into response. When the context ends first,
+// it returns ErrUncertain, because the cloud may still execute the request.
 func (c *Client) call(ctx context.Context, method, path string, request, response any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return ErrRateLimited
@@ -77,24 +78,24 @@
 	if request != nil {
 		body = wire.MustMarshal(request)
 	}
-	answered := make(chan callResult, 1)
-	go func() { answered <- c.exchange(method, path, body) }()
+	results := make(chan callResult, 1)
+	go func() { results <- c.exchange(method, path, body) }()
 	select {
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", ErrUncertain, ctx.Err())
-	case got := <-answered:
-		return got.decode(response)
+	case result := <-results:
+		return result.decode(response)
 	}
 }
 
-// callResult is what came of a call.
+// callResult is the response to a call, or the reason why there is none.
 type callResult struct {
 	status int
 	body   []byte
-	err    error // there was none
+	err    error // not nil: there was no response
 }
 
-// exchange sends a request and waits for its answer, at most for the client's timeout.
+// exchange sends a request and waits for the response, at most for the client's timeout.
 func (c *Client) exchange(method, path string, body []byte) callResult {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -110,20 +111,21 @@
 	return callResult{status: response.StatusCode(), body: bytes.Clone(response.Body())}
 }
 
-// decode decodes a reply of status 200 into response, unless that is nil; other answers are errors.
-func (a callResult) decode(response any) error {
-	if a.err != nil {
-		return a.err
+// decode decodes a response of status 200 into response, unless that is nil. For any other status it
+// returns the corresponding error.
+func (r callResult) decode(response any) error {
+	if r.err != nil {
+		return r.err
 	}
-	switch a.status {
+	switch r.status {
 	case fasthttp.StatusOK:
 		if response == nil {
 			return nil
 		}
-		return wire.Unmarshal(a.body, response)
+		return wire.Unmarshal(r.body, response)
 	case fasthttp.StatusServiceUnavailable:
 		var failure errorResponse
-		if wire.Unmarshal(a.body, &failure) == nil && failure.Error == "no capacity" {
+		if wire.Unmarshal(r.body, &failure) == nil && failure.Error == "no capacity" {
 			return ErrNoCapacity
 		}
 		return ErrUnavailable
@@ -132,7 +134,7 @@
 	case fasthttp.StatusBadRequest:
 		return ErrMalformed
 	}
-	return fmt.Errorf("%w: status %d", ErrUncertain, a.status)
+	return fmt.Errorf("%w: status %d", ErrUncertain, r.status)
 }
 
 // Catalog reads the machine types and their current prices.
@@ -141,19 +143,20 @@
 	return &catalog, c.call(ctx, "GET", "/catalog", nil, &catalog)
 }
 
-// RequestInstances asks for machines. A repeated request name gets the first one's answer.
+// RequestInstances requests machines and returns the names of those that were granted. A repeated request ID
+// returns the result of the first request with that ID.
 func (c *Client) RequestInstances(ctx context.Context, request wire.InstanceRequest) ([]string, error) {
 	var names wire.MachineNames
 	err := c.call(ctx, "POST", "/machines", request, &names)
 	return names.Machines, err
 }
 
-// Terminate gives machines back; after nil they are gone with all that is on them.
+// Terminate terminates at most MaxTerminate machines. When it returns nil, they and all their data are deleted.
 func (c *Client) Terminate(ctx context.Context, machines []string) error {
 	return c.call(ctx, "POST", "/machines/return", wire.MachineNames{Machines: machines}, nil)
 }
 
-// List reads a page of the machines.
+// List reads a page of at most 500 machines whose names follow after; "" reads the first page.
 func (c *Client) List(ctx context.Context, after string) (*wire.MachineList, error) {
 	var page wire.MachineList
 	path := "/machines?limit=" + strconv.Itoa(500)
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -14,10 +14,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// unlimitedRate is a rate that no test uses up.
+// unlimitedRate is a request rate that no test reaches.
 const unlimitedRate = 1e6
 
-// serve answers on loopback until the test ends.
+// serve runs an HTTP server with the handler on loopback until the test ends.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (addr string) {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -41,17 +41,17 @@
 		body   []byte
 		want   error
 	}{
-		{"done", 200, names, nil},
-		{"malformed", 400, nil, cloud.ErrMalformed},
-		{"over its limit", 429, nil, cloud.ErrRateLimited},
-		{"unexpected", 500, nil, cloud.ErrUncertain},
+		{"granted", 200, names, nil},
+		{"bad request", 400, nil, cloud.ErrMalformed},
+		{"rate limited", 429, nil, cloud.ErrRateLimited},
+		{"internal error", 500, nil, cloud.ErrUncertain},
 		{"no capacity", 503, wire.MustMarshal(map[string]string{"error": "no capacity"}), cloud.ErrNoCapacity},
-		{"in trouble", 503, wire.MustMarshal(map[string]string{"error": "maintenance"}), cloud.ErrUnavailable},
-		{"in trouble, and no body", 503, nil, cloud.ErrUnavailable},
-		{"in trouble, and a broken body", 503, []byte{0x81, 0xa5}, cloud.ErrUnavailable},
-		{"done, and no body", 200, nil, wire.ErrMalformed},
-		{"done, and half a body", 200, names[:len(names)-1], wire.ErrMalformed},
-		{"done, and another body", 200, wire.MustMarshal("text"), wire.ErrMalformed},
+		{"unavailable", 503, wire.MustMarshal(map[string]string{"error": "maintenance"}), cloud.ErrUnavailable},
+		{"unavailable without a body", 503, nil, cloud.ErrUnavailable},
+		{"unavailable with a truncated body", 503, []byte{0x81, 0xa5}, cloud.ErrUnavailable},
+		{"granted without a body", 200, nil, wire.ErrMalformed},
+		{"granted with a truncated body", 200, names[:len(names)-1], wire.ErrMalformed},
+		{"granted with a body of another type", 200, wire.MustMarshal("text"), wire.ErrMalformed},
 	} {
 		client := cloud.NewClient(serve(t, func(ctx *fasthttp.RequestCtx) {
 			ctx.SetStatusCode(tc.status)
@@ -59,7 +59,7 @@
 		}), unlimitedRate)
 		got, err := client.RequestInstances(t.Context(), instanceRequest("r-1", 1))
 		if !errors.Is(err, tc.want) {
-			t.Errorf("%s: %v, not %v", tc.name, err, tc.want)
+			t.Errorf("%s: error %v, want %v", tc.name, err, tc.want)
 		}
 		if (len(got) == 1) != (tc.want == nil) {
 			t.Errorf("%s: machines %v", tc.name, got)
@@ -67,8 +67,8 @@
 	}
 }
 
-// An instance request whose answer is lost may have been carried out. It is not repeated by
-// the client; the caller repeats its name, and nothing is rented twice.
+// An instance request whose response is lost may have been executed. The client does not repeat it; the caller
+// sends it again with the same ID, and no machine is provisioned twice.
 func TestInstanceRequestWithLostResponseIsExecutedOnce(t *testing.T) {
 	fakeCloud := fake.NewCloud(10)
 	var requests atomic.Int32
@@ -82,14 +82,14 @@
 		request := instanceRequest([]string{"new", "served before"}[i/2], 2)
 		machines, err := client.RequestInstances(t.Context(), request)
 		if errors.Is(err, cloud.ErrUncertain) != lost || !lost && (err != nil || len(machines) != 2) {
-			t.Errorf("%s: %v %v", request.RequestID, machines, err)
+			t.Errorf("%s, response lost %v: machines %v, error %v", request.RequestID, lost, machines, err)
 		}
 		if got := int(requests.Load()); got != i+1 {
-			t.Fatalf("%s: the cloud had %d requests, not %d", request.RequestID, got, i+1)
+			t.Fatalf("%s: the cloud received %d requests, want %d", request.RequestID, got, i+1)
 		}
 	}
 	if instances := len(fakeCloud.Instances()); instances != 4 {
-		t.Errorf("%d machines are rented, not 4", instances)
+		t.Errorf("%d machines are provisioned, want 4", instances)
 	}
 }
 
@@ -100,13 +100,13 @@
 		_ = ctx.Conn().Close()
 	}), unlimitedRate)
 	if _, err := client.List(t.Context(), ""); !errors.Is(err, cloud.ErrUncertain) {
-		t.Errorf("list: %v", err)
+		t.Errorf("list: error %v, want %v", err, cloud.ErrUncertain)
 	}
 	if _, err := client.Catalog(t.Context()); !errors.Is(err, cloud.ErrUncertain) {
-		t.Errorf("catalog: %v", err)
+		t.Errorf("catalog: error %v, want %v", err, cloud.ErrUncertain)
 	}
 	if got := requests.Load(); got != 2 {
-		t.Errorf("the cloud had %d requests, not 2", got)
+		t.Errorf("the cloud received %d requests, want 2", got)
 	}
 }
 
@@ -120,10 +120,10 @@
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := client.Catalog(canceled); !errors.Is(err, cloud.ErrRateLimited) {
-		t.Errorf("a call that nobody waits for: %v", err)
+		t.Errorf("call with a cancelled context: error %v, want %v", err, cloud.ErrRateLimited)
 	}
 	if got := requests.Load(); got != 0 {
-		t.Errorf("%d requests were sent", got)
+		t.Errorf("%d requests were sent, want none", got)
 	}
 }
 
@@ -132,24 +132,24 @@
 	client := cloud.NewClient(serve(t, fakeCloud.Handle), unlimitedRate)
 	catalog, err := client.Catalog(t.Context())
 	if err != nil || len(catalog.Types) != 1 || catalog.Types[0].Name != "small" {
-		t.Fatalf("catalog: %v %v", catalog, err)
+		t.Fatalf("catalog %v, error %v", catalog, err)
 	}
 	machines, err := client.RequestInstances(t.Context(), instanceRequest("r-1", 5))
 	if err != nil || len(machines) != 3 {
-		t.Fatalf("rented %v: %v", machines, err)
+		t.Fatalf("request for 5 machines from a capacity of 3: granted %v, error %v", machines, err)
 	}
 	if _, err := client.RequestInstances(t.Context(), instanceRequest("r-2", 1)); !errors.Is(err, cloud.ErrNoCapacity) {
-		t.Errorf("beyond the capacity: %v", err)
+		t.Errorf("request beyond the capacity: error %v, want %v", err, cloud.ErrNoCapacity)
 	}
 	if _, err := client.RequestInstances(t.Context(), instanceRequest("r-3", 0)); !errors.Is(err, cloud.ErrMalformed) {
-		t.Errorf("no machines: %v", err)
+		t.Errorf("request for no machines: error %v, want %v", err, cloud.ErrMalformed)
 	}
 	if err := client.Terminate(t.Context(), machines[:2]); err != nil {
 		t.Fatal(err)
 	}
 	list, err := client.List(t.Context(), "")
 	if err != nil || len(list.Machines) != 1 || list.Machines[0].Name != machines[2] {
-		t.Errorf("list: %v %v", list, err)
+		t.Errorf("list after the termination: %v, error %v", list, err)
 	}
 }
 
@@ -161,7 +161,7 @@
 	}), unlimitedRate)
 	for _, after := range []string{"i-000500", "i&limit=1", ""} {
 		if _, err := client.List(t.Context(), after); err != nil || since != after {
-			t.Errorf("after %q: asked after %q, %v", after, since, err)
+			t.Errorf("page after %q: requested since %q, error %v", after, since, err)
 		}
 	}
 }
--- a/internal/cloud/timeout_test.go
+++ b/internal/cloud/timeout_test.go
@@ -12,7 +12,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// What the cloud does not answer in time may still have been carried out.
+// The cloud may have executed a request that it did not respond to in time.
 func TestTimedOutCallIsUncertain(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,7 +23,7 @@
 	t.Cleanup(func() { close(testDone) })
 	go func() {
 		_ = fasthttp.Serve(listener, func(ctx *fasthttp.RequestCtx) {
-			select { // it answers in the end, long after the caller gave up
+			select { // responds long after the client's timeout
 			case <-testDone:
 			case <-time.After(2 * responseTimeout):
 				ctx.SetBody(wire.MustMarshal(wire.MachineNames{Machines: []string{"i-000001"}}))
@@ -32,17 +32,17 @@
 	}()
 	client := NewClient(listener.Addr().String(), 1e6)
 	if client.timeout != responseTimeout {
-		t.Errorf("a call takes %v, not %v", client.timeout, responseTimeout)
+		t.Errorf("timeout %v, want %v", client.timeout, responseTimeout)
 	}
 	client.timeout = 20 * time.Millisecond
 	machines, err := client.RequestInstances(t.Context(), wire.InstanceRequest{RequestID: "r-1", Count: 1})
 	if !errors.Is(err, ErrUncertain) || len(machines) != 0 {
-		t.Errorf("%v %v", machines, err)
+		t.Errorf("machines %v, error %v, want none and %v", machines, err, ErrUncertain)
 	}
 }
 
-// A call went on after its context had ended: an instance request that waited for the rate first
-// held one of three places for up to twice its time.
+// A call used to continue after its context had ended: an instance request that first waited for the rate
+// limiter occupied one of the three slots for concurrent requests for up to twice its timeout.
 func TestCallEndsWithItsContext(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,27 +59,27 @@
 	}()
 	client := NewClient(listener.Addr().String(), 1e6)
 	client.timeout = time.Hour // the context ends first
-	for name, end := range map[string]func(context.Context) (context.Context, context.CancelFunc){
+	for name, newContext := range map[string]func(context.Context) (context.Context, context.CancelFunc){
 		"cancelled": context.WithCancel,
 		"deadline": func(ctx context.Context) (context.Context, context.CancelFunc) {
 			return context.WithTimeout(ctx, 50*time.Millisecond)
 		},
 	} {
-		ctx, cancel := end(t.Context())
+		ctx, cancel := newContext(t.Context())
 		ended := make(chan error, 1)
 		go func() { _, err := client.List(ctx, ""); ended <- err }()
 		<-received
 		if name == "cancelled" {
 			cancel()
 		}
-		const hung = 30 * time.Second
+		const giveUpAfter = 30 * time.Second
 		select {
 		case err := <-ended:
 			if !errors.Is(err, ErrUncertain) {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: error %v, want %v", name, err, ErrUncertain)
 			}
-		case <-time.After(hung):
-			t.Errorf("%s: goes on after its context ended", name)
+		case <-time.After(giveUpAfter):
+			t.Errorf("%s: the call continues after its context ended", name)
 		}
 		cancel()
 	}
