--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what the project encodes with bytes that a test holds, so
-// that a renamed, moved or reordered field shows.
+// Package golden compares encoded values with golden bytes in a test, so that the test
+// detects a renamed, moved or reordered field.
 package golden
 
 import (
@@ -13,45 +13,45 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Binary compares a value with its binary form, in hexadecimal, both ways: the value is
-// written as these bytes, and these bytes are read as the value. Every field has to be
-// set: one that is left out would not be held. Of a field that is written only where it is set,
-// the form without it is held by naming the field as absent; another test holds the form with it.
+// Binary checks that the value is encoded as want, its MessagePack form in hexadecimal, and that want is decoded
+// to the value. Every exported field must be set, because a test does not cover a field without a value. To test
+// the form without a field that is encoded only if it is set, pass the field's path in absent; another test has
+// to cover the form with it.
 func Binary(value any, want string, absent ...string) error {
 	errs := []error{checkFields(value, absent)}
 	if got := hex.EncodeToString(wire.MustMarshal(value)); got != want {
-		errs = append(errs, fmt.Errorf("%T is written as %s, want %s", value, got, want))
+		errs = append(errs, fmt.Errorf("%T is encoded as %s, want %s", value, got, want))
 	}
 	body, err := hex.DecodeString(want)
 	if err != nil {
 		return errors.Join(append(errs, err)...)
 	}
-	read := reflect.New(reflect.TypeOf(value))
-	if err := wire.Unmarshal(body, read.Interface()); err != nil {
-		errs = append(errs, fmt.Errorf("%T is not read: %w", value, err))
-	} else if got := read.Elem().Interface(); !reflect.DeepEqual(got, value) {
-		errs = append(errs, fmt.Errorf("%T is read as %+v, want %+v", value, got, value))
+	decoded := reflect.New(reflect.TypeOf(value))
+	if err := wire.Unmarshal(body, decoded.Interface()); err != nil {
+		errs = append(errs, fmt.Errorf("decode %T: %w", value, err))
+	} else if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, value) {
+		errs = append(errs, fmt.Errorf("%T is decoded as %+v, want %+v", value, got, value))
 	}
 	return errors.Join(errs...)
 }
 
-// JSON compares a value with its form as JSON: what the command line prints, and what
-// the store's limits on a value count. Absent fields are as with Binary.
+// JSON checks that the value is encoded as want in JSON, which the command line prints and whose size the
+// store's limit on a value applies to. The absent fields are as for Binary.
 func JSON(value any, want string, absent ...string) error {
 	got, err := json.Marshal(value)
 	if err == nil && string(got) != want {
-		err = fmt.Errorf("%T is printed as %s, want %s", value, got, want)
+		err = fmt.Errorf("%T is encoded as %s, want %s", value, got, want)
 	}
 	return errors.Join(err, checkFields(value, absent))
 }
 
-// unsetError says that a field of a value, by its path, has no value.
+// unsetError reports that the field with the path has no value.
 type unsetError struct{ path, problem string }
 
 func (e unsetError) Error() string { return e.path + " is " + e.problem }
 
-// checkFields reports the fields of a value that are not set, but for the absent ones: each of
-// those must not be set.
+// checkFields returns an error for each field of the value that is not set, except the absent ones, and for
+// each absent path at which there is no unset field.
 func checkFields(value any, absent []string) error {
 	remaining := slices.Clone(absent)
 	var errs []error
@@ -69,7 +69,7 @@
 	return errors.Join(errs...)
 }
 
-// flatten lists the errors that were joined into one.
+// flatten returns the errors that were joined into err, at any depth.
 func flatten(err error) []error {
 	if err == nil {
 		return nil
@@ -85,7 +85,7 @@
 	return errs
 }
 
-// checkSet names the exported fields of a value, at any depth, that have no value.
+// checkSet returns joined unsetErrors for the exported fields of a value, at any depth, that have no value.
 func checkSet(path string, value reflect.Value) error {
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -114,7 +114,7 @@
 	}
 }
 
-// checkItemsSet is unset for the items of a list of structures, or of a map of them.
+// checkItemsSet applies checkSet to the items of a slice or map of structs; other items are not checked.
 func checkItemsSet(path string, value reflect.Value) error {
 	if value.Type().Elem().Kind() != reflect.Struct {
 		return nil
--- a/internal/referral/referral.go
+++ b/internal/referral/referral.go
@@ -1,17 +1,17 @@
-// Package referral tells whether agents look for a node that they do not reach. An agent that
-// gets no answer from the node that it sends its heartbeats to tries the others, and each
-// refers it back to the leader, or to the owner of its shard. So a node that no agent reaches
-// can ask its peers: if agents were referred to it and none came, the network between them is
-// at fault.
+// Package referral detects live agents that cannot reach a node.
 //
-// That an agent was not referred says little at first: it waits out a timeout at each node that it
-// does not reach, and may come to those before it comes to the peer that it does. So the node
-// names some agents that it does not hear, and its peers probe them; then it probes those that
-// answered. One that answers a peer but not the node is alive, and the network between it and the
-// node is at fault. If there is none such, and none was referred, no agent is there that would reach
-// another node.
+// An agent that gets no response from the node to which it sends its heartbeats tries the other nodes, and
+// each refers it back to the leader or to the owner of its shard. So a node that receives no heartbeats
+// queries its peers: if they referred agents to it and none arrived, the network between the agents and the
+// node has failed.
 //
-// A Responder belongs to a node; any goroutine may call its methods.
+// The absence of referrals shows little at first: an agent waits for a timeout at each node that it cannot
+// reach, and may try several of these before a peer that it can reach. The query therefore names some of the
+// agents from which the node receives no heartbeats. The peers probe them, and the node then probes those
+// that responded to a peer. An agent that responds to a peer but not to the node is alive, and the network
+// between the two has failed. If there is none, and none was referred, no live agent could reach another node.
+//
+// A node has one Responder, whose methods are safe for concurrent use.
 package referral
 
 import (
@@ -28,38 +28,39 @@
 )
 
 const (
-	// Timeout is how long a peer may take over a Query, its probes included.
+	// Timeout is how long a peer may take to reply to a Query, including its probes.
 	Timeout = agent.ProbeTimeout + 450*micro.Millisecond
-	// MaxProbedAgents is how many agents a peer probes for a Query.
+	// MaxProbedAgents is the largest number of agents that a peer probes for a Query.
 	MaxProbedAgents = 5
 )
 
-// Agent is an agent that a node does not hear.
+// Agent identifies an agent from which a node receives no heartbeats.
 type Agent struct {
 	Machine string `msgpack:"machine"`
 	Addr    string `msgpack:"addr"`
 }
 
-// Query asks a node when it last referred an agent to another, and whether agents answer it.
+// Query asks a peer when it last referred an agent to the querying node, and which of some agents respond
+// to the peer.
 type Query struct {
-	Node   string  `msgpack:"node"`             // to which the agent was referred
-	Agents []Agent `msgpack:"agents,omitempty"` // to be probed, MaxProbedAgents at most
+	Node   string  `msgpack:"node"`             // the querying node
+	Agents []Agent `msgpack:"agents,omitempty"` // agents to probe; the peer ignores those beyond MaxProbedAgents
 }
 
-// Reply answers a Query.
+// Reply is the response to a Query.
 type Reply struct {
 	Referred bool     `msgpack:"referred"`          // an agent was referred to the node
-	Age      int64    `msgpack:"age"`               // how long ago the last one was, in microseconds
-	Reached  []string `msgpack:"reached,omitempty"` // the machines of the agents that answered a probe
+	Age      int64    `msgpack:"age"`               // time since the last referral, in microseconds
+	Reached  []string `msgpack:"reached,omitempty"` // the machines of the agents that responded to a probe
 }
 
-// Log remembers when a node last referred an agent to each other node. The zero value is ready.
+// Log records when a node last referred an agent to each other node. The zero value is ready to use.
 type Log struct {
 	mu   sync.Mutex
-	last map[string]micro.Time // by the node that agents were referred to; steady clock
+	last map[string]micro.Time // by the node to which the agent was referred; monotonic clock
 }
 
-// Record notes that an agent was referred to a node.
+// Record records that an agent was referred to the node.
 func (l *Log) Record(node string, now micro.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +70,7 @@
 	l.last[node] = now
 }
 
-// lastReferral is when an agent was last referred to a node; false: none was.
+// lastReferral returns when an agent was last referred to the node; referred is false if none was.
 func (l *Log) lastReferral(node string) (at micro.Time, referred bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,13 +78,14 @@
 	return at, referred
 }
 
-// Responder answers the queries of other nodes. The zero value is ready, and probes no agent.
+// Responder handles the queries of other nodes. The zero value is ready to use and probes no agents.
 type Responder struct {
 	Log
-	Prober agent.Prober // nil: no agent is probed
+	Prober agent.Prober // nil: no agents are probed
 }
 
-// Handle answers another node's Query with an HTTP status and a body.
+// Handle returns the HTTP status and the encoded Reply to another node's Query. The status is 400 for a
+// malformed query.
 func (r *Responder) Handle(body []byte, now micro.Time) (status int, out []byte) {
 	var query Query
 	if err := wire.Unmarshal(body, &query); err != nil || query.Node == "" {
@@ -98,79 +100,80 @@
 	return http.StatusOK, wire.MustMarshal(reply)
 }
 
-// probe probes agents, MaxProbedAgents at most, and names the machines of those that answer.
+// probe probes the first MaxProbedAgents agents in parallel and returns the machines of those that respond.
 func probe(prober agent.Prober, agents []Agent) []string {
 	if prober == nil {
 		return nil
 	}
 	agents = agents[:min(len(agents), MaxProbedAgents)]
-	answered := make([]bool, len(agents))
+	responded := make([]bool, len(agents))
 	var group errgroup.Group
 	for i, probed := range agents {
 		group.Go(func() error {
 			heartbeat, err := prober.Probe(probed.Addr)
-			// Another machine may have got the address of one that is gone.
-			answered[i] = err == nil && heartbeat.Machine == probed.Machine
+			// The address of a terminated machine may have been assigned to another one.
+			responded[i] = err == nil && heartbeat.Machine == probed.Machine
 			return nil
 		})
 	}
 	_ = group.Wait() // no probe returns an error
 	var machines []string
 	for i, probed := range agents {
-		if answered[i] {
+		if responded[i] {
 			machines = append(machines, probed.Machine)
 		}
 	}
 	return machines
 }
 
-// Result is what all peers together know of agents that were referred to a node.
+// Result combines the replies of all peers.
 type Result struct {
-	Unanswered int        // peers that did not say
-	Referred   bool       // an agent was referred to the node
-	Age        micro.Time // how long ago the last one was
-	Reached    bool       // an agent answers a peer, and does not answer the node
+	Unanswered int        // number of peers without a valid reply
+	Referred   bool       // a peer referred an agent to the node
+	Age        micro.Time // time since the last referral
+	Reached    bool       // an agent responds to a peer, but not to the node
 }
 
-// AgentsMayBeAlive reports whether there may be agents that do not reach the node: a peer reached
-// one, or may have referred one to the node within a time.
-func (a Result) AgentsMayBeAlive(within micro.Time) bool {
-	return a.Reached || a.ReferredWithin(within)
+// AgentsMayBeAlive reports whether there may be live agents that cannot reach the node: a peer reached
+// one, or may have referred one to the node less than a duration ago.
+func (r Result) AgentsMayBeAlive(within micro.Time) bool {
+	return r.Reached || r.ReferredWithin(within)
 }
 
-// ReferredWithin reports whether agents may have been referred to the node within a time: a peer
-// says so, or one did not answer.
-func (a Result) ReferredWithin(d micro.Time) bool {
-	return a.Unanswered > 0 || a.Referred && a.Age < d
+// ReferredWithin reports whether an agent may have been referred to the node less than d ago: a peer
+// reports a referral, or did not reply.
+func (r Result) ReferredWithin(d micro.Time) bool {
+	return r.Unanswered > 0 || r.Referred && r.Age < d
 }
 
-// Client asks the peers of a node.
+// Client queries the peers of a node.
 type Client struct {
 	Caller peer.Caller
-	Prober agent.Prober // probes for the node itself; nil: no agent answers the node
-	Peers  []string     // by name
+	Prober agent.Prober // probes on behalf of the node itself; nil: no agent responds to the node
+	Peers  []string     // names of the peers
 }
 
-// QueryPeers asks all peers. One of a version that does not know the call counts as one that did not
-// answer; one that does not know of probes answers without.
-func (a Client) QueryPeers(ctx context.Context, query Query) Result {
+// QueryPeers queries all peers in parallel. A peer of a previous release that does not support the call counts
+// as one that did not reply; one that does not support probes replies without them.
+func (c Client) QueryPeers(ctx context.Context, query Query) Result {
 	body := wire.MustMarshal(query)
-	replies := make([]*Reply, len(a.Peers))
+	replies := make([]*Reply, len(c.Peers))
 	var group errgroup.Group
-	for i, name := range a.Peers {
+	for i, name := range c.Peers {
 		group.Go(func() error {
-			replies[i] = queryPeer(ctx, a.Caller, name, body)
+			replies[i] = queryPeer(ctx, c.Caller, name, body)
 			return nil
 		})
 	}
 	_ = group.Wait() // no call returns an error
-	answer, reached := combineReplies(replies, query.Agents)
-	// Only now: an agent that was not there a moment ago would answer the peers alone.
-	answer.Reached = len(probe(a.Prober, reached)) < len(reached)
-	return answer
+	result, reached := combineReplies(replies, query.Agents)
+	// The node probes after its peers: had it probed first, an agent that started in between would have
+	// responded to the peers only.
+	result.Reached = len(probe(c.Prober, reached)) < len(reached)
+	return result
 }
 
-// queryPeer asks one peer; nil: it did not answer.
+// queryPeer queries one peer. It returns nil if there is no valid reply.
 func queryPeer(ctx context.Context, caller peer.Caller, name string, body []byte) *Reply {
 	var reply Reply
 	status, out, err := caller.Call(ctx, name, peer.Referral, body, Timeout)
@@ -180,25 +183,26 @@
 	return &reply
 }
 
-// combineReplies takes the replies together, and lists those of the named agents that answered a peer.
-func combineReplies(replies []*Reply, agents []Agent) (answer Result, reached []Agent) {
-	answered := map[string]bool{}
+// combineReplies combines the replies, and returns those of the agents that responded to a peer. A nil reply
+// counts as unanswered.
+func combineReplies(replies []*Reply, agents []Agent) (result Result, reached []Agent) {
+	responded := map[string]bool{}
 	for _, reply := range replies {
 		if reply == nil {
-			answer.Unanswered++
+			result.Unanswered++
 			continue
 		}
 		for _, machine := range reply.Reached {
-			answered[machine] = true
+			responded[machine] = true
 		}
-		if reply.Referred && (!answer.Referred || micro.Time(reply.Age) < answer.Age) {
-			answer.Referred, answer.Age = true, micro.Time(reply.Age)
+		if reply.Referred && (!result.Referred || micro.Time(reply.Age) < result.Age) {
+			result.Referred, result.Age = true, micro.Time(reply.Age)
 		}
 	}
 	for _, probed := range agents {
-		if answered[probed.Machine] {
+		if responded[probed.Machine] {
 			reached = append(reached, probed)
 		}
 	}
-	return answer, reached
+	return result, reached
 }
--- a/internal/referral/referral_test.go
+++ b/internal/referral/referral_test.go
@@ -14,29 +14,29 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// peers are the responders of some nodes, by name; those that are nil do not answer.
+// peers holds the responders of some nodes, by node name. A nil responder does not reply.
 type peers map[string]*Responder
 
-// askedAt is when all of them are asked.
+// askedAt is the time of every query.
 const askedAt = 60 * micro.Second
 
 func (p peers) Call(_ context.Context, node, _ string, body []byte, _ micro.Time) (int, []byte, error) {
 	responder := p[node]
 	if responder == nil {
-		return 0, nil, errors.New("no answer")
+		return 0, nil, errors.New("no response")
 	}
 	status, out := responder.Handle(body, askedAt)
 	return status, out, nil
 }
 
-// ask asks them all, for a node that reaches some agents itself.
-func (p peers) ask(here reachableAgents, query Query) Result {
-	asker := Client{Caller: p, Prober: here, Peers: slices.Sorted(maps.Keys(p))}
-	return asker.QueryPeers(context.Background(), query)
+// ask queries all peers on behalf of a node that reaches the given agents itself.
+func (p peers) ask(local reachableAgents, query Query) Result {
+	client := Client{Caller: p, Prober: local, Peers: slices.Sorted(maps.Keys(p))}
+	return client.QueryPeers(context.Background(), query)
 }
 
-// A leader whose machines were all dead could not tell that from a network that keeps its agents
-// from it: only its peers know whether agents look for it.
+// A leader cannot distinguish the failure of all machines from a network partition between it and its agents:
+// only its peers know whether agents were referred to it.
 func TestPeersTellWhetherAgentsLookForANode(t *testing.T) {
 	referred := func(node string, at micro.Time) *Responder {
 		responder := &Responder{}
@@ -48,22 +48,22 @@
 		want   Result
 		within bool // agents may have been referred to n-0 within 10 s
 	}{
-		"none was referred": {peers{"n-1": {}, "n-2": {}}, Result{}, false},
-		"one was just now": {
+		"no referral": {peers{"n-1": {}, "n-2": {}}, Result{}, false},
+		"referral 1 s ago": {
 			peers{"n-1": {}, "n-2": referred("n-0", askedAt-micro.Second)}, Result{Referred: true, Age: micro.Second}, true,
 		},
-		"the latest of two counts": {
+		"latest of two referrals counts": {
 			peers{"n-1": referred("n-0", askedAt-3*micro.Second), "n-2": referred("n-0", askedAt-20*micro.Second)},
 			Result{Referred: true, Age: 3 * micro.Second},
 			true,
 		},
-		"one was long ago": {
+		"referral a minute ago": {
 			peers{"n-1": referred("n-0", askedAt-micro.Minute+1), "n-2": {}},
 			Result{Referred: true, Age: micro.Minute - 1},
 			false,
 		},
-		"one was, to another node": {peers{"n-1": referred("n-2", askedAt), "n-2": {}}, Result{}, false},
-		"one peer does not answer": {peers{"n-1": {}, "n-2": nil}, Result{Unanswered: 1}, true},
+		"referral to another node": {peers{"n-1": referred("n-2", askedAt), "n-2": {}}, Result{}, false},
+		"one peer does not reply":  {peers{"n-1": {}, "n-2": nil}, Result{Unanswered: 1}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := row.peers.ask(nil, Query{Node: "n-0"})
@@ -71,27 +71,27 @@
 				t.Errorf("%+v, want %+v", got, row.want)
 			}
 			if within := got.ReferredWithin(10 * micro.Second); within != row.within {
-				t.Errorf("within 10 s: %v", within)
+				t.Errorf("agents may have been referred within 10 s: %v, want %v", within, row.within)
 			}
 		})
 	}
 }
 
-// reachableAgents are the agents that answer probes, by their addresses.
+// reachableAgents holds the machines of the agents that respond to probes, by address.
 type reachableAgents map[string]string
 
 func (r reachableAgents) Probe(addr string) (*wire.Heartbeat, error) {
 	machine, ok := r[addr]
 	if !ok {
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
 	return &wire.Heartbeat{Machine: machine, Addr: addr}, nil
 }
 
-// A leader that no agent reached kept the lead until agents had waited out their timeouts at all nodes
-// that they did not reach either: until then none had been referred to it.
+// A leader that no agent reached kept leadership until agents had waited for a timeout at every other node that
+// they could not reach either, because no agent was referred to it before.
 func TestPeersProbeAgentsThatWereNotReferredYet(t *testing.T) {
-	silent := []Agent{{"m-1", "a-1"}, {"m-2", "a-2"}}
+	unheard := []Agent{{"m-1", "a-1"}, {"m-2", "a-2"}}
 	both := reachableAgents{"a-1": "m-1", "a-2": "m-2"}
 	second := reachableAgents{"a-2": "m-2"}
 	replaced := reachableAgents{"a-2": "m-3"}
@@ -99,29 +99,29 @@
 	probing := func(agents reachableAgents) *Responder { return &Responder{Prober: agents} }
 	for name, row := range map[string]struct {
 		peers      peers
-		here       reachableAgents // those that answer the node itself
-		mayBeThere bool
+		local      reachableAgents // agents that respond to the node itself
+		mayBeAlive bool
 	}{
-		"no peer reaches one":                   {peers{"n-1": probing(nil), "n-2": probing(nil)}, nil, false},
-		"one peer reaches one":                  {peers{"n-1": probing(nil), "n-2": probing(second)}, nil, true},
-		"both reach both":                       {peers{"n-1": probing(both), "n-2": probing(both)}, nil, true},
-		"both reach both, the node one of them": {peers{"n-1": probing(both), "n-2": probing(both)}, second, true},
-		"all reach both":                        {peers{"n-1": probing(both), "n-2": probing(both)}, both, false},
-		"the address is another's":              {peers{"n-1": probing(nil), "n-2": probing(replaced)}, nil, false},
-		"peers that do not probe":               {peers{"n-1": {}, "n-2": {}}, nil, false},
-		"a peer does not answer":                {peers{"n-1": probing(nil), "n-2": nil}, nil, true},
-		"others than those are there":           {peers{"n-1": probing(nil), "n-2": probing(other)}, nil, false},
+		"no peer reaches an agent":             {peers{"n-1": probing(nil), "n-2": probing(nil)}, nil, false},
+		"one peer reaches one agent":           {peers{"n-1": probing(nil), "n-2": probing(second)}, nil, true},
+		"both peers reach both agents":         {peers{"n-1": probing(both), "n-2": probing(both)}, nil, true},
+		"both peers reach both, the node one":  {peers{"n-1": probing(both), "n-2": probing(both)}, second, true},
+		"peers and node reach both agents":     {peers{"n-1": probing(both), "n-2": probing(both)}, both, false},
+		"address belongs to another machine":   {peers{"n-1": probing(nil), "n-2": probing(replaced)}, nil, false},
+		"peers do not support probes":          {peers{"n-1": {}, "n-2": {}}, nil, false},
+		"one peer does not reply":              {peers{"n-1": probing(nil), "n-2": nil}, nil, true},
+		"peer reaches only agents not queried": {peers{"n-1": probing(nil), "n-2": probing(other)}, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			answer := row.peers.ask(row.here, Query{Node: "n-0", Agents: silent})
-			if got := answer.AgentsMayBeAlive(10 * micro.Second); got != row.mayBeThere {
-				t.Errorf("%+v: %v", answer, got)
+			result := row.peers.ask(row.local, Query{Node: "n-0", Agents: unheard})
+			if got := result.AgentsMayBeAlive(10 * micro.Second); got != row.mayBeAlive {
+				t.Errorf("%+v: agents may be alive: %v, want %v", result, got, row.mayBeAlive)
 			}
 		})
 	}
 }
 
-// A peer that is asked for more agents than it probes answers within its time.
+// A peer probes at most MaxProbedAgents agents of a query, so that it can reply within Timeout.
 func TestPeerProbesABoundedNumberOfAgents(t *testing.T) {
 	var agents []Agent
 	reachable := reachableAgents{}
@@ -131,19 +131,19 @@
 	last := agents[MaxProbedAgents]
 	reachable[last.Addr] = last.Machine
 	asked := peers{"n-1": {Prober: reachable}}
-	if answer := asked.ask(nil, Query{"n-0", agents}); answer.Reached {
-		t.Error("the last one was probed as well")
+	if result := asked.ask(nil, Query{"n-0", agents}); result.Reached {
+		t.Error("the agent beyond the limit was probed")
 	}
 	agents[0] = last
-	if answer := asked.ask(nil, Query{"n-0", agents}); !answer.Reached {
-		t.Error("the first one was not probed")
+	if result := asked.ask(nil, Query{"n-0", agents}); !result.Reached {
+		t.Error("the first agent was not probed")
 	}
 }
 
 func TestQueryWithoutANodeIsRejected(t *testing.T) {
 	for name, body := range map[string][]byte{"garbage": {0xc1}, "no node": wire.MustMarshal(Query{})} {
 		if status, _ := new(Responder).Handle(body, askedAt); status != http.StatusBadRequest {
-			t.Errorf("%s: %d", name, status)
+			t.Errorf("%s: status %d, want %d", name, status, http.StatusBadRequest)
 		}
 	}
 }
