--- a/internal/peer/backoff.go
+++ b/internal/peer/backoff.go
@@ -8,20 +8,19 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// ErrBackingOff means that a node was not called, since it lately gave no answer. It is an
+// ErrBackingOff means that a node was not called because it did not respond to a recent call. It wraps
 // ErrUnreachable.
-var ErrBackingOff = fmt.Errorf("%w: left alone for a while", ErrUnreachable)
+var ErrBackingOff = fmt.Errorf("%w: backing off after a call without a response", ErrUnreachable)
 
-// backoffTime is for how long a node is left alone that did not answer.
+// backoffTime is how long a node is not called after a call without a response.
 const backoffTime = 2 * micro.Second
 
-// CallFunc calls a node, as a Caller does.
+// CallFunc calls a node; see Caller.
 type CallFunc func(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error)
 
-// Backoff leaves nodes alone for a while that did not answer a call, so that not every request
-// waits for a node that is gone. One late answer does not show that a node is gone: a single
-// call at a time may try it meanwhile, and any answer ends the backoff. Any goroutine may call
-// its methods.
+// Backoff suspends calls to a node for backoffTime after it did not respond to a call, so that not every request
+// waits for a node that has failed. One late response does not prove that a node has failed: Retry may call the
+// node meanwhile, one call at a time, and any response ends the backoff. The methods are safe for concurrent use.
 type Backoff struct {
 	call CallFunc
 	now  func() micro.Time
@@ -30,18 +29,18 @@
 	nodes map[string]*nodeBackoff
 }
 
-// nodeBackoff is what is known of a node that did not answer.
+// nodeBackoff is the backoff state of one node.
 type nodeBackoff struct {
-	until    micro.Time // it is left alone until then
-	retrying bool       // a call that tries it nevertheless is under way
+	until    micro.Time // end of the backoff
+	retrying bool       // a Retry call is in progress
 }
 
-// NewBackoff makes a Backoff for calls, by a steady clock.
+// NewBackoff returns a Backoff that makes calls with call. now must return the time of a monotonic clock.
 func NewBackoff(call CallFunc, now func() micro.Time) *Backoff {
 	return &Backoff{call: call, now: now, nodes: map[string]*nodeBackoff{}}
 }
 
-// Call calls a node, unless it is left alone: ErrBackingOff.
+// Call calls a node. During the node's backoff it returns ErrBackingOff without calling it.
 func (b *Backoff) Call(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
@@ -51,8 +50,8 @@
 	return b.callAndObserve(ctx, node, call, body, timeout)
 }
 
-// Retry calls a node also if it is left alone; while another such call is under way, it is not
-// called: ErrBackingOff.
+// Retry calls a node even during its backoff. While another Retry call to the node is in progress, it returns
+// ErrBackingOff without calling it.
 func (b *Backoff) Retry(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
@@ -63,19 +62,18 @@
 	return b.callAndObserve(ctx, node, call, body, timeout)
 }
 
-// CallRegardless calls a node whether it is left alone or not. That it gives no answer has no
-// consequences.
+// CallRegardless calls a node regardless of its backoff. A call without a response does not start a backoff.
 func (b *Backoff) CallRegardless(
 	ctx context.Context, node, call string, body []byte, timeout micro.Time,
 ) (int, []byte, error) {
 	status, out, err := b.call(ctx, node, call, body, timeout)
 	if err == nil {
-		b.observeAnswer(node)
+		b.observeResponse(node)
 	}
 	return status, out, err
 }
 
-// BackingOff reports whether a node is left alone.
+// BackingOff reports whether calls to the node are suspended.
 func (b *Backoff) BackingOff(node string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,7 +88,7 @@
 	if err != nil {
 		b.observeFailure(node)
 	} else {
-		b.observeAnswer(node)
+		b.observeResponse(node)
 	}
 	return status, out, err
 }
@@ -101,7 +99,7 @@
 	b.state(node).until = b.now() + backoffTime
 }
 
-func (b *Backoff) observeAnswer(node string) {
+func (b *Backoff) observeResponse(node string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(node).until = 0
@@ -124,7 +122,7 @@
 	b.state(node).retrying = false
 }
 
-// state is that of a node; the caller holds the lock.
+// state returns the backoff state of the node, and creates it if necessary. The caller must hold b.mu.
 func (b *Backoff) state(node string) *nodeBackoff {
 	state := b.nodes[node]
 	if state == nil {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Nodes of two builds call each other by these paths.
+// Nodes of different releases call each other by these paths, so they must not change.
 func TestCallsKeepTheirPaths(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"show", Status, "/peer/show"},
@@ -23,7 +23,7 @@
 		{"metrics", Metrics, "/metrics"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, c.got, c.want)
+			t.Errorf("%s: path %q, want %q", c.name, c.got, c.want)
 		}
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries what the service's own processes say to one another:
-// HTTP/2 streams without encryption, by net/http, since fasthttp has none.
+// Package peer implements the calls between the controller nodes. They use unencrypted HTTP/2 from net/http,
+// because fasthttp does not support HTTP/2.
 package peer
 
 import (
@@ -16,38 +16,38 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Calls between nodes.
+// Paths of the calls between nodes.
 const (
 	Status               = "/peer/show"     // a job's status, from the leader's memory
 	StatusBatch          = "/peer/shows"    // the statuses of several jobs, from the leader's memory
 	Cancel               = "/peer/withdraw" // cancel a job; the leader only
-	Submit               = "/peer/submit"   // submit on behalf of a node the store refuses
+	Submit               = "/peer/submit"   // submit a job on behalf of a node that the store refuses
 	StoredStatus         = "/peer/read"     // a job's status, from the store
 	JobAccepted          = "/peer/notify"   // a job was accepted
-	Ping                 = "/peer/ping"     // is anybody there
+	Ping                 = "/peer/ping"     // check whether the node responds
 	AcceptedJobs         = "/peer/exist"    // which of these jobs were accepted, from the store
 	AcceptedJobsBudgeted = "/peer/accepted" // the same for status queries, within the answering node's budget for them
-	AnnounceVersion      = "/peer/announce" // this node runs the caller's version; for one that the store refuses
-	LeaseProxy           = "/peer/keep"     // a lease proxy asks the leader, see package leasekeeper
+	AnnounceVersion      = "/peer/announce" // announce the version of a node that the store refuses
+	LeaseProxy           = "/peer/keep"     // request of a lease proxy to the leader, see package leasekeeper
 	LeaseProxyFenced     = "/peer/fenced"   // a lease proxy confirms that it renews no lease
-	ShardOwner           = "/peer/share"    // an owner of shares tells the leader how it fares, see package share
-	ShardAdmin           = "/peer/admin"    // an operator's command on shares
+	ShardOwner           = "/peer/share"    // status update of a shard owner to the leader, see package shard
+	ShardAdmin           = "/peer/admin"    // an operator's command on shards
 	Referral             = "/peer/referral" // when an agent was last referred to the caller, see package referral
 	Metrics              = "/metrics"       // latency histograms, for operators
 )
 
-// ErrUnreachable means that no answer came in time.
-var ErrUnreachable = errors.New("peer: no answer")
+// ErrUnreachable means that a node did not respond within the timeout. The call may have been executed.
+var ErrUnreachable = errors.New("peer: no response")
 
-// Handler answers a call with a status and a body.
+// Handler handles a call and returns the HTTP status and body of the response.
 type Handler func(ctx context.Context, call string, body []byte) (int, []byte)
 
-// Caller calls the other nodes.
+// Caller calls other nodes by name.
 type Caller interface {
 	Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (status int, out []byte, err error)
 }
 
-// Client calls the other nodes over the network.
+// Client is a Caller over the network.
 type Client struct {
 	addrs      map[string]string
 	httpClient *http.Client
@@ -59,19 +59,19 @@
 	return &p
 }
 
-// NewClient makes a client for nodes by name.
+// NewClient returns a client for the nodes whose addresses are given by name.
 func NewClient(addrs map[string]string) *Client {
 	dialer := &net.Dialer{Timeout: 500 * time.Millisecond}
 	return &Client{addrs: addrs, httpClient: &http.Client{Transport: &http.Transport{
 		Protocols:       protocols(),
 		DialContext:     dialer.DialContext,
 		IdleConnTimeout: 60 * time.Second,
-		// A cut leaves connections that never answer: ping them.
+		// After a network partition, connections may remain open that never respond; pings detect them.
 		HTTP2: &http.HTTP2Config{SendPingTimeout: 2 * time.Second, PingTimeout: time.Second},
 	}}}
 }
 
-// Names lists the other nodes.
+// Names returns the names of the other nodes, in no particular order.
 func (c *Client) Names() []string {
 	var names []string
 	for name := range c.addrs {
@@ -80,7 +80,9 @@
 	return names
 }
 
-// Call asks a node.
+// Call posts the body to the node and returns the status and body of the response. A response body is truncated
+// to wire.MaxBody+1 bytes. The error wraps ErrUnreachable if the node is unknown or does not respond within the
+// timeout.
 func (c *Client) Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error) {
 	addr, ok := c.addrs[node]
 	if !ok {
@@ -104,13 +106,14 @@
 	return resp.StatusCode, reply, nil
 }
 
-// calls are all calls that a node answers.
+// calls lists the paths of all calls that a node handles.
 var calls = []string{
 	Status, StatusBatch, Cancel, Submit, StoredStatus, JobAccepted, Ping, AcceptedJobs, AcceptedJobsBudgeted,
 	AnnounceVersion, LeaseProxy, LeaseProxyFenced, ShardOwner, ShardAdmin, Referral,
 }
 
-// Serve answers the other nodes on a listener until the context ends.
+// Serve handles the calls of other nodes on the listener until the context ends. Requests with a body larger than
+// wire.MaxBody are rejected with status 400.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, metrics func(io.Writer)) error {
 	mux := http.NewServeMux()
 	for _, call := range calls {
@@ -127,10 +130,10 @@
 		})
 	}
 	mux.HandleFunc("GET "+Metrics, func(w http.ResponseWriter, _ *http.Request) { metrics(w) })
-	versions := protocols()
-	versions.SetHTTP1(true) // operators read the metrics with any client
+	serverProtocols := protocols()
+	serverProtocols.SetHTTP1(true) // operators may read the metrics with a client that supports only HTTP/1
 	server := &http.Server{
-		Handler: mux, Protocols: versions, IdleTimeout: 2 * time.Minute, ReadHeaderTimeout: 5 * time.Second,
+		Handler: mux, Protocols: serverProtocols, IdleTimeout: 2 * time.Minute, ReadHeaderTimeout: 5 * time.Second,
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,10 +16,10 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// ampleTimeout is longer than any answer of these tests takes.
+// ampleTimeout is longer than any response in these tests takes.
 const ampleTimeout = micro.Minute
 
-// serve answers as the node "n-1" until the test ends, and gives a client of it.
+// serve runs the node "n-1" with the handler until the test ends, and returns a client for it.
 func serve(t *testing.T, handler Handler) (client *Client, addr string) {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -34,14 +34,14 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("server ended with error %v", err)
 		}
 	})
 	addr = listener.Addr().String()
 	return NewClient(map[string]string{"n-1": addr}), addr
 }
 
-// echo answers with the call and its body.
+// echo is a Handler that responds with the call and its body.
 func echo(_ context.Context, call string, body []byte) (int, []byte) {
 	return http.StatusAccepted, append([]byte(call+" "), body...)
 }
@@ -54,27 +54,27 @@
 	} {
 		status, out, err := client.Call(t.Context(), "n-1", call, []byte("body"), ampleTimeout)
 		if err != nil || status != http.StatusAccepted || string(out) != call+" body" {
-			t.Errorf("%s: %d %q %v", call, status, out, err)
+			t.Errorf("%s: status %d, body %q, error %v", call, status, out, err)
 		}
 	}
 	if status, _, err := client.Call(t.Context(), "n-1", "/peer/other", nil, ampleTimeout); err != nil ||
 		status != http.StatusNotFound {
-		t.Errorf("unknown call: %d %v", status, err)
+		t.Errorf("unknown call: status %d, error %v", status, err)
 	}
 }
 
-// A refusal is an answer: the caller tells it from silence.
+// A refusal is a response: the caller must be able to distinguish it from an unreachable node.
 func TestStatusesArePassedThrough(t *testing.T) {
 	for _, want := range []int{400, 404, 409, 429, 503} {
 		client, _ := serve(t, func(context.Context, string, []byte) (int, []byte) { return want, nil })
 		status, out, err := client.Call(t.Context(), "n-1", Ping, nil, ampleTimeout)
 		if err != nil || status != want || len(out) != 0 {
-			t.Errorf("%d: %d %q %v", want, status, out, err)
+			t.Errorf("status %d, body %q, error %v, want status %d and no body", status, out, err, want)
 		}
 	}
 }
 
-func TestNodesThatDoNotAnswerAreUnreachable(t *testing.T) {
+func TestUnknownAndUnresponsiveNodesAreUnreachable(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 			t.Context(), node, Ping, nil, ampleTimeout,
 		); !errors.Is(err, ErrUnreachable) || status != 0 ||
 			out != nil {
-			t.Errorf("%s: %d %q %v", node, status, out, err)
+			t.Errorf("%s: status %d, body %q, error %v", node, status, out, err)
 		}
 	}
 	if got := client.Names(); !slices.Equal(got, []string{"n-2"}) {
@@ -95,7 +95,8 @@
 	}
 }
 
-// blockingHandler is a handler that answers once its caller gave up, or in the end.
+// blockingHandler returns a handler that blocks until the call is cancelled, or for 10 s at most. It calls
+// started at the start, and ended with the error of the call's context at the end.
 func blockingHandler(started func(), ended func(error)) Handler {
 	return func(ctx context.Context, _ string, _ []byte) (int, []byte) {
 		started()
@@ -113,7 +114,7 @@
 	if status, _, err := client.Call(t.Context(), "n-1", Status, nil, 20*micro.Millisecond); !errors.Is(
 		err, ErrUnreachable,
 	) {
-		t.Errorf("%d %v", status, err)
+		t.Errorf("status %d, error %v, want %v", status, err, ErrUnreachable)
 	}
 }
 
@@ -122,14 +123,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	client, _ := serve(t, blockingHandler(cancel, func(err error) { ended <- err }))
 	if status, _, err := client.Call(ctx, "n-1", Status, nil, ampleTimeout); !errors.Is(err, ErrUnreachable) {
-		t.Errorf("%d %v", status, err)
+		t.Errorf("status %d, error %v, want %v", status, err, ErrUnreachable)
 	}
 	if err := <-ended; err == nil {
-		t.Error("the node that was asked went on")
+		t.Error("the handler's context was not cancelled with the call")
 	}
 }
 
-// A call whose answer is lost may have run, and is not made again.
+// A call whose response is lost may have been executed. Retrying it could execute it twice.
 func TestCallWithLostResponseIsNotRetried(t *testing.T) {
 	var calls atomic.Int32
 	client, _ := serve(t, func(context.Context, string, []byte) (int, []byte) {
@@ -141,10 +142,10 @@
 	for i, lost := range []bool{true, false, true} {
 		_, _, err := client.Call(t.Context(), "n-1", Submit, []byte("job"), ampleTimeout)
 		if errors.Is(err, ErrUnreachable) != lost || !lost && err != nil {
-			t.Errorf("lost %v: %v", lost, err)
+			t.Errorf("response lost %v: error %v", lost, err)
 		}
 		if got := int(calls.Load()); got != i+1 {
-			t.Fatalf("%d calls, not %d", got, i+1)
+			t.Fatalf("the node received %d calls, want %d", got, i+1)
 		}
 	}
 }
@@ -157,11 +158,11 @@
 	})
 	status, out, err := client.Call(t.Context(), "n-1", Submit, make([]byte, wire.MaxBody), ampleTimeout)
 	if err != nil || status != http.StatusOK || len(out) != wire.MaxBody+1 {
-		t.Errorf("largest body: %d, %d bytes, %v", status, len(out), err)
+		t.Errorf("largest allowed body: status %d, response of %d bytes, error %v", status, len(out), err)
 	}
 	status, _, err = client.Call(t.Context(), "n-1", Submit, make([]byte, wire.MaxBody+1), ampleTimeout)
 	if err != nil || status != http.StatusBadRequest || calls.Load() != 1 {
-		t.Errorf("larger body: %d %v, %d calls", status, err, calls.Load())
+		t.Errorf("body over the limit: status %d, error %v, %d calls", status, err, calls.Load())
 	}
 }
 
@@ -179,7 +180,7 @@
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if err != nil || response.StatusCode != want || (want == http.StatusOK) != bytes.Equal(body, []byte("latency")) {
-			t.Errorf("%s: %d %q %v", path, response.StatusCode, body, err)
+			t.Errorf("%s: status %d, want %d; body %q, error %v", path, response.StatusCode, want, body, err)
 		}
 	}
 }
