--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -7,111 +7,112 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Agent is a stand-in for an agent, written from the protocol: sessions,
-// tokens, its lease, and commands that may come late or twice. Tasks run until
-// the test says otherwise.
+// Agent is a fake agent that follows the protocol: agent epochs, fencing tokens, its lease, and commands that
+// may arrive late or twice. Tasks run until the test ends them.
 type Agent struct {
 	Name, Zone, Type string
 	Spot             bool
 	Epoch, Sequence  uint64
 	FencingToken     uint64
 	LeaseDuration    micro.Time
-	LeaseStart       micro.Time // when its last answered report was sent
+	LeaseStart       micro.Time // when the last heartbeat with an accepted response was sent
 	Tasks            map[AttemptKey]*wire.TaskStatus
-	StartedTasks     []string                         // every start that took effect, in order
-	InitialState     wire.TaskState                   // what a task does first; "": it runs at once
-	RefuseStart      func(task string) wire.ExitCause // why a start is refused, "" if it is not; nil: never
+	StartedTasks     []string                         // tasks of all executed start commands, in order
+	InitialState     wire.TaskState                   // state of a started task; "": running
+	RefuseStart      func(task string) wire.ExitCause // cause for which a start is refused, "" to accept; nil: accept all
 }
 
-// AttemptKey names an attempt.
+// AttemptKey identifies an attempt of a task.
 type AttemptKey struct {
 	Task    string
 	Attempt uint64
 }
 
-// NewAgent makes an agent in its first session.
+// NewAgent returns an agent in epoch 1.
 func NewAgent(name, machineType, zone string, lease micro.Time) *Agent {
 	return &Agent{
 		Name: name, Type: machineType, Zone: zone, Epoch: 1, LeaseDuration: lease, Tasks: map[AttemptKey]*wire.TaskStatus{},
 	}
 }
 
-// Heartbeat builds the next heartbeat.
-func (w *Agent) Heartbeat() *wire.Heartbeat {
-	w.Sequence++
+// Heartbeat returns the next heartbeat.
+func (a *Agent) Heartbeat() *wire.Heartbeat {
+	a.Sequence++
 	heartbeat := &wire.Heartbeat{
-		Machine: w.Name, Addr: w.Name + ":9000", Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		AgentEpoch: wire.Count(w.Epoch), Sequence: wire.Count(w.Sequence), FencingToken: wire.Count(w.FencingToken),
+		Machine: a.Name, Addr: a.Name + ":9000", Type: a.Type, Zone: a.Zone, Spot: a.Spot,
+		AgentEpoch: wire.Count(a.Epoch), Sequence: wire.Count(a.Sequence), FencingToken: wire.Count(a.FencingToken),
 	}
-	for _, task := range w.Tasks {
+	for _, task := range a.Tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, *task)
 	}
-	sort.Slice(heartbeat.Tasks, func(a, b int) bool { return heartbeat.Tasks[a].Task < heartbeat.Tasks[b].Task })
+	sort.Slice(heartbeat.Tasks, func(i, j int) bool { return heartbeat.Tasks[i].Task < heartbeat.Tasks[j].Task })
 	return heartbeat
 }
 
-// HandleResponse takes the answer to a heartbeat that was sent at a time.
-func (w *Agent) HandleResponse(response wire.Commands, sent micro.Time) bool {
-	if uint64(response.FencingToken) < w.FencingToken || response.FencingToken == 0 {
+// HandleResponse handles the response to the heartbeat that was sent at the given time. It returns false and does
+// nothing if the fencing token is zero or older than the agent's.
+func (a *Agent) HandleResponse(response wire.Commands, sent micro.Time) bool {
+	if uint64(response.FencingToken) < a.FencingToken || response.FencingToken == 0 {
 		return false
 	}
-	w.FencingToken = uint64(response.FencingToken)
-	w.LeaseStart = sent
-	w.execute(response.Items)
+	a.FencingToken = uint64(response.FencingToken)
+	a.LeaseStart = sent
+	a.execute(response.Items)
 	return true
 }
 
-// HandleDispatch takes orders that came by themselves; false is status 409.
-func (w *Agent) HandleDispatch(commands wire.Commands) (*wire.Heartbeat, bool) {
-	if uint64(commands.FencingToken) < w.FencingToken || uint64(commands.AgentEpoch) != w.Epoch {
-		return w.Heartbeat(), false
+// HandleDispatch handles commands that were sent directly. It returns false, which stands for status 409, if the
+// fencing token is older than the agent's or the epoch is another one.
+func (a *Agent) HandleDispatch(commands wire.Commands) (*wire.Heartbeat, bool) {
+	if uint64(commands.FencingToken) < a.FencingToken || uint64(commands.AgentEpoch) != a.Epoch {
+		return a.Heartbeat(), false
 	}
-	w.FencingToken = uint64(commands.FencingToken)
-	w.execute(commands.Items)
-	return w.Heartbeat(), true
+	a.FencingToken = uint64(commands.FencingToken)
+	a.execute(commands.Items)
+	return a.Heartbeat(), true
 }
 
-func (w *Agent) execute(commands []wire.Command) {
+func (a *Agent) execute(commands []wire.Command) {
 	for _, command := range commands {
 		key := AttemptKey{command.Task, uint64(command.Attempt)}
-		task := w.Tasks[key]
+		task := a.Tasks[key]
 		switch {
 		case command.Kind == wire.CommandStart && task == nil:
 			task = &wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning}
-			if w.InitialState != "" {
-				task.State = w.InitialState
+			if a.InitialState != "" {
+				task.State = a.InitialState
 			}
-			if w.RefuseStart != nil {
-				task.Cause = w.RefuseStart(command.Task)
+			if a.RefuseStart != nil {
+				task.Cause = a.RefuseStart(command.Task)
 			}
-			w.Tasks[key] = task
+			a.Tasks[key] = task
 			if task.Cause != "" {
 				task.State = wire.TaskExited
 				break
 			}
-			w.StartedTasks = append(w.StartedTasks, command.Task)
+			a.StartedTasks = append(a.StartedTasks, command.Task)
 		case command.Kind == wire.CommandStop && task != nil && task.State != wire.TaskExited:
 			task.State, task.Cause = wire.TaskExited, wire.CauseStopped
 		case command.Kind == wire.CommandForget && task != nil && task.State == wire.TaskExited:
-			delete(w.Tasks, key)
+			delete(a.Tasks, key)
 		}
 	}
 }
 
-// ExitTask ends a task.
-func (w *Agent) ExitTask(task string, attempt uint64, cause wire.ExitCause) {
-	if t := w.Tasks[AttemptKey{task, attempt}]; t != nil {
+// ExitTask ends the attempt of the task with the cause, if the agent has it.
+func (a *Agent) ExitTask(task string, attempt uint64, cause wire.ExitCause) {
+	if t := a.Tasks[AttemptKey{task, attempt}]; t != nil {
 		t.State, t.Cause = wire.TaskExited, cause
 	}
 }
 
-// ExpireLease moves on to the next session if the lease ran out.
-func (w *Agent) ExpireLease(now micro.Time) bool {
-	if now-w.LeaseStart <= w.LeaseDuration {
+// ExpireLease ends all tasks and starts the next epoch if the lease has expired. It reports whether it has.
+func (a *Agent) ExpireLease(now micro.Time) bool {
+	if now-a.LeaseStart <= a.LeaseDuration {
 		return false
 	}
-	w.Epoch++
-	w.LeaseStart = now
-	clear(w.Tasks)
+	a.Epoch++
+	a.LeaseStart = now
+	clear(a.Tasks)
 	return true
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -9,36 +9,37 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Cloud is a stand-in for the cloud.
+// Cloud is a fake cloud provider, a cloud.Provider.
 type Cloud struct {
 	mu            sync.Mutex
 	Types         []wire.MachineType
 	Capacity      int
-	answered      map[string][]string
+	granted       map[string][]string // machines by request ID
 	machines      map[string]wire.ListedMachine
 	lastMachineID int
-	RequestCounts map[string]int // how often each request name came
+	RequestCounts map[string]int // number of requests by request ID
 }
 
-// NewCloud makes a cloud with capacity for so many machines.
+// NewCloud returns a cloud with the machine types and capacity for the given number of machines.
 func NewCloud(capacity int, types ...wire.MachineType) *Cloud {
 	return &Cloud{
-		Types: types, Capacity: capacity, answered: map[string][]string{}, machines: map[string]wire.ListedMachine{},
+		Types: types, Capacity: capacity, granted: map[string][]string{}, machines: map[string]wire.ListedMachine{},
 		RequestCounts: map[string]int{},
 	}
 }
 
-// Catalog lists the types.
+// Catalog returns the machine types.
 func (c *Cloud) Catalog(context.Context) (*wire.Catalog, error) {
 	return &wire.Catalog{Types: c.Types}, nil
 }
 
-// RequestInstances rents; a repeated name gets the same answer.
+// RequestInstances provisions as many of the requested machines as the capacity allows. A request with a repeated
+// ID gets the machines of the first one.
 func (c *Cloud) RequestInstances(_ context.Context, request wire.InstanceRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.RequestCounts[request.RequestID]++
-	if earlier, ok := c.answered[request.RequestID]; ok {
+	if earlier, ok := c.granted[request.RequestID]; ok {
 		return earlier, nil
 	}
 	var names []string
@@ -57,7 +58,7 @@
 	if len(names) == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	c.answered[request.RequestID] = names
+	c.granted[request.RequestID] = names
 	return names, nil
 }
 
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// List lists all machines.
+// List returns all machines on one page.
 func (c *Cloud) List(context.Context, string) (*wire.MachineList, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	return l, nil
 }
 
-// Instances lists the machines that are up for use.
+// Instances returns all machines that are not terminated.
 func (c *Cloud) Instances() []wire.ListedMachine {
 	l, _ := c.List(context.Background(), "")
 	return l.Machines
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -13,19 +13,18 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Reachability is how the store meets one node.
+// Reachability is how the store responds to one node.
 type Reachability uint8
 
-// The ways.
+// Values of Reachability.
 const (
 	Reachable   Reachability = iota
-	Refusing                 // 503 for this node alone
-	Partitioned              // no answer: the network keeps it from the store
+	Refusing                 // the store refuses only this node (503)
+	Partitioned              // no response: a network partition separates the node from the store
 )
 
-// Link is the store as one process of a node reaches it, with the troubles that
-// befall this process alone. What waits does so on the timers of package time,
-// so that it serves in real time and in fake time.
+// Link is the connection of one process to the store, with faults that affect only this process.
+// All waits use the timers of package time, so that a Link works in real time and in fake time.
 type Link struct {
 	*Store
 
@@ -33,40 +32,41 @@
 	reachability    Reachability
 	killed          bool
 	delay           micro.Time
-	lateCommitRatio float64                            // share of commits carried out late, and answered by nothing
-	lostAnswerRatio float64                            // share of commits carried out at once, and answered by nothing
-	onCommit        func(wire.Transaction) CommitFault // nil: nothing of note
+	lateCommitRatio float64                            // fraction of commits executed late, without a response
+	lostAnswerRatio float64                            // fraction of commits executed at once, without a response
+	onCommit        func(wire.Transaction) CommitFault // returns the fault of a commit; nil: no faults
 	pausedUntil     time.Time
-	writeLimiter    *rate.Limiter // what the process may change; nil: no limit
-	writeRPS        float64       // of which its share is a part
+	writeLimiter    *rate.Limiter // limits the puts and deletes of the process; nil: no limit
+	writeRPS        float64       // total write rate, of which the process may use a fraction
 	rng             *rand.Rand
-	AnswerTimeout   micro.Time // how long a call without a deadline waits for an answer
+	AnswerTimeout   micro.Time // how long a call without a response waits before it returns store.ErrUncertain
 }
 
-// NewLink makes the link of a process.
+// NewLink returns the link of a process to the store.
 func NewLink(s *Store, r *rand.Rand) *Link {
 	return &Link{Store: s, rng: r, AnswerTimeout: micro.Second}
 }
 
-// SetReachability changes how the store meets the node.
+// SetReachability changes how the store responds to the node.
 func (l *Link) SetReachability(r Reachability) { l.mu.Lock(); l.reachability = r; l.mu.Unlock() }
 
-// Kill ends the process: nothing that it still tries has an effect.
+// Kill simulates the end of the process: its later calls have no effect.
 func (l *Link) Kill() { l.mu.Lock(); l.killed = true; l.mu.Unlock() }
 
-// SetDelay makes every answer take so long.
+// SetDelay sets the mean delay of a call. The request and the response are each delayed by half of a value that is
+// drawn from [d/2, 3d/2).
 func (l *Link) SetDelay(d micro.Time) { l.mu.Lock(); l.delay = d; l.mu.Unlock() }
 
-// SetCommitFaultRatios has a share of the commits carried out 2 to 12 s late, and of another
-// share only the answers lost.
+// SetCommitFaultRatios sets the fraction of commits that are executed 2 to 12 s late, without a response, and
+// the fraction of commits of which only the response is lost.
 func (l *Link) SetCommitFaultRatios(lateRatio, lostAnswerRatio float64) {
 	l.mu.Lock()
 	l.lateCommitRatio, l.lostAnswerRatio = lateRatio, lostAnswerRatio
 	l.mu.Unlock()
 }
 
-// SetWriteBudget holds the process to its share of a rate of changes, as the real client
-// does; until a share is set, it is that part.
+// SetWriteBudget limits the writes of the process to a fraction of the write rate, as the real client does.
+// SetBudgetFraction changes the fraction later.
 func (l *Link) SetWriteBudget(writeRPS, share float64) {
 	l.mu.Lock()
 	l.writeRPS, l.writeLimiter = writeRPS, rate.NewLimiter(0, 0)
@@ -74,7 +74,7 @@
 	l.SetBudgetFraction(share, share)
 }
 
-// SetBudgetFraction sets the part of the limits that the process may use.
+// SetBudgetFraction sets the fraction of the write rate that the process may use. The fraction of reads is ignored.
 func (l *Link) SetBudgetFraction(_, writes float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +90,7 @@
 	return l.writeLimiter
 }
 
-// AvailableWrites is how many puts and deletes the budget allows now.
+// AvailableWrites returns the number of puts and deletes that the budget currently allows for the class.
 func (l *Link) AvailableWrites(class store.Class) int {
 	if lim := l.currentLimiter(); lim != nil {
 		return int(lim.Tokens() - max(class.ReservedFraction(), 0)*float64(lim.Burst()))
@@ -98,24 +98,25 @@
 	return l.Store.AvailableWrites(class)
 }
 
-// CommitFault is what befalls one commit.
+// CommitFault is a fault of one commit. The zero value is no fault.
 type CommitFault struct {
-	Refused      bool       // it is not carried out
-	Unanswered   bool       // it is answered by nothing
-	ExecuteAfter micro.Time // when one without an answer is carried out
+	Refused      bool       // the commit is refused and not executed
+	Unanswered   bool       // the commit is executed without a response
+	ExecuteAfter micro.Time // delay after which an unanswered commit is executed
 }
 
-// OnCommit lets a story say what befalls each commit; nil: nothing more.
+// OnCommit sets a function that returns the fault of each commit; nil removes it.
 func (l *Link) OnCommit(f func(wire.Transaction) CommitFault) {
 	l.mu.Lock()
 	l.onCommit = f
 	l.mu.Unlock()
 }
 
-// PauseUntil keeps every call back until a time, as a process does that stands still
-// just before it sends.
+// PauseUntil delays every call until the given time, as a process pause does just before the process sends a
+// request.
 func (l *Link) PauseUntil(until time.Time) { l.mu.Lock(); l.pausedUntil = until; l.mu.Unlock() }
 
+// conditions returns the current reachability, whether the process was killed, and a random delay of the next call.
 func (l *Link) conditions() (Reachability, bool, micro.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,13 +127,14 @@
 	return l.reachability, l.killed, d
 }
 
+// occurs returns true with the given probability.
 func (l *Link) occurs(ratio float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return ratio > 0 && l.rng.Float64() < ratio
 }
 
-// waitUnanswered waits until the caller gives up.
+// waitUnanswered waits until the context ends, or for AnswerTimeout at most, and returns store.ErrUncertain.
 func (l *Link) waitUnanswered(ctx context.Context) error {
 	t := time.NewTimer(l.AnswerTimeout.Duration())
 	defer t.Stop()
@@ -143,7 +145,8 @@
 	return store.ErrUncertain
 }
 
-// deliverRequest is the way of a request to the store.
+// deliverRequest simulates the transmission of a request to the store. An error means that the store does not
+// execute the request.
 func (l *Link) deliverRequest(ctx context.Context) error {
 	for {
 		l.mu.Lock()
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// deliverResponse is the way back of its answer; the error says that it got lost.
+// deliverResponse simulates the transmission of the response. An error means that the response is lost.
 func (l *Link) deliverResponse(ctx context.Context) error {
 	reachability, killed, delay := l.conditions()
 	if delay > 0 {
@@ -197,7 +200,7 @@
 	return item, err
 }
 
-// Range reads keys in order.
+// Range reads a page of keys in order.
 func (l *Link) Range(ctx context.Context, class store.Class, prefix, after string, limit int) (wire.Page, error) {
 	if err := l.deliverRequest(ctx); err != nil {
 		return wire.Page{}, err
@@ -209,19 +212,19 @@
 	return page, err
 }
 
-// ExistingKeys says which keys there are.
+// ExistingKeys reports for each of the keys whether it exists.
 func (l *Link) ExistingKeys(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
 	if err := l.deliverRequest(ctx); err != nil {
 		return nil, err
 	}
-	m, err := l.Store.ExistingKeys(ctx, class, keys)
-	if lost := l.deliverResponse(ctx); lost != nil {
-		return nil, lost
+	existing, err := l.Store.ExistingKeys(ctx, class, keys)
+	if lostErr := l.deliverResponse(ctx); lostErr != nil {
+		return nil, lostErr
 	}
-	return m, err
+	return existing, err
 }
 
-// Commit runs a transaction, or has it run late.
+// Commit executes a transaction, subject to the faults that are set.
 func (l *Link) Commit(ctx context.Context, class store.Class, txn wire.Transaction) (uint64, error) {
 	if limiter := l.currentLimiter(); limiter != nil && !store.Admit(limiter, class, len(txn.Then)) {
 		return 0, store.ErrBudgetExhausted
@@ -263,13 +266,13 @@
 	return revision, err
 }
 
-// commitLater carries a transaction out after a while, whatever became of its caller.
+// commitLater executes a transaction after a delay, also if the caller's context has ended by then.
 func (l *Link) commitLater(ctx context.Context, after time.Duration, class store.Class, txn wire.Transaction) {
 	ctx = context.WithoutCancel(ctx)
 	time.AfterFunc(after, func() { _, _ = l.Store.Commit(ctx, class, txn) })
 }
 
-// Grant makes a lease.
+// Grant creates a lease.
 func (l *Link) Grant(ctx context.Context, ttl micro.Time) (uint64, error) {
 	if err := l.deliverRequest(ctx); err != nil {
 		return 0, err
@@ -281,7 +284,7 @@
 	return id, err
 }
 
-// Renew extends a lease.
+// Renew extends a lease by its full TTL.
 func (l *Link) Renew(ctx context.Context, id uint64) error {
 	if err := l.deliverRequest(ctx); err != nil {
 		return err
@@ -293,7 +296,7 @@
 	return err
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease and deletes its keys.
 func (l *Link) Revoke(ctx context.Context, id uint64) error {
 	if err := l.deliverRequest(ctx); err != nil {
 		return err
@@ -305,8 +308,8 @@
 	return err
 }
 
-// Watch waits for changes. One that is open when the store begins to refuse the
-// node waits on, as in an outage.
+// Watch waits for changes. A watch that is open when the store starts to refuse the node continues to wait, as in
+// an outage.
 func (l *Link) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
 	if err := l.deliverRequest(ctx); err != nil {
 		return wire.Events{}, err
--- a/internal/fake/serve.go
+++ b/internal/fake/serve.go
@@ -19,7 +19,7 @@
 	ctx.SetBody(wire.MustMarshal(body))
 }
 
-// statusOf maps the store's errors to the protocol's statuses.
+// statusOf returns the HTTP status of the protocol for an error of the store.
 func statusOf(err error) int {
 	switch {
 	case err == nil:
@@ -36,7 +36,7 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// rawTransaction is a transaction with its values as they came.
+// rawTransaction is wire.Transaction with generically decoded values.
 type rawTransaction struct {
 	If   []wire.Precondition `msgpack:"guards"`
 	Then []struct {
@@ -81,10 +81,10 @@
 	}
 }
 
-// maxPage is how many items a page holds at most.
+// maxPage is the largest number of items on a page.
 const maxPage = 1000
 
-// pageLimit reads the size of a page; what is no size of one means the largest.
+// pageLimit parses the size of a page. It returns maxPage for an invalid size.
 func pageLimit(argument []byte) int {
 	limit, err := strconv.Atoi(string(argument))
 	if err != nil || limit < 1 || limit > maxPage {
@@ -93,7 +93,7 @@
 	return limit
 }
 
-// handleCommit carries a transaction out.
+// handleCommit handles a request to execute a transaction.
 func (s *Store) handleCommit(bg context.Context, ctx *fasthttp.RequestCtx) {
 	var request rawTransaction
 	if wire.Unmarshal(ctx.PostBody(), &request) != nil {
@@ -105,7 +105,7 @@
 		put := wire.Change{Put: change.Put, Value: change.Value, Lease: change.Lease, Delete: change.Delete}
 		txn.Then = append(txn.Then, put)
 	}
-	if len(txn.Then) == 0 { // only compares: what failed is asked for
+	if len(txn.Then) == 0 { // only preconditions: the caller asks which of them failed
 		if failed := s.failedPreconditions(txn.If); len(failed) > 0 {
 			respond(ctx, fasthttp.StatusConflict, wire.TransactionResult{Failed: failed})
 			return
@@ -119,7 +119,7 @@
 	respond(ctx, statusOf(err), wire.TransactionResult{Revision: wire.Count(revision)})
 }
 
-// handleLease renews a lease or ends it; rest is what follows /leases/.
+// handleLease renews or ends a lease; rest is the path after "/leases/".
 func (s *Store) handleLease(bg context.Context, rest string) error {
 	leaseID, renew := strings.CutSuffix(rest, "/extend")
 	id, err := strconv.ParseUint(leaseID, 10, 64)
@@ -167,7 +167,7 @@
 	}
 }
 
-// failedPreconditions lists the keys whose conditions do not hold.
+// failedPreconditions returns the keys whose preconditions do not hold.
 func (s *Store) failedPreconditions(preconditions []wire.Precondition) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,5 +1,5 @@
-// Package fake holds in-memory emulated services for the services around a node,
-// written from the protocol, for tests.
+// Package fake implements in-memory fakes of the services around a node, for tests. The fakes are written from
+// the protocol.
 package fake
 
 import (
@@ -27,7 +27,7 @@
 	expiresAt micro.Time
 }
 
-// Store is a stand-in for the store.
+// Store is a fake of the store.
 type Store struct {
 	mu               sync.Mutex
 	keys             map[string]value
@@ -37,38 +37,39 @@
 	lastLeaseID      uint64
 	outage           bool
 	partitioned      bool
-	answersToLose    int                // so many commits run, but their answers are lost
-	commitsToHold    int                // so many commits are held back, and answered by nothing
-	heldCommits      []wire.Transaction // those commits
+	answersToLose    int                // number of next commits that are executed, but whose responses are lost
+	commitsToHold    int                // number of next commits that are held, without a response
+	heldCommits      []wire.Transaction // held commits, in the order of their arrival
 	limits           Limits
-	writeTokens      float64    // changes that the rate allows now
-	refilledAt       micro.Time // when they were counted
-	MalformedCount   int        // requests refused as malformed, for their size
-	RateLimitedCount int        // requests refused for being over the rate
+	writeTokens      float64    // number of changes that the rate limit currently allows
+	refilledAt       micro.Time // when writeTokens was last refilled
+	MalformedCount   int        // requests refused as malformed because of their size
+	RateLimitedCount int        // requests refused because they exceed the rate limit
 	Now              func() micro.Time
-	changed          chan struct{} // closed when something changes
+	changed          chan struct{} // closed when a key or the outage state changes
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store without limits.
 func NewStore() *Store {
 	return &Store{keys: map[string]value{}, leases: map[uint64]*lease{}, Now: micro.Now, changed: make(chan struct{})}
 }
 
-// Limits are what the store enforces; 0: no limit.
+// Limits are the limits that the store enforces; 0 means no limit.
 type Limits struct {
-	ValueBytes int // of a value's JSON form
-	TxnOps     int // changes a transaction; conditions four times as many
-	WriteRPS   float64
+	ValueBytes int     // size of a value in JSON
+	TxnOps     int     // changes per transaction; the limit on preconditions is four times as high
+	WriteRPS   float64 // changes per second
 }
 
-// SetLimits sets the limits, at any time and without notice.
+// SetLimits sets the limits. It may be called at any time.
 func (s *Store) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits, s.writeTokens, s.refilledAt = l, l.WriteRPS, s.Now()
 }
 
-// checkLimits applies the limits to a transaction.
+// checkLimits returns an error if the transaction exceeds a limit; otherwise it consumes write tokens.
+// The caller must hold s.mu.
 func (s *Store) checkLimits(txn wire.Transaction) error {
 	limits := s.limits
 	if limits.TxnOps > 0 && (len(txn.Then) > limits.TxnOps || len(txn.If) > 4*limits.TxnOps) {
@@ -94,12 +95,12 @@
 	return nil
 }
 
-// ExistingKeys says which keys there are.
+// ExistingKeys reports for each of the keys whether it exists. At most four times Limits.TxnOps keys are allowed.
 func (s *Store) ExistingKeys(ctx context.Context, class store.Class, keys []string) (map[string]bool, error) {
 	s.mu.Lock()
-	over := s.limits.TxnOps > 0 && len(keys) > 4*s.limits.TxnOps
+	tooMany := s.limits.TxnOps > 0 && len(keys) > 4*s.limits.TxnOps
 	s.mu.Unlock()
-	if over {
+	if tooMany {
 		return nil, store.ErrMalformed
 	}
 	out := map[string]bool{}
@@ -113,7 +114,7 @@
 	return out, nil
 }
 
-// SetOutage starts or ends an outage; after it every lease has its full time.
+// SetOutage starts or ends an outage. At its end every lease is extended by its full TTL.
 func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,16 +127,16 @@
 	}
 }
 
-// notifyWatches wakes the watches.
+// notifyWatches wakes all waiting watches. The caller must hold s.mu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetPartitioned makes the store silent, as for a node that the network keeps from it.
+// SetPartitioned starts or ends a state in which the store does not respond, as during a network partition.
 func (s *Store) SetPartitioned(on bool) { s.mu.Lock(); s.partitioned = on; s.mu.Unlock() }
 
-// unavailable is why the store does not answer.
+// unavailable returns the error of every call while the store is partitioned or in an outage, otherwise nil.
 func (s *Store) unavailable() error {
 	switch {
 	case s.partitioned:
@@ -146,16 +147,16 @@
 	return nil
 }
 
-// LoseAnswers lets the next n commits run without an answer.
+// LoseAnswers makes the store execute the next n commits without a response.
 func (s *Store) LoseAnswers(n int) { s.mu.Lock(); s.answersToLose = n; s.mu.Unlock() }
 
-// HoldCommits keeps the next n commits, unanswered, until Deliver.
+// HoldCommits makes the store hold the next n commits, without a response, until DeliverHeld.
 func (s *Store) HoldCommits(n int) { s.mu.Lock(); s.commitsToHold = n; s.mu.Unlock() }
 
-// HeldCommits is how many commits are held back.
+// HeldCommits returns the number of held commits.
 func (s *Store) HeldCommits() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.heldCommits) }
 
-// DeliverHeld runs what was held back and says how many took effect.
+// DeliverHeld executes the held commits and returns how many of them succeeded.
 func (s *Store) DeliverHeld() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,6 +170,7 @@
 	return succeeded
 }
 
+// expireLeases ends the expired leases; during an outage no lease expires. The caller must hold s.mu.
 func (s *Store) expireLeases() {
 	if s.outage {
 		return
@@ -180,6 +182,7 @@
 	}
 }
 
+// endLease deletes a lease and its keys. The caller must hold s.mu.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	for k, v := range s.keys {
@@ -192,7 +195,7 @@
 	}
 }
 
-// AvailableWrites is without limit.
+// AvailableWrites returns a fixed large number: the fake store has no write budget.
 func (s *Store) AvailableWrites(store.Class) int { return 1000 }
 
 // Get reads a key.
@@ -210,7 +213,7 @@
 	return wire.Item{Key: key, Value: v.raw, Version: wire.Count(v.version), Lease: wire.Count(v.lease)}, nil
 }
 
-// Range reads keys in order.
+// Range reads a page of keys in order.
 func (s *Store) Range(_ context.Context, _ store.Class, prefix, after string, limit int) (wire.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +239,7 @@
 	return page, nil
 }
 
-// Commit runs a transaction.
+// Commit executes a transaction.
 func (s *Store) Commit(_ context.Context, _ store.Class, txn wire.Transaction) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,6 +262,7 @@
 	return revision, err
 }
 
+// commit executes a transaction if its preconditions hold. The caller must hold s.mu.
 func (s *Store) commit(txn wire.Transaction) (uint64, error) {
 	s.expireLeases()
 	for _, condition := range txn.If {
@@ -286,7 +290,7 @@
 	return s.revision, nil
 }
 
-// Grant makes a lease.
+// Grant creates a lease.
 func (s *Store) Grant(_ context.Context, ttl micro.Time) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,7 +302,7 @@
 	return s.lastLeaseID, nil
 }
 
-// Renew extends a lease.
+// Renew extends a lease by its full TTL.
 func (s *Store) Renew(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -314,7 +318,7 @@
 	return nil
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease and deletes its keys.
 func (s *Store) Revoke(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +329,7 @@
 	return nil
 }
 
-// eventsAfter are the changes under a prefix after a revision; the lock is held.
+// eventsAfter returns the changes of keys with the prefix after a revision. The caller must hold s.mu.
 func (s *Store) eventsAfter(prefix string, after uint64) wire.Events {
 	events := wire.Events{Revision: wire.Count(s.revision)}
 	i := sort.Search(len(s.events), func(i int) bool { return uint64(s.events[i].Version) > after })
@@ -337,7 +341,8 @@
 	return events
 }
 
-// Watch waits for changes.
+// Watch returns the changes of keys with the prefix after a revision. It waits for the first one, at most for the
+// given time, and during an outage for that time in any case.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait micro.Time) (wire.Events, error) {
 	for deadline := s.Now() + wait; ; {
 		s.mu.Lock()
@@ -346,7 +351,7 @@
 		outage, changed, now := s.outage, s.changed, s.Now()
 		remaining := deadline - now
 		if !outage {
-			for _, granted := range s.leases { // a lease that ends is a change as well
+			for _, granted := range s.leases { // the expiry of a lease may delete keys
 				remaining = min(remaining, max(granted.expiresAt-now, 0)+micro.Millisecond)
 			}
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -27,7 +27,7 @@
 	Ping                 = "/peer/ping"     // check whether the node responds
 	AcceptedJobs         = "/peer/exist"    // which of these jobs were accepted, from the store
 	AcceptedJobsBudgeted = "/peer/accepted" // the same for status queries, within the answering node's budget for them
-	AnnounceVersion      = "/peer/announce" // announce the version of a node that the store refuses
+	AnnounceVersion      = "/peer/announce" // a node that the store refuses runs the caller's version
 	LeaseProxy           = "/peer/keep"     // request of a lease proxy to the leader, see package leasekeeper
 	LeaseProxyFenced     = "/peer/fenced"   // a lease proxy confirms that it renews no lease
 	ShardOwner           = "/peer/share"    // status update of a shard owner to the leader, see package shard
