--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -9,13 +9,14 @@
 )
 
 var (
+	// Names of tests in a page. Names that end in "…" or "*" are prefixes.
 	namedTest    = regexp.MustCompile(`Test[A-Z]\w*(…|\*)?`)
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark)\w+)\(`)
-	// Scenarios stand in one table of compound-faults.md without their prefix.
+	// Names of scenarios, which compound-faults.md lists in a table without the prefix "Test".
 	namedScenario = regexp.MustCompile("`([A-Z][a-z]+(?:[A-Z][a-z]*){3,})`")
 )
 
-// declaredTests reads the names of all tests of the repository.
+// declaredTests returns the names of all tests and benchmarks that are declared below root.
 func declaredTests(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	tests := map[string]bool{}
@@ -35,14 +36,14 @@
 	return tests
 }
 
-// missingTests lists the tests that a text names and the repository lacks. A name
-// that ends in "…" or "*" stands for all that begin so.
+// missingTests returns the names of tests in the text that are not declared. A name that ends in "…" or "*"
+// is a prefix, which at least one declared test must have.
 func missingTests(text string, declared map[string]bool) []string {
 	var missing []string
 	for _, name := range namedTest.FindAllString(text, -1) {
-		prefix, open := strings.CutSuffix(strings.TrimSuffix(name, "*"), "…")
-		open = open || strings.HasSuffix(name, "*")
-		if !declared[prefix] && (!open || !anyHasPrefix(declared, prefix)) {
+		prefix, isPrefix := strings.CutSuffix(strings.TrimSuffix(name, "*"), "…")
+		isPrefix = isPrefix || strings.HasSuffix(name, "*")
+		if !declared[prefix] && (!isPrefix || !anyHasPrefix(declared, prefix)) {
 			missing = append(missing, name)
 		}
 	}
@@ -63,13 +64,13 @@
 	return false
 }
 
-// The pages name the tests that show a claim; renamed or gone, they show nothing.
+// The documentation names the tests that verify its statements. This fails when such a test was renamed or deleted.
 func TestTestsThatThePagesNameExist(t *testing.T) {
 	root := filepath.Join("..", "..")
 	declared := declaredTests(t, root)
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	if err != nil || len(pages) < 4 {
-		t.Fatalf("pages %v, %v", pages, err)
+		t.Fatalf("pages %v, error %v, want at least 4 pages", pages, err)
 	}
 	for _, page := range append(pages, filepath.Join(root, "README.md")) {
 		text, err := os.ReadFile(page)
@@ -77,7 +78,7 @@
 			t.Fatal(err)
 		}
 		for _, name := range missingTests(string(text), declared) {
-			t.Errorf("%s names %s, which does not exist", page, name)
+			t.Errorf("%s names the test %s, which does not exist", page, name)
 		}
 	}
 }
@@ -88,6 +89,6 @@
 		"`TestOneThatIsGone`, TestTwo…, `OneThatIsGone`"
 	got := strings.Join(missingTests(text, declared), " ")
 	if want := "TestOneThatIsGone TestTwo… OneThatIsGone"; got != want {
-		t.Errorf("missing: %s, want %s", got, want)
+		t.Errorf("missing tests: %s, want %s", got, want)
 	}
 }
--- a/internal/ci/known_red_test.go
+++ b/internal/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci tests the scripts in .ci.
+// Package ci tests the scripts in .ci, and the names of tests in the documentation.
 package ci
 
 import (
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// newTestModule makes a tiny module with the scripts: in it TestBroken and TestTorn (which
-// panics) fail, and so does TestOther if it is told to.
+// newTestModule creates a small module with the scripts and returns its directory. In it TestBroken fails, TestTorn
+// panics, TestMended passes, and TestBrokenNoMore fails if OTHER_FAILS is set.
 func newTestModule(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -51,7 +51,7 @@
 
 func TestMended(*testing.T) {}
 
-// A name that begins like another's is not skipped with it.
+// TestBroken is a prefix of its name; skipping that test must not skip this one.
 func TestBrokenNoMore(t *testing.T) {
 	if os.Getenv("OTHER_FAILS") != "" {
 		t.Fatal("a new fault")
@@ -61,11 +61,12 @@
 	return dir
 }
 
-// knownRedCase is a list of known failures, and what the script makes of it.
+// knownRedCase is the content of a KNOWN-RED.txt with the expected result of .ci/run: whether it succeeds, and
+// texts that its output contains.
 type knownRedCase struct {
 	name, list, env string
-	wantPass              bool
-	wantOutput            []string
+	wantPass        bool
+	wantOutput      []string
 }
 
 const twoListed = "TestBroken `go test -run TestBroken ./...` breaks by design, issue 1\n" +
@@ -74,25 +75,25 @@
 var knownRedCases = []knownRedCase{
 	{"nothing listed", "", "", false, []string{"--- FAIL: TestBroken "}},
 	{
-		"all that fail are listed", twoListed + "\nTestMended `go test -run TestMended ./...` was red, issue 3\n\n", "", true,
+		"all failing are listed", twoListed + "\nTestMended `go test -run TestMended ./...` was red, issue 3\n\n", "", true,
 		[]string{
 			"known red: TestBroken failed", "known red: TestTorn failed",
 			"known red: TestMended passed", "ok  \ttiny/internal/x",
 		},
 	},
 	{
-		"another fails", twoListed + "\n", "OTHER_FAILS=1", false,
+		"a test that is not listed fails too", twoListed + "\n", "OTHER_FAILS=1", false,
 		[]string{"known red: TestTorn failed", "--- FAIL: TestBrokenNoMore "},
 	},
 	{
-		"one that fails is not listed", "TestTorn `go test -run TestTorn ./...` panics, issue 2\n", "", false,
+		"one of two failing tests is not listed", "TestTorn `go test -run TestTorn ./...` panics, issue 2\n", "", false,
 		[]string{"--- FAIL: TestBroken "},
 	},
 	{
-		"no such test", "TestBroke `go test -run TestBroke ./...` breaks, issue 1\n", "", false,
+		"unknown test", "TestBroke `go test -run TestBroke ./...` breaks, issue 1\n", "", false,
 		[]string{"no such test: TestBroke"},
 	},
-	{"no cause", "TestBroken\n", "", false, []string{"not a test, its cause and its issue"}},
+	{"only the name", "TestBroken\n", "", false, []string{"not a test, its cause and its issue"}},
 	{
 		"no command", "TestBroken breaks by design, issue 1\n", "", false,
 		[]string{"no command (go test …) or no issue: TestBroken"},
@@ -102,21 +103,21 @@
 		[]string{"no command (go test …) or no issue: TestBroken"},
 	},
 	{
-		"an issue without its number", "TestBroken `go test -run TestBroken ./...` breaks, issue\n", "", false,
+		"issue without a number", "TestBroken `go test -run TestBroken ./...` breaks, issue\n", "", false,
 		[]string{"no command (go test …) or no issue: TestBroken"},
 	},
 	{
-		"a pattern", "TestBroken|TestTorn both, issue 1\n", "", false,
+		"pattern instead of a name", "TestBroken|TestTorn both, issue 1\n", "", false,
 		[]string{"not a test, its cause and its issue"},
 	},
 	{
-		"too many",
+		"more than three tests",
 		twoListed + "\nTestMended `go test ./...` x, issue 3\nTestBrokenNoMore `go test ./...` y, issue 4\n", "", false,
 		[]string{"at most three"},
 	},
 }
 
-// The linters have tests of their own: here the script that runs them only says that it ran.
+// The linters are tested separately: here .ci/lint is replaced by a script that only prints that it ran.
 func TestOnlyListedTestsMayFail(t *testing.T) {
 	t.Parallel()
 	dir := newTestModule(t)
@@ -132,15 +133,15 @@
 		}
 		out, err := runScript(t, dir, "run", c.env)
 		if (err == nil) != c.wantPass {
-			t.Errorf("%s: %v\n%s", c.name, err, out)
+			t.Errorf("%s: error %v, want success %v\n%s", c.name, err, c.wantPass, out)
 		}
 		for _, s := range append(c.wantOutput, "linted\n") {
 			if !strings.Contains(out, s) {
-				t.Errorf("%s: nothing said of %q:\n%s", c.name, s, out)
+				t.Errorf("%s: output lacks %q:\n%s", c.name, s, out)
 			}
 		}
 		if c.list == "" && strings.Contains(out, "known red") {
-			t.Errorf("%s:\n%s", c.name, out)
+			t.Errorf("%s: output reports a known red test:\n%s", c.name, out)
 		}
 	}
 }
--- a/internal/ci/lint_test.go
+++ b/internal/ci/lint_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	packageHeader = "// Package x is small.\npackage x\n\n"
-	testFileHeader    = packageHeader + "import \"testing\"\n\nfunc TestIt(*testing.T) {\n"
+	packageHeader  = "// Package x is small.\npackage x\n\n"
+	testFileHeader = packageHeader + "import \"testing\"\n\nfunc TestIt(*testing.T) {\n"
 )
 
-// lintCase is a file of the tiny module, without its ".go", and who finds something in it.
+// lintCase is a file of the test module and the linter that reports a finding in it. The file name lacks ".go".
 type lintCase struct {
 	file, text string
 	linter     string // "": no finding
@@ -25,22 +25,22 @@
 	dir := newTestModule(t)
 	for _, c := range []struct {
 		name, file, text string
-		says             string // "": no finding
+		wantOutput       string // "": no finding
 	}{
-		{"nothing to find", "x.go", packageHeader + "// Do does nothing.\nfunc Do() {}\n", ""},
-		{"test that is long, but not too long", "x_test.go", testFileHeader + printLines(61) + "}\n", ""},
-		{"long test", "x_test.go", testFileHeader + printLines(107) + "}\n", "#function-length"},
+		{"no finding", "x.go", packageHeader + "// Do does nothing.\nfunc Do() {}\n", ""},
+		{"test longer than the limit for other functions", "x_test.go", testFileHeader + printLines(61) + "}\n", ""},
+		{"test longer than the limit for tests", "x_test.go", testFileHeader + printLines(107) + "}\n", "#function-length"},
 		{"package without a comment", "x.go", "package x\n", "(ST1000)"},
 		{
 			"exported function without a comment", "x.go", packageHeader + "func Do() {}\n",
 			"exported function Do should have comment",
 		},
 		{
-			"comment that begins with another name", "x.go",
+			"comment that does not begin with the name", "x.go",
 			packageHeader + "// Does nothing.\nfunc Do() {}\n", "(ST1020)",
 		},
-		{"code that nobody uses", "x.go", packageHeader + "func do() {}\n", "(U1000)"},
-		{"code of tests that nobody uses", "x_test.go", packageHeader + "func do() {}\n", "(U1000)"},
+		{"unused function", "x.go", packageHeader + "func do() {}\n", "(U1000)"},
+		{"unused function of a test file", "x_test.go", packageHeader + "func do() {}\n", "(U1000)"},
 		{
 			"long function", "x.go",
 			packageHeader + "// Do prints.\nfunc Do() {\n" + printLines(61) + "}\n", "#function-length",
@@ -50,7 +50,7 @@
 			packageHeader + "// Do prints.\nfunc Do(n int) {\n" + nestedBranches(9) + "}\n", "#cognitive-complexity",
 		},
 		{
-			"ignored with its reason", "x.go",
+			"ignored with a reason", "x.go",
 			packageHeader + "//lint:ignore U1000 kept for a test\nfunc do() {}\n", "",
 		},
 		{
@@ -68,22 +68,22 @@
 			t.Fatal(err)
 		}
 		out, err := runScript(t, dir, "lint")
-		if c.says == "" && (err != nil || out != "") {
-			t.Errorf("%s: %v\n%s", c.name, err, out)
+		if c.wantOutput == "" && (err != nil || out != "") {
+			t.Errorf("%s: error %v, want success without output:\n%s", c.name, err, out)
 		}
-		if c.says != "" && (err == nil || !strings.Contains(out, c.says)) {
-			t.Errorf("%s: %v, nothing said of %q:\n%s", c.name, err, c.says, out)
+		if c.wantOutput != "" && (err == nil || !strings.Contains(out, c.wantOutput)) {
+			t.Errorf("%s: error %v, want a failure with %q in the output:\n%s", c.name, err, c.wantOutput, out)
 		}
 		if c.file != "x.go" {
 			_ = os.Remove(path)
 		}
 	}
 	if out, err := runScript(t, dir, "run"); err == nil || strings.Contains(out, "--- FAIL") {
-		t.Errorf("the tests ran in spite of a finding: %v\n%s", err, out)
+		t.Errorf("the run succeeded or ran the tests despite a finding: error %v\n%s", err, out)
 	}
 }
 
-// lintCases has a finding of each kind that golangci-lint alone makes over the whole tree.
+// lintCases has one case for each kind of finding that only golangci-lint reports, in all packages.
 var lintCases = []lintCase{
 	{"ignored_error", "import \"os\"\n\n// Do1 removes.\nfunc Do1() { os.Remove(\"x\") }\n", "errcheck"},
 	{
@@ -149,13 +149,14 @@
 	},
 }
 
-// One run tells of all files, which saves the linters' start for each.
+// One run checks all files, because starting the linters for each file would be slow.
 func TestGolangciLintFailsOnEachKindOfFinding(t *testing.T) {
 	t.Parallel()
 	checkLintCases(t, newTestModule(t), "wire", lintCases)
 }
 
-// strictLintCases is clean under the set for the whole tree.
+// strictLintCases returns a case for each kind of finding that is reported only in the packages that
+// .ci/strict-packages lists.
 func strictLintCases() []lintCase {
 	return []lintCase{
 		{"long_line", "// Do1 prints.\nfunc Do1() {\n\tprintln(\"" + strings.Repeat("x", 111) + "\")\n}\n", "lll"},
@@ -197,11 +198,11 @@
 	}
 }
 
-func TestStrictPackagesAreHeldToTheWholeSet(t *testing.T) {
+func TestStrictPackagesAreCheckedWithTheStrictLinters(t *testing.T) {
 	t.Parallel()
 	dir := newTestModule(t)
 	checkLintCases(t, dir, "internal/strict", strictLintCases())
-	// Where a package is not listed, nothing is said of them.
+	// The same files have no finding in a package that is not listed.
 	wire := filepath.Join(dir, "wire")
 	if err := os.RemoveAll(wire); err != nil {
 		t.Fatal(err)
@@ -217,12 +218,12 @@
 		t.Fatal(err)
 	}
 	if out, err := runScript(t, dir, "lint"); err != nil || out != "" {
-		t.Errorf("in a package that is not listed: %v\n%s", err, out)
+		t.Errorf("in a package that is not listed: error %v, want success without output:\n%s", err, out)
 	}
 }
 
-// checkLintCases runs the linters once with each file in a package: the linter must
-// tell of its own file, and nothing is said of a file without one.
+// checkLintCases runs the linters once with the files of all cases in a package. Each case's linter must report a
+// finding in its file, and there must be no finding in the file of a case without a linter.
 func checkLintCases(t *testing.T, dir, pkg string, all []lintCase) {
 	t.Helper()
 	for _, c := range all {
@@ -235,34 +236,34 @@
 	for _, c := range all {
 		found := regexp.MustCompile(`(?m)^` + pkg + `/` + c.file + `\.go:.*\((` + c.linter + `)\)$`)
 		if c.linter != "" && !found.MatchString(out) {
-			t.Errorf("%s: nothing said by %s", c.file, c.linter)
+			t.Errorf("%s: no finding by %s", c.file, c.linter)
 		}
 		if c.linter == "" && strings.Contains(out, pkg+"/"+c.file+".go:") {
-			t.Errorf("%s: a finding", c.file)
+			t.Errorf("%s: unexpected finding", c.file)
 		}
 	}
 	if err == nil || t.Failed() {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("lint: error %v, want a failure with the findings above:\n%s", err, out)
 	}
 }
 
 func TestStrictPackagesExist(t *testing.T) {
 	t.Parallel()
 	dir := newTestModule(t)
-	for list, says := range map[string]string{
+	for list, wantOutput := range map[string]string{
 		"# None.\n":                       "lists no package",
 		"internal/strict\ninternal/old\n": "no such directory: internal/old",
 	} {
 		if err := os.WriteFile(filepath.Join(dir, ".ci", "strict-packages"), []byte(list), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := runScript(t, dir, "lint"); err == nil || !strings.Contains(out, says) {
-			t.Errorf("%v, nothing said of %q:\n%s", err, says, out)
+		if out, err := runScript(t, dir, "lint"); err == nil || !strings.Contains(out, wantOutput) {
+			t.Errorf("error %v, want a failure with %q in the output:\n%s", err, wantOutput, out)
 		}
 	}
 }
 
-// What no linter reads, as no package has it, is formatted all the same.
+// Files that belong to no package, which no linter reads, must be formatted too.
 func TestRunFailsOnFilesThatAreNotFormatted(t *testing.T) {
 	t.Parallel()
 	dir := newTestModule(t)
@@ -277,18 +278,18 @@
 		}
 		out, err := runScript(t, dir, "run")
 		if err == nil || !strings.Contains(out, name) || strings.Contains(out, "--- FAIL") {
-			t.Errorf("%s: %v\n%s", name, err, out)
+			t.Errorf("%s: error %v, want a failure that names the file, before the tests:\n%s", name, err, out)
 		}
 		_ = os.Remove(path)
 	}
 }
 
-// printLines makes the lines of a function that does no more than print.
+// printLines returns the given number of lines of a function body, each of which prints.
 func printLines(lines int) string {
 	return strings.Repeat("\tprintln()\n", lines)
 }
 
-// nestedBranches makes the lines of a function that branches ever deeper.
+// nestedBranches returns a function body of if statements nested to the given depth.
 func nestedBranches(depth int) string {
 	body := "println()\n"
 	for range depth {
@@ -297,7 +298,7 @@
 	return "\t" + strings.ReplaceAll(strings.TrimSuffix(body, "\n"), "\n", "\n\t") + "\n"
 }
 
-// runScript runs a script of .ci in a site.
+// runScript runs a script of .ci in the test module and returns its combined output.
 func runScript(t *testing.T, dir, name string, env ...string) (string, error) {
 	t.Helper()
 	run := exec.CommandContext(t.Context(), "bash", filepath.Join(dir, ".ci", name))
