--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -26,7 +26,7 @@
 	JobAccepted          = "/peer/notify"   // a job was accepted
 	Ping                 = "/peer/ping"     // check whether the node responds
 	AcceptedJobs         = "/peer/exist"    // which of these jobs were accepted, from the store
-	AcceptedJobsBudgeted = "/peer/accepted" // the same for status queries, within the answering node's budget for them
+	AcceptedJobsBudgeted = "/peer/accepted" // the same for status queries, within the responding node's budget for them
 	AnnounceVersion      = "/peer/announce" // a node that the store refuses runs the caller's version
 	LeaseProxy           = "/peer/keep"     // request of a lease proxy to the leader, see package leasekeeper
 	LeaseProxyFenced     = "/peer/fenced"   // a lease proxy confirms that it renews no lease
--- a/internal/referral/referral_test.go
+++ b/internal/referral/referral_test.go
@@ -37,7 +37,7 @@
 
 // A leader cannot distinguish the failure of all machines from a network partition between it and its agents:
 // only its peers know whether agents were referred to it.
-func TestPeersTellWhetherAgentsLookForANode(t *testing.T) {
+func TestPeersReportWhetherAgentsWereReferredToANode(t *testing.T) {
 	referred := func(node string, at micro.Time) *Responder {
 		responder := &Responder{}
 		responder.Record(node, at)
