--- a/internal/controller/detector_host.go
+++ b/internal/controller/detector_host.go
@@ -12,7 +12,7 @@
 	l.provisioner.SendTerminations()
 }
 
-// The following methods implement detector.Host, together with HandOver.
+// The following methods implement detector.Host, together with HandleUnreachableAgents.
 
 // InventoryReadAt returns when the last inventory of instances that was read had been requested.
 func (l *Leader) InventoryReadAt() micro.Time { return l.provisioner.InventoryRequestedAt() }
--- a/internal/controller/shard_owner_role.go
+++ b/internal/controller/shard_owner_role.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// This file implements role for a shard owner, except the methods of controlLoop and HandOver.
+// This file implements role for a shard owner, except the methods of controlLoop and HandleUnreachableAgents.
 
 // mayRespond reports whether no transfer is in flight or uncertain. It is safe for concurrent use.
 func (o *ShardOwner) mayRespond() bool { return !o.responsesBlocked.Load() }
