--- a/internal/controller/job_api.go
+++ b/internal/controller/job_api.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// Submit accepts a job. It replies 201 only after the job's specification is stored.
+// Submit accepts a job. It replies 201 only after the job's spec is stored.
 func (n *Node) Submit(body []byte) httpapi.Reply { return n.jobs.Submit(body) }
 
 // Status returns the status of a job.
@@ -77,7 +77,7 @@
 // jobReader reads jobs from the store for the job API. It implements jobapi.JobReader.
 type jobReader struct{ node *Node }
 
-// ReadJob reads a job's specification, dependencies and final state.
+// ReadJob reads a job's spec, dependencies and final state.
 func (r jobReader) ReadJob(class store.Class, id string) (jobapi.StoredJob, error) {
 	snapshot := recovery.NewSnapshot(r.node.Log)
 	if err := snapshot.ReadJob(context.Background(), r.node.Store, class, id); err != nil {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -26,7 +26,7 @@
 	renewalBound    *leasekeeper.RenewalBound
 	cancellations   *cancellation.Manager
 	failover        *recovery.Failover
-	declineLogged   bool                     // a decision against a handover was logged in this term
+	declineLogged   bool                     // a decision against a leadership handover was logged in this term
 	recovered       bool                     // the failover has read all records
 	coordinator     *coordinator.Coordinator // coordinates the shards; nil: the feature is off
 	unservedJobScan *coordinator.UnservedJobScan
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -14,7 +14,7 @@
 // refer them back to this node, and the peers can probe agents that are silent here.
 
 // HandleUnreachableAgents resigns so that another node becomes the leader, if agents may reach another node and
-// recent handovers have not already failed to restore contact.
+// recent leadership handovers have not already failed to restore contact.
 func (l *Leader) HandleUnreachableAgents(now micro.Time) {
 	evidence := l.detector.Reachability(now)
 	if evidence.HeartbeatGap {
@@ -34,8 +34,8 @@
 	l.handOver(evidence, l.node.Now())
 }
 
-// handOver resigns so that another node becomes the leader, unless recent handovers have already
-// failed to restore contact with agents.
+// handOver resigns so that another node becomes the leader, unless recent leadership handovers
+// have already failed to restore contact with agents.
 func (l *Leader) handOver(evidence detector.Reachability, now micro.Time) {
 	window := detector.LeadershipHandoverWindow(l.node.Cfg)
 	if !l.node.handovers.Begin(now, l.cluster.TermStartedAt, window) {
@@ -50,8 +50,8 @@
 	l.resign("no agent reaches this node")
 }
 
-// logHandover logs the decision on a handover and the evidence for it. A decision against a handover
-// is logged only once per term.
+// logHandover logs the decision on a leadership handover and the evidence for it. A decision against
+// one is logged only once per term.
 func (l *Leader) logHandover(handsOver bool, reason string, evidence detector.Reachability) {
 	if !handsOver && l.declineLogged {
 		return
--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -9,9 +9,8 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// A job that is handed over to a shard after it had allocations has task records of the leader's. The
-// owner copies them to records of its own before it schedules any of the job's tasks. The leader's side
-// is in package coordinator, hand_over.go.
+// A handed-over job has task records of the leader's. The owner copies them to records of its own before
+// it schedules any of the job's tasks. The leader's part is in package coordinator, hand_over.go.
 
 // copyProgress is the progress of copying the leader's task records of one handed-over job.
 type copyProgress struct {
--- a/internal/controller/shard_owner_handover.go
+++ b/internal/controller/shard_owner_handover.go
@@ -10,8 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// This file handles jobs that had allocations before the leader handed them over to the shard, and jobs
-// that the leader recalls. The leader's side is in package coordinator.
+// This file handles handed-over jobs, which the owner continues from the leader's task records, and jobs
+// that the leader recalls. The leader's part is in package coordinator.
 
 // leaderRecords holds the leader's task records, by job ID.
 type leaderRecords map[string][]wire.Item
--- a/internal/controller/shard_owner_recovery.go
+++ b/internal/controller/shard_owner_recovery.go
@@ -128,7 +128,7 @@
 	_, id, ok := shard.ParseAssignmentKey(key)
 	err := wire.Unmarshal(value, &assignment)
 	job := o.cluster.Jobs[id]
-	// A leader of the previous release omits the job's specification when it rewrites an assignment.
+	// A leader of the previous release omits the job's spec when it rewrites an assignment.
 	if !ok || err != nil || job == nil && assignment.Spec().Tasks < 1 {
 		o.log.Error("decode assignment failed", "key", key, "err", err)
 		return nil, assignment
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -31,9 +31,9 @@
 	relayTimeout = 900 * micro.Millisecond
 )
 
-// How long the leader waits until the cancellation of a job is certain, before it answers 503. The answer to a node
-// that forwards a user's request must arrive before that node's call times out: when the leader answered later than
-// that, the node backed off from it for 2 s and did not send it submissions either.
+// How long the leader waits until the final state of a cancelled job is stored, before it answers 503. The answer to a
+// node that forwards a user's request must arrive before that node's call times out: when the leader answered later
+// than that, the node backed off from it for 2 s and did not send it submissions either.
 const (
 	// cancelTimeout applies to requests of the leader's own users.
 	cancelTimeout = 1500 * micro.Millisecond
@@ -55,8 +55,8 @@
 	PendingTasks() int
 	// AddJob adds an accepted job to the leader's state.
 	AddJob(job wire.Job)
-	// CancelJob cancels a job and waits until the cancellation is certain, at most for the duration within. The
-	// reply is 404 if the job is not in memory, and 503 if the cancellation was not certain in time.
+	// CancelJob cancels a job and waits until its final state is stored, at most for the duration within. The
+	// reply is 404 if the job is not in memory, and 503 if its final state was not stored in time.
 	CancelJob(id string, within micro.Time) httpapi.Reply
 }
 
--- a/internal/jobapi/status.go
+++ b/internal/jobapi/status.go
@@ -122,8 +122,8 @@
 	return reply
 }
 
-// cancelAsLeader cancels a job on the node that leads and waits until the cancellation is certain, at most for the
-// duration within.
+// cancelAsLeader cancels a job on the node that leads and waits until the job's final state is stored, at most for
+// the duration within.
 func (s *Service) cancelAsLeader(leader Leader, id string, within micro.Time) httpapi.Reply {
 	reply := leader.CancelJob(id, within)
 	if reply.Status != http.StatusNotFound {
--- a/internal/recovery/intake.go
+++ b/internal/recovery/intake.go
@@ -56,7 +56,7 @@
 // Forget removes a job from the known jobs, after it was removed from the cluster state.
 func (i *Intake) Forget(job string) { i.known.Delete(job) }
 
-// InsertJob adds a job to the cluster state. The submission time in its specification is by the wall
+// InsertJob adds a job to the cluster state. The submission time in its spec is by the wall
 // clock.
 func (i *Intake) InsertJob(spec wire.Job, now, wall micro.Time) *cluster.Job {
 	i.known.Store(spec.ID, true)
@@ -112,7 +112,7 @@
 	}
 }
 
-// postSubmissions posts the jobs whose specifications were written by events.
+// postSubmissions posts the jobs whose specs were written by events.
 func (i *Intake) postSubmissions(events []wire.Event) {
 	for _, event := range events {
 		if !keys.IsJobSpec(event.Put) {
@@ -129,7 +129,7 @@
 // use.
 func (i *Intake) PostJob(job wire.Job) { i.Loop.Post(jobAccepted{i, job}) }
 
-// jobAccepted is the event that a job's specification is stored.
+// jobAccepted is the event that a job's spec is stored.
 type jobAccepted struct {
 	intake *Intake
 	job    wire.Job
--- a/internal/recovery/snapshot.go
+++ b/internal/recovery/snapshot.go
@@ -18,7 +18,7 @@
 // Snapshot holds the stored records of jobs as they were read from the store. It is not safe for
 // concurrent use.
 type Snapshot struct {
-	// Specs are the job specifications, by job ID.
+	// Specs are the job specs, by job ID.
 	Specs map[string]wire.Job
 	// Ends are the final states, by job ID.
 	Ends map[string]cluster.FinalStatusRecord
@@ -47,8 +47,8 @@
 	}
 }
 
-// AddJobKey adds one of a job's keys: its specification, its final state or a part of its dependency
-// list. A key or value that cannot be decoded is logged and skipped; a specification without tasks is
+// AddJobKey adds one of a job's keys: its spec, its final state or a part of its dependency
+// list. A key or value that cannot be decoded is logged and skipped; a spec without tasks is
 // skipped.
 func (s *Snapshot) AddJobKey(item wire.Item) {
 	id, kind, part := keys.ParseJobKey(item.Key)
@@ -99,7 +99,7 @@
 	return len(s.legacyChunks[job]) > 0 || len(s.compactChunks[job]) > 0
 }
 
-// CompleteDependencies appends to a job's specification the dependencies that are stored in separate
+// CompleteDependencies appends to a job's spec the dependencies that are stored in separate
 // keys. It returns false if a part is missing: with a partial list the job could start before its other
 // dependencies are done.
 func (s *Snapshot) CompleteDependencies(job *wire.Job) bool {
--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -32,7 +32,7 @@
 type ContinuedJob struct {
 	Job wire.Job `msgpack:"job" json:"job"`
 	// Revision is the latest version among the leader's records of the job's tasks. They do not change while the
-	// job is in the shard. A record of a later version holds state that the leader has taken back.
+	// job is in the shard. The leader writes records of later versions only after it has reclaimed the job.
 	Revision wire.Count `msgpack:"rev" json:"rev"`
 }
 
--- a/internal/shard/coordinator/assignment.go
+++ b/internal/shard/coordinator/assignment.go
@@ -33,8 +33,8 @@
 	storeRecord  *statestore.Record
 	stored       bool     // the assignment record was stored
 	cancelling   bool     // the job is being cancelled
-	endRequested bool     // the end of the cancelled job is being written, or is stored
-	fencedZones  []string // zones where tasks may still run after the cancellation was confirmed
+	endRequested bool     // the final state of the cancelled job is being written, or is stored
+	fencedZones  []string // zones where tasks may still run after the job was reported as aborted
 
 	recordsCopied bool // the owner has copied all of the leader's records, which are to be deleted
 
@@ -188,10 +188,10 @@
 }
 
 // assignmentPreconditions returns the additional preconditions of the write that creates an
-// assignment: the job has no stored end, and the shard's record is unchanged. An unanswered earlier
-// attempt may be executed late, after the owner has deleted the record. With the precondition on the
-// assignment's own key alone, a job whose cancellation had been confirmed to its user was assigned
-// again and ran. Later writes need no more than the version of the assignment's own key.
+// assignment: the job has no stored final state, and the shard's record is unchanged. An earlier
+// attempt without a response may be executed late, after the owner has deleted the record. With the
+// precondition on the assignment's own key alone, a job that had been reported as aborted to its user
+// was assigned again and ran. Later writes need no more than the version of the assignment's own key.
 func (c *Coordinator) assignmentPreconditions(assigned *assignedJob) []wire.Precondition {
 	if assigned.storeRecord.Version() > 0 {
 		return nil
@@ -206,7 +206,7 @@
 
 // assignmentDeleted handles the deletion of an assignment by the shard's owner. The owner deletes an
 // assignment once nothing of the job is left in the shard: after the job has ended, or to hand the
-// job back. After the job's end a late write cannot create the record again; for a job that was
+// job back. After the job has ended a late write cannot create the record again; for a job that was
 // handed back the shard's record has to change first to prevent that.
 func (c *Coordinator) assignmentDeleted(assigned *assignedJob) {
 	if assigned.job.IsTerminal() {
@@ -233,7 +233,7 @@
 	c.Cluster.Unassign(assigned.job, c.Now())
 	c.Cluster.FinishJobRestore(assigned.job, c.Now()) // all of its tasks may be done
 	if assigned.cancelling && !assigned.endRequested && assigned.job.State == cluster.Aborting {
-		c.Host.CancellationPending(assigned.job) // it has no allocation left: its cancellation may be confirmed
+		c.Host.CancellationPending(assigned.job) // it has no allocation left: it may be reported as aborted
 	}
 }
 
--- a/internal/shard/coordinator/cancellation.go
+++ b/internal/shard/coordinator/cancellation.go
@@ -24,7 +24,7 @@
 
 // cancellationProgress applies an owner's report that it starts no more tasks of a cancelled job and
 // is stopping the running ones. A later owner of the shard reads the same request from the store, so
-// the end of the job may be written, and its cancellation confirmed to the user, once all its
+// the final state of the job may be written, and the job reported as aborted to the user, once all its
 // allocations are released or certain to end in time.
 func (c *Coordinator) cancellationProgress(shardName string, stopping shard.StoppingJob, now micro.Time) {
 	assigned := c.assignedJobs[stopping.Job]
@@ -84,7 +84,7 @@
 			c.Cluster.BeginAbort(assigned.job)
 		}
 		if assigned.job.State == cluster.Aborted {
-			// The cancellation was confirmed to the user, and the zones of its tasks are not known yet.
+			// The job was reported as aborted to the user, and the zones of its tasks are not known yet.
 			assigned.cancelling, assigned.endRequested, assigned.fencedZones = true, true, c.Config.Facts.Zones
 		}
 	}
--- a/internal/shard/coordinator/coordinator.go
+++ b/internal/shard/coordinator/coordinator.go
@@ -56,11 +56,11 @@
 	// DeleteHandedOver schedules the deletion of the records of a job's chunks, and reports whether
 	// all of them are deleted.
 	DeleteHandedOver(job *cluster.Job) (deleted bool)
-	// CancellationPending registers a cancelled job whose end is to be written as soon as its
-	// cancellation may be confirmed to the user.
+	// CancellationPending registers a cancelled job whose final state is to be written as soon as
+	// the job may be reported as aborted.
 	CancellationPending(job *cluster.Job)
-	// CancellationUnconfirmed registers a job whose cancellation was confirmed to the user while
-	// some of its allocations are not yet proven released.
+	// CancellationUnconfirmed registers a cancelled job that was reported as aborted while some of
+	// its allocations are not yet proven released.
 	CancellationUnconfirmed(job *cluster.Job)
 	// UpdateFencedZones recomputes the zones in which lease proxies must not renew leases.
 	UpdateFencedZones()
@@ -77,7 +77,7 @@
 	Term         *election.Term
 	RenewalBound *leasekeeper.RenewalBound
 	Loop         *eventloop.Loop
-	Now          func() micro.Time // the steady clock
+	Now          func() micro.Time // the monotonic clock
 	Wall         func() micro.Time // the wall clock
 	Log          *slog.Logger
 }
@@ -86,7 +86,7 @@
 // the store: each of its transactions is conditional on the record version that the decision was
 // based on, so a transaction that is executed late or twice has no effect.
 //
-// A controller without the shard feature has a nil Coordinator: methods that document it do nothing
+// A controller without the shards feature has a nil Coordinator: methods that document it do nothing
 // on a nil receiver.
 type Coordinator struct {
 	Dependencies
--- a/internal/shard/coordinator/form.go
+++ b/internal/shard/coordinator/form.go
@@ -10,7 +10,7 @@
 )
 
 // allRegistered reports whether every configured controller has a session. A controller without a
-// session may run without the shard feature, and would treat all machines as its own.
+// session may run without the shards feature, and would treat all machines as its own.
 func (c *Coordinator) allRegistered() bool {
 	for _, peer := range c.Config.Peers {
 		if _, ok := c.sessions.current.Controller(peer.Node); !ok {
@@ -22,7 +22,7 @@
 }
 
 // allSupportHandover reports whether every configured controller has announced shard.HandoverFeature, that
-// is, continues started jobs, which had allocations under another controller.
+// is, can resume started jobs, which had allocations under another controller.
 func (c *Coordinator) allSupportHandover() bool {
 	for _, peer := range c.Config.Peers {
 		if !c.sessions.handoverSupport[peer.Node] {
--- a/internal/shard/coordinator/machines.go
+++ b/internal/shard/coordinator/machines.go
@@ -39,7 +39,7 @@
 // machines, so the machine is the leader's, unless a previous leader was still reclaiming a shard.
 // When the selectors were applied to such a machine, its empty attributes matched a shard of
 // on-demand machines: the expiry of its lease went undetected, the quota that it held was never
-// released, and cancellations of jobs with tasks there were never confirmed to their users.
+// released, and cancelled jobs with tasks there were never reported as aborted to their users.
 func (c *Coordinator) undescribedOwnedElsewhere() bool {
 	reclaiming := false
 	c.table().Each(func(entry shard.Entry) bool {
@@ -90,8 +90,8 @@
 }
 
 // recordUnreachableZones records the time for each zone that may be disconnected, because none of its
-// controllers has been heard from. While a zone is disconnected, an owner outside of it cannot report
-// the machines in it, so the lack of a report does not show that they are down.
+// controllers has recently sent a lease proxy request. While a zone is disconnected, an owner outside
+// of it cannot report the machines in it, so the lack of a report does not show that they are down.
 func (c *Coordinator) recordUnreachableZones(now micro.Time) {
 	reachable := map[string]bool{c.Config.Zone: true}
 	for _, peer := range c.Config.Peers {
--- a/internal/shard/coordinator/recall.go
+++ b/internal/shard/coordinator/recall.go
@@ -11,13 +11,13 @@
 // Recall of a job with task records from a shard in which it waits without an allocation:
 //
 //  1. The leader stores the recall request in the assignment. The request is never withdrawn: an
-//     owner that has read it places no task of the job.
+//     owner that has read it allocates no task of the job.
 //  2. The owner releases the job: it reports that only stored records of the job are left.
 //  3. The shard's record is rewritten with a later version, so that late writes that are conditional
 //     on an earlier version fail: a copy of the write that created the assignment, and any write of
 //     an earlier loop of the owner.
 //  4. The leader stores the assignment in transfer, unless it already is. A controller of the
-//     previous release, which does not know of recalls, then places none of its tasks either.
+//     previous release, which does not know of recalls, then allocates none of its tasks either.
 //  5. The leader merges the owner's task records into its own, and writes these.
 //  6. The leader deletes the owner's records, and then the assignment. The job is the leader's.
 //
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -11,7 +11,7 @@
 	MaxStatusItems = 300
 )
 
-// StatusUpdate is what an owner reports to the leader, every second and at once if something is urgent.
+// StatusUpdate is what an owner reports to the leader, every second, and earlier if something is urgent.
 type StatusUpdate struct {
 	Node           string        `msgpack:"node"`
 	SessionVersion uint64        `msgpack:"session"`
@@ -95,7 +95,7 @@
 	AllocationsNeeded int `msgpack:"need"`
 }
 
-// UpdateReply is the leader's answer to a StatusUpdate.
+// UpdateReply is the leader's reply to a StatusUpdate.
 type UpdateReply struct {
 	// Term is the leader's term. 0 makes the owner report its machines again.
 	Term uint64 `msgpack:"term"`
@@ -104,7 +104,7 @@
 	ProxyRenewalAge map[string]int64 `msgpack:"kept"`
 	// DisconnectedZones lists the zones whose nodes are disconnected from the leader.
 	DisconnectedZones []string `msgpack:"away"`
-	// FinalStates maps jobs that the owner named, and whose end is stored, to their final state: done or aborted.
+	// FinalStates maps jobs that the owner named, and whose final state is stored, to that state: done or aborted.
 	FinalStates map[string]string `msgpack:"ends"`
 	// TerminatedMachines lists the machines of MachinesToTerminate that have been terminated.
 	TerminatedMachines []string `msgpack:"gone"`
@@ -140,7 +140,7 @@
 	Record           Record `msgpack:"record" json:"record"`
 	Version          uint64 `msgpack:"version" json:"version"`
 	MachineCount     int    `msgpack:"machines" json:"machines"`   // machines that heartbeat to its owner
-	IdleMachines     int    `msgpack:"empty" json:"empty"`         // machines of those without any task
+	IdleMachines     int    `msgpack:"empty" json:"empty"`         // those of them without any task
 	PendingTasks     int    `msgpack:"waiting" json:"waiting"`     // tasks that wait for capacity in it
 	AssignedJobs     int    `msgpack:"jobs" json:"jobs"`           // jobs assigned to it
 	OwnerSessionLost bool   `msgpack:"ownerGone" json:"ownerGone"` // the owner has lost its session
--- a/internal/shard/waiting_job.go
+++ b/internal/shard/waiting_job.go
@@ -7,7 +7,7 @@
 	Tasks          int      `msgpack:"tasks" json:"tasks"`                            // number of waiting tasks
 	WaitingS       int      `msgpack:"waitingS" json:"waitingS"`                      // how long it has waited, in seconds
 	ServedBy       []string `msgpack:"by,omitempty" json:"servedBy,omitempty"`        // eligible owners
-	UnservedReason string   `msgpack:"why,omitempty" json:"unservedReason,omitempty"` // why no owner may serve it
+	UnservedReason string   `msgpack:"why,omitempty" json:"unservedReason,omitempty"` // why no owner can serve it
 }
 
 // DetailedReply is a CommandReply with further details. Without them it is encoded like a CommandReply, and each can
