--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -14,9 +14,9 @@
 
 // copyProgress is the progress of copying the leader's task records of one handed-over job.
 type copyProgress struct {
-	transferStartedAt micro.Time                    // when the transfer, or the copying, began
+	transferStartedAt micro.Time                    // when this loop began the transfer or the copying
 	read              bool                          // all of the leader's records were read
-	pending           map[*cluster.TaskChunk]uint64 // chunk versions with the leader's records, until stored
+	pending           map[*cluster.TaskChunk]uint64 // versions of the chunks that are still to be stored
 	inTransfer        bool                          // the job is in transfer: its tasks are not scheduled
 }
 
--- a/internal/controller/shard_owner_handover.go
+++ b/internal/controller/shard_owner_handover.go
@@ -89,7 +89,7 @@
 
 // suspendJob stops scheduling a job whose task records are incomplete: tasks that are already done
 // could run again. The job is reported as waiting, so that the leader, which has all records, recalls
-// it.
+// it. A job in transfer is not scheduled anyway; reportCopies reports it.
 func (o *ShardOwner) suspendJob(job *cluster.Job, now micro.Time) {
 	if o.copies[job] != nil { // in transfer, so not scheduled; the missing records may have been deleted
 		o.log.Info("handed-over job not continued: the leader's task records are incomplete", "job", job.Spec.ID)
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -41,7 +41,7 @@
 	relayedCancelTimeout = relayTimeout - 200*micro.Millisecond
 )
 
-// storeReadTimeout is the timeout of the store reads of one look-up.
+// storeReadTimeout is the timeout of the store reads of one lookup.
 const storeReadTimeout = 900 * micro.Millisecond
 
 // Leader gives access to the leader's loop while this node leads.
@@ -154,7 +154,7 @@
 	batcher       *StatusBatcher
 }
 
-// New returns the service of a node. Look-ups for status queries are not limited until SetBudgetFraction is called.
+// New returns the service of a node. Lookups for status queries are not limited until SetBudgetFraction is called.
 func New(cfg *config.Config, deps Dependencies) *Service {
 	s := &Service{
 		cfg:           cfg,
@@ -191,7 +191,7 @@
 	return s.reader.read(id, class)
 }
 
-// SetBudgetFraction sets the fraction of the store's request rate limit that this node may use, 0 to 1. Look-ups for
+// SetBudgetFraction sets the fraction of the store's request rate limit that this node may use, 0 to 1. Lookups for
 // status queries get LookupRateShare of that.
 func (s *Service) SetBudgetFraction(fraction float64) {
 	s.budget.setRate(s.cfg.Facts.State.RPS, fraction)
--- a/internal/jobapi/lookup_budget.go
+++ b/internal/jobapi/lookup_budget.go
@@ -9,14 +9,14 @@
 
 // Limits of the store requests that are made for status queries.
 const (
-	// LookupRateShare is the fraction of a node's share of state.rps that look-ups for status queries may use. The
-	// shares of all nodes add up to state.rps, so the look-ups of all nodes together stay below this fraction of it,
+	// LookupRateShare is the fraction of a node's share of state.rps that lookups for status queries may use. The
+	// shares of all nodes add up to state.rps, so the lookups of all nodes together stay below this fraction of it,
 	// however many nodes there are.
 	LookupRateShare = 0.6
 	// RequestsPerRead is the number of store requests that reading the status of one job takes: one for the records
 	// of its tasks, then one for the job's own keys.
 	RequestsPerRead = 2
-	// minLookupBurst is the minimum burst of the budget. It allows a read and a look-up of accepted IDs at the same
+	// minLookupBurst is the minimum burst of the budget. It allows a read and a lookup of accepted IDs at the same
 	// time even if the node's share is small.
 	minLookupBurst = RequestsPerRead + 2
 )
@@ -56,8 +56,8 @@
 	return b.limiter.Tokens() >= float64(requests+spare) && b.limiter.AllowN(time.Now(), requests)
 }
 
-// charge takes one more request for a look-up in progress. If the budget is used up it becomes negative, which delays
-// later look-ups.
+// charge takes one more request for a lookup in progress. If the budget is used up it becomes negative, which delays
+// later lookups.
 func (b *lookupBudget) charge() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/jobapi/status_batcher.go
+++ b/internal/jobapi/status_batcher.go
@@ -13,7 +13,7 @@
 )
 
 // Limits of the calls by which a node that does not lead forwards status queries to the leader. A call between nodes
-// costs each of them about sixteen times as much processor time as the leader's look-up does, and under many queries
+// costs each of them about sixteen times as much processor time as the leader's lookup does, and under many queries
 // such calls used up the leader's processor. So only a few calls are in flight at a time, and queries that arrive
 // meanwhile are sent together in the next call.
 const (
--- a/internal/jobapi/status_lookup.go
+++ b/internal/jobapi/status_lookup.go
@@ -19,7 +19,7 @@
 	batchBudgetTimeout = 250 * micro.Millisecond
 	// budgetCheckInterval is the interval of the budget checks during that wait.
 	budgetCheckInterval = 10 * micro.Millisecond
-	// lookupTimeout is how long a query waits for its look-up. Together with the preceding call to the leader
+	// lookupTimeout is how long a query waits for its lookup. Together with the preceding call to the leader
 	// (PeerCallTimeout), it stays within the 2 s for which users wait.
 	lookupTimeout = 1200 * micro.Millisecond
 	// recentAnswerWindow is for how long after a read for a query a job has lower priority than jobs that were not
@@ -35,7 +35,7 @@
 // errCallUnsupported means that a peer does not support the call.
 var errCallUnsupported = errors.New("jobapi: peer does not support the call")
 
-// statusLookup is a look-up that is shared by all queries that arrived before its first read. A query that arrives
+// statusLookup is a lookup that is shared by all queries that arrived before its first read. A query that arrives
 // later must not share it: what was read may be older than the status that another node has told the user, and a job
 // that was accepted meanwhile would be reported as not existing. For this reason golang.org/x/sync/singleflight, which
 // shares calls in progress, cannot be used here.
@@ -44,16 +44,16 @@
 	reply httpapi.Reply // valid once done is closed
 }
 
-// newStatusLookup returns a look-up that is not finished.
+// newStatusLookup returns a lookup that is not finished.
 func newStatusLookup() *statusLookup { return &statusLookup{done: make(chan struct{})} }
 
-// finish sets the reply to all queries that share the look-up. It must be called once.
+// finish sets the reply to all queries that share the lookup. It must be called once.
 func (s *statusLookup) finish(reply httpapi.Reply) {
 	s.reply = reply
 	close(s.done)
 }
 
-// wait returns the reply to one query: that of the look-up, or 503 if it takes longer than lookupTimeout.
+// wait returns the reply to one query: that of the lookup, or 503 if it takes longer than lookupTimeout.
 func (s *statusLookup) wait() httpapi.Reply {
 	timer := time.NewTimer(lookupTimeout.Duration())
 	defer timer.Stop()
@@ -65,7 +65,7 @@
 	}
 }
 
-// lookupSource gives look-ups access to stored jobs, through the store or through peers.
+// lookupSource gives lookups access to stored jobs, through the store or through peers.
 type lookupSource interface {
 	// readAnywhere returns the status of a job, 404, or a reply that asks the client to retry.
 	readAnywhere(id string, class store.Class) httpapi.Reply
@@ -73,7 +73,7 @@
 	acceptedAnywhere(ids []string) (map[string]bool, error)
 }
 
-// statusLookups manages the look-ups for queries that are not answered from the leader's memory. Any goroutine may call
+// statusLookups manages the lookups for queries that are not answered from the leader's memory. Any goroutine may call
 // lookUp.
 type statusLookups struct {
 	source       lookupSource
@@ -84,7 +84,7 @@
 
 	mu sync.Mutex
 	// Jobs known to be accepted are read one by one. For each ID at most one read is in progress; queries that arrive
-	// during it share the next look-up.
+	// during it share the next lookup.
 	readsInFlight map[string]bool
 	nextReads     map[string]*statusLookup
 	// lastAnswered holds the time at which each job was last read for a query.
@@ -95,7 +95,7 @@
 	nextBatch     map[string]*statusLookup
 }
 
-// newStatusLookups returns a statusLookups without look-ups.
+// newStatusLookups returns a statusLookups without lookups.
 func newStatusLookups(
 	source lookupSource, accepted *acceptedIDs, budget *lookupBudget, now func() micro.Time, maxBatchSize func() int,
 ) *statusLookups {
@@ -112,7 +112,7 @@
 	}
 }
 
-// lookUp answers a query that the leader's memory did not answer. The reply is 503 if the look-up takes longer than
+// lookUp answers a query that the leader's memory did not answer. The reply is 503 if the lookup takes longer than
 // lookupTimeout, the budget does not allow it, or the next batch is full.
 func (l *statusLookups) lookUp(id string) httpapi.Reply {
 	if l.acceptedIDs.contains(id) {
@@ -125,7 +125,7 @@
 	return lookup.wait()
 }
 
-// joinRead returns the look-up of the next read of an accepted job, and starts reading if no read is in progress.
+// joinRead returns the lookup of the next read of an accepted job, and starts reading if no read is in progress.
 func (l *statusLookups) joinRead(id string) *statusLookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +193,7 @@
 	l.lastAnswered[id] = now
 }
 
-// joinBatch adds an ID that may be unknown to the next batch and returns its look-up, or false if the batch is full. It
+// joinBatch adds an ID that may be unknown to the next batch and returns its lookup, or false if the batch is full. It
 // starts the processing of batches if none is in progress.
 func (l *statusLookups) joinBatch(id string) (*statusLookup, bool) {
 	l.mu.Lock()
--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -8,7 +8,7 @@
 const zoneInTransfer = "(changes hands)"
 
 // Assignment is the stored record of a job that the leader assigned to a shard. The job counts against its
-// team's limit for as long as the record exists. The shard's owner deletes the record, except that of a
+// team's quota for as long as the record exists. The shard's owner deletes the record, except that of a
 // recalled job, which the leader deletes.
 type Assignment struct {
 	// Job is the spec of the job. While the job is in transfer, its zone is zoneInTransfer, in which there is no
@@ -109,8 +109,8 @@
 	return a
 }
 
-// KeepOwnerRecords returns the assignment of a job that resumes from the owner's records alone. The leader's
-// records may still exist.
+// KeepOwnerRecords returns the assignment of a job that its owner resumes from the owner's records alone. The
+// leader's records may still exist.
 func (a Assignment) KeepOwnerRecords() Assignment {
 	spec := a.Spec()
 	a.Transfer = &Transfer{Zone: spec.Zone, Revision: wire.Count(a.Revision())}
--- a/internal/shard/coordinator/hand_over.go
+++ b/internal/shard/coordinator/hand_over.go
@@ -11,7 +11,7 @@
 //  1. The leader stores an assignment in transfer. No controller allocates tasks of the job.
 //  2. The owner reads the leader's records, writes its own, and reports that they are stored.
 //  3. The leader deletes its records.
-//  4. The leader stores the assignment in its ordinary form. The owner allocates the job's tasks.
+//  4. The leader stores the assignment without the transfer. The owner allocates the job's tasks.
 //
 // At each step a controller of the previous release preserves the job's progress: before step 3 the
 // leader's records hold all of it, after that the owner's do, and no task runs while both exist. A
--- a/internal/shard/machine_inactivity.go
+++ b/internal/shard/machine_inactivity.go
@@ -1,8 +1,8 @@
 package shard
 
 // MachineInactivity is the record that an owner leaves to the next owner, in the transaction that names the next
-// owner: for how long, at least, the shard's machines had been silent or idle by then. An owner answers nobody once
-// its transfer has begun, so the next owner continues these durations. The record is valid only for the ownership
+// owner: for how long, at least, the shard's machines had been silent or idle by then. An owner sends no responses
+// once its transfer has begun, so the next owner continues these durations. The record is valid only for the ownership
 // that begins at the record's own revision.
 type MachineInactivity struct {
 	// SinceRenewal is, by machine, how long ago an owner may last have renewed the lease of the machine's agent, in
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -17,8 +17,8 @@
 const (
 	Active       OwnerState = iota // answers heartbeats, allocates tasks and sends commands
 	Draining                       // like Active, but allocates nothing more: the shard is to move
-	Transferring                   // the transfer transaction is in flight: answers nobody
-	Uncertain                      // the transfer got no response, and may yet be executed: answers nobody
+	Transferring                   // the transfer transaction is in flight: sends no responses
+	Uncertain                      // the transfer got no response, and may yet be executed: sends no responses
 	Relinquished                   // no longer owns the shard, and never acts again
 )
 
@@ -152,7 +152,7 @@
 
 // BeginTransfer starts the transfer of a draining owner's shard; false: no transfer is due. The caller must have made
 // no allocation since the move began, and none of its writes may be in flight or uncertain. From here on the owner
-// answers nobody. The returned transaction names the new owner, and is the only one that does.
+// sends no responses. The returned transaction names the new owner, and is the only one that does.
 func (o *Owner) BeginTransfer(wall int64) (wire.Transaction, bool) {
 	if o.state != Draining || o.entry.Record.State != Moving {
 		return wire.Transaction{}, false
