--- a/internal/controller/shard_owner_copies.go
+++ b/internal/controller/shard_owner_copies.go
@@ -9,15 +9,14 @@
 	"notchmux.dev/notchmux/internal/statestore"
 )
 
-// A job that is handed over to a shard after it had allocations has task records of the leader's. The
-// owner copies them to records of its own before it schedules any of the job's tasks. The leader's side
-// is in package coordinator, hand_over.go.
+// A handed-over job has task records of the leader's. The owner copies them to records of its own before
+// it schedules any of the job's tasks. The leader's part is in package coordinator, hand_over.go.
 
 // copyProgress is the progress of copying the leader's task records of one handed-over job.
 type copyProgress struct {
-	transferStartedAt micro.Time                    // when the transfer, or the copying, began
+	transferStartedAt micro.Time                    // when this loop began the transfer or the copying
 	read              bool                          // all of the leader's records were read
-	pending           map[*cluster.TaskChunk]uint64 // chunk versions with the leader's records, until stored
+	pending           map[*cluster.TaskChunk]uint64 // versions of the chunks that are still to be stored
 	inTransfer        bool                          // the job is in transfer: its tasks are not scheduled
 }
 
--- a/internal/controller/shard_owner_handover.go
+++ b/internal/controller/shard_owner_handover.go
@@ -10,8 +10,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// This file handles jobs that had allocations before the leader handed them over to the shard, and jobs
-// that the leader recalls. The leader's side is in package coordinator.
+// This file handles handed-over jobs, which the owner continues from the leader's task records, and jobs
+// that the leader recalls. The leader's part is in package coordinator.
 
 // leaderRecords holds the leader's task records, by job ID.
 type leaderRecords map[string][]wire.Item
@@ -89,7 +89,7 @@
 
 // suspendJob stops scheduling a job whose task records are incomplete: tasks that are already done
 // could run again. The job is reported as waiting, so that the leader, which has all records, recalls
-// it.
+// it. A job in transfer is not scheduled anyway; reportCopies reports it.
 func (o *ShardOwner) suspendJob(job *cluster.Job, now micro.Time) {
 	if o.copies[job] != nil { // in transfer, so not scheduled; the missing records may have been deleted
 		o.log.Info("handed-over job not continued: the leader's task records are incomplete", "job", job.Spec.ID)
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -31,9 +31,9 @@
 	relayTimeout = 900 * micro.Millisecond
 )
 
-// How long the leader waits until the cancellation of a job is certain, before it answers 503. The answer to a node
-// that forwards a user's request must arrive before that node's call times out: when the leader answered later than
-// that, the node backed off from it for 2 s and did not send it submissions either.
+// How long the leader waits until the final state of a cancelled job is stored, before it answers 503. The answer to a
+// node that forwards a user's request must arrive before that node's call times out: when the leader answered later
+// than that, the node backed off from it for 2 s and did not send it submissions either.
 const (
 	// cancelTimeout applies to requests of the leader's own users.
 	cancelTimeout = 1500 * micro.Millisecond
@@ -41,7 +41,7 @@
 	relayedCancelTimeout = relayTimeout - 200*micro.Millisecond
 )
 
-// storeReadTimeout is the timeout of the store reads of one look-up.
+// storeReadTimeout is the timeout of the store reads of one lookup.
 const storeReadTimeout = 900 * micro.Millisecond
 
 // Leader gives access to the leader's loop while this node leads.
@@ -55,8 +55,8 @@
 	PendingTasks() int
 	// AddJob adds an accepted job to the leader's state.
 	AddJob(job wire.Job)
-	// CancelJob cancels a job and waits until the cancellation is certain, at most for the duration within. The
-	// reply is 404 if the job is not in memory, and 503 if the cancellation was not certain in time.
+	// CancelJob cancels a job and waits until its final state is stored, at most for the duration within. The
+	// reply is 404 if the job is not in memory, and 503 if its final state was not stored in time.
 	CancelJob(id string, within micro.Time) httpapi.Reply
 }
 
@@ -154,7 +154,7 @@
 	batcher       *StatusBatcher
 }
 
-// New returns the service of a node. Look-ups for status queries are not limited until SetBudgetFraction is called.
+// New returns the service of a node. Lookups for status queries are not limited until SetBudgetFraction is called.
 func New(cfg *config.Config, deps Dependencies) *Service {
 	s := &Service{
 		cfg:           cfg,
@@ -191,7 +191,7 @@
 	return s.reader.read(id, class)
 }
 
-// SetBudgetFraction sets the fraction of the store's request rate limit that this node may use, 0 to 1. Look-ups for
+// SetBudgetFraction sets the fraction of the store's request rate limit that this node may use, 0 to 1. Lookups for
 // status queries get LookupRateShare of that.
 func (s *Service) SetBudgetFraction(fraction float64) {
 	s.budget.setRate(s.cfg.Facts.State.RPS, fraction)
