--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -144,7 +144,7 @@
 }
 
 // occupancy returns how long one of a demand's tasks is expected to occupy its share of a machine:
-// the estimated runtime and one second for each GB of the image.
+// the estimated run time and one second for each GB of the image.
 func (d *taskDemand) occupancy() micro.Time {
 	if d.job == nil || d.spec.Kind == wire.Service {
 		return serviceOccupancy
@@ -267,10 +267,10 @@
 // may take several times its type's boot time.
 const minOverdueBoots = 2
 
-// trackBootFailures excludes the offers that have more overdue machines than machines that are up. An
-// excluded offer is requested only if there is no other: when machines that failed to boot were
-// replaced by machines of the same offer, one wave after another failed, and a class's work waited for
-// as long as its cheapest offer did not work.
+// trackBootFailures excludes the offers that have at least minOverdueBoots overdue machines, and more of
+// them than machines that are up. An excluded offer is requested only if there is no other: when
+// machines that failed to boot were replaced by machines of the same offer, one wave after another
+// failed, and a class's work waited for as long as its cheapest offer did not work.
 func (p *Planner) trackBootFailures(now micro.Time) {
 	overdue, upCount := map[InstanceOffer]int{}, map[InstanceOffer]int{}
 	for _, machine := range p.Cluster.SortedMachines() {
@@ -346,7 +346,7 @@
 }
 
 // expectedEnd returns when an allocation of a known job is expected to release its capacity. For a
-// running task this is at least a quarter of its estimated runtime from now, however long it has run.
+// running task this is at least a quarter of its estimated run time from now, however long it has run.
 func expectedEnd(allocation *cluster.Allocation, typ *cluster.MachineType, now micro.Time) micro.Time {
 	if allocation.Stopping {
 		return now
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -171,7 +171,7 @@
 }
 
 // permanentFleetIdleFactor is the multiple of the idle timeout for which idle machines are kept where
-// operators have machines of their own, since readiness matters more than cost there.
+// there are operator-owned machines, since readiness matters more than cost there.
 const permanentFleetIdleFactor = 6
 
 // IdleMachines returns the machines to terminate: those without allocations that are cordoned or have not
--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -155,11 +155,11 @@
 // urgentAfter is how long work waits before it counts as urgent.
 const urgentAfter = micro.Minute
 
-// limitsCost reports whether cost matters. Where operators have machines of their own, readiness matters
-// more than cost.
+// limitsCost reports whether cost matters. Where there are operator-owned machines, readiness matters more
+// than cost.
 func (p *Planner) limitsCost() bool { return !p.permanentFleet }
 
-// hasPermanentMachines reports whether any machine is owned by the operators.
+// hasPermanentMachines reports whether any machine is operator-owned.
 func (p *Planner) hasPermanentMachines() bool {
 	for _, m := range p.Cluster.Machines {
 		if m.Permanent {
--- a/internal/cluster/allocation.go
+++ b/internal/cluster/allocation.go
@@ -24,7 +24,7 @@
 	StopReason      string
 	DispatchToken   uint64  // highest fencing token of a dispatched start command that may still be in flight
 	ChunkVersion    uint64  // chunk version that must be stored before the start command is sent
-	ScaledCPU       float64 // cores weighted by the speed of the machine type
+	ScaledCPU       float64 // CPUs weighted by the speed of the machine type
 	PlannedAt       micro.Time
 	RunningSince    micro.Time // time of the first heartbeat that reported it running; 0 if there was none
 	Observed        bool       // a heartbeat has reported the attempt
--- a/internal/cluster/capacity/capacity.go
+++ b/internal/cluster/capacity/capacity.go
@@ -20,8 +20,8 @@
 	SpeedFactor float64 // actual speed relative to the catalog's
 }
 
-// Resources is an amount of a machine's resources: cores, GPUs, memory in GB, and cores weighted by
-// the speed of the machine type.
+// Resources is an amount of a machine's resources: CPUs, GPUs, memory in GB, and scaled CPUs, which
+// are CPUs weighted by the speed of the machine type.
 type Resources struct{ CPU, GPU, MemoryGB, ScaledCPU float64 }
 
 // Add adds factor times the other amount.
@@ -34,10 +34,10 @@
 
 // Capacity is what the allocations on a machine use.
 type Capacity struct {
-	UsedCPU        float64 // cores
+	UsedCPU        float64 // CPUs
 	UsedGPU        float64
 	UsedMemoryGB   float64
-	UsedScaledCPU  float64                   // cores weighted by the speed of the machine type
+	UsedScaledCPU  float64                   // CPUs weighted by the speed of the machine type
 	UsedByPriority [PriorityLevels]Resources // by priority level, excluding attempts that are being stopped
 	UsedByStopping Resources                 // by attempts that are being stopped
 
--- a/internal/cluster/contact/contact.go
+++ b/internal/cluster/contact/contact.go
@@ -63,7 +63,7 @@
 		return Applied
 	}
 	if source == FromHeartbeat && epoch == c.AgentEpoch {
-		// Overtaken by the response to a dispatch, or a duplicate. The agent may still accept the
+		// Received after a newer response to a dispatch, or a duplicate. The agent may still accept the
 		// response to it, which would renew its lease. The message is no proof of liveness, since
 		// duplicates may arrive long after the agent stopped.
 		c.LeaseRenewedAt = now
--- a/internal/cluster/images.go
+++ b/internal/cluster/images.go
@@ -31,7 +31,7 @@
 }
 
 // RestoreImages restores the machines' images from a record. Entries of machines that are not known
-// yet are kept until they are, because the operators' own machines become known only with their
+// yet are kept until they are, because operator-owned machines become known only with their
 // first heartbeat.
 func (s *State) RestoreImages(record records.Images, now micro.Time) {
 	for name, cache := range imagecache.FromRecord(record, now) {
--- a/internal/cluster/legacy.go
+++ b/internal/cluster/legacy.go
@@ -16,7 +16,7 @@
 //   - production in deploy/service.toml names a commit of version 2, so that no controller of
 //     version 1 runs alongside this one, and compact records are written from the start;
 //   - no site's store contains a key run/ID/N (N a number): fleet/format was raised there, and
-//     every job that was begun before has ended and its records are deleted.
+//     every job that started before that has ended and its records are deleted.
 
 // LegacyRecord is a record in the legacy format whose tasks have been migrated to chunks in the
 // compact format. It is deleted once all of these chunks are in the store. Until then, a failover
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -50,10 +50,10 @@
 // Instance is the state of a machine as the cloud reports it.
 type Instance struct {
 	RequestedAt  micro.Time // when it was requested, if known
-	LastListed   micro.Time // last machine list of the cloud that contained it
+	LastListed   micro.Time // when the last inventory that listed it was requested
 	CloudState   wire.MachineState
 	PreemptionAt micro.Time // when the cloud will preempt it; 0 if there is no notice
-	Permanent    bool       // existed before the service started; never terminated for being idle
+	Permanent    bool       // operator-owned: created before any provisioned machine; not terminated when idle
 	Cordoned     bool       // gets no new tasks and is terminated once it is empty
 }
 
@@ -76,7 +76,8 @@
 	UnusedReservationEndedAt micro.Time // when an unused reservation of it last ended
 }
 
-// Dispatch is the state of the commands that are sent to the agent in requests of their own.
+// Dispatch is the state of the direct commands: those sent to the agent in requests of their own
+// rather than in heartbeat responses.
 type Dispatch struct {
 	DispatchInFlight   bool       // a dispatch is in progress
 	DispatchPending    bool       // further commands arrived in the meantime
--- a/internal/cluster/retention.go
+++ b/internal/cluster/retention.go
@@ -12,7 +12,7 @@
 	// of the job's submission from starting the job again. Messages are delayed by minutes at most.
 	finalStatusRetention = 60 * micro.Minute
 	// terminatedRetention is how long a terminated machine is remembered, so that neither a delayed
-	// heartbeat nor an outdated machine list makes it known again.
+	// heartbeat nor an outdated inventory makes it known again.
 	terminatedRetention = 60 * micro.Minute
 )
 
--- a/internal/cluster/team.go
+++ b/internal/cluster/team.go
@@ -7,7 +7,7 @@
 	"notchmux.dev/notchmux/internal/micro"
 )
 
-// Team is a team's quota and what its allocations use of it, in cores and GPUs. A limit of 0 means
+// Team is a team's quota and what its allocations use of it, in CPUs and GPUs. A limit of 0 means
 // unlimited.
 type Team struct {
 	Name                     string
@@ -22,7 +22,7 @@
 	unfinished               []*Job
 }
 
-// QuotaTransfer is quota that partially placed services give up for another service of their team
+// QuotaTransfer is quota that partially placed services release for another service of their team
 // so that it becomes fully placed. A team has at most one transfer at a time.
 type QuotaTransfer struct {
 	Recipient      *Job // nil if there is no transfer
@@ -68,8 +68,8 @@
 }
 
 // MarkGuarantees marks the active jobs that fit in their team's guarantee together with the team's
-// earlier unfinished jobs. An amount of 0 guarantees nothing of that resource, and a team without
-// any guarantee has none.
+// earlier unfinished jobs. If only one resource is guaranteed, the other one is not limited. Jobs of a
+// team without any guarantee are never marked.
 func (s *State) MarkGuarantees() {
 	for _, team := range s.Teams {
 		if team.GuaranteedCPUs <= 0 && team.GuaranteedGPUs <= 0 {
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -19,7 +19,7 @@
 
 // Host is implemented by the event loop that owns a Detector: the leader's or a shard owner's.
 type Host interface {
-	// InventoryReadAt returns when the most recently read list of instances was requested, or 0
+	// InventoryReadAt returns when the most recently read inventory was requested, or 0
 	// if none was read yet.
 	InventoryReadAt() micro.Time
 	// UnreportedFor returns for how long the owner of a machine's shard should have reported the
@@ -37,7 +37,7 @@
 type Dependencies struct {
 	Cluster *cluster.State
 	Config  *config.Config
-	// MaxInventoryAge is the greatest age of a list of instances on which a termination may be based.
+	// MaxInventoryAge is the greatest age of an inventory on which a termination may be based.
 	MaxInventoryAge micro.Time
 	FencingTokens   FencingTokens
 	Handovers       *LeadershipHandovers
@@ -86,21 +86,21 @@
 
 // listening tracks since when this node has been receiving heartbeats without interruption.
 type listening struct {
-	leaseLapsed bool
-	resumedAt   micro.Time // when this node last started or resumed receiving heartbeats
-	lastTick    micro.Time
+	leaseExpired bool
+	resumedAt    micro.Time // when this node last started or resumed receiving heartbeats
+	lastTick     micro.Time
 }
 
 // ObserveLease records, on each tick, whether this node holds its lease, and when it resumed
-// receiving heartbeats after a lapse of the lease or a process pause. It returns holdsLease.
+// receiving heartbeats after its lease had expired or its process had paused. It returns holdsLease.
 func (d *Detector) ObserveLease(holdsLease bool, now micro.Time) bool {
 	if !holdsLease {
-		d.listening.leaseLapsed = true
+		d.listening.leaseExpired = true
 		return false
 	}
-	if d.listening.leaseLapsed || now-d.listening.lastTick > maxTickGap {
-		// No heartbeats were processed while the lease had lapsed or the process was paused.
-		d.listening.leaseLapsed, d.listening.resumedAt, d.gap = false, now, heartbeatGap{}
+	if d.listening.leaseExpired || now-d.listening.lastTick > maxTickGap {
+		// No heartbeats were processed while the lease had expired or the process was paused.
+		d.listening.leaseExpired, d.listening.resumedAt, d.gap = false, now, heartbeatGap{}
 	}
 	d.listening.lastTick = now
 	return true
--- a/internal/detector/reachability.go
+++ b/internal/detector/reachability.go
@@ -86,7 +86,7 @@
 
 // reachedLongEnough reports whether agents have reached this node for longer than SuspectAfter. A
 // single machine that was up for a shorter time does not show that the cause of the previous
-// handover is gone.
+// handover no longer exists.
 func (d *Detector) reachedLongEnough() bool {
 	listeningSince := max(d.cluster.TermStartedAt, d.listening.resumedAt)
 	return d.reachability.lastContact-listeningSince > d.config.SuspectAfter
--- a/internal/detector/registration.go
+++ b/internal/detector/registration.go
@@ -15,12 +15,12 @@
 	// minRunningWait is the least time to wait for the heartbeat of a machine that is listed as
 	// running.
 	minRunningWait = 15 * micro.Second
-	// maxRunningListAge is the greatest age of the list that shows it as running.
+	// maxRunningListAge is the greatest age of the inventory that lists it as running.
 	maxRunningListAge = micro.Minute
 	// allocatedGrace is added to SuspectAfter for the time to wait, after a failover, for the
 	// heartbeat of a machine with allocations.
 	allocatedGrace = 4 * micro.Second
-	// fewMissingDivisor limits the machines of a zone that may be given up before every agent has
+	// fewMissingDivisor limits the machines of a zone that may be assumed dead before every agent has
 	// had time to try all nodes after a failover: at most one in so many may be missing. Each
 	// unreachable node delays an agent; without this limit, dozens of live machines were
 	// terminated.
--- a/internal/detector/sweep.go
+++ b/internal/detector/sweep.go
@@ -42,7 +42,7 @@
 }
 
 // Sweep checks all machines: it marks machines whose heartbeats stopped as suspect, expires machines
-// whose lease has certainly run out, and terminates machines that are assumed dead.
+// whose lease has certainly expired, and terminates machines that are assumed dead.
 func (d *Detector) Sweep(now micro.Time) {
 	summary := d.summarizeHeartbeats(now)
 	for name, zone := range summary.zones {
@@ -178,7 +178,7 @@
 	if machine.PreemptionAt != 0 && now > machine.PreemptionAt+preemptionGrace {
 		return true
 	}
-	// Just after a lapse of this node's lease no heartbeat has arrived for long, which does not
+	// Just after this node regains its lease, no heartbeat has arrived for long, which does not
 	// show whether a zone that was missing before is dead. A thousand machines behind a partition
 	// were once terminated at the moment an outage ended.
 	return d.SinceHeartbeat(machine, now) > d.config.SuspectAfter && d.machinesLookDead(machine.Zone, summary, now)
@@ -212,7 +212,7 @@
 	return machine.LastListed > 0 && d.host.InventoryReadAt()-machine.LastListed > 2*d.inventoryLag()
 }
 
-// inventoryLag returns how far the cloud's list of instances may lag.
+// inventoryLag returns how far the cloud's inventory may lag.
 func (d *Detector) inventoryLag() micro.Time { return micro.FromSeconds(d.config.Facts.Cloud.ListLagS) }
 
 // checkResponsesLost marks a machine that sends heartbeats but seems to receive no responses, and
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -173,7 +173,7 @@
 	})
 }
 
-// commandsNotSent is the event that a message was not sent because the lease had lapsed.
+// commandsNotSent is the event that a message was not sent because the lease had expired.
 type commandsNotSent struct {
 	dispatcher *Dispatcher
 	machine    *cluster.Machine
--- a/internal/dispatch/heartbeat.go
+++ b/internal/dispatch/heartbeat.go
@@ -25,7 +25,7 @@
 		return received
 	}
 	response, ok := eventloop.Call(d.loop, eventloop.Events, heartbeatTimeout, event)
-	// The lease may have lapsed meanwhile; then no response may be sent.
+	// The lease may have expired meanwhile; then no response may be sent.
 	return response.commands, ok && response.accepted && d.host.HoldsLease()
 }
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -301,8 +301,8 @@
 }
 
 // renewUntilLost renews the lease until it is lost. If renewals fail, for example during an outage of the
-// store, leadership lapses on this node but the term continues: leadership resumes with the next successful
-// renewal. An outage does not shorten the store's lease, so no other node can have become leader meanwhile.
+// store, the leadership lease expires on this node but the term continues: the next successful renewal makes
+// it valid again. An outage does not shorten the store's lease, so no other node can have become leader meanwhile.
 func (e *Election) renewUntilLost(ctx context.Context) {
 	term := e.Term()
 	wait := e.RenewInterval
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -8,7 +8,7 @@
 //   - It may renew leases only after it has been disconnected for renewAfter, and only within a window
 //     that begins when it sent (not when it received the answer to) the last request that was answered
 //     within ResponseTimeout.
-//   - Its requests tell whether it renewed any lease.
+//   - Its requests report whether it renewed any lease.
 //   - RenewalBound, the leader's side, bounds the time until which leases may have been renewed.
 //   - If leases of a zone must not be renewed, the leader answers with a Fence: the proxy renews no lease
 //     until its next ordinary answer, and confirms the fence.
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -128,7 +128,7 @@
 
 // connected reports whether a node certainly renews no lease now: it received the answer sent at
 // lastConfirmed within ResponseTimeout of its request, it renews no lease for renewAfter from that
-// request on, and its next request told whether it had renewed any before.
+// request on, and its next request reported whether it had renewed any before.
 func (c *nodeContact) connected(now micro.Time) bool {
 	return c.lastConfirmed > 0 && now < c.lastConfirmed+renewAfter-ResponseTimeout-clockDrift(renewAfter)
 }
@@ -172,8 +172,8 @@
 
 // RenewalLimit returns the time until which a lease proxy of a zone may still renew a lease if no request
 // is answered from now on, or 0 if the zone has no lease proxy. A confirmed fence does not shorten it:
-// the fence may end before the user of a cancelled job is told that it has ended, and they must not be
-// told while its tasks may still run.
+// the fence may end before the user of a cancelled job is told that the job has ended, and they must not
+// be told while its tasks may still run.
 func (b *RenewalBound) RenewalLimit(zone string, now micro.Time) micro.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/persist/hand_over.go
+++ b/internal/persist/hand_over.go
@@ -19,7 +19,7 @@
 
 // legacyDeleted reports whether the legacy record that a chunk was migrated from is deleted, and
 // schedules its deletion if it is not. A legacy record that remained after the deletion of the
-// chunk's own record would restore an earlier progress of the job.
+// chunk's own record would restore an earlier state of the job's tasks.
 func (r *Records) legacyDeleted(chunk *cluster.TaskChunk) bool {
 	legacy := chunk.Legacy
 	if legacy == nil {
--- a/internal/provision/termination.go
+++ b/internal/provision/termination.go
@@ -18,7 +18,7 @@
 // before the termination is sent: a termination that the cloud executed late once removed a machine
 // together with the work that the next leader had started on it.
 //
-// The termination of a machine with allocations does not wait for the write. Such a machine is given up
+// The termination of a machine with allocations does not wait for the write. Such a machine is terminated
 // because it sent no heartbeats, and only the cloud's response releases its allocations. When the
 // termination waited behind the writes of a busy hour, the tasks of dead machines were placed again 14 s
 // later.
--- a/internal/scheduler/quota_shortage.go
+++ b/internal/scheduler/quota_shortage.go
@@ -63,8 +63,8 @@
 	q.gpus -= spec.GPUs
 }
 
-// dropIfUnneeded adds the quota of a replica back to the shortage if it stays covered without stopping that
-// replica, and reports whether it did.
+// dropIfUnneeded reports whether the shortage stays covered if a replica is not stopped. If so, it adds the
+// replica's quota back to the shortage.
 func (q *quotaShortage) dropIfUnneeded(allocation *cluster.Allocation) bool {
 	spec := &allocation.Job.Spec
 	rest := quotaShortage{q.cpus + spec.CPUs, q.gpus + spec.GPUs}
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -60,7 +60,7 @@
 // prefersOnDemand reports whether a task should run on an on-demand machine although its job may use spot
 // machines. This is so if the task writes no checkpoints, so that its work is lost with the machine, and
 // it had an earlier attempt or could not run twice in time. Without this rule, lost tasks were placed on
-// spot machines again and lost again, which made arrays of a hundred tasks late.
+// spot machines again and lost again, which made arrays of a hundred tasks miss their objectives.
 func (s *Scheduler) prefersOnDemand(job *cluster.Job, i int, now micro.Time) bool {
 	return job.Spec.Spot && job.Spec.CheckpointIntervalS == 0 &&
 		(job.Tasks[i].Attempt > 0 || !s.Objectives.CanRunTwice(job, now))
--- a/internal/statestore/record.go
+++ b/internal/statestore/record.go
@@ -87,7 +87,8 @@
 func (r *Record) Settled() bool { return !r.dirty && !r.inFlight && !r.needsVerify && !r.uncertain }
 
 // MarkDirty schedules a write of the key with a priority. It never lowers the priority of a change
-// that is already queued. A change that the store rejected is queued after its retry delay.
+// that is already queued. A change that the store rejected gets the given
+// priority and is queued after its retry delay.
 func (r *Record) MarkDirty(now micro.Time, priority Priority) {
 	if now < r.rejectedUntil {
 		r.priority = priority
