--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -169,9 +169,9 @@
 	return false
 }
 
-// WithinPrice reports whether the price of a machine type allows a job to be placed on it. Only jobs that
-// request no GPU are kept off machines, and only off expensive ones with GPUs: work on such a machine
-// prevents its termination, a service for as long as it runs.
+// WithinPrice reports whether the price of a machine type allows a job to be placed on it. It excludes
+// only jobs that request no GPU, and only from expensive machines with GPUs: work on such a machine prevents
+// its termination, a service for as long as it runs.
 func (p *Planner) WithinPrice(job *cluster.Job, typ *cluster.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
 	if spec.GPUs > 0 || typ.GPUs == 0 || !p.limitsCost() {
--- a/internal/dispatch/fencing_token.go
+++ b/internal/dispatch/fencing_token.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// newTokenNeeded reports whether a token newer than the current one must be observed by a machine.
+// newTokenNeeded reports whether any agent must see a token newer than the current one.
 func (d *Dispatcher) newTokenNeeded() bool {
 	for _, machine := range d.cluster.Machines {
 		if (machine.State == cluster.Up || machine.LastHeartbeat > 0) && machine.State != cluster.Terminating &&
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -158,8 +158,8 @@
 
 // RecordProbe records whether any node of this zone and any node outside it answered a probe. Leases are
 // renewed only if the whole zone is partitioned: if only this node is isolated, its agents are better
-// served by another node. Once a node of the zone has answered, the zone still counts as partitioned if the zone's
-// other nodes stop later.
+// served by another node. Once a node of the zone has answered, the zone counts as partitioned even if its
+// other nodes stop later, until a node outside it answers.
 func (p *Proxy) RecordProbe(reachedInside, reachedOutside bool, now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -121,7 +121,7 @@
 // fenced reports whether a node certainly renews no lease until its next ordinary answer.
 func (c *nodeContact) fenced() bool { return c.fencedAt > 0 }
 
-// reachable reports whether the node is connected or has confirmed a fence within renewAfter.
+// reachable reports whether the node is connected or confirmed a fence less than renewAfter ago.
 func (c *nodeContact) reachable(now micro.Time) bool {
 	return c.connected(now) || c.fenced() && now < c.fencedAt+renewAfter
 }
--- a/internal/persist/retention.go
+++ b/internal/persist/retention.go
@@ -27,8 +27,9 @@
 	return pruned
 }
 
-// jobFlushed reports whether all writes of an ended job have been completed and none can be
-// executed late. It returns false while the job is assigned to a shard.
+// jobFlushed reports whether an ended job has nothing left to write or to delete: its final state is
+// written, its chunk records are deleted, and none of these writes can be executed late. It returns
+// false while the job is assigned to a shard.
 func (r *Records) jobFlushed(job *cluster.Job) bool {
 	if r.Lookup(keys.JobEnd(job.Spec.ID)) != nil || job.Shard != "" {
 		return false
