--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -159,7 +159,7 @@
 // RecordProbe records whether any node of this zone and any node outside it answered a probe. Leases are
 // renewed only if the whole zone is partitioned: if only this node is isolated, its agents are better
 // served by another node. Once a node of the zone has answered, the zone counts as partitioned even if its
-// other nodes stop later, until a node outside it answers.
+// other nodes stop later, until a node outside it or the leader answers, or this node leads.
 func (p *Proxy) RecordProbe(reachedInside, reachedOutside bool, now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
