--- a/internal/autoscaler/price.go
+++ b/internal/autoscaler/price.go
@@ -155,11 +155,11 @@
 // urgentAfter is how long work waits before it counts as urgent.
 const urgentAfter = micro.Minute
 
-// limitsCost reports whether cost matters. Where operators have machines of their own, readiness matters
-// more than cost.
+// limitsCost reports whether cost matters. Where there are operator-owned machines, readiness matters more
+// than cost.
 func (p *Planner) limitsCost() bool { return !p.permanentFleet }
 
-// hasPermanentMachines reports whether any machine is owned by the operators.
+// hasPermanentMachines reports whether any machine is operator-owned.
 func (p *Planner) hasPermanentMachines() bool {
 	for _, m := range p.Cluster.Machines {
 		if m.Permanent {
@@ -169,9 +169,9 @@
 	return false
 }
 
-// WithinPrice reports whether the price of a machine type allows a job to be placed on it. Only jobs that
-// request no GPU are kept off machines, and only off expensive ones with GPUs: work on such a machine
-// prevents its termination, a service for as long as it runs.
+// WithinPrice reports whether the price of a machine type allows a job to be placed on it. It excludes
+// only jobs that request no GPU, and only from expensive machines with GPUs: work on such a machine prevents
+// its termination, a service for as long as it runs.
 func (p *Planner) WithinPrice(job *cluster.Job, typ *cluster.MachineType, spot bool, now micro.Time) bool {
 	spec := &job.Spec
 	if spec.GPUs > 0 || typ.GPUs == 0 || !p.limitsCost() {
--- a/internal/leasekeeper/proxy.go
+++ b/internal/leasekeeper/proxy.go
@@ -8,7 +8,7 @@
 //   - It may renew leases only after it has been disconnected for renewAfter, and only within a window
 //     that begins when it sent (not when it received the answer to) the last request that was answered
 //     within ResponseTimeout.
-//   - Its requests tell whether it renewed any lease.
+//   - Its requests report whether it renewed any lease.
 //   - RenewalBound, the leader's side, bounds the time until which leases may have been renewed.
 //   - If leases of a zone must not be renewed, the leader answers with a Fence: the proxy renews no lease
 //     until its next ordinary answer, and confirms the fence.
@@ -158,8 +158,8 @@
 
 // RecordProbe records whether any node of this zone and any node outside it answered a probe. Leases are
 // renewed only if the whole zone is partitioned: if only this node is isolated, its agents are better
-// served by another node. Once a node of the zone has answered, the zone still counts as partitioned if the zone's
-// other nodes stop later.
+// served by another node. Once a node of the zone has answered, the zone counts as partitioned even if its
+// other nodes stop later, until a node outside it or the leader answers, or this node leads.
 func (p *Proxy) RecordProbe(reachedInside, reachedOutside bool, now micro.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leasekeeper/renewal_bound.go
+++ b/internal/leasekeeper/renewal_bound.go
@@ -121,14 +121,14 @@
 // fenced reports whether a node certainly renews no lease until its next ordinary answer.
 func (c *nodeContact) fenced() bool { return c.fencedAt > 0 }
 
-// reachable reports whether the node is connected or has confirmed a fence within renewAfter.
+// reachable reports whether the node is connected or confirmed a fence less than renewAfter ago.
 func (c *nodeContact) reachable(now micro.Time) bool {
 	return c.connected(now) || c.fenced() && now < c.fencedAt+renewAfter
 }
 
 // connected reports whether a node certainly renews no lease now: it received the answer sent at
 // lastConfirmed within ResponseTimeout of its request, it renews no lease for renewAfter from that
-// request on, and its next request told whether it had renewed any before.
+// request on, and its next request reported whether it had renewed any before.
 func (c *nodeContact) connected(now micro.Time) bool {
 	return c.lastConfirmed > 0 && now < c.lastConfirmed+renewAfter-ResponseTimeout-clockDrift(renewAfter)
 }
@@ -172,8 +172,8 @@
 
 // RenewalLimit returns the time until which a lease proxy of a zone may still renew a lease if no request
 // is answered from now on, or 0 if the zone has no lease proxy. A confirmed fence does not shorten it:
-// the fence may end before the user of a cancelled job is told that it has ended, and they must not be
-// told while its tasks may still run.
+// the fence may end before the user of a cancelled job is told that the job has ended, and they must not
+// be told while its tasks may still run.
 func (b *RenewalBound) RenewalLimit(zone string, now micro.Time) micro.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
