--- a/internal/controller/shard_faults_test.go
+++ b/internal/controller/shard_faults_test.go
@@ -388,7 +388,7 @@
 	return found
 }
 
-// A controller without the shard feature must not lead while shards exist: it would treat all machines as its own.
+// A controller without the shards feature must not lead while shards exist: it would treat all machines as its own.
 func TestControllerWithoutShardFeatureDoesNotLeadWhileShardsExist(t *testing.T) {
 	runShardScenario(t, 43, 3, func(sim *simCluster) {
 		service := sim.startShardWorkload()
--- a/internal/shard/watcher.go
+++ b/internal/shard/watcher.go
@@ -99,7 +99,7 @@
 func (w *Watcher) decodeRecord(key string, value []byte, version uint64) (Entry, bool) {
 	entry, err := ParseRecord(key, value, version)
 	if err != nil {
-		w.log.Debug("shard record cannot be decoded; ignoring it", "key", key, "err", err)
+		w.log.Debug("decode shard record failed; ignoring it", "key", key, "err", err)
 	}
 	return entry, err == nil
 }
