--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,4 +1,5 @@
-// Package httpapi is the public address: users, health checks and agents.
+// Package httpapi implements the HTTP server on the public address of a node. It serves requests of users, health
+// checks and agent heartbeats.
 package httpapi
 
 import (
@@ -15,61 +16,65 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Reply is what a request gets. Every reply goes out at once: what cannot be
-// taken now says when to come back.
+// Reply is the response to a request. Every request is answered without delay: one that cannot be accepted now gets a
+// reply with RetryAfter set.
 type Reply struct {
 	Status     int
 	Body       any
-	RetryAfter int // seconds; 0: none
+	RetryAfter int // value of the Retry-After header, in seconds; 0 sends no header
 }
 
-// RetryReply tells the sender to come back.
+// RetryReply returns an error reply that asks the client to retry after the given number of seconds.
 func RetryReply(status, seconds int) Reply {
 	return Reply{Status: status, Body: map[string]string{"error": "try again"}, RetryAfter: seconds}
 }
 
-// ErrorReply is a final refusal.
+// ErrorReply returns an error reply without Retry-After: the request will not succeed if it is repeated.
 func ErrorReply(status int, reason string) Reply {
 	return Reply{Status: status, Body: map[string]string{"error": reason}}
 }
 
-// Service is what stands behind the public address.
+// Service handles the requests that arrive at the public address.
 type Service interface {
+	// Submit accepts or refuses the job that is encoded in body.
 	Submit(body []byte) Reply
+	// Status returns the status of a job.
 	Status(id string) Reply
+	// Cancel cancels a job.
 	Cancel(id string) Reply
+	// Heartbeat processes an agent's heartbeat.
 	Heartbeat(body []byte) Reply
+	// Ready reports whether this node passes the load balancer's health check.
 	Ready() bool
-	// Cut reports whether this node refuses because of what it cannot reach.
+	// Isolated reports whether this node refuses requests because it cannot reach its dependencies.
 	Isolated() bool
 }
 
-// Server answers on the public address.
+// Server serves HTTP requests on the public address. Its exported fields must be set before Serve is called.
 type Server struct {
 	Service           Service
 	Metrics           *metrics.Set
-	MaxSockets        int
-	HeartbeatInterval micro.Time // how often an agent reports
+	MaxSockets        int        // maximum number of sockets that the node may have open
+	HeartbeatInterval micro.Time // interval between two heartbeats of an agent
 
-	openConnections func() int // connections that are open now
-	keepAliveLimit  int        // agents' connections are kept below so many
+	openConnections func() int // returns the number of connections that are open now
+	keepAliveLimit  int        // with more open connections, agents' connections are closed after the response
 }
 
-// reservedSockets are kept for what the node opens itself: orders to agents, the
-// store, the cloud and the peers. All else is for agents and users.
+// reservedSockets is the number of sockets reserved for connections that the node opens itself: to agents (direct
+// commands), the store, the cloud and its peers. The remaining sockets serve agents and users.
 const reservedSockets = 300
 
-// keepAliveFraction is the part of those sockets up to which an agent's connection stays
-// open between its heartbeats. Beyond it the answer closes the connection: with
-// more agents than sockets, those that found none open were never heard. What
-// is left serves them as they come, and the users.
+// keepAliveFraction is the fraction of the remaining sockets up to which agents' connections stay open between
+// heartbeats. Above it, the response to a heartbeat closes the connection: otherwise, with more agents than sockets,
+// agents without a connection could never send a heartbeat. The rest of the sockets serves those agents and the users.
 const keepAliveFraction = 0.75
 
-// idleTimeoutHeartbeats is after how many report intervals a silent connection is closed: a
-// cut leaves many half open.
+// idleTimeoutHeartbeats is the idle timeout of a connection, in heartbeat intervals. A network partition leaves many
+// half-open connections behind, which this timeout closes.
 const idleTimeoutHeartbeats = 3
 
-// Serve runs until the context ends.
+// Serve accepts and serves connections until ctx is cancelled, for which it returns nil.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	maxConnections := max(s.MaxSockets-reservedSockets, s.MaxSockets/2, 16)
 	s.keepAliveLimit = int(keepAliveFraction * float64(maxConnections))
@@ -98,6 +103,7 @@
 	return err
 }
 
+// handle serves one request and records its latency.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	start := micro.Now()
 	path, method := string(ctx.Path()), string(ctx.Method())
@@ -109,8 +115,8 @@
 		ctx.Response.Header.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
 	}
 	if reply.Status == fasthttp.StatusServiceUnavailable && operation != "beat" && s.Service.Isolated() {
-		// The load balancer leaves open connections where they are: a user
-		// would ask a node that is cut off again and again.
+		// The load balancer does not move open connections: on a kept-alive connection, a user's retries would
+		// all reach this isolated node.
 		ctx.SetConnectionClose()
 	}
 	if operation == "beat" && s.openConnections() > s.keepAliveLimit {
@@ -125,6 +131,8 @@
 	}
 }
 
+// route dispatches a request by method and path. It returns the name of the operation in the metrics, or "" if the
+// request is not counted there, and the reply.
 func (s *Server) route(method, path string, body []byte) (string, Reply) {
 	post, get := method == fasthttp.MethodPost, method == fasthttp.MethodGet
 	switch {
@@ -145,7 +153,7 @@
 	return "", ErrorReply(fasthttp.StatusNotFound, "no such path")
 }
 
-// routeJob serves the paths of one job; rest is what follows /work/.
+// routeJob is route for the paths of a single job; rest is the path after "/work/".
 func (s *Server) routeJob(method, rest string) (string, Reply) {
 	if jobID, ok := strings.CutSuffix(rest, "/withdraw"); ok && method == fasthttp.MethodPost {
 		if !wire.ValidJobID(jobID) {
--- a/internal/jobapi/final_status_cache.go
+++ b/internal/jobapi/final_status_cache.go
@@ -6,11 +6,11 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// MaxFinalStatuses bounds the final statuses that are kept.
+// MaxFinalStatuses is the maximum number of final statuses in the cache.
 const MaxFinalStatuses = 50_000
 
-// FinalStatusCache remembers final statuses, which alone may be cached. Any goroutine may
-// call its methods.
+// FinalStatusCache caches the final statuses of jobs. Only final statuses may be cached, since they never change. Any
+// goroutine may call its methods.
 type FinalStatusCache struct {
 	mu   sync.Mutex
 	byID map[string]wire.JobStatus
@@ -20,7 +20,7 @@
 	return &FinalStatusCache{byID: map[string]wire.JobStatus{}}
 }
 
-// Get gives the final status of a job; false if it is not kept.
+// Get returns the final status of a job, or false if it is not cached.
 func (f *FinalStatusCache) Get(id string) (wire.JobStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,14 +28,14 @@
 	return status, ok
 }
 
-// Len is how many are kept.
+// Len returns the number of cached statuses.
 func (f *FinalStatusCache) Len() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.byID)
 }
 
-// Put keeps a status if it is final.
+// Put caches a status if it is final. If the cache is full, an arbitrary entry is evicted.
 func (f *FinalStatusCache) Put(status wire.JobStatus) {
 	if !status.State.Final() {
 		return
@@ -43,7 +43,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.byID) >= MaxFinalStatuses {
-		for id := range f.byID { // any one goes: it can be read again
+		for id := range f.byID { // which entry is evicted does not matter: it can be read from the store again
 			delete(f.byID, id)
 			break
 		}
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -1,14 +1,13 @@
-// Package jobapi is what any node does for users: it takes submissions, answers status
-// queries and passes on cancellations, whichever node leads.
+// Package jobapi implements the job operations that every node offers to users, whether it leads or not: it accepts
+// submissions, answers status queries and forwards cancellations to the leader.
 //
-// It owns the cache of final statuses, the IDs of jobs known to have been accepted, the
-// status queries that wait for the leader or for the store, and the budget of requests that
-// the look-ups of queries may cost the store. All of it is guarded by locks of its own: any
-// goroutine may call any method. The leader's state is reached by the interface Leader alone,
-// whose calls hand the leader's loop an event.
+// The package owns the cache of final statuses, the cache of the IDs of accepted jobs, the status queries that wait
+// for the leader or the store, and the budget of store requests for status queries. Each has its own lock, so any
+// goroutine may call any method. The leader's state is accessed through the interface Leader only, whose methods send
+// events to the leader's loop.
 //
-// Requests carry no context: what was begun for a user, or for a peer on a user's behalf, is
-// brought to its end within bounds of its own also when the one who asked has gone.
+// Requests carry no context: an operation that was started for a user, or for a peer on a user's behalf, runs to its
+// end within its own timeouts, even if the client disconnects.
 package jobapi
 
 import (
@@ -24,100 +23,103 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// How long a node waits for a peer before it helps itself.
+// Timeouts of calls to peers.
 const (
-	// PeerCallTimeout is for calls of which another node, or the store, may take the place.
+	// PeerCallTimeout is the timeout of calls that can be replaced by a call to another node or by a store request.
 	PeerCallTimeout = 500 * micro.Millisecond
-	// relayTimeout is for calls that only the leader can answer.
+	// relayTimeout is the timeout of calls that only the leader can answer.
 	relayTimeout = 900 * micro.Millisecond
 )
 
-// How long the leader waits for the end of a cancelled job before it answers that it is not
-// certain yet. A node that asks on behalf of its user must have that answer in time: the leader
-// once held it for longer than the caller waited, and was left alone for two seconds by that
-// node, submissions included.
+// How long the leader waits until the cancellation of a job is certain, before it answers 503. The answer to a node
+// that forwards a user's request must arrive before that node's call times out: when the leader answered later than
+// that, the node backed off from it for 2 s and did not send it submissions either.
 const (
-	cancelTimeout        = 1500 * micro.Millisecond
+	// cancelTimeout applies to requests of the leader's own users.
+	cancelTimeout = 1500 * micro.Millisecond
+	// relayedCancelTimeout applies to requests that another node forwards.
 	relayedCancelTimeout = relayTimeout - 200*micro.Millisecond
 )
 
-// storeReadTimeout is how long the store may take over the reads that answer one question.
+// storeReadTimeout is the timeout of the store reads of one look-up.
 const storeReadTimeout = 900 * micro.Millisecond
 
-// Leader is the leader's loop as this node reaches it while it leads.
+// Leader gives access to the leader's loop while this node leads.
 type Leader interface {
-	// Statuses answers status queries from memory. Jobs that it does not answer for are
-	// left out, which is no reason to deny them.
+	// Statuses returns the statuses of jobs from memory. Jobs whose status it cannot give are left out; they may
+	// exist nevertheless.
 	Statuses(ids []string) []wire.JobStatus
-	// KnowsJob reports whether the leader has a job in its state.
+	// KnowsJob reports whether the job is in the leader's state.
 	KnowsJob(id string) bool
-	// PendingTasks is how many tasks waited when the leader last counted them.
+	// PendingTasks returns the number of pending tasks as of the leader's last count.
 	PendingTasks() int
-	// AddJob takes in a job that was accepted.
+	// AddJob adds an accepted job to the leader's state.
 	AddJob(job wire.Job)
-	// CancelJob cancels a job, and waits for so long until that is certain; 404 if it is not in
-	// memory, 503 if it was not certain in time.
+	// CancelJob cancels a job and waits until the cancellation is certain, at most for the duration within. The
+	// reply is 404 if the job is not in memory, and 503 if the cancellation was not certain in time.
 	CancelJob(id string, within micro.Time) httpapi.Reply
 }
 
-// Leadership says who leads.
+// Leadership tells which node leads.
 type Leadership interface {
-	// ActiveLeader is this node's own leader while its lease holds, else nil.
+	// ActiveLeader returns the leader that runs on this node while its lease is valid, else nil.
 	ActiveLeader() Leader
-	// LeaderName is the node that leads, as far as this one knows; "" if it knows of none.
+	// LeaderName returns the name of the node that leads, as known to this node, or "" if none is known.
 	LeaderName() string
 }
 
-// Peers are the other nodes.
+// Peers calls the other nodes.
 type Peers interface {
-	// Call makes a call of package peer. A node that lately gave no answer is not called:
-	// peer.ErrBackingOff.
+	// Call makes a call of package peer and returns the status and body of the response. If an earlier call to the
+	// node got no response and the backoff from it lasts, Call returns peer.ErrBackingOff without calling it.
 	Call(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error)
-	// Retry also calls a node that lately gave no answer, unless another such call is under way:
-	// peer.ErrBackingOff.
+	// Retry is like Call, but also calls a node during the backoff from it. Only one such call is made at a time:
+	// while another one is in progress, Retry returns peer.ErrBackingOff.
 	Retry(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error)
-	// CallRegardless is Call, but also calls a node that lately gave no answer.
+	// CallRegardless is like Call, but also calls a node during the backoff from it. A call without a response
+	// starts no backoff.
 	CallRegardless(ctx context.Context, node, call string, body []byte, timeout micro.Time) (int, []byte, error)
-	// LeaderFirst lists the names of the other nodes.
+	// LeaderFirst returns the names of the other nodes, the leader first if it is known and not this node.
 	LeaderFirst() []string
 }
 
-// Catalog gives the machine types.
+// Catalog holds the machine types that the cloud offers.
 type Catalog interface {
-	// Load gives them as last read; nil if they were not read yet.
+	// Load returns the catalog as last read, or nil if it has not been read yet.
 	Load() *wire.Catalog
 }
 
-// Health is what this node knows of its own connections.
+// Health tells whether this node can reach the services that it depends on.
 type Health interface {
-	// Isolated reports whether the store was out of reach at the last probe.
+	// Isolated reports whether the store was unreachable at the last probe.
 	Isolated() bool
 }
 
-// FormatGate says which stored forms are in use.
+// FormatGate tells which formats of stored records are in use.
 type FormatGate interface {
-	// FormatOpen reports whether the later forms are in use.
+	// FormatOpen reports whether the newer record formats are in use.
 	FormatOpen() bool
 }
 
-// StoredJob is what a job's own keys in the store hold.
+// StoredJob holds the content of a job's own keys in the store.
 type StoredJob struct {
 	Spec     wire.Job
-	Accepted bool // there is a description
-	// DependenciesComplete reports whether the description has all of its dependencies: else the job
-	// must not be taken for one that awaits less.
+	Accepted bool // the job has a stored spec
+	// DependenciesComplete is set if Spec holds all dependencies of the job. If some are missing, the job must not be
+	// treated as if it waited only for the others.
 	DependenciesComplete bool
 	FinalStatus          cluster.FinalStatusRecord
-	Ended                bool // there is an end
+	Ended                bool // the job has a stored final status
 }
 
 // JobReader reads jobs from the store.
 type JobReader interface {
-	// ReadJob reads a job's own keys; none are there for one that was never accepted.
+	// ReadJob reads a job's own keys. For a job that was never accepted, it returns a StoredJob with Accepted and
+	// Ended unset and no error.
 	ReadJob(class store.Class, id string) (StoredJob, error)
 }
 
-// Dependencies are the parts of a node that the service is built on.
+// Dependencies holds the parts of a node that the service uses.
 type Dependencies struct {
 	Store      store.Store
 	Jobs       JobReader
@@ -127,11 +129,12 @@
 	Health     Health
 	FormatGate FormatGate
 	Log        *slog.Logger
-	Now        func() micro.Time // the steady clock
+	Now        func() micro.Time // the monotonic clock
 	Wall       func() micro.Time // the wall clock
 }
 
-// Service answers for jobs. Any goroutine may call its methods.
+// Service serves users' requests about jobs, and peers' requests on behalf of their users. Any goroutine may call its
+// methods.
 type Service struct {
 	cfg        *config.Config
 	store      store.Store
@@ -141,7 +144,7 @@
 	health     Health
 	formatGate FormatGate
 	log        *slog.Logger
-	wall       func() micro.Time
+	wall       func() micro.Time // the wall clock
 
 	finalStatuses *FinalStatusCache
 	acceptedIDs   *acceptedIDs
@@ -151,7 +154,7 @@
 	batcher       *StatusBatcher
 }
 
-// New makes the service of a node. There is no bound on look-ups until SetBudgetFraction.
+// New returns the service of a node. Look-ups for status queries are not limited until SetBudgetFraction is called.
 func New(cfg *config.Config, deps Dependencies) *Service {
 	s := &Service{
 		cfg:           cfg,
@@ -175,32 +178,32 @@
 	return s
 }
 
-// FinalStatuses is the cache of final statuses, which the leader fills as well.
+// FinalStatuses returns the cache of final statuses, which the leader fills as well.
 func (s *Service) FinalStatuses() *FinalStatusCache { return s.finalStatuses }
 
-// RememberAccepted notes a job that is known to have been accepted: status queries for it
-// need not ask the store whether it was.
+// RememberAccepted records that a job was accepted, so that status queries for it need not ask the store whether it
+// was.
 func (s *Service) RememberAccepted(id string) { s.acceptedIDs.add(id) }
 
-// ReadStatus answers from the store, not from memory. An error says that the store gave no
-// answer that could be relied on.
+// ReadStatus returns the status of a job as read from the store, not from memory. It returns an error if the store
+// gave no answer or none that is authoritative.
 func (s *Service) ReadStatus(id string, class store.Class) (httpapi.Reply, error) {
 	return s.reader.read(id, class)
 }
 
-// SetBudgetFraction sets which part of the store's limit on requests this node may use, 0 to 1;
-// look-ups get their part of that.
+// SetBudgetFraction sets the fraction of the store's request rate limit that this node may use, 0 to 1. Look-ups for
+// status queries get LookupRateShare of that.
 func (s *Service) SetBudgetFraction(fraction float64) {
 	s.budget.setRate(s.cfg.Facts.State.RPS, fraction)
 }
 
-// otherLeader is the node that leads, if it is known and not this one.
+// otherLeader returns the name of the node that leads, or false if it is not known or is this node.
 func (s *Service) otherLeader() (string, bool) {
 	leader := s.leadership.LeaderName()
 	return leader, leader != "" && leader != s.cfg.Node
 }
 
-// maxValueBytes is what a value in the store may take.
+// maxValueBytes returns the maximum size of a value in the store, in bytes.
 func (s *Service) maxValueBytes() int {
 	current, safe := s.cfg.MaxValueBytes()
 	if s.formatGate.FormatOpen() {
@@ -209,7 +212,7 @@
 	return current
 }
 
-// maxIDsPerRequest is how many jobs one request can ask the store for.
+// maxIDsPerRequest returns the maximum number of jobs that one store request can look up.
 func (s *Service) maxIDsPerRequest() int {
 	return statestore.PreconditionsPerChange * s.cfg.MaxTxnOps()
 }
--- a/internal/jobapi/lookup_budget.go
+++ b/internal/jobapi/lookup_budget.go
@@ -7,27 +7,29 @@
 	"golang.org/x/time/rate"
 )
 
-// What status queries may cost the store.
+// Limits of the store requests that are made for status queries.
 const (
-	// LookupRateShare is the part of a node's share of state.rps that look-ups for queries
-	// may use. The nodes' shares make the whole, so all look-ups together stay
-	// below this part of state.rps, however many nodes there are.
+	// LookupRateShare is the fraction of a node's share of state.rps that look-ups for status queries may use. The
+	// shares of all nodes add up to state.rps, so the look-ups of all nodes together stay below this fraction of it,
+	// however many nodes there are.
 	LookupRateShare = 0.6
-	// RequestsPerRead is what reading one job's status takes: the records of its
-	// tasks, then its own keys.
+	// RequestsPerRead is the number of store requests that reading the status of one job takes: one for the records
+	// of its tasks, then one for the job's own keys.
 	RequestsPerRead = 2
-	// minLookupBurst lets a read and a question which IDs were accepted go out
-	// together, also where a node's share is small.
+	// minLookupBurst is the minimum burst of the budget. It allows a read and a look-up of accepted IDs at the same
+	// time even if the node's share is small.
 	minLookupBurst = RequestsPerRead + 2
 )
 
-// lookupBudget bounds the store requests made for status queries.
+// lookupBudget limits the rate of store requests made for status queries. The zero value does not limit them. Any
+// goroutine may call its methods.
 type lookupBudget struct {
 	mu      sync.Mutex
-	limiter *rate.Limiter // nil: no limit is known
+	limiter *rate.Limiter // nil until a limit is set
 }
 
-// setRate gives the part of rps, in requests a second, that this node may use.
+// setRate sets the limit of the store, rps in requests per second, and the fraction of it that this node may use,
+// 0 to 1. An rps of 0 or less changes nothing.
 func (b *lookupBudget) setRate(rps, rateShare float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,7 +45,8 @@
 	b.limiter.SetBurst(max(minLookupBurst, int(perSecond)))
 }
 
-// admit takes requests from the budget if as many as spare are left then.
+// admit takes a number of requests from the budget, provided that at least spare requests remain afterwards. It reports
+// whether it took them.
 func (b *lookupBudget) admit(requests, spare int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,8 +56,8 @@
 	return b.limiter.Tokens() >= float64(requests+spare) && b.limiter.AllowN(time.Now(), requests)
 }
 
-// charge takes a request that belongs to a look-up under way, if need be in
-// advance: later look-ups wait for it.
+// charge takes one more request for a look-up in progress. If the budget is used up it becomes negative, which delays
+// later look-ups.
 func (b *lookupBudget) charge() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/jobapi/peer_calls.go
+++ b/internal/jobapi/peer_calls.go
@@ -9,7 +9,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// relay hands a request to another node, the leader first.
+// relay forwards a user's request to the other nodes, the leader first, until one of them gives a final answer. It
+// returns false if none did. Server errors, 429 and 421 (not the leader) are not final.
 func (s *Service) relay(call string, body []byte) (httpapi.Reply, bool) {
 	var reply httpapi.Reply
 	answered := s.askPeers(call, body, func(status int, out []byte) bool {
@@ -24,14 +25,14 @@
 	return reply, answered
 }
 
-// PeerHandler answers a call of another node with an HTTP status and a body.
+// PeerHandler handles a call of another node. It returns the HTTP status and the body of the response.
 type PeerHandler func(body []byte) (status int, out []byte)
 
-// leaderHandler answers a call that only the leader can.
+// leaderHandler is like PeerHandler, for calls that only the leader can answer.
 type leaderHandler func(leader Leader, body []byte) (status int, out []byte)
 
-// PeerCalls is the registry of the calls that the service answers, by their names in
-// package peer.
+// PeerCalls returns the handlers of the calls that the service answers. The keys are the names of the calls in package
+// peer.
 func (s *Service) PeerCalls() map[string]PeerHandler {
 	return map[string]PeerHandler{
 		peer.Submit:               s.submitForPeer,
@@ -45,7 +46,7 @@
 	}
 }
 
-// asLeader answers a call while this node leads, else 421.
+// asLeader returns a handler that calls handle while this node leads, and else answers 421 (Misdirected Request).
 func (s *Service) asLeader(handle leaderHandler) PeerHandler {
 	return func(body []byte) (int, []byte) {
 		leader := s.leadership.ActiveLeader()
@@ -56,8 +57,8 @@
 	}
 }
 
-// jobFilterHandler is a call that takes some jobs and answers with those of them that something is
-// true of. A status other than 200 goes without a body.
+// jobFilterHandler returns a handler that decodes a list of job IDs and responds with those that handle selects. If
+// handle returns a status other than 200, the response has no body.
 func jobFilterHandler(handle func(ids []string) (found []string, status int)) PeerHandler {
 	return func(body []byte) (int, []byte) {
 		var ids []string
@@ -72,8 +73,8 @@
 	}
 }
 
-// statusBatchHandler is a call that takes some jobs and answers with the statuses of those that are
-// known.
+// statusBatchHandler returns a handler that decodes a list of at most maxStatusesPerCall job IDs and responds with the
+// statuses that handle returns.
 func statusBatchHandler(handle func(leader Leader, ids []string) []wire.JobStatus) leaderHandler {
 	return func(leader Leader, body []byte) (int, []byte) {
 		var ids []string
@@ -84,16 +85,17 @@
 	}
 }
 
-// submitForPeer takes a submission of a node that the store refuses.
+// submitForPeer accepts a submission that another node forwards because it cannot write it to the store.
 func (s *Service) submitForPeer(body []byte) (int, []byte) {
 	return encodeReply(s.submit(body, false))
 }
 
-// acceptedForPeer says which of some jobs were accepted.
+// acceptedForPeer returns which of the jobs were accepted, to a node that checks a submission. It is not limited by the
+// budget of status queries.
 func (s *Service) acceptedForPeer(ids []string) ([]string, int) {
 	accepted, err := s.acceptedJobs(ids, false)
 	if err != nil {
-		s.log.Debug("accepted jobs not read for a peer", "jobs", len(ids), "err", err)
+		s.log.Debug("read accepted jobs for a peer's submission failed; peer gets 503", "jobs", len(ids), "err", err)
 		return nil, http.StatusServiceUnavailable
 	}
 	found := []string{}
@@ -105,8 +107,8 @@
 	return found, http.StatusOK
 }
 
-// acceptedWithinBudget tells another node which of the jobs that it is queried for were
-// accepted.
+// acceptedWithinBudget returns which of the jobs were accepted, to a node that answers status queries. The budget of
+// this node for status queries is charged.
 func (s *Service) acceptedWithinBudget(ids []string) ([]string, int) {
 	if len(ids) > s.maxIDsPerRequest() {
 		return nil, http.StatusBadRequest
@@ -116,7 +118,7 @@
 	}
 	accepted, err := s.acceptedInStore(ids, store.StatusQuery)
 	if err != nil {
-		s.log.Debug("accepted jobs not read for a peer", "jobs", len(ids), "err", err)
+		s.log.Debug("read accepted jobs for a peer's queries failed; peer gets 503", "jobs", len(ids), "err", err)
 		return nil, http.StatusServiceUnavailable
 	}
 	found := []string{}
@@ -128,7 +130,8 @@
 	return found, http.StatusOK
 }
 
-// storedStatusForPeer reads a job from the store for a node that cannot.
+// storedStatusForPeer returns the status of a job as read from the store, to a node that cannot read it. The budget of
+// this node for status queries is charged.
 func (s *Service) storedStatusForPeer(body []byte) (int, []byte) {
 	id := string(body)
 	if !wire.ValidJobID(id) {
@@ -139,13 +142,13 @@
 	}
 	reply, err := s.reader.read(id, store.StatusQuery)
 	if err != nil {
-		s.log.Debug("status not read for a peer", "job", id, "err", err)
+		s.log.Debug("read job status for a peer failed; peer gets 503", "job", id, "err", err)
 		return http.StatusServiceUnavailable, nil
 	}
 	return encodeReply(reply)
 }
 
-// statusForPeer answers from the leader's memory.
+// statusForPeer returns the status of a job from memory, or 503 if it is not there.
 func (s *Service) statusForPeer(leader Leader, body []byte) (int, []byte) {
 	id := string(body)
 	status, ok := s.finalStatuses.Get(id)
@@ -153,13 +156,13 @@
 		status, ok = statusOf(leader, id)
 	}
 	if !ok {
-		return http.StatusServiceUnavailable, nil // the asker reads the store
+		return http.StatusServiceUnavailable, nil // the caller reads the store
 	}
 	return encodeReply(statusReply(status))
 }
 
-// statusesForPeer answers for several jobs from the leader's memory. Those that it does
-// not answer for are left out: the asker reads the store.
+// statusesForPeer returns the statuses of several jobs from memory. Jobs that are not there are left out: the caller
+// reads them from the store.
 func (s *Service) statusesForPeer(leader Leader, ids []string) []wire.JobStatus {
 	statuses := []wire.JobStatus{}
 	var uncached []string
@@ -173,7 +176,7 @@
 	return append(statuses, leader.Statuses(uncached)...)
 }
 
-// cancelForPeer cancels a job for a node that does not lead.
+// cancelForPeer cancels a job on behalf of a node that does not lead.
 func (s *Service) cancelForPeer(leader Leader, body []byte) (int, []byte) {
 	if !wire.ValidJobID(string(body)) {
 		return http.StatusBadRequest, nil
@@ -181,7 +184,7 @@
 	return encodeReply(s.cancelAsLeader(leader, string(body), relayedCancelTimeout))
 }
 
-// jobAcceptedByPeer takes in a job that another node accepted.
+// jobAcceptedByPeer adds a job that another node accepted to the leader's state.
 func jobAcceptedByPeer(leader Leader, body []byte) (int, []byte) {
 	var job wire.Job
 	if wire.Unmarshal(body, &job) != nil || !wire.ValidJobID(job.ID) || job.Tasks < 1 {
--- a/internal/jobapi/replies.go
+++ b/internal/jobapi/replies.go
@@ -7,18 +7,19 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// tryAgain tells the sender to come back after a second.
+// tryAgain returns a 503 reply that asks the client to retry after 1 s.
 func tryAgain() httpapi.Reply { return httpapi.RetryReply(http.StatusServiceUnavailable, 1) }
 
-// noSuchJob denies a job.
+// noSuchJob returns the reply for a job that does not exist.
 func noSuchJob() httpapi.Reply { return httpapi.ErrorReply(http.StatusNotFound, "no such job") }
 
-// statusReply is a job's status for the one who asked.
+// statusReply returns a 200 reply with a job's status.
 func statusReply(status wire.JobStatus) httpapi.Reply {
 	return httpapi.Reply{Status: http.StatusOK, Body: status}
 }
 
-// decodeReply reads a peer's answer about a job; false if it says nothing of the job.
+// decodeReply converts a peer's response into the reply for the user. It returns false if the response is not final:
+// its status is none of 200, 201, 400, 404 and 422, or its body cannot be decoded.
 func decodeReply(status int, out []byte) (httpapi.Reply, bool) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -34,7 +35,7 @@
 	return httpapi.Reply{Status: status, Body: jobStatus}, true
 }
 
-// encodeReply writes an answer for a peer.
+// encodeReply converts a reply into the HTTP status and body of a response to a peer, or 500 if encoding fails.
 func encodeReply(reply httpapi.Reply) (int, []byte) {
 	out, err := wire.Marshal(reply.Body)
 	if err != nil {
--- a/internal/jobapi/status.go
+++ b/internal/jobapi/status.go
@@ -11,8 +11,8 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// Status answers a status query: the leader from its memory, else the store's truth, within
-// the budget that queries have.
+// Status answers a status query, from the leader's memory if possible and else from the store, within the budget for
+// status queries.
 func (s *Service) Status(id string) httpapi.Reply {
 	if !wire.ValidJobID(id) {
 		return noSuchJob()
@@ -30,8 +30,9 @@
 	return reply
 }
 
-// statusWithoutLeader answers a query without the leader, while that answers too late: as far
-// as the queries' part of the store's budget goes. The others wait for the leader.
+// statusWithoutLeader answers a status query without calling the leader while this node backs off from a leader that
+// responded too late, as far as the budget for status queries allows. It returns false for queries that it does not
+// answer; they wait for the leader.
 func (s *Service) statusWithoutLeader(id string) (httpapi.Reply, bool) {
 	if s.leadership.ActiveLeader() != nil || !s.batcher.backingOff() {
 		return httpapi.Reply{}, false
@@ -40,13 +41,14 @@
 		return statusReply(status), true
 	}
 	if !s.acceptedIDs.contains(id) {
-		return httpapi.Reply{}, false // it is asked for together with others
+		return httpapi.Reply{}, false // the leader is asked for it, in a batch with other queries
 	}
 	reply := s.lookups.lookUp(id)
 	return reply, reply.Status == http.StatusOK || reply.Status == http.StatusNotFound
 }
 
-// repeatedSubmissionStatus answers a repeated submission, which goes before queries.
+// repeatedSubmissionStatus returns the status of a job that was submitted again. Its reads of the store have priority
+// over those for status queries.
 func (s *Service) repeatedSubmissionStatus(id string) httpapi.Reply {
 	if reply, ok := s.statusFromMemory(id); ok {
 		return reply
@@ -54,7 +56,8 @@
 	return s.readAnywhere(id, store.Routine)
 }
 
-// statusFromMemory answers for a job from this node's or the leader's memory.
+// statusFromMemory returns the status of a job from the memory of this node or of the leader, or false if neither has
+// it.
 func (s *Service) statusFromMemory(id string) (httpapi.Reply, bool) {
 	if status, ok := s.finalStatuses.Get(id); ok {
 		return statusReply(status), true
@@ -79,7 +82,7 @@
 	return reply, true
 }
 
-// statusOf asks this node's own leader for one job.
+// statusOf returns the status of one job from the leader on this node, or false if the leader cannot give it.
 func statusOf(leader Leader, id string) (wire.JobStatus, bool) {
 	if found := leader.Statuses([]string{id}); len(found) == 1 {
 		return found[0], true
@@ -87,14 +90,14 @@
 	return wire.JobStatus{}, false
 }
 
-// cacheFinal keeps the status that an answer holds, if it is final.
+// cacheFinal caches the job status in a reply if it is final.
 func (s *Service) cacheFinal(reply httpapi.Reply) {
 	if status, ok := reply.Body.(wire.JobStatus); ok {
 		s.finalStatuses.Put(status)
 	}
 }
 
-// Cancel cancels a job; only the leader can.
+// Cancel cancels a job. Only the leader can do that, so other nodes forward the request to it.
 func (s *Service) Cancel(id string) httpapi.Reply {
 	if final, ok := s.finalStatuses.Get(id); ok {
 		return statusReply(final)
@@ -108,7 +111,7 @@
 	}
 	status, out, err := s.peers.Call(context.Background(), leader, peer.Cancel, []byte(id), relayTimeout)
 	if err != nil {
-		s.log.Debug("leader not asked to cancel", "job", id, "node", leader, "err", err)
+		s.log.Debug("forward cancellation to leader failed; user gets 503", "job", id, "node", leader, "err", err)
 		return tryAgain()
 	}
 	reply, ok := decodeReply(status, out)
@@ -119,17 +122,18 @@
 	return reply
 }
 
-// cancelAsLeader cancels a job on the node that leads, and waits for so long until that is certain.
+// cancelAsLeader cancels a job on the node that leads and waits until the cancellation is certain, at most for the
+// duration within.
 func (s *Service) cancelAsLeader(leader Leader, id string, within micro.Time) httpapi.Reply {
 	reply := leader.CancelJob(id, within)
 	if reply.Status != http.StatusNotFound {
 		s.cacheFinal(reply)
 		return reply
 	}
-	// Not in memory yet, perhaps: the store decides.
+	// The leader may not have read the job yet, so the store decides whether it exists.
 	stored, err := s.reader.read(id, store.Routine)
 	if err != nil {
-		s.log.Debug("job to be cancelled not looked up", "job", id, "err", err)
+		s.log.Debug("read job to be cancelled failed; cancellation gets 503", "job", id, "err", err)
 		return tryAgain()
 	}
 	status, ok := stored.Body.(wire.JobStatus)
@@ -139,12 +143,12 @@
 	return tryAgain()
 }
 
-// readAnywhere reads a job's status from the store, or has a peer read it that
-// reaches the store. What is over the budget is not handed on: the other nodes'
-// budgets are for their own queries.
+// readAnywhere reads a job's status from the store, or has a peer read it if this node does not reach the store. A
+// status query that was rejected by a rate limit is not forwarded, since the budgets of the other nodes are for their
+// own queries.
 func (s *Service) readAnywhere(id string, class store.Class) httpapi.Reply {
 	storeUnreachable := s.health.Isolated()
-	if storeUnreachable { // the store is not worth waiting for before others were asked
+	if storeUnreachable { // ask the peers first rather than wait for the store to time out
 		if reply, ok := s.readByPeers(id); ok {
 			return reply
 		}
@@ -153,7 +157,7 @@
 	if err == nil {
 		return reply
 	}
-	s.log.Debug("status not read", "job", id, "err", err)
+	s.log.Debug("read job status from store failed", "job", id, "err", err)
 	if !storeUnreachable && (class != store.StatusQuery || !isRateLimited(err)) {
 		if reply, ok := s.readByPeers(id); ok {
 			return reply
@@ -162,7 +166,7 @@
 	return tryAgain()
 }
 
-// readByPeers asks the other nodes for what they read from the store.
+// readByPeers asks the other nodes to read a job's status from the store. It returns false if none of them answered.
 func (s *Service) readByPeers(id string) (httpapi.Reply, bool) {
 	reply, ok := s.relay(peer.StoredStatus, []byte(id))
 	if ok {
--- a/internal/jobapi/status_batcher.go
+++ b/internal/jobapi/status_batcher.go
@@ -12,48 +12,47 @@
 	"notchmux.dev/notchmux/wire"
 )
 
-// How a node that does not lead asks the leader for users' status queries. A call between
-// nodes costs both of them some sixteen times what the leader's answer does, and in a
-// storm of queries those calls used up the leader's processor. So only a few calls are
-// under way at a time; what comes meanwhile goes out together with the next one.
+// Limits of the calls by which a node that does not lead forwards status queries to the leader. A call between nodes
+// costs each of them about sixteen times as much processor time as the leader's look-up does, and under many queries
+// such calls used up the leader's processor. So only a few calls are in flight at a time, and queries that arrive
+// meanwhile are sent together in the next call.
 const (
-	// maxStatusCalls is how many calls are under way before queries wait for one another.
+	// maxStatusCalls is the maximum number of calls in flight. Further queries wait and are batched.
 	maxStatusCalls = 4
-	// maxStatusesPerCall is how many jobs one call asks for: the answer stays below
-	// wire.MaxBody, whatever the jobs wait for.
+	// maxStatusesPerCall is the maximum number of jobs per call. It keeps the response below wire.MaxBody, whatever
+	// dependencies the jobs wait for.
 	maxStatusesPerCall = 128
-	// leaderBackoffPeriod is for how long a leader that answered too late is asked for several
-	// jobs at a time only, gathered for backoffBatchDelay, by backoffMaxCalls calls at a time,
-	// and given backoffCallTimeout for each. Asked as usual, an overloaded leader answered
-	// nothing for minutes: each call that came too late kept the node from asking again for
-	// as long as a peer is left alone that gave no answer.
+	// leaderBackoffPeriod is the duration of the backoff from a leader that responded too late. During it, queries
+	// are gathered for backoffBatchDelay and sent in batches only, with at most backoffMaxCalls calls in flight and
+	// backoffCallTimeout for each. Without the backoff, an overloaded leader answered no query for minutes: each late
+	// response kept the node from calling it for the whole backoff of package peer.
 	leaderBackoffPeriod = 10 * micro.Second
 	backoffCallTimeout  = 900 * micro.Millisecond
 	backoffBatchDelay   = 50 * micro.Millisecond
 	backoffMaxCalls     = 2
-	// singleQueryPeriod is for how long a leader is asked for one job at a time after it
-	// did not know the call for several.
+	// singleQueryPeriod is for how long queries are sent singly to a leader that does not support the batch call.
 	singleQueryPeriod = micro.Minute
 )
 
-// StatusBatcher gathers status queries for the leader. Any goroutine may call its methods.
+// StatusBatcher sends status queries to the leader, in batches while calls are in flight. Any goroutine may call its
+// methods.
 type StatusBatcher struct {
 	peers Peers
 	now   func() micro.Time
 
 	mu            sync.Mutex
-	callsInFlight int
-	pending       []*statusQuery
-	singleUntil   micro.Time // until when jobs are asked for one by one
-	backoffUntil  micro.Time // until when the leader is given more time for fewer calls
+	callsInFlight int            // includes a delayed call for which queries are gathered
+	pending       []*statusQuery // wait for the next call
+	singleUntil   micro.Time     // end of the period in which queries are sent singly
+	backoffUntil  micro.Time     // end of the backoff from the leader
 }
 
-// NewStatusBatcher makes a batcher that has asked nothing yet.
+// NewStatusBatcher returns a batcher without pending queries. The function now reads the monotonic clock.
 func NewStatusBatcher(peers Peers, now func() micro.Time) *StatusBatcher {
 	return &StatusBatcher{peers: peers, now: now}
 }
 
-// backingOff reports whether the leader answered too late lately.
+// backingOff reports whether the backoff from the leader lasts.
 func (b *StatusBatcher) backingOff() bool {
 	now := b.now()
 	b.mu.Lock()
@@ -61,7 +60,7 @@
 	return now < b.backoffUntil
 }
 
-// BackOff notes that the leader answered a call too late.
+// BackOff starts the backoff from the leader, or extends it. It is called when the leader responds too late.
 func (b *StatusBatcher) BackOff() {
 	now := b.now()
 	b.mu.Lock()
@@ -69,21 +68,21 @@
 	b.backoffUntil = now + leaderBackoffPeriod
 }
 
-// querySingly notes that the leader does not know the call for several jobs.
+// querySingly starts the period in which queries are sent singly, since the leader does not support the batch call.
 func (b *StatusBatcher) querySingly() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.singleUntil = b.now() + singleQueryPeriod
 }
 
-// statusQuery is a query that waits for the leader's answer.
+// statusQuery is a status query that waits for the leader's response.
 type statusQuery struct {
-	leader string // as it was known when the query came
+	leader string // name of the leader as known when the query arrived
 	id     string
-	reply  chan httpapi.Reply // what the leader said; closed without a word: nothing
+	reply  chan httpapi.Reply // receives the reply; closed without one if the leader gave no status
 }
 
-// Query asks the leader for a job; false if it said nothing of it in time.
+// Query asks the leader for the status of a job. It returns false if the leader gave none in time.
 func (b *StatusBatcher) Query(leader, id string) (httpapi.Reply, bool) {
 	now := b.now()
 	b.mu.Lock()
@@ -110,7 +109,7 @@
 	return query.wait(timeout)
 }
 
-// wait is what the leader says within a time.
+// wait returns the reply, or false if there is none within the timeout.
 func (q *statusQuery) wait(timeout micro.Time) (httpapi.Reply, bool) {
 	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
@@ -122,7 +121,7 @@
 	}
 }
 
-// queryOne asks the leader for one job.
+// queryOne asks the leader for the status of one job.
 func (b *StatusBatcher) queryOne(leader, id string) (httpapi.Reply, bool) {
 	status, out, err := b.peers.Call(context.Background(), leader, peer.Status, []byte(id), PeerCallTimeout)
 	if err != nil {
@@ -134,7 +133,8 @@
 	return decodeReply(status, out)
 }
 
-// sendBatches ends a call, or the wait for one, and sends what was gathered meanwhile.
+// sendBatches sends the pending queries in batches until none are left, then ends the call in flight that its caller
+// counted. It runs after a single call or at the end of backoffBatchDelay.
 func (b *StatusBatcher) sendBatches() {
 	for {
 		batch := b.takeBatch()
@@ -145,7 +145,8 @@
 	}
 }
 
-// takeBatch gives the queries of the next call; none: the caller's call is over.
+// takeBatch removes the queries of the next call from the pending ones. If there are none, it ends the call in flight
+// of the caller.
 func (b *StatusBatcher) takeBatch() []*statusQuery {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,7 +159,7 @@
 	return batch
 }
 
-// queryBatch asks the leader, as the latest of the queries knew it, for several jobs.
+// queryBatch answers a batch of queries by one call to the leader that the latest of them knew.
 func (b *StatusBatcher) queryBatch(batch []*statusQuery) {
 	answers := b.queryMany(batch[len(batch)-1].leader, batch)
 	for _, query := range batch {
@@ -169,10 +170,11 @@
 	}
 }
 
-// queryMany asks the leader for several jobs in one call.
+// queryMany asks the leader for the statuses of the jobs of a batch in one call. Jobs without an answer are missing in
+// the result.
 func (b *StatusBatcher) queryMany(leader string, batch []*statusQuery) map[string]wire.JobStatus {
 	answers := map[string]wire.JobStatus{}
-	// Regardless: that a call of another kind got no answer says little of this one.
+	// The backoff of package peer is ignored below: that another call got no response says little about this one.
 	timeout := PeerCallTimeout
 	if b.backingOff() {
 		timeout = backoffCallTimeout
@@ -196,7 +198,7 @@
 	return answers
 }
 
-// distinctIDs are the jobs that some queries are for, each once.
+// distinctIDs returns the job IDs of the queries without duplicates.
 func distinctIDs(batch []*statusQuery) []string {
 	seen := map[string]bool{}
 	var ids []string
--- a/internal/jobapi/status_lookup.go
+++ b/internal/jobapi/status_lookup.go
@@ -14,87 +14,88 @@
 )
 
 const (
-	// batchBudgetTimeout is how long IDs that may be unknown wait for the budget, so that
-	// one request asks for all of them; after that they get 503.
+	// batchBudgetTimeout is how long a batch of IDs that may be unknown waits for the budget. The IDs that arrive
+	// meanwhile are looked up by the same request. After the timeout, the queries get 503.
 	batchBudgetTimeout = 250 * micro.Millisecond
-	// budgetCheckInterval is how often the budget is looked at meanwhile.
+	// budgetCheckInterval is the interval of the budget checks during that wait.
 	budgetCheckInterval = 10 * micro.Millisecond
-	// lookupTimeout is how long a query waits for its look-up. With what the leader
-	// may take (PeerCallTimeout) it stays within the 2 s for which users wait.
+	// lookupTimeout is how long a query waits for its look-up. Together with the preceding call to the leader
+	// (PeerCallTimeout), it stays within the 2 s for which users wait.
 	lookupTimeout = 1200 * micro.Millisecond
-	// recentAnswerWindow is for how long a job that was read for a query yields to jobs
-	// that were not, while the budget is short. It is below the 75 s without an
-	// answer after which users call a job forgotten.
+	// recentAnswerWindow is for how long after a read for a query a job has lower priority than jobs that were not
+	// read, while the budget is short. It is below the 75 s without an answer after which users consider a job lost.
 	recentAnswerWindow = 60 * micro.Second
-	// legacyPeerReads is how many IDs of a batch are read one by one where a peer of
-	// the version before cannot say which were accepted.
+	// legacyPeerReads is how many IDs of a batch are read one by one if a peer of the previous release cannot tell
+	// which were accepted.
 	legacyPeerReads = 4
-	// maxLastAnswered bounds the jobs of which it is known when they were last read.
+	// maxLastAnswered is the maximum number of jobs of which the time of the last read is kept.
 	maxLastAnswered = maxAcceptedIDs
 )
 
-// errCallUnsupported says that a peer does not know the call.
-var errCallUnsupported = errors.New("jobapi: call not known to the peer")
+// errCallUnsupported means that a peer does not support the call.
+var errCallUnsupported = errors.New("jobapi: peer does not support the call")
 
-// statusLookup is one look-up for all queries that share it. Only queries that came before
-// its first read share it: an answer read earlier may be older than what another
-// node has told the user, and a job accepted meanwhile would be denied. That is
-// why golang.org/x/sync/singleflight, which shares calls already under way, does
-// not serve here.
+// statusLookup is a look-up that is shared by all queries that arrived before its first read. A query that arrives
+// later must not share it: what was read may be older than the status that another node has told the user, and a job
+// that was accepted meanwhile would be reported as not existing. For this reason golang.org/x/sync/singleflight, which
+// shares calls in progress, cannot be used here.
 type statusLookup struct {
 	done  chan struct{}
 	reply httpapi.Reply // valid once done is closed
 }
 
+// newStatusLookup returns a look-up that is not finished.
 func newStatusLookup() *statusLookup { return &statusLookup{done: make(chan struct{})} }
 
-// finish gives all queries that share the look-up their answer.
-func (u *statusLookup) finish(reply httpapi.Reply) {
-	u.reply = reply
-	close(u.done)
+// finish sets the reply to all queries that share the look-up. It must be called once.
+func (s *statusLookup) finish(reply httpapi.Reply) {
+	s.reply = reply
+	close(s.done)
 }
 
-// wait is the answer for one query.
-func (u *statusLookup) wait() httpapi.Reply {
+// wait returns the reply to one query: that of the look-up, or 503 if it takes longer than lookupTimeout.
+func (s *statusLookup) wait() httpapi.Reply {
 	timer := time.NewTimer(lookupTimeout.Duration())
 	defer timer.Stop()
 	select {
-	case <-u.done:
-		return u.reply
+	case <-s.done:
+		return s.reply
 	case <-timer.C:
 		return tryAgain()
 	}
 }
 
-// lookupSource is where look-ups find jobs.
+// lookupSource gives look-ups access to stored jobs, through the store or through peers.
 type lookupSource interface {
-	// readAnywhere reads a job's status.
+	// readAnywhere returns the status of a job, 404, or a reply that asks the client to retry.
 	readAnywhere(id string, class store.Class) httpapi.Reply
-	// acceptedAnywhere says which jobs were accepted.
+	// acceptedAnywhere returns which of the jobs were accepted.
 	acceptedAnywhere(ids []string) (map[string]bool, error)
 }
 
-// statusLookups are the look-ups for queries that the leader's memory does not answer.
+// statusLookups manages the look-ups for queries that are not answered from the leader's memory. Any goroutine may call
+// lookUp.
 type statusLookups struct {
 	source       lookupSource
 	acceptedIDs  *acceptedIDs
 	budget       *lookupBudget
 	now          func() micro.Time
-	maxBatchSize func() int // how many IDs one request asks for
+	maxBatchSize func() int // returns the maximum number of IDs per store request
 
 	mu sync.Mutex
-	// Jobs known to be accepted are read one by one. Of equal IDs one read is
-	// under way, and one look-up takes in queries until that read is over.
+	// Jobs known to be accepted are read one by one. For each ID at most one read is in progress; queries that arrive
+	// during it share the next look-up.
 	readsInFlight map[string]bool
 	nextReads     map[string]*statusLookup
-	// lastAnswered is when each job was last read for a query.
+	// lastAnswered holds the time at which each job was last read for a query.
 	lastAnswered map[string]micro.Time
-	// All other IDs are gathered: one request asks the store which of them were
-	// accepted. One batch is under way, the next one takes in queries.
+	// All other IDs are batched: one request asks the store which of them were accepted. At most one batch is in
+	// progress; queries that arrive during it join the next one.
 	batchInFlight bool
 	nextBatch     map[string]*statusLookup
 }
 
+// newStatusLookups returns a statusLookups without look-ups.
 func newStatusLookups(
 	source lookupSource, accepted *acceptedIDs, budget *lookupBudget, now func() micro.Time, maxBatchSize func() int,
 ) *statusLookups {
@@ -111,7 +112,8 @@
 	}
 }
 
-// lookUp answers a query that the leader's memory did not answer.
+// lookUp answers a query that the leader's memory did not answer. The reply is 503 if the look-up takes longer than
+// lookupTimeout, the budget does not allow it, or the next batch is full.
 func (l *statusLookups) lookUp(id string) httpapi.Reply {
 	if l.acceptedIDs.contains(id) {
 		return l.joinRead(id).wait()
@@ -123,7 +125,7 @@
 	return lookup.wait()
 }
 
-// joinRead joins the next read of a job that was accepted.
+// joinRead returns the look-up of the next read of an accepted job, and starts reading if no read is in progress.
 func (l *statusLookups) joinRead(id string) *statusLookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +141,7 @@
 	return lookup
 }
 
-// runReads reads a job until no query waits for it.
+// runReads reads a job repeatedly until no query waits for it.
 func (l *statusLookups) runReads(id string) {
 	for {
 		l.mu.Lock()
@@ -155,9 +157,8 @@
 	}
 }
 
-// readWithinBudget reads a job if the budget allows. While the budget is short, jobs
-// that were answered lately leave it to the others: drawn by chance, some would
-// get no answer for too long.
+// readWithinBudget reads a job if the budget allows it, and else returns 503. While the budget is short, jobs that were
+// answered recently leave it to the others: if chance decided, some jobs would get no answer for too long.
 func (l *statusLookups) readWithinBudget(id string) httpapi.Reply {
 	now := l.now()
 	spare := 0
@@ -174,6 +175,7 @@
 	return reply
 }
 
+// answeredRecently reports whether the job was read for a query within recentAnswerWindow.
 func (l *statusLookups) answeredRecently(id string, now micro.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,6 +183,7 @@
 	return answered && now-answeredAt < recentAnswerWindow
 }
 
+// recordAnswered records that the job was read for a query. If too many jobs are recorded, all others are dropped.
 func (l *statusLookups) recordAnswered(id string, now micro.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,8 +193,8 @@
 	l.lastAnswered[id] = now
 }
 
-// joinBatch joins the next batch of IDs that may be unknown; false if it is
-// full.
+// joinBatch adds an ID that may be unknown to the next batch and returns its look-up, or false if the batch is full. It
+// starts the processing of batches if none is in progress.
 func (l *statusLookups) joinBatch(id string) (*statusLookup, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,7 +213,7 @@
 	return lookup, true
 }
 
-// runBatches asks for what was gathered until nothing is left.
+// runBatches processes batches until no query waits for one.
 func (l *statusLookups) runBatches() {
 	for {
 		admitted := l.awaitBudget()
@@ -226,7 +229,7 @@
 	}
 }
 
-// takeBatch gives what was gathered; nil: nothing was, and no batch is under way any more.
+// takeBatch returns the IDs of the next batch. If there are none, it returns nil and no batch is in progress any more.
 func (l *statusLookups) takeBatch() map[string]*statusLookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,9 +242,9 @@
 	return batch
 }
 
-// awaitBudget waits a little until the budget has capacity for a batch. It leaves
-// capacity for reading a job: that many unknown IDs are asked for must not keep an
-// accepted job from its answer.
+// awaitBudget waits until the budget allows the request of a batch, at most for batchBudgetTimeout, and reports whether
+// it does. It leaves enough of the budget for reading one job: many queries for unknown IDs must not prevent an answer
+// for an accepted job.
 func (l *statusLookups) awaitBudget() bool {
 	for waited := micro.Time(0); ; waited += budgetCheckInterval {
 		if l.budget.admit(1, RequestsPerRead) {
@@ -254,13 +257,14 @@
 	}
 }
 
+// failBatch answers all queries of a batch with 503.
 func failBatch(batch map[string]*statusLookup) {
 	for _, lookup := range batch {
 		lookup.finish(tryAgain())
 	}
 }
 
-// resolveBatch answers a batch: 404 for IDs that were never accepted, a read for the
+// resolveBatch answers the queries of a batch: with 404 for IDs that were never accepted, and with a read for the
 // others.
 func (l *statusLookups) resolveBatch(batch map[string]*statusLookup) {
 	ids := make([]string, 0, len(batch))
@@ -287,12 +291,11 @@
 	}
 }
 
-// acceptedAnywhere asks the store, or a peer that reaches it, which jobs were
-// accepted. A description is written before the job is accepted and never
-// deleted, so what has none was not accepted when this was asked.
+// acceptedAnywhere asks the store, or a peer that reaches it, which of the jobs were accepted. A job's spec is written
+// before the job is accepted and is never deleted, so a job without a spec was not accepted when the store was asked.
 func (s *Service) acceptedAnywhere(ids []string) (map[string]bool, error) {
 	storeUnreachable := s.health.Isolated()
-	if storeUnreachable { // the store is not worth waiting for before others were asked
+	if storeUnreachable { // ask the peers first rather than wait for the store to time out
 		if accepted, err := s.acceptedByPeers(ids); err == nil {
 			return accepted, nil
 		}
@@ -304,7 +307,7 @@
 	return s.acceptedByPeers(ids)
 }
 
-// acceptedByPeers asks the other nodes, which answer within their own budgets.
+// acceptedByPeers asks the other nodes which of the jobs were accepted. They answer within their own budgets.
 func (s *Service) acceptedByPeers(ids []string) (map[string]bool, error) {
 	err := peer.ErrUnreachable
 	var found []string
