--- a/cmd/devcluster/main.go
+++ b/cmd/devcluster/main.go
@@ -1,6 +1,6 @@
-// Command devcluster emulates the store, the cloud and the
-// agents on loopback, so that a node can be tried without a site. They are for
-// trying and testing only: nothing is kept, and tasks only pretend to run.
+// Command devcluster emulates the store, the cloud and the agents on loopback, so that a
+// controller can be run without real infrastructure. It is for development and testing only:
+// all state is in memory, and tasks are simulated.
 package main
 
 import (
@@ -25,16 +25,16 @@
 type cli struct {
 	State string        `default:"127.0.0.1:7001" help:"Address of the state service."`
 	Cloud string        `default:"127.0.0.1:7002" help:"Address of the cloud."`
-	Node  string        `default:"127.0.0.1:8080" help:"Public address of the node that workers report to."`
-	Run   time.Duration `default:"5s" help:"How long a task runs; services run until they are withdrawn."`
+	Node  string        `default:"127.0.0.1:8080" help:"Public address of the controller to which agents send heartbeats."`
+	Run   time.Duration `default:"5s" help:"Run time of a task; services run until they are cancelled."`
 
-	LowerAfter time.Duration `help:"After this, the state service enforces the lower limits; 0: never."`
-	ValueKB    float64       `default:"2" help:"Lower limit on a value, in KiB."`
-	TxnOps     int           `default:"4" help:"Lower limit on the changes of a transaction."`
-	WriteRPS   float64       `default:"20" help:"Lower limit on the changes a second."`
+	LowerAfter time.Duration `help:"Time after which the state service enforces the lower limits; 0: never."`
+	ValueKB    float64       `default:"2" help:"Lower limit on the size of a value, in KiB."`
+	TxnOps     int           `default:"4" help:"Lower limit on the number of changes in a transaction."`
+	WriteRPS   float64       `default:"20" help:"Lower limit on the number of changes per second."`
 }
 
-// devCluster is the agents with their lock.
+// devCluster holds the flags and the emulated store and cloud that all agents share.
 type devCluster struct {
 	cli
 	store *fake.Store
@@ -53,7 +53,8 @@
 	}
 }
 
-// run emulates the site until the context ends; the error tells which address is taken.
+// run serves the emulated store, cloud and agents until the context ends. It returns an error that
+// names the address if a listener cannot be opened.
 func run(ctx context.Context, flags cli) error {
 	dev := &devCluster{flags, fake.NewStore(), fake.NewCloud(8, wire.MachineType{
 		Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 40,
@@ -75,14 +76,14 @@
 			dev.store.SetLimits(
 				fake.Limits{ValueBytes: int(flags.ValueKB * 1024), TxnOps: flags.TxnOps, WriteRPS: flags.WriteRPS},
 			)
-			fmt.Println("the state service has lowered its limits")
+			fmt.Println("state service limits lowered")
 		})
 	}
-	fmt.Println("state service on", flags.State, "and cloud on", flags.Cloud)
+	fmt.Println("state service listening on", flags.State, "and cloud on", flags.Cloud)
 	return group.Wait()
 }
 
-// serveUntilDone answers requests until the context ends.
+// serveUntilDone serves requests on the listener until the context ends.
 func serveUntilDone(ctx context.Context, listener net.Listener, handler fasthttp.RequestHandler) error {
 	server := &fasthttp.Server{Handler: handler}
 	stop := context.AfterFunc(ctx, func() { _ = server.Shutdown() })
@@ -90,23 +91,24 @@
 	return server.Serve(listener)
 }
 
-// startAgents starts an agent for each machine that is rented.
-func (b *devCluster) startAgents(ctx context.Context) {
+// startAgents starts an agent for each machine that the cloud provisions, until the context ends.
+func (d *devCluster) startAgents(ctx context.Context) {
 	running := map[string]bool{}
 	for ctx.Err() == nil {
-		for _, machine := range b.cloud.Instances() { //nolint:contextcheck // the fake cloud waits for nothing
+		for _, machine := range d.cloud.Instances() { //nolint:contextcheck // the fake cloud does not block
 			if !running[machine.Name] {
 				running[machine.Name] = true
-				go b.runAgent(ctx, machine)
+				go d.runAgent(ctx, machine)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// runAgent is one agent: it reports, takes dispatched commands, and lets tasks end.
-func (b *devCluster) runAgent(ctx context.Context, machine wire.ListedMachine) {
-	time.Sleep(time.Second) // it boots
+// runAgent runs the agent of one machine until the machine is terminated or the context ends: it sends
+// heartbeats, executes commands and ends tasks after their run time.
+func (d *devCluster) runAgent(ctx context.Context, machine wire.ListedMachine) {
+	time.Sleep(time.Second) // emulates the boot time
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "devcluster:", err)
@@ -119,16 +121,16 @@
 	}
 	agent.agent.Spot, agent.agent.LeaseStart = machine.Spot, micro.Now()
 	go func() { _ = serveUntilDone(ctx, listener, agent.handle) }()
-	for ctx.Err() == nil && b.isRunning(machine.Name) { //nolint:contextcheck // as above
-		body, sent := agent.nextHeartbeat(ctx, b)
-		if commands, ok := b.postHeartbeat(body); ok {
+	for ctx.Err() == nil && d.isRunning(machine.Name) { //nolint:contextcheck // the fake cloud does not block
+		body, sent := agent.nextHeartbeat(ctx, d)
+		if commands, ok := d.postHeartbeat(body); ok {
 			agent.handleResponse(commands, sent)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-// devAgent is an agent with its lock: commands come from the node's side at any time.
+// devAgent guards an agent with a lock, since the controller may send commands at any time.
 type devAgent struct {
 	mu        sync.Mutex
 	agent     *fake.Agent
@@ -136,7 +138,7 @@
 	firstSeen map[fake.AttemptKey]time.Time
 }
 
-// handle answers a node's request: a probe or commands.
+// handle handles a request of a controller: GET is a probe, any other method carries commands.
 func (a *devAgent) handle(request *fasthttp.RequestCtx) {
 	if request.IsGet() {
 		a.handleProbe(request)
@@ -145,7 +147,7 @@
 	a.handleDispatch(request)
 }
 
-// handleProbe answers with a heartbeat.
+// handleProbe responds with a heartbeat.
 func (a *devAgent) handleProbe(request *fasthttp.RequestCtx) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -154,7 +156,8 @@
 	request.SetBody(wire.MustMarshal(heartbeat))
 }
 
-// handleDispatch executes dispatched commands and answers with a heartbeat.
+// handleDispatch executes dispatched commands and responds with a heartbeat. The status is 400 if the body is
+// malformed and 409 if the agent did not execute the commands.
 func (a *devAgent) handleDispatch(request *fasthttp.RequestCtx) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -171,9 +174,9 @@
 	request.SetBody(wire.MustMarshal(heartbeat))
 }
 
-// nextHeartbeat ends what has run its time, and gives the heartbeat to send and the time
-// from which its answer extends the lease.
-func (a *devAgent) nextHeartbeat(ctx context.Context, b *devCluster) (body []byte, sent micro.Time) {
+// nextHeartbeat ends tasks whose run time is over. It returns the heartbeat to send and the time from which
+// its response extends the lease.
+func (a *devAgent) nextHeartbeat(ctx context.Context, d *devCluster) (body []byte, sent micro.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	sent = micro.Now()
@@ -182,8 +185,8 @@
 		if _, seen := a.firstSeen[attempt]; !seen {
 			a.firstSeen[attempt] = time.Now()
 		}
-		overdue := time.Since(a.firstSeen[attempt]) > b.Run
-		if task.State == wire.TaskRunning && overdue && !b.isServiceTask(ctx, attempt.Task) {
+		overdue := time.Since(a.firstSeen[attempt]) > d.Run
+		if task.State == wire.TaskRunning && overdue && !d.isServiceTask(ctx, attempt.Task) {
 			a.agent.ExitTask(attempt.Task, attempt.Attempt, wire.CauseDone)
 		}
 	}
@@ -198,13 +201,14 @@
 	a.agent.HandleResponse(commands, sent)
 }
 
-// postHeartbeat sends a heartbeat to the node; false if it gave no commands in answer.
-func (b *devCluster) postHeartbeat(body []byte) (wire.Commands, bool) {
+// postHeartbeat sends a heartbeat to the controller and returns the commands in the response. It returns false
+// if the request failed or the response holds no commands.
+func (d *devCluster) postHeartbeat(body []byte) (wire.Commands, bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod("POST")
-	req.SetRequestURI("http://" + b.Node + "/agent/beat")
+	req.SetRequestURI("http://" + d.Node + "/agent/beat")
 	req.SetBody(body)
 	var commands wire.Commands
 	ok := fasthttp.DoTimeout(req, resp, 4*time.Second) == nil && resp.StatusCode() == fasthttp.StatusOK &&
@@ -212,8 +216,8 @@
 	return commands, ok
 }
 
-func (b *devCluster) isRunning(name string) bool {
-	for _, machine := range b.cloud.Instances() {
+func (d *devCluster) isRunning(name string) bool {
+	for _, machine := range d.cloud.Instances() {
 		if machine.Name == name {
 			return true
 		}
@@ -221,10 +225,11 @@
 	return false
 }
 
-// isServiceTask looks a task's job up, as an agent fetches its description.
-func (b *devCluster) isServiceTask(ctx context.Context, task string) bool {
+// isServiceTask reports whether a task belongs to a service. It reads the job from the store, as an agent
+// fetches the job description.
+func (d *devCluster) isServiceTask(ctx context.Context, task string) bool {
 	id, _, _ := wire.ParseTaskName(task)
-	it, err := b.store.Get(ctx, store.Routine, "job/"+id+"/spec")
+	it, err := d.store.Get(ctx, store.Routine, "job/"+id+"/spec")
 	var job wire.Job
 	return err == nil && wire.Unmarshal(it.Value, &job) == nil && job.Kind == wire.Service
 }
--- a/cmd/notchmux/main.go
+++ b/cmd/notchmux/main.go
@@ -1,5 +1,5 @@
-// Command notchmux is a cluster scheduler: it runs a controller, checks
-// settings, and speaks to a running service as a user.
+// Command notchmux is a cluster scheduler: it runs a controller, checks settings, and sends
+// requests of users and operators to a running service.
 package main
 
 import (
@@ -20,23 +20,23 @@
 	"notchmux.dev/notchmux/internal/controller"
 )
 
-// version is set by release builds.
+// version is the program's version. Release builds replace it.
 var version = "0.1.0-dev"
 
 type cli struct {
-	Serve   serveCmd   `cmd:"" help:"Run a controller until it is killed."`
-	Check   checkCmd   `cmd:"" help:"Check a settings file and the properties, and say what they amount to."`
-	Job     jobCmd     `cmd:"" help:"Submit, show or withdraw a job."`
-	Share   shardCmd   `cmd:"" help:"List, show or move shares of the machines."`
+	Serve   serveCmd   `cmd:"" help:"Run a controller until it is interrupted or terminated."`
+	Check   checkCmd   `cmd:"" help:"Check the settings and properties, and print a summary."`
+	Job     jobCmd     `cmd:"" help:"Submit, show or cancel a job."`
+	Share   shardCmd   `cmd:"" help:"List, show or move shares (sets of machines with an owner of their own)."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
 type settings struct {
-	Config     string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
-	Properties string `placeholder:"FILE" env:"NOTCHMUX_PROPERTIES" help:"The operators' properties."`
+	Config     string `required:"" placeholder:"FILE" help:"Settings file of the platform (TOML)."`
+	Properties string `placeholder:"FILE" env:"NOTCHMUX_PROPERTIES" help:"Properties file of the operators."`
 
-	//nolint:lll // a tag is one literal
-	Feature []string `placeholder:"FILE" sep:"none" help:"Switch a part of the service on by its file (shares.properties). May be repeated."`
+	//nolint:lll // a struct tag cannot be split
+	Feature []string `placeholder:"FILE" sep:"none" help:"Enable an optional feature by its settings file (shares.properties). May be repeated."`
 }
 
 func (s settings) load() (*config.Config, error) {
@@ -52,7 +52,7 @@
 	settings
 }
 
-// Run starts the controller.
+// Run runs the controller until it is interrupted or terminated.
 func (c *serveCmd) Run(stderr io.Writer) error {
 	cfg, err := c.load()
 	if err != nil {
@@ -69,7 +69,8 @@
 	return controller.New(cfg, log).Run(ctx)
 }
 
-// applyQuota keeps the process within its quota.
+// applyQuota sets the runtime's limits from the quota: GOMAXPROCS to the rounded core share, at
+// least 1, and the memory limit to 60 % of the memory. Values set in the environment take precedence.
 func applyQuota(cfg *config.Config) {
 	if os.Getenv("GOMAXPROCS") == "" {
 		runtime.GOMAXPROCS(max(1, int(cfg.Facts.Quota.CoreShare+0.5)))
@@ -78,10 +79,11 @@
 		debug.SetMemoryLimit(int64(cfg.Facts.Quota.RAMMB*0.6) << 20)
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(400) // processor time is scarcer than memory
+		debug.SetGCPercent(400) // CPU time is scarcer than memory
 	}
 }
 
+// logLevel parses the value of LOG_LEVEL; the default is info.
 func logLevel(s string) (slog.Level, error) {
 	switch s {
 	case "error":
@@ -98,7 +100,7 @@
 	settings
 }
 
-// Run checks the settings.
+// Run checks the settings and prints a summary, warnings and all known properties.
 func (c *checkCmd) Run(_ io.Writer) error {
 	cfg, err := c.load()
 	if err != nil {
@@ -110,8 +112,8 @@
 	)
 	printShardSettings(cfg.Shards)
 	printPlacementWarnings(cfg)
-	config.Describe(func(key string, def, least, most float64, help string) {
-		fmt.Printf("%-22s default %g, %g to %g: %s\n", key, def, least, most, help)
+	config.Describe(func(key string, defaultValue, minimum, maximum float64, help string) {
+		fmt.Printf("%-22s default %g, %g to %g: %s\n", key, defaultValue, minimum, maximum, help)
 	})
 	return nil
 }
--- a/cmd/notchmux/shard_warnings.go
+++ b/cmd/notchmux/shard_warnings.go
@@ -7,16 +7,16 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// printPlacementWarnings says for which work the declared shards leave no place. The machine types
-// come from the cloud at run time: the selectors, the zones and the teams of the settings
-// show only a part. The leader says the rest when it forms a shard.
+// printPlacementWarnings prints a warning for each kind of job that cannot be placed because of the declared shards.
+// Machine types are known only at run time, from the cloud's catalog, so the check is limited to the selectors,
+// zones and teams in the settings. The leader reports the remaining cases when it forms a shard.
 func printPlacementWarnings(cfg *config.Config) {
 	if cfg.Shards == nil {
 		return
 	}
-	parts := cfg.Shards.Definitions()
+	definitions := cfg.Shards.Definitions()
 	for _, warning := range shard.PlacementWarnings(
-		shard.PossibleOffers(cfg.Facts.Zones, parts), parts, cfg.TeamNames(),
+		shard.PossibleOffers(cfg.Facts.Zones, definitions), definitions, cfg.TeamNames(),
 	) {
 		fmt.Printf("warning: %s\n", warning)
 	}
--- a/cmd/notchmux/waiting_jobs.go
+++ b/cmd/notchmux/waiting_jobs.go
@@ -9,26 +9,26 @@
 	"notchmux.dev/notchmux/internal/shard"
 )
 
-// shardWithWaitingJobs is a shard as JSON, with the jobs that wait for it.
+// shardWithWaitingJobs is the JSON output for a shard with its waiting jobs.
 type shardWithWaitingJobs struct {
 	shard.Status
 
 	WaitingJobs []shard.WaitingJob `json:"waitingJobs,omitempty"`
 }
 
-// printDetailed prints an answer, with the waiting jobs that it tells of.
+// printDetailed writes a reply, including its waiting jobs, as text or JSON.
 func (c *shardCmd) printDetailed(reply *shard.DetailedReply, out io.Writer) error {
 	if len(reply.WaitingJobs) == 0 {
 		return c.print(&reply.CommandReply, out)
 	}
 	if c.JSON {
-		var shown []shardWithWaitingJobs
+		var rows []shardWithWaitingJobs
 		for _, status := range reply.Shards {
-			shown = append(shown, shardWithWaitingJobs{status, reply.WaitingJobs})
+			rows = append(rows, shardWithWaitingJobs{status, reply.WaitingJobs})
 		}
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(shown)
+		return encoder.Encode(rows)
 	}
 	if err := c.print(&reply.CommandReply, out); err != nil {
 		return err
@@ -36,13 +36,13 @@
 	var text strings.Builder
 	text.WriteString("  waiting at the leader:\n")
 	for _, job := range reply.WaitingJobs {
-		side := strings.Join(job.ServedBy, ", ")
-		if side == "" {
-			side = "none: " + job.UnservedReason
+		owners := strings.Join(job.ServedBy, ", ")
+		if owners == "" {
+			owners = "none: " + job.UnservedReason
 		}
 		fmt.Fprintf(
 			&text, "    %s of team %s, %d tasks for %d s, may be served by: %s\n", job.ID, job.Team, job.Tasks, job.WaitingS,
-			side,
+			owners,
 		)
 	}
 	_, err := io.WriteString(out, text.String())
